--- a/internal/register/last.go
+++ b/internal/register/last.go
@@ -1,24 +1,60 @@
 package register
 
 import (
+	"bytes"
 	"encoding/json"
 	"fmt"
 	"os"
 
 	"dapplefront/internal/whole"
+	"dapplefront/logic"
+	"dapplefront/router"
 )
 
 // kept is the file of a last list.
 type kept struct {
-	Format int    `json:"format"`
-	Hosts  []Host `json:"hosts"`
+	Format int          `json:"format"`
+	Hosts  []storedHost `json:"hosts"`
+}
+
+// storedHost is a Host as the file has it. Its JSON names are those of the first version of the format and never
+// change, whatever the fields of Host are called.
+type storedHost struct {
+	ID       uint32         `json:"ID"`
+	Location string         `json:"Location"`
+	Cell     int            `json:"Cell"`
+	Standing logic.Standing `json:"Standing"`
+	Build    int            `json:"Build"`
+	Size     float64        `json:"Size"`
+	Up       logic.Time     `json:"Up"`
+	Address  string         `json:"Address"`
+}
+
+func toStoredHost(h Host) storedHost {
+	return storedHost{
+		ID: h.ID, Location: h.Location, Cell: h.Cell, Standing: h.Standing, Build: h.Build, Size: h.Size, Up: h.Up,
+		Address: h.Address,
+	}
+}
+
+func (s storedHost) host() Host {
+	return Host{
+		Host: router.Host{
+			ID: s.ID, Location: s.Location, Cell: s.Cell, Standing: s.Standing, Build: s.Build, Size: s.Size, Up: s.Up,
+		},
+		Address: s.Address,
+	}
 }
 
 const format = 1
 
 // Keep writes the last list to a file, whole or not at all.
 func Keep(file string, hosts []Host) error {
-	text, err := json.MarshalIndent(kept{format, hosts}, "", " ")
+	stored := make([]storedHost, 0, len(hosts))
+	for _, h := range hosts {
+		stored = append(stored, toStoredHost(h))
+	}
+	text, err := json.MarshalIndent(kept{format, stored}, "", " ")
 	if err != nil {
 		return err
 	}
@@ -31,15 +67,36 @@
 	if os.IsNotExist(err) {
 		return nil, nil
 	}
-	var k kept
-	if err == nil {
-		err = json.Unmarshal(text, &k)
-	}
-	if err == nil && k.Format != format {
-		err = fmt.Errorf("format %d expected, not %d", format, k.Format)
+	if err != nil {
+		return nil, fmt.Errorf("last list %s: %w", file, err)
 	}
+	hosts, err := decode(text)
 	if err != nil {
 		return nil, fmt.Errorf("last list %s: %w", file, err)
 	}
-	return k.Hosts, nil
+	return hosts, nil
+}
+
+// decode reads a file's text. A format or a field that this version doesn't know is an error.
+func decode(text []byte) ([]Host, error) {
+	var version struct {
+		Format int `json:"format"`
+	}
+	if err := json.Unmarshal(text, &version); err != nil {
+		return nil, err
+	}
+	if version.Format != format {
+		return nil, fmt.Errorf("format %d expected, not %d", format, version.Format)
+	}
+	decoder := json.NewDecoder(bytes.NewReader(text))
+	decoder.DisallowUnknownFields()
+	var stored kept
+	if err := decoder.Decode(&stored); err != nil {
+		return nil, err
+	}
+	hosts := make([]Host, 0, len(stored.Hosts))
+	for _, h := range stored.Hosts {
+		hosts = append(hosts, h.host())
+	}
+	return hosts, nil
 }
--- /dev/null
+++ b/internal/register/stored_test.go
@@ -0,0 +1,41 @@
+package register
+
+import (
+	"os"
+	"path/filepath"
+	"testing"
+
+	"github.com/stretchr/testify/require"
+
+	"dapplefront/logic"
+	"dapplefront/router"
+)
+
+// testdata/endpoints.json was written by the program at commit d72f78e.
+var storedHosts = []Host{
+	{Host: router.Host{ID: 7, Location: "north", Cell: 3, Standing: logic.Draining, Build: 2, Size: 1.5, Up: 123456}, Address: "127.0.0.1:4001"},
+	{Host: router.Host{ID: 9, Location: "south", Build: 1, Size: 1}, Address: "127.0.0.1:4002"},
+}
+
+func TestAnEarlierVersionsEndpointListIsReadWhole(t *testing.T) {
+	hosts, err := Last("testdata/endpoints.json")
+	require.NoError(t, err)
+	require.Equal(t, storedHosts, hosts)
+}
+
+func TestAnEndpointListIsWrittenInTheEarlierForm(t *testing.T) {
+	file := filepath.Join(t.TempDir(), "list")
+	require.NoError(t, Keep(file, storedHosts))
+	want, err := os.ReadFile("testdata/endpoints.json")
+	require.NoError(t, err)
+	got, err := os.ReadFile(file)
+	require.NoError(t, err)
+	require.Equal(t, string(want), string(got))
+}
+
+func TestAnUnknownFieldOfAnEndpointListIsAnError(t *testing.T) {
+	file := filepath.Join(t.TempDir(), "list")
+	require.NoError(t, os.WriteFile(file, []byte(`{"format":1,"hosts":[{"ID":1,"Zone":"north"}]}`), 0o600))
+	_, err := Last(file)
+	require.ErrorContains(t, err, `unknown field "Zone"`)
+}
--- /dev/null
+++ b/record/settings_test.go
@@ -0,0 +1,38 @@
+package record_test
+
+import (
+	"os"
+	"testing"
+
+	"github.com/stretchr/testify/require"
+
+	"dapplefront/internal/charter"
+	"dapplefront/internal/terms"
+	"dapplefront/record"
+	"dapplefront/router"
+)
+
+// A configuration of each kind is read and compared in its stored form, which doesn't change with names in the code.
+func TestARoutersSettingsMeanWhatTheyMeantEarlier(t *testing.T) {
+	t.Run("INI file", func(t *testing.T) {
+		c, err := charter.Read("testdata/router.ini")
+		require.NoError(t, err)
+		requireStored(t, "testdata/router.ini.json", c.Place)
+	})
+	t.Run("platform settings", func(t *testing.T) {
+		text, err := os.ReadFile("testdata/settings.json")
+		require.NoError(t, err)
+		p, err := terms.Flatten(text)
+		require.NoError(t, err)
+		requireStored(t, "testdata/settings.json.json", terms.Read(p, 7).Place)
+	})
+}
+
+func requireStored(t *testing.T, golden string, p router.Place) {
+	t.Helper()
+	want, err := os.ReadFile(golden)
+	require.NoError(t, err)
+	got, err := record.MarshalConfig(p)
+	require.NoError(t, err)
+	require.Equal(t, string(want), string(got))
+}
--- /dev/null
+++ b/record/stored_config.go
@@ -0,0 +1,195 @@
+package record
+
+import (
+	"bytes"
+	"encoding/json"
+	"errors"
+	"fmt"
+	"io"
+
+	"dapplefront/logic"
+	"dapplefront/router"
+)
+
+// The types below are the stored form of a router's configuration. Their JSON names are those of the first version of
+// the format and never change, whatever the fields of router.Place are called.
+
+// storedConfig is a router.Place.
+type storedConfig struct {
+	Seed       uint64         `json:"Seed"`
+	Routers    int            `json:"Routers"`
+	Rank       int            `json:"Rank"`
+	Location   string         `json:"Location"`
+	Categories []storedClass  `json:"Categories"`
+	Customers  []storedTenant `json:"Customers"`
+	Limits     storedLimits   `json:"Limits"`
+	Desk       storedRelease  `json:"Desk"`
+}
+
+// storedClass is a router.Category.
+type storedClass struct {
+	Name      string       `json:"Name"`
+	Repeat    logic.Repeat `json:"Repeat"`
+	Group     logic.Group  `json:"Group"`
+	Memory    logic.Time   `json:"Memory"`
+	Promised  logic.Time   `json:"Promised"`
+	Earnings  float64      `json:"Earnings"`
+	LateShare float64      `json:"LateShare"`
+}
+
+// storedTenant is a router.Customer.
+type storedTenant struct {
+	Name      string  `json:"Name"`
+	PerSecond float64 `json:"PerSecond"`
+}
+
+// storedLimits is a logic.Limits.
+type storedLimits struct {
+	Grace       logic.Time `json:"Grace"`
+	Cold        logic.Time `json:"Cold"`
+	ColdShare   float64    `json:"ColdShare"`
+	Tip         float64    `json:"Tip"`
+	TipFor      logic.Time `json:"TipFor"`
+	AskWithin   logic.Time `json:"AskWithin"`
+	MaxSends    int        `json:"MaxSends"`
+	MaxOpen     int        `json:"MaxOpen"`
+	TwoAtOnce   bool       `json:"TwoAtOnce"`
+	LongestStay logic.Time `json:"LongestStay"`
+	Pushed      bool       `json:"Pushed"`
+	Peers       int        `json:"Peers"`
+	Probes      bool       `json:"Probes"`
+	CrossPrice  float64    `json:"CrossPrice"`
+	WastePrice  float64    `json:"WastePrice"`
+	OverShare   float64    `json:"OverShare"`
+}
+
+// storedRelease is a logic.Desk.
+type storedRelease struct {
+	Control      logic.Control `json:"Control"`
+	Caps         []float64     `json:"Caps"`
+	LeastTime    logic.Time    `json:"LeastTime"`
+	ClockTime    logic.Time    `json:"ClockTime"`
+	ToMoveOn     int           `json:"ToMoveOn"`
+	ToAbort      int           `json:"ToAbort"`
+	VoteLife     logic.Time    `json:"VoteLife"`
+	VoteTimeout  logic.Time    `json:"VoteTimeout"`
+	VotesASecond float64       `json:"VotesASecond"`
+	Window       logic.Time    `json:"Window"`
+	Free         float64       `json:"Free"`
+	ByCategory   bool          `json:"ByCategory"`
+	Guarded      int           `json:"Guarded"`
+	KeysStay     bool          `json:"KeysStay"`
+	DelayPrice   float64       `json:"DelayPrice"`
+	HarmPrice    float64       `json:"HarmPrice"`
+	Complaints   float64       `json:"Complaints"`
+	Counted      float64       `json:"Counted"`
+}
+
+// marshalConfig returns the stored form of a configuration.
+func marshalConfig(p router.Place) ([]byte, error) { return json.Marshal(toStored(p)) }
+
+// unmarshalConfig reads the stored form of a configuration. A field that this version doesn't know is an error: it
+// can't be replayed as it was.
+func unmarshalConfig(text []byte) (*router.Place, error) {
+	decoder := json.NewDecoder(bytes.NewReader(text))
+	decoder.DisallowUnknownFields()
+	var stored storedConfig
+	if err := decoder.Decode(&stored); err != nil {
+		return nil, fmt.Errorf("stored configuration: %w", err)
+	}
+	if _, err := decoder.Token(); err != io.EOF {
+		return nil, errors.New("stored configuration: something follows its end")
+	}
+	p := stored.config()
+	return &p, nil
+}
+
+func toStored(p router.Place) storedConfig {
+	stored := storedConfig{
+		Seed: p.Seed, Routers: p.Routers, Rank: p.Rank, Location: p.Location,
+		Limits: toStoredLimits(p.Limits), Desk: toStoredRelease(p.Desk),
+	}
+	for _, c := range p.Categories {
+		stored.Categories = append(stored.Categories, toStoredClass(c))
+	}
+	for _, c := range p.Customers {
+		stored.Customers = append(stored.Customers, toStoredTenant(c))
+	}
+	return stored
+}
+
+func (s storedConfig) config() router.Place {
+	p := router.Place{
+		Seed: s.Seed, Routers: s.Routers, Rank: s.Rank, Location: s.Location,
+		Limits: s.Limits.limits(), Desk: s.Desk.release(),
+	}
+	for _, c := range s.Categories {
+		p.Categories = append(p.Categories, c.class())
+	}
+	for _, c := range s.Customers {
+		p.Customers = append(p.Customers, c.tenant())
+	}
+	return p
+}
+
+func toStoredClass(c router.Category) storedClass {
+	return storedClass{
+		Name: c.Name, Repeat: c.Repeat, Group: c.Group, Memory: c.Memory, Promised: c.Promised,
+		Earnings: c.Earnings, LateShare: c.LateShare,
+	}
+}
+
+func (s storedClass) class() router.Category {
+	return router.Category{
+		Name: s.Name, Repeat: s.Repeat, Group: s.Group, Memory: s.Memory, Promised: s.Promised,
+		Earnings: s.Earnings, LateShare: s.LateShare,
+	}
+}
+
+func toStoredTenant(c router.Customer) storedTenant {
+	return storedTenant{
+		Name: c.Name, PerSecond: c.PerSecond,
+	}
+}
+
+func (s storedTenant) tenant() router.Customer {
+	return router.Customer{
+		Name: s.Name, PerSecond: s.PerSecond,
+	}
+}
+
+func toStoredLimits(l logic.Limits) storedLimits {
+	return storedLimits{
+		Grace: l.Grace, Cold: l.Cold, ColdShare: l.ColdShare, Tip: l.Tip, TipFor: l.TipFor, AskWithin: l.AskWithin,
+		MaxSends: l.MaxSends, MaxOpen: l.MaxOpen, TwoAtOnce: l.TwoAtOnce, LongestStay: l.LongestStay,
+		Pushed: l.Pushed, Peers: l.Peers, Probes: l.Probes, CrossPrice: l.CrossPrice, WastePrice: l.WastePrice,
+		OverShare: l.OverShare,
+	}
+}
+
+func (s storedLimits) limits() logic.Limits {
+	return logic.Limits{
+		Grace: s.Grace, Cold: s.Cold, ColdShare: s.ColdShare, Tip: s.Tip, TipFor: s.TipFor, AskWithin: s.AskWithin,
+		MaxSends: s.MaxSends, MaxOpen: s.MaxOpen, TwoAtOnce: s.TwoAtOnce, LongestStay: s.LongestStay,
+		Pushed: s.Pushed, Peers: s.Peers, Probes: s.Probes, CrossPrice: s.CrossPrice, WastePrice: s.WastePrice,
+		OverShare: s.OverShare,
+	}
+}
+
+func toStoredRelease(d logic.Desk) storedRelease {
+	return storedRelease{
+		Control: d.Control, Caps: d.Caps, LeastTime: d.LeastTime, ClockTime: d.ClockTime, ToMoveOn: d.ToMoveOn,
+		ToAbort: d.ToAbort, VoteLife: d.VoteLife, VoteTimeout: d.VoteTimeout, VotesASecond: d.VotesASecond,
+		Window: d.Window, Free: d.Free, ByCategory: d.ByCategory, Guarded: d.Guarded, KeysStay: d.KeysStay,
+		DelayPrice: d.DelayPrice, HarmPrice: d.HarmPrice, Complaints: d.Complaints, Counted: d.Counted,
+	}
+}
+
+func (s storedRelease) release() logic.Desk {
+	return logic.Desk{
+		Control: s.Control, Caps: s.Caps, LeastTime: s.LeastTime, ClockTime: s.ClockTime, ToMoveOn: s.ToMoveOn,
+		ToAbort: s.ToAbort, VoteLife: s.VoteLife, VoteTimeout: s.VoteTimeout, VotesASecond: s.VotesASecond,
+		Window: s.Window, Free: s.Free, ByCategory: s.ByCategory, Guarded: s.Guarded, KeysStay: s.KeysStay,
+		DelayPrice: s.DelayPrice, HarmPrice: s.HarmPrice, Complaints: s.Complaints, Counted: s.Counted,
+	}
+}
--- a/record/wire.go
+++ b/record/wire.go
@@ -1,7 +1,6 @@
 package record
 
 import (
-	"encoding/json"
 	"errors"
 	"fmt"
 	"math"
@@ -94,19 +93,19 @@
 		c.Name = hide(c.Name)
 		p.Customers = append(p.Customers, c)
 	}
-	text, err := json.Marshal(p)
+	text, err := marshalConfig(p)
 	b.message(field, func(b *out) { b.text(1, string(text)) })
 	return err
 }
 
 func readPlace(b []byte) (p *router.Place, err error) {
-	return p, fields(b, func(f field) error {
-		if f.number != 1 {
-			return nil
+	err = fields(b, func(f field) (err error) {
+		if f.number == 1 {
+			p, err = unmarshalConfig(f.bytes)
 		}
-		p = &router.Place{}
-		return json.Unmarshal(f.bytes, p)
+		return err
 	})
+	return p, err
 }
 
 func appendLoad(b *out, field protowire.Number, l *logic.Load) {
