--- a/control/state.go
+++ b/control/state.go
@@ -125,8 +125,9 @@
 }
 
 type creation struct {
-	Key, Hash string
-	Build     int
+	Key   string `json:"Key"`
+	Hash  string `json:"Hash"`
+	Build int    `json:"Build"`
 }
 
 // format is the version of what Save writes. Older ones are upgraded by upgrade; newer ones are refused.
--- a/release/release.go
+++ b/release/release.go
@@ -84,12 +84,13 @@
 func (Answer) effect() {}
 func (Refuse) effect() {}
 
-// News is where the newest release stands.
+// News is where the newest release stands. It is stored and sent under these names.
 type News struct {
-	Build, Stage int
-	Phase        logic.Phase
-	Cap          float64
-	Since        logic.Time
+	Build int         `json:"Build"`
+	Stage int         `json:"Stage"`
+	Phase logic.Phase `json:"Phase"`
+	Cap   float64     `json:"Cap"`
+	Since logic.Time  `json:"Since"`
 }
 
 // state is the phase, with its trial's two parts told apart.
--- a/release/saved.go
+++ b/release/saved.go
@@ -24,10 +24,11 @@
 
 // SavedVote is one router's standing vote.
 type SavedVote struct {
-	Router       string
-	Build, Stage int
-	Voice        logic.Voice
-	At           logic.Time
+	Router string      `json:"Router"`
+	Build  int         `json:"Build"`
+	Stage  int         `json:"Stage"`
+	Voice  logic.Voice `json:"Voice"`
+	At     logic.Time  `json:"At"`
 }
 
 // Save is the machine's state, the same for the same inputs.
