--- a/internal/day/ledger.go
+++ b/internal/day/ledger.go
@@ -31,8 +31,8 @@
 // hear takes in an event of the watch.
 func (l *ledger) hear(data []byte) error {
 	var e struct {
-		Agent  string
-		Report api.AgentReport
+		Agent  string          `json:"agent"`
+		Report api.AgentReport `json:"report"`
 	}
 	if err := json.Unmarshal(data, &e); err != nil {
 		return err
--- a/internal/instance/instance.go
+++ b/internal/instance/instance.go
@@ -73,9 +73,15 @@
 	kept   chan struct{}
 }
 
-// Counts is what an instance has done since it started.
+// Counts is what an instance has done since it started. The JSON names stand in a day's report.
 type Counts struct {
-	Taken, Finished, TurnedBack, Scrapped, Left, Sends, Copies uint64
+	Taken      uint64 `json:"Taken"`
+	Finished   uint64 `json:"Finished"`
+	TurnedBack uint64 `json:"TurnedBack"`
+	Scrapped   uint64 `json:"Scrapped"`
+	Left       uint64 `json:"Left"`
+	Sends      uint64 `json:"Sends"`
+	Copies     uint64 `json:"Copies"`
 }
 
 // held is a task of which something is still to come: its answer, or the end of a send.
--- a/internal/platform/platform.go
+++ b/internal/platform/platform.go
@@ -109,8 +109,8 @@
 
 func (l *Link) value(text json.RawMessage) error {
 	var m struct {
-		Type   string
-		Object json.RawMessage
+		Type   string          `json:"type"`
+		Object json.RawMessage `json:"object"`
 	}
 	if err := json.Unmarshal(text, &m); err != nil {
 		return err
@@ -128,8 +128,8 @@
 		l.hear.Release(news)
 	case "flag":
 		var f struct {
-			Unit    string
-			Product string
+			Unit    string   `json:"unit"`
+			Product string   `json:"product"`
 			OldMs   *float64 `json:"old_ms"`
 		}
 		if err := json.Unmarshal(m.Object, &f); err != nil {
