--- a/cmd/dapplefront/agent.go
+++ b/cmd/dapplefront/agent.go
@@ -48,7 +48,7 @@
 }
 
 // readPost reads an agent's settings; mistakes are kept by the sheet.
-func readPost(s *sheet.Sheet) agentd.Post {
+func readPost(s *sheet.File) agentd.Post {
 	a := s.Part("agent")
 	p := agentd.Post{Name: a.Text("name", "!"), Dir: a.Text("folder", "!"), Controller: a.Text("controller", "!"),
 		Disk: int64(a.Bytes("disk", "8GiB")), Log: int64(a.Bytes("output", "1MiB")), Cold: a.Span("cold", "5s"),
--- a/cmd/dapplefront/controller.go
+++ b/cmd/dapplefront/controller.go
@@ -31,23 +31,23 @@
 
 // office is what a controller is told at start.
 type office struct {
-	seat   controller.Seat
-	front  controller.Front
+	seat   controller.NodeConfig
+	front  controller.ServerConfig
 	files  keys.Files
 	peers  []string
 	grants []controller.Grant
 }
 
 // readOffice reads a controller's settings; mistakes are kept by the sheet.
-func readOffice(s *sheet.Sheet) (o office) {
+func readOffice(s *sheet.File) (o office) {
 	p := s.Part("controller")
-	o.seat = controller.Seat{Name: p.Text("name", "!"), Dir: p.Text("store", "!"), Listen: p.Address("peers", "127.0.0.1:7400"),
+	o.seat = controller.NodeConfig{Name: p.Text("name", "!"), Dir: p.Text("store", "!"), Listen: p.Address("peers", "127.0.0.1:7400"),
 		First: p.Switch("first", "off"), Quick: p.Switch("near", "on"), Build: p.Whole("build", "1", 1, 65535)}
-	o.front = controller.Front{Listen: p.Address("listen", "127.0.0.1:7300"), URL: p.Text("url", ""), VotesASecond: p.Number("votes-a-second", "30", 0.1, 1e6),
+	o.front = controller.ServerConfig{Listen: p.Address("listen", "127.0.0.1:7300"), URL: p.Text("url", ""), VotesASecond: p.Number("votes-a-second", "30", 0.1, 1e6),
 		Watchers: p.Whole("watchers", "5000", 1, 1<<20), Bookmark: p.Span("bookmark", "2s"), Slow: p.Span("slow", "5s")}
 	p = s.Part("releases")
-	r := release.Rules{Control: map[string]logic.Control{"share": logic.ShareOfVotes, "clock": logic.Clock}[p.OneOf("control", "share", "share", "any", "clock")],
-		LeastTime: loop.Span(p.Span("least-time", "2s")), ClockTime: loop.Span(p.Span("clock-time", "10s")), VoteLife: loop.Span(p.Span("vote-life", "10s")),
+	r := release.Rules{Control: map[string]logic.PromotionMode{"share": logic.Quorum, "clock": logic.Timed}[p.OneOf("control", "share", "share", "any", "clock")],
+		LeastTime: loop.FromDuration(p.Span("least-time", "2s")), ClockTime: loop.FromDuration(p.Span("clock-time", "10s")), VoteLife: loop.FromDuration(p.Span("vote-life", "10s")),
 		ToMoveOn: p.Whole("to-move-on", "1", 1, 100_000), ToAbort: p.Whole("to-abort", "1", 1, 100_000), ToHold: p.Whole("to-hold", "0", 0, 100_000)}
 	shares, caps := p.Shares("shares", "3%, 12%, 40%, 100%"), p.Shares("caps", "4%, 15%, 50%, 100%")
 	if len(shares) != len(caps) {
@@ -56,14 +56,14 @@
 	for i := range min(len(shares), len(caps)) {
 		r.Stages = append(r.Stages, release.Stage{Share: shares[i], Cap: caps[i]})
 	}
-	o.seat.Figures = control.Figures{Rules: r, OnShare: p.Share("on-share", "0%"), BackShare: p.Share("back-share", "0%"),
-		Absent: loop.Span(p.Span("absent", "30s")), Events: p.Whole("events", "4096", 100, 1<<20), Keys: p.Whole("keys", "1000", 10, 1<<20)}
+	o.seat.Figures = control.Config{Rules: r, OnShare: p.Share("on-share", "0%"), BackShare: p.Share("back-share", "0%"),
+		Absent: loop.FromDuration(p.Span("absent", "30s")), Events: p.Whole("events", "4096", 100, 1<<20), Keys: p.Whole("keys", "1000", 10, 1<<20)}
 	o.guard(s)
 	return o
 }
 
 // guard reads certificates and who may do what.
-func (o *office) guard(s *sheet.Sheet) {
+func (o *office) guard(s *sheet.File) {
 	p := s.Part("tls")
 	o.files = keys.Files{Certificate: p.Text("certificate", ""), Key: p.Text("key", ""), Authority: p.Text("authority", "")}
 	if k := o.files; p.Has() && (k.Certificate == "" || k.Key == "" || k.Authority == "") {
@@ -147,7 +147,7 @@
 			ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 			defer stop()
 			<-ctx.Done()
-			if leads, _ := n.Leads(); leads {
+			if leads, _ := n.IsLeader(); leads {
 				_ = n.StepDown() // another takes over at once, where there is one
 			}
 			s.Close()
--- a/control/apply.go
+++ b/control/apply.go
@@ -12,37 +12,37 @@
 	"dapplefront/release"
 )
 
-// Verb is what a command asks for.
-type Verb string
+// CommandKind is what a command asks for.
+type CommandKind string
 
 const (
-	Create   Verb = "create"   // a release: Build, Digest, Note, Labels, Steps, Key
-	Patch    Verb = "patch"    // Note and Labels of Build; IfVersion
-	Withdraw Verb = "withdraw" // Build; IfVersion
-	Delete   Verb = "delete"   // Build, which must be over; IfVersion
-	Vote     Verb = "vote"     // of Router on Build at Stage: Voice
-	Ready    Verb = "ready"    // the hosts that an order asked for run
-	Gone     Verb = "gone"     // the hosts that an order named are gone
-	StepDone Verb = "step"     // Name of Build is done, by Router
-	Report   Verb = "report"   // Counts and Hosts of Build
-	Tick     Verb = "tick"     // time has passed
-	Join     Verb = "join"     // Router is there, or still there
-	Leave    Verb = "leave"    // Router has left
-	Tell     Verb = "tell"     // an event that changes nothing here: Name is its kind, Body its body
-	Publish  Verb = "publish"  // a plan, for so long
-	HeedPlan Verb = "heed"     // Router's word on the plan
-	OrderTo  Verb = "order"    // the agent Name: Body, whose number is that of the reply's Number
-	HearOf   Verb = "heard"    // the agent Name reported Body, a list; each by its number counts once
-	Member   Verb = "member"   // the controller Name answers at Note; an empty Note for one that has gone
+	Create      CommandKind = "create"   // a release: Build, Digest, Note, Labels, Steps, Key
+	Patch       CommandKind = "patch"    // Note and Labels of Build; IfVersion
+	Withdraw    CommandKind = "withdraw" // Build; IfVersion
+	Delete      CommandKind = "delete"   // Build, which must be over; IfVersion
+	Vote        CommandKind = "vote"     // of Router on Build at Stage: Voice
+	Ready       CommandKind = "ready"    // the hosts that an order asked for run
+	Gone        CommandKind = "gone"     // the hosts that an order named are gone
+	StepDone    CommandKind = "step"     // Name of Build is done, by Router
+	Report      CommandKind = "report"   // Counts and Hosts of Build
+	Tick        CommandKind = "tick"     // time has passed
+	Join        CommandKind = "join"     // Router is there, or still there
+	Leave       CommandKind = "leave"    // Router has left
+	Tell        CommandKind = "tell"     // an event that changes nothing here: Name is its kind, Body its body
+	Publish     CommandKind = "publish"  // a plan, for so long
+	AckPlan     CommandKind = "heed"     // Router's word on the plan
+	OrderTo     CommandKind = "order"    // the agent Name: Body, whose number is that of the reply's Number
+	AgentReport CommandKind = "heard"    // the agent Name reported Body, a list; each by its number counts once
+	Member      CommandKind = "member"   // the controller Name answers at Note; an empty Note for one that has gone
 )
 
 // Command is one change asked for. At is the controllers' time, which never runs back.
 type Command struct {
 	At        logic.Time         `json:"at"`
-	Do        Verb               `json:"do"`
+	Do        CommandKind        `json:"do"`
 	Build     int                `json:"build,omitempty"`
 	Stage     int                `json:"stage,omitempty"`
-	Voice     logic.Voice        `json:"voice,omitempty"`
+	Voice     logic.VoteChoice   `json:"voice,omitempty"`
 	Router    string             `json:"router,omitempty"`
 	Name      string             `json:"name,omitempty"`
 	Digest    string             `json:"digest,omitempty"`
@@ -57,14 +57,14 @@
 	Body      json.RawMessage    `json:"body,omitempty"`
 	Plan      *plan.Published    `json:"plan,omitempty"`
 	For       logic.Time         `json:"for,omitempty"`
-	Heed      *Heed              `json:"heed,omitempty"`
+	Heed      *PlanAck           `json:"heed,omitempty"`
 }
 
 // Code says in which way a command ended.
 type Code int
 
 const (
-	Did      Code = iota // carried out
+	Applied  Code = iota // carried out
 	Repeated             // it was carried out before, and stands
 	Invalid              // Field makes no sense
 	Unknown              // there is no such thing
@@ -115,14 +115,14 @@
 		s.emit(c.Name, c.Router, c.Body)
 	case Publish:
 		r = s.publish(c)
-	case HeedPlan:
+	case AckPlan:
 		if s.Plan == nil || c.Heed == nil || c.Heed.Version != s.Plan.Version {
 			return refuse(Conflict, "version", "this plan is not in force")
 		}
 		s.Heeds[c.Router] = *c.Heed
 	case OrderTo:
 		r = s.orderTo(c)
-	case HearOf:
+	case AgentReport:
 		r = s.hearOf(c)
 	case Member:
 		if c.Note != nil && *c.Note != "" {
@@ -162,26 +162,26 @@
 
 // hear hands an input to the release and notes its effects.
 func (s *State) hear(in release.Input) (answer *release.Answer, refused string) {
-	for _, e := range s.machine.Hear(s.Now, in) {
+	for _, e := range s.machine.Handle(s.Now, in) {
 		r := s.newest()
 		switch e := e.(type) {
 		case release.Answer:
 			answer = &e
 		case release.Refuse:
 			refused = e.Why
-		case release.Place:
+		case release.Deploy:
 			if e.Build == r.Build && s.waits(r) != "" {
-				s.Held = &Place{e.Build, e.Share}
+				s.Held = &DeployOrder{e.Build, e.Share}
 				continue
 			}
-			s.order("place", Place{e.Build, e.Share})
+			s.order("place", DeployOrder{e.Build, e.Share})
 		case release.Retire:
 			if s.Held != nil && s.Held.Build == e.Build {
 				s.Held = nil
 			}
 			s.order("retire", Retire{e.Build})
-		case release.Tell:
-			s.news(e.News)
+		case release.Notify:
+			s.news(e.Status)
 		}
 	}
 	return answer, refused
@@ -189,7 +189,7 @@
 
 func (s *State) order(kind string, body any) {
 	s.emit(kind, "", encode(body))
-	if p, ok := body.(Place); ok {
+	if p, ok := body.(DeployOrder); ok {
 		if i := s.find(p.Build); i >= 0 {
 			s.mark(s.Releases[i], fmt.Sprintf("hosts asked for: %.3g%% of the places", 100*p.Share))
 		}
@@ -197,7 +197,7 @@
 }
 
 // news brings the release object to where the machine has it.
-func (s *State) news(n release.News) {
+func (s *State) news(n release.Status) {
 	i := s.find(n.Build)
 	if i < 0 {
 		return
@@ -216,7 +216,7 @@
 func (s *State) waits(r *Release) string {
 	r.Waits = ""
 	n := s.machine.News()
-	if n.Build != r.Build || n.Phase != logic.OnTrial {
+	if n.Build != r.Build || n.Phase != logic.Canary {
 		return ""
 	}
 	for i, step := range r.Steps {
@@ -233,7 +233,7 @@
 
 func (s *State) mark(r *Release, what string) {
 	const most = 200 // lines of a trace; a release has some ten
-	if r.Trace = append(r.Trace, Mark{s.Now, what}); len(r.Trace) > most {
+	if r.Trace = append(r.Trace, HistoryEntry{s.Now, what}); len(r.Trace) > most {
 		r.Trace = slices.Delete(r.Trace, 1, 2) // the request stays
 	}
 }
@@ -313,8 +313,8 @@
 		return refuse(Conflict, "build", "%s", why)
 	}
 	for _, x := range s.Releases[:len(s.Releases)-1] { // what it overtook
-		if x.Phase == logic.OnTrial || x.Phase == logic.GoingBack {
-			x.Phase, x.Cap, x.Since = logic.Withdrawn, 0, s.Now
+		if x.Phase == logic.Canary || x.Phase == logic.RollingBack {
+			x.Phase, x.Cap, x.Since = logic.RolledBack, 0, s.Now
 			s.mark(x, fmt.Sprintf("overtaken by build %d", c.Build))
 			s.changed(x)
 		}
@@ -366,7 +366,7 @@
 	if r == nil {
 		return no
 	}
-	if r.Phase == logic.GoingBack || r.Phase == logic.Withdrawn {
+	if r.Phase == logic.RollingBack || r.Phase == logic.RolledBack {
 		return Reply{Code: Repeated}
 	}
 	if _, why := s.hear(release.Withdraw{Build: c.Build}); why != "" {
@@ -380,7 +380,7 @@
 	if r == nil {
 		return no
 	}
-	if n := s.machine.News(); r.Build == n.Build || r.Build == s.machine.Earlier() || r.Phase != logic.Withdrawn && r.Phase != logic.Released {
+	if n := s.machine.News(); r.Build == n.Build || r.Build == s.machine.Earlier() || r.Phase != logic.RolledBack && r.Phase != logic.Released {
 		return refuse(Conflict, "build", "build %d serves or is on its way", r.Build)
 	}
 	s.Releases = slices.Delete(s.Releases, s.find(c.Build), s.find(c.Build)+1)
@@ -389,7 +389,7 @@
 }
 
 func (s *State) vote(c Command) Reply {
-	if c.Voice < logic.NoVote || c.Voice > logic.Back || c.Router == "" {
+	if c.Voice < logic.Abstain || c.Voice > logic.Rollback || c.Router == "" {
 		return refuse(Invalid, "voice", "on, hold, back or none, of a router, expected")
 	}
 	if s.find(c.Build) < 0 {
@@ -414,7 +414,7 @@
 		return refuse(Unknown, "name", "the release of build %d has no step %s", c.Build, c.Name)
 	case r.Done[i].At != 0:
 		return Reply{Code: Repeated}
-	case r.Phase != logic.OnTrial:
+	case r.Phase != logic.Canary:
 		return refuse(Conflict, "name", "the release is %s", phases[r.Phase])
 	case i > 0 && r.Done[i-1].At == 0:
 		return refuse(Conflict, "name", "step %s comes before it", r.Steps[i-1].Name)
@@ -488,7 +488,7 @@
 	}
 	delete(s.Routers, router)
 	delete(s.Heeds, router)
-	s.machine.Away(router)
+	s.machine.ForgetRouter(router)
 	s.needs()
 	s.emit("routers", "", encode(map[string]int{"count": len(s.Routers)}))
 }
@@ -505,7 +505,7 @@
 	return on, back
 }
 
-func (s *State) needs() { s.machine.Needs(s.needed()) }
+func (s *State) needs() { s.machine.SetQuorum(s.needed()) }
 
 // ---- Plans ----
 
@@ -516,7 +516,7 @@
 	case s.Plan != nil && c.Plan.Version <= s.Plan.Version:
 		return refuse(Conflict, "version", "version %d is in force", s.Plan.Version)
 	}
-	if n := s.machine.News(); c.Plan.Build == n.Build && n.Phase == logic.OnTrial {
+	if n := s.machine.News(); c.Plan.Build == n.Build && n.Phase == logic.Canary {
 		for place, w := range c.Plan.For {
 			if float64(w.Copies) > n.Cap*1e6+1 {
 				return refuse(Conflict, "for."+place+".copies", "%.3g%% of the tasks would go to build %d, %.3g%% are allowed", float64(w.Copies)/1e4, n.Build, 100*n.Cap)
--- a/control/control_test.go
+++ b/control/control_test.go
@@ -11,7 +11,7 @@
 	"dapplefront/release"
 )
 
-var figures = Figures{Rules: release.Rules{Control: logic.ShareOfVotes, Stages: []release.Stage{{Share: .1, Cap: .05}, {Share: 1, Cap: 1}},
+var figures = Config{Rules: release.Rules{Control: logic.Quorum, Stages: []release.Stage{{Share: .1, Cap: .05}, {Share: 1, Cap: 1}},
 	LeastTime: logic.Second, VoteLife: 10 * logic.Second, ToMoveOn: 1, ToAbort: 1}, OnShare: .5, BackShare: .1, Absent: 30 * logic.Second, Events: 50, Keys: 5}
 
 func TestTimeNeverRunsBack(t *testing.T) {
@@ -19,7 +19,7 @@
 	s.Apply(1, Command{Do: Create, Build: 2, At: 100 * logic.Second})
 	s.Apply(2, Command{Do: Ready, Build: 2, At: 50 * logic.Second}) // another leader's clock, far behind
 	require.Equal(t, 100*logic.Second, s.Clock())
-	s.Apply(3, Command{Do: Vote, Build: 2, Router: "r", Voice: logic.On, At: 60 * logic.Second})
+	s.Apply(3, Command{Do: Vote, Build: 2, Router: "r", Voice: logic.Promote, At: 60 * logic.Second})
 	require.Zero(t, s.News().Stage)
 	require.True(t, s.Due(101*logic.Second))
 	s.Apply(4, Command{Do: Tick, At: 101 * logic.Second})
@@ -29,8 +29,8 @@
 // drawn is a command by chance, sensible or not.
 func drawn(t *rapid.T, at logic.Time) Command {
 	note := rapid.SampledFrom([]string{"a", "b"}).Draw(t, "note")
-	c := Command{At: at, Do: rapid.SampledFrom([]Verb{Create, Patch, Withdraw, Delete, Vote, Ready, Gone, StepDone, Report, Tick, Join, Leave, Tell, "none"}).Draw(t, "do"),
-		Build: rapid.IntRange(0, 6).Draw(t, "build"), Stage: rapid.IntRange(-1, 3).Draw(t, "stage"), Voice: logic.Voice(rapid.IntRange(-1, 4).Draw(t, "voice")),
+	c := Command{At: at, Do: rapid.SampledFrom([]CommandKind{Create, Patch, Withdraw, Delete, Vote, Ready, Gone, StepDone, Report, Tick, Join, Leave, Tell, "none"}).Draw(t, "do"),
+		Build: rapid.IntRange(0, 6).Draw(t, "build"), Stage: rapid.IntRange(-1, 3).Draw(t, "stage"), Voice: logic.VoteChoice(rapid.IntRange(-1, 4).Draw(t, "voice")),
 		Router: rapid.SampledFrom([]string{"", "r1", "r2", "r3"}).Draw(t, "router"), Name: rapid.SampledFrom([]string{"s1", "s2"}).Draw(t, "name"),
 		Key: rapid.SampledFrom([]string{"", "k1", "k2"}).Draw(t, "key"), Hash: note, Note: &note, IfVersion: uint64(rapid.IntRange(0, 3).Draw(t, "version"))}
 	if rapid.Bool().Draw(t, "steps") {
@@ -79,8 +79,8 @@
 						require.NotZero(t, r.Done[k-1].At, "out of order")
 					}
 					if d.At != 0 && r.Steps[k].Final {
-						require.NotEqual(t, logic.Withdrawn, r.Phase, "taken back past a step that can't be undone")
-						require.NotEqual(t, logic.GoingBack, r.Phase)
+						require.NotEqual(t, logic.RolledBack, r.Phase, "taken back past a step that can't be undone")
+						require.NotEqual(t, logic.RollingBack, r.Phase)
 					}
 				}
 			}
@@ -105,15 +105,15 @@
 	for i := range 10 {
 		s.Apply(uint64(i), Command{Do: Join, Router: fmt.Sprint("r", i), At: logic.Second})
 	}
-	_, on, back := s.Votes(logic.On)
+	_, on, back := s.Votes(logic.Promote)
 	require.Equal(t, []int{5, 1}, []int{on, back})
 	s.Apply(11, Command{Do: Join, Router: "r0", At: 20 * logic.Second})
 	s.Apply(12, Command{Do: Leave, Router: "r9", At: 21 * logic.Second})
-	_, on, _ = s.Votes(logic.On)
+	_, on, _ = s.Votes(logic.Promote)
 	require.Equal(t, 5, on)
 	require.True(t, s.Due(32*logic.Second), "nine were not heard of for longer than a member may be")
 	s.Apply(13, Command{Do: Tick, At: 32 * logic.Second})
-	_, on, _ = s.Votes(logic.On)
+	_, on, _ = s.Votes(logic.Promote)
 	require.Equal(t, 1, on)
 }
 
@@ -127,7 +127,7 @@
 		if err != nil {
 			return
 		}
-		s.Apply(5, Command{Do: Vote, Build: 2, Router: "r", Voice: logic.Back, At: 5})
+		s.Apply(5, Command{Do: Vote, Build: 2, Router: "r", Voice: logic.Rollback, At: 5})
 		s.Apply(6, Command{Do: Tick, At: 50 * logic.Second})
 	})
 }
--- a/control/state.go
+++ b/control/state.go
@@ -12,8 +12,8 @@
 	"dapplefront/release"
 )
 
-// Figures are what a controller goes by. All instances have the same.
-type Figures struct {
+// Config are what a controller goes by. All instances have the same.
+type Config struct {
 	Rules     release.Rules
 	OnShare   float64    // of the routers that are members, whose votes move a stage on; 0 for Rules.ToMoveOn
 	BackShare float64    // and send a build back; 0 for Rules.ToAbort
@@ -38,8 +38,8 @@
 	Stalled bool       `json:"stalled,omitempty"`
 }
 
-// Mark is one line of a release's trace.
-type Mark struct {
+// HistoryEntry is one line of a release's trace.
+type HistoryEntry struct {
 	At   logic.Time `json:"at"`
 	What string     `json:"what"`
 }
@@ -62,7 +62,7 @@
 	Done   []Done         `json:"done,omitempty"`
 	Counts map[string]int `json:"counts,omitempty"` // tasks finished, turned back and scrapped, as reported
 	Hosts  map[string]int `json:"hosts,omitempty"`  // by state, as reported
-	Trace  []Mark         `json:"trace,omitempty"`
+	Trace  []HistoryEntry `json:"trace,omitempty"`
 }
 
 // Event is one change that watchers are told of.
@@ -76,7 +76,7 @@
 
 // Place and Retire are the bodies of orders to whoever runs hosts.
 type (
-	Place struct {
+	DeployOrder struct {
 		Build int     `json:"build"`
 		Share float64 `json:"share"`
 	}
@@ -94,13 +94,13 @@
 	Releases []*Release            `json:"releases"`
 	Keys     []creation            `json:"keys"`
 	Routers  map[string]logic.Time `json:"routers"`
-	Held     *Place                `json:"held,omitempty"`
+	Held     *DeployOrder          `json:"held,omitempty"`
 	Events   []Event               `json:"events"`
 	Next     uint64                `json:"next"`
 	Plan     *plan.Published       `json:"plan,omitempty"`
 	PlanAt   logic.Time            `json:"planAt"`
 	PlanFor  logic.Time            `json:"planFor"`
-	Heeds    map[string]Heed       `json:"heeds,omitempty"`
+	Heeds    map[string]PlanAck    `json:"heeds,omitempty"`
 	Members  map[string]string     `json:"members,omitempty"`
 	Agents   map[string]*Agent     `json:"agents,omitempty"`
 	Ordered  uint64                `json:"ordered,omitempty"` // the number of the last order to any agent
@@ -118,8 +118,8 @@
 	Body   json.RawMessage `json:"body"`
 }
 
-// Heed is a router's word on the plan in force.
-type Heed struct {
+// PlanAck is a router's word on the plan in force.
+type PlanAck struct {
 	Version uint64 `json:"version"`
 	Reason  string `json:"reason,omitempty"`
 }
@@ -135,13 +135,13 @@
 
 // State is one controller's state. It is not safe for concurrent use.
 type State struct {
-	figures Figures
+	figures Config
 	machine *release.Machine
 	saved
 }
 
 // New starts with a build that serves.
-func New(f Figures, build int) *State {
+func New(f Config, build int) *State {
 	if f.Events == 0 {
 		f.Events = 4096 // some minutes of a busy release
 	}
@@ -149,7 +149,7 @@
 		f.Keys = 1000
 	}
 	s := &State{figures: f, machine: release.New(f.Rules, build), saved: saved{Format: format, Routers: map[string]logic.Time{},
-		Heeds: map[string]Heed{}, Members: map[string]string{}, Agents: map[string]*Agent{}}}
+		Heeds: map[string]PlanAck{}, Members: map[string]string{}, Agents: map[string]*Agent{}}}
 	n := s.machine.News()
 	s.Releases = []*Release{{Build: build, Version: 1, Phase: n.Phase, Stage: n.Stage, Cap: n.Cap}}
 	return s
@@ -162,7 +162,7 @@
 }
 
 // Load reads what Save wrote. One of a newer format, or one that can't be, is an error that says so.
-func Load(f Figures, text []byte) (*State, error) {
+func Load(f Config, text []byte) (*State, error) {
 	s := New(f, 1)
 	var got saved
 	if err := json.Unmarshal(text, &got); err != nil {
@@ -175,7 +175,7 @@
 		got.Routers = map[string]logic.Time{}
 	}
 	if got.Heeds == nil {
-		got.Heeds = map[string]Heed{}
+		got.Heeds = map[string]PlanAck{}
 	}
 	if got.Members == nil {
 		got.Members = map[string]string{}
@@ -225,7 +225,7 @@
 func (s *State) Version() uint64 { return s.Index }
 
 // News is where the newest release stands.
-func (s *State) News() release.News { return s.machine.News() }
+func (s *State) News() release.Status { return s.machine.News() }
 
 // Earlier is the build that serves beside or before the newest one.
 func (s *State) Earlier() int { return s.machine.Earlier() }
@@ -281,7 +281,7 @@
 }
 
 // Votes is how many votes of a voice stand for the newest build, and how many are needed of those to go on and back.
-func (s *State) Votes(voice logic.Voice) (n, on, back int) {
+func (s *State) Votes(voice logic.VoteChoice) (n, on, back int) {
 	on, back = s.needed()
 	return s.machine.Votes(voice), on, back
 }
--- a/internal/audit/book.go
+++ b/internal/audit/book.go
@@ -15,8 +15,8 @@
 
 // Category is what the rules need to know of a kind of task.
 type Category struct {
-	Repeat logic.Repeat
-	Group  logic.Group
+	Repeat logic.Idempotency
+	Group  logic.DedupScope
 	Memory time.Duration
 }
 
@@ -77,7 +77,7 @@
 	host     *Host
 	work     float64
 	news     News
-	standing map[uint32]logic.Standing
+	standing map[uint32]logic.EndpointState
 }
 
 // News is what the desk told a router.
@@ -189,7 +189,7 @@
 func (b *Book) Ran(h *Host, task string) { b.note(event{kind: ran, host: h, task: task}) }
 
 // Listed notes what a router is known to have been told of hosts' standings: when it acknowledged a list.
-func (b *Book) Listed(router string, standing map[uint32]logic.Standing) {
+func (b *Book) Listed(router string, standing map[uint32]logic.EndpointState) {
 	b.note(event{kind: listed, router: router, standing: standing})
 }
 
--- a/internal/audit/judge.go
+++ b/internal/audit/judge.go
@@ -217,7 +217,7 @@
 // turnedBack judges a turn-back: it says that trying again is harmless.
 func (j *judge) turnedBack(t *try, e *event) {
 	c := j.figures.Categories[t.category]
-	if e.outcome != "turned-back" || c.Repeat == logic.Retriable || c.Repeat == logic.Fingerprinted && c.Group == logic.Everywhere {
+	if e.outcome != "turned-back" || c.Repeat == logic.Idempotent || c.Repeat == logic.IdempotentWithKey && c.Group == logic.FleetScope {
 		return
 	}
 	j.verdicts["effect"].Checked++
@@ -232,7 +232,7 @@
 // effect judges that no effect takes place twice.
 func (j *judge) effect(t *try, e *event) {
 	c, l := j.figures.Categories[t.category], j.logicals[t.logical]
-	if l.runs++; c.Repeat != logic.Retriable {
+	if l.runs++; c.Repeat != logic.Idempotent {
 		if j.verdicts["effect"].Checked++; l.runs > 1 {
 			j.find("effect", e.at, e.at, "%s task %s had its effect %d times", t.category, t.logical, l.runs)
 		}
@@ -258,7 +258,7 @@
 func (j *judge) again(t *try, e *event) {
 	c := j.figures.Categories[t.category]
 	defer func() { t.arrivals = append(t.arrivals, e) }()
-	if c.Repeat == logic.Retriable {
+	if c.Repeat == logic.Idempotent {
 		return
 	}
 	var first *event
@@ -271,11 +271,11 @@
 	j.verdicts["effect"].Checked++
 	switch {
 	case first == nil:
-	case c.Repeat == logic.Binding:
+	case c.Repeat == logic.NonIdempotent:
 		j.find("effect", first.at, e.at, "binding task %s was sent to host %d after host %d may have run it", t.task,
 			e.host.ID, first.host.ID)
-	case c.Group == logic.SameLocation && e.host.Location != first.host.Location,
-		c.Group == logic.SameCell && e.host.Cell != first.host.Cell:
+	case c.Group == logic.ZoneScope && e.host.Location != first.host.Location,
+		c.Group == logic.CellScope && e.host.Cell != first.host.Cell:
 		j.find("effect", first.at, e.at, "task %s was sent outside the group of host %d", t.task, first.host.ID)
 	case e.at-first.at > c.Memory+j.figures.Way:
 		j.find("effect", first.at, e.at, "task %s was sent %v after host %d may have run it", t.task, e.at-first.at, first.host.ID)
@@ -353,7 +353,7 @@
 	v := j.verdicts["exposure"]
 	v.Checked++
 	r.trial = append(r.trial, moment{e.at, e.category, build})
-	if c := f.Categories[e.category]; c.Repeat != logic.Retriable && stage < f.Guarded {
+	if c := f.Categories[e.category]; c.Repeat != logic.Idempotent && stage < f.Guarded {
 		j.find("exposure", e.at-f.Grace, e.at, "router %s sent a %s task to build %d in guarded stage %d", e.router, e.category, build, stage)
 		return
 	}
--- a/internal/back/back.go
+++ b/internal/back/back.go
@@ -34,26 +34,26 @@
 // Unseen is the field by which a host says that it has not looked at the task it turns back.
 const Unseen = "Dapplefront-Unseen"
 
-// Reach is what a pool is told of links.
-type Reach struct {
-	Connect time.Duration // how long a connection may take
-	Idle    time.Duration // how long one is kept without a task
-	Links   int           // to one host, at the most
-	All     int           // to all hosts, at the most; 0 for no bound
-	Bounds  http1.Bounds  // of an answer
-	Signs   *Signs        // how hosts are spoken to; nil for this project's own way
+// Config is what a pool is told of links.
+type Config struct {
+	Connect  time.Duration // how long a connection may take
+	Idle     time.Duration // how long one is kept without a task
+	Links    int           // to one host, at the most
+	All      int           // to all hosts, at the most; 0 for no bound
+	Bounds   http1.Bounds  // of an answer
+	Protocol *Protocol     // how hosts are spoken to; nil for this project's own way
 }
 
-// How is how hosts are spoken to.
-func (r Reach) How() *Signs {
-	if r.Signs == nil {
-		return Own
+// ProtocolOrDefault is how hosts are spoken to.
+func (r Config) ProtocolOrDefault() *Protocol {
+	if r.Protocol == nil {
+		return DefaultProtocol
 	}
-	return r.Signs
+	return r.Protocol
 }
 
-// Signs are what differs by protocol in how hosts are spoken to and what their answers mean.
-type Signs struct {
+// Protocol are what differs by protocol in how hosts are spoken to and what their answers mean.
+type Protocol struct {
 	Within, Unit, Send, Router, Category string // fields of a send, and the unit of Within; empty for none
 
 	Traced bool   // Via and X-Forwarded-For tell whom a send comes from
@@ -61,14 +61,14 @@
 	Turned []int  // the statuses that it may come with
 	Only   bool   // 200 alone is a success
 	Whole  bool   // a host begins once the last byte has arrived
-	Load   func(*http1.Message) (*logic.Load, error)
+	Load   func(*http1.Message) (*logic.LoadReport, error)
 }
 
-// Own is this project's own way.
-var Own = &Signs{Within: "Dapplefront-Within", Unit: "ms", Send: "Dapplefront-Send", Router: "Dapplefront-Router",
+// DefaultProtocol is this project's own way.
+var DefaultProtocol = &Protocol{Within: "Dapplefront-Within", Unit: "ms", Send: "Dapplefront-Send", Router: "Dapplefront-Router",
 	Category: "Dapplefront-Category", Traced: true, Unseen: Unseen, Turned: []int{503}, Load: orcaLoad}
 
-func orcaLoad(m *http1.Message) (*logic.Load, error) {
+func orcaLoad(m *http1.Message) (*logic.LoadReport, error) {
 	if text, ok := m.Lookup(orca.Header); ok {
 		report, err := orca.Parse(text)
 		if err != nil {
@@ -87,34 +87,34 @@
 }
 
 // fate is what an answer means.
-func (s *Signs) fate(m *http1.Message) logic.Fate {
+func (s *Protocol) fate(m *http1.Message) logic.Outcome {
 	unseen := ""
 	if slices.Contains(s.Turned, m.Status) {
 		unseen = m.Get(s.Unseen)
 	}
 	switch {
 	case unseen == "1":
-		return logic.TurnedBack
+		return logic.Rejected
 	case m.Status >= 500 || m.Status == 101 || s.Only && m.Status != 200:
-		return logic.Errored
+		return logic.Failed
 	}
-	return logic.Finished
+	return logic.Succeeded
 }
 
 // Result is how a send ended.
 type Result struct {
-	Fate   logic.Fate
-	Took   logic.Time
-	Answer *http1.Message // with Finished, Errored and TurnedBack, where the host gave one; Drop it after use
-	Load   *logic.Load
-	Why    string // for the log, where something went wrong
+	Outcome logic.Outcome
+	Took    logic.Time
+	Answer  *http1.Message // with Finished, Errored and TurnedBack, where the host gave one; Drop it after use
+	Load    *logic.LoadReport
+	Why     string // for the log, where something went wrong
 }
 
 // Pool keeps the connections to all hosts. Its methods are called from its loop's work only.
 type Pool struct {
 	loop   *loop.Loop
 	engine *sock.Engine
-	reach  Reach
+	reach  Config
 	budget *http1.Budget
 	hosts  map[uint32]*host
 	links  int        // open or being opened, in all
@@ -133,49 +133,49 @@
 type host struct {
 	id      uint32
 	address string
-	idle    []*link
+	idle    []*upstreamConn
 	links   int // open or being opened
 }
 
 // NewPool keeps connections on an engine; answers hold bytes of the budget.
-func NewPool(l *loop.Loop, e *sock.Engine, reach Reach, budget *http1.Budget) *Pool {
-	reach.Signs = reach.How()
+func NewPool(l *loop.Loop, e *sock.Engine, reach Config, budget *http1.Budget) *Pool {
+	reach.Protocol = reach.ProtocolOrDefault()
 	p := &Pool{loop: l, engine: e, reach: reach, budget: budget, hosts: map[uint32]*host{}, rests: leastRest}
 	p.sweepLater()
 	return p
 }
 
-// Place says where a host is. Links to another address are used no more.
-func (p *Pool) Place(id uint32, address string) {
+// SetAddress says where a host is. Links to another address are used no more.
+func (p *Pool) SetAddress(id uint32, address string) {
 	h := p.hosts[id]
 	if h == nil {
 		p.hosts[id] = &host{id: id, address: address}
 	} else if h.address != address {
 		h.address = address
-		h.dropIdle(func(*link) bool { return true })
+		h.dropIdle(func(*upstreamConn) bool { return true })
 	}
 }
 
-// Leave forgets a host that is gone. Sends on their way to it go on to their end.
-func (p *Pool) Leave(id uint32) {
+// Remove forgets a host that is gone. Sends on their way to it go on to their end.
+func (p *Pool) Remove(id uint32) {
 	if h := p.hosts[id]; h != nil {
-		h.dropIdle(func(*link) bool { return true })
+		h.dropIdle(func(*upstreamConn) bool { return true })
 		delete(p.hosts, id)
 	}
 }
 
-// Links is how many connections are open or being opened, in all.
-func (p *Pool) Links() int { return p.links }
+// Connections is how many connections are open or being opened, in all.
+func (p *Pool) Connections() int { return p.links }
 
 // Close ends all idle links and refuses further sends; those out end as they may.
 func (p *Pool) Close() {
 	p.closed = true
 	for _, h := range p.hosts {
-		h.dropIdle(func(*link) bool { return true })
+		h.dropIdle(func(*upstreamConn) bool { return true })
 	}
 }
 
-func (h *host) dropIdle(is func(*link) bool) {
+func (h *host) dropIdle(is func(*upstreamConn) bool) {
 	kept := h.idle[:0]
 	for _, l := range h.idle {
 		if is(l) {
@@ -192,7 +192,7 @@
 	p.loop.After(logic.Second, func() {
 		now := p.loop.Now()
 		for _, h := range p.hosts {
-			h.dropIdle(func(l *link) bool { return now-l.free > loop.Span(p.reach.Idle) })
+			h.dropIdle(func(l *upstreamConn) bool { return now-l.free > loop.FromDuration(p.reach.Idle) })
 		}
 		if !p.closed {
 			p.sweepLater()
@@ -200,16 +200,16 @@
 	})
 }
 
-// Send is a task on its way to a host.
-type Send struct {
+// Attempt is a task on its way to a host.
+type Attempt struct {
 	pool     *Pool
-	link     *link
+	link     *upstreamConn
 	head     []byte
 	body     []byte
 	bodyless bool
 	at       logic.Time
 	until    logic.Time // when its time is up
-	alarm    *loop.Alarm
+	alarm    *loop.Timer
 	written  bool
 	done     func(Result)
 }
@@ -217,12 +217,12 @@
 // Send sends head and body, which are the pool's until done is called, once, from the loop's work and never before Send
 // has returned. The head's end is added as its bytes leave, with the field that says how long is waited for the answer:
 // until then a connection may have taken its time. bodyless says that the answer has no body (HEAD).
-func (p *Pool) Send(id uint32, head, body []byte, bodyless bool, within logic.Time, done func(Result)) *Send {
+func (p *Pool) Send(id uint32, head, body []byte, bodyless bool, within logic.Time, done func(Result)) *Attempt {
 	now := p.loop.Now()
-	s := &Send{pool: p, head: head, body: body, bodyless: bodyless, at: now, until: now + within, done: done}
+	s := &Attempt{pool: p, head: head, body: body, bodyless: bodyless, at: now, until: now + within, done: done}
 	h := p.hosts[id]
 	if h == nil || p.closed || within <= 0 {
-		p.loop.Post(func() { s.end(Result{Fate: logic.NeverSent, Why: "no such host or no time left"}) })
+		p.loop.Post(func() { s.end(Result{Outcome: logic.NotSent, Why: "no such host or no time left"}) })
 		return s
 	}
 	s.alarm = p.loop.After(within, s.timeUp)
@@ -241,11 +241,11 @@
 		return s
 	}
 	if h.links >= p.reach.Links {
-		p.loop.Post(func() { s.end(Result{Fate: logic.NoLink, Why: "as many links as are allowed"}) })
+		p.loop.Post(func() { s.end(Result{Outcome: logic.ConnectFailed, Why: "as many links as are allowed"}) })
 		return s
 	}
 	if p.reach.All > 0 && p.links >= p.reach.All && !p.spare() {
-		p.loop.Post(func() { s.end(Result{Fate: logic.NoLink, Why: "as many links as are allowed in all"}) })
+		p.loop.Post(func() { s.end(Result{Outcome: logic.ConnectFailed, Why: "as many links as are allowed in all"}) })
 		return s
 	}
 	p.connect(h, s)
@@ -254,7 +254,7 @@
 
 // spare ends the link that has been idle longest, to make room; false where none is idle.
 func (p *Pool) spare() bool {
-	var oldest *link
+	var oldest *upstreamConn
 	for _, h := range p.hosts {
 		if len(h.idle) > 0 && (oldest == nil || h.idle[0].free < oldest.free) {
 			oldest = h.idle[0]
@@ -263,12 +263,12 @@
 	if oldest == nil {
 		return false
 	}
-	oldest.host.dropIdle(func(l *link) bool { return l == oldest })
+	oldest.host.dropIdle(func(l *upstreamConn) bool { return l == oldest })
 	return true
 }
 
-func (p *Pool) connect(h *host, s *Send) {
-	l := &link{pool: p, host: h, address: h.address, send: s, reader: http1.NewReader(p.reach.Bounds, p.budget, true)}
+func (p *Pool) connect(h *host, s *Attempt) {
+	l := &upstreamConn{pool: p, host: h, address: h.address, send: s, reader: http1.NewReader(p.reach.Bounds, p.budget, true)}
 	s.link = l
 	h.links++
 	p.links++
@@ -277,22 +277,22 @@
 	})
 }
 
-// Withhold ends a send as NeverSent if no byte of it has left; otherwise it does nothing.
-func (s *Send) Withhold() {
+// Cancel ends a send as NeverSent if no byte of it has left; otherwise it does nothing.
+func (s *Attempt) Cancel() {
 	if s.done != nil && !s.written {
-		s.end(Result{Fate: logic.NeverSent, Why: "withheld"})
+		s.end(Result{Outcome: logic.NotSent, Why: "withheld"})
 	}
 }
 
 // write puts the send on its link, which is open.
-func (s *Send) write() {
+func (s *Attempt) write() {
 	if s.done == nil || s.link == nil || s.link.send != s {
 		return
 	}
 	l, left := s.link, s.until-s.pool.loop.Now()
 	if !l.current() || left < logic.Second/1000 {
 		l.send = nil
-		s.end(Result{Fate: logic.NeverSent, Why: "the host has left its address, or no time is left"})
+		s.end(Result{Outcome: logic.NotSent, Why: "the host has left its address, or no time is left"})
 		l.rest()
 		return
 	}
@@ -300,14 +300,14 @@
 	l.reader.Expect(s.bodyless)
 	l.mu.Unlock()
 	s.written = true
-	signs := s.pool.reach.Signs
+	signs := s.pool.reach.Protocol
 	s.head = append(append(s.head, signs.Within...), ": "...)
 	s.head = append(strconv.AppendInt(s.head, int64(left/(logic.Second/1000)), 10), signs.Unit...)
 	s.head = append(s.head, "\r\n\r\n"...)
 	none, err := l.conn.Write(s.head, s.body)
 	if err != nil && none {
 		l.send = nil
-		s.end(Result{Fate: logic.NeverSent, Why: "the link was closed: " + err.Error()})
+		s.end(Result{Outcome: logic.NotSent, Why: "the link was closed: " + err.Error()})
 		l.drop()
 	} // after a part, the link's end follows and tells
 }
@@ -316,22 +316,22 @@
 // out at once. Without it 8 of 157,000 tasks did, in a fleet's first second; the way there takes about a tenth of it.
 const heard = logic.Second / 1000
 
-func (s *Send) timeUp() {
+func (s *Attempt) timeUp() {
 	if s.done == nil {
 		return
 	}
 	if !s.written {
-		s.end(Result{Fate: logic.NoLink, Why: "no connection in time"})
+		s.end(Result{Outcome: logic.ConnectFailed, Why: "no connection in time"})
 		return
 	}
 	l := s.link
 	l.send = nil
 	l.drop()
-	s.alarm = s.pool.loop.After(heard, func() { s.end(Result{Fate: logic.NoAnswer, Why: "no answer in time"}) })
+	s.alarm = s.pool.loop.After(heard, func() { s.end(Result{Outcome: logic.TimedOut, Why: "no answer in time"}) })
 }
 
 // end tells the result, once. A link that is still being opened for it is left to whoever comes next.
-func (s *Send) end(r Result) {
+func (s *Attempt) end(r Result) {
 	if s.done == nil {
 		if r.Answer != nil {
 			r.Answer.Drop()
@@ -352,13 +352,13 @@
 	done(r)
 }
 
-// link is one connection to a host. Its reader belongs to the poller, under mu; all else to the loop.
-type link struct {
+// upstreamConn is one connection to a host. Its reader belongs to the poller, under mu; all else to the loop.
+type upstreamConn struct {
 	pool    *Pool
 	host    *host
 	address string
 	conn    *sock.Conn
-	send    *Send
+	send    *Attempt
 	free    logic.Time // since when it has been idle
 	gone    bool
 
@@ -367,12 +367,12 @@
 	ended  bool
 }
 
-func (l *link) opened(c *sock.Conn, err error) {
+func (l *upstreamConn) opened(c *sock.Conn, err error) {
 	if err != nil {
 		l.leave()
 		if s := l.send; s != nil {
 			l.send = nil
-			s.end(Result{Fate: logic.NoLink, Why: err.Error()})
+			s.end(Result{Outcome: logic.ConnectFailed, Why: err.Error()})
 		}
 		return
 	}
@@ -381,7 +381,7 @@
 	case l.gone: // opened and closed at once; the poller was quicker to tell
 		if s := l.send; s != nil {
 			l.send = nil
-			s.end(Result{Fate: logic.NoLink, Why: "closed as soon as opened"})
+			s.end(Result{Outcome: logic.ConnectFailed, Why: "closed as soon as opened"})
 		}
 	case l.send != nil:
 		l.send.write()
@@ -391,19 +391,19 @@
 }
 
 // current tells whether the link's host is still known, and at the link's address.
-func (l *link) current() bool {
+func (l *upstreamConn) current() bool {
 	return l.pool.hosts[l.host.id] == l.host && l.address == l.host.address
 }
 
 // unasked learns from an answer to nothing how long a second copy may take.
-func (l *link) unasked() {
+func (l *upstreamConn) unasked() {
 	if p := l.pool; l.free > 0 {
 		p.rests = min(max(p.rests, 2*(p.loop.Now()-l.free)), mostRest)
 	}
 }
 
 // rest puts a link aside for the next send.
-func (l *link) rest() {
+func (l *upstreamConn) rest() {
 	p := l.pool
 	if pending, _ := l.conn.Pending(); pending > 0 || p.closed || l.gone || !l.current() {
 		l.drop()
@@ -413,7 +413,7 @@
 	l.host.idle = append(l.host.idle, l)
 }
 
-func (l *link) leave() {
+func (l *upstreamConn) leave() {
 	if !l.gone {
 		l.gone = true
 		l.host.links--
@@ -421,7 +421,7 @@
 	}
 }
 
-func (l *link) drop() {
+func (l *upstreamConn) drop() {
 	l.leave()
 	if l.conn != nil {
 		l.conn.Close()
@@ -429,7 +429,7 @@
 }
 
 // Data reads what a host sends (sock.Session).
-func (l *link) Data(data []byte) {
+func (l *upstreamConn) Data(data []byte) {
 	if work := l.read(data); work != nil {
 		l.pool.loop.Post(work)
 	}
@@ -437,7 +437,7 @@
 
 // read reads on and returns what the loop has to know. The lock is not held any more when the loop is told: its work
 // may come to this very link.
-func (l *link) read(data []byte) (work func()) {
+func (l *upstreamConn) read(data []byte) (work func()) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for !l.ended {
@@ -465,10 +465,10 @@
 }
 
 // Wrote is of no interest here (sock.Session).
-func (l *link) Wrote(int) {}
+func (l *upstreamConn) Wrote(int) {}
 
 // Closed tells the loop that the connection has ended (sock.Session).
-func (l *link) Closed(err error) {
+func (l *upstreamConn) Closed(err error) {
 	l.mu.Lock()
 	var m *http1.Message
 	if !l.ended && l.reader.Ended() {
@@ -489,18 +489,18 @@
 		if s := l.send; s != nil && l.conn != nil {
 			l.send = nil
 			unread, _ := l.conn.Pending()
-			if s.written && (unread == 0 || !l.pool.reach.Signs.Whole) {
-				s.end(Result{Fate: logic.Cut, Why: why})
+			if s.written && (unread == 0 || !l.pool.reach.Protocol.Whole) {
+				s.end(Result{Outcome: logic.ConnectionLost, Why: why})
 			} else {
-				s.end(Result{Fate: logic.NeverSent, Why: why})
+				s.end(Result{Outcome: logic.NotSent, Why: why})
 			}
 			return
 		}
-		l.host.dropIdle(func(x *link) bool { return x == l })
+		l.host.dropIdle(func(x *upstreamConn) bool { return x == l })
 	})
 }
 
-func (l *link) broken(err error) {
+func (l *upstreamConn) broken(err error) {
 	s := l.send
 	l.send = nil
 	if s == nil {
@@ -508,26 +508,26 @@
 	}
 	l.drop()
 	if s != nil {
-		s.end(Result{Fate: logic.Errored, Why: "the answer is not to be read: " + err.Error()})
+		s.end(Result{Outcome: logic.Failed, Why: "the answer is not to be read: " + err.Error()})
 	}
 }
 
-func (l *link) answered(m *http1.Message, last bool) {
+func (l *upstreamConn) answered(m *http1.Message, last bool) {
 	s := l.send
 	if s == nil || !s.written { // an answer to nothing
 		l.unasked()
 		m.Drop()
-		l.host.dropIdle(func(x *link) bool { return x == l })
+		l.host.dropIdle(func(x *upstreamConn) bool { return x == l })
 		l.drop()
 		if s != nil {
 			l.send = nil
-			s.end(Result{Fate: logic.NeverSent, Why: "an answer came before the task was sent"})
+			s.end(Result{Outcome: logic.NotSent, Why: "an answer came before the task was sent"})
 		}
 		return
 	}
 	l.send = nil
-	signs := l.pool.reach.Signs
-	r := Result{Fate: signs.fate(m), Answer: m}
+	signs := l.pool.reach.Protocol
+	r := Result{Outcome: signs.fate(m), Answer: m}
 	load, err := signs.Load(m)
 	if r.Load = load; err != nil { // a report that can't be read is none
 		r.Why = err.Error()
--- a/internal/back/pool_test.go
+++ b/internal/back/pool_test.go
@@ -65,18 +65,18 @@
 		}
 	}()
 	r.loop.Do(func() {
-		r.pool = NewPool(r.loop, engine, Reach{Connect: 10 * time.Second, Idle: time.Minute, Links: 10,
+		r.pool = NewPool(r.loop, engine, Config{Connect: 10 * time.Second, Idle: time.Minute, Links: 10,
 			Bounds: http1.Bounds{Head: 4096, Body: 4096}}, http1.NewBudget(1<<20))
-		r.pool.Place(1, r.host.Addr().String())
+		r.pool.SetAddress(1, r.host.Addr().String())
 	})
 	return r
 }
 
 // send starts a send from the loop's work; its result goes to the channel, after then.
-func (r *rig) send(name string, within logic.Time, to chan string, then func()) *Send {
+func (r *rig) send(name string, within logic.Time, to chan string, then func()) *Attempt {
 	head := []byte("GET /" + name + " HTTP/1.1\r\nHost: h\r\n")
 	return r.pool.Send(1, head, nil, false, within, func(x Result) {
-		text := fmt.Sprint(x.Fate)
+		text := fmt.Sprint(x.Outcome)
 		if x.Answer != nil {
 			text = string(x.Answer.Body)
 			x.Answer.Drop()
@@ -104,7 +104,7 @@
 	require.Equal(t, "second", <-got)
 	require.Eventually(t, func() bool {
 		links := 0
-		r.loop.Do(func() { links = r.pool.Links() })
+		r.loop.Do(func() { links = r.pool.Connections() })
 		return links == 1
 	}, 10*time.Second, time.Millisecond, "the odd connection has ended")
 }
@@ -160,7 +160,7 @@
 	require.Eventually(t, func() bool { return r.open.Load() == 1 && r.loop.Now()-began > late }, 10*time.Second, time.Millisecond)
 	close(barrier)
 	q := <-r.came
-	told, err := strconv.Atoi(strings.TrimSuffix(q.Header.Get(Own.Within), "ms"))
+	told, err := strconv.Atoi(strings.TrimSuffix(q.Header.Get(DefaultProtocol.Within), "ms"))
 	require.NoError(t, err)
 	require.LessOrEqual(t, told, int((within-late)/(logic.Second/1000)))
 	require.Greater(t, told, 0)
@@ -171,18 +171,18 @@
 // A connection that comes up when its host has left, or is told at another address, carries nothing.
 func TestAConnectionThatComesUpTooLateCarriesNothing(t *testing.T) {
 	for name, change := range map[string]func(*rig){
-		"left":    func(r *rig) { r.pool.Leave(1) },
-		"moved":   func(r *rig) { r.pool.Place(1, "127.0.0.1:1") },
-		"another": func(r *rig) { r.pool.Leave(1); r.pool.Place(1, r.host.Addr().String()) },
+		"left":    func(r *rig) { r.pool.Remove(1) },
+		"moved":   func(r *rig) { r.pool.SetAddress(1, "127.0.0.1:1") },
+		"another": func(r *rig) { r.pool.Remove(1); r.pool.SetAddress(1, r.host.Addr().String()) },
 	} {
 		t.Run(name, func(t *testing.T) {
 			r := newRig(t)
 			got := make(chan string, 1)
 			r.loop.Do(func() { r.send("x", 10*logic.Second, got, nil); change(r) })
-			require.Equal(t, fmt.Sprint(logic.NeverSent), <-got)
+			require.Equal(t, fmt.Sprint(logic.NotSent), <-got)
 			require.Eventually(t, func() bool {
 				links := -1
-				r.loop.Do(func() { links = r.pool.Links() })
+				r.loop.Do(func() { links = r.pool.Connections() })
 				return links == 0
 			}, 10*time.Second, time.Millisecond, "and it is counted back once")
 			require.Empty(t, r.came)
@@ -194,17 +194,17 @@
 func TestAConnectionGivenUpWhileOpeningRestsForTheNext(t *testing.T) {
 	r := newRig(t)
 	got := make(chan string, 2)
-	r.loop.Do(func() { r.send("x", 10*logic.Second, got, nil).Withhold() })
-	require.Equal(t, fmt.Sprint(logic.NeverSent), <-got)
+	r.loop.Do(func() { r.send("x", 10*logic.Second, got, nil).Cancel() })
+	require.Equal(t, fmt.Sprint(logic.NotSent), <-got)
 	require.Eventually(t, func() bool {
 		idle := 0
 		r.loop.Do(func() { idle = len(r.pool.hosts[1].idle) })
 		return idle == 1
 	}, 10*time.Second, time.Millisecond)
 	r.loop.Do(func() {
-		require.Equal(t, 1, r.pool.Links())
+		require.Equal(t, 1, r.pool.Connections())
 		r.pool.Close()
-		require.Zero(t, r.pool.Links())
+		require.Zero(t, r.pool.Connections())
 	})
 	require.Empty(t, r.came)
 }
--- a/internal/charter/charter.go
+++ b/internal/charter/charter.go
@@ -23,20 +23,20 @@
 	"dapplefront/router"
 )
 
-// Charter is what one router process is told.
-type Charter struct {
+// Config is what one router process is told.
+type Config struct {
 	Name     string
 	Listen   string
 	LastList string        // the file of the last host list; empty for none
 	Drain    time.Duration // how long tasks held may take after a signal to end
 	Held     int           // bytes of bodies, in all
-	Place    router.Place
-	Welcome  front.Welcome
-	Reach    back.Reach
+	Place    router.Config
+	Welcome  front.Config
+	Reach    back.Config
 	Register Register
 	Desk     Desk
 	Records  *record.Shelf // nil for none
-	Peers    *peers.Circle // nil for none
+	Peers    *peers.Config // nil for none
 	Probe    Probe
 }
 
@@ -61,19 +61,19 @@
 }
 
 // Read reads a router's charter from a file.
-func Read(file string) (*Charter, error) {
+func Read(file string) (*Config, error) {
 	s := sheet.Read(file)
 	c := From(s)
 	return c, s.Done()
 }
 
 // From reads a router's charter; mistakes are kept by the sheet.
-func From(s *sheet.Sheet) *Charter {
-	c := &Charter{}
+func From(s *sheet.File) *Config {
+	c := &Config{}
 	p := s.Part("router")
 	c.Name, c.Listen, c.LastList = p.Text("name", "!"), p.Address("listen", "127.0.0.1:8080"), p.Text("last-list", "")
 	c.Drain = p.Span("drain", "10s")
-	c.Place = router.Place{Seed: p.Seed("seed", "1"), Routers: p.Whole("routers", "1", 1, 100_000),
+	c.Place = router.Config{Seed: p.Seed("seed", "1"), Routers: p.Whole("routers", "1", 1, 100_000),
 		Rank: p.Whole("rank", "0", 0, 99_999), Location: p.Text("location", "!")}
 	if c.Place.Rank >= c.Place.Routers {
 		p.Wrong("rank", "rank = %d: less than routers (%d) expected", c.Place.Rank, c.Place.Routers)
@@ -83,7 +83,7 @@
 	}
 	p = s.Part("clients")
 	c.Held = p.Bytes("held", "256MiB")
-	c.Welcome = front.Welcome{Name: c.Name, Slow: p.Span("slow", "10s"), Idle: p.Span("idle", "60s"),
+	c.Welcome = front.Config{Name: c.Name, Slow: p.Span("slow", "10s"), Idle: p.Span("idle", "60s"),
 		Links: p.Whole("links", "20000", 1, 1<<20), AtOnce: p.Whole("at-once", "16", 1, 1024),
 		Bounds: http1.Bounds{Head: p.Bytes("largest-head", "16KiB"), Body: p.Bytes("largest-body", "1MiB")}}
 	if c.Held < 2*c.Welcome.Bounds.Body {
@@ -92,7 +92,7 @@
 	most := p.Whole("open", "20000", 1, 1<<24)
 
 	p = s.Part("hosts")
-	c.Reach = back.Reach{Connect: p.Span("connect", "250ms"), Idle: p.Span("idle", "15s"),
+	c.Reach = back.Config{Connect: p.Span("connect", "250ms"), Idle: p.Span("idle", "15s"),
 		Links:  p.Whole("links", "250", 1, 65_000),
 		Bounds: http1.Bounds{Head: p.Bytes("largest-head", "16KiB"), Body: p.Bytes("largest-answer", "1MiB")}}
 
@@ -103,17 +103,17 @@
 	pushed := p.Switch("pushed", "off")
 
 	p = s.Part("rules")
-	c.Place.Limits = logic.Limits{Grace: loop.Span(p.Span("grace", "2s")), Cold: loop.Span(p.Span("cold", "5s")),
-		ColdShare: p.Share("cold-share", "33%"), Tip: p.Number("tip", "3", 1, 100),
-		TipFor: loop.Span(p.Span("tip-for", "2s")), AskWithin: loop.Span(askWithin),
-		MaxSends: p.Whole("most-sends", "4", 1, 16), MaxOpen: most, TwoAtOnce: p.Switch("two-at-once", "on"),
-		LongestStay: loop.Span(p.Span("longest-stay", "2s")),
-		CrossPrice:  p.Number("cross-price", "0.02", 0, 1), WastePrice: p.Number("waste-price", "0.03", 0, 1),
+	c.Place.Limits = logic.Limits{DrainGrace: loop.FromDuration(p.Span("grace", "2s")), WarmUp: loop.FromDuration(p.Span("cold", "5s")),
+		ColdCapacity: p.Share("cold-share", "33%"), ColdOverloadFactor: p.Number("tip", "3", 1, 100),
+		ColdOverloadWindow: loop.FromDuration(p.Span("tip-for", "2s")), PollInterval: loop.FromDuration(askWithin),
+		MaxAttempts: p.Whole("most-sends", "4", 1, 16), MaxOpen: most, AllowHedging: p.Switch("two-at-once", "on"),
+		MaxRetryAfter: loop.FromDuration(p.Span("longest-stay", "2s")),
+		CrossPrice:    p.Number("cross-price", "0.02", 0, 1), WastePrice: p.Number("waste-price", "0.03", 0, 1),
 		OverShare: p.Share("over-share", "10%")}
 
-	c.Place.Limits.Pushed = pushed
+	c.Place.Limits.PushedDiscovery = pushed
 	if p = s.Part("probes"); p.Has() {
-		c.Place.Limits.Probes = true
+		c.Place.Limits.HealthChecks = true
 		c.Probe = Probe{Path: p.Text("path", "!"), Within: p.Span("within", "250ms")}
 		if !strings.HasPrefix(c.Probe.Path, "/") || strings.ContainsAny(c.Probe.Path, " \t") {
 			p.Wrong("path", "path = %s: a path such as /probe expected", c.Probe.Path)
@@ -123,8 +123,8 @@
 		}
 	}
 	if p = s.Part("peers"); p.Has() {
-		c.Peers = &peers.Circle{Rank: c.Place.Rank, Most: p.Whole("most", "256", 32, 1200), Addresses: p.List("addresses", "!")}
-		c.Place.Limits.Peers = c.Peers.Most
+		c.Peers = &peers.Config{Rank: c.Place.Rank, Most: p.Whole("most", "256", 32, 1200), Addresses: p.List("addresses", "!")}
+		c.Place.Limits.MaxGossipBytes = c.Peers.Most
 		if n := len(c.Peers.Addresses); n != c.Place.Routers {
 			p.Wrong("addresses", "addresses: one for each of the %d routers expected, by rank; there are %d", c.Place.Routers, n)
 		}
@@ -146,7 +146,7 @@
 	return c
 }
 
-func (c *Charter) desk(p sheet.Part) {
+func (c *Config) desk(p sheet.Section) {
 	c.Desk.URLs = p.List("url", "!")
 	for _, u := range c.Desk.URLs {
 		if !strings.HasPrefix(u, "http://") && !strings.HasPrefix(u, "https://") {
@@ -157,43 +157,43 @@
 	if k := c.Desk.Keys; (k.Certificate == "") != (k.Key == "") || (k.Key == "") != (k.Authority == "") {
 		p.Wrong("certificate", "certificate, key and authority: all three expected, or none")
 	}
-	d := logic.Desk{
-		Control: map[string]logic.Control{"share": logic.ShareOfVotes, "clock": logic.Clock}[p.OneOf("control",
+	d := logic.ReleaseConfig{
+		Mode: map[string]logic.PromotionMode{"share": logic.Quorum, "clock": logic.Timed}[p.OneOf("control",
 			"share", "share", "any", "clock")],
-		Caps:      p.Shares("caps", "4%, 15%, 50%, 100%"),
-		LeastTime: loop.Span(p.Span("least-time", "2s")), ClockTime: loop.Span(p.Span("clock-time", "10s")),
-		ToMoveOn: p.Whole("to-move-on", "1", 1, 100_000), ToAbort: p.Whole("to-abort", "1", 1, 100_000),
-		VoteLife: loop.Span(p.Span("vote-life", "10s")), VoteTimeout: loop.Span(p.Span("vote-timeout", "2s")),
-		VotesASecond: p.Number("votes-a-second", "30", 0.1, 1e6), Window: loop.Span(p.Span("window", "4s")),
-		Free: p.Number("free", "2", 0, 1e6), ByCategory: p.Switch("by-category", "off"),
-		Guarded: p.Whole("guarded-stages", "1", 0, 100), KeysStay: p.Switch("keys-stay", "off"),
+		ExposureCaps: p.Shares("caps", "4%, 15%, 50%, 100%"),
+		MinStageTime: loop.FromDuration(p.Span("least-time", "2s")), StageTime: loop.FromDuration(p.Span("clock-time", "10s")),
+		PromoteQuorum: p.Whole("to-move-on", "1", 1, 100_000), RollbackQuorum: p.Whole("to-abort", "1", 1, 100_000),
+		VoteTTL: loop.FromDuration(p.Span("vote-life", "10s")), VoteTimeout: loop.FromDuration(p.Span("vote-timeout", "2s")),
+		MaxVotesPerSecond: p.Number("votes-a-second", "30", 0.1, 1e6), ExposureWindow: loop.FromDuration(p.Span("window", "4s")),
+		ExposureAllowance: p.Number("free", "2", 0, 1e6), ExposurePerClass: p.Switch("by-category", "off"),
+		GuardedStages: p.Whole("guarded-stages", "1", 0, 100), StickyKeys: p.Switch("keys-stay", "off"),
 		DelayPrice: p.Number("delay-price", "0.35", 0, 100), HarmPrice: p.Number("harm-price", "5", 0, 100),
 		Complaints: p.Share("complaints", "0%"), Counted: p.Share("counted", "0%")}
 	c.Desk.Over = p.Span("counts-over", "2s")
-	if slices.ContainsFunc(d.Caps, func(v float64) bool { return v == 0 }) || !slices.IsSorted(d.Caps) {
+	if slices.ContainsFunc(d.ExposureCaps, func(v float64) bool { return v == 0 }) || !slices.IsSorted(d.ExposureCaps) {
 		p.Wrong("caps", "caps: shares above 0%%, none smaller than the one before, expected")
 	}
 	c.Place.Desk = d
 }
 
-func (c *Charter) kinds(s *sheet.Sheet) {
+func (c *Config) kinds(s *sheet.File) {
 	parts, names := s.Parts("category")
 	for i, p := range parts {
 		repeat := p.OneOf("repeat", "!", "retriable", "fingerprinted", "binding")
-		k := router.Category{Name: names[i], Promised: loop.Span(p.Span("promised", "!")),
+		k := router.Class{Name: names[i], Promised: loop.FromDuration(p.Span("promised", "!")),
 			Earnings: p.Number("earnings", "1", 0, 1e9), LateShare: p.Share("late-share", "0%"),
-			Repeat: map[string]logic.Repeat{"fingerprinted": logic.Fingerprinted, "binding": logic.Binding}[repeat],
-			Group: map[string]logic.Group{"location": logic.SameLocation, "cell": logic.SameCell}[p.OneOf("group",
+			Repeat: map[string]logic.Idempotency{"fingerprinted": logic.IdempotentWithKey, "binding": logic.NonIdempotent}[repeat],
+			Group: map[string]logic.DedupScope{"location": logic.ZoneScope, "cell": logic.CellScope}[p.OneOf("group",
 				"everywhere", "everywhere", "location", "cell")]}
 		if repeat == "fingerprinted" {
-			k.Memory = loop.Span(p.Span("memory", "!"))
+			k.Memory = loop.FromDuration(p.Span("memory", "!"))
 		}
-		patience := loop.Span(p.Span("patience", "!"))
+		patience := loop.FromDuration(p.Span("patience", "!"))
 		if patience < k.Promised {
 			p.Wrong("patience", "patience: at least the promised time expected")
 		}
 		c.Place.Categories = append(c.Place.Categories, k)
-		c.Welcome.Kinds = append(c.Welcome.Kinds, front.Kind{Name: names[i], Paths: p.List("paths", ""),
+		c.Welcome.Classes = append(c.Welcome.Classes, front.Class{Name: names[i], Paths: p.List("paths", ""),
 			Patience: patience, Marked: repeat == "fingerprinted"})
 	}
 	if len(parts) == 0 {
@@ -201,7 +201,7 @@
 	}
 	parts, names = s.Parts("customer")
 	for i, p := range parts {
-		c.Place.Customers = append(c.Place.Customers, router.Customer{Name: names[i],
+		c.Place.Customers = append(c.Place.Customers, router.Tenant{Name: names[i],
 			PerSecond: p.Number("per-second", "!", 0.001, 1e9)})
 		for _, n := range p.Networks("networks", "") {
 			c.Welcome.Networks = append(c.Welcome.Networks, front.Network{Prefix: n, Customer: names[i]})
@@ -212,7 +212,7 @@
 // Changes tells whether a running router can go over to another charter: each thing that can't change in one is an
 // error by its section. What may: routers and rank, all of [rules], [desk] but its way there, [peers], [probes], the
 // register's pushed and ask-within, promised time, earnings and late share of categories, customers' shares.
-func (c *Charter) Changes(to *Charter) error {
+func (c *Config) Changes(to *Config) error {
 	var all []error
 	fixed := func(what string, a, b any) {
 		if !reflect.DeepEqual(a, b) {
@@ -230,5 +230,5 @@
 	fixed("[desk] url, certificate, key and authority", []any{c.Desk.URLs, c.Desk.Keys}, []any{to.Desk.URLs, to.Desk.Keys})
 	fixed("[desk] vote-timeout", c.Place.Desk.VoteTimeout, to.Place.Desk.VoteTimeout)
 	fixed("[records]", c.Records, to.Records)
-	return errors.Join(append(all, c.Place.Settles(to.Place))...)
+	return errors.Join(append(all, c.Place.CheckChange(to.Place))...)
 }
--- a/internal/controller/alone.go
+++ b/internal/controller/alone.go
@@ -10,14 +10,14 @@
 	"dapplefront/release"
 )
 
-// Alone is a group of one controller with its interface, as small places and tests have it.
-type Alone struct {
+// Standalone is a group of one controller with its interface, as small places and tests have it.
+type Standalone struct {
 	*Node
 	*Server
 }
 
-// StartAlone starts one and returns once it leads.
-func StartAlone(seat Seat, front Front, log *slog.Logger) (*Alone, error) {
+// StartStandalone starts one and returns once it leads.
+func StartStandalone(seat NodeConfig, front ServerConfig, log *slog.Logger) (*Standalone, error) {
 	seat.First = true
 	n, err := Open(seat, log)
 	if err != nil {
@@ -27,9 +27,9 @@
 	if err != nil {
 		return nil, errors.Join(err, n.Close())
 	}
-	a := &Alone{n, s}
+	a := &Standalone{n, s}
 	for end := time.Now().Add(10 * time.Second); ; time.Sleep(time.Millisecond) {
-		if leads, _ := n.Leads(); leads {
+		if leads, _ := n.IsLeader(); leads {
 			return a, nil
 		}
 		if time.Now().After(end) {
@@ -39,30 +39,30 @@
 }
 
 // Stop ends both.
-func (a *Alone) Stop() error {
+func (a *Standalone) Stop() error {
 	a.Server.Close()
 	return a.Node.Close()
 }
 
 // Hear takes in what happens to a release, as a command.
-func (a *Alone) Hear(in release.Input) (control.Reply, error) {
+func (a *Standalone) Hear(in release.Input) (control.Reply, error) {
 	switch in := in.(type) {
 	case release.Offer:
-		return a.Do(control.Command{Do: control.Create, Build: in.Build})
+		return a.Propose(control.Command{Do: control.Create, Build: in.Build})
 	case release.Ready:
-		return a.Do(control.Command{Do: control.Ready, Build: in.Build})
+		return a.Propose(control.Command{Do: control.Ready, Build: in.Build})
 	case release.Gone:
-		return a.Do(control.Command{Do: control.Gone, Build: in.Build})
+		return a.Propose(control.Command{Do: control.Gone, Build: in.Build})
 	case release.Withdraw:
-		return a.Do(control.Command{Do: control.Withdraw, Build: in.Build})
+		return a.Propose(control.Command{Do: control.Withdraw, Build: in.Build})
 	case release.Vote:
-		return a.Do(control.Command{Do: control.Vote, Build: in.Build, Stage: in.Stage, Router: in.Router, Voice: in.Voice})
+		return a.Propose(control.Command{Do: control.Vote, Build: in.Build, Stage: in.Stage, Router: in.Router, Voice: in.Voice})
 	}
-	return a.Do(control.Command{Do: control.Tick})
+	return a.Propose(control.Command{Do: control.Tick})
 }
 
 // News is where the newest release stands.
-func (a *Alone) News() (n release.News) {
+func (a *Standalone) News() (n release.Status) {
 	a.Read(func(s *control.State, _ logic.Time) { n = s.News() })
 	return n
 }
--- a/internal/controller/controller_test.go
+++ b/internal/controller/controller_test.go
@@ -22,7 +22,7 @@
 	"dapplefront/release"
 )
 
-var figures = control.Figures{Rules: release.Rules{Control: logic.ShareOfVotes, Stages: []release.Stage{{Share: .1, Cap: .05}, {Share: .5, Cap: .5}},
+var figures = control.Config{Rules: release.Rules{Control: logic.Quorum, Stages: []release.Stage{{Share: .1, Cap: .05}, {Share: .5, Cap: .5}},
 	LeastTime: logic.Second / 20, VoteLife: 10 * logic.Second, ToMoveOn: 1, ToAbort: 1}, Absent: 5 * logic.Second}
 
 // group is some instances on loopback.
@@ -59,9 +59,9 @@
 func (g *group) name(i int) string { return fmt.Sprintf("c%d", i+1) }
 
 func (g *group) open(i int, raftAt, restAt string) {
-	n, err := Open(Seat{Name: g.name(i), Dir: g.dirs[i], Listen: raftAt, First: i == 0, Quick: true, Figures: figures, Build: 1}, slog.New(slog.DiscardHandler))
+	n, err := Open(NodeConfig{Name: g.name(i), Dir: g.dirs[i], Listen: raftAt, First: i == 0, Quick: true, Figures: figures, Build: 1}, slog.New(slog.DiscardHandler))
 	require.NoError(g.t, err)
-	s, err := Serve(n, Front{Listen: restAt, VotesASecond: 1000, Bookmark: 50 * time.Millisecond}, slog.New(slog.DiscardHandler))
+	s, err := Serve(n, ServerConfig{Listen: restAt, VotesASecond: 1000, Bookmark: 50 * time.Millisecond}, slog.New(slog.DiscardHandler))
 	require.NoError(g.t, err)
 	g.mu.Lock()
 	g.nodes[i], g.fronts[i], g.urls[i] = n, s, s.URL()
@@ -96,7 +96,7 @@
 		defer g.mu.Unlock()
 		for i, n := range g.nodes {
 			if n != nil {
-				if leads, _ := n.Leads(); leads {
+				if leads, _ := n.IsLeader(); leads {
 					at = i
 					return true
 				}
@@ -478,15 +478,15 @@
 	require.Contains(t, out.String(), `"note":"19"`)
 
 	other := t.TempDir() + "/new"
-	require.NoError(t, Import(Seat{Name: "c1", Dir: other, Listen: "127.0.0.1:0", Figures: figures}, bytes.NewReader(out.Bytes())))
+	require.NoError(t, Import(NodeConfig{Name: "c1", Dir: other, Listen: "127.0.0.1:0", Figures: figures}, bytes.NewReader(out.Bytes())))
 	require.NoError(t, CheckStore(other, figures))
-	require.ErrorContains(t, Import(Seat{Name: "c1", Dir: other, Figures: figures}, bytes.NewReader(out.Bytes())), "not empty")
+	require.ErrorContains(t, Import(NodeConfig{Name: "c1", Dir: other, Figures: figures}, bytes.NewReader(out.Bytes())), "not empty")
 	newer := strings.Replace(out.String(), `"format":2`, `"format":3`, 1)
-	require.ErrorContains(t, Import(Seat{Name: "c1", Dir: t.TempDir() + "/x", Figures: figures}, strings.NewReader(newer)), "newer than this program's 2")
+	require.ErrorContains(t, Import(NodeConfig{Name: "c1", Dir: t.TempDir() + "/x", Figures: figures}, strings.NewReader(newer)), "newer than this program's 2")
 	older := strings.Replace(out.String(), `"format":2`, `"format":1`, 1)
-	require.NoError(t, Import(Seat{Name: "c1", Dir: t.TempDir() + "/y", Figures: figures}, strings.NewReader(older)))
+	require.NoError(t, Import(NodeConfig{Name: "c1", Dir: t.TempDir() + "/y", Figures: figures}, strings.NewReader(older)))
 
 	damage(t, g.dirs[0]+"/log.db")
-	_, err := Open(Seat{Name: "c1", Dir: g.dirs[0], Listen: "127.0.0.1:0", Figures: figures}, slog.New(slog.DiscardHandler))
+	_, err := Open(NodeConfig{Name: "c1", Dir: g.dirs[0], Listen: "127.0.0.1:0", Figures: figures}, slog.New(slog.DiscardHandler))
 	require.ErrorContains(t, err, "damaged")
 }
--- a/internal/controller/cuts_test.go
+++ b/internal/controller/cuts_test.go
@@ -84,13 +84,13 @@
 	g := &group{t: t}
 	for i := range 3 {
 		name := fmt.Sprintf("c%d", i+1)
-		seat := Seat{Name: name, Dir: t.TempDir(), Listen: "127.0.0.1:0", First: i == 0, Quick: true, Figures: figures, Build: 1, Streams: w.streams(name)}
+		seat := NodeConfig{Name: name, Dir: t.TempDir(), Listen: "127.0.0.1:0", First: i == 0, Quick: true, Figures: figures, Build: 1, Streams: w.streams(name)}
 		if disk != nil {
 			seat.Disk = func(l raft.LogStore, s raft.StableStore) (raft.LogStore, raft.StableStore) { return disk(i, l), s }
 		}
 		n, err := Open(seat, slog.New(slog.DiscardHandler))
 		require.NoError(t, err)
-		s, err := Serve(n, Front{Listen: "127.0.0.1:0", VotesASecond: 1000, Bookmark: 50 * time.Millisecond}, slog.New(slog.DiscardHandler))
+		s, err := Serve(n, ServerConfig{Listen: "127.0.0.1:0", VotesASecond: 1000, Bookmark: 50 * time.Millisecond}, slog.New(slog.DiscardHandler))
 		require.NoError(t, err)
 		g.nodes, g.fronts, g.urls = append(g.nodes, n), append(g.fronts, s), append(g.urls, s.URL())
 		if i == 0 {
@@ -120,7 +120,7 @@
 			}
 		}
 		w.set(true, []string{g.name(at)}, others)
-		require.Eventually(t, func() bool { leads, _ := g.nodes[at].Leads(); return !leads }, 10*time.Second, 5*time.Millisecond,
+		require.Eventually(t, func() bool { leads, _ := g.nodes[at].IsLeader(); return !leads }, 10*time.Second, 5*time.Millisecond,
 			"the lease of a leader that reaches no one runs out")
 		status, _, _ := call(t, "PATCH", g.urls[at]+"/v1/releases/1", `{"note":"from the lonely half"}`)
 		require.Contains(t, []int{503, 504}, status)
@@ -189,7 +189,7 @@
 	require.NotEqual(t, 200, status, "what is on no disk is not accepted")
 	require.Eventually(t, func() bool {
 		for i, n := range g.nodes {
-			if leads, _ := n.Leads(); leads && i != at {
+			if leads, _ := n.IsLeader(); leads && i != at {
 				return true
 			}
 		}
@@ -222,7 +222,7 @@
 	counting := false
 	for i := range routers {
 		order := []string{g.urls[at], g.urls[(at+1)%3], g.urls[(at+2)%3]} // all watch the one that leads
-		l := desk.Open(order, fmt.Sprintf("r%d", i), "north", nil, time.Second, desk.Hear{Release: func(logic.News) {
+		l := desk.Open(order, fmt.Sprintf("r%d", i), "north", nil, time.Second, desk.Handler{Release: func(logic.ReleaseStatus) {
 			mu.Lock()
 			defer mu.Unlock()
 			if counting {
--- a/internal/controller/described_test.go
+++ b/internal/controller/described_test.go
@@ -258,7 +258,7 @@
 	g.fronts[lead].votes.SetBurst(0)
 	do(429, "PUT", "/v1/releases/1/votes/r1", `{"stage":0,"voice":"on"}`)
 	for i := range 500 {
-		g.nodes[lead].Do(control.Command{Do: control.Tell, Name: "counts", Body: []byte(fmt.Sprintf(`{"build":1,"category":"c","bad":0,"samples":%d,"meanMs":0,"ageMs":0}`, i))})
+		g.nodes[lead].Propose(control.Command{Do: control.Tell, Name: "counts", Body: []byte(fmt.Sprintf(`{"build":1,"category":"c","bad":0,"samples":%d,"meanMs":0,"ageMs":0}`, i))})
 	}
 	do(410, "GET", "/v1/watch", "", "Last-Event-ID", "1")
 	d.mu.Lock()
@@ -294,7 +294,7 @@
 	_, _, status := dial(t, u, "", "")
 	require.Equal(t, 101, status)
 	d.seen["watch 101"] = true
-	closed, err := Serve(g.nodes[lead], Front{Listen: "127.0.0.1:0", URL: u, Guard: &Guard{}}, slog.New(slog.DiscardHandler))
+	closed, err := Serve(g.nodes[lead], ServerConfig{Listen: "127.0.0.1:0", URL: u, Guard: &Guard{}}, slog.New(slog.DiscardHandler))
 	require.NoError(t, err)
 	defer closed.Close()
 	named := strings.NewReplacer("{build}", "1", "{router}", "r1", "{step}", "one", "{order}", "ready", "{version}", "9", "{name}", "c2", "{location}", "north")
@@ -313,7 +313,7 @@
 			g.kill(i)
 		}
 	}
-	require.Eventually(t, func() bool { leads, _ := g.nodes[lead].Leads(); return !leads }, 10*time.Second, 5*time.Millisecond)
+	require.Eventually(t, func() bool { leads, _ := g.nodes[lead].IsLeader(); return !leads }, 10*time.Second, 5*time.Millisecond)
 	for template, methods := range d.open["paths"].(map[string]any) {
 		for method, op := range methods.(map[string]any) {
 			if method == "parameters" || at(op, "responses", "503") == nil {
@@ -423,8 +423,8 @@
 
 func TestDrawnRequestsGetADocumentedAnswerEach(t *testing.T) {
 	d := describe(t)
-	a, err := StartAlone(Seat{Name: "c1", Dir: t.TempDir(), Listen: "127.0.0.1:0", Quick: true, Figures: figures, Build: 1},
-		Front{Listen: "127.0.0.1:0", VotesASecond: 1e6}, slog.New(slog.DiscardHandler))
+	a, err := StartStandalone(NodeConfig{Name: "c1", Dir: t.TempDir(), Listen: "127.0.0.1:0", Quick: true, Figures: figures, Build: 1},
+		ServerConfig{Listen: "127.0.0.1:0", VotesASecond: 1e6}, slog.New(slog.DiscardHandler))
 	require.NoError(t, err)
 	defer func() { require.NoError(t, a.Stop()) }()
 	type target struct {
--- a/internal/controller/link_test.go
+++ b/internal/controller/link_test.go
@@ -17,9 +17,9 @@
 func TestARoutersLinkHearsNewsAndItsVotesAreAnswered(t *testing.T) {
 	still := make(chan bool, 1)
 	is := false
-	a, err := StartAlone(Seat{Name: "c", Dir: t.TempDir(), Listen: "127.0.0.1:0", Quick: true, Build: 1, Figures: control.Figures{
-		Rules: release.Rules{Control: logic.ShareOfVotes, ToMoveOn: 2, ToAbort: 1, VoteLife: 5 * logic.Second, Stages: []release.Stage{{Share: .1, Cap: .1}, {Share: 1, Cap: 1}}}}},
-		Front{Listen: "127.0.0.1:0", VotesASecond: 2, Fault: func() (time.Duration, bool) {
+	a, err := StartStandalone(NodeConfig{Name: "c", Dir: t.TempDir(), Listen: "127.0.0.1:0", Quick: true, Build: 1, Figures: control.Config{
+		Rules: release.Rules{Control: logic.Quorum, ToMoveOn: 2, ToAbort: 1, VoteLife: 5 * logic.Second, Stages: []release.Stage{{Share: .1, Cap: .1}, {Share: 1, Cap: 1}}}}},
+		ServerConfig{Listen: "127.0.0.1:0", VotesASecond: 2, Fault: func() (time.Duration, bool) {
 			select {
 			case is = <-still:
 			default:
@@ -28,23 +28,23 @@
 		}}, slog.New(slog.DiscardHandler))
 	require.NoError(t, err)
 	defer func() { require.NoError(t, a.Stop()) }()
-	news, complaints := make(chan logic.News, 64), make(chan api.Complaint, 64)
-	link := desk.Open([]string{"http://127.0.0.1:1", a.URL()}, "r1", "here", nil, time.Second, desk.Hear{Release: func(n logic.News) { news <- n },
+	news, complaints := make(chan logic.ReleaseStatus, 64), make(chan api.Complaint, 64)
+	link := desk.Open([]string{"http://127.0.0.1:1", a.URL()}, "r1", "here", nil, time.Second, desk.Handler{Release: func(n logic.ReleaseStatus) { news <- n },
 		Counts: func(api.Counts) {}, Complaint: func(c api.Complaint) { complaints <- c }, Trouble: func(error) {}})
 	defer link.Close()
-	next := func() logic.News {
+	next := func() logic.ReleaseStatus {
 		select {
 		case n := <-news:
 			return n
 		case <-time.After(10 * time.Second):
 			t.Fatal("no news")
-			return logic.News{}
+			return logic.ReleaseStatus{}
 		}
 	}
 	require.Equal(t, logic.Released, next().Phase)
 	_, err = a.Hear(release.Offer{Build: 2})
 	require.NoError(t, err)
-	for next().Cap != 0.1 { // it is told again and again how things stand
+	for next().ExposureCap != 0.1 { // it is told again and again how things stand
 	}
 	for i := range 30 {
 		status, _, text := call(t, "POST", a.URL()+"/v1/complaints", `{"router":"r1","host":`+string(rune('0'+i%10))+`,"category":"quote","ageMs":0}`)
@@ -58,20 +58,20 @@
 			t.Fatal("an event is missing")
 		}
 	}
-	vote := func(build, stage int, v logic.Voice) logic.Answer {
-		got := make(chan logic.News, 1)
-		link.Vote(build, stage, v, func(n logic.News) { got <- n })
-		return (<-got).Answer
+	vote := func(build, stage int, v logic.VoteChoice) logic.VoteResult {
+		got := make(chan logic.ReleaseStatus, 1)
+		link.Vote(build, stage, v, func(n logic.ReleaseStatus) { got <- n })
+		return (<-got).VoteResult
 	}
-	require.Equal(t, logic.Counted, vote(2, 0, logic.On))
-	require.Equal(t, logic.Moot, vote(2, 1, logic.On))
-	require.Equal(t, logic.Moot, vote(1, 0, logic.On))
-	seen := map[logic.Answer]bool{}
+	require.Equal(t, logic.VoteAccepted, vote(2, 0, logic.Promote))
+	require.Equal(t, logic.VoteStale, vote(2, 1, logic.Promote))
+	require.Equal(t, logic.VoteStale, vote(1, 0, logic.Promote))
+	seen := map[logic.VoteResult]bool{}
 	for range 12 {
-		seen[vote(2, 0, logic.On)] = true
+		seen[vote(2, 0, logic.Promote)] = true
 	}
-	require.True(t, seen[logic.Refused], "more than the allowance")
+	require.True(t, seen[logic.VoteRejected], "more than the allowance")
 	still <- true
 	time.Sleep(600 * time.Millisecond) // one more is allowed
-	require.Contains(t, []logic.Answer{logic.Unclear, logic.Refused}, vote(2, 0, logic.On))
+	require.Contains(t, []logic.VoteResult{logic.VoteUnknown, logic.VoteRejected}, vote(2, 0, logic.Promote))
 }
--- a/internal/controller/node.go
+++ b/internal/controller/node.go
@@ -25,14 +25,14 @@
 	"dapplefront/logic"
 )
 
-// Seat is one instance's place among the controllers.
-type Seat struct {
+// NodeConfig is one instance's place among the controllers.
+type NodeConfig struct {
 	Name    string // of its own among them
 	Dir     string // of its store; nothing else may write there
 	Listen  string // for the other controllers
 	First   bool   // starts a new group of one, where the store is empty
 	Quick   bool   // short times, for loopback: a leader is missed after half a second
-	Figures control.Figures
+	Figures control.Config
 	Build   int                                                                     // that serves when a group starts
 	Streams func(net.Listener) (raft.StreamLayer, error)                            // nil for plain TCP
 	Disk    func(raft.LogStore, raft.StableStore) (raft.LogStore, raft.StableStore) // wraps the store, in tests
@@ -40,7 +40,7 @@
 
 // Node is one running instance.
 type Node struct {
-	seat  Seat
+	seat  NodeConfig
 	log   *slog.Logger
 	raft  *raft.Raft
 	bolt  *raftboltdb.BoltStore
@@ -66,7 +66,7 @@
 var ErrUnclear = errors.New("the leader was lost while the change was under way; it may have been made")
 
 // Open starts an instance. A store that is damaged is refused with what was found.
-func Open(seat Seat, log *slog.Logger) (*Node, error) {
+func Open(seat NodeConfig, log *slog.Logger) (*Node, error) {
 	if err := os.MkdirAll(seat.Dir, 0o700); err != nil {
 		return nil, err
 	}
@@ -150,8 +150,8 @@
 
 // ---- Changes ----
 
-// Do makes a change through the log: when it returns without an error, the change is on the disks of most instances.
-func (n *Node) Do(c control.Command) (control.Reply, error) {
+// Propose makes a change through the log: when it returns without an error, the change is on the disks of most instances.
+func (n *Node) Propose(c control.Command) (control.Reply, error) {
 	n.mu.Lock()
 	if !n.leads {
 		n.mu.Unlock()
@@ -208,7 +208,7 @@
 			due := n.leads && n.state.Due(n.now())
 			n.mu.Unlock()
 			if due {
-				_, _ = n.Do(control.Command{Do: control.Tick})
+				_, _ = n.Propose(control.Command{Do: control.Tick})
 			}
 		}
 	}
@@ -230,9 +230,9 @@
 // Watch is a channel that is closed when the state changes next.
 func (n *Node) Watch() <-chan struct{} { n.mu.Lock(); defer n.mu.Unlock(); return n.changed }
 
-// Behind is how long ago this instance heard of its leader: what it reads may be older than the newest by as much and
+// ReplicationLag is how long ago this instance heard of its leader: what it reads may be older than the newest by as much and
 // what was under way then.
-func (n *Node) Behind() time.Duration {
+func (n *Node) ReplicationLag() time.Duration {
 	n.mu.Lock()
 	leads := n.leads
 	n.mu.Unlock()
@@ -245,8 +245,8 @@
 	return time.Since(n.began)
 }
 
-// Confirm returns once this instance surely leads and has applied all that was accepted before.
-func (n *Node) Confirm() error {
+// VerifyLeader returns once this instance surely leads and has applied all that was accepted before.
+func (n *Node) VerifyLeader() error {
 	if err := n.raft.VerifyLeader().Error(); err != nil {
 		return ErrNoLeader
 	}
@@ -256,8 +256,8 @@
 	return nil
 }
 
-// Leads tells whether this instance leads, and the name of the one that does as far as it knows.
-func (n *Node) Leads() (bool, string) {
+// IsLeader tells whether this instance leads, and the name of the one that does as far as it knows.
+func (n *Node) IsLeader() (bool, string) {
 	_, id := n.raft.LeaderWithID()
 	n.mu.Lock()
 	defer n.mu.Unlock()
--- a/internal/controller/secure_test.go
+++ b/internal/controller/secure_test.go
@@ -56,10 +56,10 @@
 	for i := range 3 {
 		name := fmt.Sprintf("c%d", i+1)
 		r := ring(name)
-		n, err := Open(Seat{Name: name, Dir: t.TempDir(), Listen: "127.0.0.1:0", First: i == 0, Quick: true, Figures: figures, Build: 1,
+		n, err := Open(NodeConfig{Name: name, Dir: t.TempDir(), Listen: "127.0.0.1:0", First: i == 0, Quick: true, Figures: figures, Build: 1,
 			Streams: Secure(r, []string{"c*"})}, log)
 		require.NoError(t, err)
-		s, err := Serve(n, Front{Listen: "127.0.0.1:0", Bookmark: 50 * time.Millisecond, Guard: &Guard{TLS: r.Server(), Client: r.Client(), Grants: grants,
+		s, err := Serve(n, ServerConfig{Listen: "127.0.0.1:0", Bookmark: 50 * time.Millisecond, Guard: &Guard{TLS: r.Server(), Client: r.Client(), Grants: grants,
 			Peers: []string{"c*"}}}, log)
 		require.NoError(t, err)
 		t.Cleanup(func() { s.Close(); _ = n.Close() })
--- a/internal/controller/server.go
+++ b/internal/controller/server.go
@@ -28,8 +28,8 @@
 	"dapplefront/plan"
 )
 
-// Front is how the REST interface behaves.
-type Front struct {
+// ServerConfig is how the REST interface behaves.
+type ServerConfig struct {
 	Listen       string
 	URL          string  // under which others reach it; by default http:// and where it listens
 	VotesASecond float64 // at most, from all routers together
@@ -45,7 +45,7 @@
 }
 
 // fault is how things stand; a daemon's are always well.
-func (f *Front) fault() (late time.Duration, still bool) {
+func (f *ServerConfig) fault() (late time.Duration, still bool) {
 	if f.Fault == nil {
 		return 0, false
 	}
@@ -55,7 +55,7 @@
 // Server is the REST interface of one instance.
 type Server struct {
 	node   *Node
-	front  Front
+	front  ServerConfig
 	log    *slog.Logger
 	listen net.Listener
 	http   *http.Server
@@ -72,7 +72,7 @@
 const largestBody = 16 << 20 // bytes; a plan for 500,000 hosts
 
 // Serve starts the interface.
-func Serve(node *Node, f Front, logger *slog.Logger) (*Server, error) {
+func Serve(node *Node, f ServerConfig, logger *slog.Logger) (*Server, error) {
 	l, err := net.Listen("tcp", f.Listen)
 	if err != nil {
 		return nil, err
@@ -161,13 +161,13 @@
 		case <-t.C:
 		}
 		known, leader := "", ""
-		leads, name := s.node.Leads()
+		leads, name := s.node.IsLeader()
 		s.node.Read(func(st *control.State, _ logic.Time) { known, leader = st.Members[s.node.seat.Name], st.Members[name] })
 		if known == s.front.URL {
 			continue
 		}
 		if leads {
-			_, _ = s.node.Do(control.Command{Do: control.Member, Name: s.node.seat.Name, Note: &s.front.URL})
+			_, _ = s.node.Propose(control.Command{Do: control.Member, Name: s.node.seat.Name, Note: &s.front.URL})
 		} else if leader != "" {
 			body, _ := json.Marshal(map[string]string{"url": s.front.URL})
 			ask, err := http.NewRequest("PUT", leader+"/v1/controllers/"+url.PathEscape(s.node.seat.Name), bytes.NewReader(body))
@@ -265,7 +265,7 @@
 // change makes a change and answers, with done's status where it was made. An instance that does not lead passes the
 // request on to the one that does.
 func (s *Server) change(w http.ResponseWriter, r *http.Request, c control.Command, done int, body func(control.Reply) any) {
-	reply, err := s.node.Do(c)
+	reply, err := s.node.Propose(c)
 	switch {
 	case errors.Is(err, ErrNoLeader):
 		w.Header().Set("Retry-After", "1")
@@ -291,7 +291,7 @@
 
 // pass hands a change to the instance that leads; false where this one does.
 func (s *Server) pass(w http.ResponseWriter, r *http.Request) bool {
-	leads, name := s.node.Leads()
+	leads, name := s.node.IsLeader()
 	if leads {
 		return false
 	}
@@ -351,8 +351,8 @@
 	}
 	if st != nil && st.News().Build == r.Build {
 		v := api.Votes{}
-		v.On, v.Needed, _ = st.Votes(logic.On)
-		v.Back, _, v.NeededBack = st.Votes(logic.Back)
+		v.On, v.Needed, _ = st.Votes(logic.Promote)
+		v.Back, _, v.NeededBack = st.Votes(logic.Rollback)
 		o.Votes = &v
 	}
 	return o
@@ -365,13 +365,13 @@
 		if s.pass(w, r) {
 			return false
 		}
-		if err := s.node.Confirm(); err != nil {
+		if err := s.node.VerifyLeader(); err != nil {
 			w.Header().Set("Retry-After", "1")
 			problem(w, http.StatusServiceUnavailable, "", err.Error())
 			return false
 		}
 	}
-	w.Header().Set("Dapplefront-Behind-Ms", strconv.FormatInt(s.node.Behind().Milliseconds(), 10))
+	w.Header().Set("Dapplefront-Behind-Ms", strconv.FormatInt(s.node.ReplicationLag().Milliseconds(), 10))
 	return true
 }
 
@@ -492,7 +492,7 @@
 func (s *Server) withdraw(w http.ResponseWriter, r *http.Request) { s.simple(w, r, control.Withdraw) }
 func (s *Server) delete(w http.ResponseWriter, r *http.Request)   { s.simple(w, r, control.Delete) }
 
-func (s *Server) simple(w http.ResponseWriter, r *http.Request, do control.Verb) {
+func (s *Server) simple(w http.ResponseWriter, r *http.Request, do control.CommandKind) {
 	n, ok := build(w, r)
 	if !ok {
 		return
@@ -531,7 +531,7 @@
 	}
 	if _, still := s.front.fault(); still { // every other vote counts; none is answered
 		if rand.IntN(2) == 0 {
-			_, _ = s.node.Do(control.Command{Do: control.Vote, Build: n, Stage: v.Stage, Router: r.PathValue("router"), Voice: logic.Voice(voice)})
+			_, _ = s.node.Propose(control.Command{Do: control.Vote, Build: n, Stage: v.Stage, Router: r.PathValue("router"), Voice: logic.VoteChoice(voice)})
 		}
 		select {
 		case <-r.Context().Done():
@@ -539,7 +539,7 @@
 		}
 		return
 	}
-	s.change(w, r, control.Command{Do: control.Vote, Build: n, Stage: v.Stage, Router: r.PathValue("router"), Voice: logic.Voice(voice)},
+	s.change(w, r, control.Command{Do: control.Vote, Build: n, Stage: v.Stage, Router: r.PathValue("router"), Voice: logic.VoteChoice(voice)},
 		http.StatusOK, func(c control.Reply) any {
 			o := s.object(c).(api.ReleaseObject).Release
 			if s.front.Told != nil {
@@ -564,7 +564,7 @@
 	if !ok {
 		return
 	}
-	do, ok := map[string]control.Verb{"ready": control.Ready, "gone": control.Gone}[r.PathValue("order")]
+	do, ok := map[string]control.CommandKind{"ready": control.Ready, "gone": control.Gone}[r.PathValue("order")]
 	if !ok {
 		problem(w, http.StatusNotFound, "order", "ready or gone expected")
 		return
@@ -656,7 +656,7 @@
 	if !h.Followed {
 		s.log.Warn("a plan is turned down", "version", version, "router", r.PathValue("router"), "reason", h.Reason)
 	}
-	s.change(w, r, control.Command{Do: control.HeedPlan, Router: r.PathValue("router"), Heed: &control.Heed{Version: version, Reason: h.Reason}},
+	s.change(w, r, control.Command{Do: control.AckPlan, Router: r.PathValue("router"), Heed: &control.PlanAck{Version: version, Reason: h.Reason}},
 		http.StatusNoContent, nil)
 }
 
@@ -671,12 +671,12 @@
 }
 
 func (s *Server) status(w http.ResponseWriter, r *http.Request) {
-	leads, leader := s.node.Leads()
+	leads, leader := s.node.IsLeader()
 	members, err := s.node.Members()
 	if err != nil {
 		members = map[string]string{} // it is ending
 	}
-	out := api.Status{Name: s.node.seat.Name, Leads: leads, Leader: leader, BehindMs: s.node.Behind().Milliseconds(), Members: members}
+	out := api.Status{Name: s.node.seat.Name, Leads: leads, Leader: leader, BehindMs: s.node.ReplicationLag().Milliseconds(), Members: members}
 	s.node.Read(func(st *control.State, _ logic.Time) {
 		out.Version, out.Routers, out.Events = st.Version(), len(st.Routers), st.Last()
 	})
--- a/internal/controller/store.go
+++ b/internal/controller/store.go
@@ -17,7 +17,7 @@
 
 // CheckStore goes through a controller's store without changing it: every page of the log's file, every entry, and the
 // newest snapshot. A missing store is no error. It tells all that is wrong.
-func CheckStore(dir string, f control.Figures) (err error) {
+func CheckStore(dir string, f control.Config) (err error) {
 	file := filepath.Join(dir, "log.db")
 	if _, e := os.Stat(file); os.IsNotExist(e) {
 		return nil
@@ -49,7 +49,7 @@
 }
 
 // replay reads snapshot and log in order and returns the state that they make; each command is passed to seen.
-func replay(dir string, f control.Figures, seen func(index uint64, c control.Command)) (*control.State, error) {
+func replay(dir string, f control.Config, seen func(index uint64, c control.Command)) (*control.State, error) {
 	s := control.New(f, 1)
 	from := uint64(0)
 	snaps, err := raft.NewFileSnapshotStore(dir, 2, io.Discard)
@@ -114,7 +114,7 @@
 
 // Export writes the state that a store holds. The store must not be in use. Entries that were never accepted by most
 // instances may be in it, as after any restart.
-func Export(dir string, f control.Figures, to io.Writer) error {
+func Export(dir string, f control.Config, to io.Writer) error {
 	if _, err := os.Stat(filepath.Join(dir, "log.db")); err != nil {
 		return err
 	}
@@ -132,7 +132,7 @@
 
 // Import makes a new store of one member out of what Export wrote: a group that lost most of its members starts again
 // from it. The directory must be empty or missing.
-func Import(seat Seat, from io.Reader) error {
+func Import(seat NodeConfig, from io.Reader) error {
 	text, err := io.ReadAll(from)
 	if err != nil {
 		return err
--- a/internal/controller/stored_test.go
+++ b/internal/controller/stored_test.go
@@ -24,7 +24,7 @@
 	storedExport = "testdata/export-d72f78e.json"
 )
 
-var storedFigures = control.Figures{Rules: release.Rules{Control: logic.Clock, Stages: []release.Stage{{Share: .1, Cap: .05}, {Share: .5, Cap: .5}},
+var storedFigures = control.Config{Rules: release.Rules{Control: logic.Timed, Stages: []release.Stage{{Share: .1, Cap: .05}, {Share: .5, Cap: .5}},
 	LeastTime: logic.Second / 20, ClockTime: logic.Second / 10, VoteLife: 60 * logic.Second, ToMoveOn: 2, ToAbort: 3, ToHold: 2},
 	Absent: 600 * logic.Second, Events: 1000, Keys: 10}
 
@@ -55,7 +55,7 @@
 func TestAnEarlierExportIsImportedAndExportedByteForByte(t *testing.T) {
 	_, want := stored(t)
 	dir := filepath.Join(t.TempDir(), "new")
-	require.NoError(t, Import(Seat{Name: "c1", Dir: dir, Listen: "127.0.0.1:0", Figures: storedFigures}, bytes.NewReader(want)))
+	require.NoError(t, Import(NodeConfig{Name: "c1", Dir: dir, Listen: "127.0.0.1:0", Figures: storedFigures}, bytes.NewReader(want)))
 	require.NoError(t, CheckStore(dir, storedFigures))
 	require.Equal(t, string(want), exported(t, dir))
 }
--- a/internal/controller/upgrade_test.go
+++ b/internal/controller/upgrade_test.go
@@ -40,13 +40,13 @@
 		})
 	}
 	for i := range 3 {
-		if leads, _ := g.nodes[i].Leads(); leads {
+		if leads, _ := g.nodes[i].IsLeader(); leads {
 			require.NoError(t, g.nodes[i].StepDown())
 		}
 		back := g.kill(i)
 		g.leader()
 		back()
-		require.Eventually(t, func() bool { return g.nodes[i].Behind() < time.Second }, 10*time.Second, 5*time.Millisecond)
+		require.Eventually(t, func() bool { return g.nodes[i].ReplicationLag() < time.Second }, 10*time.Second, 5*time.Millisecond)
 	}
 	before := accepted.Load()
 	require.Eventually(t, func() bool { return accepted.Load() > before+50 }, 20*time.Second, 5*time.Millisecond, "writes go on after all were replaced")
--- a/internal/controller/watch.go
+++ b/internal/controller/watch.go
@@ -50,7 +50,7 @@
 	var out []told
 	var oldest uint64
 	gone := false
-	leads, _ := s.node.Leads()
+	leads, _ := s.node.IsLeader()
 	s.node.Read(func(st *control.State, now logic.Time) {
 		if text == "" {
 			from = st.Last()
@@ -182,8 +182,8 @@
 		return
 	}
 	go func() {
-		if leads, _ := s.node.Leads(); leads {
-			_, _ = s.node.Do(control.Command{Do: control.Join, Router: router})
+		if leads, _ := s.node.IsLeader(); leads {
+			_, _ = s.node.Propose(control.Command{Do: control.Join, Router: router})
 			return
 		}
 		s.node.joinThrough(s, router)
@@ -192,7 +192,7 @@
 
 // joinThrough tells the leader of a router that watches here.
 func (n *Node) joinThrough(s *Server, router string) {
-	_, name := n.Leads()
+	_, name := n.IsLeader()
 	to := ""
 	n.Read(func(st *control.State, _ logic.Time) { to = st.Members[name] })
 	if to == "" {
@@ -213,7 +213,7 @@
 	age := max(0, int64(now-e.At)/10)
 	switch e.Kind {
 	case api.EventNews:
-		var n release.News
+		var n release.Status
 		if json.Unmarshal(e.Body, &n) == nil {
 			told := api.Release{Build: n.Build, Stage: n.Stage, Phase: api.Phases[n.Phase], Cap: n.Cap,
 				AgeMs: max(0, int64(now-n.Since)/10), Version: int64(e.ID)}
--- a/internal/day/agents.go
+++ b/internal/day/agents.go
@@ -224,7 +224,7 @@
 			c.hosts[id] = h
 		}
 		c.mu.Unlock()
-		standing := map[string]logic.Standing{string(agent.Drains): logic.Draining, string(agent.Unlisted): logic.Gone}[r.Listing]
+		standing := map[string]logic.EndpointState{string(agent.Drains): logic.Draining, string(agent.Unlisted): logic.Removed}[r.Listing]
 		c.listings <- listing{time.Now().Add(c.stage.figures.listLate), stand.Entry{Host: h, Standing: standing}}
 	}
 	if r.To == string(agent.Failed) {
--- a/internal/day/breach.go
+++ b/internal/day/breach.go
@@ -21,10 +21,10 @@
 	seen    atomic.Int64
 	binding map[string]bool
 	told    map[uint32]logic.Time // when a host was first told to drain
-	news    logic.News
+	news    logic.ReleaseStatus
 }
 
-func newWrong(how string, f figures) (instance.Bend, error) {
+func newWrong(how string, f figures) (instance.FaultInjector, error) {
 	switch how {
 	case "":
 		return nil, nil
@@ -40,7 +40,7 @@
 
 // Actions sends where nothing may go.
 func (w *wrong) Actions(now logic.Time, e router.Event, actions []router.Action, hosts map[uint32]register.Host) []router.Action {
-	if t, ok := e.(router.Told); ok && t.News.Build > 0 && (t.News.Answer == logic.Unasked || t.News.Answer == logic.Counted) {
+	if t, ok := e.(router.ReleaseChanged); ok && t.News.Build > 0 && (t.News.VoteResult == logic.Unsolicited || t.News.VoteResult == logic.VoteAccepted) {
 		w.news = t.News
 	}
 	for id, h := range hosts {
@@ -49,7 +49,7 @@
 		}
 	}
 	to, ok := w.target(now, hosts)
-	t, taken := e.(router.Taken)
+	t, taken := e.(router.RequestArrived)
 	if !taken {
 		return actions
 	}
@@ -82,7 +82,7 @@
 		case "cold":
 			fits = h.Standing == logic.Serving && h.Up > 0 && now-h.Up < w.cold
 		case "exposure":
-			fits = h.Standing == logic.Serving && h.Build == w.news.Build && w.news.Phase == logic.OnTrial
+			fits = h.Standing == logic.Serving && h.Build == w.news.Build && w.news.Phase == logic.Canary
 		}
 		if fits && (!ok || id > to) {
 			to, ok = id, true
--- a/internal/day/controllers.go
+++ b/internal/day/controllers.go
@@ -61,8 +61,8 @@
 
 // office is one instance's place.
 type office struct {
-	seat  controller.Seat
-	front controller.Front
+	seat  controller.NodeConfig
+	front controller.ServerConfig
 	mu    sync.Mutex
 	node  *controller.Node
 	serve *controller.Server
@@ -89,9 +89,9 @@
 		h = &http.Client{Transport: &http.Transport{TLSClientConfig: ring.Client()}}
 	}
 	for i := range n {
-		o := &office{seat: controller.Seat{Name: fmt.Sprintf("c%d", i+1), Dir: filepath.Join(dir, fmt.Sprintf("c%d", i+1)), Listen: "127.0.0.1:0",
-			First: i == 0, Quick: true, Build: 1, Figures: control.Figures{Rules: rules, Absent: 10 * logic.Second}},
-			front: controller.Front{Listen: "127.0.0.1:0", VotesASecond: 30, Fault: c.fault, Told: c.told}}
+		o := &office{seat: controller.NodeConfig{Name: fmt.Sprintf("c%d", i+1), Dir: filepath.Join(dir, fmt.Sprintf("c%d", i+1)), Listen: "127.0.0.1:0",
+			First: i == 0, Quick: true, Build: 1, Figures: control.Config{Rules: rules, Absent: 10 * logic.Second}},
+			front: controller.ServerConfig{Listen: "127.0.0.1:0", VotesASecond: 30, Fault: c.fault, Told: c.told}}
 		if secure != nil {
 			ring, err := secure.ring(o.seat.Name)
 			if err != nil {
@@ -160,7 +160,7 @@
 		o.mu.Lock()
 		leads := false
 		if o.node != nil {
-			leads, _ = o.node.Leads()
+			leads, _ = o.node.IsLeader()
 		}
 		o.mu.Unlock()
 		if leads {
@@ -222,7 +222,7 @@
 			return agents.hear(data)
 		}
 	case "place":
-		var p control.Place
+		var p control.DeployOrder
 		if err := json.Unmarshal(data, &p); err != nil {
 			return err
 		}
@@ -248,14 +248,14 @@
 }
 
 // moved notes a move, once; every stage costs one instance, two of them the one that leads.
-func (c *controllers) moved(n logic.News) {
+func (c *controllers) moved(n logic.ReleaseStatus) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if k := len(c.moves); n.Build == 1 || k > 0 && c.moves[k-1].Build == n.Build && c.moves[k-1].Stage == n.Stage && c.moves[k-1].Phase == n.Phase {
 		return
 	}
 	c.moves = append(c.moves, Move{At: c.book.Now(), Build: n.Build, Stage: n.Stage, Phase: n.Phase})
-	if n.Phase == logic.OnTrial {
+	if n.Phase == logic.Canary {
 		lead := n.Stage == 1 || n.Stage == 2
 		c.done.Add(1)
 		go func() { defer c.done.Done(); c.kill(lead) }()
@@ -353,7 +353,7 @@
 	}
 }
 
-func (c *controllers) News() (n release.News) {
+func (c *controllers) News() (n release.Status) {
 	c.state(func(s *control.State) { n = s.News() })
 	return n
 }
--- a/internal/day/day.go
+++ b/internal/day/day.go
@@ -58,11 +58,11 @@
 }
 
 var wishes = []stand.Wish{
-	{Kind: stand.Kind{Name: "quote", Work: 30 * time.Millisecond, Repeat: logic.Retriable}, Path: "/quote", Share: .6,
+	{Kind: stand.Kind{Name: "quote", Work: 30 * time.Millisecond, Repeat: logic.Idempotent}, Path: "/quote", Share: .6,
 		Promised: 400 * time.Millisecond, Patience: 1500 * time.Millisecond},
-	{Kind: stand.Kind{Name: "order", Work: 40 * time.Millisecond, Repeat: logic.Fingerprinted, Memory: 10 * time.Second},
+	{Kind: stand.Kind{Name: "order", Work: 40 * time.Millisecond, Repeat: logic.IdempotentWithKey, Memory: 10 * time.Second},
 		Path: "/order", Share: .23, Promised: 500 * time.Millisecond, Patience: 2 * time.Second},
-	{Kind: stand.Kind{Name: "transfer", Work: 25 * time.Millisecond, Repeat: logic.Binding}, Path: "/transfer", Share: .17,
+	{Kind: stand.Kind{Name: "transfer", Work: 25 * time.Millisecond, Repeat: logic.NonIdempotent}, Path: "/transfer", Share: .17,
 		Promised: 300 * time.Millisecond, Patience: time.Second},
 }
 
@@ -133,7 +133,7 @@
 	address string
 
 	mu       sync.Mutex
-	instance *instance.Instance
+	instance *instance.Proxy
 }
 
 // Play plays a day. It writes a line a second to progress, which may be nil.
@@ -215,7 +215,7 @@
 	for i, c := range f.caps {
 		stages = append(stages, release.Stage{Share: f.shares[i], Cap: c})
 	}
-	rules := release.Rules{Control: logic.ShareOfVotes, Stages: stages, LeastTime: logic.Second, VoteLife: 8 * logic.Second,
+	rules := release.Rules{Control: logic.Quorum, Stages: stages, LeastTime: logic.Second, VoteLife: 8 * logic.Second,
 		ToMoveOn: max(1, p.Routers/2), ToAbort: 1}
 	if p.Secure {
 		if s.trust, err = newTrust(s.dir); err != nil {
@@ -322,7 +322,7 @@
 		repeat := []string{"retriable", "fingerprinted", "binding"}[w.Repeat]
 		fmt.Fprintf(&b, "[category %s]\nrepeat = %s\npaths = %s\npromised = %s\npatience = %s\n", w.Name, repeat, w.Path,
 			w.Promised, w.Patience)
-		if w.Repeat == logic.Fingerprinted {
+		if w.Repeat == logic.IdempotentWithKey {
 			fmt.Fprintf(&b, "memory = %s\n", w.Memory)
 		}
 	}
@@ -391,7 +391,7 @@
 }
 
 // count adds a second's score to the stage that the release is in.
-func (s *stage) count(n release.News, score stand.Score) {
+func (s *stage) count(n release.Status, score stand.Score) {
 	for i := range s.stages {
 		if x := &s.stages[i]; x.Build == n.Build && x.Stage == n.Stage && x.Phase == n.Phase {
 			x.Score.Add(score)
--- a/internal/day/day_test.go
+++ b/internal/day/day_test.go
@@ -90,7 +90,7 @@
 			phases = append(phases, m.Phase)
 		}
 	}
-	require.Equal(t, []logic.Phase{logic.OnTrial, logic.GoingBack, logic.Withdrawn}, phases, out.String())
+	require.Equal(t, []logic.Phase{logic.Canary, logic.RollingBack, logic.RolledBack}, phases, out.String())
 	_, took := r.Agents.Retired[2]
 	require.False(t, took, "no task reached it")
 }
--- a/internal/day/fleet.go
+++ b/internal/day/fleet.go
@@ -107,7 +107,7 @@
 	return x, nil
 }
 
-func (f *fleet) list(standing logic.Standing, hosts ...*member) {
+func (f *fleet) list(standing logic.EndpointState, hosts ...*member) {
 	var entries []stand.Entry
 	for _, h := range hosts {
 		entries = append(entries, stand.Entry{Host: h.Host, Standing: standing})
@@ -197,7 +197,7 @@
 }
 
 func (f *fleet) remove(hosts []*member, how func(*member)) {
-	f.list(logic.Gone, hosts...)
+	f.list(logic.Removed, hosts...)
 	f.mu.Lock()
 	f.hosts = slices.DeleteFunc(f.hosts, func(h *member) bool { return slices.Contains(hosts, h) })
 	f.mu.Unlock()
--- a/internal/day/plan.go
+++ b/internal/day/plan.go
@@ -159,7 +159,7 @@
 }
 
 // From reads a plan; mistakes are kept by the sheet.
-func From(s *sheet.Sheet) Plan {
+func From(s *sheet.File) Plan {
 	d := s.Part("day")
 	p := Plan{Name: d.Text("name", "day"), Seed: d.Seed("seed", "1"), Length: d.Span("length", "!"),
 		Locations: d.Whole("locations", "3", 1, 50), Routers: d.Whole("routers", "4", 1, 50),
--- a/internal/desk/desk.go
+++ b/internal/desk/desk.go
@@ -22,23 +22,23 @@
 	"dapplefront/logic"
 )
 
-// Hear is what the link tells, from goroutines of its own.
-type Hear struct {
-	Release   func(logic.News)
+// Handler is what the link tells, from goroutines of its own.
+type Handler struct {
+	Release   func(logic.ReleaseStatus)
 	Counts    func(api.Counts)
 	Complaint func(api.Complaint)
 	Plan      func(api.Plan)
 	Trouble   func(error) // the watch broke or an event made no sense; the watch is taken up again by itself
 }
 
-// Link is one router's link.
-type Link struct {
+// Client is one router's link.
+type Client struct {
 	urls   []string
 	at     atomic.Int64 // the one of urls that is asked
 	name   string
 	place  string
 	within time.Duration
-	hear   Hear
+	hear   Handler
 	http   *http.Client
 	stop   context.CancelFunc
 	done   chan struct{}
@@ -48,9 +48,9 @@
 
 // Open starts the watch for a router that stands at a place. bases are the URLs of the controllers: where one is out of
 // reach the next is asked. within is how long a vote waits for its reply; secure is nil for plain HTTP.
-func Open(bases []string, name, place string, secure *tls.Config, within time.Duration, hear Hear) *Link {
+func Open(bases []string, name, place string, secure *tls.Config, within time.Duration, hear Handler) *Client {
 	ctx, stop := context.WithCancel(context.Background())
-	l := &Link{name: name, place: place, within: within, hear: hear, stop: stop,
+	l := &Client{name: name, place: place, within: within, hear: hear, stop: stop,
 		done: make(chan struct{}),
 		http: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 4, TLSClientConfig: secure, DialContext: (&net.Dialer{
 			Timeout: within}).DialContext}}}
@@ -61,16 +61,16 @@
 	return l
 }
 
-func (l *Link) url() string { return l.urls[int(l.at.Load())%len(l.urls)] }
+func (l *Client) url() string { return l.urls[int(l.at.Load())%len(l.urls)] }
 
 // Close ends the link and waits for the watch to end. Votes under way end by themselves.
-func (l *Link) Close() {
+func (l *Client) Close() {
 	l.stop()
 	<-l.done
 	l.http.CloseIdleConnections()
 }
 
-func (l *Link) watch(ctx context.Context) {
+func (l *Client) watch(ctx context.Context) {
 	defer close(l.done)
 	sse.FollowAny(ctx, l.http, func() string { return l.url() + "/v1/watch?router=" + url.QueryEscape(l.name) }, l.tell, func(err error) {
 		l.at.Add(1)
@@ -78,7 +78,7 @@
 	})
 }
 
-func (l *Link) tell(event string, data []byte) error {
+func (l *Client) tell(event string, data []byte) error {
 	switch event {
 	case api.EventNews:
 		var r api.Release
@@ -125,7 +125,7 @@
 const largestPlan = 16 << 20 // some 500,000 hosts
 
 // plan reads a version for the router's place.
-func (l *Link) plan(version uint64) (p api.Plan, err error) {
+func (l *Client) plan(version uint64) (p api.Plan, err error) {
 	ctx, cancel := context.WithTimeout(context.Background(), l.within)
 	defer cancel()
 	ask, err := http.NewRequestWithContext(ctx, "GET", fmt.Sprintf("%s/v1/plans/%d/for/%s", l.url(), version, url.PathEscape(l.place)), nil)
@@ -145,7 +145,7 @@
 
 // Report adds what became of tasks at a build, in the background. It is sent again, elsewhere, as long as it surely did not
 // count; one that may have counted is not.
-func (l *Link) Report(build int, tasks map[string]int) {
+func (l *Client) Report(build int, tasks map[string]int) {
 	go func() {
 		const tries, pause = 6, 400 * time.Millisecond // a little longer than controllers take to find a leader
 		body, err := json.Marshal(api.BuildReport{Tasks: tasks})
@@ -164,7 +164,7 @@
 }
 
 // report sends one; again tells that it surely did not count and may be sent once more.
-func (l *Link) report(build int, body []byte) (again bool, err error) {
+func (l *Client) report(build int, body []byte) (again bool, err error) {
 	ctx, cancel := context.WithTimeout(context.Background(), l.within)
 	defer cancel()
 	at := l.at.Load()
@@ -188,8 +188,8 @@
 	return false, nil
 }
 
-// Heed tells in the background whether a version is followed; with a reason it is not.
-func (l *Link) Heed(version uint64, reason string) {
+// AcknowledgePlan tells in the background whether a version is followed; with a reason it is not.
+func (l *Client) AcknowledgePlan(version uint64, reason string) {
 	go func() {
 		ctx, cancel := context.WithTimeout(context.Background(), l.within)
 		defer cancel()
@@ -216,7 +216,7 @@
 
 // Cast casts a vote in the background by whatever protocol and calls done once with what became of it; what went wrong
 // is told beside.
-func (h Hear) Cast(build int, vote func() (logic.News, error), done func(logic.News)) {
+func (h Handler) Cast(build int, vote func() (logic.ReleaseStatus, error), done func(logic.ReleaseStatus)) {
 	go func() {
 		n, err := vote()
 		if err != nil {
@@ -227,51 +227,51 @@
 }
 
 // Vote casts a vote in the background and calls done once with what became of it.
-func (l *Link) Vote(build, stage int, voice logic.Voice, done func(logic.News)) {
-	l.hear.Cast(build, func() (logic.News, error) { return l.vote(build, stage, voice) }, done)
+func (l *Client) Vote(build, stage int, voice logic.VoteChoice, done func(logic.ReleaseStatus)) {
+	l.hear.Cast(build, func() (logic.ReleaseStatus, error) { return l.vote(build, stage, voice) }, done)
 }
 
-func (l *Link) vote(build, stage int, voice logic.Voice) (logic.News, error) {
-	moot := func(a logic.Answer, err error) (logic.News, error) {
-		return logic.News{Build: build, Stage: stage, Answer: a}, err
+func (l *Client) vote(build, stage int, voice logic.VoteChoice) (logic.ReleaseStatus, error) {
+	moot := func(a logic.VoteResult, err error) (logic.ReleaseStatus, error) {
+		return logic.ReleaseStatus{Build: build, Stage: stage, VoteResult: a}, err
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), l.within)
 	defer cancel()
 	body, err := json.Marshal(api.Vote{Stage: stage, Voice: api.Voices[voice]})
 	if err != nil {
-		return moot(logic.Refused, err)
+		return moot(logic.VoteRejected, err)
 	}
 	ask, err := http.NewRequestWithContext(ctx, "PUT", fmt.Sprintf("%s/v1/releases/%d/votes/%s", l.url(), build,
 		url.PathEscape(l.name)), bytes.NewReader(body))
 	if err != nil {
-		return moot(logic.Refused, err)
+		return moot(logic.VoteRejected, err)
 	}
 	ask.Header.Set("Content-Type", "application/json")
 	got, err := l.http.Do(ask)
 	if err != nil {
 		var op *net.OpError
 		if errors.As(err, &op) && op.Op == "dial" {
-			return moot(logic.Refused, err) // it never reached the desk
+			return moot(logic.VoteRejected, err) // it never reached the desk
 		}
-		return moot(logic.Unclear, err)
+		return moot(logic.VoteUnknown, err)
 	}
 	defer got.Body.Close()
 	switch {
 	case got.StatusCode == http.StatusConflict || got.StatusCode == http.StatusNotFound:
-		return moot(logic.Moot, nil)
+		return moot(logic.VoteStale, nil)
 	case got.StatusCode == http.StatusGatewayTimeout: // the leader was lost on the way
-		return moot(logic.Unclear, fmt.Errorf("status %s", got.Status))
+		return moot(logic.VoteUnknown, fmt.Errorf("status %s", got.Status))
 	case got.StatusCode != http.StatusOK:
-		return moot(logic.Refused, fmt.Errorf("status %s", got.Status))
+		return moot(logic.VoteRejected, fmt.Errorf("status %s", got.Status))
 	}
 	var r api.Release
 	if err := json.NewDecoder(io.LimitReader(got.Body, largest)).Decode(&r); err != nil {
-		return moot(logic.Unclear, err) // accepted, by its status; but where the release stands is not known
+		return moot(logic.VoteUnknown, err) // accepted, by its status; but where the release stands is not known
 	}
 	n, err := r.News()
 	if err != nil {
-		return moot(logic.Unclear, err)
+		return moot(logic.VoteUnknown, err)
 	}
-	n.Answer = logic.Counted
+	n.VoteResult = logic.VoteAccepted
 	return n, nil
 }
--- a/internal/discovery/discovery.go
+++ b/internal/discovery/discovery.go
@@ -43,7 +43,7 @@
 	Build    int     `json:"revision_no"`
 }
 
-var phases = map[string]logic.Standing{"up": logic.Serving, "draining": logic.Draining, "removed": logic.Gone}
+var phases = map[string]logic.EndpointState{"up": logic.Serving, "draining": logic.Draining, "removed": logic.Removed}
 
 // Check tells what in a list can't be, and where.
 func (l List) Check() error {
@@ -69,7 +69,7 @@
 
 // Watch follows one discovery service. Its methods may be called from anywhere.
 type Watch struct {
-	hear   register.Hear
+	hear   register.Handler
 	stream *stream.Stream
 
 	mu       sync.Mutex
@@ -106,7 +106,7 @@
 var Within = stream.Timeouts{First: told - alive*3/2 - wait, Silence: alive * 3 / 2}
 
 // Open prepares a watch that starts from a list known from earlier, and returns that list's hosts. Ask starts it.
-func Open(address string, known List, hear register.Hear) (*Watch, []register.Host) {
+func Open(address string, known List, hear register.Handler) (*Watch, []register.Host) {
 	w := &Watch{hear: hear, words: map[string]*word{}, owners: map[uint32]string{}}
 	w.stream = stream.New(address, Within, stream.Handler{Open: w.open, Ended: func(err error) {
 		if noise := (*json.SyntaxError)(nil); errors.As(err, &noise) {
--- a/internal/discovery/discovery_test.go
+++ b/internal/discovery/discovery_test.go
@@ -60,7 +60,7 @@
 
 func watch(t *testing.T, d *desk, known List) (*Watch, []register.Host, *heard) {
 	h := &heard{make(chan []register.Host, 20), make(chan bool, 20), make(chan error, 20), make(chan error, 20)}
-	w, first := Open(d.address(), known, register.Hear{Listed: func(whole bool, hosts []register.Host) {
+	w, first := Open(d.address(), known, register.Handler{Listed: func(whole bool, hosts []register.Host) {
 		if !whole && len(hosts) == 0 {
 			h.stale <- true
 			return
@@ -106,7 +106,7 @@
 	got = <-h.lists
 	require.Len(t, got, 2, "the old host goes as the new one comes")
 	require.Equal(t, old, got[0].ID)
-	require.Equal(t, logic.Gone, got[0].Standing)
+	require.Equal(t, logic.Removed, got[0].Standing)
 	require.NotEqual(t, old, got[1].ID)
 	n, ok := w.Number("a", before)
 	require.True(t, ok)
@@ -117,7 +117,7 @@
 	require.False(t, ok)
 	d.lines <- list(43, false, entry("a", "removed", 2))
 	d.lines <- list(44, false, entry("a", "up", 2))
-	require.Equal(t, logic.Gone, (<-h.lists)[0].Standing)
+	require.Equal(t, logic.Removed, (<-h.lists)[0].Standing)
 	require.Equal(t, got[1].ID, (<-h.lists)[0].ID, "under the same build it is the same host, started anew")
 	require.Equal(t, "/v1/endpoints?watch=1&from=40", d.asked[0])
 }
@@ -149,7 +149,7 @@
 	require.Empty(t, h.lists)
 	w.Ask()
 	d.lines <- list(42, false, entry("a", "removed", 1))
-	require.Equal(t, logic.Gone, (<-h.lists)[0].Standing)
+	require.Equal(t, logic.Removed, (<-h.lists)[0].Standing)
 	require.Equal(t, "/v1/endpoints?watch=1&from=41", d.asked[1])
 }
 
--- a/internal/drill/drill.go
+++ b/internal/drill/drill.go
@@ -72,7 +72,7 @@
 		return nil
 	}
 	var err error
-	s.actions, err = s.router.Hear(now, e, s.actions[:0])
+	s.actions, err = s.router.Handle(now, e, s.actions[:0])
 	s.act()
 	return err
 }
@@ -82,54 +82,54 @@
 	switch e := body.(type) {
 	case wire.View:
 		if e.How == "X" {
-			return router.Unlisted{}
+			return router.EndpointsUnavailable{}
 		}
-		return router.Listed{Whole: e.How != "D", Hosts: hosts(e.Entries)}
+		return router.EndpointsChanged{Complete: e.How != "D", Hosts: hosts(e.Entries)}
 	case wire.Incoming:
-		t := router.Taken{Task: e.Ticket, Category: e.Qos, Customer: e.Owner, Key: e.Resource,
+		t := router.RequestArrived{Task: e.Ticket, Category: e.Qos, Customer: e.Owner, Key: e.Resource,
 			Patience: terms.Span(e.PatienceLeftUs), Again: e.Marks&2 != 0}
 		if e.Marks&1 != 0 {
 			t.Hint = terms.Span(e.WorkHintUs)
 		}
 		return t
 	case wire.Ended:
-		return router.Ended{Task: e.Ticket, Send: e.N, Fate: fates[e.Code], Took: terms.Span(e.RttUs), Done: e.Done,
+		return router.AttemptEnded{Task: e.Ticket, Send: e.N, Fate: fates[e.Code], Took: terms.Span(e.RttUs), Done: e.Done,
 			Load: s.report.Load(e.Metrics)}
 	case wire.TimedOutClient:
-		return router.Left{Task: e.Ticket}
+		return router.ClientGone{Task: e.Ticket}
 	case wire.AckFirst:
-		return router.Began{Task: e.Ticket, Send: e.N}
+		return router.ResponseStarted{Task: e.Ticket, Send: e.N}
 	case wire.Due:
-		return router.Due{Alarm: e.Mark}
+		return router.TimerFired{Alarm: e.Mark}
 	case wire.PhaseTold:
-		n := logic.News{Build: e.Image, Stage: e.Tranche, Phase: logic.Phase(e.Standing), Cap: e.Allowed,
+		n := logic.ReleaseStatus{Build: e.Image, Stage: e.Tranche, Phase: logic.Phase(e.Standing), ExposureCap: e.Allowed,
 			Age: terms.Span(e.AgeUs)}
 		if e.Asked {
-			n.Answer = answers[e.Code]
+			n.VoteResult = answers[e.Code]
 		}
-		return router.Told{News: n}
+		return router.ReleaseChanged{News: n}
 	case wire.CountsByBuild:
-		return router.Counted{Build: e.Image, Category: e.Qos, Bad: e.Bad, Samples: e.Samples, Mean: terms.Span(e.RttUs),
+		return router.StatsReported{Build: e.Image, Category: e.Qos, Bad: e.Bad, Samples: e.Samples, Mean: terms.Span(e.RttUs),
 			Age: terms.Span(e.AgeUs), Over: s.counted}
 	case wire.FromPeer:
-		return router.Heard{Peer: e.Author, Body: string(e.Body)}
+		return router.GossipReceived{Peer: e.Author, Body: string(e.Body)}
 	case wire.HealthResult:
-		return router.Probed{Host: e.Host, Fate: fates[e.Code], Took: terms.Span(e.RttUs), Load: s.report.Load(e.Metrics)}
+		return router.HealthChecked{Host: e.Host, Fate: fates[e.Code], Took: terms.Span(e.RttUs), Load: s.report.Load(e.Metrics)}
 	case wire.BadAnswer:
-		return router.Complained{Host: e.Host, Category: e.Qos, Age: terms.Span(e.AgeUs)}
+		return router.ComplaintReceived{Host: e.Host, Category: e.Qos, Age: terms.Span(e.AgeUs)}
 	}
 	return nil
 }
 
-var fates = map[string]logic.Fate{"served": logic.Finished, "server_error": logic.Errored,
-	"turned_away": logic.TurnedBack, "no_answer": logic.NoAnswer, "no_connection": logic.NoLink,
-	"connection_lost": logic.Cut, "called_off": logic.CalledOff, "not_sent": logic.NeverSent}
+var fates = map[string]logic.Outcome{"served": logic.Succeeded, "server_error": logic.Failed,
+	"turned_away": logic.Rejected, "no_answer": logic.TimedOut, "no_connection": logic.ConnectFailed,
+	"connection_lost": logic.ConnectionLost, "called_off": logic.Canceled, "not_sent": logic.NotSent}
 
-var answers = map[string]logic.Answer{"served": logic.Counted, "not_sent": logic.Moot,
-	"turned_away": logic.Refused, "server_error": logic.Refused, "no_answer": logic.Unclear}
+var answers = map[string]logic.VoteResult{"served": logic.VoteAccepted, "not_sent": logic.VoteStale,
+	"turned_away": logic.VoteRejected, "server_error": logic.VoteRejected, "no_answer": logic.VoteUnknown}
 
-var standings = map[string]logic.Standing{"in_service": logic.Serving, "terminating": logic.Draining,
-	"terminated": logic.Gone}
+var standings = map[string]logic.EndpointState{"in_service": logic.Serving, "terminating": logic.Draining,
+	"terminated": logic.Removed}
 
 func hosts(entries []wire.Entry) []router.Host {
 	out := make([]router.Host, 0, len(entries))
@@ -146,21 +146,21 @@
 		switch a.Do {
 		case router.Send:
 			s.out.Act(s.instance, "TRY", a.Task, a.Host, int64(a.Span)*tenth)
-		case router.TurnBack:
+		case router.Reject:
 			s.out.Act(s.instance, "DECLINE", a.Task, int64(a.Span)*tenth)
-		case router.Scrap:
+		case router.Fail:
 			s.out.Act(s.instance, "FINISH_ERROR", a.Task)
-		case router.Alarm:
+		case router.SetTimer:
 			s.out.Act(s.instance, "SET_ALARM", int64(a.Span)*tenth, a.Alarm)
-		case router.Watch:
+		case router.WatchEndpoints:
 			s.out.Act(s.instance, "STREAM_CHANGES", 1)
 		case router.Vote:
 			s.out.Act(s.instance, "JUDGE", a.Build, a.Stage, int(a.Voice))
-		case router.Tell:
+		case router.Gossip:
 			s.out.Act(s.instance, "PUBLISH", a.Peer, base64.StdEncoding.EncodeToString([]byte(a.Body)))
-		case router.Probe:
+		case router.CheckHealth:
 			s.out.Act(s.instance, "PING", a.Host)
-		case router.Note:
+		case router.Log:
 			s.out.Act(s.instance, "LOG", a.Text)
 		}
 	}
--- a/internal/front/front.go
+++ b/internal/front/front.go
@@ -31,8 +31,8 @@
 	"dapplefront/logic"
 )
 
-// Kind is a category as clients meet it.
-type Kind struct {
+// Class is a category as clients meet it.
+type Class struct {
 	Name     string
 	Paths    []string // prefixes of targets
 	Patience logic.Time
@@ -47,9 +47,9 @@
 	Customer string
 }
 
-// Welcome is what a door is told of those who come.
-type Welcome struct {
-	Kinds    []Kind
+// Config is what a door is told of those who come.
+type Config struct {
+	Classes  []Class
 	Networks []Network
 	Bounds   http1.Bounds
 	Slow     time.Duration // how long a request may take to arrive, and an answer to be read
@@ -59,12 +59,12 @@
 	Name     string        // of the router, for the Via field
 	First    time.Duration // how long the first request of a connection may take to be whole; 0 for no such bound
 	Spare    time.Duration // a connection that has been idle for so long goes when another needs its place; 0 for none
-	Wording  *Wording      // nil for this project's own
+	Protocol *Protocol     // nil for this project's own
 }
 
-// Call is a request that has come to the door as a task.
-type Call struct {
-	Request  *http1.Message
+// Request is a request that has come to the door as a task.
+type Request struct {
+	Message  *http1.Message
 	Category string
 	Customer string
 	Mark     string
@@ -74,27 +74,27 @@
 	Again    bool
 	From     netip.Addr
 
-	// Left is called from the loop's work when the client has gone before the answer. Whoever takes a Call sets it.
-	Left func()
+	// OnClientGone is called from the loop's work when the client has gone before the answer. Whoever takes a Call sets it.
+	OnClientGone func()
 
-	slot *slot
+	slot *pendingResponse
 }
 
-// Door takes requests on an engine's listeners. Its methods are called from its loop's work only.
-type Door struct {
+// Server takes requests on an engine's listeners. Its methods are called from its loop's work only.
+type Server struct {
 	loop     *loop.Loop
-	welcome  Welcome
+	welcome  Config
 	budget   *http1.Budget
-	take     func(*Call)
-	kinds    map[string]*Kind
+	take     func(*Request)
+	kinds    map[string]*Class
 	paths    []path // longest first
 	networks *bart.Table[string]
-	guests   map[*guest]bool
-	words    *Wording
+	guests   map[*clientConn]bool
+	words    *Protocol
 	names    *[fields]string
-	ids      map[string]*slot // open requests by their names
-	open     int              // slots without an answer
-	ready    func() bool      // nil for from the start
+	ids      map[string]*pendingResponse // open requests by their names
+	open     int                         // slots without an answer
+	ready    func() bool                 // nil for from the start
 	closing  bool
 	bowing   bool       // each answer ends its connection
 	until    logic.Time // by which all is answered then; 0 for no bound
@@ -102,20 +102,20 @@
 
 type path struct {
 	prefix string
-	kind   *Kind
+	kind   *Class
 }
 
-// NewDoor hands tasks to take, from the loop's work. Whoever takes a Call owns its request from then on, and drops it
+// NewServer hands tasks to take, from the loop's work. Whoever takes a Call owns its request from then on, and drops it
 // when no send needs its body any more.
-func NewDoor(l *loop.Loop, w Welcome, budget *http1.Budget, take func(*Call)) *Door {
-	d := &Door{loop: l, welcome: w, budget: budget, take: take, kinds: map[string]*Kind{},
-		networks: new(bart.Table[string]), guests: map[*guest]bool{}, words: w.Wording, ids: map[string]*slot{}}
+func NewServer(l *loop.Loop, w Config, budget *http1.Budget, take func(*Request)) *Server {
+	d := &Server{loop: l, welcome: w, budget: budget, take: take, kinds: map[string]*Class{},
+		networks: new(bart.Table[string]), guests: map[*clientConn]bool{}, words: w.Protocol, ids: map[string]*pendingResponse{}}
 	if d.words == nil {
-		d.words = Own
+		d.words = DefaultProtocol
 	}
 	d.names = d.words.names()
-	for i := range w.Kinds {
-		k := &w.Kinds[i]
+	for i := range w.Classes {
+		k := &w.Classes[i]
 		d.kinds[k.Name] = k
 		for _, p := range k.Paths {
 			d.paths = append(d.paths, path{p, k})
@@ -130,14 +130,14 @@
 }
 
 // Close ends idle connections and turns back what still comes on others; Drained tells when that is over.
-func (d *Door) Close() {
-	d.Bow(d.until)
+func (d *Server) Close() {
+	d.Drain(d.until)
 	d.closing = true
 	d.shed()
 }
 
 // shed ends the connections on which nothing is under way.
-func (d *Door) shed() {
+func (d *Server) shed() {
 	for g := range d.guests {
 		if g.leaving == 0 {
 			g.leaveIdle()
@@ -146,17 +146,17 @@
 }
 
 // Drained tells whether all that had come was answered and read: its clients have closed, or were given the time to.
-func (d *Door) Drained() bool {
+func (d *Server) Drained() bool {
 	d.shed()
 	return len(d.guests) == 0
 }
 
 // ReadyBy sets what tells whether the router is ready.
-func (d *Door) ReadyBy(ready func() bool) { d.ready = ready }
+func (d *Server) ReadyBy(ready func() bool) { d.ready = ready }
 
-// Bow goes on as before, but each answer ends its connection, so that clients move elsewhere. Requests that come from
+// Drain goes on as before, but each answer ends its connection, so that clients move elsewhere. Requests that come from
 // now on are answered before until, as the process ends then; 0 for no such bound.
-func (d *Door) Bow(until logic.Time) {
+func (d *Server) Drain(until logic.Time) {
 	d.bowing, d.until = true, until
 	for g := range d.guests {
 		if n := len(g.slots); n > 0 {
@@ -166,14 +166,14 @@
 }
 
 // Open is how many requests wait for their answer.
-func (d *Door) Open() int { return d.open }
+func (d *Server) Open() int { return d.open }
 
-// Guests is how many connections are open.
-func (d *Door) Guests() int { return len(d.guests) }
+// Connections is how many connections are open.
+func (d *Server) Connections() int { return len(d.guests) }
 
-// Enter is the session of a new connection (for sock.Engine.Accept).
-func (d *Door) Enter(c *sock.Conn) sock.Session {
-	g := &guest{door: d, conn: c, reader: http1.NewReader(d.welcome.Bounds, d.budget, false)}
+// Accept is the session of a new connection (for sock.Engine.Accept).
+func (d *Server) Accept(c *sock.Conn) sock.Session {
+	g := &clientConn{door: d, conn: c, reader: http1.NewReader(d.welcome.Bounds, d.budget, false)}
 	if a, ok := c.Remote().(*net.TCPAddr); ok {
 		g.from = a.AddrPort().Addr().Unmap()
 	}
@@ -192,12 +192,12 @@
 
 // room ends the connection that can best be spared: one that has said nothing for longest, or was idle for longest.
 // One with an open request, or with one on its way, stays.
-func (d *Door) room() bool {
+func (d *Server) room() bool {
 	if d.welcome.Spare <= 0 {
 		return false
 	}
-	now, spare := d.loop.Now(), loop.Span(d.welcome.Spare)
-	var out *guest
+	now, spare := d.loop.Now(), loop.FromDuration(d.welcome.Spare)
+	var out *clientConn
 	for g := range d.guests {
 		heard := logic.Time(g.heard.Load())
 		if g.leaving == 0 && (len(g.slots) > 0 || g.begun.Load() != 0 || now-heard < spare) {
@@ -215,16 +215,16 @@
 }
 
 // sweepLater closes connections that are idle, and those that are too slow, some times a second.
-func (d *Door) sweepLater() {
+func (d *Server) sweepLater() {
 	d.loop.After(logic.Second/5, func() {
 		d.sweep()
 		d.sweepLater()
 	})
 }
 
-func (d *Door) sweep() {
+func (d *Server) sweep() {
 	const linger = logic.Second // to read the answer that was sent last
-	now, slow, first := d.loop.Now(), loop.Span(d.welcome.Slow), loop.Span(d.welcome.First)
+	now, slow, first := d.loop.Now(), loop.FromDuration(d.welcome.Slow), loop.FromDuration(d.welcome.First)
 	for g := range d.guests {
 		heard, begun := logic.Time(g.heard.Load()), logic.Time(g.begun.Load())
 		_, since := g.conn.Pending()
@@ -235,18 +235,18 @@
 		case g.leaving != 0:
 		case begun != 0 && (now-begun > slow || late):
 			g.refuse(&http1.Bad{Status: 408, Text: "the request took too long to arrive"})
-		case begun == 0 && len(g.slots) == 0 && (now-heard > loop.Span(d.welcome.Idle) || late):
+		case begun == 0 && len(g.slots) == 0 && (now-heard > loop.FromDuration(d.welcome.Idle) || late):
 			g.leaveIdle()
 		}
 	}
 }
 
 // called reads what a request says of itself; the task must be answered by patience from begun on.
-func (d *Door) called(g *guest, m *http1.Message, begun logic.Time) {
+func (d *Server) called(g *clientConn, m *http1.Message, begun logic.Time) {
 	if d.bowing && len(g.slots) > 0 { // the newest one's answer ends the connection
 		g.slots[len(g.slots)-1].closes = false
 	}
-	s := &slot{guest: g, closes: m.Closes() || d.bowing, headless: m.Method == "HEAD"}
+	s := &pendingResponse{guest: g, closes: m.Closes() || d.bowing, headless: m.Method == "HEAD"}
 	g.slots = append(g.slots, s)
 	g.asked = true
 	d.open++
@@ -266,24 +266,24 @@
 		s.refuse(wrong)
 	case d.closing:
 		m.Drop()
-		c.TurnBack(0, "this router is closing")
+		c.Reject(0, "this router is closing")
 	case len(g.slots) > d.welcome.AtOnce:
 		m.Drop()
-		c.TurnBack(logic.Second/10, "too many requests at once on one connection")
+		c.Reject(logic.Second/10, "too many requests at once on one connection")
 	default:
 		c.slot, s.call = s, c
 		d.take(c)
 	}
 }
 
-func (d *Door) read(g *guest, m *http1.Message, begun logic.Time) (*Call, *http1.Bad) {
-	c := &Call{Request: m, Left: func() {}, slot: g.slots[len(g.slots)-1], From: g.from}
+func (d *Server) read(g *clientConn, m *http1.Message, begun logic.Time) (*Request, *http1.Bad) {
+	c := &Request{Message: m, OnClientGone: func() {}, slot: g.slots[len(g.slots)-1], From: g.from}
 	w := d.words
 	t, wrong := w.read(m, d.names)
 	if wrong != nil {
 		return nil, wrong
 	}
-	var kind *Kind
+	var kind *Class
 	if t[category].there {
 		if kind = d.kinds[t[category].value]; kind == nil {
 			return nil, &http1.Bad{Status: 400, Text: w.Category + " names none of the categories served here"}
@@ -351,11 +351,11 @@
 		return logic.Time(n) * 10, true
 	}
 	d, err := time.ParseDuration(s)
-	return loop.Span(d), err == nil && d < time.Hour*24*365
+	return loop.FromDuration(d), err == nil && d < time.Hour*24*365
 }
 
-// Finish answers with what a host said. host is the host's id.
-func (c *Call) Finish(m *http1.Message, host uint32) {
+// Respond answers with what a host said. host is the host's id.
+func (c *Request) Respond(m *http1.Message, host uint32) {
 	head := make([]byte, 0, 512)
 	head = appendStatus(head, m.Status, m.Reason)
 	w := c.slot.guest.door.words
@@ -376,16 +376,16 @@
 	c.slot.answer(append(head, c.slot.ending()...), m.Body)
 }
 
-// TurnBack answers that trying again is harmless, best after stay.
-func (c *Call) TurnBack(stay logic.Time, why string) {
+// Reject answers that trying again is harmless, best after stay.
+func (c *Request) Reject(stay logic.Time, why string) {
 	head := appendStatus(make([]byte, 0, 256), 503, "Service Unavailable")
 	w := c.slot.guest.door.words
 	head = w.stay(w.outcome(head, "turned-back"), stay)
 	c.slot.text(head, why)
 }
 
-// Scrap answers that nothing is promised; late says that the time was up.
-func (c *Call) Scrap(late bool) {
+// Fail answers that nothing is promised; late says that the time was up.
+func (c *Request) Fail(late bool) {
 	status, reason, why := 502, "Bad Gateway", "the task may have run or not"
 	if late {
 		status, reason, why = 504, "Gateway Timeout", "no answer in time; the task may have run or not"
--- a/internal/front/guest.go
+++ b/internal/front/guest.go
@@ -12,9 +12,9 @@
 	"dapplefront/logic"
 )
 
-// guest is one client's connection. Its reader belongs to the poller, under mu; its slots to the loop.
-type guest struct {
-	door  *Door
+// clientConn is one client's connection. Its reader belongs to the poller, under mu; its slots to the loop.
+type clientConn struct {
+	door  *Server
 	conn  *sock.Conn
 	from  netip.Addr
 	heard atomic.Int64 // when the last byte came
@@ -25,17 +25,17 @@
 	reader *http1.Reader
 	deaf   bool // nothing more is read
 
-	slots   []*slot // in the order of the requests
+	slots   []*pendingResponse // in the order of the requests
 	came    logic.Time
 	asked   bool       // a request of it was whole
 	leaving logic.Time // since when it has had its last answer
 	gone    bool
 }
 
-// slot is where one request's answer goes; answers leave in the order of the requests.
-type slot struct {
-	guest    *guest
-	call     *Call // nil once it is answered, or where no task was made of it
+// pendingResponse is where one request's answer goes; answers leave in the order of the requests.
+type pendingResponse struct {
+	guest    *clientConn
+	call     *Request // nil once it is answered, or where no task was made of it
 	head     []byte
 	body     []byte
 	done     bool
@@ -45,7 +45,7 @@
 }
 
 // Data reads what a client sends (sock.Session).
-func (g *guest) Data(data []byte) {
+func (g *clientConn) Data(data []byte) {
 	for _, work := range g.read(data) {
 		g.door.loop.Post(work)
 	}
@@ -53,7 +53,7 @@
 
 // read reads on and returns what the loop has to know. The lock is not held any more when the loop is told: its work
 // may come to this very guest.
-func (g *guest) read(data []byte) (work []func()) {
+func (g *clientConn) read(data []byte) (work []func()) {
 	now := int64(g.door.loop.Now())
 	g.heard.Store(now)
 	g.mu.Lock()
@@ -109,10 +109,10 @@
 }
 
 // Wrote is of no interest here (sock.Session).
-func (g *guest) Wrote(int) {}
+func (g *clientConn) Wrote(int) {}
 
 // Closed tells those who work for this client that it has gone (sock.Session).
-func (g *guest) Closed(error) {
+func (g *clientConn) Closed(error) {
 	g.mu.Lock()
 	g.deaf = true
 	g.reader.Drop()
@@ -128,19 +128,19 @@
 }
 
 // abandon ends a slot that no answer can reach any more.
-func (s *slot) abandon() {
+func (s *pendingResponse) abandon() {
 	if s.done {
 		return
 	}
 	s.settled()
 	if c := s.call; c != nil {
 		s.call = nil
-		c.Left()
+		c.OnClientGone()
 	}
 }
 
 // settled notes that nothing is owed any more.
-func (s *slot) settled() {
+func (s *pendingResponse) settled() {
 	d := s.guest.door
 	s.done = true
 	d.open--
@@ -150,10 +150,10 @@
 }
 
 // over tells whether a connection takes no further request: it has ended, or had its last answer.
-func (g *guest) over() bool { return g.gone || g.leaving != 0 }
+func (g *clientConn) over() bool { return g.gone || g.leaving != 0 }
 
 // leave ends the connection; the place that it had is free at once.
-func (g *guest) leave() {
+func (g *clientConn) leave() {
 	g.gone = true
 	delete(g.door.guests, g)
 	g.conn.Close()
@@ -161,7 +161,7 @@
 
 // leaveIdle does so if nothing of a request has come that is not answered, wherever it may be on its way, and the last
 // answer has left; it tells whether that was so.
-func (g *guest) leaveIdle() bool {
+func (g *clientConn) leaveIdle() bool {
 	idle := g.conn.CloseIdle(func() bool {
 		pending, _ := g.conn.Pending()
 		return g.begun.Load() == 0 && g.owed.Load() == 0 && pending == 0
@@ -173,21 +173,21 @@
 }
 
 // refuse answers what can't be read, after the answers owed before it, and ends the connection.
-func (g *guest) refuse(wrong *http1.Bad) {
+func (g *clientConn) refuse(wrong *http1.Bad) {
 	g.mu.Lock()
 	g.deaf = true
 	g.reader.Drop()
 	g.mu.Unlock()
 	g.begun.Store(0)
 	g.asked = true
-	s := &slot{guest: g, closes: true}
+	s := &pendingResponse{guest: g, closes: true}
 	g.slots = append(g.slots, s)
 	g.owed.Add(1)
 	g.door.open++
 	s.refuse(wrong)
 }
 
-func (s *slot) refuse(wrong *http1.Bad) {
+func (s *pendingResponse) refuse(wrong *http1.Bad) {
 	head := appendStatus(make([]byte, 0, 256), wrong.Status, reasons[wrong.Status])
 	if wrong.Status == 503 {
 		head = http1.AppendField(head, "Retry-After", "1")
@@ -200,7 +200,7 @@
 	503: "Service Unavailable", 505: "HTTP Version Not Supported"}
 
 // text ends a head with a line of plain text as its body.
-func (s *slot) text(head []byte, why string) {
+func (s *pendingResponse) text(head []byte, why string) {
 	head = http1.AppendField(head, "Content-Type", "text/plain; charset=utf-8")
 	head = http1.AppendField(head, "Content-Length", strconv.Itoa(len(why)+1))
 	head = append(head, s.ending()...)
@@ -212,7 +212,7 @@
 }
 
 // ending closes a head.
-func (s *slot) ending() string {
+func (s *pendingResponse) ending() string {
 	if s.closes {
 		return "Connection: close\r\n\r\n"
 	}
@@ -220,7 +220,7 @@
 }
 
 // answer takes the one answer of a request and writes all that are next in order.
-func (s *slot) answer(head, body []byte) {
+func (s *pendingResponse) answer(head, body []byte) {
 	g := s.guest
 	if s.done {
 		return
--- a/internal/front/wording.go
+++ b/internal/front/wording.go
@@ -8,9 +8,9 @@
 	"dapplefront/logic"
 )
 
-// Wording is what differs by protocol in how requests say what they are, and answers what became of them. A field that
+// Protocol is what differs by protocol in how requests say what they are, and answers what became of them. A field that
 // is empty has no part in a protocol.
-type Wording struct {
+type Protocol struct {
 	Category, Customer, Patience, Mark, Key, Hint, Again string // fields of a request
 
 	ID      string     // the field that names a request, as no other open one is named; it must be there
@@ -23,8 +23,8 @@
 	Ready   string     // the path that tells whether the router is ready; empty for none
 }
 
-// Own is this project's own wording.
-var Own = &Wording{Category: "Dapplefront-Category", Customer: "Dapplefront-Customer", Patience: "Dapplefront-Patience",
+// DefaultProtocol is this project's own wording.
+var DefaultProtocol = &Protocol{Category: "Dapplefront-Category", Customer: "Dapplefront-Customer", Patience: "Dapplefront-Patience",
 	Mark: "Idempotency-Key", Key: "Dapplefront-Key", Hint: "Dapplefront-Work", Again: "Dapplefront-Again",
 	Outcome: "Dapplefront-Outcome", Host: "Dapplefront-Host", StayMs: "Dapplefront-Retry-After-Ms"}
 
@@ -48,7 +48,7 @@
 }
 
 // read reads a request's fields; which holds their names.
-func (w *Wording) read(m *http1.Message, which *[fields]string) (t told, wrong *http1.Bad) {
+func (w *Protocol) read(m *http1.Message, which *[fields]string) (t told, wrong *http1.Bad) {
 	for i := range m.Fields {
 		f := &m.Fields[i]
 		for n, name := range which {
@@ -64,13 +64,13 @@
 	return t, nil
 }
 
-func (w *Wording) names() *[fields]string {
+func (w *Protocol) names() *[fields]string {
 	return &[fields]string{category: w.Category, customer: w.Customer, patience: w.Patience, mark: w.Mark, key: w.Key,
 		hint: w.Hint, again: w.Again, name: w.ID}
 }
 
 // span reads how long a client waits.
-func (w *Wording) span(text string) (logic.Time, bool) {
+func (w *Protocol) span(text string) (logic.Time, bool) {
 	if w.Exact {
 		n, err := strconv.ParseUint(text, 10, 31)
 		return logic.Time(n) * 10, err == nil && n > 0 && text[0] != '+'
@@ -80,7 +80,7 @@
 }
 
 // work reads a hint.
-func (w *Wording) work(text string) (logic.Time, bool) {
+func (w *Protocol) work(text string) (logic.Time, bool) {
 	if w.HintIn > 0 {
 		n, err := strconv.ParseFloat(text, 64)
 		return logic.Time(n) / w.HintIn, err == nil && n >= 0 && n < 1e12
@@ -90,7 +90,7 @@
 }
 
 // stay appends when to come back.
-func (w *Wording) stay(head []byte, stay logic.Time) []byte {
+func (w *Protocol) stay(head []byte, stay logic.Time) []byte {
 	switch {
 	case stay <= 0:
 		return head
@@ -106,7 +106,7 @@
 }
 
 // outcome appends what became of a task.
-func (w *Wording) outcome(head []byte, what string) []byte {
+func (w *Protocol) outcome(head []byte, what string) []byte {
 	if w.Outcome == "" {
 		return head
 	}
@@ -114,7 +114,7 @@
 }
 
 // ours tells the fields that only this side may set.
-func (w *Wording) ours(name string) bool {
+func (w *Protocol) ours(name string) bool {
 	return len(name) == len(w.Outcome) && strings.EqualFold(name, w.Outcome) ||
 		len(name) == len(w.Host) && strings.EqualFold(name, w.Host)
 }
--- a/internal/instance/hard_test.go
+++ b/internal/instance/hard_test.go
@@ -122,7 +122,7 @@
 		time.Sleep(200 * time.Millisecond)
 		return right(x)
 	}))
-	for _, in := range []release.Input{release.Offer{Build: 2}, release.Ready{Build: 2}, release.Vote{Router: "r", Build: 2, Stage: 0, Voice: logic.On}} {
+	for _, in := range []release.Input{release.Offer{Build: 2}, release.Ready{Build: 2}, release.Vote{Router: "r", Build: 2, Stage: 0, Voice: logic.Promote}} {
 		_, err := r.desk.Hear(in)
 		require.NoError(t, err)
 	}
--- a/internal/instance/instance.go
+++ b/internal/instance/instance.go
@@ -32,34 +32,34 @@
 	"dapplefront/router"
 )
 
-// Bend changes what a router does, so that tests can show that a router built wrong is found out. A daemon has none.
-type Bend interface {
+// FaultInjector changes what a router does, so that tests can show that a router built wrong is found out. A daemon has none.
+type FaultInjector interface {
 	// Actions may change the actions that follow an event; hosts are those that the router was ever told of.
 	Actions(now logic.Time, e router.Event, actions []router.Action, hosts map[uint32]register.Host) []router.Action
 	// Silent tells whether a final answer is kept from the client.
 	Silent(task string) bool
 }
 
-// Instance is one running router.
-type Instance struct {
-	charter  *charter.Charter
+// Proxy is one running router.
+type Proxy struct {
+	charter  *charter.Config
 	log      *slog.Logger
 	loop     *loop.Loop
 	engine   *sock.Engine
 	mind     *router.Router
-	door     *front.Door
+	door     *front.Server
 	pool     *back.Pool
 	budget   *http1.Budget
-	register Register
-	desk     Desk
+	register Discovery
+	desk     ReleaseClient
 	address  net.Addr
-	signs    *back.Signs
-	bend     Bend
+	signs    *back.Protocol
+	bend     FaultInjector
 	records  *record.Writer // nil for none
 	peers    *peers.Socket  // nil for none
 	turning  sync.Mutex     // one change of settings at a time
 
-	tasks  map[string]*held
+	tasks  map[string]*inFlight
 	hosts  map[uint32]register.Host
 	known  []register.Host // told of at the start
 	next   uint64
@@ -84,47 +84,47 @@
 	Copies     uint64 `json:"Copies"`
 }
 
-// held is a task of which something is still to come: its answer, or the end of a send.
-type held struct {
+// inFlight is a task of which something is still to come: its answer, or the end of a send.
+type inFlight struct {
 	id    string
-	call  *front.Call
+	call  *front.Request
 	owed  bool
 	base  []byte // head of its sends, but for what differs
-	sends []*back.Send
+	sends []*back.Attempt
 	out   int
 	late  bool   // the last send to end was not answered in time
 	host  uint32 // that the last send went to, or that answered
 }
 
-// Register is the way to the host list.
-type Register interface {
+// Discovery is the way to the host list.
+type Discovery interface {
 	Ask() // starts following it, or resumes; while it is followed this does nothing
 	Close()
 }
 
-// Desk is the way to the release desk.
-type Desk interface {
-	Vote(build, stage int, voice logic.Voice, done func(logic.News))
+// ReleaseClient is the way to the release desk.
+type ReleaseClient interface {
+	Vote(build, stage int, voice logic.VoteChoice, done func(logic.ReleaseStatus))
 	Report(build int, tasks map[string]int)
-	Heed(version uint64, reason string)
+	AcknowledgePlan(version uint64, reason string)
 	Close()
 }
 
-// Links are the protocols that the host list and the desk are reached by. Known are hosts told of at the start.
-type Links struct {
-	Register func(register.Hear) (_ Register, known []register.Host, _ error)
-	Desk     func(desk.Hear) (Desk, error)
+// Protocols are the protocols that the host list and the desk are reached by. Known are hosts told of at the start.
+type Protocols struct {
+	Register func(register.Handler) (_ Discovery, known []register.Host, _ error)
+	Desk     func(desk.Handler) (ReleaseClient, error)
 	Ready    func() bool // nil for from listening on
 }
 
 // own are this project's own protocols.
-func own(c *charter.Charter) Links {
-	return Links{
-		Register: func(hear register.Hear) (Register, []register.Host, error) {
+func own(c *charter.Config) Protocols {
+	return Protocols{
+		Register: func(hear register.Handler) (Discovery, []register.Host, error) {
 			w, err := register.New(c.Register.Address, c.Name, c.Register.Names, c.Register.Changes, hear)
 			return w, nil, err
 		},
-		Desk: func(hear desk.Hear) (Desk, error) {
+		Desk: func(hear desk.Handler) (ReleaseClient, error) {
 			var secure *tls.Config
 			if c.Desk.Keys != (keys.Files{}) {
 				ring, err := keys.Open(c.Desk.Keys)
@@ -138,15 +138,15 @@
 }
 
 // Start starts a router by this project's own protocols; it listens when Start returns. bend is nil but in tests.
-func Start(c *charter.Charter, log *slog.Logger, bend Bend) (*Instance, error) {
+func Start(c *charter.Config, log *slog.Logger, bend FaultInjector) (*Proxy, error) {
 	return StartBy(own(c), c, log, bend)
 }
 
 // StartBy starts a router whose host list and desk are reached by the links named.
-func StartBy(links Links, c *charter.Charter, log *slog.Logger, bend Bend) (_ *Instance, err error) {
-	i := &Instance{charter: c, log: log.With("router", c.Name), loop: loop.New(), bend: bend, tasks: map[string]*held{},
+func StartBy(links Protocols, c *charter.Config, log *slog.Logger, bend FaultInjector) (_ *Proxy, err error) {
+	i := &Proxy{charter: c, log: log.With("router", c.Name), loop: loop.New(), bend: bend, tasks: map[string]*inFlight{},
 		hosts: map[uint32]register.Host{}, became: map[int]map[string]int{}, budget: http1.NewBudget(int64(c.Held)), keep: make(chan []register.Host, 1),
-		kept: make(chan struct{}), signs: c.Reach.How()}
+		kept: make(chan struct{}), signs: c.Reach.ProtocolOrDefault()}
 	var opened []func() // what is closed again, the last first, where a later part can't be opened
 	defer func() {
 		if err != nil {
@@ -164,12 +164,12 @@
 	i.address = listener.Addr()
 	i.engine = sock.Start()
 	opened = append(opened, i.engine.Stop)
-	if i.register, i.known, err = links.Register(register.Hear{
+	if i.register, i.known, err = links.Register(register.Handler{
 		Listed:   func(whole bool, hosts []register.Host) { i.loop.Do(func() { i.listed(whole, hosts) }) },
 		Rejected: func(err error) { i.log.Warn("host list turned down", "error", err) },
 		Failed: func(err error) {
 			i.log.Warn("host list out of reach", "error", err)
-			i.tell(router.Unlisted{})
+			i.tell(router.EndpointsUnavailable{})
 		}}); err != nil {
 		return nil, err
 	}
@@ -185,7 +185,7 @@
 	}
 	go i.keepLists(c.LastList)
 	i.loop.Do(func() { i.begin() })
-	if i.desk, err = links.Desk(desk.Hear{
+	if i.desk, err = links.Desk(desk.Handler{
 		Release:   i.told,
 		Counts:    i.counted,
 		Complaint: i.complained,
@@ -195,16 +195,16 @@
 	}
 	i.loop.Do(i.report)
 	i.loop.Do(func() { i.door.ReadyBy(links.Ready) })
-	i.engine.Accept(listener, i.door.Enter)
+	i.engine.Accept(listener, i.door.Accept)
 	i.log.Info("listening", "address", i.address.String())
 	return i, nil
 }
 
 // begin makes the mind and tells it the last list.
-func (i *Instance) begin() {
+func (i *Proxy) begin() {
 	c := i.charter
 	i.pool = back.NewPool(i.loop, i.engine, c.Reach, i.budget)
-	i.door = front.NewDoor(i.loop, c.Welcome, i.budget, i.take)
+	i.door = front.NewServer(i.loop, c.Welcome, i.budget, i.take)
 	place := c.Place
 	place.Seed ^= uint64(i.loop.Now()) // another life, other chance
 	var actions []router.Action
@@ -214,7 +214,7 @@
 		i.noted(i.records.Begin(now, place, actions))
 	}
 	if c.LastList != "" {
-		hosts, err := register.Last(c.LastList)
+		hosts, err := register.LoadCache(c.LastList)
 		if err != nil {
 			i.log.Warn("starting without the last list", "error", err)
 		} else if len(hosts) > 0 {
@@ -227,22 +227,22 @@
 		i.known = nil
 	}
 	i.act(actions)
-	if place.Limits.Pushed { // the module waits for the list; the stream that it comes by must be opened all the same
+	if place.Limits.PushedDiscovery { // the module waits for the list; the stream that it comes by must be opened all the same
 		i.register.Ask()
 	}
 }
 
 // meet opens the way to peers that a charter names; nil for none.
-func (i *Instance) meet(c *charter.Charter) (*peers.Socket, error) {
+func (i *Proxy) meet(c *charter.Config) (*peers.Socket, error) {
 	if c.Peers == nil {
 		return nil, nil
 	}
-	return peers.Open(*c.Peers, func(rank int, body string) { i.tell(router.Heard{Peer: rank, Body: body}) })
+	return peers.Open(*c.Peers, func(rank int, body string) { i.tell(router.GossipReceived{Peer: rank, Body: body}) })
 }
 
 // Settle goes over to another charter while the router runs. Either all of it holds from one event to the next, or
 // the error names what can't be and nothing has changed. Tasks held go on; nothing is sent anew for it.
-func (i *Instance) Settle(c *charter.Charter) error {
+func (i *Proxy) Settle(c *charter.Config) error {
 	i.turning.Lock()
 	defer i.turning.Unlock()
 	if err := i.charter.Changes(c); err != nil {
@@ -263,7 +263,7 @@
 	}
 	var refused error
 	if !i.loop.Do(func() {
-		if refused = i.hear(router.Settled{Place: c.Place}); refused == nil {
+		if refused = i.hear(router.ConfigChanged{Place: c.Place}); refused == nil {
 			i.charter, i.peers = c, next
 		}
 	}) {
@@ -273,35 +273,35 @@
 		next.Close()
 	}
 	if refused == nil {
-		i.log.Info("settings changed", "routers", c.Place.Routers, "peers", c.Peers != nil, "probes", c.Place.Limits.Probes)
+		i.log.Info("settings changed", "routers", c.Place.Routers, "peers", c.Peers != nil, "probes", c.Place.Limits.HealthChecks)
 	}
 	return refused
 }
 
 // Address is where the router listens.
-func (i *Instance) Address() net.Addr { return i.address }
+func (i *Proxy) Address() net.Addr { return i.address }
 
 // Counts is what the router has done so far.
-func (i *Instance) Counts() (c Counts) {
+func (i *Proxy) Counts() (c Counts) {
 	i.loop.Do(func() { c = i.counts })
 	return c
 }
 
 // Held is how many tasks wait for an answer, connections are open to clients and to hosts, and bytes of bodies are
 // held.
-func (i *Instance) Held() (tasks, guests, links int, bytes int64) {
-	i.loop.Do(func() { tasks, guests, links = i.door.Open(), i.door.Guests(), i.pool.Links() })
+func (i *Proxy) Held() (tasks, guests, links int, bytes int64) {
+	i.loop.Do(func() { tasks, guests, links = i.door.Open(), i.door.Connections(), i.pool.Connections() })
 	return tasks, guests, links, i.budget.Used()
 }
 
 // Bow goes on serving, but each answer ends its connection, and what comes from now on is answered within.
-func (i *Instance) Bow(within time.Duration) {
-	i.loop.Do(func() { i.door.Bow(i.loop.Now() + loop.Span(within)) })
+func (i *Proxy) Bow(within time.Duration) {
+	i.loop.Do(func() { i.door.Drain(i.loop.Now() + loop.FromDuration(within)) })
 }
 
 // Drain takes no new tasks, waits until those held have got their answer and their clients have read it, at most for
 // within or until cut is closed, and ends. It returns how many were cut off.
-func (i *Instance) Drain(within time.Duration, cut <-chan struct{}) (left int) {
+func (i *Proxy) Drain(within time.Duration, cut <-chan struct{}) (left int) {
 	i.engine.Deaf()
 	end := time.After(within)
 	i.loop.Do(i.door.Close)
@@ -326,7 +326,7 @@
 }
 
 // Kill ends the router at once, as if its process had died.
-func (i *Instance) Kill() {
+func (i *Proxy) Kill() {
 	i.loop.Close()
 	i.engine.Stop()
 	i.register.Close()
@@ -348,16 +348,16 @@
 }
 
 // Stall makes the router stand still, as if its process were not scheduled.
-func (i *Instance) Stall(d time.Duration) { go i.loop.Post(func() { time.Sleep(d) }) }
+func (i *Proxy) Stall(d time.Duration) { go i.loop.Post(func() { time.Sleep(d) }) }
 
 // ---- Events ----
 
 // tell hands an event in from outside the loop.
-func (i *Instance) tell(e router.Event) { i.loop.Post(func() { i.hear(e) }) }
+func (i *Proxy) tell(e router.Event) { i.loop.Post(func() { i.hear(e) }) }
 
 // hear takes events one after the other, also those that actions bring about. It returns what the mind had against
 // them, which is logged already; those that are brought about while others are taken have to wait, and nothing to say.
-func (i *Instance) hear(e router.Event) (err error) {
+func (i *Proxy) hear(e router.Event) (err error) {
 	i.inbox = append(i.inbox, e)
 	if i.busy {
 		return nil
@@ -367,7 +367,7 @@
 		e := i.inbox[0]
 		i.inbox = i.inbox[1:]
 		now := i.loop.Now()
-		actions, wrong := i.mind.Hear(now, e, i.spare[:0])
+		actions, wrong := i.mind.Handle(now, e, i.spare[:0])
 		if wrong != nil {
 			i.log.Warn("an event makes no sense", "error", wrong)
 			err = errors.Join(err, wrong)
@@ -386,35 +386,35 @@
 }
 
 // noted logs what could not be recorded.
-func (i *Instance) noted(err error) {
+func (i *Proxy) noted(err error) {
 	if err != nil {
 		i.log.Error("an event is not recorded", "error", err)
 	}
 }
 
-func (i *Instance) listed(whole bool, hosts []register.Host) {
+func (i *Proxy) listed(whole bool, hosts []register.Host) {
 	list := make([]router.Host, len(hosts))
 	named := make(map[uint32]bool, len(hosts))
 	for n, h := range hosts {
 		list[n], named[h.ID] = h.Host, true
-		if h.Standing == logic.Gone {
-			i.pool.Leave(h.ID)
+		if h.Standing == logic.Removed {
+			i.pool.Remove(h.ID)
 		} else {
-			i.pool.Place(h.ID, h.Address)
+			i.pool.SetAddress(h.ID, h.Address)
 		}
 		i.hosts[h.ID] = h
 	}
 	for id, h := range i.hosts {
-		if whole && !named[id] && h.Standing != logic.Gone {
-			h.Standing = logic.Gone
+		if whole && !named[id] && h.Standing != logic.Removed {
+			h.Standing = logic.Removed
 			i.hosts[id] = h
-			i.pool.Leave(id)
+			i.pool.Remove(id)
 		}
 	}
-	i.hear(router.Listed{Whole: whole, Hosts: list})
+	i.hear(router.EndpointsChanged{Complete: whole, Hosts: list})
 	var all []register.Host
 	for id, h := range i.hosts {
-		if h.Standing != logic.Gone {
+		if h.Standing != logic.Removed {
 			all = append(all, h)
 		} else if i.bend == nil {
 			delete(i.hosts, id)
@@ -431,31 +431,31 @@
 }
 
 // keepLists writes the last list, away from the loop.
-func (i *Instance) keepLists(file string) {
+func (i *Proxy) keepLists(file string) {
 	defer close(i.kept)
 	for hosts := range i.keep {
-		if err := register.Keep(file, hosts); err != nil {
+		if err := register.SaveCache(file, hosts); err != nil {
 			i.log.Warn("the last list is not kept", "error", err)
 		}
 	}
 }
 
-func (i *Instance) counted(c api.Counts) {
+func (i *Proxy) counted(c api.Counts) {
 	i.loop.Post(func() {
-		i.hear(router.Counted{Build: c.Build, Category: c.Category, Bad: c.Bad, Samples: c.Samples,
-			Mean: logic.Time(c.MeanMs * 10), Age: logic.Time(c.AgeMs) * 10, Over: loop.Span(i.charter.Desk.Over)})
+		i.hear(router.StatsReported{Build: c.Build, Category: c.Category, Bad: c.Bad, Samples: c.Samples,
+			Mean: logic.Time(c.MeanMs * 10), Age: logic.Time(c.AgeMs) * 10, Over: loop.FromDuration(i.charter.Desk.Over)})
 	})
 }
 
-func (i *Instance) told(n logic.News) {
+func (i *Proxy) told(n logic.ReleaseStatus) {
 	i.loop.Post(func() {
 		i.newest = n.Build
-		i.hear(router.Told{News: n})
+		i.hear(router.ReleaseChanged{News: n})
 	})
 }
 
 // report tells the controllers now and then what became of tasks, by the build that had them last.
-func (i *Instance) report() {
+func (i *Proxy) report() {
 	const every = 2 * logic.Second // a release's stage lasts about as long at the least
 	for build, tasks := range i.became {
 		i.desk.Report(build, tasks)
@@ -465,7 +465,7 @@
 }
 
 // becomes counts what became of a task: at the build of the host that had it last, or else of the newest told.
-func (i *Instance) becomes(what string, h *held) {
+func (i *Proxy) becomes(what string, h *inFlight) {
 	build := i.newest
 	if x, ok := i.hosts[h.host]; ok && h.host != 0 {
 		build = x.Build
@@ -479,138 +479,138 @@
 	i.became[build][what]++
 }
 
-func (i *Instance) planned(p api.Plan) {
+func (i *Proxy) planned(p api.Plan) {
 	o, err := p.Offered()
 	if err != nil {
 		i.log.Warn("a plan makes no sense", "error", err)
-		i.desk.Heed(p.Version, err.Error())
+		i.desk.AcknowledgePlan(p.Version, err.Error())
 		return
 	}
-	i.tell(router.Planned{Offer: o})
+	i.tell(router.PlanOffered{Offer: o})
 }
 
-func (i *Instance) complained(c api.Complaint) {
-	i.tell(router.Complained{Host: c.Host, Category: c.Category, Age: logic.Time(c.AgeMs) * 10})
+func (i *Proxy) complained(c api.Complaint) {
+	i.tell(router.ComplaintReceived{Host: c.Host, Category: c.Category, Age: logic.Time(c.AgeMs) * 10})
 }
 
-func (i *Instance) take(c *front.Call) {
+func (i *Proxy) take(c *front.Request) {
 	if limit := i.charter.Place.Limits.MaxOpen; limit > 0 && len(i.tasks) >= limit || c.Patience <= 0 {
-		c.Request.Drop()
+		c.Message.Drop()
 		i.counts.TurnedBack++
-		c.TurnBack(i.charter.Place.Limits.LongestStay/4, "this router holds as many tasks as it may")
+		c.Reject(i.charter.Place.Limits.MaxRetryAfter/4, "this router holds as many tasks as it may")
 		return
 	}
 	i.next++
-	h := &held{id: strconv.FormatUint(i.next, 36), call: c, owed: true}
+	h := &inFlight{id: strconv.FormatUint(i.next, 36), call: c, owed: true}
 	i.tasks[h.id] = h
 	i.counts.Taken++
-	c.Left = func() {
+	c.OnClientGone = func() {
 		h.owed = false
 		i.counts.Left++
 		i.withhold(h)
-		i.hear(router.Left{Task: h.id})
+		i.hear(router.ClientGone{Task: h.id})
 		i.forget(h)
 	}
-	i.hear(router.Taken{Task: h.id, Category: c.Category, Customer: c.Customer, Key: c.Key, Patience: c.Patience,
+	i.hear(router.RequestArrived{Task: h.id, Category: c.Category, Customer: c.Customer, Key: c.Key, Patience: c.Patience,
 		Hint: c.Hint, Again: c.Again})
 }
 
 // ended passes on how a send ended; the first that finished answers the client.
-func (i *Instance) ended(h *held, n int, host uint32, r back.Result) {
+func (i *Proxy) ended(h *inFlight, n int, host uint32, r back.Result) {
 	h.out--
-	h.late = r.Fate == logic.NoAnswer
+	h.late = r.Outcome == logic.TimedOut
 	if r.Why != "" && i.log.Enabled(context.Background(), slog.LevelDebug) {
-		i.log.Debug("send", "task", h.id, "send", n, "host", host, "fate", int(r.Fate), "why", r.Why)
+		i.log.Debug("send", "task", h.id, "send", n, "host", host, "fate", int(r.Outcome), "why", r.Why)
 	}
-	if r.Fate == logic.Finished && h.owed {
+	if r.Outcome == logic.Succeeded && h.owed {
 		h.owed = false
 		i.counts.Finished++
 		h.host = host
 		i.becomes("finished", h)
 		if i.bend == nil || !i.bend.Silent(h.id) {
-			h.call.Finish(r.Answer, host)
+			h.call.Respond(r.Answer, host)
 		}
 		i.withhold(h)
 	}
 	if r.Answer != nil {
 		r.Answer.Drop()
 	}
-	i.hear(router.Ended{Task: h.id, Send: n, Fate: r.Fate, Took: r.Took, Done: !h.owed, Load: r.Load})
+	i.hear(router.AttemptEnded{Task: h.id, Send: n, Fate: r.Outcome, Took: r.Took, Done: !h.owed, Load: r.Load})
 	i.forget(h)
 }
 
 // withhold keeps back the sends of a task that is over as far as they have not left.
-func (i *Instance) withhold(h *held) {
+func (i *Proxy) withhold(h *inFlight) {
 	for _, s := range h.sends {
-		s.Withhold()
+		s.Cancel()
 	}
 }
 
 // forget drops a task of which nothing more is to come.
-func (i *Instance) forget(h *held) {
+func (i *Proxy) forget(h *inFlight) {
 	if !h.owed && h.out == 0 && i.tasks[h.id] == h {
-		h.call.Request.Drop()
+		h.call.Message.Drop()
 		delete(i.tasks, h.id)
 	}
 }
 
 // ---- Actions ----
 
-func (i *Instance) act(actions []router.Action) {
+func (i *Proxy) act(actions []router.Action) {
 	for _, a := range actions {
 		switch a.Do {
 		case router.Send:
 			if h := i.tasks[a.Task]; h != nil {
 				i.send(h, a)
 			}
-		case router.TurnBack, router.Scrap:
+		case router.Reject, router.Fail:
 			if h := i.tasks[a.Task]; h != nil && h.owed {
 				i.refuse(h, a)
 			}
-		case router.Alarm:
+		case router.SetTimer:
 			mark := a.Alarm
-			i.loop.After(a.Span, func() { i.hear(router.Due{Alarm: mark}) })
-		case router.Watch:
+			i.loop.After(a.Span, func() { i.hear(router.TimerFired{Alarm: mark}) })
+		case router.WatchEndpoints:
 			i.register.Ask()
 		case router.Vote:
 			i.log.Info("vote", "build", a.Build, "stage", a.Stage, "voice", api.Voices[a.Voice])
-			i.desk.Vote(a.Build, a.Stage, a.Voice, func(n logic.News) { i.tell(router.Told{News: n}) })
-		case router.Tell:
+			i.desk.Vote(a.Build, a.Stage, a.Voice, func(n logic.ReleaseStatus) { i.tell(router.ReleaseChanged{News: n}) })
+		case router.Gossip:
 			if i.peers != nil {
 				i.peers.Tell(a.Peer, a.Body)
 			}
-		case router.Probe:
+		case router.CheckHealth:
 			i.probe(a.Host)
-		case router.Heed:
+		case router.AcknowledgePlan:
 			if a.Text != "" {
 				i.log.Warn("a plan is turned down", "version", a.Number, "reason", a.Text)
 			}
-			i.desk.Heed(a.Number, a.Text)
-		case router.Note:
+			i.desk.AcknowledgePlan(a.Number, a.Text)
+		case router.Log:
 			i.log.Info("note", "text", a.Text)
 		}
 	}
 }
 
 // probe asks a host how it does by a small request, and hears what came of it as of no task.
-func (i *Instance) probe(host uint32) {
+func (i *Proxy) probe(host uint32) {
 	p := i.charter.Probe
 	if p.Path == "" {
 		return
 	}
 	head := http1.AppendField([]byte("GET "+p.Path+" HTTP/1.1\r\n"), "Host", i.address.String())
 	head = http1.AppendField(head, "Dapplefront-Router", i.charter.Name)
-	i.pool.Send(host, head, nil, false, loop.Span(p.Within), func(r back.Result) {
+	i.pool.Send(host, head, nil, false, loop.FromDuration(p.Within), func(r back.Result) {
 		if r.Answer != nil {
 			r.Answer.Drop()
 		}
-		i.hear(router.Probed{Host: host, Fate: r.Fate, Took: r.Took, Load: r.Load})
+		i.hear(router.HealthChecked{Host: host, Fate: r.Outcome, Took: r.Took, Load: r.Load})
 	})
 }
 
-func (i *Instance) refuse(h *held, a router.Action) {
+func (i *Proxy) refuse(h *inFlight, a router.Action) {
 	h.owed = false
-	if a.Do == router.TurnBack {
+	if a.Do == router.Reject {
 		i.counts.TurnedBack++
 		i.becomes("turned back", h)
 	} else {
@@ -618,18 +618,18 @@
 		i.becomes("scrapped", h)
 	}
 	if i.bend == nil || !i.bend.Silent(h.id) {
-		if a.Do == router.TurnBack {
-			h.call.TurnBack(a.Span, "turned back; trying again is harmless")
+		if a.Do == router.Reject {
+			h.call.Reject(a.Span, "turned back; trying again is harmless")
 		} else {
-			h.call.Scrap(h.late)
+			h.call.Fail(h.late)
 		}
 	}
 	i.withhold(h)
 	i.forget(h)
 }
 
-func (i *Instance) send(h *held, a router.Action) {
-	m := h.call.Request
+func (i *Proxy) send(h *inFlight, a router.Action) {
+	m := h.call.Message
 	if h.base == nil {
 		h.base = i.head(m, h.call)
 	}
@@ -653,7 +653,7 @@
 }
 
 // head is what all sends of a task start with.
-func (i *Instance) head(m *http1.Message, c *front.Call) []byte {
+func (i *Proxy) head(m *http1.Message, c *front.Request) []byte {
 	b := make([]byte, 0, 512)
 	b = append(b, m.Method...)
 	b = append(b, ' ')
@@ -684,7 +684,7 @@
 }
 
 // ours tells the fields that a router sets on its way to a host, whatever the client wrote.
-func (i *Instance) ours(name string) bool {
+func (i *Proxy) ours(name string) bool {
 	for _, n := range [...]string{i.signs.Within, i.signs.Send, i.signs.Router, i.signs.Category} {
 		if len(name) == len(n) && strings.EqualFold(name, n) {
 			return true
--- a/internal/instance/peer_test.go
+++ b/internal/instance/peer_test.go
@@ -173,8 +173,8 @@
 	register, err := stand.StartRegister("127.0.0.1:0", "shop", nil)
 	require.NoError(b, err)
 	b.Cleanup(register.Stop)
-	desk, err := controller.StartAlone(controller.Seat{Name: "c", Dir: b.TempDir(), Listen: "127.0.0.1:0", Quick: true, Build: 1},
-		controller.Front{Listen: "127.0.0.1:0"}, slog.New(slog.DiscardHandler))
+	desk, err := controller.StartStandalone(controller.NodeConfig{Name: "c", Dir: b.TempDir(), Listen: "127.0.0.1:0", Quick: true, Build: 1},
+		controller.ServerConfig{Listen: "127.0.0.1:0"}, slog.New(slog.DiscardHandler))
 	require.NoError(b, err)
 	b.Cleanup(func() { _ = desk.Stop() })
 	for i, h := range hosts {
--- a/internal/instance/rig_test.go
+++ b/internal/instance/rig_test.go
@@ -27,10 +27,10 @@
 // rig is one real router with a real register and desk, and hosts that a test scripts byte by byte.
 type rig struct {
 	*testing.T
-	charter  *charter.Charter
-	router   *Instance
+	charter  *charter.Config
+	router   *Proxy
 	register *stand.Register
-	desk     *controller.Alone
+	desk     *controller.Standalone
 	hosts    []*scripted
 }
 
@@ -141,9 +141,9 @@
 	r.register, err = stand.StartRegister("127.0.0.1:0", "shop", nil)
 	require.NoError(t, err)
 	t.Cleanup(r.register.Stop)
-	r.desk, err = controller.StartAlone(controller.Seat{Name: "c", Dir: t.TempDir(), Listen: "127.0.0.1:0", Quick: true, Build: 1,
-		Figures: control.Figures{Rules: release.Rules{Control: logic.ShareOfVotes, Stages: []release.Stage{{Share: 1, Cap: 1}}, ToMoveOn: 1,
-			ToAbort: 1, VoteLife: 5 * logic.Second}}}, controller.Front{Listen: "127.0.0.1:0"}, slog.New(slog.DiscardHandler))
+	r.desk, err = controller.StartStandalone(controller.NodeConfig{Name: "c", Dir: t.TempDir(), Listen: "127.0.0.1:0", Quick: true, Build: 1,
+		Figures: control.Config{Rules: release.Rules{Control: logic.Quorum, Stages: []release.Stage{{Share: 1, Cap: 1}}, ToMoveOn: 1,
+			ToAbort: 1, VoteLife: 5 * logic.Second}}}, controller.ServerConfig{Listen: "127.0.0.1:0"}, slog.New(slog.DiscardHandler))
 	require.NoError(t, err)
 	t.Cleanup(func() { _ = r.desk.Stop() })
 	for _, h := range hosts {
@@ -161,7 +161,7 @@
 	return r
 }
 
-func (r *rig) list(h *scripted, s logic.Standing) {
+func (r *rig) list(h *scripted, s logic.EndpointState) {
 	r.register.Set(stand.Entry{Host: h.entry, Standing: s})
 }
 
@@ -189,7 +189,7 @@
 	r.eventually(func() bool {
 		tasks, _, _, bytes := r.router.Held()
 		left := 0
-		r.router.loop.Do(func() { left = len(r.router.tasks) + r.router.mind.Held() })
+		r.router.loop.Do(func() { left = len(r.router.tasks) + r.router.mind.InFlight() })
 		return tasks == 0 && bytes == 0 && left == 0
 	})
 }
--- a/internal/instance/settle_test.go
+++ b/internal/instance/settle_test.go
@@ -19,7 +19,7 @@
 )
 
 // other is the rig's charter with changes to its text.
-func (r *rig) other(extra string, change ...string) *charter.Charter {
+func (r *rig) other(extra string, change ...string) *charter.Config {
 	text := fmt.Sprintf(rules, r.charter.LastList, r.register.Address(), r.desk.URL(), extra)
 	text = strings.NewReplacer(change...).Replace(text)
 	s := sheet.Parse("other", text)
@@ -80,7 +80,7 @@
 	require.NoError(t, r.router.Settle(there))
 	r.router.loop.Do(func() {
 		require.NotNil(t, r.router.peers)
-		require.False(t, r.router.charter.Place.Limits.TwoAtOnce)
+		require.False(t, r.router.charter.Place.Limits.AllowHedging)
 	})
 	require.NoError(t, r.router.Settle(first))
 	r.router.loop.Do(func() { require.Nil(t, r.router.peers) })
@@ -128,7 +128,7 @@
 	require.NoError(t, r.router.Settle(r.other("[probes]\npath = /probe\n[peers]\naddresses = "+own+", "+peer.LocalAddr().String(),
 		"name = r\n", "name = r\nrouters = 2\n")))
 	r.router.loop.Do(func() {
-		r.router.act([]router.Action{{Do: router.Probe, Host: 1}, {Do: router.Tell, Peer: logic.Everyone, Body: "word"}})
+		r.router.act([]router.Action{{Do: router.CheckHealth, Host: 1}, {Do: router.Gossip, Peer: logic.Broadcast, Body: "word"}})
 	})
 	require.Equal(t, "/probe", <-probed)
 	b := make([]byte, 300)
--- a/internal/loop/loop.go
+++ b/internal/loop/loop.go
@@ -43,8 +43,8 @@
 	return l.zero + logic.Time(time.Since(l.start)/(100*time.Microsecond))
 }
 
-// Span turns a duration into the loop's units.
-func Span(d time.Duration) logic.Time { return logic.Time(d / (100 * time.Microsecond)) }
+// FromDuration turns a duration into the loop's units.
+func FromDuration(d time.Duration) logic.Time { return logic.Time(d / (100 * time.Microsecond)) }
 
 // Duration is the reverse of Span.
 func Duration(t logic.Time) time.Duration { return time.Duration(t) * 100 * time.Microsecond }
@@ -118,16 +118,16 @@
 	l.mu.Unlock()
 }
 
-// Alarm is a call to come.
-type Alarm struct {
+// Timer is a call to come.
+type Timer struct {
 	at   time.Time
 	do   func()
 	rank int
 }
 
 // After calls do in the loop after a span; it must itself be called from the loop's work.
-func (l *Loop) After(span logic.Time, do func()) *Alarm {
-	a := &Alarm{at: time.Now().Add(Duration(max(0, span))), do: do}
+func (l *Loop) After(span logic.Time, do func()) *Timer {
+	a := &Timer{at: time.Now().Add(Duration(max(0, span))), do: do}
 	heap.Push(&l.alarms, a)
 	if a.rank == 0 {
 		l.set()
@@ -136,7 +136,7 @@
 }
 
 // Stop takes an alarm back; one that has rung is let be. It must be called from the loop's work.
-func (l *Loop) Stop(a *Alarm) {
+func (l *Loop) Stop(a *Timer) {
 	if a != nil && a.rank >= 0 {
 		heap.Remove(&l.alarms, a.rank)
 	}
@@ -168,18 +168,18 @@
 	l.rings = time.Time{}
 	now := time.Now()
 	for len(l.alarms) > 0 && !l.alarms[0].at.After(now) {
-		heap.Pop(&l.alarms).(*Alarm).do()
+		heap.Pop(&l.alarms).(*Timer).do()
 	}
 	l.set()
 }
 
 // alarms is a heap by time.
-type alarms []*Alarm
+type alarms []*Timer
 
 func (a alarms) Len() int           { return len(a) }
 func (a alarms) Less(i, j int) bool { return a[i].at.Before(a[j].at) }
 func (a alarms) Swap(i, j int)      { a[i], a[j] = a[j], a[i]; a[i].rank, a[j].rank = i, j }
-func (a *alarms) Push(x any)        { x.(*Alarm).rank = len(*a); *a = append(*a, x.(*Alarm)) }
+func (a *alarms) Push(x any)        { x.(*Timer).rank = len(*a); *a = append(*a, x.(*Timer)) }
 func (a *alarms) Pop() any {
 	old := *a
 	x := old[len(old)-1]
--- a/internal/loop/loop_test.go
+++ b/internal/loop/loop_test.go
@@ -77,6 +77,6 @@
 }
 
 func TestSpansAndDurations(t *testing.T) {
-	require.Equal(t, logic.Second, Span(time.Second))
+	require.Equal(t, logic.Second, FromDuration(time.Second))
 	require.Equal(t, 1500*time.Millisecond, Duration(15_000))
 }
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -54,10 +54,10 @@
 // Setup is a configuration that has been read whole and checked, and what follows from it.
 type Setup struct {
 	Config
-	Charter *charter.Charter
-	News    logic.News
-	terms   terms.Terms
-	pairs   terms.Pairs
+	Charter *charter.Config
+	News    logic.ReleaseStatus
+	terms   terms.Settings
+	pairs   terms.Values
 }
 
 // Read reads the file that EDGE_CONFIG names; what it leaves out of name, listen and discovery is taken from EDGE_NAME,
@@ -121,7 +121,7 @@
 	p.pairs, p.terms = pairs, terms.Read(pairs, seed)
 	// Whatever the settings allow: the platform's protocol has no messages between routers, no probes and no counts, and
 	// the module must not wait for what never comes.
-	p.terms.Place.Limits.Peers, p.terms.Place.Limits.Probes, p.terms.Place.Desk.Counted = 0, false, 0
+	p.terms.Place.Limits.MaxGossipBytes, p.terms.Place.Limits.HealthChecks, p.terms.Place.Desk.Counted = 0, false, 0
 	p.Charter = p.charter(pairs)
 	return p, nil
 }
@@ -155,12 +155,12 @@
 	return nil
 }
 
-var wording = &front.Wording{Category: "Request-Class", Customer: "Tenant", Patience: "Request-Timeout-Ms",
+var wording = &front.Protocol{Category: "Request-Class", Customer: "Tenant", Patience: "Request-Timeout-Ms",
 	Mark: "Idempotency-Key", Key: "Affinity-Key", Hint: "Work-Hint", Again: "Client-Retry", ID: "Request-Id", Exact: true,
 	HintIn: 100, Decimal: true, Ready: "/ready"}
 
 // charter is what an instance is told.
-func (p *Setup) charter(pairs terms.Pairs) *charter.Charter {
+func (p *Setup) charter(pairs terms.Values) *charter.Config {
 	const (
 		head, body = 16 << 10, 64 << 10
 		answer     = 1 << 20         // answers of over 64 KiB were seen: 8 in 100 on one day
@@ -174,36 +174,36 @@
 	)
 	span := func(path string) time.Duration { return time.Duration(pairs.Int(path)) * time.Microsecond }
 	room := p.Limits.Sockets - fixed
-	c := &charter.Charter{Name: p.Name, Listen: p.Listen, Drain: drain, Held: p.Limits.MemoryMB << 20 / 6, Place: p.terms.Place}
-	c.Reach = back.Reach{Connect: max(span("Permissions.ConnectTimeoutUs"), 50*time.Millisecond),
+	c := &charter.Config{Name: p.Name, Listen: p.Listen, Drain: drain, Held: p.Limits.MemoryMB << 20 / 6, Place: p.terms.Place}
+	c.Reach = back.Config{Connect: max(span("Permissions.ConnectTimeoutUs"), 50*time.Millisecond),
 		Idle:  max(span("Permissions.ConnIdleUs")-edge, span("Permissions.ConnIdleUs")/2, time.Second),
-		Links: room, All: room * 9 / 20, Bounds: http1.Bounds{Head: head, Body: answer, Framed: true}, Signs: p.signs()}
-	c.Welcome = front.Welcome{Name: p.Name, Slow: 2 * time.Second, Idle: 2100 * time.Millisecond, First: 2300 * time.Millisecond,
+		Links: room, All: room * 9 / 20, Bounds: http1.Bounds{Head: head, Body: answer, Framed: true}, Protocol: p.signs()}
+	c.Welcome = front.Config{Name: p.Name, Slow: 2 * time.Second, Idle: 2100 * time.Millisecond, First: 2300 * time.Millisecond,
 		Spare: spare, Links: room - c.Reach.All, AtOnce: 1, Bounds: http1.Bounds{Head: head, Body: body},
-		Wording: wording}
+		Protocol: wording}
 	for i, x := range c.Place.Categories {
-		k := front.Kind{Name: x.Name, Patience: loop.Span(span(fmt.Sprintf("Categories.%d.DeadlineUs", i))), Method: "POST"}
+		k := front.Class{Name: x.Name, Patience: loop.FromDuration(span(fmt.Sprintf("Categories.%d.DeadlineUs", i))), Method: "POST"}
 		switch x.Repeat {
-		case logic.Retriable:
+		case logic.Idempotent:
 			k.Method = "GET"
-		case logic.Fingerprinted:
+		case logic.IdempotentWithKey:
 			k.Marked = true
-		case logic.Binding:
+		case logic.NonIdempotent:
 			k.Bare = true
 		}
 		if k.Patience <= 0 {
-			k.Patience = loop.Span(time.Minute)
+			k.Patience = loop.FromDuration(time.Minute)
 		}
 		c.Drain = max(c.Drain, loop.Duration(k.Patience))
-		c.Welcome.Kinds = append(c.Welcome.Kinds, k)
+		c.Welcome.Classes = append(c.Welcome.Classes, k)
 	}
 	return c
 }
 
 // signs is how hosts are spoken to. Its load report is read by the fields that the settings name.
-func (p *Setup) signs() *back.Signs {
-	return &back.Signs{Within: "Request-Timeout-Ms", Unseen: "Not-Started", Turned: []int{503, 504}, Only: true, Whole: true,
-		Load: func(m *http1.Message) (*logic.Load, error) {
+func (p *Setup) signs() *back.Protocol {
+	return &back.Protocol{Within: "Request-Timeout-Ms", Unseen: "Not-Started", Turned: []int{503, 504}, Only: true, Whole: true,
+		Load: func(m *http1.Message) (*logic.LoadReport, error) {
 			text, ok := m.Lookup("Server-Load")
 			if !ok {
 				return nil, nil
@@ -216,22 +216,22 @@
 type Node struct {
 	setup    *Setup
 	log      *slog.Logger
-	instance *instance.Instance
+	instance *instance.Proxy
 	watch    *discovery.Watch
-	link     *platform.Link
+	link     *platform.Client
 }
 
 // Start starts a router; it listens when Start returns.
 func Start(p *Setup, log *slog.Logger) (*Node, error) {
 	n := &Node{setup: p, log: log}
 	var err error
-	n.instance, err = instance.StartBy(instance.Links{
-		Register: func(hear register.Hear) (instance.Register, []register.Host, error) {
+	n.instance, err = instance.StartBy(instance.Protocols{
+		Register: func(hear register.Handler) (instance.Discovery, []register.Host, error) {
 			var known []register.Host
 			n.watch, known = discovery.Open(p.Discovery, p.Known, hear)
 			return n.watch, known, nil
 		},
-		Desk: func(hear desk.Hear) (instance.Desk, error) {
+		Desk: func(hear desk.Handler) (instance.ReleaseClient, error) {
 			hear.Release(p.News)
 			n.link = platform.Open(p.Platform.Address, loop.Duration(p.Charter.Place.Desk.VoteTimeout), n.watch.Number, hear)
 			return n.link, nil
@@ -247,7 +247,7 @@
 		return err
 	}
 	p.Charter.Place.Seed = n.setup.Charter.Place.Seed
-	p.Charter.Reach.Signs = n.setup.Charter.Reach.Signs // reads the same fields, as changes makes sure
+	p.Charter.Reach.Protocol = n.setup.Charter.Reach.Protocol // reads the same fields, as changes makes sure
 	if !reflect.DeepEqual(p.Charter, n.setup.Charter) {
 		if err := n.instance.Settle(p.Charter); err != nil {
 			return err
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -532,7 +532,7 @@
 			b := config(at.address(), at.address())
 			change(b)
 			p := setup(t, b)
-			require.False(t, p.Charter.Place.Limits.Probes || p.Charter.Place.Limits.Peers > 0 || p.Charter.Place.Desk.Counted > 0,
+			require.False(t, p.Charter.Place.Limits.HealthChecks || p.Charter.Place.Limits.MaxGossipBytes > 0 || p.Charter.Place.Desk.Counted > 0,
 				"no wait for what the protocol has not")
 			n, err := Start(p, slog.New(slog.DiscardHandler))
 			require.NoError(t, err)
--- a/internal/peers/peers.go
+++ b/internal/peers/peers.go
@@ -14,10 +14,10 @@
 )
 
 // Everyone stands for all other routers.
-const Everyone = logic.Everyone
+const Everyone = logic.Broadcast
 
-// Circle is what a router is told of its peers.
-type Circle struct {
+// Config is what a router is told of its peers.
+type Config struct {
 	Rank      int
 	Most      int      // bytes of a message
 	Addresses []string // of all routers, by rank
@@ -25,7 +25,7 @@
 
 // Socket is one router's end.
 type Socket struct {
-	circle  Circle
+	circle  Config
 	conn    *net.UDPConn
 	all     []netip.AddrPort
 	dropped atomic.Uint64 // from strangers, or too long
@@ -33,7 +33,7 @@
 }
 
 // Open listens at the own address and hands each message from a listed router to hear, with its rank.
-func Open(c Circle, hear func(rank int, body string)) (*Socket, error) {
+func Open(c Config, hear func(rank int, body string)) (*Socket, error) {
 	s := &Socket{circle: c, ended: make(chan struct{})}
 	for _, a := range c.Addresses {
 		at, err := netip.ParseAddrPort(a)
--- a/internal/peers/peers_test.go
+++ b/internal/peers/peers_test.go
@@ -19,12 +19,12 @@
 func TestListedRoutersAreHeardAndStrangersAndLongMessagesDropped(t *testing.T) {
 	addresses := []string{free(t), free(t), free(t)}
 	heard := make(chan string, 10)
-	a, err := Open(Circle{Rank: 0, Most: 16, Addresses: addresses}, func(rank int, body string) {
+	a, err := Open(Config{Rank: 0, Most: 16, Addresses: addresses}, func(rank int, body string) {
 		heard <- string(rune('0'+rank)) + body
 	})
 	require.NoError(t, err)
 	defer a.Close()
-	b, err := Open(Circle{Rank: 1, Most: 64, Addresses: addresses}, func(int, string) {})
+	b, err := Open(Config{Rank: 1, Most: 64, Addresses: addresses}, func(int, string) {})
 	require.NoError(t, err)
 	defer b.Close()
 
@@ -43,8 +43,8 @@
 }
 
 func TestAddressesAreChecked(t *testing.T) {
-	_, err := Open(Circle{Rank: 0, Most: 16, Addresses: []string{"here:1"}}, nil)
+	_, err := Open(Config{Rank: 0, Most: 16, Addresses: []string{"here:1"}}, nil)
 	require.ErrorContains(t, err, `"here:1"`)
-	_, err = Open(Circle{Rank: 3, Most: 16, Addresses: []string{"127.0.0.1:1"}}, nil)
+	_, err = Open(Config{Rank: 3, Most: 16, Addresses: []string{"127.0.0.1:1"}}, nil)
 	require.ErrorContains(t, err, "rank 3")
 }
--- a/internal/platform/platform.go
+++ b/internal/platform/platform.go
@@ -30,34 +30,34 @@
 }
 
 var (
-	modes = map[string]logic.Phase{"testing": logic.OnTrial, "recalling": logic.GoingBack, "live": logic.Released,
-		"recalled": logic.Withdrawn}
-	rulings = map[logic.Voice]string{logic.NoVote: "blank", logic.On: "go", logic.Hold: "stay", logic.Back: "stop"}
+	modes = map[string]logic.Phase{"testing": logic.Canary, "recalling": logic.RollingBack, "live": logic.Released,
+		"recalled": logic.RolledBack}
+	rulings = map[logic.VoteChoice]string{logic.Abstain: "blank", logic.Promote: "go", logic.Hold: "stay", logic.Rollback: "stop"}
 	refused = map[int]struct {
 		word string
-		as   logic.Answer
-	}{429: {"too_many_calls", logic.Refused}, 409: {"out_of_date", logic.Moot}, 500: {"unavailable", logic.Refused},
-		400: {"bad_request", logic.Refused}}
+		as   logic.VoteResult
+	}{429: {"too_many_calls", logic.VoteRejected}, 409: {"out_of_date", logic.VoteStale}, 500: {"unavailable", logic.VoteRejected},
+		400: {"bad_request", logic.VoteRejected}}
 )
 
 // Read is the module's word for news; an error where it can't be.
-func (n News) Read() (logic.News, error) {
+func (n News) Read() (logic.ReleaseStatus, error) {
 	phase, ok := modes[n.Mode]
 	switch {
 	case n.Release == nil || n.Tranche == nil || n.Exposure == nil || n.OldMs == nil:
-		return logic.News{}, errors.New("news without release, tranche, exposure or old_ms")
+		return logic.ReleaseStatus{}, errors.New("news without release, tranche, exposure or old_ms")
 	case !ok:
-		return logic.News{}, fmt.Errorf("news of the mode %q, which is none known", n.Mode)
+		return logic.ReleaseStatus{}, fmt.Errorf("news of the mode %q, which is none known", n.Mode)
 	case *n.Release < 0 || *n.Tranche < 0 || *n.OldMs < 0 || !(*n.Exposure >= 0 && *n.Exposure <= 1):
-		return logic.News{}, errors.New("news with a figure that can't be")
+		return logic.ReleaseStatus{}, errors.New("news with a figure that can't be")
 	}
-	return logic.News{Build: *n.Release, Stage: *n.Tranche, Phase: phase, Cap: *n.Exposure,
+	return logic.ReleaseStatus{Build: *n.Release, Stage: *n.Tranche, Phase: phase, ExposureCap: *n.Exposure,
 		Age: logic.Time(*n.OldMs * 10)}, nil
 }
 
-// Link is one router's link.
-type Link struct {
-	hear   desk.Hear
+// Client is one router's link.
+type Client struct {
+	hear   desk.Handler
 	number func(unit string, at time.Time) (uint32, bool)
 	within time.Duration
 	feed   *stream.Stream
@@ -71,8 +71,8 @@
 var Within = stream.Timeouts{First: 2 * time.Second, Silence: 3500 * time.Millisecond}
 
 // Open starts the feed. number tells which host a unit was at a time; within is how long a vote waits for its reply.
-func Open(address string, within time.Duration, number func(string, time.Time) (uint32, bool), hear desk.Hear) *Link {
-	l := &Link{hear: hear, number: number, within: within, client: stream.Client()}
+func Open(address string, within time.Duration, number func(string, time.Time) (uint32, bool), hear desk.Handler) *Client {
+	l := &Client{hear: hear, number: number, within: within, client: stream.Client()}
 	l.over, l.stop = context.WithCancel(context.Background())
 	l.feed = stream.New(address, Within, stream.Handler{Ended: l.ended,
 		Open: func() (string, func(json.RawMessage) error) { return "/apis/fleet/feed", l.value }})
@@ -81,22 +81,22 @@
 }
 
 // Move goes over to another address at once; the old feed is heard until the new one speaks.
-func (l *Link) Move(address string) { l.feed.Move(address) }
+func (l *Client) Move(address string) { l.feed.Move(address) }
 
 // Address is the one that is spoken to.
-func (l *Link) Address() string { return l.feed.Address() }
+func (l *Client) Address() string { return l.feed.Address() }
 
 // Tried tells whether the feed has been asked for once, and has spoken or failed to.
-func (l *Link) Tried() bool { return l.feed.Tried() }
+func (l *Client) Tried() bool { return l.feed.Tried() }
 
 // Close ends the link; votes under way end as unclear.
-func (l *Link) Close() {
+func (l *Client) Close() {
 	l.stop()
 	l.feed.Close()
 }
 
 // ended takes the feed up again, at once the first time and then with a growing wait.
-func (l *Link) ended(err error) {
+func (l *Client) ended(err error) {
 	l.hear.Trouble(err)
 	n := l.fails.Add(1)
 	if n == 1 {
@@ -107,7 +107,7 @@
 	time.AfterFunc(min(last, first<<min(n-2, 10)), l.feed.Open)
 }
 
-func (l *Link) value(text json.RawMessage) error {
+func (l *Client) value(text json.RawMessage) error {
 	var m struct {
 		Type   string          `json:"type"`
 		Object json.RawMessage `json:"object"`
@@ -147,13 +147,13 @@
 }
 
 // Vote casts a vote in the background and calls done once with what became of it.
-func (l *Link) Vote(build, stage int, voice logic.Voice, done func(logic.News)) {
-	l.hear.Cast(build, func() (logic.News, error) { return l.vote(build, stage, voice) }, done)
+func (l *Client) Vote(build, stage int, voice logic.VoteChoice, done func(logic.ReleaseStatus)) {
+	l.hear.Cast(build, func() (logic.ReleaseStatus, error) { return l.vote(build, stage, voice) }, done)
 }
 
-func (l *Link) vote(build, stage int, voice logic.Voice) (logic.News, error) {
-	became := func(a logic.Answer, err error) (logic.News, error) {
-		return logic.News{Build: build, Stage: stage, Answer: a}, err
+func (l *Client) vote(build, stage int, voice logic.VoteChoice) (logic.ReleaseStatus, error) {
+	became := func(a logic.VoteResult, err error) (logic.ReleaseStatus, error) {
+		return logic.ReleaseStatus{Build: build, Stage: stage, VoteResult: a}, err
 	}
 	ctx, cancel := context.WithTimeout(l.over, l.within)
 	defer cancel()
@@ -163,49 +163,49 @@
 	}})
 	body, err := json.Marshal(map[string]any{"release": build, "tranche": stage, "ruling": rulings[voice]})
 	if err != nil {
-		return became(logic.Refused, err)
+		return became(logic.VoteRejected, err)
 	}
 	ask, err := http.NewRequestWithContext(ctx, "POST", "http://"+l.feed.Address()+"/apis/fleet/ballots", bytes.NewReader(body))
 	if err != nil {
-		return became(logic.Refused, err)
+		return became(logic.VoteRejected, err)
 	}
 	ask.Header.Set("Content-Type", "application/json")
 	got, err := l.client.Do(ask)
 	if err != nil {
 		if whole.Load() {
-			return became(logic.Unclear, err)
+			return became(logic.VoteUnknown, err)
 		}
-		return became(logic.Refused, err)
+		return became(logic.VoteRejected, err)
 	}
 	defer got.Body.Close()
 	const largest = 64 << 10
 	text, err := io.ReadAll(io.LimitReader(got.Body, largest))
 	if err != nil {
-		return became(logic.Unclear, err)
+		return became(logic.VoteUnknown, err)
 	}
 	var answer struct {
 		News
 		Error string `json:"error"`
 	}
 	if err := json.Unmarshal(text, &answer); err != nil {
-		return became(logic.Unclear, err)
+		return became(logic.VoteUnknown, err)
 	}
 	if got.StatusCode == http.StatusOK {
 		n, err := answer.Read()
 		if err != nil {
-			return became(logic.Unclear, err)
+			return became(logic.VoteUnknown, err)
 		}
-		n.Answer = logic.Counted
+		n.VoteResult = logic.VoteAccepted
 		return n, nil
 	}
 	if r, ok := refused[got.StatusCode]; ok && r.word == answer.Error {
 		return became(r.as, fmt.Errorf("status %s, %s", got.Status, answer.Error))
 	}
-	return became(logic.Unclear, fmt.Errorf("status %s, %.100s", got.Status, text))
+	return became(logic.VoteUnknown, fmt.Errorf("status %s, %.100s", got.Status, text))
 }
 
 // Report does nothing: the platform counts tasks itself.
-func (l *Link) Report(int, map[string]int) {}
+func (l *Client) Report(int, map[string]int) {}
 
-// Heed does nothing: the platform has no plans.
-func (l *Link) Heed(uint64, string) {}
+// AcknowledgePlan does nothing: the platform has no plans.
+func (l *Client) AcknowledgePlan(uint64, string) {}
--- a/internal/register/last.go
+++ b/internal/register/last.go
@@ -20,14 +20,14 @@
 // storedHost is a Host as the file has it. Its JSON names are those of the first version of the format and never
 // change, whatever the fields of Host are called.
 type storedHost struct {
-	ID       uint32         `json:"ID"`
-	Location string         `json:"Location"`
-	Cell     int            `json:"Cell"`
-	Standing logic.Standing `json:"Standing"`
-	Build    int            `json:"Build"`
-	Size     float64        `json:"Size"`
-	Up       logic.Time     `json:"Up"`
-	Address  string         `json:"Address"`
+	ID       uint32              `json:"ID"`
+	Location string              `json:"Location"`
+	Cell     int                 `json:"Cell"`
+	Standing logic.EndpointState `json:"Standing"`
+	Build    int                 `json:"Build"`
+	Size     float64             `json:"Size"`
+	Up       logic.Time          `json:"Up"`
+	Address  string              `json:"Address"`
 }
 
 func toStoredHost(h Host) storedHost {
@@ -48,8 +48,8 @@
 
 const format = 1
 
-// Keep writes the last list to a file, whole or not at all.
-func Keep(file string, hosts []Host) error {
+// SaveCache writes the last list to a file, whole or not at all.
+func SaveCache(file string, hosts []Host) error {
 	stored := make([]storedHost, 0, len(hosts))
 	for _, h := range hosts {
 		stored = append(stored, toStoredHost(h))
@@ -61,8 +61,8 @@
 	return whole.Write(file, text, 0o600)
 }
 
-// Last reads what Keep wrote. No file is no list and no error.
-func Last(file string) ([]Host, error) {
+// LoadCache reads what Keep wrote. No file is no list and no error.
+func LoadCache(file string) ([]Host, error) {
 	text, err := os.ReadFile(file)
 	if os.IsNotExist(err) {
 		return nil, nil
--- a/internal/register/list.go
+++ b/internal/register/list.go
@@ -69,7 +69,7 @@
 	case corev3.HealthStatus_DRAINING:
 		h.Standing = logic.Draining
 	default:
-		h.Standing = logic.Gone
+		h.Standing = logic.Removed
 	}
 	fields := e.GetMetadata().GetFilterMetadata()[Metadata].GetFields()
 	whole := func(name string, without, most float64) float64 {
@@ -145,8 +145,8 @@
 		}
 	}
 	for id, h := range l.hosts {
-		if _, ok := hosts[id]; !ok && h.Standing != logic.Gone {
-			h.Standing = logic.Gone
+		if _, ok := hosts[id]; !ok && h.Standing != logic.Removed {
+			h.Standing = logic.Removed
 			out = append(out, h)
 		}
 	}
--- a/internal/register/register_test.go
+++ b/internal/register/register_test.go
@@ -59,28 +59,28 @@
 	require.Len(t, l.all(), 3, "the last good list stays")
 	changes, err = l.put(map[string]resource{"a": {"3", []Host{at(1, "x:1"), at(5, "x:2")}}}, []string{"b"})
 	require.NoError(t, err)
-	gone := map[uint32]logic.Standing{}
+	gone := map[uint32]logic.EndpointState{}
 	for _, h := range changes {
 		gone[h.ID] = h.Standing
 	}
-	require.Equal(t, map[uint32]logic.Standing{2: logic.Gone, 3: logic.Gone, 5: logic.Serving}, gone)
+	require.Equal(t, map[uint32]logic.EndpointState{2: logic.Removed, 3: logic.Removed, 5: logic.Serving}, gone)
 }
 
 func TestTheLastListIsKeptWholeOrNotRead(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "list")
-	hosts, err := Last(file)
+	hosts, err := LoadCache(file)
 	require.NoError(t, err)
 	require.Empty(t, hosts)
-	require.NoError(t, Keep(file, []Host{at(1, "x:1")}))
-	hosts, err = Last(file)
+	require.NoError(t, SaveCache(file, []Host{at(1, "x:1")}))
+	hosts, err = LoadCache(file)
 	require.NoError(t, err)
 	require.Equal(t, []Host{at(1, "x:1")}, hosts)
 	text, _ := os.ReadFile(file)
 	require.NoError(t, os.WriteFile(file, text[:len(text)/2], 0o600))
-	_, err = Last(file)
+	_, err = LoadCache(file)
 	require.ErrorContains(t, err, file)
 	require.NoError(t, os.WriteFile(file, []byte(`{"format":2}`), 0o600))
-	_, err = Last(file)
+	_, err = LoadCache(file)
 	require.ErrorContains(t, err, "format 1 expected")
 }
 
--- a/internal/register/stored_test.go
+++ b/internal/register/stored_test.go
@@ -18,14 +18,14 @@
 }
 
 func TestAnEarlierVersionsEndpointListIsReadWhole(t *testing.T) {
-	hosts, err := Last("testdata/endpoints.json")
+	hosts, err := LoadCache("testdata/endpoints.json")
 	require.NoError(t, err)
 	require.Equal(t, storedHosts, hosts)
 }
 
 func TestAnEndpointListIsWrittenInTheEarlierForm(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "list")
-	require.NoError(t, Keep(file, storedHosts))
+	require.NoError(t, SaveCache(file, storedHosts))
 	want, err := os.ReadFile("testdata/endpoints.json")
 	require.NoError(t, err)
 	got, err := os.ReadFile(file)
@@ -36,6 +36,6 @@
 func TestAnUnknownFieldOfAnEndpointListIsAnError(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "list")
 	require.NoError(t, os.WriteFile(file, []byte(`{"format":1,"hosts":[{"ID":1,"Zone":"north"}]}`), 0o600))
-	_, err := Last(file)
+	_, err := LoadCache(file)
 	require.ErrorContains(t, err, `unknown field "Zone"`)
 }
--- a/internal/register/watch.go
+++ b/internal/register/watch.go
@@ -24,8 +24,8 @@
 // TypeURL is the type of the resources.
 const TypeURL = "type.googleapis.com/envoy.config.endpoint.v3.ClusterLoadAssignment"
 
-// Hear is what a watch tells.
-type Hear struct {
+// Handler is what a watch tells.
+type Handler struct {
 	Listed   func(whole bool, hosts []Host) // a version was accepted; called before it is acknowledged
 	Rejected func(err error)                // a version was turned down
 	Failed   func(err error)                // the watch has ended
@@ -37,7 +37,7 @@
 	node    string
 	names   []string
 	changes bool
-	hear    Hear
+	hear    Handler
 
 	mu     sync.Mutex
 	conn   *grpc.ClientConn
@@ -48,7 +48,7 @@
 }
 
 // New prepares a watch of the named resources; Ask starts it.
-func New(address, node string, names []string, changes bool, hear Hear) (*Watch, error) {
+func New(address, node string, names []string, changes bool, hear Handler) (*Watch, error) {
 	conn, err := grpc.NewClient("passthrough:///"+address, grpc.WithTransportCredentials(insecure.NewCredentials()))
 	if err != nil {
 		return nil, fmt.Errorf("register at %s: %w", address, err)
--- a/internal/sheet/sheet.go
+++ b/internal/sheet/sheet.go
@@ -22,38 +22,38 @@
 	"gopkg.in/ini.v1"
 )
 
-// Mistake is one thing wrong with a file.
-type Mistake struct {
+// SyntaxError is one thing wrong with a file.
+type SyntaxError struct {
 	File string
 	Line int
 	Text string
 }
 
-func (m Mistake) Error() string { return fmt.Sprintf("%s:%d: %s", m.File, m.Line, m.Text) }
+func (m SyntaxError) Error() string { return fmt.Sprintf("%s:%d: %s", m.File, m.Line, m.Text) }
 
-// Sheet is one file.
-type Sheet struct {
+// File is one file.
+type File struct {
 	file     string
 	ini      *ini.File
 	lines    map[[2]string]int
 	asked    map[[2]string]bool
 	sections []string
-	mistakes []Mistake
+	mistakes []SyntaxError
 }
 
 // Read reads a file. What is wrong with it is told by Done.
-func Read(file string) *Sheet {
+func Read(file string) *File {
 	text, err := os.ReadFile(file)
 	s := Parse(file, string(text))
 	if err != nil {
-		s.mistakes = []Mistake{{file, 0, "can't be read: " + err.Error()}}
+		s.mistakes = []SyntaxError{{file, 0, "can't be read: " + err.Error()}}
 	}
 	return s
 }
 
 // Parse reads text that came from file.
-func Parse(file, text string) *Sheet {
-	s := &Sheet{file: file, lines: map[[2]string]int{}, asked: map[[2]string]bool{}}
+func Parse(file, text string) *File {
+	s := &File{file: file, lines: map[[2]string]int{}, asked: map[[2]string]bool{}}
 	section := ""
 	var kept []string // what ini is given: lines known to be well formed
 	for i, line := range strings.Split(text, "\n") {
@@ -102,12 +102,12 @@
 	return s
 }
 
-func (s *Sheet) wrong(line int, format string, values ...any) {
-	s.mistakes = append(s.mistakes, Mistake{s.file, line, fmt.Sprintf(format, values...)})
+func (s *File) wrong(line int, format string, values ...any) {
+	s.mistakes = append(s.mistakes, SyntaxError{s.file, line, fmt.Sprintf(format, values...)})
 }
 
 // Done tells all mistakes, in order of their lines; nil if there are none.
-func (s *Sheet) Done() error {
+func (s *File) Done() error {
 	for at, line := range s.lines {
 		if at[1] != "" && !s.asked[at] {
 			s.wrong(line, "no one knows %q in [%s]", at[1], at[0])
@@ -115,7 +115,7 @@
 			s.wrong(line, "no one knows the section [%s]", at[0])
 		}
 	}
-	slices.SortStableFunc(s.mistakes, func(a, b Mistake) int { return cmp.Compare(a.Line, b.Line) })
+	slices.SortStableFunc(s.mistakes, func(a, b SyntaxError) int { return cmp.Compare(a.Line, b.Line) })
 	var all []error
 	for _, m := range s.mistakes {
 		all = append(all, m)
@@ -124,20 +124,20 @@
 	return errors.Join(all...)
 }
 
-// Part is one section.
-type Part struct {
-	sheet *Sheet
+// Section is one section.
+type Section struct {
+	sheet *File
 	name  string
 }
 
 // Part is the section of that name; one that is absent has only default values.
-func (s *Sheet) Part(name string) Part {
+func (s *File) Part(name string) Section {
 	s.asked[[2]string{name, ""}] = true
-	return Part{s, name}
+	return Section{s, name}
 }
 
 // Parts are the sections whose names start with word and a space, with the rest of their names, in order.
-func (s *Sheet) Parts(word string) (parts []Part, names []string) {
+func (s *File) Parts(word string) (parts []Section, names []string) {
 	for _, section := range s.sections {
 		if name, ok := strings.CutPrefix(section, word+" "); ok {
 			parts, names = append(parts, s.Part(section)), append(names, name)
@@ -147,13 +147,13 @@
 }
 
 // Has tells whether the section stands in the file.
-func (p Part) Has() bool { return p.sheet.lines[[2]string{p.name, ""}] > 0 }
+func (p Section) Has() bool { return p.sheet.lines[[2]string{p.name, ""}] > 0 }
 
 // Line is where the section starts.
-func (p Part) Line() int { return p.sheet.lines[[2]string{p.name, ""}] }
+func (p Section) Line() int { return p.sheet.lines[[2]string{p.name, ""}] }
 
 // Wrong tells a mistake of a key, or of the section where the key is empty or absent.
-func (p Part) Wrong(key, format string, values ...any) {
+func (p Section) Wrong(key, format string, values ...any) {
 	line := p.sheet.lines[[2]string{p.name, key}]
 	if line == 0 {
 		line = max(1, p.Line())
@@ -162,7 +162,7 @@
 }
 
 // Text is the value of a key, or without; a key with no default ("!") must stand in the file.
-func (p Part) Text(key, without string) string {
+func (p Section) Text(key, without string) string {
 	at := [2]string{p.name, key}
 	p.sheet.asked[at] = true
 	if p.sheet.lines[at] == 0 {
@@ -180,7 +180,7 @@
 }
 
 // read reads a value, and tells what was expected where it is another one.
-func read[T any](p Part, key, without, expected string, of func(string) (T, error)) (v T) {
+func read[T any](p Section, key, without, expected string, of func(string) (T, error)) (v T) {
 	text := p.Text(key, without)
 	if text == "" {
 		return v
@@ -195,7 +195,7 @@
 var errOther = errors.New("other")
 
 // Span is a time with a unit, 0 or more.
-func (p Part) Span(key, without string) time.Duration {
+func (p Section) Span(key, without string) time.Duration {
 	return read(p, key, without, "a time with a unit, such as 250ms or 2s,", func(s string) (time.Duration, error) {
 		d, err := time.ParseDuration(s)
 		if s == "0" || d < 0 || err != nil {
@@ -206,12 +206,12 @@
 }
 
 // Share is a percentage from 0% to 100%, as a number from 0 to 1.
-func (p Part) Share(key, without string) float64 {
+func (p Section) Share(key, without string) float64 {
 	return read(p, key, without, "a share from 0% to 100%", readShare)
 }
 
 // Shares are several of them.
-func (p Part) Shares(key, without string) []float64 {
+func (p Section) Shares(key, without string) []float64 {
 	return read(p, key, without, "shares from 0% to 100%, with commas between them,", func(s string) (all []float64, err error) {
 		for part := range strings.SplitSeq(s, ",") {
 			v, err := readShare(strings.TrimSpace(part))
@@ -234,7 +234,7 @@
 }
 
 // Number is a number from low to high.
-func (p Part) Number(key, without string, low, high float64) float64 {
+func (p Section) Number(key, without string, low, high float64) float64 {
 	return read(p, key, without, fmt.Sprintf("a number from %g to %g", low, high), func(s string) (float64, error) {
 		v, err := strconv.ParseFloat(s, 64)
 		if err != nil || !(v >= low && v <= high) || math.IsInf(v, 0) {
@@ -245,7 +245,7 @@
 }
 
 // Whole is a whole number from low to high.
-func (p Part) Whole(key, without string, low, high int) int {
+func (p Section) Whole(key, without string, low, high int) int {
 	return read(p, key, without, fmt.Sprintf("a whole number from %d to %d", low, high), func(s string) (int, error) {
 		v, err := strconv.Atoi(s)
 		if err != nil || v < low || v > high {
@@ -256,17 +256,17 @@
 }
 
 // Seed is a whole number from 0 on.
-func (p Part) Seed(key, without string) uint64 {
+func (p Section) Seed(key, without string) uint64 {
 	return read(p, key, without, "a whole number", func(s string) (uint64, error) { return strconv.ParseUint(s, 10, 64) })
 }
 
 // Switch is on or off.
-func (p Part) Switch(key, without string) bool {
+func (p Section) Switch(key, without string) bool {
 	return p.OneOf(key, without, "on", "off") == "on"
 }
 
 // OneOf is one of some words.
-func (p Part) OneOf(key, without string, words ...string) string {
+func (p Section) OneOf(key, without string, words ...string) string {
 	return read(p, key, without, strings.Join(words, " or "), func(s string) (string, error) {
 		if !slices.Contains(words, s) {
 			return "", errOther
@@ -276,7 +276,7 @@
 }
 
 // Bytes is a size with a unit: B, KiB, MiB or GiB.
-func (p Part) Bytes(key, without string) int {
+func (p Section) Bytes(key, without string) int {
 	return read(p, key, without, "a size with a unit, such as 64KiB or 1MiB,", func(s string) (int, error) {
 		for _, unit := range []struct {
 			name string
@@ -295,7 +295,7 @@
 }
 
 // List are words with commas between them.
-func (p Part) List(key, without string) (words []string) {
+func (p Section) List(key, without string) (words []string) {
 	for part := range strings.SplitSeq(p.Text(key, without), ",") {
 		if part = strings.TrimSpace(part); part != "" {
 			words = append(words, part)
@@ -305,7 +305,7 @@
 }
 
 // Address is HOST:PORT.
-func (p Part) Address(key, without string) string {
+func (p Section) Address(key, without string) string {
 	return read(p, key, without, "an address such as 127.0.0.1:8080", func(s string) (string, error) {
 		host, port, err := net.SplitHostPort(s)
 		n, numeric := strconv.Atoi(port)
@@ -317,7 +317,7 @@
 }
 
 // Networks are address ranges such as 10.0.0.0/8, with commas between them.
-func (p Part) Networks(key, without string) []netip.Prefix {
+func (p Section) Networks(key, without string) []netip.Prefix {
 	return read(p, key, without, "networks such as 10.1.0.0/16, with commas between them,", func(s string) (all []netip.Prefix, err error) {
 		for part := range strings.SplitSeq(s, ",") {
 			n, err := netip.ParsePrefix(strings.TrimSpace(part))
--- a/internal/stand/host.go
+++ b/internal/stand/host.go
@@ -43,7 +43,7 @@
 type Kind struct {
 	Name   string
 	Work   time.Duration // mean; single tasks from half to one and a half of it
-	Repeat logic.Repeat
+	Repeat logic.Idempotency
 	Memory time.Duration
 }
 
@@ -370,7 +370,7 @@
 		h.reply(w, r, kind, began, 500, "failed")
 		return
 	}
-	if kind.Repeat != logic.Fingerprinted || h.marks.First(r.Header.Get("Idempotency-Key"), kind.Memory) {
+	if kind.Repeat != logic.IdempotentWithKey || h.marks.First(r.Header.Get("Idempotency-Key"), kind.Memory) {
 		if h.book != nil {
 			h.book.Ran(h.Seen, task)
 		}
--- a/internal/stand/register.go
+++ b/internal/stand/register.go
@@ -29,7 +29,7 @@
 // Entry is one host in the list.
 type Entry struct {
 	Host     *Host
-	Standing logic.Standing
+	Standing logic.EndpointState
 }
 
 // Register is a stand-in for the host list: EDS over gRPC, one resource for each location, whole lists and changes.
@@ -87,7 +87,7 @@
 	defer r.mu.Unlock()
 	r.version++
 	for _, e := range entries {
-		if e.Standing == logic.Gone {
+		if e.Standing == logic.Removed {
 			delete(r.entries, e.Host.ID)
 		} else {
 			r.entries[e.Host.ID] = e
@@ -185,9 +185,9 @@
 }
 
 // resource is one location's list, with the standings in it.
-func (r *Register) resource(name string) (*anypb.Any, map[uint32]logic.Standing) {
+func (r *Register) resource(name string) (*anypb.Any, map[uint32]logic.EndpointState) {
 	a := &endpointv3.ClusterLoadAssignment{ClusterName: name}
-	standing := map[uint32]logic.Standing{}
+	standing := map[uint32]logic.EndpointState{}
 	byPlace := map[string]*endpointv3.LocalityLbEndpoints{}
 	for id, e := range r.entries {
 		if r.group+"/"+e.Host.Location != name {
@@ -241,13 +241,13 @@
 }
 
 // acked notes what a router is now known to have been told.
-func (r *Register) acked(router string, sent map[uint32]logic.Standing, was map[uint32]logic.Standing) {
+func (r *Register) acked(router string, sent map[uint32]logic.EndpointState, was map[uint32]logic.EndpointState) {
 	if r.book == nil {
 		return
 	}
-	now := map[uint32]logic.Standing{}
+	now := map[uint32]logic.EndpointState{}
 	for id := range was {
-		now[id] = logic.Gone
+		now[id] = logic.Removed
 	}
 	for id, s := range sent {
 		now[id] = s
@@ -266,7 +266,7 @@
 	go receive(s.Context().Done(), s.Recv, asks)
 	var router string
 	var names []string
-	var sent, held map[uint32]logic.Standing
+	var sent, held map[uint32]logic.EndpointState
 	nonce, version := "", -1
 	for {
 		select {
@@ -302,7 +302,7 @@
 		version = r.version
 		out := &discoveryv3.DiscoveryResponse{VersionInfo: strconv.Itoa(version), TypeUrl: register.TypeURL,
 			Nonce: fmt.Sprint("n", version, "-", time.Now().UnixNano())}
-		sent = map[uint32]logic.Standing{}
+		sent = map[uint32]logic.EndpointState{}
 		for _, name := range names {
 			raw, standing := r.resource(name)
 			out.Resources = append(out.Resources, raw)
@@ -330,8 +330,8 @@
 	var router, nonce string
 	names := map[string]bool{}
 	has := map[string]int{}
-	var pending map[string]map[uint32]logic.Standing
-	held := map[string]map[uint32]logic.Standing{}
+	var pending map[string]map[uint32]logic.EndpointState
+	held := map[string]map[uint32]logic.EndpointState{}
 	first := true
 	for {
 		select {
@@ -370,7 +370,7 @@
 		}
 		out := &discoveryv3.DeltaDiscoveryResponse{TypeUrl: register.TypeURL}
 		r.mu.Lock()
-		pending = map[string]map[uint32]logic.Standing{}
+		pending = map[string]map[uint32]logic.EndpointState{}
 		for name := range names {
 			v, ok := has[name]
 			if ok && v == r.changed[name] {
--- a/internal/stand/stand_test.go
+++ b/internal/stand/stand_test.go
@@ -16,16 +16,16 @@
 type follower struct {
 	*register.Watch
 	mu       sync.Mutex
-	hosts    map[uint32]logic.Standing
+	hosts    map[uint32]logic.EndpointState
 	whole    int
 	failed   int
 	rejected int
 }
 
 func follow(t *testing.T, r *Register, changes bool) *follower {
-	f := &follower{hosts: map[uint32]logic.Standing{}}
+	f := &follower{hosts: map[uint32]logic.EndpointState{}}
 	var err error
-	f.Watch, err = register.New(r.Address(), "r1", r.Names([]string{"here", "there"}), changes, register.Hear{
+	f.Watch, err = register.New(r.Address(), "r1", r.Names([]string{"here", "there"}), changes, register.Handler{
 		Listed: func(whole bool, hosts []register.Host) {
 			f.mu.Lock()
 			defer f.mu.Unlock()
@@ -69,8 +69,8 @@
 		require.Contains(t, r.Rejected()[0], "locality.zone is missing")
 		f.eventually(t, func() bool { return f.hosts[1] == logic.Draining }) // the last good list stays
 		r.Spoil(nil)
-		r.Set(Entry{a, logic.Gone})
-		f.eventually(t, func() bool { s, known := f.hosts[1]; return !known || s == logic.Gone })
+		r.Set(Entry{a, logic.Removed})
+		f.eventually(t, func() bool { s, known := f.hosts[1]; return !known || s == logic.Removed })
 
 		r.Down(true)
 		f.eventually(t, func() bool { return f.failed == 1 })
