--- a/internal/terms/check.go
+++ b/internal/terms/check.go
@@ -55,7 +55,7 @@
 }
 
 // Check tells all that is wrong in the settings, each by its path.
-func Check(p Pairs) error {
+func Check(p Values) error {
 	var wrong []error
 	at := func(path, text string, more ...any) {
 		wrong = append(wrong, fmt.Errorf("%s: %s", path, fmt.Sprintf(text, more...)))
--- a/internal/terms/terms.go
+++ b/internal/terms/terms.go
@@ -20,41 +20,41 @@
 // Span turns microseconds into the module's time.
 func Span(us int64) logic.Time { return logic.Time(us / tenth) }
 
-// Pairs are values by path. A list of objects stands as its count and its numbered parts, one of plain values with
+// Values are values by path. A list of objects stands as its count and its numbered parts, one of plain values with
 // commas between.
-type Pairs map[string]string
+type Values map[string]string
 
 // Int is the whole number at path; none if it is absent or not a number.
-func (p Pairs) Int(path string) int64 { return int64(p.Float(path)) }
+func (p Values) Int(path string) int64 { return int64(p.Float(path)) }
 
 // Float is the number at path; 0 if it is absent or not a number.
-func (p Pairs) Float(path string) float64 {
+func (p Values) Float(path string) float64 {
 	f, _ := strconv.ParseFloat(p[path], 64)
 	return f
 }
 
 // Bool tells whether path is switched on.
-func (p Pairs) Bool(path string) bool { return p[path] == "true" || p[path] == "1" }
+func (p Values) Bool(path string) bool { return p[path] == "true" || p[path] == "1" }
 
 // List is the list of plain values at path.
-func (p Pairs) List(path string) []string {
+func (p Values) List(path string) []string {
 	if p[path] == "" {
 		return nil
 	}
 	return strings.Split(p[path], ",")
 }
 
-func (p Pairs) span(path string) logic.Time { return Span(p.Int(path)) }
+func (p Values) span(path string) logic.Time { return Span(p.Int(path)) }
 
 // Flatten reads a JSON object as pairs.
-func Flatten(text []byte) (Pairs, error) {
+func Flatten(text []byte) (Values, error) {
 	d := json.NewDecoder(bytes.NewReader(text))
 	d.UseNumber()
 	var all map[string]any
 	if err := d.Decode(&all); err != nil {
 		return nil, err
 	}
-	p := Pairs{}
+	p := Values{}
 	for name, v := range all {
 		if err := p.put(name, v); err != nil {
 			return nil, err
@@ -63,7 +63,7 @@
 	return p, nil
 }
 
-func (p Pairs) put(path string, v any) error {
+func (p Values) put(path string, v any) error {
 	switch v := v.(type) {
 	case map[string]any:
 		for name, inner := range v {
@@ -98,61 +98,61 @@
 	return nil
 }
 
-// Terms are what an instance is told at its start.
-type Terms struct {
-	Place   router.Place
+// Settings are what an instance is told at its start.
+type Settings struct {
+	Place   router.Config
 	Report  Report
 	Counted logic.Time // the span of the desk's counts
 }
 
 // Read reads terms; the seed comes apart from them.
-func Read(p Pairs, seed uint64) Terms {
-	t := Terms{Report: p.List("Report.Fields")}
-	place := router.Place{Seed: seed, Routers: int(p.Int("Balancers")), Rank: int(p.Int("Rank")), Location: p["MyZone"]}
+func Read(p Values, seed uint64) Settings {
+	t := Settings{Report: p.List("Report.Fields")}
+	place := router.Config{Seed: seed, Routers: int(p.Int("Balancers")), Rank: int(p.Int("Rank")), Location: p["MyZone"]}
 	for i := range int(p.Int("Categories.count")) {
 		at := fmt.Sprintf("Categories.%d.", i)
-		c := router.Category{Name: p[at+"Name"], Promised: p.span(at + "AimUs"), Earnings: p.Float(at + "Importance"),
+		c := router.Class{Name: p[at+"Name"], Promised: p.span(at + "AimUs"), Earnings: p.Float(at + "Importance"),
 			LateShare: p.Float(at + "LateValue"), Memory: p.span(at + "WindowUs")}
-		c.Repeat = map[string]logic.Repeat{"repeatable": logic.Retriable, "by_key": logic.Fingerprinted,
-			"once": logic.Binding}[p[at+"Semantics"]]
-		c.Group = map[string]logic.Group{"zone": logic.SameLocation, "cell": logic.SameCell}[p[at+"DedupScope"]]
+		c.Repeat = map[string]logic.Idempotency{"repeatable": logic.Idempotent, "by_key": logic.IdempotentWithKey,
+			"once": logic.NonIdempotent}[p[at+"Semantics"]]
+		c.Group = map[string]logic.DedupScope{"zone": logic.ZoneScope, "cell": logic.CellScope}[p[at+"DedupScope"]]
 		place.Categories = append(place.Categories, c)
 	}
 	for i := range int(p.Int("Parties.count")) {
 		at := fmt.Sprintf("Parties.%d.", i)
 		place.Customers = append(place.Customers,
-			router.Customer{Name: p[at+"Name"], PerSecond: p.Float(at + "QuotaPerS")})
+			router.Tenant{Name: p[at+"Name"], PerSecond: p.Float(at + "QuotaPerS")})
 	}
-	place.Limits = logic.Limits{Grace: p.span("Obligations.DrainGraceUs"),
-		Cold: p.span("Obligations.ColdUs"), ColdShare: p.Float("Obligations.StartCapacity"),
-		Tip: p.Float("Obligations.TipMultiple"), TipFor: p.span("Obligations.OverloadForUs"),
-		AskWithin: p.span("Obligations.AskWithinUs"), MaxSends: int(p.Int("Permissions.MaxAttempts")),
-		MaxOpen: int(p.Int("Permissions.MaxOpen")), TwoAtOnce: p.Bool("Permissions.SecondCopies"),
-		Pushed: p["RegistryMode"] == "pushed", CrossPrice: p.Float("Prices.CrossZone"),
+	place.Limits = logic.Limits{DrainGrace: p.span("Obligations.DrainGraceUs"),
+		WarmUp: p.span("Obligations.ColdUs"), ColdCapacity: p.Float("Obligations.StartCapacity"),
+		ColdOverloadFactor: p.Float("Obligations.TipMultiple"), ColdOverloadWindow: p.span("Obligations.OverloadForUs"),
+		PollInterval: p.span("Obligations.AskWithinUs"), MaxAttempts: int(p.Int("Permissions.MaxAttempts")),
+		MaxOpen: int(p.Int("Permissions.MaxOpen")), AllowHedging: p.Bool("Permissions.SecondCopies"),
+		PushedDiscovery: p["RegistryMode"] == "pushed", CrossPrice: p.Float("Prices.CrossZone"),
 		WastePrice: p.Float("Prices.Waste"), OverShare: p.Float("OverShareWorth")}
 	const message = 256 // bytes; the wire states it, its settings don't
 	if p.Bool("Permissions.Peers") {
-		place.Limits.Peers = message
+		place.Limits.MaxGossipBytes = message
 	}
-	place.Limits.Probes = p.Bool("Permissions.Probes")
+	place.Limits.HealthChecks = p.Bool("Permissions.Probes")
 	if p.Bool("Permissions.RetryAfter") {
-		place.Limits.LongestStay = p.span("Permissions.MaxRetryAfterUs")
+		place.Limits.MaxRetryAfter = p.span("Permissions.MaxRetryAfterUs")
 	}
-	place.Desk = logic.Desk{
-		Control:  map[string]logic.Control{"share": logic.ShareOfVotes, "timer": logic.Clock}[p["Extra.Control"]],
-		ToMoveOn: int(p.Int("Extra.AyesNeeded")), ToAbort: int(p.Int("Extra.ToAbort")),
-		VoteLife: p.span("Extra.VoteStandsUs"), VoteTimeout: p.span("Extra.CallTimeoutUs"),
-		VotesASecond: p.Float("Extra.VoteAllowance"), Window: p.span("Extra.ExposureWindowUs"),
-		Free: p.Float("Extra.Free"), ByCategory: p["Extra.Counts"] == "class",
-		Guarded: int(p.Int("Extra.GuardedStages")), KeysStay: p.Bool("Extra.KeysStay"),
+	place.Desk = logic.ReleaseConfig{
+		Mode:          map[string]logic.PromotionMode{"share": logic.Quorum, "timer": logic.Timed}[p["Extra.Control"]],
+		PromoteQuorum: int(p.Int("Extra.AyesNeeded")), RollbackQuorum: int(p.Int("Extra.ToAbort")),
+		VoteTTL: p.span("Extra.VoteStandsUs"), VoteTimeout: p.span("Extra.CallTimeoutUs"),
+		MaxVotesPerSecond: p.Float("Extra.VoteAllowance"), ExposureWindow: p.span("Extra.ExposureWindowUs"),
+		ExposureAllowance: p.Float("Extra.Free"), ExposurePerClass: p["Extra.Counts"] == "class",
+		GuardedStages: int(p.Int("Extra.GuardedStages")), StickyKeys: p.Bool("Extra.KeysStay"),
 		DelayPrice: p.Float("Extra.LagFee"), HarmPrice: p.Float("Extra.HarmFee"),
-		Complaints: p.Float("Extra.ComplaintShare"), LeastTime: p.span("Extra.BakeUs"),
-		ClockTime: p.span("Extra.StageTimeUs")}
+		Complaints: p.Float("Extra.ComplaintShare"), MinStageTime: p.span("Extra.BakeUs"),
+		StageTime: p.span("Extra.StageTimeUs")}
 	if p.Int("Extra.MetricsPeriodUs") > 0 {
 		place.Desk.Counted, t.Counted = p.Float("Extra.SampledShare"), p.span("Extra.MetricsPeriodUs")
 	}
 	for _, share := range p.List("Extra.StageCap") {
-		place.Desk.Caps = append(place.Desk.Caps, Pairs{"": share}.Float(""))
+		place.Desk.ExposureCaps = append(place.Desk.ExposureCaps, Values{"": share}.Float(""))
 	}
 	t.Place = place
 	return t
@@ -162,7 +162,7 @@
 type Report []string
 
 // Load reads a report's figures in the fields' order; what is not reported is negative.
-func (r Report) Load(figures []float64) *logic.Load {
+func (r Report) Load(figures []float64) *logic.LoadReport {
 	if figures == nil {
 		return nil
 	}
@@ -174,7 +174,7 @@
 }
 
 // Named reads a report of names with their figures, such as "active=7,rps=2.5". One that can't be read whole is none.
-func (r Report) Named(text string) (*logic.Load, error) {
+func (r Report) Named(text string) (*logic.LoadReport, error) {
 	l := blank()
 	for pair := range strings.SplitSeq(text, ",") {
 		name, figure, ok := strings.Cut(strings.TrimSpace(pair), "=")
@@ -187,11 +187,11 @@
 	return l, nil
 }
 
-func blank() *logic.Load {
-	return &logic.Load{Active: -1, Waiting: -1, Busy: -1, Service: -1, Rate: -1}
+func blank() *logic.LoadReport {
+	return &logic.LoadReport{Active: -1, Waiting: -1, Busy: -1, Service: -1, Rate: -1}
 }
 
-func enter(l *logic.Load, field string, v float64) {
+func enter(l *logic.LoadReport, field string, v float64) {
 	switch field {
 	case "active":
 		l.Active = v
--- a/internal/terms/terms_test.go
+++ b/internal/terms/terms_test.go
@@ -15,7 +15,7 @@
 	"Obligations":{"DrainGraceUs":2000000,"StartCapacity":0.33},"Report":{"Fields":["rps","avg_ms","active"],"How":"inline"},
 	"Extra":{"Control":"share","StageCap":[0.096,0.48,1.0],"AyesNeeded":2,"MetricsPeriodUs":1500000,"SampledShare":0.5}}`
 
-var paired = Pairs{"Balancers": "3", "Rank": "1", "MyZone": "here", "Categories.count": "2", "Categories.0.Name": "quote",
+var paired = Values{"Balancers": "3", "Rank": "1", "MyZone": "here", "Categories.count": "2", "Categories.0.Name": "quote",
 	"Categories.0.AimUs": "380000", "Categories.0.Importance": "1", "Categories.0.LateValue": "0.2",
 	"Categories.0.Semantics": "repeatable", "Categories.0.DedupScope": "all", "Categories.0.WindowUs": "5000000",
 	"Categories.1.Name": "pay", "Categories.1.AimUs": "250000", "Categories.1.Importance": "3", "Categories.1.Semantics": "once",
@@ -32,10 +32,10 @@
 	require.Equal(t, want, got)
 	require.Equal(t, 3, got.Place.Routers)
 	require.Equal(t, logic.Time(3800), got.Place.Categories[0].Promised)
-	require.Equal(t, logic.Binding, got.Place.Categories[1].Repeat)
-	require.Equal(t, logic.SameCell, got.Place.Categories[1].Group)
-	require.Equal(t, []float64{0.096, 0.48, 1}, got.Place.Desk.Caps)
-	require.Equal(t, logic.Time(20000), got.Place.Limits.LongestStay)
+	require.Equal(t, logic.NonIdempotent, got.Place.Categories[1].Repeat)
+	require.Equal(t, logic.CellScope, got.Place.Categories[1].Group)
+	require.Equal(t, []float64{0.096, 0.48, 1}, got.Place.Desk.ExposureCaps)
+	require.Equal(t, logic.Time(20000), got.Place.Limits.MaxRetryAfter)
 	require.Equal(t, logic.Time(15000), got.Counted)
 }
 
@@ -53,7 +53,7 @@
 	got, err := r.Named("active=7, rps=2.5,avg_ms=40")
 	require.NoError(t, err)
 	require.Equal(t, r.Load([]float64{2.5, 40, 7}), got)
-	require.Equal(t, &logic.Load{Active: 7, Waiting: -1, Busy: -1, Service: 400, Rate: 2.5}, got)
+	require.Equal(t, &logic.LoadReport{Active: 7, Waiting: -1, Busy: -1, Service: 400, Rate: 2.5}, got)
 	for _, text := range []string{"", "active", "active=", "active=x", "active=NaN", "active=-1", "active=1,,", "active=+Inf", "\x00"} {
 		_, err := r.Named(text)
 		require.Error(t, err, text)
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -30,7 +30,7 @@
 type (
 	Launch struct {
 		Prng   uint64
-		Params terms.Pairs
+		Params terms.Values
 	}
 	Entry struct {
 		Host             uint32
@@ -244,7 +244,7 @@
 		if err != nil {
 			f.fail("a seed")
 		}
-		p := terms.Pairs{}
+		p := terms.Values{}
 		for pair := range strings.FieldsSeq(f.rest) {
 			path, value, ok := strings.Cut(pair, "=")
 			if !ok {
--- a/logic/logic.go
+++ b/logic/logic.go
@@ -12,50 +12,50 @@
 )
 
 // NewRouter starts a router that knows nothing but its place.
-func NewRouter(now Time, p Place, hands Hands) *Router {
-	r := &Router{hands: hands, seed: p.Seed, now: now, born: now, routers: max(1, p.Routers), rank: p.Rank,
-		location: p.Location, cats: p.Categories, limits: p.Limits, desk: p.Desk, kept: map[string]int{},
+func NewRouter(now Time, p Config, hands Effects) *Router {
+	r := &Router{effects: hands, seed: p.Seed, now: now, born: now, routers: max(1, p.Routers), rank: p.Rank,
+		location: p.Zone, cats: p.Classes, limits: p.Limits, desk: p.Release, kept: map[string]int{},
 		blames: map[int]int{}, unsaid: map[int]int{}, crowd: 0.3} // a fleet neither idle nor full, until known
 	for _, c := range r.cats {
-		c.mid = max(1, c.Promised/5) // until something is known
+		c.mid = max(1, c.LatencyObjective/5) // until something is known
 	}
-	if hands.WakeUp(judgeEvery, &Alarm{}); !p.Limits.Pushed { // many that start at once don't ask as one
-		hands.WakeUp(Time(r.chance(int(min(2*Second, Time(r.routers-1)*Second/10))+1)), &Alarm{list: true})
+	if hands.SetTimer(judgeEvery, &Timer{}); !p.Limits.PushedDiscovery { // many that start at once don't ask as one
+		hands.SetTimer(Time(r.chance(int(min(2*Second, Time(r.routers-1)*Second/10))+1)), &Timer{list: true})
 	}
 	return r
 }
 
-// Due rings an alarm: of a send that takes long, of the list, or of the regular look at the build on trial.
-func (r *Router) Due(now Time, a *Alarm) {
+// TimerFired rings an alarm: of a send that takes long, of the list, or of the regular look at the build on trial.
+func (r *Router) TimerFired(now Time, a *Timer) {
 	r.now = now
 	switch {
 	case a.list:
 		r.asked = now
-		r.hands.WatchHosts()
-	case a.send == nil:
+		r.effects.WatchEndpoints()
+	case a.attempt == nil:
 		r.crowding(40, 6, 0.02, 1.5) // few sends make no line, and one very long task says little
 		r.review()
 		r.gossip()
 		r.scout()
 		r.judge()
-		r.hands.WakeUp(judgeEvery, a)
-	case a.send.fate == Out && !a.send.began:
-		r.step(a.send.Task, lingers)
+		r.effects.SetTimer(judgeEvery, a)
+	case a.attempt.outcome == Pending && !a.attempt.began:
+		r.step(a.attempt.Request, lingers)
 	}
 }
 
 // ---- The host list ----
 
-// Listed takes in changes to the host list; ok is false when a call for it failed, or a watch that stood. The
+// EndpointsChanged takes in changes to the host list; ok is false when a call for it failed, or a watch that stood. The
 // latter is asked for anew soon, inside the time after which what it misses counts as told; a call far slower
 // and spread out, as a service with more callers than it can take answers none in time.
-func (r *Router) Listed(now Time, changes []Listing, ok bool) {
+func (r *Router) EndpointsChanged(now Time, changes []EndpointUpdate, ok bool) {
 	r.now = now
 	if !ok {
 		r.lost = max(r.lost, map[bool]int{true: 1}[now-r.asked < 3*Second]) // a call ends by then, a watch goes on
-		wait := min(3*Second/8<<min(2*r.lost, 6), max(r.limits.AskWithin, Second)*2/5)
+		wait := min(3*Second/8<<min(2*r.lost, 6), max(r.limits.PollInterval, Second)*2/5)
 		r.lost++
-		r.hands.WakeUp(wait+Time(r.chance(int(wait)+1)), &Alarm{list: true})
+		r.effects.SetTimer(wait+Time(r.chance(int(wait)+1)), &Timer{list: true})
 		return
 	}
 	r.lost = 0
@@ -69,20 +69,20 @@
 // room tells whether one more send of the category at a build on trial keeps the rule on exposure. Sends are
 // counted over a little more than the window and tasks over a little less. What an earlier life of this
 // router sent is unknown after a start, so nothing goes there until one window has passed.
-func (r *Router) room(build int, c *Category) bool {
+func (r *Router) room(build int, c *Class) bool {
 	const edge = Second / 20 // several ticks of any clock
 	on, stage, share := r.trial(build)
 	if !on {
 		return true
 	}
-	if share <= 0 || r.now-r.born < r.desk.Window+edge || c.Repeat != Retriable && stage < r.desk.Guarded {
+	if share <= 0 || r.now-r.born < r.desk.ExposureWindow+edge || c.Idempotency != Idempotent && stage < r.desk.GuardedStages {
 		return false
 	}
-	if !r.desk.ByCategory {
+	if !r.desk.ExposurePerClass {
 		c = nil
 	}
-	tried, taken := since(r.tried, r.now-r.desk.Window-edge, c), since(r.taken, r.now-r.desk.Window+edge, c)
-	return tried+1 <= r.desk.Free+share*taken
+	tried, taken := since(r.tried, r.now-r.desk.ExposureWindow-edge, c), since(r.taken, r.now-r.desk.ExposureWindow+edge, c)
+	return tried+1 <= r.desk.ExposureAllowance+share*taken
 }
 
 // mayWarm keeps a cold host from being pushed over by all routers together: each sends its part of what the
@@ -94,11 +94,11 @@
 	if r.warm(h) {
 		return true
 	}
-	budget := part * r.limits.Tip * r.strength(h) * float64(r.limits.TipFor) * r.rate(flowOver)
-	if since(h.sent, r.now-r.limits.TipFor, nil)+1 > max(1, budget) {
+	budget := part * r.limits.ColdOverloadFactor * r.strength(h) * float64(r.limits.ColdOverloadWindow) * r.rate(flowOver)
+	if since(h.sent, r.now-r.limits.ColdOverloadWindow, nil)+1 > max(1, budget) {
 		return false
 	}
-	due := since(r.taken, r.now-flowOver, nil) * float64(r.limits.TipFor) / float64(flowOver) *
+	due := since(r.taken, r.now-flowOver, nil) * float64(r.limits.ColdOverloadWindow) / float64(flowOver) *
 		r.able(h) / max(r.able(h), r.oldAble()) // on trial too, where shares are those of earlier hosts
 	return due <= budget || float64(r.chance(1000)) < 1000*budget/due
 }
@@ -130,7 +130,7 @@
 // miss costs windows, classes and tails beyond its earnings. Most of a large fleet was heard of long ago, so
 // some that reported just now, to this router alone, are drawn too. While many hosts take no connections, as
 // after deaths that no list tells or where these are scarce, only links that work are used.
-func (r *Router) pick(t *Task, fits func(*Host) bool) (best *Host) {
+func (r *Router) pick(t *Request, fits func(*Host) bool) (best *Host) {
 	const doubt, old = 8, 10 * Second // few sends prove little, and hosts change
 	const lately, more = Second, 3    // as long as a report says much; few, lest one host draws all
 	const barred, last = 0.2, 20      // of the last sends: more than a few hosts refuse
@@ -140,7 +140,7 @@
 		r.here = here // so that what it grew to is kept
 	}
 	busy := func(h *Host) float64 { return r.pace(h, doubt, old) * (1 + r.held(h)) }
-	scarce := r.share(last, func(x moment) bool { return x.fate == NoLink }) > barred
+	scarce := r.share(last, func(x moment) bool { return x.fate == ConnectFailed }) > barred
 	draw := func(from []*Host) (best *Host) {
 		known := r.lately(from, r.now-lately)
 		try := func(n int, from []*Host) {
@@ -190,7 +190,7 @@
 	there, here := r.way(), r.ways[near].as(r.now)
 	poor := there.bad >= few && there.bad/there.n >= here.bad/max(1, here.n)+gap
 	// What fades is no good news: where probes tell, the way stays shut until something came through.
-	r.shut = poor || r.shut && r.limits.Probes && there.n-there.bad < few/2
+	r.shut = poor || r.shut && r.limits.HealthChecks && there.n-there.bad < few/2
 	return !r.shut
 }
 
@@ -222,28 +222,28 @@
 }
 
 // mayGo keeps repeats among the hosts that drop them, and off hosts that the task has already tried.
-func (r *Router) mayGo(t *Task, h *Host) bool {
+func (r *Router) mayGo(t *Request, h *Host) bool {
 	const edge = Second / 20 // of a group's memory: the way to the host counts too
-	if slices.ContainsFunc(t.Sends, func(s *Send) bool { return s.Host == h }) || !r.mayWarm(h) ||
+	if slices.ContainsFunc(t.Attempts, func(s *Attempt) bool { return s.Host == h }) || !r.mayWarm(h) ||
 		h.health == shunned && r.now < h.until {
 		return false
 	}
-	x, c := t.risky, t.Category
+	x, c := t.risky, t.Class
 	switch {
-	case x == nil || c.Repeat == Retriable:
+	case x == nil || c.Idempotency == Idempotent:
 		return true
-	case c.Repeat == Binding || r.now-x.at > c.Memory-edge:
+	case c.Idempotency == NonIdempotent || r.now-x.at > c.DedupWindow-edge:
 		return false
 	}
-	here := h.Location == x.Host.Location && (c.Group == SameLocation || h.Cell == x.Host.Cell)
-	return here || c.Group == Everywhere
+	here := h.Zone == x.Host.Zone && (c.DedupScope == ZoneScope || h.Cell == x.Host.Cell)
+	return here || c.DedupScope == FleetScope
 }
 
 // earlier picks a host for the ordinary way: of the newest build that is not on trial, else of an older one,
 // else whatever the rule on exposure allows. Keys stay with the build that answered them where that is told.
-func (r *Router) earlier(t *Task) *Host {
+func (r *Router) earlier(t *Request) *Host {
 	sticks, m := 0, r.standing()
-	if t.Key != "" && r.desk.KeysStay && (r.news.Phase == OnTrial || r.news.Phase == Released) {
+	if t.Key != "" && r.desk.StickyKeys && (r.news.Phase == Canary || r.news.Phase == Released) {
 		sticks = r.kept[t.Key]
 	}
 	level, newest := 0, m.newest
@@ -252,7 +252,7 @@
 	}
 	for ; level < 3; level++ {
 		if h := r.pick(t, func(h *Host) bool {
-			return h.Build >= sticks && (level == 2 && r.room(h.Build, t.Category) ||
+			return h.Build >= sticks && (level == 2 && r.room(h.Build, t.Class) ||
 				level < 2 && r.old(h) && h.health != sick && (level == 1 || h.Build == newest))
 		}); h != nil {
 			return h
@@ -263,16 +263,16 @@
 
 // probation picks a sick host whose turn for a trickle has come; only repeatable tasks go there. Where peers
 // tell what they meet, the trickle is that of all routers, or hundreds of them would keep a sick host busy.
-func (r *Router) probation(t *Task) *Host {
+func (r *Router) probation(t *Request) *Host {
 	const wait, all = Second, 4.0 // slow enough to cost little, fast enough to find a recovery; of all, in it
 	few := all * float64(r.standing().sick) / float64(r.routers)
-	if r.standing().sick == 0 || r.limits.Peers > 0 &&
+	if r.standing().sick == 0 || r.limits.MaxGossipBytes > 0 &&
 		float64(r.chance(1000)) >= 1000*few/max(1, since(r.taken, r.now-wait, nil)) {
 		r.drawn++ // as pick does for whatever it finds
 		return nil
 	}
 	return r.pick(t, func(h *Host) bool {
-		return h.health == sick && t.Category.Repeat == Retriable && r.old(h) &&
+		return h.health == sick && t.Class.Idempotency == Idempotent && r.old(h) &&
 			len(h.open) == 0 && since(h.sent, r.now-wait, nil) == 0
 	})
 }
@@ -282,13 +282,13 @@
 // release, and what a good build serves early is worth its delay. Categories with an effect follow after
 // the first stages, a few until they have been judged, and then all whose likely harm costs less than the
 // delay of the rest.
-func (r *Router) onTrial(t *Task) *Host {
+func (r *Router) onTrial(t *Request) *Host {
 	const taste = 0.25                          // of what earlier hosts get, effects not yet judged
 	const cleared, guilty, fails = 0.1, 10, 0.3 // odds; what a bad build fails of a category, more or less
 	const lately, least, all = 2 * Second, 2, 8 // a while, copies in it of each router at the least, and of all
-	n, c := r.news, t.Category
-	alone := r.ballot.voice == Back && r.desk.ToAbort <= 1 // others may not agree, and more copies change a mind
-	if !r.heard || n.Phase != OnTrial || alone || r.resting() || !r.room(n.Build, c) {
+	n, c := r.news, t.Class
+	alone := r.ballot.voice == Rollback && r.desk.RollbackQuorum <= 1 // others may not agree, and more copies change a mind
+	if !r.heard || n.Phase != Canary || alone || r.resting() || !r.room(n.Build, c) {
 		return nil
 	}
 	both := r.together()
@@ -302,7 +302,7 @@
 	peer := func(h *Host) bool { return r.old(h) && (by(h) || r.spreads()) }
 	each := since(r.taken, r.now-lately, nil) / max(1, r.allAble(peer))
 	due := max(min(least, all/float64(r.routers)), each*r.allAble(on))
-	if c.Repeat != Retriable && r.desk.HarmPrice*fails*c.odds >= r.desk.DelayPrice {
+	if c.Idempotency != Idempotent && r.desk.HarmPrice*fails*c.odds >= r.desk.DelayPrice {
 		if c.odds < cleared || c.odds > guilty || float64(r.chance(1000)) >= 1000*taste {
 			return nil
 		}
@@ -312,12 +312,12 @@
 	} else { // less than a router can count: by chance, lest all of them send at once
 		due = due/max(1, since(r.taken, r.now-lately, nil)) - float64(r.chance(1000))/1000
 	}
-	if due < 0 || c.Repeat != Retriable && n.Stage == 0 {
+	if due < 0 || c.Idempotency != Idempotent && n.Stage == 0 {
 		return nil
 	}
 	most := r.holds() + 1                 // tasks: a line that copies make is no build's fault
 	return r.pick(t, func(h *Host) bool { // a sick one is judged too, but not at the cost of an effect
-		return on(h) && (h.health != sick || c.Repeat == Retriable) && r.held(h) <= most &&
+		return on(h) && (h.health != sick || c.Idempotency == Idempotent) && r.held(h) <= most &&
 			since(h.sent, r.now-lately, nil) < max(1, each*r.able(h)) // not what others are too cold for
 	})
 }
@@ -338,9 +338,9 @@
 }
 
 // place sends a new task on its ordinary way: to the earlier build, with a copy or a lone copy on trial.
-func (r *Router) place(t *Task) {
+func (r *Router) place(t *Request) {
 	h := r.onTrial(t)
-	if h != nil && t.Category.Repeat == Retriable && r.limits.TwoAtOnce {
+	if h != nil && t.Class.Idempotency == Idempotent && r.limits.AllowHedging {
 		if first := r.earlier(t); first != nil && r.old(first) { // else both would go to the build on trial
 			r.send(t, first, original)
 		}
@@ -384,34 +384,34 @@
 
 // tooLate turns a task back early when the hosts around the one chosen would answer it too late. The less a
 // task earns for its time, the sooner, and sooner yet beyond its customer's share.
-func (r *Router) tooLate(t *Task, h *Host) bool {
+func (r *Router) tooLate(t *Request, h *Host) bool {
 	const high, low, beyond = 1.0, 0.8, 0.5 // of the promised time: the tail is longer than the mean
 	const last, firm, least = 30, 1.0, 0.4  // of the last answers: as many as come late, the sooner
 	const begin, end = 0.4, 0.8             // of the limit: what all know alike not all must do at once
 	limit, better := high, 0
 	for _, c := range r.cats {
-		if c.Earnings*float64(t.Category.mid) > t.Category.Earnings*float64(c.mid) {
+		if c.PriorityWeight*float64(t.Class.mid) > t.Class.PriorityWeight*float64(c.mid) {
 			better++
 		}
 	}
 	if 2*better >= len(r.cats) {
 		limit = low
 	}
-	if c := t.Customer; c != nil && since(c.taken, r.now-2*Second, nil) > 2.4*c.PerSecond/float64(r.routers) {
+	if c := t.Tenant; c != nil && since(c.taken, r.now-2*Second, nil) > 2.4*c.QuotaPerSecond/float64(r.routers) {
 		limit *= beyond
 	}
-	limit *= max(least, 1-firm*r.lateOf(t.Category, last))
-	limit *= float64(min(t.Category.Promised, t.Patience))
-	if r.limits.Peers == 0 {
-		return r.jam(r.side(h))*float64(t.Category.mid) > limit
+	limit *= max(least, 1-firm*r.lateOf(t.Class, last))
+	limit *= float64(min(t.Class.LatencyObjective, t.Timeout))
+	if r.limits.MaxGossipBytes == 0 {
+		return r.jam(r.side(h))*float64(t.Class.mid) > limit
 	}
-	took := r.rushed(t.Category) * float64(t.Category.mid)
+	took := r.rushed(t.Class) * float64(t.Class.mid)
 	return float64(r.chance(1000)) < 1000*(took/limit-begin)/(end-begin)
 }
 
 // rushed is the jam of one category, as this router and its peers see it together: one alone of hundreds
 // holds a send or none, and a category that waits by itself at all hosts is no jam of the others.
-func (r *Router) rushed(c *Category) float64 {
+func (r *Router) rushed(c *Class) float64 {
 	const few, luck, lag = 10, 0.5, 3.0 // usual answers to lean on; as in a jam seen alone
 	out, hosts := 0.0, float64(r.standing().well[near]+r.standing().well[far])
 	r.waits()
@@ -428,30 +428,30 @@
 	return min((out*float64(fading)+lean)/work, lag*took/work)
 }
 
-func (r *Router) send(t *Task, h *Host, how role) {
+func (r *Router) send(t *Request, h *Host, how role) {
 	s := r.enlist(t, h, how)
-	within, slowest := t.at+t.Patience-r.now, t.Category.Promised/2
-	if len(t.Category.took) >= 40 { // fewer show no tail
-		slowest = above(t.Category.took, 0.05)
+	within, slowest := t.at+t.Timeout-r.now, t.Class.LatencyObjective/2
+	if len(t.Class.took) >= 40 { // fewer show no tail
+		slowest = above(t.Class.took, 0.05)
 	}
-	lingersAt := max(slowest*3/2, t.Category.mid*2) // beyond 19 in 20, with some slack
-	s.fair = min(within, Time(float64(max(lingersAt, t.Category.Promised/3))/r.strength(h)))
+	lingersAt := max(slowest*3/2, t.Class.mid*2) // beyond 19 in 20, with some slack
+	s.fair = min(within, Time(float64(max(lingersAt, t.Class.LatencyObjective/3))/r.strength(h)))
 	switch {
-	case !t.Category.mayRepeat():
-	case r.limits.TwoAtOnce && how != copied:
-		r.hands.WakeUp(lingersAt, &Alarm{send: s})
-	case r.limits.TwoAtOnce || len(t.Sends) >= r.limits.MaxSends:
+	case !t.Class.mayRepeat():
+	case r.limits.AllowHedging && how != copied:
+		r.effects.SetTimer(lingersAt, &Timer{attempt: s})
+	case r.limits.AllowHedging || len(t.Attempts) >= r.limits.MaxAttempts:
 	case how == lone: // it leaves its original the time to answer; a cold host is slow
 		within = s.fair
-	case t.at+t.Category.Promised-r.now-t.Category.mid > lingersAt && r.spare(t.Category):
+	case t.at+t.Class.LatencyObjective-r.now-t.Class.mid > lingersAt && r.spare(t.Class):
 		within = min(within, lingersAt)
 	}
-	r.hands.Send(s, within)
+	r.effects.Send(s, within)
 }
 
 // spare tells whether the budget has room for a further send, so that a slow fleet is not given more work.
 // The few beyond the share are for a fleet of few routers: each of hundreds would add them.
-func (r *Router) spare(c *Category) bool {
+func (r *Router) spare(c *Class) bool {
 	const over, few, oneIn = 5 * Second, 4, 8 // one for every eight tasks taken lately, and a few
 	const alone = 4.0                         // routers that each may have them
 	const full = 3                            // times longer than usual: for want of hosts, not by bad luck
@@ -461,11 +461,11 @@
 
 // more sends a task once more where that is allowed, affordable and can still be in time. What follows a lone
 // copy, or a send that this router cut short, no budget holds back: it was asked when that one was sent.
-func (r *Router) more(t *Task) bool {
-	left := t.at + t.Patience - r.now
-	last := t.Sends[len(t.Sends)-1]
-	first := last.role == lone || last.fate == NoAnswer && !r.limits.TwoAtOnce // this router cut it short
-	if len(t.Sends) >= r.limits.MaxSends || left <= t.Category.mid/2 || !first && !r.spare(t.Category) {
+func (r *Router) more(t *Request) bool {
+	left := t.at + t.Timeout - r.now
+	last := t.Attempts[len(t.Attempts)-1]
+	first := last.role == lone || last.outcome == TimedOut && !r.limits.AllowHedging // this router cut it short
+	if len(t.Attempts) >= r.limits.MaxAttempts || left <= t.Class.mid/2 || !first && !r.spare(t.Class) {
 		return false
 	}
 	h := r.earlier(t)
@@ -473,58 +473,58 @@
 		return false
 	}
 	if last.role != lone {
-		r.extra = keep(r.extra, moment{at: r.now, cat: t.Category}, 2048)
+		r.extra = keep(r.extra, moment{at: r.now, cat: t.Class}, 2048)
 	}
 	r.send(t, h, further)
 	return true
 }
 
 // again answers a failed send: with a further one, with waiting for one still out, or with the final answer.
-func (r *Router) again(t *Task) {
-	out := func(s *Send) bool { return s.fate == Out }
-	main := func(s *Send) bool { return s.fate == Out && s.role != copied }
-	if !slices.ContainsFunc(t.Sends, main) && !r.more(t) && !slices.ContainsFunc(t.Sends, out) {
+func (r *Router) again(t *Request) {
+	out := func(s *Attempt) bool { return s.outcome == Pending }
+	main := func(s *Attempt) bool { return s.outcome == Pending && s.role != copied }
+	if !slices.ContainsFunc(t.Attempts, main) && !r.more(t) && !slices.ContainsFunc(t.Attempts, out) {
 		r.settle(t)
 	}
 }
 
 // hedge sends a second copy of a task that takes unusually long.
-func (r *Router) hedge(t *Task) {
+func (r *Router) hedge(t *Request) {
 	if t.risky == nil {
-		t.risky = t.Sends[0] // still out, it may have run
+		t.risky = t.Attempts[0] // still out, it may have run
 	}
 	r.more(t)
 }
 
-func (r *Router) rest(*Task) {} // the answer is given; copies still out are only evidence
+func (r *Router) rest(*Request) {} // the answer is given; copies still out are only evidence
 
 // settle gives the final answer, at once: turned back where trying again is known to be harmless.
-func (r *Router) settle(t *Task) {
+func (r *Router) settle(t *Request) {
 	t.state = over
-	if t.risky != nil && !t.Category.mayRepeat() {
-		r.hands.Scrap(t)
+	if t.risky != nil && !t.Class.mayRepeat() {
+		r.effects.Fail(t)
 		return
 	}
-	r.hands.TurnBack(t, min(r.limits.LongestStay, Second/2)) // a short jam is over by then
+	r.effects.Reject(t, min(r.limits.MaxRetryAfter, Second/2)) // a short jam is over by then
 }
 
-// Ended says how a send ended, how long it took, whether its task is over, and what the host reported.
-func (r *Router) Ended(now Time, s *Send, fate Fate, took Time, done bool, load *Load) {
-	t := s.Task
+// AttemptEnded says how a send ended, how long it took, whether its task is over, and what the host reported.
+func (r *Router) AttemptEnded(now Time, s *Attempt, fate Outcome, took Time, done bool, load *LoadReport) {
+	t := s.Request
 	r.now = now
 	r.close(s, fate, load)
 	r.learn(s, took)
 	in := mayHaveRun
 	switch {
-	case done || fate == Finished:
+	case done || fate == Succeeded:
 		in = ends
-	case fate == TurnedBack || fate == NoLink || fate == NeverSent:
+	case fate == Rejected || fate == ConnectFailed || fate == NotSent:
 		in = neverRan
 	case t.risky == nil || s.at < t.risky.at:
 		t.risky = s
 	}
-	both := r.news.Phase == OnTrial || r.standing().latest < r.standing().all // builds a key could go between
-	if fate == Finished && r.desk.KeysStay && t.Key != "" && s.build >= r.news.Build && both {
+	both := r.news.Phase == Canary || r.standing().latest < r.standing().all // builds a key could go between
+	if fate == Succeeded && r.desk.StickyKeys && t.Key != "" && s.build >= r.news.Build && both {
 		r.kept[t.Key] = s.build
 	}
 	r.step(t, in)
@@ -543,9 +543,9 @@
 }
 
 // learn keeps what a send showed, of its host, its category and its build, and reviews the host's health.
-func (r *Router) learn(s *Send, took Time) {
-	h, c := s.Host, s.Task.Category
-	if s.fate == NeverSent || s.fate == CalledOff || s.up != h.Up || s.build != h.Build {
+func (r *Router) learn(s *Attempt, took Time) {
+	h, c := s.Host, s.Request.Class
+	if s.outcome == NotSent || s.outcome == Canceled || s.up != h.StartedAt || s.build != h.Build {
 		return
 	}
 	x := r.sampled(s, took)
@@ -555,7 +555,7 @@
 	}
 	in := steady
 	switch {
-	case s.fate == TurnedBack || s.fate == NoLink:
+	case s.outcome == Rejected || s.outcome == ConnectFailed:
 		in = refuses
 	case h.health == sick: // two good answers in a row, whatever came before
 		if n := len(h.past); x.well() && n > 1 && h.past[n-2].well() {
@@ -566,9 +566,9 @@
 	case x.well():
 		in = works
 	}
-	if on, _, _ := r.trial(s.build); in != refuses && (s.Copied() || !on) { // who had nowhere else is no copy
-		if !s.Copied() && !r.limits.TwoAtOnce && c.mayRepeat() && took > s.fair { // a copy would have been cut
-			x.fate = NoAnswer
+	if on, _, _ := r.trial(s.build); in != refuses && (s.IsShadow() || !on) { // who had nowhere else is no copy
+		if !s.IsShadow() && !r.limits.AllowHedging && c.mayRepeat() && took > s.fair { // a copy would have been cut
+			x.fate = TimedOut
 		}
 		b := r.book(s.build)
 		b.samples = keep(b.samples, x, 1500) // a trial's worth, or some ten seconds of a busy router's sends
@@ -590,11 +590,11 @@
 	lost := r.lost > 0 && r.now-r.liveAt > told // where no later host is known there is none to send to
 	for _, h := range r.hosts {
 		switch {
-		case lost && h.Build < r.live && h.Standing == Serving:
-			h.Standing, h.left, r.muster.counted = Draining, r.now, false
+		case lost && h.Build < r.live && h.State == Serving:
+			h.State, h.left, r.muster.counted = Draining, r.now, false
 		case blame && hung(h):
 			r.move(h, fails)
-		case h.health == sick && r.limits.Peers > 0 &&
+		case h.health == sick && r.limits.MaxGossipBytes > 0 &&
 			h.words[0].as(r.now).bad+h.rumour(r.now, firsthand, passedOn).bad < trace:
 			r.move(h, works)
 		}
@@ -602,7 +602,7 @@
 }
 
 // well tells whether a send ended as one at a host that works.
-func (x sample) well() bool { return x.fate == Finished && x.strain < 3 }
+func (x sample) well() bool { return x.fate == Succeeded && x.strain < 3 }
 
 // failing compares a host's last sends with its peers of the same build: it must fail or drag far more than
 // they do, so that neither a bad build nor a slow fleet empties the list.
@@ -626,11 +626,11 @@
 func (r *Router) gossip() {
 	const oneIn, kin, many = 5, 3, 16 // looks; of those nearby but one in so many; words, the worst first
 	const least = 0.3                 // of a send: older is forgotten
-	if r.limits.Peers == 0 || r.routers < 2 || r.chance(oneIn) > 0 {
+	if r.limits.MaxGossipBytes == 0 || r.routers < 2 || r.chance(oneIn) > 0 {
 		return
 	}
 	for _, blame := range r.unsaidBlames() {
-		r.hands.Tell(Everyone, blame)
+		r.effects.Gossip(Broadcast, blame)
 	}
 	d := r.lore(least)
 	d.worst(many)
@@ -638,12 +638,12 @@
 	if len(r.fellows) > 0 && r.chance(kin) > 0 {
 		peer = r.fellows[r.chance(len(r.fellows))]
 	}
-	r.hands.Tell(peer, d.pack(r.limits.Peers))
+	r.effects.Gossip(peer, d.pack(r.limits.MaxGossipBytes))
 }
 
-// Heard takes in a peer's word. It names no host that the own list has not and moves no bound of a rule; what
+// GossipReceived takes in a peer's word. It names no host that the own list has not and moves no bound of a rule; what
 // can't be read is dropped whole. Of a way only those know who stand at the same end.
-func (r *Router) Heard(now Time, peer int, body []byte) {
+func (r *Router) GossipReceived(now Time, peer int, body []byte) {
 	const known = 16 // fellows
 	r.now = now
 	if build, n, ok := unpackBlame(body); ok {
@@ -672,11 +672,11 @@
 // it still is; what comes of it is told like a send.
 func (r *Router) scout() {
 	const oneIn = 20 // looks: with what those nearby tell, enough to keep the way shut and to find it open
-	if !r.limits.Probes || !r.spreads() || r.together() || r.chance(oneIn) > 0 {
+	if !r.limits.HealthChecks || !r.spreads() || r.together() || r.chance(oneIn) > 0 {
 		return
 	}
 	if _, there := r.parted(func(*Host) bool { return true }); len(there) > 0 { // sick ones too
-		r.hands.Probe(there[r.chance(len(there))])
+		r.effects.CheckHealth(there[r.chance(len(there))])
 	}
 }
 
@@ -687,7 +687,7 @@
 
 // drag weighs whether a build's hosts are slower than the ones before, host by host, as they differ. apart is
 // the variance between two good sets, at two times; share is how many must be that slow. Or the desk speaks.
-func (r *Router) drag(now, before []word, counts [2][]Count, was int, apart, share float64) float64 {
+func (r *Router) drag(now, before []word, counts [2][]BuildStats, was int, apart, share float64) float64 {
 	const differ, scatter = 0.2, 0.8              // variance: the one's square, and the other by sends
 	const more = 0.6                              // log of 1.8: a fleet that is half full feels that
 	fresh, a := paces(now, differ, scatter, 3, 1) // or 1, with so many hosts that none is met three times
@@ -756,7 +756,7 @@
 // counting tells whether the desk counts far more of all sends than a router sees: then its counts, though
 // late and not by host, are judged; but after a release only own sends tell errors from a jam.
 func (r *Router) counting() bool { return r.desk.Counted*float64(r.routers) > 2 }
-func (r *Router) byDesk() bool   { return r.counting() && r.news.Phase == OnTrial }
+func (r *Router) byDesk() bool   { return r.counting() && r.news.Phase == Canary }
 
 // weight is the evidence that the newest build is bad, in odds; 1 is none. Copies are judged against the
 // sends at the build before it: failures over all and by category, the desk's counts, slowness, complaints.
@@ -775,16 +775,16 @@
 		fresh, peers = now.since(r.now-10*Second), before.samples
 	}
 	// A cold host is slow whatever its build; time-outs of hasty clients or in a release's jam say nothing.
-	warm := func(s sample) bool { return s.age > r.limits.Cold }
+	warm := func(s sample) bool { return s.age > r.limits.WarmUp }
 	fair := func(s sample) bool {
-		return s.fate != NoAnswer || warm(s) && !s.hasty && r.news.Phase == OnTrial
+		return s.fate != TimedOut || warm(s) && !s.hasty && r.news.Phase == Canary
 	}
 	counts := r.heardOf(now.build, before.build)
 	sum, shares := 0.0, 0.0
 	add := func(share, guilt, doubt float64) {
 		sum, shares, doubts = sum+share*guilt, shares+share, append(doubts, doubt)
 	}
-	test := func(share float64, cats []*Category, gaps ...float64) (doubt float64) {
+	test := func(share float64, cats []*Class, gaps ...float64) (doubt float64) {
 		weigh := func(but float64) float64 {
 			var parts []part
 			most := 0
@@ -809,20 +809,20 @@
 	}
 	test(1, r.cats, small, large, 0.6)
 	for _, c := range r.cats {
-		c.odds = test(1/float64(len(r.cats)), []*Category{c}, whole, 0.7)
-		if r.desk.Counted > 0 && !r.byDesk() && c.Repeat != Retriable { // not told by host: far beyond one sick one
+		c.odds = test(1/float64(len(r.cats)), []*Class{c}, whole, 0.7)
+		if r.desk.Counted > 0 && !r.byDesk() && c.Idempotency != Idempotent { // not told by host: far beyond one sick one
 			o := r.tallied(c, now.build, before.build, 4, 0.1, 0.25, 0.6)
 			add(1/float64(len(r.cats)), o, o)
 		}
 	}
 	done := func(s sample) bool { // errors are quick
-		return warm(s) && (s.fate == Finished || s.fate == NoAnswer)
+		return warm(s) && (s.fate == Succeeded || s.fate == TimedOut)
 	}
 	level := levels(peers, done, while, kin)
 	all, usual := words(fresh, done, level), words(peers, done, level)
 	slower := func(share float64) float64 { return r.drag(all, usual, counts, before.build, apart, share) }
 	add(1, slower(0.75), slower(0.5)) // most hosts to convict, half to doubt
-	if r.news.Phase == OnTrial {
+	if r.news.Phase == Canary {
 		o := r.shared(before)
 		add(1, o, o)
 	}
@@ -839,7 +839,7 @@
 	}
 	if r.desk.Complaints > 0 {
 		x := part{now.complaints(), float64(len(now.samples)), before.complaints() / float64(len(before.samples)+1)}
-		if r.limits.Peers > 0 && r.byDesk() { // of all routers, against all sends
+		if r.limits.MaxGossipBytes > 0 && r.byDesk() { // of all routers, against all sends
 			y := r.blamed(before)
 			x = r.blamed(now)
 			x.usual = y.bad / y.n
@@ -867,19 +867,19 @@
 
 // verdict turns the weight of the evidence into a vote. A move that exposes little needs no proof, as sends
 // at the build stay few; the release does, and as waiting has its price, the demand falls as time goes on.
-func (r *Router) verdict() (voice Voice, w float64, doubts []float64) {
+func (r *Router) verdict() (voice VoteChoice, w float64, doubts []float64) {
 	const alarm, loud, several = 8.0, 30.0, 2.5 // one good build in so many goes back by chance; one host's odds
 	const doubt, sure = 4.0, 0.3                // on in a stage unless in doubt; release when fairly sure
 	const softer, bear, most = 0.02, 0.5, 8.0   // a second's wait of that, of the worst; while copies go on
-	if !r.heard || r.news.Build == 0 || r.news.Phase == GoingBack || r.news.Phase == Withdrawn {
-		return NoVote, w, doubts
+	if !r.heard || r.news.Build == 0 || r.news.Phase == RollingBack || r.news.Phase == RolledBack {
+		return Abstain, w, doubts
 	}
 	w, doubts = r.weight()
 	limit, worst := doubt, math.Inf(1)
-	final := r.news.Stage+1 >= len(r.desk.Caps)
+	final := r.news.Stage+1 >= len(r.desk.ExposureCaps)
 	if final {
-		waited := float64(max(0, r.now-r.staged-r.desk.LeastTime)) / float64(Second)
-		part := lean(r.desk.ToMoveOn)
+		waited := float64(max(0, r.now-r.staged-r.desk.MinStageTime)) / float64(Second)
+		part := lean(r.desk.PromoteQuorum)
 		limit, worst = min(1, math.Pow(sure, part)+softer*waited), min(most, 1+bear*waited)/part
 	}
 	limitBack := alarm
@@ -887,15 +887,15 @@
 		limitBack = loud
 	}
 	switch {
-	case w > max(several, math.Pow(limitBack, lean(r.desk.ToAbort))):
-		return Back, w, doubts
-	case r.news.Phase == OnTrial && r.desk.Control == Clock && w > doubt:
+	case w > max(several, math.Pow(limitBack, lean(r.desk.RollbackQuorum))):
+		return Rollback, w, doubts
+	case r.news.Phase == Canary && r.desk.Mode == Timed && w > doubt:
 		return Hold, w, doubts
-	case r.news.Phase == Released || r.desk.Control == Clock || len(doubts) == 0 || final && r.unsure():
+	case r.news.Phase == Released || r.desk.Mode == Timed || len(doubts) == 0 || final && r.unsure():
 	case w < limit && slices.Max(doubts) <= worst:
-		return On, w, doubts
+		return Promote, w, doubts
 	}
-	return NoVote, w, doubts
+	return Abstain, w, doubts
 }
 
 // speaks tells whether it is this router's turn to vote. Where one vote decides, a few at a time do, by rank
@@ -903,7 +903,7 @@
 func (r *Router) speaks() bool {
 	const few, stretch = 3, 4 * Second // a vote that is lost is no harm, nor is a router that is down
 	turn := r.rank + r.routers - int(r.now/stretch)*few%r.routers
-	return r.desk.Control != AnyVote || r.routers <= few || turn%r.routers < few
+	return r.desk.Mode != AnyRouter || r.routers <= few || turn%r.routers < few
 }
 
 func (r *Router) judge() {
@@ -911,12 +911,12 @@
 	if r.ballot.state == asked && r.now-r.ballot.at > r.desk.VoteTimeout+Second/2 {
 		r.poll(silent, 0, 0, nil)
 	}
-	if !r.speaks() && (r.ballot.state != stands || r.ballot.voice != On || voice == On) {
+	if !r.speaks() && (r.ballot.state != stands || r.ballot.voice != Promote || voice == Promote) {
 		return // but what stands is taken back at any time: it would move the build on, whoever's turn it is
 	}
 	const pause = Second // before a vote that did not count is cast again: the desk is not flooded
-	if voice != r.ballot.voice && (voice != NoVote || r.ballot.state == stands) || voice != NoVote &&
-		(r.ballot.state == quiet && r.now-r.ballot.at > pause || r.now-r.ballot.at > r.desk.VoteLife*7/10) {
+	if voice != r.ballot.voice && (voice != Abstain || r.ballot.state == stands) || voice != Abstain &&
+		(r.ballot.state == quiet && r.now-r.ballot.at > pause || r.now-r.ballot.at > r.desk.VoteTTL*7/10) {
 		r.poll(wants, voice, w, doubts)
 	}
 }
--- a/logic/logic_test.go
+++ b/logic/logic_test.go
@@ -10,10 +10,10 @@
 func TestEveryTaskGetsOneAnswerAndNothingAfterIt(t *testing.T) {
 	f, _ := begin(t, nil)
 	task := f.take(f.quote)
-	f.end(task.Sends[0], Finished, Second/20)
+	f.end(task.Attempts[0], Succeeded, Second/20)
 	sends := len(f.sent)
 	f.pass(5 * Second)
-	require.True(t, task.Over())
+	require.True(t, task.Answered())
 	require.Len(t, f.sent, sends)
 	require.Empty(t, f.turned)
 }
@@ -21,11 +21,11 @@
 func TestWhatCannotBeSentIsAnsweredAtOnce(t *testing.T) {
 	f, list := begin(t, nil)
 	for i := range list {
-		list[i].Standing = Gone
+		list[i].State = Removed
 	}
-	f.r.Listed(f.now, list, true)
+	f.r.EndpointsChanged(f.now, list, true)
 	task := f.take(f.payment)
-	require.Equal(t, []*Task{task}, f.turned)
+	require.Equal(t, []*Request{task}, f.turned)
 	require.Empty(t, f.sent)
 }
 
@@ -33,67 +33,67 @@
 	f, _ := begin(t, nil)
 	task := f.take(f.payment)
 	f.pass(2 * Second) // it lingers, and is not copied either
-	require.Len(t, task.Sends, 1)
-	f.end(task.Sends[0], Cut, 2*Second)
-	require.Equal(t, []*Task{task}, f.scrapped)
-	require.Len(t, task.Sends, 1)
+	require.Len(t, task.Attempts, 1)
+	f.end(task.Attempts[0], ConnectionLost, 2*Second)
+	require.Equal(t, []*Request{task}, f.scrapped)
+	require.Len(t, task.Attempts, 1)
 }
 
 func TestBindingTaskThatNeverRanIsSentAgain(t *testing.T) {
 	f, _ := begin(t, nil)
 	task := f.take(f.payment)
-	f.end(task.Sends[0], NoLink, Second/40)
-	require.Len(t, task.Sends, 2)
-	require.NotSame(t, task.Sends[0].Host, task.Sends[1].Host)
+	f.end(task.Attempts[0], ConnectFailed, Second/40)
+	require.Len(t, task.Attempts, 2)
+	require.NotSame(t, task.Attempts[0].Host, task.Attempts[1].Host)
 }
 
 func TestFingerprintedTaskStaysInItsGroupAndMemory(t *testing.T) {
 	f, list := begin(t, nil)
-	f.order.Group = SameLocation
-	list[5].Location = f.there
-	f.r.Listed(f.now, list, true)
+	f.order.DedupScope = ZoneScope
+	list[5].Zone = f.there
+	f.r.EndpointsChanged(f.now, list, true)
 	for range 20 {
 		task := f.take(f.order)
-		f.end(task.Sends[0], Errored, Second/40)
-		for _, s := range task.Sends[1:] {
-			require.Same(t, task.Sends[0].Host.Location, s.Host.Location)
+		f.end(task.Attempts[0], Failed, Second/40)
+		for _, s := range task.Attempts[1:] {
+			require.Same(t, task.Attempts[0].Host.Zone, s.Host.Zone)
 		}
 		f.pass(Second)
-		f.r.Left(f.now, task)
+		f.r.ClientGone(f.now, task)
 	}
 	late := f.take(f.order)
-	late.Patience = 9 * Second
+	late.Timeout = 9 * Second
 	f.pass(4 * Second) // longer than the hosts remember
-	n := len(late.Sends)
-	f.end(late.Sends[0], Cut, 4*Second)
-	require.Len(t, late.Sends, n)
+	n := len(late.Attempts)
+	f.end(late.Attempts[0], ConnectionLost, 4*Second)
+	require.Len(t, late.Attempts, n)
 }
 
 func TestNoSecondSendWhileTheFirstIsOutWhereForbidden(t *testing.T) {
-	f, _ := begin(t, func(p *Place) { p.Limits.TwoAtOnce = false })
+	f, _ := begin(t, func(p *Config) { p.Limits.AllowHedging = false })
 	f.trial(1, 0.5)
 	for range 40 {
 		task := f.take(f.quote)
-		require.LessOrEqual(t, len(task.Sends), 1)
-		if s := task.Sends[0]; s.build == 2 { // a lone copy, with the time left for its original
-			require.Less(t, f.within[s], task.Patience/2)
-			f.end(s, NoAnswer, f.within[s])
-			require.Len(t, task.Sends, 2)
-			require.Equal(t, 1, task.Sends[1].build)
+		require.LessOrEqual(t, len(task.Attempts), 1)
+		if s := task.Attempts[0]; s.build == 2 { // a lone copy, with the time left for its original
+			require.Less(t, f.within[s], task.Timeout/2)
+			f.end(s, TimedOut, f.within[s])
+			require.Len(t, task.Attempts, 2)
+			require.Equal(t, 1, task.Attempts[1].build)
 		}
 		f.pass(Second / 20)
-		f.end(task.Sends[len(task.Sends)-1], Finished, Second/20)
+		f.end(task.Attempts[len(task.Attempts)-1], Succeeded, Second/20)
 	}
 	require.Positive(t, f.toBuild(2))
 }
 
 func TestNothingNewToADrainingHost(t *testing.T) {
 	f, list := begin(t, nil)
-	list[0].Standing, list[1].Standing = Draining, Gone
-	f.r.Listed(f.now, list, true)
+	list[0].State, list[1].State = Draining, Removed
+	f.r.EndpointsChanged(f.now, list, true)
 	f.serve(100, f.quote, fine)
 	for _, s := range f.sent {
-		require.Equal(t, Serving, s.Host.Standing)
+		require.Equal(t, Serving, s.Host.State)
 	}
 }
 
@@ -104,7 +104,7 @@
 	f.pass(4 * Second) // a watch stood for a while
 	for n := range 20 {
 		before, failed := f.asks, f.now
-		f.r.Listed(f.now, nil, false)
+		f.r.EndpointsChanged(f.now, nil, false)
 		for f.asks == before {
 			f.pass(Second / 100)
 		}
@@ -126,7 +126,7 @@
 	f, _ := begin(t, nil)
 	f.pass(Second / 100)
 	f.pass(2 * Second)
-	f.r.Listed(f.now, nil, false)
+	f.r.EndpointsChanged(f.now, nil, false)
 	f.pass(Second)
 	require.Equal(t, 1, f.asks)
 	f.pass(3 * Second)
@@ -138,12 +138,12 @@
 	const routers = 60
 	var starts, retries []Time
 	for rank := range routers {
-		f, _ := begin(t, func(p *Place) { p.Routers, p.Rank, p.Seed = routers, rank, uint64(rank) })
+		f, _ := begin(t, func(p *Config) { p.Routers, p.Rank, p.Seed = routers, rank, uint64(rank) })
 		for ; f.asks == 0; f.pass(Second / 100) {
 		}
 		starts = append(starts, f.now)
 		for range 4 {
-			f.r.Listed(f.now, nil, false)
+			f.r.EndpointsChanged(f.now, nil, false)
 		}
 		for n := len(f.due) - 1; ; n-- {
 			if f.alarms[n].list {
@@ -172,14 +172,14 @@
 	f, list := begin(t, nil)
 	f.serve(100, f.quote, fine)
 	for i := range list[:6] {
-		list[i].Standing = Draining
+		list[i].State = Draining
 	}
 	fresh := f.host(20, 1)
-	fresh.Up = f.now
-	f.r.Listed(f.now, append(list, fresh), true)
+	fresh.StartedAt = f.now
+	f.r.EndpointsChanged(f.now, append(list, fresh), true)
 	n := 0
 	for range 100 { // a hundred a second, six times what one host had
-		if task := f.take(f.quote); len(task.Sends) > 0 && task.Sends[0].Host == fresh.Host {
+		if task := f.take(f.quote); len(task.Attempts) > 0 && task.Attempts[0].Host == fresh.Host {
 			n++
 		}
 		f.pass(Second / 100)
@@ -191,10 +191,10 @@
 func TestManyRoutersTogetherDoNotPushAColdHostOver(t *testing.T) {
 	n := 0
 	for rank := range 60 { // each serves ten tasks a second of a fleet where that is far over a cold host's due
-		f, list := begin(t, func(p *Place) { p.Seed, p.Routers, p.Rank = uint64(rank), 60, rank })
+		f, list := begin(t, func(p *Config) { p.Seed, p.Routers, p.Rank = uint64(rank), 60, rank })
 		f.serve(80, f.quote, fine)
-		list[0].Up = f.now
-		f.r.Listed(f.now, list, true)
+		list[0].StartedAt = f.now
+		f.r.EndpointsChanged(f.now, list, true)
 		f.sent = nil
 		for range 20 { // two windows of the rule
 			f.serve(2, f.quote, fine)
@@ -219,9 +219,9 @@
 	}
 	require.Positive(t, f.toBuild(2))
 	for _, s := range f.sent {
-		require.False(t, s.build == 2 && s.Task.Category != f.quote)
+		require.False(t, s.build == 2 && s.Request.Class != f.quote)
 	}
-	f.r.Told(f.now, News{Build: 2, Phase: GoingBack})
+	f.r.ReleaseChanged(f.now, ReleaseStatus{Build: 2, Phase: RollingBack})
 	n := f.toBuild(2)
 	f.serve(100, f.quote, fine)
 	require.Equal(t, n, f.toBuild(2))
@@ -231,90 +231,90 @@
 	f, _ := begin(t, nil)
 	on, stage, share := f.r.trial(2)
 	require.Equal(t, []any{true, 0, 0.1}, []any{on, stage, share})
-	f.r.Told(f.now, News{Build: 2, Stage: 1, Cap: 0.5})
+	f.r.ReleaseChanged(f.now, ReleaseStatus{Build: 2, Stage: 1, ExposureCap: 0.5})
 	f.serve(60, f.quote, fine) // three seconds, less than the window
 	require.Zero(t, f.toBuild(2))
 }
 
 func TestKeysStayWithTheBuildThatAnsweredThem(t *testing.T) {
-	f, _ := begin(t, func(p *Place) { p.Desk.KeysStay = true })
+	f, _ := begin(t, func(p *Config) { p.Release.StickyKeys = true })
 	f.trial(1, 0.5)
 	f.r.kept["pen"] = 2
-	task := &Task{Category: f.quote, Patience: Second, Key: "pen"}
-	f.r.Take(f.now, task)
-	for _, s := range task.Sends {
+	task := &Request{Class: f.quote, Timeout: Second, Key: "pen"}
+	f.r.RequestArrived(f.now, task)
+	for _, s := range task.Attempts {
 		require.Equal(t, 2, s.build)
 	}
 }
 
 func TestAGoodBuildIsVotedOnAndABadOneBack(t *testing.T) {
-	story := func(bad func(*Send) bool) []Voice {
+	story := func(bad func(*Attempt) bool) []VoteChoice {
 		f, list := begin(t, nil)
 		for id := range uint32(5) {
 			list = append(list, f.host(10+id, 2))
 		}
-		f.r.Listed(f.now, list, true)
+		f.r.EndpointsChanged(f.now, list, true)
 		f.trial(2, 1)
 		for range 100 {
-			for _, c := range []*Category{f.quote, f.order, f.payment} {
-				f.serve(1, c, func(s *Send) Fate {
+			for _, c := range []*Class{f.quote, f.order, f.payment} {
+				f.serve(1, c, func(s *Attempt) Outcome {
 					if s.build == 2 && bad(s) {
-						return Errored
+						return Failed
 					}
-					return Finished
+					return Succeeded
 				})
 			}
 		}
 		return f.votes
 	}
-	require.Contains(t, story(func(*Send) bool { return false }), On)
-	require.NotContains(t, story(func(*Send) bool { return false }), Back)
+	require.Contains(t, story(func(*Attempt) bool { return false }), Promote)
+	require.NotContains(t, story(func(*Attempt) bool { return false }), Rollback)
 	n := 0
-	require.Contains(t, story(func(*Send) bool { n++; return n%3 == 0 }), Back)
-	require.NotContains(t, story(func(s *Send) bool { return s.Host.ID == 9 }), Back) // one sick host
-	require.NotContains(t, story(func(s *Send) bool { return s.Task.Category.Repeat == Binding }), On)
+	require.Contains(t, story(func(*Attempt) bool { n++; return n%3 == 0 }), Rollback)
+	require.NotContains(t, story(func(s *Attempt) bool { return s.Host.ID == 9 }), Rollback) // one sick host
+	require.NotContains(t, story(func(s *Attempt) bool { return s.Request.Class.Idempotency == NonIdempotent }), Promote)
 }
 
 func TestNoWaitBearsADoubtThatStoppedItsCategorysCopies(t *testing.T) {
 	f, list := begin(t, nil)
-	f.r.Listed(f.now, append(list, f.host(10, 2), f.host(11, 2), f.host(12, 2)), true)
+	f.r.EndpointsChanged(f.now, append(list, f.host(10, 2), f.host(11, 2), f.host(12, 2)), true)
 	f.trial(2, 1)
 	for range 300 {
 		f.serve(3, f.quote, fine)
-		f.serve(1, f.order, func(s *Send) Fate {
+		f.serve(1, f.order, func(s *Attempt) Outcome {
 			if s.build == 2 {
-				return Errored
+				return Failed
 			}
-			return Finished
+			return Succeeded
 		})
 	}
-	require.NotContains(t, f.votes, On)
+	require.NotContains(t, f.votes, Promote)
 }
 
 func TestLastingSlownessIsToldByTheDeskWhereItSeesMore(t *testing.T) {
 	f, _ := begin(t, nil)
-	f.r.counts = []Count{{Build: 1, Category: f.quote, Samples: 90, Mean: 500, at: Second},
+	f.r.counts = []BuildStats{{Build: 1, Category: f.quote, Samples: 90, Mean: 500, at: Second},
 		{Build: 2, Category: f.quote, Samples: 90, Mean: 1000, at: 9 * Second}}
 	gap, _ := calmer(f.r.counts, nil, 1, 2, 2*Second, 8*Second, 0)
 	require.InDelta(t, 0.69, gap, 0.01)
 }
 
 func TestManyRoutersJudgeByTheDesksCountsAndAFewOfThemVote(t *testing.T) {
-	votes := map[Voice]int{}
+	votes := map[VoteChoice]int{}
 	story := func(rank, bad int, took Time) {
-		f, list := begin(t, func(p *Place) { p.Routers, p.Rank, p.Desk.Counted = 40, rank, 0.2 })
-		f.r.Listed(f.now, append(list, f.host(10, 2), f.host(11, 2), f.host(12, 2)), true)
+		f, list := begin(t, func(p *Config) { p.Routers, p.Rank, p.Release.Counted = 40, rank, 0.2 })
+		f.r.EndpointsChanged(f.now, append(list, f.host(10, 2), f.host(11, 2), f.host(12, 2)), true)
 		f.trial(2, 1)
 		for range 4 { // seconds; this router's own copies all fail, the desk's counts say what the story says
-			f.serve(20, f.quote, func(s *Send) Fate {
+			f.serve(20, f.quote, func(s *Attempt) Outcome {
 				if s.build == 2 && len(s.Host.past) < 3 {
-					return Errored
+					return Failed
 				}
-				return Finished
+				return Succeeded
 			})
-			for _, c := range []*Category{f.quote, f.order, f.payment} {
-				f.r.Counted(f.now, Count{Build: 1, Category: c, Bad: 1, Samples: 60, Mean: Second / 20})
-				f.r.Counted(f.now, Count{Build: 2, Category: c, Bad: bad, Samples: 60, Mean: took})
+			for _, c := range []*Class{f.quote, f.order, f.payment} {
+				f.r.StatsReported(f.now, BuildStats{Build: 1, Category: c, Bad: 1, Samples: 60, Mean: Second / 20})
+				f.r.StatsReported(f.now, BuildStats{Build: 2, Category: c, Bad: bad, Samples: 60, Mean: took})
 			}
 		}
 		for _, v := range f.votes {
@@ -324,25 +324,25 @@
 	for rank := range 40 {
 		story(rank, 20, Second/20)
 	}
-	require.Positive(t, votes[Back])
-	require.Less(t, votes[Back], 40)
+	require.Positive(t, votes[Rollback])
+	require.Less(t, votes[Rollback], 40)
 	clear(votes)
 	for rank := range 40 {
 		story(rank, 1, Second/20)
 	}
-	require.Zero(t, votes[Back])
+	require.Zero(t, votes[Rollback])
 }
 
 func TestNoWarmHostOnTrialGetsWhatColdOnesCannotTake(t *testing.T) {
 	f, list := begin(t, nil)
 	for id := range uint32(5) {
 		fresh := f.host(10+id, 2)
-		fresh.Up = 6*Second + 1
+		fresh.StartedAt = 6*Second + 1
 		list = append(list, fresh)
 	}
 	f.serve(120, f.quote, fine)
-	f.r.Listed(f.now, list, true)
-	f.r.Told(f.now, News{Build: 2, Stage: 2, Cap: 1})
+	f.r.EndpointsChanged(f.now, list, true)
+	f.r.ReleaseChanged(f.now, ReleaseStatus{Build: 2, Stage: 2, ExposureCap: 1})
 	f.sent = nil
 	f.serve(40, f.quote, fine) // two seconds
 	n := map[*Host]int{}
@@ -356,15 +356,15 @@
 func TestCopiesMakeNoLineAtAHostOnTrial(t *testing.T) {
 	f, list := begin(t, nil)
 	f.serve(120, f.quote, fine)
-	f.r.Told(f.now, News{Build: 2, Stage: 1, Cap: 1})
+	f.r.ReleaseChanged(f.now, ReleaseStatus{Build: 2, Stage: 1, ExposureCap: 1})
 	trial := list[6].Host
 	most := 0
 	for range 60 { // it pauses while the others answer
 		t := f.take(f.quote)
 		f.pass(Second / 20)
-		for _, s := range t.Sends {
+		for _, s := range t.Attempts {
 			if s.Host != trial {
-				f.end(s, Finished, Second/20)
+				f.end(s, Succeeded, Second/20)
 			}
 		}
 		most = max(most, len(trial.open))
@@ -376,19 +376,19 @@
 func TestOriginalsThatHadNowhereElseToGoAreNoCopies(t *testing.T) {
 	f, list := begin(t, nil)
 	f.serve(120, f.quote, fine)
-	f.r.Told(f.now, News{Build: 2, Stage: 2, Cap: 1})
+	f.r.ReleaseChanged(f.now, ReleaseStatus{Build: 2, Stage: 2, ExposureCap: 1})
 	for i := range list[:6] { // the earlier hosts leave before the release is told
-		list[i].Standing = Draining
+		list[i].State = Draining
 	}
-	f.r.Listed(f.now, list, true)
+	f.r.EndpointsChanged(f.now, list, true)
 	f.votes = nil
-	f.serve(60, f.payment, func(*Send) Fate { return NoAnswer })
+	f.serve(60, f.payment, func(*Attempt) Outcome { return TimedOut })
 	f.pass(Second)
 	require.Positive(t, f.toBuild(2))
-	require.NotContains(t, f.votes, Back)
+	require.NotContains(t, f.votes, Rollback)
 	copies := 0
 	for _, s := range f.sent {
-		if s.Copied() {
+		if s.IsShadow() {
 			copies++
 		}
 	}
@@ -397,31 +397,31 @@
 }
 
 func TestOriginalsAreJudgedByTheTimeThatACopyIsGiven(t *testing.T) {
-	f, list := begin(t, func(p *Place) { p.Limits.TwoAtOnce = false })
-	f.r.Listed(f.now, append(list, f.host(10, 2), f.host(11, 2), f.host(12, 2)), true)
-	f.quote.Promised = Second / 7 // too short for a send to be cut and another made in time
+	f, list := begin(t, func(p *Config) { p.Limits.AllowHedging = false })
+	f.r.EndpointsChanged(f.now, append(list, f.host(10, 2), f.host(11, 2), f.host(12, 2)), true)
+	f.quote.LatencyObjective = Second / 7 // too short for a send to be cut and another made in time
 	f.serve(120, f.quote, fine)
-	f.r.Told(f.now, News{Build: 2, Stage: 1, Cap: 1})
+	f.r.ReleaseChanged(f.now, ReleaseStatus{Build: 2, Stage: 1, ExposureCap: 1})
 	f.votes = nil
 	n := map[int]int{}
 	for range 800 { // one send in 22 takes long, at either build
 		t := f.take(f.quote)
 		f.pass(Second / 20)
-		for i := 0; i < len(t.Sends); i++ {
-			s := t.Sends[i]
+		for i := 0; i < len(t.Attempts); i++ {
+			s := t.Attempts[i]
 			took := Time(Second / 20)
 			if n[s.build]++; n[s.build]%22 == 0 {
 				took = Second * 8 / 10
 			}
 			if took > f.within[s] {
-				f.end(s, NoAnswer, f.within[s])
+				f.end(s, TimedOut, f.within[s])
 			} else {
-				f.end(s, Finished, took)
+				f.end(s, Succeeded, took)
 			}
 		}
 	}
 	require.Greater(t, f.toBuild(2), 10)
-	require.NotContains(t, f.votes, Back)
+	require.NotContains(t, f.votes, Rollback)
 }
 
 func TestASwellSeenByOwnSendsAloneConvictsNoBuildAndEnds(t *testing.T) {
@@ -436,17 +436,17 @@
 }
 
 func TestSendsCutShortCountInTheBudgetOfFurtherOnes(t *testing.T) {
-	f, _ := begin(t, func(p *Place) { p.Limits.TwoAtOnce = false })
+	f, _ := begin(t, func(p *Config) { p.Limits.AllowHedging = false })
 	f.serve(120, f.quote, fine)
 	cut := 0
 	for range 200 { // all hosts are slower than before
 		t := f.take(f.quote)
 		f.pass(Second / 40)
-		if s := t.Sends[0]; f.within[s] < t.Patience {
+		if s := t.Attempts[0]; f.within[s] < t.Timeout {
 			cut++
-			f.end(s, NoAnswer, f.within[s])
+			f.end(s, TimedOut, f.within[s])
 		}
-		f.end(t.Sends[len(t.Sends)-1], Finished, Second/20)
+		f.end(t.Attempts[len(t.Attempts)-1], Succeeded, Second/20)
 	}
 	require.Positive(t, cut)
 	require.Less(t, cut, 60) // one for every eight tasks of the last five seconds, and a few
@@ -456,9 +456,9 @@
 	var fresh, peers []sample
 	for i := range Time(200) { // errors come in the last two of ten seconds, when copies have become many
 		late, at := i >= 160, i*Second/20
-		x := sample{at: at, host: &Host{}, fate: Finished}
+		x := sample{at: at, host: &Host{}, fate: Succeeded}
 		if peers = append(peers, x); late && i%2 == 0 {
-			peers[i].fate = Errored
+			peers[i].fate = Failed
 		}
 		if late {
 			fresh = append(fresh, peers[i])
@@ -470,37 +470,37 @@
 }
 
 func TestWhereManyMustAgreeOneFailingHostDoesNotSendABuildBack(t *testing.T) {
-	f, list := begin(t, func(p *Place) {
-		p.Routers, p.Desk.Control, p.Desk.ToMoveOn, p.Desk.ToAbort = 60, ShareOfVotes, 30, 15
-		p.Limits.TwoAtOnce = false
+	f, list := begin(t, func(p *Config) {
+		p.Routers, p.Release.Mode, p.Release.PromoteQuorum, p.Release.RollbackQuorum = 60, Quorum, 30, 15
+		p.Limits.AllowHedging = false
 	})
-	f.r.Listed(f.now, append(list, f.host(10, 2), f.host(11, 2), f.host(12, 2), f.host(13, 2)), true)
+	f.r.EndpointsChanged(f.now, append(list, f.host(10, 2), f.host(11, 2), f.host(12, 2), f.host(13, 2)), true)
 	f.trial(2, 1)
-	story := func(bad func(*Send) bool) {
-		f.serve(200, f.quote, func(s *Send) Fate {
+	story := func(bad func(*Attempt) bool) {
+		f.serve(200, f.quote, func(s *Attempt) Outcome {
 			if s.build == 2 && bad(s) {
-				return Errored
+				return Failed
 			}
-			return Finished
+			return Succeeded
 		})
 	}
-	story(func(s *Send) bool { return s.Host.ID == 9 })
-	require.NotContains(t, f.votes, Back)
-	story(func(*Send) bool { return true })
-	require.Contains(t, f.votes, Back)
+	story(func(s *Attempt) bool { return s.Host.ID == 9 })
+	require.NotContains(t, f.votes, Rollback)
+	story(func(*Attempt) bool { return true })
+	require.Contains(t, f.votes, Rollback)
 	f.sent = nil
-	story(func(*Send) bool { return true })
+	story(func(*Attempt) bool { return true })
 	require.Positive(t, f.toBuild(2)) // others may not agree, so the copies go on
 }
 
 func TestAHungHostIsNoJamWhereAnswersComeInTime(t *testing.T) {
-	f, list := begin(t, func(p *Place) { p.Routers = 50 })
+	f, list := begin(t, func(p *Config) { p.Routers = 50 })
 	for range 300 {
 		task := f.take(f.quote)
 		f.pass(Second / 10)
-		for _, s := range task.Sends {
+		for _, s := range task.Attempts {
 			if s.Host != list[0].Host && s.Host != list[1].Host {
-				f.end(s, Finished, Second/20)
+				f.end(s, Succeeded, Second/20)
 			}
 		}
 	}
@@ -512,15 +512,15 @@
 }
 
 func TestComplaintsHoldABuildThatAnswersWrongly(t *testing.T) {
-	f, _ := begin(t, func(p *Place) { p.Desk.Complaints = 0.3 })
+	f, _ := begin(t, func(p *Config) { p.Release.Complaints = 0.3 })
 	f.trial(2, 1)
 	f.serve(40, f.quote, fine)
 	clear, _ := f.r.weight()
 	for range 3 {
-		f.r.Complained(f.now, f.sent[len(f.sent)-1].Host, f.quote, Second/2)
+		f.r.ComplaintReceived(f.now, f.sent[len(f.sent)-1].Host, f.quote, Second/2)
 		for _, h := range f.r.hosts {
 			if h.Build == 2 {
-				f.r.Complained(f.now, h, f.quote, Second/2)
+				f.r.ComplaintReceived(f.now, h, f.quote, Second/2)
 			}
 		}
 	}
@@ -531,13 +531,13 @@
 func TestColdTimeoutsDoNotSpeakAgainstABuild(t *testing.T) {
 	f, list := begin(t, nil)
 	f.trial(1, 0.5)
-	list[6].Up = f.now
-	f.r.Listed(f.now, list, true)
-	f.serve(60, f.quote, func(s *Send) Fate {
+	list[6].StartedAt = f.now
+	f.r.EndpointsChanged(f.now, list, true)
+	f.serve(60, f.quote, func(s *Attempt) Outcome {
 		if s.build == 2 {
-			return NoAnswer
+			return TimedOut
 		}
-		return Finished
+		return Succeeded
 	})
 	w, _ := f.r.weight()
 	require.LessOrEqual(t, w, 1.0)
@@ -545,21 +545,21 @@
 
 func TestClientsThatGiveUpEarlyDoNotSpeakAgainstABuild(t *testing.T) {
 	f, list := begin(t, nil)
-	f.r.Listed(f.now, append(list, f.host(10, 2), f.host(11, 2), f.host(12, 2)), true)
+	f.r.EndpointsChanged(f.now, append(list, f.host(10, 2), f.host(11, 2), f.host(12, 2)), true)
 	f.trial(2, 1)
 	for range 60 {
-		task := &Task{Category: f.quote, Patience: Second / 4}
-		f.r.Take(f.now, task)
+		task := &Request{Class: f.quote, Timeout: Second / 4}
+		f.r.RequestArrived(f.now, task)
 		f.pass(Second / 20)
-		for _, s := range task.Sends {
-			fate := Finished
+		for _, s := range task.Attempts {
+			fate := Succeeded
 			if s.build == 2 {
-				fate = NoAnswer
+				fate = TimedOut
 			}
 			f.end(s, fate, Second/4)
 		}
 	}
-	require.NotContains(t, f.votes, Back)
+	require.NotContains(t, f.votes, Rollback)
 }
 
 func TestAnUnansweredVoteIsCastAgainWithoutAFlood(t *testing.T) {
@@ -568,7 +568,7 @@
 	f.pass(20 * Second)
 	require.Greater(t, len(f.votes), 5)
 	require.Less(t, len(f.votes), 20)
-	f.r.Told(f.now, News{Answer: Counted, Build: 2, Cap: 0.1})
+	f.r.ReleaseChanged(f.now, ReleaseStatus{VoteResult: VoteAccepted, Build: 2, ExposureCap: 0.1})
 	n := len(f.votes)
 	f.pass(5 * Second)
 	require.Len(t, f.votes, n)
@@ -579,11 +579,11 @@
 func TestASickHostGetsATrickleAndComesBack(t *testing.T) {
 	f, list := begin(t, nil)
 	ill := true
-	fate := func(s *Send) Fate {
+	fate := func(s *Attempt) Outcome {
 		if s.Host.ID == 1 && ill {
-			return Errored
+			return Failed
 		}
-		return Finished
+		return Succeeded
 	}
 	f.serve(200, f.quote, fate)
 	require.Equal(t, sick, list[0].Host.health)
@@ -599,7 +599,7 @@
 
 func TestWhenAllHostsFailNoneIsToBlame(t *testing.T) {
 	f, list := begin(t, nil)
-	f.serve(100, f.quote, func(*Send) Fate { return Errored })
+	f.serve(100, f.quote, func(*Attempt) Outcome { return Failed })
 	for _, l := range list[:6] {
 		require.Equal(t, fit, l.Host.health)
 	}
@@ -614,19 +614,19 @@
 	}
 	require.NotEmpty(t, f.turned)
 	for _, s := range f.sent {
-		if s.fate == Out {
-			f.end(s, NoAnswer, 3*Second)
+		if s.outcome == Pending {
+			f.end(s, TimedOut, 3*Second)
 		}
 	}
 	f.pass(Second)
-	require.NotEmpty(t, f.take(f.quote).Sends)
+	require.NotEmpty(t, f.take(f.quote).Attempts)
 }
 
 func TestFurtherSendsKeepABudget(t *testing.T) {
 	f, _ := begin(t, nil)
 	f.serve(80, f.quote, fine)
 	f.sent = nil
-	f.serve(100, f.quote, func(*Send) Fate { return Errored })
+	f.serve(100, f.quote, func(*Attempt) Outcome { return Failed })
 	require.Less(t, len(f.sent), 130)
 }
 
@@ -641,7 +641,7 @@
 		f.pass(Second / 20)
 		for _, s := range f.sent[n:] {
 			if s.Host.ID != 1 {
-				f.end(s, Finished, Second/20)
+				f.end(s, Succeeded, Second/20)
 			}
 		}
 	}
@@ -650,23 +650,23 @@
 }
 
 func TestTwoSidesAreWeighedByTheirJamAndThePrice(t *testing.T) {
-	f, list := begin(t, func(p *Place) { p.Limits.CrossPrice = 0.1 })
+	f, list := begin(t, func(p *Config) { p.Limits.CrossPrice = 0.1 })
 	for i := range 3 {
-		list[i].Location = f.there
+		list[i].Zone = f.there
 	}
-	f.r.Listed(f.now, list, true)
+	f.r.EndpointsChanged(f.now, list, true)
 	f.serve(100, f.quote, fine)
 	for _, s := range f.sent {
-		require.Same(t, f.here, s.Host.Location) // it is quiet: nothing is worth the price
+		require.Same(t, f.here, s.Host.Zone) // it is quiet: nothing is worth the price
 	}
 	var crossed bool
 	for range 60 { // the hosts here answer no more, those there do
 		task := f.take(f.quote)
 		f.pass(Second / 50)
-		for _, s := range task.Sends {
-			if s.Host.Location == f.there {
+		for _, s := range task.Attempts {
+			if s.Host.Zone == f.there {
 				crossed = true
-				f.end(s, Finished, Second/20)
+				f.end(s, Succeeded, Second/20)
 			}
 		}
 	}
@@ -677,19 +677,19 @@
 	f, list := begin(t, nil)
 	f.trial(2, 1)
 	f.serve(60, f.quote, fine)
-	f.r.Told(f.now, News{Build: 2, Stage: 2, Phase: Released, Cap: 1})
+	f.r.ReleaseChanged(f.now, ReleaseStatus{Build: 2, Stage: 2, Phase: Released, ExposureCap: 1})
 	for i := range list[:6] {
 		list[i].Build = 2
 	}
-	f.r.Listed(f.now, list, true)
+	f.r.EndpointsChanged(f.now, list, true)
 	for range 250 {
 		task := f.take(f.quote)
 		f.pass(Second / 10)
-		for _, s := range task.Sends {
-			f.end(s, Finished, Second/8) // more than twice as long as before the trial
+		for _, s := range task.Attempts {
+			f.end(s, Succeeded, Second/8) // more than twice as long as before the trial
 		}
 	}
-	require.Contains(t, f.votes, Back)
+	require.Contains(t, f.votes, Rollback)
 }
 
 func TestFewKnownHostsOfANewBuildAreNeitherReleasedNorRushed(t *testing.T) {
@@ -700,8 +700,8 @@
 		f.serve(1, f.order, fine)
 		f.serve(1, f.payment, fine)
 	}
-	require.NotContains(t, f.votes, On)
-	f.r.Told(f.now, News{Build: 2, Stage: 2, Phase: Released, Cap: 1})
+	require.NotContains(t, f.votes, Promote)
+	f.r.ReleaseChanged(f.now, ReleaseStatus{Build: 2, Stage: 2, Phase: Released, ExposureCap: 1})
 	f.sent = nil
 	f.serve(100, f.quote, fine)
 	require.Less(t, f.toBuild(2), 50)
@@ -709,21 +709,21 @@
 }
 
 func TestInALargeFleetHostsThatJustReportedLittleAreDrawnToo(t *testing.T) {
-	f, list := begin(t, func(p *Place) { p.Routers = 50 })
+	f, list := begin(t, func(p *Config) { p.Routers = 50 })
 	for id := range uint32(60) {
 		list = append(list, f.host(100+id, 1))
 	}
-	f.r.Listed(f.now, list, true)
+	f.r.EndpointsChanged(f.now, list, true)
 	n := 0
 	for range 200 { // one host in three holds nothing, the others hold four
 		task := f.take(f.quote)
 		f.pass(Second / 20)
-		for _, s := range task.Sends {
-			load := &Load{Active: 4}
+		for _, s := range task.Attempts {
+			load := &LoadReport{Active: 4}
 			if s.Host.ID%3 == 0 {
-				n, load = n+1, &Load{}
+				n, load = n+1, &LoadReport{}
 			}
-			f.r.Ended(f.now, s, Finished, Second/20, true, load)
+			f.r.AttemptEnded(f.now, s, Succeeded, Second/20, true, load)
 		}
 	}
 	require.Greater(t, n, 120) // two random ones would give some seventy
@@ -732,12 +732,12 @@
 func TestWhileLinksAreScarceThoseThatWorkAreUsed(t *testing.T) {
 	f, list := begin(t, nil)
 	refused := 0
-	fate := func(s *Send) Fate {
+	fate := func(s *Attempt) Outcome {
 		if s.Host != list[2].Host && s.Host != list[3].Host {
 			refused++
-			return NoLink
+			return ConnectFailed
 		}
-		return Finished
+		return Succeeded
 	}
 	f.serve(200, f.payment, fate)
 	require.Less(t, refused, 100) // two in three sends at random
@@ -747,14 +747,14 @@
 func TestHostsOfAnEarlierBuildAreLeftWhenTheListIsOutOfReachAfterARelease(t *testing.T) {
 	for name, x := range map[string]struct {
 		lost  bool
-		after []News
+		after []ReleaseStatus
 		old   bool // earlier hosts are still sent to
 	}{
 		"list out of reach":    {true, nil, false},
 		"list stands":          {false, nil, true},
-		"it goes back":         {true, []News{{Build: 2, Stage: 2, Phase: GoingBack}}, true},
-		"it has gone back":     {true, []News{{Build: 2, Phase: Withdrawn}, {Build: 3, Phase: OnTrial, Cap: 0.1}}, true},
-		"the next is on trial": {true, []News{{Build: 3, Phase: OnTrial, Cap: 0.1}}, false},
+		"it goes back":         {true, []ReleaseStatus{{Build: 2, Stage: 2, Phase: RollingBack}}, true},
+		"it has gone back":     {true, []ReleaseStatus{{Build: 2, Phase: RolledBack}, {Build: 3, Phase: Canary, ExposureCap: 0.1}}, true},
+		"the next is on trial": {true, []ReleaseStatus{{Build: 3, Phase: Canary, ExposureCap: 0.1}}, false},
 	} {
 		f, list := begin(t, nil)
 		f.pass(4 * Second)
@@ -762,8 +762,8 @@
 			list[i].Build = 1
 		}
 		list[6].Build = 2
-		f.r.Listed(f.now, list, true)
-		f.r.Told(f.now, News{Build: 2, Stage: 2, Phase: Released, Cap: 1})
+		f.r.EndpointsChanged(f.now, list, true)
+		f.r.ReleaseChanged(f.now, ReleaseStatus{Build: 2, Stage: 2, Phase: Released, ExposureCap: 1})
 		to := func() (old, all int) {
 			before := len(f.sent)
 			f.serve(60, f.quote, fine)
@@ -775,24 +775,24 @@
 			return old, all
 		}
 		if x.lost {
-			f.r.Listed(f.now, nil, false)
+			f.r.EndpointsChanged(f.now, nil, false)
 		}
 		old, _ := to()
 		require.Positive(t, old, "%s: it may still be as it was", name)
 		for _, n := range x.after {
-			f.r.Told(f.now, n)
+			f.r.ReleaseChanged(f.now, n)
 		}
 		f.pass(5 * Second)
 		old, all := to()
 		require.Positive(t, all, name)
 		require.Equal(t, x.old, old > 0, name)
-		if x.after != nil && x.after[0].Phase != OnTrial {
+		if x.after != nil && x.after[0].Phase != Canary {
 			require.Equal(t, all, old, "%s: a build that goes back is done with", name)
 		}
 		for i := range list {
-			list[i].Standing = Serving
+			list[i].State = Serving
 		}
-		f.r.Listed(f.now, list[:6], true) // the list is back, and has them serve
+		f.r.EndpointsChanged(f.now, list[:6], true) // the list is back, and has them serve
 		if old, _ = to(); len(x.after) == 0 {
 			require.Positive(t, old, name)
 		}
@@ -803,8 +803,8 @@
 func TestWithoutAListAfterAReleaseNothingIsBetterThanADrainedHost(t *testing.T) {
 	f, _ := begin(t, nil)
 	f.pass(4 * Second)
-	f.r.Told(f.now, News{Build: 3, Stage: 2, Phase: Released, Cap: 1})
-	f.r.Listed(f.now, nil, false)
+	f.r.ReleaseChanged(f.now, ReleaseStatus{Build: 3, Stage: 2, Phase: Released, ExposureCap: 1})
+	f.r.EndpointsChanged(f.now, nil, false)
 	f.pass(7 * Second)
 	sent, turned := len(f.sent), len(f.turned)
 	f.serve(20, f.quote, fine)
@@ -814,42 +814,42 @@
 
 // What is kept of keys ends with the time in which they could go from one build to the other.
 func TestKeysAreKeptNoLongerThanTwoBuildsServe(t *testing.T) {
-	f, list := begin(t, func(p *Place) { p.Desk.KeysStay = true })
+	f, list := begin(t, func(p *Config) { p.Release.StickyKeys = true })
 	keyed := func(n int) {
 		for i := range n {
-			x := &Task{Category: f.quote, Patience: 3 * Second, Key: string(rune('a' + i))}
-			f.r.Take(f.now, x)
-			for _, s := range x.Sends {
-				f.end(s, Finished, Second/20)
+			x := &Request{Class: f.quote, Timeout: 3 * Second, Key: string(rune('a' + i))}
+			f.r.RequestArrived(f.now, x)
+			for _, s := range x.Attempts {
+				f.end(s, Succeeded, Second/20)
 			}
 			f.pass(Second / 20)
 		}
 	}
 	f.pass(5 * Second)
-	f.r.Told(f.now, News{Build: 2, Stage: 2, Phase: Released, Cap: 1})
+	f.r.ReleaseChanged(f.now, ReleaseStatus{Build: 2, Stage: 2, Phase: Released, ExposureCap: 1})
 	list[0].Build = 2
-	f.r.Listed(f.now, list, true)
+	f.r.EndpointsChanged(f.now, list, true)
 	keyed(20)
 	require.NotEmpty(t, f.r.kept, "earlier hosts still serve")
 	for i := range list {
 		list[i].Build = 2
 	}
-	f.r.Listed(f.now, list, true)
+	f.r.EndpointsChanged(f.now, list, true)
 	before := len(f.r.kept)
 	keyed(26)
 	require.Len(t, f.r.kept, before, "one build alone")
-	f.r.Told(f.now, News{Build: 3, Phase: OnTrial, Cap: 0.1})
+	f.r.ReleaseChanged(f.now, ReleaseStatus{Build: 3, Phase: Canary, ExposureCap: 0.1})
 	require.Empty(t, f.r.kept)
 }
 
 // Where no earlier host is left, a request doesn't go to the build on trial twice.
 func TestOneRequestHasOneAttemptOnTrialWhereNoEarlierHostIsLeft(t *testing.T) {
 	f, list := begin(t, nil)
-	f.r.Told(f.now, News{Build: 2, Phase: OnTrial, Cap: 0.1})
+	f.r.ReleaseChanged(f.now, ReleaseStatus{Build: 2, Phase: Canary, ExposureCap: 0.1})
 	for i := range list[:6] {
-		list[i].Standing = Gone
+		list[i].State = Removed
 	}
-	f.r.Listed(f.now, list, true)
+	f.r.EndpointsChanged(f.now, list, true)
 	f.pass(5 * Second) // beyond the window after a start
-	require.Len(t, f.take(f.quote).Sends, 1, "one is free in a window")
+	require.Len(t, f.take(f.quote).Attempts, 1, "one is free in a window")
 }
--- a/logic/muster_test.go
+++ b/logic/muster_test.go
@@ -8,34 +8,34 @@
 )
 
 // mute carries nothing out.
-type mute struct{ sends []*Send }
+type mute struct{ sends []*Attempt }
 
-func (m *mute) Send(s *Send, _ Time) { m.sends = append(m.sends, s) }
-func (m *mute) TurnBack(*Task, Time) {}
-func (m *mute) Scrap(*Task)          {}
-func (m *mute) WakeUp(Time, *Alarm)  {}
-func (m *mute) WatchHosts()          {}
-func (m *mute) Vote(int, int, Voice) {}
-func (m *mute) Note(string)          {}
-func (m *mute) Tell(int, []byte)     {}
-func (m *mute) Probe(*Host)          {}
+func (m *mute) Send(s *Attempt, _ Time)   { m.sends = append(m.sends, s) }
+func (m *mute) Reject(*Request, Time)     {}
+func (m *mute) Fail(*Request)             {}
+func (m *mute) SetTimer(Time, *Timer)     {}
+func (m *mute) WatchEndpoints()           {}
+func (m *mute) Vote(int, int, VoteChoice) {}
+func (m *mute) Log(string)                {}
+func (m *mute) Gossip(int, []byte)        {}
+func (m *mute) CheckHealth(*Host)         {}
 
 // TestSumsThatAreKeptEqualSumsMadeAnew holds the running sums to what a walk over all hosts and answers finds, after any
 // events.
 func TestSumsThatAreKeptEqualSumsMadeAnew(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		hands := &mute{}
-		home, away := &Location{}, &Location{}
-		cat := &Category{Promised: 4000, Earnings: 1}
-		r := NewRouter(0, Place{Seed: 1, Routers: rapid.SampledFrom([]int{1, 3, 9}).Draw(t, "routers"), Location: home, Categories: []*Category{cat},
-			Limits: Limits{Cold: Second, ColdShare: .5, Tip: 3, TipFor: Second, MaxSends: 4, TwoAtOnce: true, AskWithin: 1000 * Second},
-			Desk:   Desk{Caps: []float64{.1, 1}, ToMoveOn: 1, ToAbort: 1, Window: Second, Free: 2, VoteLife: Second}}, hands)
+		home, away := &Zone{}, &Zone{}
+		cat := &Class{LatencyObjective: 4000, PriorityWeight: 1}
+		r := NewRouter(0, Config{Seed: 1, Routers: rapid.SampledFrom([]int{1, 3, 9}).Draw(t, "routers"), Zone: home, Classes: []*Class{cat},
+			Limits:  Limits{WarmUp: Second, ColdCapacity: .5, ColdOverloadFactor: 3, ColdOverloadWindow: Second, MaxAttempts: 4, AllowHedging: true, PollInterval: 1000 * Second},
+			Release: ReleaseConfig{ExposureCaps: []float64{.1, 1}, PromoteQuorum: 1, RollbackQuorum: 1, ExposureWindow: Second, ExposureAllowance: 2, VoteTTL: Second}}, hands)
 		var hosts []*Host
 		for i := range 6 {
 			hosts = append(hosts, &Host{ID: uint32(i + 1)})
 		}
 		now := Time(0)
-		var open []*Send
+		var open []*Attempt
 		for range rapid.IntRange(1, 150).Draw(t, "events") {
 			now += Time(rapid.IntRange(0, 3000).Draw(t, "passes"))
 			switch rapid.IntRange(0, 9).Draw(t, "event") {
@@ -45,11 +45,11 @@
 				if h.ID%2 == 0 {
 					at = away
 				}
-				r.Listed(now, []Listing{{Host: h, Location: at, Standing: Standing(rapid.IntRange(0, 2).Draw(t, "standing")), Build: rapid.IntRange(1, 2).Draw(t, "build"), Size: 1}}, true)
+				r.EndpointsChanged(now, []EndpointUpdate{{Host: h, Zone: at, State: EndpointState(rapid.IntRange(0, 2).Draw(t, "standing")), Build: rapid.IntRange(1, 2).Draw(t, "build"), Weight: 1}}, true)
 			case 1:
-				r.Told(now, News{Build: rapid.IntRange(1, 2).Draw(t, "told"), Phase: Phase(rapid.IntRange(0, 3).Draw(t, "phase")), Cap: .1})
+				r.ReleaseChanged(now, ReleaseStatus{Build: rapid.IntRange(1, 2).Draw(t, "told"), Phase: Phase(rapid.IntRange(0, 3).Draw(t, "phase")), ExposureCap: .1})
 			case 2, 3, 4, 5:
-				r.Take(now, &Task{Category: cat, Patience: 10_000})
+				r.RequestArrived(now, &Request{Class: cat, Timeout: 10_000})
 				open, hands.sends = append(open, hands.sends...), nil
 			default:
 				if len(open) == 0 {
@@ -58,8 +58,8 @@
 				i := rapid.IntRange(0, len(open)-1).Draw(t, "send")
 				s := open[i]
 				open = append(open[:i], open[i+1:]...)
-				fate := rapid.SampledFrom([]Fate{Finished, Finished, Finished, Errored, NoAnswer, NoLink, TurnedBack}).Draw(t, "fate")
-				r.Ended(now, s, fate, now-s.at, fate == Finished, nil)
+				fate := rapid.SampledFrom([]Outcome{Succeeded, Succeeded, Succeeded, Failed, TimedOut, ConnectFailed, Rejected}).Draw(t, "fate")
+				r.AttemptEnded(now, s, fate, now-s.at, fate == Succeeded, nil)
 				open, hands.sends = append(open, hands.sends...), nil
 			}
 			kept := *r.standing()
--- a/logic/peers.go
+++ b/logic/peers.go
@@ -231,7 +231,7 @@
 			continue
 		}
 		for _, s := range h.open {
-			s.Task.Category.out++
+			s.Request.Class.out++
 		}
 	}
 }
--- a/logic/samples.go
+++ b/logic/samples.go
@@ -34,7 +34,7 @@
 }
 
 // since counts the moments after from; a category narrows the count.
-func since(all []moment, from Time, c *Category) (n float64) {
+func since(all []moment, from Time, c *Class) (n float64) {
 	for i := len(all) - 1; i >= 0 && all[i].at > from; i-- {
 		if c == nil || all[i].cat == c {
 			n++
@@ -72,7 +72,7 @@
 			i, sums = len(sums), append(sums, word{host: s.host})
 		}
 		sums[i].n, sums[i].slow = sums[i].n+1, sums[i].slow+s.slow()-level(s)
-		if s.fate != Finished {
+		if s.fate != Succeeded {
 			sums[i].bad++
 		}
 	}
@@ -81,7 +81,7 @@
 }
 
 // enter takes a change to the host list into the hosts, which stand in an order that is the same everywhere.
-func (r *Router) enter(l Listing) {
+func (r *Router) enter(l EndpointUpdate) {
 	h := l.Host
 	r.muster.counted = false
 	if !h.listed {
@@ -89,27 +89,27 @@
 		at, _ := slices.BinarySearchFunc(r.hosts, h, func(a, b *Host) int { return int(a.ID) - int(b.ID) })
 		r.hosts = slices.Insert(r.hosts, at, h)
 	}
-	if h.Up != l.Up || h.Build != l.Build { // another process: what the last one did says nothing of it
+	if h.StartedAt != l.StartedAt || h.Build != l.Build { // another process: what the last one did says nothing of it
 		h.past, h.health, h.load, h.words = nil, fit, nil, [3]repute{}
 	}
-	if h.Standing == Serving && l.Standing != Serving {
+	if h.State == Serving && l.State != Serving {
 		h.left = r.now
 	}
-	h.Location, h.Cell, h.Standing, h.Build, h.Size, h.Up = l.Location, l.Cell, l.Standing, l.Build, l.Size, l.Up
+	h.Zone, h.Cell, h.State, h.Build, h.Weight, h.StartedAt = l.Zone, l.Cell, l.State, l.Build, l.Weight, l.StartedAt
 }
 
-// Planned tells shares worked out ahead; hosts that they don't name have none.
-func (r *Router) Planned(now Time, c Course) {
+// PlanOffered tells shares worked out ahead; hosts that they don't name have none.
+func (r *Router) PlanOffered(now Time, c WeightPlan) {
 	r.now = now
 	r.course = c
 	for _, h := range r.hosts {
-		h.part = c.Parts[h]
+		h.part = c.Weights[h]
 	}
 }
 
 // Forget drops a host that has long been gone and to which no send is out.
 func (r *Router) Forget(h *Host) {
-	if h.Standing == Gone && len(h.open) == 0 {
+	if h.State == Removed && len(h.open) == 0 {
 		h.listed, r.muster.counted = false, false
 		r.hosts = slices.DeleteFunc(r.hosts, func(x *Host) bool { return x == h })
 	}
@@ -126,30 +126,30 @@
 }
 
 // enlist notes a new send.
-func (r *Router) enlist(t *Task, h *Host, how role) *Send {
-	s := &Send{Task: t, Host: h, at: r.now, build: h.Build, up: h.Up, held: r.held(h), role: how}
-	t.Sends, h.open = append(t.Sends, s), append(h.open, s)
+func (r *Router) enlist(t *Request, h *Host, how role) *Attempt {
+	s := &Attempt{Request: t, Host: h, at: r.now, build: h.Build, up: h.StartedAt, held: r.held(h), role: how}
+	t.Attempts, h.open = append(t.Attempts, s), append(h.open, s)
 	if h.health == fit && r.old(h) {
 		r.muster.out[r.side(h)]++
 	}
-	h.sent = keep(h.sent, moment{at: r.now, cat: t.Category}, 256)
+	h.sent = keep(h.sent, moment{at: r.now, cat: t.Class}, 256)
 	if r.old(h) {
-		r.flow = keep(r.flow, moment{at: r.now, cat: t.Category}, 8192)
+		r.flow = keep(r.flow, moment{at: r.now, cat: t.Class}, 8192)
 	} else {
-		r.tried = keep(r.tried, moment{at: r.now, cat: t.Category}, 8192)
+		r.tried = keep(r.tried, moment{at: r.now, cat: t.Class}, 8192)
 	}
 	return s
 }
 
 // close notes the end of a send.
-func (r *Router) close(s *Send, fate Fate, load *Load) {
-	s.fate = fate
-	c := s.Task.Category
-	if fate == Finished {
+func (r *Router) close(s *Attempt, fate Outcome, load *LoadReport) {
+	s.outcome = fate
+	c := s.Request.Class
+	if fate == Succeeded {
 		c.seen.add(rush{at: r.now, work: float64(c.mid), took: float64(r.now - s.at)})
 	}
 	was := len(s.Host.open)
-	s.Host.open = slices.DeleteFunc(s.Host.open, func(x *Send) bool { return x == s })
+	s.Host.open = slices.DeleteFunc(s.Host.open, func(x *Attempt) bool { return x == s })
 	if s.Host.health == fit && r.old(s.Host) {
 		r.muster.out[r.side(s.Host)] -= was - len(s.Host.open)
 	}
@@ -158,17 +158,17 @@
 			r.reports = keep(r.reports, load.Active, 64)
 		}
 	}
-	if s.Host.linkAt = r.now; fate == NoLink {
+	if s.Host.linkAt = r.now; fate == ConnectFailed {
 		s.Host.linkAt = 0
 	}
-	x := moment{at: r.now, cat: s.Task.Category, side: r.side(s.Host), fate: fate,
-		late: r.now-s.Task.at > s.Task.Category.Promised}
+	x := moment{at: r.now, cat: s.Request.Class, side: r.side(s.Host), fate: fate,
+		late: r.now-s.Request.at > s.Request.Class.LatencyObjective}
 	way := repute{at: r.now, n: 1}
-	if x.late || fate == NoAnswer || fate == NoLink || fate == Cut {
+	if x.late || fate == TimedOut || fate == ConnectFailed || fate == ConnectionLost {
 		way.bad = 1
 	}
 	r.ways[x.side].add(way)
-	if fate == Finished {
+	if fate == Succeeded {
 		x.work = x.cat.mid
 	}
 	if s.Host.health == fit && r.old(s.Host) {
@@ -209,16 +209,16 @@
 }
 
 // sampled is what an ended send showed.
-func (r *Router) sampled(s *Send, took Time) sample {
-	x := sample{at: r.now, took: took, age: s.at - s.up, host: s.Host, cat: s.Task.Category, fate: s.fate,
-		hasty: s.fate == NoAnswer && s.Task.Patience < s.Task.Category.Promised, held: s.held,
-		strain: float64(took) / float64(s.Task.Category.mid)}
-	if r.limits.Peers > 0 { // where a category waits everywhere no host is to blame
-		x.strain /= r.drags(s.Task.Category)
+func (r *Router) sampled(s *Attempt, took Time) sample {
+	x := sample{at: r.now, took: took, age: s.at - s.up, host: s.Host, cat: s.Request.Class, fate: s.outcome,
+		hasty: s.outcome == TimedOut && s.Request.Timeout < s.Request.Class.LatencyObjective, held: s.held,
+		strain: float64(took) / float64(s.Request.Class.mid)}
+	if r.limits.MaxGossipBytes > 0 { // where a category waits everywhere no host is to blame
+		x.strain /= r.drags(s.Request.Class)
 	}
 	x.pace = x.strain / (1 + r.crowd*s.held)
 	w := repute{at: r.now, n: 1, pace: min(x.strain, 8)} // one very long send says little
-	if s.fate != Finished {
+	if s.outcome != Succeeded {
 		w.bad = 1
 	}
 	s.Host.words[0].add(w)
@@ -232,7 +232,7 @@
 // tell of it and sends that seem stuck.
 func (r *Router) ails(h *Host, least int) (share, strain float64) {
 	for _, p := range h.past {
-		if p.fate != Finished {
+		if p.fate != Succeeded {
 			share++
 		}
 		strain += p.strain
@@ -264,7 +264,7 @@
 }
 
 // pickCounts are the counts of a kind.
-func pickCounts(all []Count, of func(Count) bool) (some []Count) {
+func pickCounts(all []BuildStats, of func(BuildStats) bool) (some []BuildStats) {
 	for _, x := range all {
 		if of(x) {
 			some = append(some, x)
@@ -274,7 +274,7 @@
 }
 
 // counted adds up what the desk counted of a category.
-func counted(all []Count, c *Category) (bad, n float64, hosts int) {
+func counted(all []BuildStats, c *Class) (bad, n float64, hosts int) {
 	for _, x := range all {
 		if x.Category == c {
 			bad, n, hosts = bad+float64(x.Bad), n+float64(x.Samples), x.hosts
@@ -285,7 +285,7 @@
 
 // countedGap is the log of how much longer the sends of one set of counts took than those of another, by
 // category and period, with the sends behind each side and the hosts of the first.
-func countedGap(now, before []Count) (gap, n, of float64, hosts int) {
+func countedGap(now, before []BuildStats) (gap, n, of float64, hosts int) {
 	for _, x := range now {
 		y, good := beside(x, before), float64(x.Samples-x.Bad)
 		if hosts = x.hosts; good > 0 && x.Mean > 0 && y.Mean > 0 {
@@ -298,7 +298,7 @@
 
 // calmer is the log of how much longer the sends at a build take now than those at another before the newest
 // was offered, less so much, as the desk counted them, and the number of the former; a category narrows it.
-func calmer(all []Count, c *Category, was, is int, offered, now Time, less float64) (gap, n float64) {
+func calmer(all []BuildStats, c *Class, was, is int, offered, now Time, less float64) (gap, n float64) {
 	for _, x := range all {
 		if x.Build != is || x.Mean <= 0 || x.at <= now || c != nil && x.Category != c {
 			continue
@@ -468,10 +468,10 @@
 }
 
 // paired does the same with the desk's counts, period by period.
-func paired(now, before []Count, c *Category, kin float64) (parts []part) {
+func paired(now, before []BuildStats, c *Class, kin float64) (parts []part) {
 	bad, n, _ := counted(before, c)
 	all := part{0.5 + bad, 1 + n, 0}
-	of := func(x Count) part { return part{bad: float64(x.Bad), n: float64(x.Samples)} }
+	of := func(x BuildStats) part { return part{bad: float64(x.Bad), n: float64(x.Samples)} }
 	for _, x := range now {
 		if x.Category == c {
 			p := of(x)
@@ -483,17 +483,17 @@
 }
 
 // beside is the count of the same category and period at the other build.
-func beside(x Count, others []Count) Count {
+func beside(x BuildStats, others []BuildStats) BuildStats {
 	for _, y := range others {
 		if y.Category == x.Category && y.at == x.at {
 			return y
 		}
 	}
-	return Count{}
+	return BuildStats{}
 }
 
 func (p *part) add(s sample) {
-	if p.n++; s.fate != Finished {
+	if p.n++; s.fate != Succeeded {
 		p.bad++
 	}
 }
@@ -549,7 +549,7 @@
 // peersAil is how the other hosts of a host's build do.
 func (r *Router) peersAil(h *Host, least int) (shares, strains []float64) {
 	for _, p := range r.hosts {
-		if p != h && p.Build == h.Build && p.Standing == Serving &&
+		if p != h && p.Build == h.Build && p.State == Serving &&
 			float64(len(p.past))+p.rumour(r.now, firsthand, passedOn).n > 2 {
 			s, d := r.ails(p, least)
 			shares, strains = append(shares, s), append(strains, d)
@@ -564,7 +564,7 @@
 	if r.usual.at != r.now {
 		of, most := map[int]float64{}, 1.0
 		for _, h := range r.hosts {
-			if h.Standing == Serving || r.now-h.left < over {
+			if h.State == Serving || r.now-h.left < over {
 				of[h.Build]++
 				most = max(most, of[h.Build])
 			}
@@ -579,7 +579,7 @@
 	here, there = r.here[:0], r.there[:0]
 	for _, h := range r.hosts {
 		switch {
-		case h.Standing != Serving || !fits(h):
+		case h.State != Serving || !fits(h):
 		case r.side(h) == near:
 			here = append(here, h)
 		default:
@@ -617,17 +617,17 @@
 	return math.Log(float64(max(1, x.took)) / (1 + crowd*x.held) / float64(x.cat.calm))
 }
 
-// Left says that a client has gone.
-func (r *Router) Left(now Time, t *Task) {
+// ClientGone says that a client has gone.
+func (r *Router) ClientGone(now Time, t *Request) {
 	r.now = now
 	r.step(t, ends)
 }
 
-// Probed takes in what a probe found: of the way, and what the host reports.
-func (r *Router) Probed(now Time, h *Host, fate Fate, _ Time, load *Load) {
+// HealthChecked takes in what a probe found: of the way, and what the host reports.
+func (r *Router) HealthChecked(now Time, h *Host, fate Outcome, _ Time, load *LoadReport) {
 	r.now = now
 	way := repute{at: now, n: 1}
-	if fate != Finished {
+	if fate != Succeeded {
 		way.bad = 1
 	}
 	r.ways[r.side(h)].add(way)
@@ -636,29 +636,29 @@
 	}
 }
 
-// Began says that a send's answer has started to stream.
-func (r *Router) Began(now Time, s *Send) { r.now, s.began = now, true }
+// ResponseStarted says that a send's answer has started to stream.
+func (r *Router) ResponseStarted(now Time, s *Attempt) { r.now, s.began = now, true }
 
-// Counted takes in what the desk counted, with how many hosts ran the build and how many were warm by then.
-func (r *Router) Counted(now Time, c Count) {
+// StatsReported takes in what the desk counted, with how many hosts ran the build and how many were warm by then.
+func (r *Router) StatsReported(now Time, c BuildStats) {
 	cold := 0.0
 	r.now, c.at = now, now
 	for _, h := range r.hosts {
-		if h.Build == c.Build && h.Standing == Serving {
+		if h.Build == c.Build && h.State == Serving {
 			c.hosts++
 			cold += r.strengthAt(h, now-c.Age-c.Over/2)
-			if now-c.Age-c.Over-h.Up > r.limits.Cold {
+			if now-c.Age-c.Over-h.StartedAt > r.limits.WarmUp {
 				c.warm++
 			}
 		}
 	}
 	c.warm /= max(1, float64(c.hosts))
-	c.cold = math.Log(max(1, float64(c.hosts)) / max(r.limits.ColdShare, cold))
+	c.cold = math.Log(max(1, float64(c.hosts)) / max(r.limits.ColdCapacity, cold))
 	if len(r.counts) == 0 || r.counts[len(r.counts)-1].at != now {
 		r.laden = 0 // what hosts hold: how much comes by how long it takes
 	}
 	if r.desk.Counted > 0 && c.Over > 0 {
-		serve := r.count(func(h *Host) bool { return h.Standing == Serving })
+		serve := r.count(func(h *Host) bool { return h.State == Serving })
 		r.laden += float64(c.Samples) / r.desk.Counted / float64(c.Over) * float64(c.Mean) / max(1, serve)
 	}
 	r.counts = keep(r.counts, c, 240)
@@ -670,7 +670,7 @@
 // reckon sets what a category usually takes by the calmest of the desk's periods kept: hundreds of routers
 // have too few sends of their own to tell, and were apart by ten times; and a category that waits long is
 // not usual.
-func (r *Router) reckon(c *Category) {
+func (r *Router) reckon(c *Class) {
 	const few, calm = 10, 0.85
 	var means []Time
 	for _, x := range r.counts {
@@ -684,7 +684,7 @@
 }
 
 // drags is how much longer than usual a category's answers take everywhere, by own ones and what peers told.
-func (r *Router) drags(c *Category) float64 {
+func (r *Router) drags(c *Class) float64 {
 	lean := 5 * float64(c.mid)
 	own, told := c.seen.as(r.now), c.told.as(r.now)
 	return max(1, (own.took+told.took+lean)/(own.work+told.work+lean))
@@ -692,8 +692,8 @@
 
 // lateOf is how many of the last ended sends of a category were late; where hundreds of routers see few,
 // those of others are taken to be in time.
-func (r *Router) lateOf(c *Category, last int) float64 {
-	if r.limits.Peers == 0 {
+func (r *Router) lateOf(c *Class, last int) float64 {
+	if r.limits.MaxGossipBytes == 0 {
 		return r.share(last, func(x moment) bool { return x.late })
 	}
 	late, n := 0.0, float64(last)/3
@@ -717,10 +717,10 @@
 	return n
 }
 
-// Complained takes in that a client found an answer wrong.
-func (r *Router) Complained(now Time, h *Host, c *Category, age Time) {
+// ComplaintReceived takes in that a client found an answer wrong.
+func (r *Router) ComplaintReceived(now Time, h *Host, c *Class, age Time) {
 	r.now = now
-	if b := r.book(h.Build); h.Up <= now-age {
+	if b := r.book(h.Build); h.StartedAt <= now-age {
 		r.blames[b.build]++
 		r.unsaid[b.build]++
 		b.wrong = keep(b.wrong, sample{at: now, host: h, cat: c}, 240)
@@ -728,7 +728,7 @@
 }
 
 // step reads the table of tasks.
-func (r *Router) step(t *Task, in taskInput) {
+func (r *Router) step(t *Request, in taskInput) {
 	for _, row := range tasks {
 		if row.state == t.state && row.input == in {
 			t.state = row.next
@@ -739,7 +739,7 @@
 }
 
 // turnTo takes over news, and at a new build remembers how quick the fleet was before it.
-func (r *Router) turnTo(n News) {
+func (r *Router) turnTo(n ReleaseStatus) {
 	if !r.heard || n.Build != r.news.Build || n.Stage != r.news.Stage || n.Phase != r.news.Phase {
 		r.staged, r.ballot = r.now-n.Age, ballot{}
 	}
@@ -752,7 +752,7 @@
 	}
 	if r.news, r.heard = n, true; n.Phase == Released {
 		r.live, r.liveAt = n.Build, r.now-n.Age
-	} else if n.Phase != OnTrial {
+	} else if n.Phase != Canary {
 		if r.dropped = n.Build; r.live == n.Build {
 			r.live = 0
 		}
@@ -770,7 +770,7 @@
 
 // side tells hosts nearby from the rest.
 func (r *Router) side(h *Host) int {
-	if h.Location == r.location {
+	if h.Zone == r.location {
 		return near
 	}
 	return far
@@ -798,30 +798,30 @@
 		return true, 0, 0
 	case !r.heard || build < r.news.Build || build == r.news.Build && r.news.Phase == Released:
 		return false, 0, 1
-	case build > r.news.Build && len(r.desk.Caps) > 0:
-		return true, 0, r.desk.Caps[0]
-	case build > r.news.Build || r.news.Phase != OnTrial:
+	case build > r.news.Build && len(r.desk.ExposureCaps) > 0:
+		return true, 0, r.desk.ExposureCaps[0]
+	case build > r.news.Build || r.news.Phase != Canary:
 		return true, 0, 0
 	}
-	return true, r.news.Stage, r.news.Cap
+	return true, r.news.Stage, r.news.ExposureCap
 }
 
 // old tells hosts that serve with a build that is not on trial.
 func (r *Router) old(h *Host) bool {
 	on, _, _ := r.trial(h.Build)
-	return !on && h.Standing == Serving
+	return !on && h.State == Serving
 }
 
 // mayRepeat tells whether a second run of the task does no harm anywhere.
-func (c *Category) mayRepeat() bool {
-	return c.Repeat == Retriable || c.Repeat == Fingerprinted && c.Group == Everywhere
+func (c *Class) mayRepeat() bool {
+	return c.Idempotency == Idempotent || c.Idempotency == IdempotentWithKey && c.DedupScope == FleetScope
 }
 
 // stuck counts a host's sends that have been out for longer than so many usual times with no answer since
 // from it.
 func (h *Host) stuck(now Time, times float64) (n int) {
 	for _, s := range h.open {
-		late := float64(now-s.at) > times*float64(s.Task.Category.mid)*(1+s.held)
+		late := float64(now-s.at) > times*float64(s.Request.Class.mid)*(1+s.held)
 		if late && (len(h.past) == 0 || h.past[len(h.past)-1].at < s.at) {
 			n++
 		}
@@ -829,22 +829,22 @@
 	return n
 }
 
-// Take accepts a task; from here on it is owed one final answer. More tasks are kept than any window holds.
-func (r *Router) Take(now Time, t *Task) {
+// RequestArrived accepts a task; from here on it is owed one final answer. More tasks are kept than any window holds.
+func (r *Router) RequestArrived(now Time, t *Request) {
 	r.now, t.at = now, now
-	r.taken = keep(r.taken, moment{at: now, cat: t.Category}, 8192)
-	if c := t.Customer; c != nil {
-		c.taken = keep(c.taken, moment{at: now, cat: t.Category}, 4096)
+	r.taken = keep(r.taken, moment{at: now, cat: t.Class}, 8192)
+	if c := t.Tenant; c != nil {
+		c.taken = keep(c.taken, moment{at: now, cat: t.Class}, 4096)
 	}
 	r.step(t, arrives)
 }
 
 // runs tells hosts that serve with the newest build told.
-func (r *Router) runs(h *Host) bool { return h.Build == r.news.Build && h.Standing == Serving }
+func (r *Router) runs(h *Host) bool { return h.Build == r.news.Build && h.State == Serving }
 
 // misses is the chance that a task breaks its promised time on a side, as if answers took exponential times.
-func (r *Router) misses(t *Task, side int) float64 {
-	return math.Exp(-float64(t.Category.Promised) / max(1, r.jam(side)*float64(t.Category.mid)))
+func (r *Router) misses(t *Request, side int) float64 {
+	return math.Exp(-float64(t.Class.LatencyObjective) / max(1, r.jam(side)*float64(t.Class.mid)))
 }
 
 // move reads the table of healths.
@@ -862,7 +862,7 @@
 }
 
 // poll reads the table of ballots.
-func (r *Router) poll(in ballotInput, voice Voice, w float64, doubts []float64) {
+func (r *Router) poll(in ballotInput, voice VoteChoice, w float64, doubts []float64) {
 	for _, row := range ballots {
 		if row.state != r.ballot.state || row.input != in {
 			continue
@@ -870,23 +870,23 @@
 		r.ballot.state = row.next
 		if row.cast {
 			r.ballot.voice, r.ballot.at = voice, r.now
-			r.hands.Vote(r.news.Build, r.news.Stage, voice)
-			r.hands.Note(fmt.Sprintf("votes %d on build %d in stage %d: odds of bad %.2g, mean of %.2g",
+			r.effects.Vote(r.news.Build, r.news.Stage, voice)
+			r.effects.Log(fmt.Sprintf("votes %d on build %d in stage %d: odds of bad %.2g, mean of %.2g",
 				voice, r.news.Build, r.news.Stage, w, doubts))
 		}
 		return
 	}
 }
 
-// Told takes in the desk's news, or its answer to a vote.
-func (r *Router) Told(now Time, n News) {
+// ReleaseChanged takes in the desk's news, or its answer to a vote.
+func (r *Router) ReleaseChanged(now Time, n ReleaseStatus) {
 	r.now = now
-	if n.Answer == Unasked || n.Answer == Counted {
+	if n.VoteResult == Unsolicited || n.VoteResult == VoteAccepted {
 		r.turnTo(n)
 	}
-	if n.Answer == Counted {
+	if n.VoteResult == VoteAccepted {
 		r.poll(counts, 0, 0, nil)
-	} else if n.Answer != Unasked {
+	} else if n.VoteResult != Unsolicited {
 		r.poll(drops, 0, 0, nil)
 	}
 }
@@ -914,7 +914,7 @@
 		}
 	}
 	for _, s := range h.open {
-		usual := float64(s.Task.Category.mid) * (1 + r.crowd*s.held)
+		usual := float64(s.Request.Class.mid) * (1 + r.crowd*s.held)
 		if x := float64(r.now-s.at) / usual; x > 2 {
 			pace, n = pace+x, n+1
 		}
@@ -940,16 +940,16 @@
 
 // able is what a host can do against others: its size, as far as the list hints at it, and as it warms.
 func (r *Router) able(h *Host) float64 {
-	if h.Size <= 0 {
+	if h.Weight <= 0 {
 		return r.strength(h)
 	}
-	return h.Size * r.strength(h)
+	return h.Weight * r.strength(h)
 }
 
 // allAble adds up what the hosts of a kind that serve can do.
 func (r *Router) allAble(is func(*Host) bool) (sum float64) {
 	for _, h := range r.hosts {
-		if h.Standing == Serving && is(h) {
+		if h.State == Serving && is(h) {
 			sum += r.able(h)
 		}
 	}
@@ -968,7 +968,9 @@
 // warm tells hosts that have been up for long enough to do all they can.
 func (r *Router) warm(h *Host) bool { return r.warmAt(h, r.now) }
 
-func (r *Router) warmAt(h *Host, at Time) bool { return h.Up == 0 || at-h.Up >= r.limits.Cold }
+func (r *Router) warmAt(h *Host, at Time) bool {
+	return h.StartedAt == 0 || at-h.StartedAt >= r.limits.WarmUp
+}
 
 // strength is the share of its capacity that a host has at the least, as it warms.
 func (r *Router) strength(h *Host) float64 {
@@ -979,7 +981,7 @@
 	if r.warmAt(h, at) {
 		return 1
 	}
-	return r.limits.ColdShare + (1-r.limits.ColdShare)*float64(max(0, at-h.Up))/float64(r.limits.Cold)
+	return r.limits.ColdCapacity + (1-r.limits.ColdCapacity)*float64(max(0, at-h.StartedAt))/float64(r.limits.WarmUp)
 }
 
 // lately are the hosts that have answered since, so that a link to them is up; until it is asked for again.
@@ -1021,9 +1023,9 @@
 
 // heardOf are the desk's counts to be judged, of the build and of the one before it, over the same time.
 // Those of a time when no host of the build was warm speak of the cold.
-func (r *Router) heardOf(now, before int) (of [2][]Count) {
-	of[0] = pickCounts(r.counts, func(x Count) bool { return x.Build == now && x.warm > 0 })
-	of[1] = pickCounts(r.counts, func(x Count) bool {
+func (r *Router) heardOf(now, before int) (of [2][]BuildStats) {
+	of[0] = pickCounts(r.counts, func(x BuildStats) bool { return x.Build == now && x.warm > 0 })
+	of[1] = pickCounts(r.counts, func(x BuildStats) bool {
 		return x.Build == before && len(of[0]) > 0 && x.at >= of[0][0].at
 	})
 	return of
@@ -1031,26 +1033,26 @@
 
 // tallied weighs what the desk counted of a category while so many hosts or more ran the build: by how much
 // more than a least share and the usual one it failed.
-func (r *Router) tallied(c *Category, now, before, few int, floor float64, gaps ...float64) float64 {
-	wide := func(x Count) bool { return x.Build == now && x.hosts >= few }
+func (r *Router) tallied(c *Class, now, before, few int, floor float64, gaps ...float64) float64 {
+	wide := func(x BuildStats) bool { return x.Build == now && x.hosts >= few }
 	bad, n, hosts := counted(pickCounts(r.counts, wide), c)
-	was, of, _ := counted(pickCounts(r.counts, func(x Count) bool { return x.Build == before }), c)
+	was, of, _ := counted(pickCounts(r.counts, func(x BuildStats) bool { return x.Build == before }), c)
 	return spoken(odds([]part{{bad, n, max(floor, (was+0.5)/(of+1))}}, gaps...), hosts)
 }
 
-// Settled takes over other settings while the router runs; what was sent and seen before counts on.
-func (r *Router) Settled(now Time, routers, rank int, l Limits, d Desk) {
+// ConfigChanged takes over other settings while the router runs; what was sent and seen before counts on.
+func (r *Router) ConfigChanged(now Time, routers, rank int, l Limits, d ReleaseConfig) {
 	r.now = now
-	if r.limits.Pushed && !l.Pushed { // from now on the list must be asked for
-		r.hands.WatchHosts()
+	if r.limits.PushedDiscovery && !l.PushedDiscovery { // from now on the list must be asked for
+		r.effects.WatchEndpoints()
 	}
 	r.routers, r.rank, r.limits, r.desk = max(1, routers), rank, l, d
 	r.muster.counted = false
 }
 
 // usually learns from an answer of the earlier build what a category takes.
-func (r *Router) usually(c *Category, s *Send, x sample) {
-	if s.fate != Finished || !r.old(s.Host) {
+func (r *Router) usually(c *Class, s *Attempt, x sample) {
+	if s.outcome != Succeeded || !r.old(s.Host) {
 		return
 	}
 	c.took = keep(c.took, x.took, 64)
@@ -1063,8 +1065,8 @@
 
 // calmShare is what share of a category the desk counted to go wrong at a build before the trial, when all
 // load was its own; as if leaning on so many sends of a usual share.
-func (r *Router) calmShare(before *book, c *Category, usual, kin float64) float64 {
-	bad, n, _ := counted(pickCounts(r.counts, func(x Count) bool {
+func (r *Router) calmShare(before *book, c *Class, usual, kin float64) float64 {
+	bad, n, _ := counted(pickCounts(r.counts, func(x BuildStats) bool {
 		return x.Build == before.build && x.at <= r.offered
 	}), c)
 	return part{bad: bad, n: n}.share(part{0.5, 0.5 / usual, 0}, kin)
@@ -1078,8 +1080,8 @@
 }
 
 // strained is how jammed the side is that is the less so, of those that have hosts.
-func (r *Router) strained(c *Category) float64 {
-	if r.limits.Peers > 0 {
+func (r *Router) strained(c *Class) float64 {
+	if r.limits.MaxGossipBytes > 0 {
 		return r.rushed(c)
 	}
 	m := r.standing()
--- a/logic/types.go
+++ b/logic/types.go
@@ -8,32 +8,32 @@
 // Second is the unit that long spans are written in.
 const Second Time = 10_000
 
-// Repeat says what running a task twice would do.
-type Repeat int
+// Idempotency says what running a task twice would do.
+type Idempotency int
 
 const (
-	Retriable     Repeat = iota // harmless
-	Fingerprinted               // a mark lets hosts of one group drop the repeat for a while
-	Binding                     // it must never run twice
+	Idempotent        Idempotency = iota // harmless
+	IdempotentWithKey                    // a mark lets hosts of one group drop the repeat for a while
+	NonIdempotent                        // it must never run twice
 )
 
-// Group is the set of hosts that drop each other's repeats.
-type Group int
+// DedupScope is the set of hosts that drop each other's repeats.
+type DedupScope int
 
 const (
-	Everywhere Group = iota
-	SameLocation
-	SameCell
+	FleetScope DedupScope = iota
+	ZoneScope
+	CellScope
 )
 
-// Category is a kind of task.
-type Category struct {
-	Repeat    Repeat
-	Group     Group
-	Memory    Time // how long a group drops repeats
-	Promised  Time // answered within this it earns in full
-	Earnings  float64
-	LateShare float64 // share of the earnings left after the promised time
+// Class is a kind of task.
+type Class struct {
+	Idempotency      Idempotency
+	DedupScope       DedupScope
+	DedupWindow      Time // how long a group drops repeats
+	LatencyObjective Time // answered within this it earns in full
+	PriorityWeight   float64
+	LateShare        float64 // share of the earnings left after the promised time
 
 	took []Time    // what finished sends took lately
 	work []float64 // the same, less what the host's other tasks added
@@ -45,156 +45,156 @@
 	told rush      // and of peers', as they told
 }
 
-// Customer is whoever pays for a task.
-type Customer struct {
-	PerSecond float64 // tasks a second, over all routers, that earn in full
+// Tenant is whoever pays for a task.
+type Tenant struct {
+	QuotaPerSecond float64 // tasks a second, over all routers, that earn in full
 
 	taken []moment
 }
 
-// Location is where hosts and routers stand. It is told by its address alone, so it must not be of size zero.
-type Location struct{ _ byte }
+// Zone is where hosts and routers stand. It is told by its address alone, so it must not be of size zero.
+type Zone struct{ _ byte }
 
-// Standing is what the host list says of a host.
-type Standing int
+// EndpointState is what the host list says of a host.
+type EndpointState int
 
 const (
-	Serving Standing = iota
+	Serving EndpointState = iota
 	Draining
-	Gone
+	Removed
 )
 
 // Host is one machine; a later process or machine under the same id is the same Host with a new Up.
 type Host struct {
-	ID       uint32 // for an order that is the same everywhere, nothing else
-	Location *Location
-	Cell     int
-	Standing Standing
-	Build    int
-	Size     float64
-	Up       Time // when its process last started; 0 is long ago
+	ID        uint32 // for an order that is the same everywhere, nothing else
+	Zone      *Zone
+	Cell      int
+	State     EndpointState
+	Build     int
+	Weight    float64
+	StartedAt Time // when its process last started; 0 is long ago
 
 	listed bool
 	health health
 	until  Time // when its health is looked at anew
 	left   Time // when it was told to drain or to be gone
-	open   []*Send
+	open   []*Attempt
 	sent   []moment
 	past   []sample
-	load   *Load
+	load   *LoadReport
 	loadAt Time
 	linkAt Time      // when a send over a link to it last ended
 	words  [3]repute // own, told by who met the host, and passed on once
 	part   float64   // of the tasks of its side, as a plan has it; in a unit that all share
 }
 
-// Listing is what the host list says of one host; whoever calls turns lists into changes.
-type Listing struct {
-	Host     *Host
-	Location *Location
-	Cell     int
-	Standing Standing
-	Build    int
-	Size     float64
-	Up       Time
+// EndpointUpdate is what the host list says of one host; whoever calls turns lists into changes.
+type EndpointUpdate struct {
+	Host      *Host
+	Zone      *Zone
+	Cell      int
+	State     EndpointState
+	Build     int
+	Weight    float64
+	StartedAt Time
 }
 
-// Course is a plan of shares worked out ahead: a hint, which the router's own view goes before.
-type Course struct {
-	Parts map[*Host]float64
-	Cross float64 // share of the tasks that start far away
-	Until Time    // it is not followed from then on
+// WeightPlan is a plan of shares worked out ahead: a hint, which the router's own view goes before.
+type WeightPlan struct {
+	Weights map[*Host]float64
+	Cross   float64 // share of the tasks that start far away
+	Until   Time    // it is not followed from then on
 }
 
-// Load is what a host reports of itself; a negative figure was not reported.
-type Load struct{ Active, Waiting, Busy, Service, Rate float64 }
+// LoadReport is what a host reports of itself; a negative figure was not reported.
+type LoadReport struct{ Active, Waiting, Busy, Service, Rate float64 }
 
-// Task is one call that the router has taken.
-type Task struct {
-	Category *Category
-	Customer *Customer // nil where there are none
-	Key      string
-	Patience Time // how long the client goes on waiting
-	Hint     Time // expected work, 0 where not told
-	Again    bool // the client says that it tries again
+// Request is one call that the router has taken.
+type Request struct {
+	Class        *Class
+	Tenant       *Tenant // nil where there are none
+	Key          string
+	Timeout      Time // how long the client goes on waiting
+	ExpectedWork Time // expected work, 0 where not told
+	ClientRetry  bool // the client says that it tries again
 
-	Sends []*Send
+	Attempts []*Attempt
 
 	at    Time
 	state taskState
-	risky *Send // the first send that may have run
+	risky *Attempt // the first send that may have run
 }
 
-// Over tells whether the task has had its final answer.
-func (t *Task) Over() bool { return t.state == over }
+// Answered tells whether the task has had its final answer.
+func (t *Request) Answered() bool { return t.state == over }
 
-// Send is one try of a task at a host.
-type Send struct {
-	Task *Task
-	Host *Host
+// Attempt is one try of a task at a host.
+type Attempt struct {
+	Request *Request
+	Host    *Host
 
-	fate  Fate
-	at    Time
-	build int
-	up    Time
-	fair  Time // what a lone copy would be given
-	held  float64
-	role  role
-	began bool
+	outcome Outcome
+	at      Time
+	build   int
+	up      Time
+	fair    Time // what a lone copy would be given
+	held    float64
+	role    role
+	began   bool
 }
 
-// Copied tells a send that was made to judge the build on trial: beside its original, or before it.
-func (s *Send) Copied() bool { return s.role == copied || s.role == lone }
+// IsShadow tells a send that was made to judge the build on trial: beside its original, or before it.
+func (s *Attempt) IsShadow() bool { return s.role == copied || s.role == lone }
 
-// Fate is how a send ended.
-type Fate int
+// Outcome is how a send ended.
+type Outcome int
 
 const (
-	Out        Fate = iota
-	Finished        // answered
-	Errored         // answered with an error; it may have run
-	TurnedBack      // rejected unseen
-	NoAnswer        // no answer in time; it may have run
-	NoLink          // no connection in time; it never ran
-	Cut             // the connection dropped; it may have run
-	CalledOff       // the router stopped waiting; it may have run
-	NeverSent       // it never left
+	Pending        Outcome = iota
+	Succeeded              // answered
+	Failed                 // answered with an error; it may have run
+	Rejected               // rejected unseen
+	TimedOut               // no answer in time; it may have run
+	ConnectFailed          // no connection in time; it never ran
+	ConnectionLost         // the connection dropped; it may have run
+	Canceled               // the router stopped waiting; it may have run
+	NotSent                // it never left
 )
 
 // Phase is where a release stands.
 type Phase int
 
 const (
-	OnTrial Phase = iota
-	GoingBack
+	Canary Phase = iota
+	RollingBack
 	Released
-	Withdrawn
+	RolledBack
 )
 
-// Answer is what became of a vote.
-type Answer int
+// VoteResult is what became of a vote.
+type VoteResult int
 
 const (
-	Unasked Answer = iota // news that no vote asked for
-	Counted               // the vote stands
-	Moot                  // not the present build or stage
-	Refused               // too many votes, or an error: it does not count
-	Unclear               // no reply: it may count
+	Unsolicited  VoteResult = iota // news that no vote asked for
+	VoteAccepted                   // the vote stands
+	VoteStale                      // not the present build or stage
+	VoteRejected                   // too many votes, or an error: it does not count
+	VoteUnknown                    // no reply: it may count
 )
 
-// News is what the release desk tells.
-type News struct {
+// ReleaseStatus is what the release desk tells.
+type ReleaseStatus struct {
 	Build, Stage int
 	Phase        Phase
-	Cap          float64
+	ExposureCap  float64
 	Age          Time
-	Answer       Answer
+	VoteResult   VoteResult
 }
 
-// Count is what the release desk counted for one build and category over a period.
-type Count struct {
+// BuildStats is what the release desk counted for one build and category over a period.
+type BuildStats struct {
 	Build        int
-	Category     *Category
+	Category     *Class
 	Bad, Samples int
 	Mean         Time
 	Age          Time
@@ -207,106 +207,106 @@
 	cold  float64 // log of how much longer they take for the cold, at the most
 }
 
-// Voice is what a vote says.
-type Voice int
+// VoteChoice is what a vote says.
+type VoteChoice int
 
 const (
-	NoVote Voice = iota
-	On
+	Abstain VoteChoice = iota
+	Promote
 	Hold
-	Back
+	Rollback
 )
 
-// Control is how the desk moves a build on.
-type Control int
+// PromotionMode is how the desk moves a build on.
+type PromotionMode int
 
 const (
-	AnyVote Control = iota
-	ShareOfVotes
-	Clock
+	AnyRouter PromotionMode = iota
+	Quorum
+	Timed
 )
 
-// Desk is what the release desk told at start.
-type Desk struct {
-	Control      Control
-	Caps         []float64 // by stage
-	LeastTime    Time      // of a stage
-	ClockTime    Time      // of a stage, under Clock
-	ToMoveOn     int       // votes that move a stage on
-	ToAbort      int       // votes that send a build back
-	VoteLife     Time
-	VoteTimeout  Time
-	VotesASecond float64 // from all routers together
-	Window       Time    // of the rule on exposure
-	Free         float64
-	ByCategory   bool
-	Guarded      int // stages that take retriable tasks only
-	KeysStay     bool
-	DelayPrice   float64
-	HarmPrice    float64
-	Complaints   float64 // share of the wrong answers that is reported
-	Counted      float64 // share of the sends in the desk's counts
+// ReleaseConfig is what the release desk told at start.
+type ReleaseConfig struct {
+	Mode              PromotionMode
+	ExposureCaps      []float64 // by stage
+	MinStageTime      Time      // of a stage
+	StageTime         Time      // of a stage, under Clock
+	PromoteQuorum     int       // votes that move a stage on
+	RollbackQuorum    int       // votes that send a build back
+	VoteTTL           Time
+	VoteTimeout       Time
+	MaxVotesPerSecond float64 // from all routers together
+	ExposureWindow    Time    // of the rule on exposure
+	ExposureAllowance float64
+	ExposurePerClass  bool
+	GuardedStages     int // stages that take retriable tasks only
+	StickyKeys        bool
+	DelayPrice        float64
+	HarmPrice         float64
+	Complaints        float64 // share of the wrong answers that is reported
+	Counted           float64 // share of the sends in the desk's counts
 }
 
 // Limits are the rules' figures and what the place allows.
 type Limits struct {
-	Grace       Time
-	Cold        Time
-	ColdShare   float64
-	Tip         float64
-	TipFor      Time
-	AskWithin   Time
-	MaxSends    int
-	MaxOpen     int
-	TwoAtOnce   bool
-	LongestStay Time // that a turn-back may name as a time to come back; 0 for none
-	Pushed      bool // the host list comes by itself
-	Peers       int  // most bytes of a message to another router; 0 where there are none
-	Probes      bool // hosts may be probed
-	CrossPrice  float64
-	WastePrice  float64
-	OverShare   float64
+	DrainGrace         Time
+	WarmUp             Time
+	ColdCapacity       float64
+	ColdOverloadFactor float64
+	ColdOverloadWindow Time
+	PollInterval       Time
+	MaxAttempts        int
+	MaxOpen            int
+	AllowHedging       bool
+	MaxRetryAfter      Time // that a turn-back may name as a time to come back; 0 for none
+	PushedDiscovery    bool // the host list comes by itself
+	MaxGossipBytes     int  // most bytes of a message to another router; 0 where there are none
+	HealthChecks       bool // hosts may be probed
+	CrossPrice         float64
+	WastePrice         float64
+	OverShare          float64
 }
 
-// Hands carry out what a Router decides.
-type Hands interface {
-	Send(s *Send, within Time)
-	TurnBack(t *Task, stay Time)
-	Scrap(t *Task)
-	WakeUp(in Time, what *Alarm)
-	WatchHosts()
-	Vote(build, stage int, voice Voice)
-	Note(text string)
-	Tell(peer int, body []byte) // peer is a rank, or Everyone
-	Probe(h *Host)
+// Effects carry out what a Router decides.
+type Effects interface {
+	Send(s *Attempt, within Time)
+	Reject(t *Request, stay Time)
+	Fail(t *Request)
+	SetTimer(in Time, what *Timer)
+	WatchEndpoints()
+	Vote(build, stage int, voice VoteChoice)
+	Log(text string)
+	Gossip(peer int, body []byte) // peer is a rank, or Everyone
+	CheckHealth(h *Host)
 }
 
-// Everyone stands for the ranks of all peers.
-const Everyone = -1
+// Broadcast stands for the ranks of all peers.
+const Broadcast = -1
 
-// Alarm is a call that the router asked for.
-type Alarm struct {
-	send *Send
-	list bool
+// Timer is a call that the router asked for.
+type Timer struct {
+	attempt *Attempt
+	list    bool
 }
 
-// Place is all that a router is told when it starts.
-type Place struct {
-	Seed       uint64
-	Routers    int
-	Rank       int // this router's number among them, from 0
-	Location   *Location
-	Categories []*Category
-	Limits     Limits
-	Desk       Desk
+// Config is all that a router is told when it starts.
+type Config struct {
+	Seed    uint64
+	Routers int
+	Rank    int // this router's number among them, from 0
+	Zone    *Zone
+	Classes []*Class
+	Limits  Limits
+	Release ReleaseConfig
 }
 
 // sample is one ended send, kept for the figures made of it.
 type sample struct {
 	at, took, age Time
 	host          *Host
-	cat           *Category
-	fate          Fate
+	cat           *Class
+	fate          Outcome
 	hasty         bool // its client waited less than the promised time
 	held, strain  float64
 	pace          float64 // strain, less what the host's other tasks added
@@ -321,34 +321,34 @@
 
 type moment struct {
 	at         Time
-	cat        *Category
+	cat        *Class
 	side       int
-	fate       Fate
+	fate       Outcome
 	late       bool // beyond the promised time
 	took, work Time // how long a send was out, and its usual time where it was answered
 }
 
 type ballot struct {
 	state ballotState
-	voice Voice
+	voice VoteChoice
 	at    Time
 }
 
 // Router is one instance's mind; it shares nothing with others.
 type Router struct {
-	hands    Hands
+	effects  Effects
 	seed     uint64
 	drawn    uint64
 	now      Time
 	born     Time
 	routers  int
 	rank     int
-	location *Location
-	cats     []*Category
+	location *Zone
+	cats     []*Class
 	limits   Limits
-	desk     Desk
+	desk     ReleaseConfig
 	hosts    []*Host
-	news     News
+	news     ReleaseStatus
 	heard    bool
 	work     [2]struct { // near and far: work answered lately, as of a moment
 		at, span     Time
@@ -378,11 +378,11 @@
 	extra   []moment
 	kept    map[string]int
 	books   []*book
-	counts  []Count
+	counts  []BuildStats
 	ballot  ballot
 	lost    int  // list calls that failed in a row
 	asked   Time // when the list was asked for last
-	course  Course
+	course  WeightPlan
 	muster  muster
 	here    []*Host // scratch for choices among hosts, so that these take no memory
 	there   []*Host
@@ -510,7 +510,7 @@
 		state taskState
 		input taskInput
 		next  taskState
-		do    func(*Router, *Task)
+		do    func(*Router, *Request)
 	}
 	healthRow struct {
 		state health
--- a/plan/copies.go
+++ b/plan/copies.go
@@ -61,7 +61,7 @@
 func (o origin) copies(m *Model, r *Release, stage int) (rate, work *big.Rat) {
 	var some, load int64
 	for i, c := range m.Categories {
-		if c.Repeat == logic.Retriable || c.Repeat == logic.Fingerprinted && stage >= r.Guarded {
+		if c.Repeat == logic.Idempotent || c.Repeat == logic.IdempotentWithKey && stage >= r.Guarded {
 			some += o.rates[i]
 			load += up(float64(o.rates[i]) / unit * c.Work)
 		}
--- a/plan/model.go
+++ b/plan/model.go
@@ -15,7 +15,7 @@
 type Category struct {
 	Name     string
 	Work     float64 // seconds of work that a task takes on a host of size 1
-	Repeat   logic.Repeat
+	Repeat   logic.Idempotency
 	Earnings float64 // of a task answered in time
 }
 
--- a/record/record_test.go
+++ b/record/record_test.go
@@ -19,13 +19,13 @@
 	"dapplefront/router"
 )
 
-var place = router.Place{Seed: 7, Routers: 3, Rank: 1, Location: "north", Categories: []router.Category{
-	{Name: "quote", Promised: 4000, Earnings: 1}, {Name: "transfer", Repeat: logic.Binding, Promised: 3000, Earnings: 3}},
-	Customers: []router.Customer{{Name: "Ada", PerSecond: 50}},
-	Limits: logic.Limits{Grace: logic.Second, Cold: 4 * logic.Second, ColdShare: .35, Tip: 3, TipFor: 2 * logic.Second, AskWithin: 10 * logic.Second,
-		MaxSends: 4, TwoAtOnce: true, LongestStay: 2 * logic.Second, CrossPrice: .02},
-	Desk: logic.Desk{Control: logic.ShareOfVotes, Caps: []float64{.05, .5, 1}, LeastTime: logic.Second, ToMoveOn: 2, ToAbort: 1,
-		VoteLife: 8 * logic.Second, VoteTimeout: logic.Second, VotesASecond: 30, Window: 4 * logic.Second, Free: 2, Guarded: 1, KeysStay: true}}
+var place = router.Config{Seed: 7, Routers: 3, Rank: 1, Location: "north", Categories: []router.Class{
+	{Name: "quote", Promised: 4000, Earnings: 1}, {Name: "transfer", Repeat: logic.NonIdempotent, Promised: 3000, Earnings: 3}},
+	Customers: []router.Tenant{{Name: "Ada", PerSecond: 50}},
+	Limits: logic.Limits{DrainGrace: logic.Second, WarmUp: 4 * logic.Second, ColdCapacity: .35, ColdOverloadFactor: 3, ColdOverloadWindow: 2 * logic.Second, PollInterval: 10 * logic.Second,
+		MaxAttempts: 4, AllowHedging: true, MaxRetryAfter: 2 * logic.Second, CrossPrice: .02},
+	Desk: logic.ReleaseConfig{Mode: logic.Quorum, ExposureCaps: []float64{.05, .5, 1}, MinStageTime: logic.Second, PromoteQuorum: 2, RollbackQuorum: 1,
+		VoteTTL: 8 * logic.Second, VoteTimeout: logic.Second, MaxVotesPerSecond: 30, ExposureWindow: 4 * logic.Second, ExposureAllowance: 2, GuardedStages: 1, StickyKeys: true}}
 
 // live plays a router through drawn events for so many tasks and records all of it.
 func live(t testing.TB, w *Writer, seed uint64, tasks int) {
@@ -42,7 +42,7 @@
 	var ends []end
 	var hear func(e router.Event)
 	hear = func(e router.Event) {
-		actions, err := mind.Hear(now, e, nil)
+		actions, err := mind.Handle(now, e, nil)
 		if err != nil {
 			actions = nil
 		}
@@ -50,18 +50,18 @@
 		for _, a := range actions {
 			switch a.Do {
 			case router.Send:
-				x := router.Ended{Task: a.Task, Send: a.Send, Fate: logic.Finished, Took: logic.Time(100 + r.IntN(900)), Done: true}
+				x := router.AttemptEnded{Task: a.Task, Send: a.Send, Fate: logic.Succeeded, Took: logic.Time(100 + r.IntN(900)), Done: true}
 				if r.IntN(8) == 0 {
-					x.Fate, x.Done = logic.Fate(1+r.IntN(8)), false
+					x.Fate, x.Done = logic.Outcome(1+r.IntN(8)), false
 				}
 				if r.IntN(2) == 0 {
-					x.Load = &logic.Load{Active: float64(r.IntN(9)), Waiting: -1, Busy: r.Float64(), Service: -1, Rate: 3}
+					x.Load = &logic.LoadReport{Active: float64(r.IntN(9)), Waiting: -1, Busy: r.Float64(), Service: -1, Rate: 3}
 				}
 				ends = append(ends, end{now + x.Took, x})
-			case router.Alarm:
-				ends = append(ends, end{now + a.Span, router.Due{Alarm: a.Alarm}})
+			case router.SetTimer:
+				ends = append(ends, end{now + a.Span, router.TimerFired{Alarm: a.Alarm}})
 			case router.Vote:
-				ends = append(ends, end{now + 100, router.Told{News: logic.News{Build: a.Build, Stage: a.Stage, Cap: .05, Answer: logic.Counted}}})
+				ends = append(ends, end{now + 100, router.ReleaseChanged{News: logic.ReleaseStatus{Build: a.Build, Stage: a.Stage, ExposureCap: .05, VoteResult: logic.VoteAccepted}}})
 			}
 		}
 	}
@@ -69,9 +69,9 @@
 	for i := range 12 {
 		hosts = append(hosts, router.Host{ID: uint32(i + 1), Location: []string{"north", "south"}[i%2], Build: 1 + i/10, Size: 1.25})
 	}
-	hear(router.Listed{Whole: true, Hosts: hosts})
-	hear(router.Told{News: logic.News{Build: 2, Phase: logic.OnTrial, Cap: .05}})
-	hear(router.Planned{Offer: plan.Offered{Version: 1, For: time.Minute, Near: []plan.Part{{Host: 1, Weight: 2}, {Host: 3, Weight: 1}}, Far: []plan.Part{{Host: 2, Weight: 1}}, Cross: .1}})
+	hear(router.EndpointsChanged{Complete: true, Hosts: hosts})
+	hear(router.ReleaseChanged{News: logic.ReleaseStatus{Build: 2, Phase: logic.Canary, ExposureCap: .05}})
+	hear(router.PlanOffered{Offer: plan.Offered{Version: 1, For: time.Minute, Near: []plan.Part{{Host: 1, Weight: 2}, {Host: 3, Weight: 1}}, Far: []plan.Part{{Host: 2, Weight: 1}}, Cross: .1}})
 	for i := range tasks {
 		now += logic.Time(r.IntN(200)) // at times several events at one moment
 		slices.SortStableFunc(ends, func(a, b end) int { return int(a.at - b.at) })
@@ -80,23 +80,23 @@
 			ends = ends[1:]
 			hear(e)
 		}
-		hear(router.Taken{Task: strconv.Itoa(i), Category: []string{"quote", "transfer"}[r.IntN(2)], Customer: []string{"Ada", "Ben", ""}[r.IntN(3)],
+		hear(router.RequestArrived{Task: strconv.Itoa(i), Category: []string{"quote", "transfer"}[r.IntN(2)], Customer: []string{"Ada", "Ben", ""}[r.IntN(3)],
 			Key: fmt.Sprint("account-", r.IntN(20)), Patience: 10_000, Again: r.IntN(9) == 0})
 		switch r.IntN(60) {
 		case 0:
-			hear(router.Left{Task: strconv.Itoa(i)})
+			hear(router.ClientGone{Task: strconv.Itoa(i)})
 		case 1:
 			h := hosts[r.IntN(12)]
-			h.Standing, h.Up = logic.Standing(r.IntN(3)), now
-			hear(router.Listed{Hosts: []router.Host{h}})
+			h.Standing, h.Up = logic.EndpointState(r.IntN(3)), now
+			hear(router.EndpointsChanged{Hosts: []router.Host{h}})
 		case 2:
-			hear(router.Counted{Build: 2, Category: "quote", Bad: 1, Samples: 9, Mean: 300, Over: 2 * logic.Second})
+			hear(router.StatsReported{Build: 2, Category: "quote", Bad: 1, Samples: 9, Mean: 300, Over: 2 * logic.Second})
 		case 3:
-			hear(router.Complained{Host: 11, Category: "quote", Age: 50})
+			hear(router.ComplaintReceived{Host: 11, Category: "quote", Age: 50})
 		case 4:
-			hear(router.Unlisted{})
+			hear(router.EndpointsUnavailable{})
 		case 5:
-			hear(router.Taken{Task: "x", Category: "none of these"}) // an error, and no action
+			hear(router.RequestArrived{Task: "x", Category: "none of these"}) // an error, and no action
 		}
 	}
 }
@@ -132,7 +132,7 @@
 	require.NoError(t, err)
 	require.NoError(t, Read(f, func(e Entry) error {
 		for i, a := range e.Actions { // as a module whose constant was another would have it: one task elsewhere
-			if x, ok := e.Event.(router.Taken); ok && a.Do == router.Send && changed == "" && x.Task == "200" {
+			if x, ok := e.Event.(router.RequestArrived); ok && a.Do == router.Send && changed == "" && x.Task == "200" {
 				e.Actions[i].Host, changed = a.Host%10+1, x.Task
 			}
 		}
@@ -170,7 +170,7 @@
 		text := fmt.Sprintf("%+v %+v", e.Place, e.Event)
 		require.NotContains(t, text, "Ada")
 		require.NotContains(t, text, "account-")
-		if x, ok := e.Event.(router.Taken); ok && x.Key != "" {
+		if x, ok := e.Event.(router.RequestArrived); ok && x.Key != "" {
 			keys[x.Key] = true
 		}
 		return nil
@@ -271,7 +271,7 @@
 }
 
 func FuzzEntry(f *testing.F) {
-	b, err := appendEntry(nil, &Entry{Number: 1, At: 5, Event: router.Taken{Task: "a", Key: "k"}, Actions: []router.Action{{Do: router.Send, Task: "a"}}},
+	b, err := appendEntry(nil, &Entry{Number: 1, At: 5, Event: router.RequestArrived{Task: "a", Key: "k"}, Actions: []router.Action{{Do: router.Send, Task: "a"}}},
 		func(s string) string { return s })
 	require.NoError(f, err)
 	f.Add([]byte(b))
@@ -291,8 +291,8 @@
 func BenchmarkHeard(b *testing.B) {
 	w, err := Create(Shelf{Dir: b.TempDir(), Name: "r"})
 	require.NoError(b, err)
-	e := router.Taken{Task: "1x", Category: "quote", Key: "account-1", Patience: 10_000}
-	actions := []router.Action{{Do: router.Send, Task: "1x", Host: 7, Span: 4000}, {Do: router.Alarm, Alarm: 99, Span: 800}}
+	e := router.RequestArrived{Task: "1x", Category: "quote", Key: "account-1", Patience: 10_000}
+	actions := []router.Action{{Do: router.Send, Task: "1x", Host: 7, Span: 4000}, {Do: router.SetTimer, Alarm: 99, Span: 800}}
 	b.ReportAllocs()
 	for b.Loop() {
 		if err := w.Heard(5, e, actions); err != nil {
--- a/record/replay.go
+++ b/record/replay.go
@@ -96,7 +96,7 @@
 		return nil
 	default:
 		var err error
-		p.actions, err = p.mind.Hear(e.At, e.Event, p.actions[:0])
+		p.actions, err = p.mind.Handle(e.At, e.Event, p.actions[:0])
 		if got = p.actions; err != nil {
 			got = nil // the daemon went on, with no action
 		}
@@ -120,20 +120,20 @@
 // Words say an event for people.
 func Words(e router.Event) string {
 	switch e := e.(type) {
-	case router.Taken:
+	case router.RequestArrived:
 		return fmt.Sprintf("task %s taken: %s, patience %.1f ms", e.Task, e.Category, float64(e.Patience)/10)
-	case router.Ended:
+	case router.AttemptEnded:
 		fates := []string{"out", "finished", "failed", "turned back", "no answer", "no link", "cut", "called off", "never sent"}
 		return fmt.Sprintf("send %d of task %s: %s after %.1f ms", e.Send, e.Task, fates[min(max(0, int(e.Fate)), len(fates)-1)], float64(e.Took)/10)
-	case router.Left:
+	case router.ClientGone:
 		return fmt.Sprintf("the client of task %s has gone", e.Task)
-	case router.Listed:
+	case router.EndpointsChanged:
 		return fmt.Sprintf("%d hosts listed", len(e.Hosts))
-	case router.Unlisted:
+	case router.EndpointsUnavailable:
 		return "the list is out of reach"
-	case router.Told:
-		return fmt.Sprintf("told of build %d, stage %d, phase %d, cap %.3g", e.News.Build, e.News.Stage, e.News.Phase, e.News.Cap)
-	case router.Due:
+	case router.ReleaseChanged:
+		return fmt.Sprintf("told of build %d, stage %d, phase %d, cap %.3g", e.News.Build, e.News.Stage, e.News.Phase, e.News.ExposureCap)
+	case router.TimerFired:
 		return fmt.Sprintf("alarm %d", e.Alarm)
 	case nil:
 		return "start"
@@ -149,11 +149,11 @@
 			kind = ", a copy"
 		}
 		return fmt.Sprintf("send %d of task %s to host %d, waiting %.1f ms%s", a.Send, a.Task, a.Host, float64(a.Span)/10, kind)
-	case router.TurnBack:
+	case router.Reject:
 		return fmt.Sprintf("turn task %s back", a.Task)
-	case router.Scrap:
+	case router.Fail:
 		return fmt.Sprintf("scrap task %s", a.Task)
-	case router.Alarm:
+	case router.SetTimer:
 		return fmt.Sprintf("alarm %d in %.1f ms", a.Alarm, float64(a.Span)/10)
 	case router.Vote:
 		return fmt.Sprintf("vote %d on build %d, stage %d", a.Voice, a.Build, a.Stage)
@@ -166,11 +166,11 @@
 	return func(e Entry) {
 		about := false
 		switch x := e.Event.(type) {
-		case router.Taken:
+		case router.RequestArrived:
 			about = x.Task == task
-		case router.Ended:
+		case router.AttemptEnded:
 			about = x.Task == task
-		case router.Left:
+		case router.ClientGone:
 			about = x.Task == task
 		}
 		said := false
--- a/record/settings_test.go
+++ b/record/settings_test.go
@@ -28,7 +28,7 @@
 	})
 }
 
-func requireStored(t *testing.T, golden string, p router.Place) {
+func requireStored(t *testing.T, golden string, p router.Config) {
 	t.Helper()
 	want, err := os.ReadFile(golden)
 	require.NoError(t, err)
--- a/record/stored_config.go
+++ b/record/stored_config.go
@@ -28,13 +28,13 @@
 
 // storedClass is a router.Category.
 type storedClass struct {
-	Name      string       `json:"Name"`
-	Repeat    logic.Repeat `json:"Repeat"`
-	Group     logic.Group  `json:"Group"`
-	Memory    logic.Time   `json:"Memory"`
-	Promised  logic.Time   `json:"Promised"`
-	Earnings  float64      `json:"Earnings"`
-	LateShare float64      `json:"LateShare"`
+	Name      string            `json:"Name"`
+	Repeat    logic.Idempotency `json:"Repeat"`
+	Group     logic.DedupScope  `json:"Group"`
+	Memory    logic.Time        `json:"Memory"`
+	Promised  logic.Time        `json:"Promised"`
+	Earnings  float64           `json:"Earnings"`
+	LateShare float64           `json:"LateShare"`
 }
 
 // storedTenant is a router.Customer.
@@ -65,32 +65,32 @@
 
 // storedRelease is a logic.Desk.
 type storedRelease struct {
-	Control      logic.Control `json:"Control"`
-	Caps         []float64     `json:"Caps"`
-	LeastTime    logic.Time    `json:"LeastTime"`
-	ClockTime    logic.Time    `json:"ClockTime"`
-	ToMoveOn     int           `json:"ToMoveOn"`
-	ToAbort      int           `json:"ToAbort"`
-	VoteLife     logic.Time    `json:"VoteLife"`
-	VoteTimeout  logic.Time    `json:"VoteTimeout"`
-	VotesASecond float64       `json:"VotesASecond"`
-	Window       logic.Time    `json:"Window"`
-	Free         float64       `json:"Free"`
-	ByCategory   bool          `json:"ByCategory"`
-	Guarded      int           `json:"Guarded"`
-	KeysStay     bool          `json:"KeysStay"`
-	DelayPrice   float64       `json:"DelayPrice"`
-	HarmPrice    float64       `json:"HarmPrice"`
-	Complaints   float64       `json:"Complaints"`
-	Counted      float64       `json:"Counted"`
+	Control      logic.PromotionMode `json:"Control"`
+	Caps         []float64           `json:"Caps"`
+	LeastTime    logic.Time          `json:"LeastTime"`
+	ClockTime    logic.Time          `json:"ClockTime"`
+	ToMoveOn     int                 `json:"ToMoveOn"`
+	ToAbort      int                 `json:"ToAbort"`
+	VoteLife     logic.Time          `json:"VoteLife"`
+	VoteTimeout  logic.Time          `json:"VoteTimeout"`
+	VotesASecond float64             `json:"VotesASecond"`
+	Window       logic.Time          `json:"Window"`
+	Free         float64             `json:"Free"`
+	ByCategory   bool                `json:"ByCategory"`
+	Guarded      int                 `json:"Guarded"`
+	KeysStay     bool                `json:"KeysStay"`
+	DelayPrice   float64             `json:"DelayPrice"`
+	HarmPrice    float64             `json:"HarmPrice"`
+	Complaints   float64             `json:"Complaints"`
+	Counted      float64             `json:"Counted"`
 }
 
 // marshalConfig returns the stored form of a configuration.
-func marshalConfig(p router.Place) ([]byte, error) { return json.Marshal(toStored(p)) }
+func marshalConfig(p router.Config) ([]byte, error) { return json.Marshal(toStored(p)) }
 
 // unmarshalConfig reads the stored form of a configuration. A field that this version doesn't know is an error: it
 // can't be replayed as it was.
-func unmarshalConfig(text []byte) (*router.Place, error) {
+func unmarshalConfig(text []byte) (*router.Config, error) {
 	decoder := json.NewDecoder(bytes.NewReader(text))
 	decoder.DisallowUnknownFields()
 	var stored storedConfig
@@ -104,7 +104,7 @@
 	return &p, nil
 }
 
-func toStored(p router.Place) storedConfig {
+func toStored(p router.Config) storedConfig {
 	stored := storedConfig{
 		Seed: p.Seed, Routers: p.Routers, Rank: p.Rank, Location: p.Location,
 		Limits: toStoredLimits(p.Limits), Desk: toStoredRelease(p.Desk),
@@ -118,8 +118,8 @@
 	return stored
 }
 
-func (s storedConfig) config() router.Place {
-	p := router.Place{
+func (s storedConfig) config() router.Config {
+	p := router.Config{
 		Seed: s.Seed, Routers: s.Routers, Rank: s.Rank, Location: s.Location,
 		Limits: s.Limits.limits(), Desk: s.Desk.release(),
 	}
@@ -132,64 +132,64 @@
 	return p
 }
 
-func toStoredClass(c router.Category) storedClass {
+func toStoredClass(c router.Class) storedClass {
 	return storedClass{
 		Name: c.Name, Repeat: c.Repeat, Group: c.Group, Memory: c.Memory, Promised: c.Promised,
 		Earnings: c.Earnings, LateShare: c.LateShare,
 	}
 }
 
-func (s storedClass) class() router.Category {
-	return router.Category{
+func (s storedClass) class() router.Class {
+	return router.Class{
 		Name: s.Name, Repeat: s.Repeat, Group: s.Group, Memory: s.Memory, Promised: s.Promised,
 		Earnings: s.Earnings, LateShare: s.LateShare,
 	}
 }
 
-func toStoredTenant(c router.Customer) storedTenant {
+func toStoredTenant(c router.Tenant) storedTenant {
 	return storedTenant{
 		Name: c.Name, PerSecond: c.PerSecond,
 	}
 }
 
-func (s storedTenant) tenant() router.Customer {
-	return router.Customer{
+func (s storedTenant) tenant() router.Tenant {
+	return router.Tenant{
 		Name: s.Name, PerSecond: s.PerSecond,
 	}
 }
 
 func toStoredLimits(l logic.Limits) storedLimits {
 	return storedLimits{
-		Grace: l.Grace, Cold: l.Cold, ColdShare: l.ColdShare, Tip: l.Tip, TipFor: l.TipFor, AskWithin: l.AskWithin,
-		MaxSends: l.MaxSends, MaxOpen: l.MaxOpen, TwoAtOnce: l.TwoAtOnce, LongestStay: l.LongestStay,
-		Pushed: l.Pushed, Peers: l.Peers, Probes: l.Probes, CrossPrice: l.CrossPrice, WastePrice: l.WastePrice,
+		Grace: l.DrainGrace, Cold: l.WarmUp, ColdShare: l.ColdCapacity, Tip: l.ColdOverloadFactor, TipFor: l.ColdOverloadWindow, AskWithin: l.PollInterval,
+		MaxSends: l.MaxAttempts, MaxOpen: l.MaxOpen, TwoAtOnce: l.AllowHedging, LongestStay: l.MaxRetryAfter,
+		Pushed: l.PushedDiscovery, Peers: l.MaxGossipBytes, Probes: l.HealthChecks, CrossPrice: l.CrossPrice, WastePrice: l.WastePrice,
 		OverShare: l.OverShare,
 	}
 }
 
 func (s storedLimits) limits() logic.Limits {
 	return logic.Limits{
-		Grace: s.Grace, Cold: s.Cold, ColdShare: s.ColdShare, Tip: s.Tip, TipFor: s.TipFor, AskWithin: s.AskWithin,
-		MaxSends: s.MaxSends, MaxOpen: s.MaxOpen, TwoAtOnce: s.TwoAtOnce, LongestStay: s.LongestStay,
-		Pushed: s.Pushed, Peers: s.Peers, Probes: s.Probes, CrossPrice: s.CrossPrice, WastePrice: s.WastePrice,
+		DrainGrace: s.Grace, WarmUp: s.Cold, ColdCapacity: s.ColdShare, ColdOverloadFactor: s.Tip, ColdOverloadWindow: s.TipFor, PollInterval: s.AskWithin,
+		MaxAttempts: s.MaxSends, MaxOpen: s.MaxOpen, AllowHedging: s.TwoAtOnce, MaxRetryAfter: s.LongestStay,
+		PushedDiscovery: s.Pushed, MaxGossipBytes: s.Peers, HealthChecks: s.Probes, CrossPrice: s.CrossPrice, WastePrice: s.WastePrice,
 		OverShare: s.OverShare,
 	}
 }
 
-func toStoredRelease(d logic.Desk) storedRelease {
+func toStoredRelease(d logic.ReleaseConfig) storedRelease {
 	return storedRelease{
-		Control: d.Control, Caps: d.Caps, LeastTime: d.LeastTime, ClockTime: d.ClockTime, ToMoveOn: d.ToMoveOn,
-		ToAbort: d.ToAbort, VoteLife: d.VoteLife, VoteTimeout: d.VoteTimeout, VotesASecond: d.VotesASecond,
-		Window: d.Window, Free: d.Free, ByCategory: d.ByCategory, Guarded: d.Guarded, KeysStay: d.KeysStay,
+		Control: d.Mode, Caps: d.ExposureCaps, LeastTime: d.MinStageTime, ClockTime: d.StageTime, ToMoveOn: d.PromoteQuorum,
+		ToAbort: d.RollbackQuorum, VoteLife: d.VoteTTL, VoteTimeout: d.VoteTimeout, VotesASecond: d.MaxVotesPerSecond,
+		Window: d.ExposureWindow, Free: d.ExposureAllowance, ByCategory: d.ExposurePerClass, Guarded: d.GuardedStages, KeysStay: d.StickyKeys,
 		DelayPrice: d.DelayPrice, HarmPrice: d.HarmPrice, Complaints: d.Complaints, Counted: d.Counted,
 	}
 }
 
-func (s storedRelease) release() logic.Desk {
-	return logic.Desk{
-		Control: s.Control, Caps: s.Caps, LeastTime: s.LeastTime, ClockTime: s.ClockTime, ToMoveOn: s.ToMoveOn,
-		ToAbort: s.ToAbort, VoteLife: s.VoteLife, VoteTimeout: s.VoteTimeout, VotesASecond: s.VotesASecond,
-		Window: s.Window, Free: s.Free, ByCategory: s.ByCategory, Guarded: s.Guarded, KeysStay: s.KeysStay,
+func (s storedRelease) release() logic.ReleaseConfig {
+	return logic.ReleaseConfig{
+		Mode: s.Control, ExposureCaps: s.Caps, MinStageTime: s.LeastTime, StageTime: s.ClockTime, PromoteQuorum: s.ToMoveOn,
+		RollbackQuorum: s.ToAbort, VoteTTL: s.VoteLife, VoteTimeout: s.VoteTimeout, MaxVotesPerSecond: s.VotesASecond,
+		ExposureWindow: s.Window, ExposureAllowance: s.Free, ExposurePerClass: s.ByCategory, GuardedStages: s.Guarded, StickyKeys: s.KeysStay,
 		DelayPrice: s.DelayPrice, HarmPrice: s.HarmPrice, Complaints: s.Complaints, Counted: s.Counted,
 	}
 }
--- a/record/stored_test.go
+++ b/record/stored_test.go
@@ -18,7 +18,7 @@
 	require.Len(t, files, 3)
 	for _, file := range files {
 		events := map[string]int{}
-		actions := map[router.Deed]int{}
+		actions := map[router.ActionKind]int{}
 		r, err := Replay([]string{file}, func(e Entry) {
 			events[Words(e.Event)]++
 			for _, a := range e.Actions {
--- a/record/wire.go
+++ b/record/wire.go
@@ -17,7 +17,7 @@
 type Entry struct {
 	Number  uint64
 	At      logic.Time
-	Place   *router.Place // a router's start, instead of an event
+	Place   *router.Config // a router's start, instead of an event
 	Event   router.Event
 	Actions []router.Action
 }
@@ -86,7 +86,7 @@
 }
 
 // appendPlace writes a place as JSON, with customers not named.
-func appendPlace(b *out, field protowire.Number, p router.Place, hide hidden) error {
+func appendPlace(b *out, field protowire.Number, p router.Config, hide hidden) error {
 	named := p.Customers
 	p.Customers = nil
 	for _, c := range named {
@@ -98,7 +98,7 @@
 	return err
 }
 
-func readPlace(b []byte) (p *router.Place, err error) {
+func readPlace(b []byte) (p *router.Config, err error) {
 	err = fields(b, func(f field) (err error) {
 		if f.number == 1 {
 			p, err = unmarshalConfig(f.bytes)
@@ -108,7 +108,7 @@
 	return p, err
 }
 
-func appendLoad(b *out, field protowire.Number, l *logic.Load) {
+func appendLoad(b *out, field protowire.Number, l *logic.LoadReport) {
 	if l == nil {
 		return
 	}
@@ -121,8 +121,8 @@
 	})
 }
 
-func readLoad(b []byte) (*logic.Load, error) {
-	l := &logic.Load{}
+func readLoad(b []byte) (*logic.LoadReport, error) {
+	l := &logic.LoadReport{}
 	at := []*float64{&l.Active, &l.Waiting, &l.Busy, &l.Service, &l.Rate}
 	return l, fields(b, func(f field) error {
 		if f.number >= 1 && int(f.number) <= len(at) {
@@ -134,7 +134,7 @@
 
 func appendEvent(b *out, event router.Event, hide hidden) error {
 	switch e := event.(type) {
-	case router.Taken:
+	case router.RequestArrived:
 		b.message(4, func(b *out) {
 			b.text(1, e.Task)
 			b.text(2, e.Category)
@@ -144,7 +144,7 @@
 			b.int(6, int64(e.Hint))
 			b.bool(7, e.Again)
 		})
-	case router.Ended:
+	case router.AttemptEnded:
 		b.message(5, func(b *out) {
 			b.text(1, e.Task)
 			b.int(2, int64(e.Send))
@@ -153,13 +153,13 @@
 			b.bool(5, e.Done)
 			appendLoad(b, 6, e.Load)
 		})
-	case router.Began:
+	case router.ResponseStarted:
 		b.message(6, func(b *out) { b.text(1, e.Task); b.int(2, int64(e.Send)) })
-	case router.Left:
+	case router.ClientGone:
 		b.message(7, func(b *out) { b.text(1, e.Task) })
-	case router.Listed:
+	case router.EndpointsChanged:
 		b.message(8, func(b *out) {
-			b.bool(1, e.Whole)
+			b.bool(1, e.Complete)
 			for _, h := range e.Hosts {
 				b.message(2, func(b *out) {
 					b.number(1, uint64(h.ID))
@@ -172,18 +172,18 @@
 				})
 			}
 		})
-	case router.Unlisted:
+	case router.EndpointsUnavailable:
 		b.bool(9, true)
-	case router.Told:
+	case router.ReleaseChanged:
 		b.message(10, func(b *out) {
 			b.int(1, int64(e.News.Build))
 			b.int(2, int64(e.News.Stage))
 			b.int(3, int64(e.News.Phase))
-			b.float(4, e.News.Cap)
+			b.float(4, e.News.ExposureCap)
 			b.int(5, int64(e.News.Age))
-			b.int(6, int64(e.News.Answer))
+			b.int(6, int64(e.News.VoteResult))
 		})
-	case router.Counted:
+	case router.StatsReported:
 		b.message(11, func(b *out) {
 			b.int(1, int64(e.Build))
 			b.text(2, e.Category)
@@ -193,22 +193,22 @@
 			b.int(6, int64(e.Age))
 			b.int(7, int64(e.Over))
 		})
-	case router.Complained:
+	case router.ComplaintReceived:
 		b.message(12, func(b *out) { b.number(1, uint64(e.Host)); b.text(2, e.Category); b.int(3, int64(e.Age)) })
-	case router.Due:
+	case router.TimerFired:
 		b.int(13, e.Alarm+1)
-	case router.Settled:
+	case router.ConfigChanged:
 		return appendPlace(b, 16, e.Place, hide)
-	case router.Heard:
+	case router.GossipReceived:
 		b.message(17, func(b *out) { b.int(1, int64(e.Peer)); b.text(2, e.Body) })
-	case router.Probed:
+	case router.HealthChecked:
 		b.message(18, func(b *out) {
 			b.number(1, uint64(e.Host))
 			b.int(2, int64(e.Fate))
 			b.int(3, int64(e.Took))
 			appendLoad(b, 4, e.Load)
 		})
-	case router.Planned:
+	case router.PlanOffered:
 		b.message(14, func(b *out) {
 			o := e.Offer
 			b.number(1, o.Version)
@@ -300,7 +300,7 @@
 			e.Place, err = readPlace(f.bytes)
 			return err
 		case 4:
-			x := router.Taken{}
+			x := router.RequestArrived{}
 			err := fields(f.bytes, func(f field) error {
 				switch f.number {
 				case 1:
@@ -323,7 +323,7 @@
 			e.Event = x
 			return err
 		case 5:
-			x := router.Ended{}
+			x := router.AttemptEnded{}
 			err := fields(f.bytes, func(f field) error {
 				switch f.number {
 				case 1:
@@ -331,7 +331,7 @@
 				case 2:
 					x.Send = f.int()
 				case 3:
-					x.Fate = logic.Fate(f.int())
+					x.Fate = logic.Outcome(f.int())
 				case 4:
 					x.Took = f.time()
 				case 5:
@@ -346,7 +346,7 @@
 			e.Event = x
 			return err
 		case 6:
-			x := router.Began{}
+			x := router.ResponseStarted{}
 			err := fields(f.bytes, func(f field) error {
 				if f.number == 1 {
 					x.Task = f.text()
@@ -358,7 +358,7 @@
 			e.Event = x
 			return err
 		case 7:
-			x := router.Left{}
+			x := router.ClientGone{}
 			err := fields(f.bytes, func(f field) error {
 				if f.number == 1 {
 					x.Task = f.text()
@@ -368,10 +368,10 @@
 			e.Event = x
 			return err
 		case 8:
-			x := router.Listed{}
+			x := router.EndpointsChanged{}
 			err := fields(f.bytes, func(f field) error {
 				if f.number == 1 {
-					x.Whole = f.n != 0
+					x.Complete = f.n != 0
 				} else if f.number == 2 {
 					h, err := readHost(f.bytes)
 					x.Hosts = append(x.Hosts, h)
@@ -382,9 +382,9 @@
 			e.Event = x
 			return err
 		case 9:
-			e.Event = router.Unlisted{}
+			e.Event = router.EndpointsUnavailable{}
 		case 10:
-			x := router.Told{}
+			x := router.ReleaseChanged{}
 			err := fields(f.bytes, func(f field) error {
 				switch f.number {
 				case 1:
@@ -394,18 +394,18 @@
 				case 3:
 					x.News.Phase = logic.Phase(f.int())
 				case 4:
-					x.News.Cap = f.float()
+					x.News.ExposureCap = f.float()
 				case 5:
 					x.News.Age = f.time()
 				case 6:
-					x.News.Answer = logic.Answer(f.int())
+					x.News.VoteResult = logic.VoteResult(f.int())
 				}
 				return nil
 			})
 			e.Event = x
 			return err
 		case 11:
-			x := router.Counted{}
+			x := router.StatsReported{}
 			err := fields(f.bytes, func(f field) error {
 				switch f.number {
 				case 1:
@@ -428,7 +428,7 @@
 			e.Event = x
 			return err
 		case 12:
-			x := router.Complained{}
+			x := router.ComplaintReceived{}
 			err := fields(f.bytes, func(f field) error {
 				switch f.number {
 				case 1:
@@ -443,9 +443,9 @@
 			e.Event = x
 			return err
 		case 13:
-			e.Event = router.Due{Alarm: int64(f.n) - 1}
+			e.Event = router.TimerFired{Alarm: int64(f.n) - 1}
 		case 14:
-			x := router.Planned{}
+			x := router.PlanOffered{}
 			err := readPlanned(f.bytes, &x.Offer)
 			e.Event = x
 			return err
@@ -456,11 +456,11 @@
 		case 16:
 			p, err := readPlace(f.bytes)
 			if p != nil {
-				e.Event = router.Settled{Place: *p}
+				e.Event = router.ConfigChanged{Place: *p}
 			}
 			return err
 		case 17:
-			x := router.Heard{}
+			x := router.GossipReceived{}
 			err := fields(f.bytes, func(f field) error {
 				if f.number == 1 {
 					x.Peer = f.int()
@@ -472,13 +472,13 @@
 			e.Event = x
 			return err
 		case 18:
-			x := router.Probed{}
+			x := router.HealthChecked{}
 			err := fields(f.bytes, func(f field) (err error) {
 				switch f.number {
 				case 1:
 					x.Host = uint32(f.n)
 				case 2:
-					x.Fate = logic.Fate(f.int())
+					x.Fate = logic.Outcome(f.int())
 				case 3:
 					x.Took = f.time()
 				case 4:
@@ -507,7 +507,7 @@
 		case 3:
 			h.Cell = f.int()
 		case 4:
-			h.Standing = logic.Standing(f.int())
+			h.Standing = logic.EndpointState(f.int())
 		case 5:
 			h.Build = f.int()
 		case 6:
@@ -559,7 +559,7 @@
 	err = fields(b, func(f field) error {
 		switch f.number {
 		case 1:
-			a.Do = router.Deed(f.int())
+			a.Do = router.ActionKind(f.int())
 		case 2:
 			a.Task = f.text()
 		case 3:
@@ -575,7 +575,7 @@
 		case 8:
 			a.Stage = f.int()
 		case 9:
-			a.Voice = logic.Voice(f.int())
+			a.Voice = logic.VoteChoice(f.int())
 		case 10:
 			a.Text = f.text()
 		case 11:
--- a/record/writer.go
+++ b/record/writer.go
@@ -121,7 +121,7 @@
 }
 
 // Begin notes a router's start: all that it was told, and its first actions.
-func (w *Writer) Begin(now logic.Time, p router.Place, actions []router.Action) error {
+func (w *Writer) Begin(now logic.Time, p router.Config, actions []router.Action) error {
 	return w.add(&Entry{At: now, Place: &p, Actions: actions})
 }
 
--- a/release/release.go
+++ b/release/release.go
@@ -26,7 +26,7 @@
 
 // Rules are what the machine goes by.
 type Rules struct {
-	Control   logic.Control
+	Control   logic.PromotionMode
 	Stages    []Stage
 	LeastTime logic.Time // of a stage
 	ClockTime logic.Time // of a stage, under logic.Clock
@@ -49,7 +49,7 @@
 	Vote     struct {            // a router's word, in place of its earlier one
 		Router       string
 		Build, Stage int
-		Voice        logic.Voice
+		Voice        logic.VoteChoice
 	}
 )
 
@@ -65,12 +65,12 @@
 type Effect interface{ effect() }
 
 type (
-	Place struct { // see that a share of the places runs the build, beside what runs
+	Deploy struct { // see that a share of the places runs the build, beside what runs
 		Build int
 		Share float64
 	}
 	Retire struct{ Build int } // drain the build's hosts, then end them
-	Tell   struct{ News }      // to all routers
+	Notify struct{ Status }    // to all routers
 	Answer struct {            // to the vote just heard
 		Counted bool
 		Why     string // where it did not count
@@ -78,14 +78,14 @@
 	Refuse struct{ Why string } // to the offer or withdrawal just heard
 )
 
-func (Place) effect()  {}
+func (Deploy) effect() {}
 func (Retire) effect() {}
-func (Tell) effect()   {}
+func (Notify) effect() {}
 func (Answer) effect() {}
 func (Refuse) effect() {}
 
-// News is where the newest release stands. It is stored and sent under these names.
-type News struct {
+// Status is where the newest release stands. It is stored and sent under these names.
+type Status struct {
 	Build int         `json:"Build"`
 	Stage int         `json:"Stage"`
 	Phase logic.Phase `json:"Phase"`
@@ -138,7 +138,7 @@
 
 type vote struct {
 	build, stage int
-	voice        logic.Voice
+	voice        logic.VoteChoice
 	at           logic.Time
 }
 
@@ -147,7 +147,7 @@
 	rules   Rules
 	now     logic.Time
 	state   state
-	news    News
+	news    Status
 	earlier int // the build that serves while news.Build is on trial, or served before it
 	runs    logic.Time
 	held    logic.Time // under a clock: how long the stage was on hold
@@ -161,28 +161,28 @@
 // New starts with a build that serves and is released.
 func New(rules Rules, build int) *Machine {
 	return &Machine{rules: rules, state: released, earlier: build, votes: map[string]vote{},
-		news: News{Build: build, Phase: logic.Released, Cap: 1, Stage: max(0, len(rules.Stages)-1)}}
+		news: Status{Build: build, Phase: logic.Released, Cap: 1, Stage: max(0, len(rules.Stages)-1)}}
 }
 
 // News is where the newest release stands now.
-func (m *Machine) News() News { return m.news }
+func (m *Machine) News() Status { return m.news }
 
 // Earlier is the build that serves beside or before the newest one.
 func (m *Machine) Earlier() int { return m.earlier }
 
 // Votes is how many votes of a voice stand now for the newest build; those to go on count for its present stage only.
-func (m *Machine) Votes(voice logic.Voice) (n int) {
+func (m *Machine) Votes(voice logic.VoteChoice) (n int) {
 	for _, v := range m.votes {
 		fits := v.voice == voice && v.build == m.news.Build && m.now-v.at <= m.rules.VoteLife
-		if fits && (voice == logic.Back || v.stage == m.news.Stage) {
+		if fits && (voice == logic.Rollback || v.stage == m.news.Stage) {
 			n++
 		}
 	}
 	return n
 }
 
-// Hear takes in what happened and returns what is to be done.
-func (m *Machine) Hear(now logic.Time, in Input) []Effect {
+// Handle takes in what happened and returns what is to be done.
+func (m *Machine) Handle(now logic.Time, in Input) []Effect {
 	m.now, m.out = max(now, m.now), nil
 	switch in := in.(type) {
 	case Offer:
@@ -240,23 +240,23 @@
 	if m.step(overtaken); m.state == released {
 		m.earlier = m.news.Build
 	}
-	m.state, m.fixed, m.news = starting, false, News{Build: build, Phase: logic.OnTrial}
+	m.state, m.fixed, m.news = starting, false, Status{Build: build, Phase: logic.Canary}
 	clear(m.votes)
 	m.place()
 }
 
 func (m *Machine) vote(v Vote) {
 	mine := v.Build == m.news.Build && m.state != goingBack && m.state != withdrawn
-	back := v.Voice == logic.Back || v.Voice == logic.NoVote
+	back := v.Voice == logic.Rollback || v.Voice == logic.Abstain
 	switch {
 	case !mine || !back && (v.Stage != m.news.Stage || m.state == released):
 		m.do(Answer{Why: "it is not the present build or stage"})
 		return
-	case v.Voice == logic.Hold && m.rules.Control != logic.Clock, v.Voice == logic.On && m.rules.Control == logic.Clock:
+	case v.Voice == logic.Hold && m.rules.Control != logic.Timed, v.Voice == logic.Promote && m.rules.Control == logic.Timed:
 		m.do(Answer{Why: "no such vote under this control"})
 		return
 	}
-	if v.Voice == logic.Back && m.fixed {
+	if v.Voice == logic.Rollback && m.fixed {
 		m.do(Answer{Why: noWayBack})
 		return
 	}
@@ -266,7 +266,7 @@
 
 // weigh sees whether votes or time move the release.
 func (m *Machine) weigh() {
-	if !m.fixed && m.Votes(logic.Back) >= max(1, m.rules.ToAbort) {
+	if !m.fixed && m.Votes(logic.Rollback) >= max(1, m.rules.ToAbort) {
 		m.step(sendsBack)
 		return
 	}
@@ -277,10 +277,10 @@
 	if m.holding {
 		m.held += m.now - m.ticked
 	}
-	m.holding = m.rules.Control == logic.Clock && m.rules.ToHold > 0 && m.Votes(logic.Hold) >= m.rules.ToHold
+	m.holding = m.rules.Control == logic.Timed && m.rules.ToHold > 0 && m.Votes(logic.Hold) >= m.rules.ToHold
 	switch {
-	case m.rules.Control != logic.Clock:
-		if m.Votes(logic.On) >= max(1, m.rules.ToMoveOn) && ran >= m.rules.LeastTime {
+	case m.rules.Control != logic.Timed:
+		if m.Votes(logic.Promote) >= max(1, m.rules.ToMoveOn) && ran >= m.rules.LeastTime {
 			m.step(movesOn)
 		}
 	case !m.holding && ran-m.held >= m.rules.ClockTime:
@@ -292,8 +292,8 @@
 func (m *Machine) place() {
 	s := m.rules.Stages[m.news.Stage]
 	m.news.Cap, m.news.Since, m.held, m.holding = s.Cap, m.now, 0, false
-	m.do(Place{m.news.Build, s.Share})
-	m.do(Tell{m.news})
+	m.do(Deploy{m.news.Build, s.Share})
+	m.do(Notify{m.news})
 }
 
 func (m *Machine) run()  { m.runs = m.now }
@@ -302,9 +302,9 @@
 func (m *Machine) tell() {
 	m.news.Since = m.now
 	if m.state == withdrawn {
-		m.news.Phase = logic.Withdrawn
+		m.news.Phase = logic.RolledBack
 	}
-	m.do(Tell{m.news})
+	m.do(Notify{m.news})
 }
 
 // widen goes on to the next stage, or releases the build after the last one.
@@ -315,22 +315,22 @@
 		return
 	}
 	m.state, m.news.Phase, m.news.Cap, m.news.Since = released, logic.Released, 1, m.now
-	m.do(Tell{m.news})
+	m.do(Notify{m.news})
 	m.do(Retire{m.earlier})
 }
 
 // takeOff takes a build on trial back.
 func (m *Machine) takeOff() {
-	m.news.Phase, m.news.Cap, m.news.Since = logic.GoingBack, 0, m.now
+	m.news.Phase, m.news.Cap, m.news.Since = logic.RollingBack, 0, m.now
 	if m.state == withdrawn {
-		m.news.Phase = logic.Withdrawn
+		m.news.Phase = logic.RolledBack
 	}
-	m.do(Tell{m.news})
+	m.do(Notify{m.news})
 	m.do(Retire{m.news.Build})
 }
 
 // restore takes a released build back: the earlier one gets all places again.
 func (m *Machine) restore() {
-	m.do(Place{m.earlier, 1})
+	m.do(Deploy{m.earlier, 1})
 	m.takeOff()
 }
--- a/release/release_test.go
+++ b/release/release_test.go
@@ -9,90 +9,90 @@
 	"dapplefront/release"
 )
 
-var rules = release.Rules{Control: logic.ShareOfVotes, LeastTime: logic.Second, VoteLife: 5 * logic.Second,
+var rules = release.Rules{Control: logic.Quorum, LeastTime: logic.Second, VoteLife: 5 * logic.Second,
 	ToMoveOn: 2, ToAbort: 1, Stages: []release.Stage{{Share: 0.1, Cap: 0.1}, {Share: 1, Cap: 1}}}
 
 // offered is a machine whose build 2 runs in its first stage since time 0.
 func offered() *release.Machine {
 	m := release.New(rules, 1)
-	m.Hear(0, release.Offer{Build: 2})
-	m.Hear(0, release.Ready{Build: 2})
+	m.Handle(0, release.Offer{Build: 2})
+	m.Handle(0, release.Ready{Build: 2})
 	return m
 }
 
 func on(router string, stage int) release.Vote {
-	return release.Vote{Router: router, Build: 2, Stage: stage, Voice: logic.On}
+	return release.Vote{Router: router, Build: 2, Stage: stage, Voice: logic.Promote}
 }
 
 func TestAStageNeedsItsHostsItsTimeAndItsVotes(t *testing.T) {
 	m := release.New(rules, 1)
-	require.Contains(t, m.Hear(0, release.Offer{Build: 2}), release.Place{Build: 2, Share: 0.1})
-	m.Hear(0, on("a", 0))
-	m.Hear(0, on("b", 0))
-	m.Hear(3*logic.Second, release.Tick{})
+	require.Contains(t, m.Handle(0, release.Offer{Build: 2}), release.Deploy{Build: 2, Share: 0.1})
+	m.Handle(0, on("a", 0))
+	m.Handle(0, on("b", 0))
+	m.Handle(3*logic.Second, release.Tick{})
 	require.Equal(t, 0, m.News().Stage, "its hosts don't run yet")
-	m.Hear(4*logic.Second, release.Ready{Build: 2})
-	m.Hear(4*logic.Second+1, release.Tick{})
+	m.Handle(4*logic.Second, release.Ready{Build: 2})
+	m.Handle(4*logic.Second+1, release.Tick{})
 	require.Equal(t, 0, m.News().Stage, "its least time has not passed")
-	m.Hear(5*logic.Second, release.Tick{})
+	m.Handle(5*logic.Second, release.Tick{})
 	require.Equal(t, 1, m.News().Stage)
-	require.Equal(t, 0, m.Votes(logic.On), "votes for a stage that has passed don't count for the next")
+	require.Equal(t, 0, m.Votes(logic.Promote), "votes for a stage that has passed don't count for the next")
 }
 
 func TestTheLastStageReleasesAndRetiresTheEarlierBuild(t *testing.T) {
 	m := offered()
-	m.Hear(logic.Second, on("a", 0))
-	m.Hear(logic.Second, on("b", 0))
-	m.Hear(logic.Second, release.Ready{Build: 2})
-	m.Hear(3*logic.Second, on("a", 1))
-	require.Contains(t, m.Hear(3*logic.Second, on("b", 1)), release.Retire{Build: 1})
+	m.Handle(logic.Second, on("a", 0))
+	m.Handle(logic.Second, on("b", 0))
+	m.Handle(logic.Second, release.Ready{Build: 2})
+	m.Handle(3*logic.Second, on("a", 1))
+	require.Contains(t, m.Handle(3*logic.Second, on("b", 1)), release.Retire{Build: 1})
 	require.Equal(t, logic.Released, m.News().Phase)
-	back := m.Hear(4*logic.Second, release.Vote{Router: "a", Build: 2, Stage: 1, Voice: logic.Back})
-	require.Contains(t, back, release.Place{Build: 1, Share: 1}, "a release can be sent back until the next is offered")
+	back := m.Handle(4*logic.Second, release.Vote{Router: "a", Build: 2, Stage: 1, Voice: logic.Rollback})
+	require.Contains(t, back, release.Deploy{Build: 1, Share: 1}, "a release can be sent back until the next is offered")
 	require.Contains(t, back, release.Retire{Build: 2})
 }
 
 func TestVotesRunOutAndThoseOfThePastAreMoot(t *testing.T) {
 	m := offered()
-	m.Hear(0, on("a", 0))
-	m.Hear(6*logic.Second, on("b", 0))
+	m.Handle(0, on("a", 0))
+	m.Handle(6*logic.Second, on("b", 0))
 	require.Equal(t, 0, m.News().Stage, "the first vote no longer stands")
-	m.Hear(6*logic.Second, on("a", 0))
+	m.Handle(6*logic.Second, on("a", 0))
 	require.Equal(t, 1, m.News().Stage)
-	require.Contains(t, m.Hear(6*logic.Second, on("a", 0)), release.Answer{Why: "it is not the present build or stage"})
+	require.Contains(t, m.Handle(6*logic.Second, on("a", 0)), release.Answer{Why: "it is not the present build or stage"})
 }
 
 func TestANewerOfferTakesATrialOff(t *testing.T) {
 	m := offered()
-	effects := m.Hear(logic.Second, release.Offer{Build: 3})
+	effects := m.Handle(logic.Second, release.Offer{Build: 3})
 	require.Contains(t, effects, release.Retire{Build: 2})
-	require.Contains(t, effects, release.Place{Build: 3, Share: 0.1})
+	require.Contains(t, effects, release.Deploy{Build: 3, Share: 0.1})
 	require.Equal(t, 1, m.Earlier())
-	require.IsType(t, release.Refuse{}, m.Hear(logic.Second, release.Offer{Build: 3})[0])
+	require.IsType(t, release.Refuse{}, m.Handle(logic.Second, release.Offer{Build: 3})[0])
 }
 
 func TestAWithdrawalComesOnce(t *testing.T) {
 	m := offered()
-	require.Contains(t, m.Hear(1, release.Withdraw{Build: 2}), release.Retire{Build: 2})
-	require.IsType(t, release.Refuse{}, m.Hear(2, release.Withdraw{Build: 2})[0])
-	m.Hear(3, release.Gone{Build: 2})
-	require.Equal(t, logic.Withdrawn, m.News().Phase)
+	require.Contains(t, m.Handle(1, release.Withdraw{Build: 2}), release.Retire{Build: 2})
+	require.IsType(t, release.Refuse{}, m.Handle(2, release.Withdraw{Build: 2})[0])
+	m.Handle(3, release.Gone{Build: 2})
+	require.Equal(t, logic.RolledBack, m.News().Phase)
 	require.Equal(t, 0.0, m.News().Cap)
 }
 
 func TestUnderAClockVotesOnlyHold(t *testing.T) {
 	r := rules
-	r.Control, r.ClockTime, r.ToHold = logic.Clock, 2*logic.Second, 1
+	r.Control, r.ClockTime, r.ToHold = logic.Timed, 2*logic.Second, 1
 	m := release.New(r, 1)
-	m.Hear(0, release.Offer{Build: 2})
-	m.Hear(0, release.Ready{Build: 2})
-	m.Hear(logic.Second, release.Vote{Router: "a", Build: 2, Voice: logic.Hold})
+	m.Handle(0, release.Offer{Build: 2})
+	m.Handle(0, release.Ready{Build: 2})
+	m.Handle(logic.Second, release.Vote{Router: "a", Build: 2, Voice: logic.Hold})
 	for at := logic.Second; at < 5*logic.Second; at += logic.Second / 10 {
-		m.Hear(at, release.Tick{})
+		m.Handle(at, release.Tick{})
 	}
 	require.Equal(t, 0, m.News().Stage)
 	for at := 5 * logic.Second; at < 8*logic.Second; at += logic.Second / 10 {
-		m.Hear(at, release.Tick{})
+		m.Handle(at, release.Tick{})
 	}
 	require.Equal(t, 1, m.News().Stage, "the vote ran out after 6 s")
 }
--- a/release/saved.go
+++ b/release/saved.go
@@ -11,7 +11,7 @@
 // Saved is all that a Machine knows, in a form that can be kept.
 type Saved struct {
 	State   int         `json:"state"`
-	News    News        `json:"news"`
+	News    Status      `json:"news"`
 	Earlier int         `json:"earlier"`
 	Now     logic.Time  `json:"now"`
 	Runs    logic.Time  `json:"runs"`
@@ -24,11 +24,11 @@
 
 // SavedVote is one router's standing vote.
 type SavedVote struct {
-	Router string      `json:"Router"`
-	Build  int         `json:"Build"`
-	Stage  int         `json:"Stage"`
-	Voice  logic.Voice `json:"Voice"`
-	At     logic.Time  `json:"At"`
+	Router string           `json:"Router"`
+	Build  int              `json:"Build"`
+	Stage  int              `json:"Stage"`
+	Voice  logic.VoteChoice `json:"Voice"`
+	At     logic.Time       `json:"At"`
 }
 
 // Save is the machine's state, the same for the same inputs.
@@ -59,11 +59,13 @@
 func (m *Machine) Due(now logic.Time) bool {
 	c := *m
 	c.votes = maps.Clone(m.votes)
-	return len(c.Hear(now, Tick{})) > 0
+	return len(c.Handle(now, Tick{})) > 0
 }
 
-// Needs changes how many votes move a stage on and send a build back, as routers come and go.
-func (m *Machine) Needs(toMoveOn, toAbort int) { m.rules.ToMoveOn, m.rules.ToAbort = toMoveOn, toAbort }
+// SetQuorum changes how many votes move a stage on and send a build back, as routers come and go.
+func (m *Machine) SetQuorum(toMoveOn, toAbort int) {
+	m.rules.ToMoveOn, m.rules.ToAbort = toMoveOn, toAbort
+}
 
-// Away forgets the vote of a router that has left.
-func (m *Machine) Away(router string) { delete(m.votes, router) }
+// ForgetRouter forgets the vote of a router that has left.
+func (m *Machine) ForgetRouter(router string) { delete(m.votes, router) }
--- a/router/cost_test.go
+++ b/router/cost_test.go
@@ -29,18 +29,18 @@
 
 func newFleet(b *testing.B, hosts int, rate float64) *fleet {
 	f := &fleet{now: 1000 * logic.Second, gap: float64(logic.Second) / rate}
-	f.r, _ = router.New(f.now, router.Place{Seed: 1, Routers: 4, Location: "north", Categories: []router.Category{
-		{Name: "quote", Promised: 4000, Earnings: 1}, {Name: "order", Repeat: logic.Fingerprinted, Memory: 10 * logic.Second, Promised: 5000, Earnings: 1}},
-		Limits: logic.Limits{Grace: logic.Second, Cold: 4 * logic.Second, ColdShare: .35, Tip: 3, TipFor: 2 * logic.Second, AskWithin: 100000 * logic.Second,
-			MaxSends: 4, TwoAtOnce: true, LongestStay: 2 * logic.Second, CrossPrice: .02},
-		Desk: logic.Desk{Control: logic.ShareOfVotes, Caps: []float64{.05, .5, 1}, LeastTime: logic.Second, ToMoveOn: 2, ToAbort: 1,
-			VoteLife: 8 * logic.Second, VoteTimeout: logic.Second, VotesASecond: 30, Window: 4 * logic.Second, Free: 2, Guarded: 1}})
+	f.r, _ = router.New(f.now, router.Config{Seed: 1, Routers: 4, Location: "north", Categories: []router.Class{
+		{Name: "quote", Promised: 4000, Earnings: 1}, {Name: "order", Repeat: logic.IdempotentWithKey, Memory: 10 * logic.Second, Promised: 5000, Earnings: 1}},
+		Limits: logic.Limits{DrainGrace: logic.Second, WarmUp: 4 * logic.Second, ColdCapacity: .35, ColdOverloadFactor: 3, ColdOverloadWindow: 2 * logic.Second, PollInterval: 100000 * logic.Second,
+			MaxAttempts: 4, AllowHedging: true, MaxRetryAfter: 2 * logic.Second, CrossPrice: .02},
+		Desk: logic.ReleaseConfig{Mode: logic.Quorum, ExposureCaps: []float64{.05, .5, 1}, MinStageTime: logic.Second, PromoteQuorum: 2, RollbackQuorum: 1,
+			VoteTTL: 8 * logic.Second, VoteTimeout: logic.Second, MaxVotesPerSecond: 30, ExposureWindow: 4 * logic.Second, ExposureAllowance: 2, GuardedStages: 1}})
 	var list []router.Host
 	for i := range hosts {
 		list = append(list, router.Host{ID: uint32(i + 1), Location: []string{"north", "south", "port"}[i%3], Build: 1, Size: 1})
 	}
-	f.hear(b, router.Listed{Whole: true, Hosts: list})
-	f.hear(b, router.Told{News: logic.News{Build: 1, Phase: logic.Released, Cap: 1}})
+	f.hear(b, router.EndpointsChanged{Complete: true, Hosts: list})
+	f.hear(b, router.ReleaseChanged{News: logic.ReleaseStatus{Build: 1, Phase: logic.Released, ExposureCap: 1}})
 	for range 2000 {
 		f.task(b)
 	}
@@ -49,7 +49,7 @@
 
 func (f *fleet) hear(b *testing.B, e router.Event) {
 	var err error
-	if f.actions, err = f.r.Hear(f.now, e, f.actions[:0]); err != nil {
+	if f.actions, err = f.r.Handle(f.now, e, f.actions[:0]); err != nil {
 		b.Fatal(err)
 	}
 	for _, a := range f.actions {
@@ -76,12 +76,12 @@
 	f.ends = kept
 	for _, e := range due {
 		f.now = max(f.now, e.at)
-		f.hear(b, router.Ended{Task: e.task, Send: e.send, Fate: logic.Finished, Took: 250, Done: true,
-			Load: &logic.Load{Active: 2, Waiting: -1, Busy: -1, Service: -1, Rate: -1}})
+		f.hear(b, router.AttemptEnded{Task: e.task, Send: e.send, Fate: logic.Succeeded, Took: 250, Done: true,
+			Load: &logic.LoadReport{Active: 2, Waiting: -1, Busy: -1, Service: -1, Rate: -1}})
 	}
 	f.now = max(f.now, now)
 	f.next++
-	f.hear(b, router.Taken{Task: strconv.Itoa(f.next), Category: []string{"quote", "order"}[f.next%2], Patience: 15000})
+	f.hear(b, router.RequestArrived{Task: strconv.Itoa(f.next), Category: []string{"quote", "order"}[f.next%2], Patience: 15000})
 }
 
 // BenchmarkTask is the library's work for one task, from its arrival to the end of its send.
--- a/router/events.go
+++ b/router/events.go
@@ -10,7 +10,7 @@
 
 type (
 	// Taken is a task that has arrived; the router owes it one final answer. Task is an id never used before.
-	Taken struct {
+	RequestArrived struct {
 		Task     string
 		Category string
 		Customer string // a name from Place.Customers; others count as none
@@ -21,32 +21,32 @@
 	}
 	// Ended is the end of send number Send of a task, counted from 0. Done tells that the task is over, by this
 	// or already before it.
-	Ended struct {
+	AttemptEnded struct {
 		Task string
 		Send int
-		Fate logic.Fate
+		Fate logic.Outcome
 		Took logic.Time
 		Done bool
-		Load *logic.Load // what the host reported with it, nil for nothing
+		Load *logic.LoadReport // what the host reported with it, nil for nothing
 	}
 	// Began is the first byte of a streamed answer.
-	Began struct {
+	ResponseStarted struct {
 		Task string
 		Send int
 	}
 	// Left is a client that has gone; nothing is owed to it any more.
-	Left struct{ Task string }
+	ClientGone struct{ Task string }
 	// Listed is what the host list told: all of it (Whole) or what has changed.
-	Listed struct {
-		Whole bool
-		Hosts []Host
+	EndpointsChanged struct {
+		Complete bool
+		Hosts    []Host
 	}
 	// Unlisted is a watch or call of the host list that failed; the list held still applies.
-	Unlisted struct{}
+	EndpointsUnavailable struct{}
 	// Told is the release desk's news, or its answer to a vote.
-	Told struct{ News logic.News }
+	ReleaseChanged struct{ News logic.ReleaseStatus }
 	// Counted is what the desk counted for a build and a category.
-	Counted struct {
+	StatsReported struct {
 		Build        int
 		Category     string
 		Bad, Samples int
@@ -54,76 +54,76 @@
 		Over         logic.Time // the span that was counted
 	}
 	// Complained is a client that found an answer wrong.
-	Complained struct {
+	ComplaintReceived struct {
 		Host     uint32
 		Category string
 		Age      logic.Time // since the send went out
 	}
 	// Due is an alarm that an Alarm action asked for.
-	Due struct{ Alarm int64 }
+	TimerFired struct{ Alarm int64 }
 	// Probed is what a probe of a host found.
-	Probed struct {
+	HealthChecked struct {
 		Host uint32
-		Fate logic.Fate
+		Fate logic.Outcome
 		Took logic.Time
-		Load *logic.Load
+		Load *logic.LoadReport
 	}
 	// Heard is a message from another router, by its rank.
-	Heard struct {
+	GossipReceived struct {
 		Peer int
 		Body string
 	}
 	// Settled is other settings for a running router, whole. What can't change in one is an error and changes nothing.
-	Settled struct{ Place Place }
+	ConfigChanged struct{ Place Config }
 	// Planned is a version of shares worked out ahead. A Heed action tells whether it is followed.
-	Planned struct{ Offer plan.Offered }
+	PlanOffered struct{ Offer plan.Offered }
 )
 
-func (Taken) event()      {}
-func (Ended) event()      {}
-func (Began) event()      {}
-func (Left) event()       {}
-func (Listed) event()     {}
-func (Unlisted) event()   {}
-func (Told) event()       {}
-func (Counted) event()    {}
-func (Complained) event() {}
-func (Due) event()        {}
-func (Probed) event()     {}
-func (Heard) event()      {}
-func (Settled) event()    {}
-func (Planned) event()    {}
+func (RequestArrived) event()       {}
+func (AttemptEnded) event()         {}
+func (ResponseStarted) event()      {}
+func (ClientGone) event()           {}
+func (EndpointsChanged) event()     {}
+func (EndpointsUnavailable) event() {}
+func (ReleaseChanged) event()       {}
+func (StatsReported) event()        {}
+func (ComplaintReceived) event()    {}
+func (TimerFired) event()           {}
+func (HealthChecked) event()        {}
+func (GossipReceived) event()       {}
+func (ConfigChanged) event()        {}
+func (PlanOffered) event()          {}
 
 // Host is one line of the host list. ID must be the same at all routers, as they take turns by it.
 type Host struct {
 	ID       uint32
 	Location string
 	Cell     int
-	Standing logic.Standing
+	Standing logic.EndpointState
 	Build    int
 	Size     float64
 	Up       logic.Time // when its process started; 0 is long ago
 }
 
-// Deed is what an action asks for.
-type Deed int
+// ActionKind is what an action asks for.
+type ActionKind int
 
 const (
-	Send     Deed = iota // send Task to Host as its send number Send, and wait for Span
-	TurnBack             // the final answer: trying again is harmless, best after Span
-	Scrap                // the final answer: nothing is promised
-	Alarm                // a Due event with the number Alarm after Span
-	Watch                // ask for the host list and its changes
-	Vote                 // Voice on Build at Stage
-	Note                 // Text, for the log
-	Tell                 // send Body to the router of rank Peer, or to all for logic.Everyone
-	Probe                // probe Host
-	Heed                 // the plan of this Number is followed, or turned down for the reason in Text
+	Send            ActionKind = iota // send Task to Host as its send number Send, and wait for Span
+	Reject                            // the final answer: trying again is harmless, best after Span
+	Fail                              // the final answer: nothing is promised
+	SetTimer                          // a Due event with the number Alarm after Span
+	WatchEndpoints                    // ask for the host list and its changes
+	Vote                              // Voice on Build at Stage
+	Log                               // Text, for the log
+	Gossip                            // send Body to the router of rank Peer, or to all for logic.Everyone
+	CheckHealth                       // probe Host
+	AcknowledgePlan                   // the plan of this Number is followed, or turned down for the reason in Text
 )
 
 // Action is what a router wants done; which fields count depends on Do.
 type Action struct {
-	Do     Deed
+	Do     ActionKind
 	Task   string
 	Send   int
 	Host   uint32
@@ -131,7 +131,7 @@
 	Alarm  int64
 	Build  int
 	Stage  int
-	Voice  logic.Voice
+	Voice  logic.VoteChoice
 	Text   string
 	Number uint64
 	Peer   int
@@ -139,31 +139,31 @@
 	Copied bool // a Send beside another one, or alone, for judging the build on trial
 }
 
-// Place is all that a router is told when it starts.
-type Place struct {
+// Config is all that a router is told when it starts.
+type Config struct {
 	Seed       uint64
 	Routers    int // all that serve the fleet
 	Rank       int // this one's number among them, from 0
 	Location   string
-	Categories []Category
-	Customers  []Customer
+	Categories []Class
+	Customers  []Tenant
 	Limits     logic.Limits
-	Desk       logic.Desk
+	Desk       logic.ReleaseConfig
 }
 
-// Category is a kind of task.
-type Category struct {
+// Class is a kind of task.
+type Class struct {
 	Name      string
-	Repeat    logic.Repeat
-	Group     logic.Group
+	Repeat    logic.Idempotency
+	Group     logic.DedupScope
 	Memory    logic.Time // how long a group of hosts drops repeats
 	Promised  logic.Time
 	Earnings  float64
 	LateShare float64 // share of the earnings left after the promised time
 }
 
-// Customer is whoever pays for tasks.
-type Customer struct {
+// Tenant is whoever pays for tasks.
+type Tenant struct {
 	Name      string
 	PerSecond float64 // tasks a second, over all routers, that earn in full
 }
--- a/router/example_test.go
+++ b/router/example_test.go
@@ -10,34 +10,34 @@
 // A harness of one host: every send is answered after ten milliseconds of a clock that the harness turns itself.
 func Example() {
 	now := logic.Time(0)
-	r, actions := router.New(now, router.Place{Seed: 1, Routers: 1, Location: "here",
-		Categories: []router.Category{{Name: "quote", Promised: logic.Second, Earnings: 1}},
-		Limits:     logic.Limits{MaxSends: 3, Pushed: true, LongestStay: logic.Second}})
+	r, actions := router.New(now, router.Config{Seed: 1, Routers: 1, Location: "here",
+		Categories: []router.Class{{Name: "quote", Promised: logic.Second, Earnings: 1}},
+		Limits:     logic.Limits{MaxAttempts: 3, PushedDiscovery: true, MaxRetryAfter: logic.Second}})
 	hear := func(e router.Event) {
 		var err error
-		if actions, err = r.Hear(now, e, actions[:0]); err != nil {
+		if actions, err = r.Handle(now, e, actions[:0]); err != nil {
 			panic(err)
 		}
 	}
-	hear(router.Listed{Whole: true, Hosts: []router.Host{{ID: 7, Location: "here", Build: 1, Size: 1}}})
-	hear(router.Told{News: logic.News{Build: 1, Phase: logic.Released, Cap: 1}})
+	hear(router.EndpointsChanged{Complete: true, Hosts: []router.Host{{ID: 7, Location: "here", Build: 1, Size: 1}}})
+	hear(router.ReleaseChanged{News: logic.ReleaseStatus{Build: 1, Phase: logic.Released, ExposureCap: 1}})
 
-	hear(router.Taken{Task: "a", Category: "quote", Patience: 2 * logic.Second})
+	hear(router.RequestArrived{Task: "a", Category: "quote", Patience: 2 * logic.Second})
 	for _, a := range actions {
 		if a.Do == router.Send {
 			fmt.Printf("task %s goes to host %d\n", a.Task, a.Host)
 			now += 100
-			hear(router.Ended{Task: a.Task, Send: a.Send, Fate: logic.Finished, Took: 100, Done: true})
+			hear(router.AttemptEnded{Task: a.Task, Send: a.Send, Fate: logic.Succeeded, Took: 100, Done: true})
 		}
 	}
-	hear(router.Listed{Whole: true}) // the list is empty now
-	hear(router.Taken{Task: "b", Category: "quote", Patience: 2 * logic.Second})
+	hear(router.EndpointsChanged{Complete: true}) // the list is empty now
+	hear(router.RequestArrived{Task: "b", Category: "quote", Patience: 2 * logic.Second})
 	for _, a := range actions {
-		if a.Do == router.TurnBack {
+		if a.Do == router.Reject {
 			fmt.Printf("task %s is turned back for %d ms\n", a.Task, a.Span/10)
 		}
 	}
-	fmt.Println(r.Held(), "tasks held")
+	fmt.Println(r.InFlight(), "tasks held")
 	// Output:
 	// task a goes to host 7
 	// task b is turned back for 500 ms
--- a/router/planned.go
+++ b/router/planned.go
@@ -12,37 +12,37 @@
 
 // planned passes a plan's version on to the mind or turns it down.
 func (r *Router) planned(now logic.Time, o plan.Offered) {
-	fleet := plan.Fleet{Hosts: make(map[uint32]plan.Known, len(r.hosts)), Cold: time.Duration(r.place.Limits.Cold) * tick}
-	if r.news.Phase == logic.OnTrial {
-		fleet.Build, fleet.Cap = r.news.Build, r.news.Cap
+	fleet := plan.Fleet{Hosts: make(map[uint32]plan.Known, len(r.hosts)), Cold: time.Duration(r.place.Limits.WarmUp) * tick}
+	if r.news.Phase == logic.Canary {
+		fleet.Build, fleet.Cap = r.news.Build, r.news.ExposureCap
 	}
 	here := r.location(r.place.Location)
 	for id, h := range r.hosts {
 		n := h.noun
-		age := now - n.Up
-		if n.Up == 0 {
-			age = r.place.Limits.Cold // started long ago
+		age := now - n.StartedAt
+		if n.StartedAt == 0 {
+			age = r.place.Limits.WarmUp // started long ago
 		}
-		fleet.Hosts[id] = plan.Known{Near: n.Location == here, Size: n.Size, Age: time.Duration(max(0, age)) * tick,
+		fleet.Hosts[id] = plan.Known{Near: n.Zone == here, Size: n.Weight, Age: time.Duration(max(0, age)) * tick,
 			Trial: fleet.Build != 0 && n.Build == fleet.Build}
 	}
-	act := Action{Do: Heed, Number: o.Version}
+	act := Action{Do: AcknowledgePlan, Number: o.Version}
 	if err := r.follower.Offer(o, fleet); err != nil {
 		act.Text = err.Error()
 	} else {
 		r.plan, r.until = o, now+logic.Time(o.For/tick)
-		r.mind.Planned(now, r.course())
+		r.policy.PlanOffered(now, r.course())
 	}
 	r.out = append(r.out, act)
 }
 
 // course is the plan in force, for the hosts that are known.
-func (r *Router) course() logic.Course {
-	c := logic.Course{Parts: make(map[*logic.Host]float64, len(r.plan.Near)+len(r.plan.Far)), Cross: r.plan.Cross, Until: r.until}
+func (r *Router) course() logic.WeightPlan {
+	c := logic.WeightPlan{Weights: make(map[*logic.Host]float64, len(r.plan.Near)+len(r.plan.Far)), Cross: r.plan.Cross, Until: r.until}
 	for _, side := range [][]plan.Part{r.plan.Near, r.plan.Far} {
 		for _, p := range side {
 			if h := r.hosts[p.Host]; h != nil {
-				c.Parts[h.noun] = p.Weight
+				c.Weights[h.noun] = p.Weight
 			}
 		}
 	}
--- a/router/planned_test.go
+++ b/router/planned_test.go
@@ -18,12 +18,12 @@
 	for i := from; i < from+n; i++ {
 		*now += 20
 		id := strconv.Itoa(i)
-		actions, err := r.Hear(*now, router.Taken{Task: id, Category: "quote", Patience: 10_000}, nil)
+		actions, err := r.Handle(*now, router.RequestArrived{Task: id, Category: "quote", Patience: 10_000}, nil)
 		require.NoError(t, err)
 		for _, a := range actions {
 			if a.Do == router.Send {
 				count[a.Host]++
-				_, err := r.Hear(*now+10, router.Ended{Task: a.Task, Send: a.Send, Fate: logic.Finished, Took: 10, Done: true}, nil)
+				_, err := r.Handle(*now+10, router.AttemptEnded{Task: a.Task, Send: a.Send, Fate: logic.Succeeded, Took: 10, Done: true}, nil)
 				require.NoError(t, err)
 			}
 		}
@@ -32,29 +32,29 @@
 }
 
 func heed(t *testing.T, r *router.Router, now logic.Time, o plan.Offered) string {
-	actions, err := r.Hear(now, router.Planned{Offer: o}, nil)
+	actions, err := r.Handle(now, router.PlanOffered{Offer: o}, nil)
 	require.NoError(t, err)
 	require.Len(t, actions, 1)
-	require.Equal(t, router.Heed, actions[0].Do)
+	require.Equal(t, router.AcknowledgePlan, actions[0].Do)
 	require.Equal(t, o.Version, actions[0].Number)
 	return actions[0].Text
 }
 
 func TestAPlanIsAHintThatRulesAndDrainsGoBefore(t *testing.T) {
 	now := 1000 * logic.Second
-	r, _ := router.New(now, router.Place{Seed: 1, Routers: 1, Location: "north", Categories: []router.Category{{Name: "quote", Promised: 4000, Earnings: 1}},
-		Limits: logic.Limits{Grace: logic.Second, Cold: 4 * logic.Second, ColdShare: .3, Tip: 3, TipFor: 2 * logic.Second, AskWithin: 1000 * logic.Second,
-			MaxSends: 4, TwoAtOnce: true, CrossPrice: .05},
-		Desk: logic.Desk{Caps: []float64{.05, 1}, ToMoveOn: 1, ToAbort: 1, VoteLife: logic.Second, Window: logic.Second, Free: 1}})
+	r, _ := router.New(now, router.Config{Seed: 1, Routers: 1, Location: "north", Categories: []router.Class{{Name: "quote", Promised: 4000, Earnings: 1}},
+		Limits: logic.Limits{DrainGrace: logic.Second, WarmUp: 4 * logic.Second, ColdCapacity: .3, ColdOverloadFactor: 3, ColdOverloadWindow: 2 * logic.Second, PollInterval: 1000 * logic.Second,
+			MaxAttempts: 4, AllowHedging: true, CrossPrice: .05},
+		Desk: logic.ReleaseConfig{ExposureCaps: []float64{.05, 1}, PromoteQuorum: 1, RollbackQuorum: 1, VoteTTL: logic.Second, ExposureWindow: logic.Second, ExposureAllowance: 1}})
 	host := func(id uint32, place string) router.Host {
 		return router.Host{ID: id, Location: place, Build: 1, Size: 1}
 	}
 	hear := func(e router.Event) {
-		_, err := r.Hear(now, e, nil)
+		_, err := r.Handle(now, e, nil)
 		require.NoError(t, err)
 	}
-	hear(router.Told{News: logic.News{Build: 1, Phase: logic.Released, Cap: 1}})
-	hear(router.Listed{Whole: true, Hosts: []router.Host{host(1, "north"), host(2, "north"), host(3, "north"), host(4, "north"), host(5, "south")}})
+	hear(router.ReleaseChanged{News: logic.ReleaseStatus{Build: 1, Phase: logic.Released, ExposureCap: 1}})
+	hear(router.EndpointsChanged{Complete: true, Hosts: []router.Host{host(1, "north"), host(2, "north"), host(3, "north"), host(4, "north"), host(5, "south")}})
 	even := sends(t, r, 0, &now, 1000)
 	require.InDelta(t, 250, even[1], 60)
 	require.Zero(t, even[5], "nothing crosses without need")
@@ -67,13 +67,13 @@
 
 	drained := host(1, "north")
 	drained.Standing = logic.Draining
-	hear(router.Listed{Hosts: []router.Host{drained}})
+	hear(router.EndpointsChanged{Hosts: []router.Host{drained}})
 	require.Contains(t, heed(t, r, now, plan.Offered{Version: 1, For: time.Minute}), "in force already")
 	require.Empty(t, heed(t, r, now, plan.Offered{Version: 2, For: 4 * time.Second, Near: []plan.Part{{Host: 1, Weight: 9}, {Host: 2, Weight: 1}, {Host: 77, Weight: 1}}}),
 		"made before the drain was known")
 	after := sends(t, r, 2000, &now, 1000)
 	require.Zero(t, after[1], "a draining host gets nothing, whatever the plan says")
-	hear(router.Listed{Hosts: []router.Host{host(77, "north")}}) // a host that the plan knew before the list did
+	hear(router.EndpointsChanged{Hosts: []router.Host{host(77, "north")}}) // a host that the plan knew before the list did
 	more := sends(t, r, 3000, &now, 500)
 	require.Greater(t, more[77], 100)
 
@@ -82,6 +82,6 @@
 	require.InDelta(t, past[3], past[2], 90, "a plan that has run out counts no more")
 	require.Zero(t, past[5])
 
-	hear(router.Told{News: logic.News{Build: 2, Phase: logic.OnTrial, Cap: .05}})
+	hear(router.ReleaseChanged{News: logic.ReleaseStatus{Build: 2, Phase: logic.Canary, ExposureCap: .05}})
 	require.Contains(t, heed(t, r, now, plan.Offered{Version: 3, Build: 2, Copies: .2, For: time.Second, Near: []plan.Part{{Host: 2, Weight: 1}}}), "would break the cap")
 }
