--- a/router/router.go
+++ b/router/router.go
@@ -11,22 +11,22 @@
 
 // Router is one instance's mind behind ids.
 type Router struct {
-	mind      *logic.Router
+	policy    *logic.Router
 	out       []Action
 	hosts     map[uint32]*host
-	locations map[string]*logic.Location
-	cats      map[string]*logic.Category
-	customers map[string]*logic.Customer
+	locations map[string]*logic.Zone
+	cats      map[string]*logic.Class
+	customers map[string]*logic.Tenant
 	tasks     map[string]*task
-	ids       map[*logic.Task]string
-	alarms    map[int64]*logic.Alarm
+	ids       map[*logic.Request]string
+	alarms    map[int64]*logic.Timer
 	marks     int64
 	swept     logic.Time
-	news      logic.News
+	news      logic.ReleaseStatus
 	follower  plan.Follower
 	plan      plan.Offered
 	until     logic.Time // the plan in force is followed
-	place     Place
+	place     Config
 }
 
 type host struct {
@@ -36,35 +36,35 @@
 }
 
 type task struct {
-	noun  *logic.Task
+	noun  *logic.Request
 	ended []bool // by send
 	left  int    // sends that have not ended
 }
 
 // New starts a router that knows nothing but its place, and returns its first actions.
-func New(now logic.Time, p Place) (*Router, []Action) {
-	r := &Router{hosts: map[uint32]*host{}, locations: map[string]*logic.Location{},
-		cats: map[string]*logic.Category{}, customers: map[string]*logic.Customer{}, tasks: map[string]*task{},
-		ids: map[*logic.Task]string{}, alarms: map[int64]*logic.Alarm{}, place: p}
-	place := logic.Place{Seed: p.Seed, Routers: p.Routers, Rank: p.Rank, Location: r.location(p.Location),
-		Limits: p.Limits, Desk: p.Desk}
+func New(now logic.Time, p Config) (*Router, []Action) {
+	r := &Router{hosts: map[uint32]*host{}, locations: map[string]*logic.Zone{},
+		cats: map[string]*logic.Class{}, customers: map[string]*logic.Tenant{}, tasks: map[string]*task{},
+		ids: map[*logic.Request]string{}, alarms: map[int64]*logic.Timer{}, place: p}
+	place := logic.Config{Seed: p.Seed, Routers: p.Routers, Rank: p.Rank, Zone: r.location(p.Location),
+		Limits: p.Limits, Release: p.Desk}
 	for _, c := range p.Categories {
-		noun := &logic.Category{Repeat: c.Repeat, Group: c.Group, Memory: c.Memory, Promised: c.Promised,
-			Earnings: c.Earnings, LateShare: c.LateShare}
+		noun := &logic.Class{Idempotency: c.Repeat, DedupScope: c.Group, DedupWindow: c.Memory, LatencyObjective: c.Promised,
+			PriorityWeight: c.Earnings, LateShare: c.LateShare}
 		r.cats[c.Name] = noun
-		place.Categories = append(place.Categories, noun)
+		place.Classes = append(place.Classes, noun)
 	}
 	for _, c := range p.Customers {
-		r.customers[c.Name] = &logic.Customer{PerSecond: c.PerSecond}
+		r.customers[c.Name] = &logic.Tenant{QuotaPerSecond: c.PerSecond}
 	}
-	r.mind = logic.NewRouter(now, place, (*hands)(r))
+	r.policy = logic.NewRouter(now, place, (*hands)(r))
 	return r, r.out
 }
 
-// Hear takes in one event at its time and appends what is to be done to actions. An event that makes no sense (an
+// Handle takes in one event at its time and appends what is to be done to actions. An event that makes no sense (an
 // unknown category, an id used twice) changes nothing and is an error; one about a task that is no longer known is
 // dropped, as ends and news cross on the way.
-func (r *Router) Hear(now logic.Time, e Event, actions []Action) ([]Action, error) {
+func (r *Router) Handle(now logic.Time, e Event, actions []Action) ([]Action, error) {
 	r.out = actions
 	err := r.hear(now, e)
 	actions, r.out = r.out, nil
@@ -73,61 +73,61 @@
 
 func (r *Router) hear(now logic.Time, e Event) error {
 	switch e := e.(type) {
-	case Taken:
+	case RequestArrived:
 		return r.take(now, e)
-	case Ended:
+	case AttemptEnded:
 		r.ended(now, e)
-	case Began:
-		if t := r.tasks[e.Task]; t != nil && e.Send >= 0 && e.Send < len(t.noun.Sends) {
-			r.mind.Began(now, t.noun.Sends[e.Send])
+	case ResponseStarted:
+		if t := r.tasks[e.Task]; t != nil && e.Send >= 0 && e.Send < len(t.noun.Attempts) {
+			r.policy.ResponseStarted(now, t.noun.Attempts[e.Send])
 		}
-	case Left:
+	case ClientGone:
 		if t := r.tasks[e.Task]; t != nil {
-			r.mind.Left(now, t.noun)
+			r.policy.ClientGone(now, t.noun)
 			r.forget(e.Task, t)
 		}
-	case Listed:
-		r.mind.Listed(now, r.changes(now, e), true)
+	case EndpointsChanged:
+		r.policy.EndpointsChanged(now, r.changes(now, e), true)
 		r.sweep(now)
 		if now < r.until { // the plan may speak of hosts that are listed only now
-			r.mind.Planned(now, r.course())
+			r.policy.PlanOffered(now, r.course())
 		}
-	case Unlisted:
-		r.mind.Listed(now, nil, false)
-	case Told:
-		if e.News.Answer == logic.Unasked || e.News.Answer == logic.Counted {
+	case EndpointsUnavailable:
+		r.policy.EndpointsChanged(now, nil, false)
+	case ReleaseChanged:
+		if e.News.VoteResult == logic.Unsolicited || e.News.VoteResult == logic.VoteAccepted {
 			r.news = e.News
 		}
-		r.mind.Told(now, e.News)
-	case Probed:
+		r.policy.ReleaseChanged(now, e.News)
+	case HealthChecked:
 		if h := r.hosts[e.Host]; h != nil {
-			r.mind.Probed(now, h.noun, e.Fate, e.Took, e.Load)
+			r.policy.HealthChecked(now, h.noun, e.Fate, e.Took, e.Load)
 		}
-	case Heard:
-		r.mind.Heard(now, e.Peer, []byte(e.Body))
-	case Settled:
+	case GossipReceived:
+		r.policy.GossipReceived(now, e.Peer, []byte(e.Body))
+	case ConfigChanged:
 		return r.settle(now, e.Place)
-	case Planned:
+	case PlanOffered:
 		r.planned(now, e.Offer)
-	case Counted:
+	case StatsReported:
 		c := r.cats[e.Category]
 		if c == nil {
 			return fmt.Errorf("counts of the category %q, which is none of those told at start", e.Category)
 		}
-		r.mind.Counted(now, logic.Count{Build: e.Build, Category: c, Bad: e.Bad, Samples: e.Samples, Mean: e.Mean,
+		r.policy.StatsReported(now, logic.BuildStats{Build: e.Build, Category: c, Bad: e.Bad, Samples: e.Samples, Mean: e.Mean,
 			Age: e.Age, Over: e.Over})
-	case Complained:
+	case ComplaintReceived:
 		c := r.cats[e.Category]
 		if c == nil {
 			return fmt.Errorf("a complaint of the category %q, which is none of those told at start", e.Category)
 		}
 		if h := r.hosts[e.Host]; h != nil {
-			r.mind.Complained(now, h.noun, c, e.Age)
+			r.policy.ComplaintReceived(now, h.noun, c, e.Age)
 		}
-	case Due:
+	case TimerFired:
 		if a := r.alarms[e.Alarm]; a != nil {
 			delete(r.alarms, e.Alarm)
-			r.mind.Due(now, a)
+			r.policy.TimerFired(now, a)
 		}
 	default:
 		return fmt.Errorf("an event of type %T, which a router doesn't know", e)
@@ -135,7 +135,7 @@
 	return nil
 }
 
-func (r *Router) take(now logic.Time, e Taken) error {
+func (r *Router) take(now logic.Time, e RequestArrived) error {
 	c := r.cats[e.Category]
 	if c == nil {
 		return fmt.Errorf("task %s has the category %q, which is none of those told at start", e.Task, e.Category)
@@ -143,51 +143,51 @@
 	if r.tasks[e.Task] != nil {
 		return fmt.Errorf("task %s is already held", e.Task)
 	}
-	t := &task{noun: &logic.Task{Category: c, Customer: r.customers[e.Customer], Key: e.Key, Patience: e.Patience,
-		Hint: e.Hint, Again: e.Again}}
+	t := &task{noun: &logic.Request{Class: c, Tenant: r.customers[e.Customer], Key: e.Key, Timeout: e.Patience,
+		ExpectedWork: e.Hint, ClientRetry: e.Again}}
 	r.tasks[e.Task], r.ids[t.noun] = t, e.Task
-	r.mind.Take(now, t.noun)
+	r.policy.RequestArrived(now, t.noun)
 	r.forget(e.Task, t)
 	return nil
 }
 
 // ended passes on how a send ended, once.
-func (r *Router) ended(now logic.Time, e Ended) {
+func (r *Router) ended(now logic.Time, e AttemptEnded) {
 	t := r.tasks[e.Task]
 	if t == nil || e.Send < 0 || e.Send >= len(t.ended) || t.ended[e.Send] {
 		return
 	}
-	s := t.noun.Sends[e.Send]
+	s := t.noun.Attempts[e.Send]
 	t.ended[e.Send] = true
 	t.left--
 	if h := r.hosts[s.Host.ID]; h != nil && h.noun == s.Host {
 		h.out--
 	}
-	r.mind.Ended(now, s, e.Fate, e.Took, e.Done, e.Load)
+	r.policy.AttemptEnded(now, s, e.Fate, e.Took, e.Done, e.Load)
 	r.forget(e.Task, t)
 }
 
 // forget drops a task of which nothing more can be heard.
 func (r *Router) forget(id string, t *task) {
-	if t.noun.Over() && t.left == 0 {
+	if t.noun.Answered() && t.left == 0 {
 		delete(r.tasks, id)
 		delete(r.ids, t.noun)
 	}
 }
 
-// Held is how many tasks are known of: those owed an answer, and those with sends still out.
-func (r *Router) Held() int { return len(r.tasks) }
+// InFlight is how many tasks are known of: those owed an answer, and those with sends still out.
+func (r *Router) InFlight() int { return len(r.tasks) }
 
-func (r *Router) location(name string) *logic.Location {
+func (r *Router) location(name string) *logic.Zone {
 	if r.locations[name] == nil {
-		r.locations[name] = &logic.Location{}
+		r.locations[name] = &logic.Zone{}
 	}
 	return r.locations[name]
 }
 
 // changes turns a list into changes to what was held; hosts that a whole list leaves out are gone.
-func (r *Router) changes(now logic.Time, e Listed) []logic.Listing {
-	out := make([]logic.Listing, 0, len(e.Hosts))
+func (r *Router) changes(now logic.Time, e EndpointsChanged) []logic.EndpointUpdate {
+	out := make([]logic.EndpointUpdate, 0, len(e.Hosts))
 	named := make(map[uint32]bool, len(e.Hosts))
 	for _, l := range e.Hosts {
 		h := r.hosts[l.ID]
@@ -195,14 +195,14 @@
 			h = &host{noun: &logic.Host{ID: l.ID}}
 			r.hosts[l.ID] = h
 		}
-		if h.gone = 0; l.Standing == logic.Gone {
+		if h.gone = 0; l.Standing == logic.Removed {
 			h.gone = now
 		}
 		named[l.ID] = true
-		out = append(out, logic.Listing{Host: h.noun, Location: r.location(l.Location), Cell: l.Cell,
-			Standing: l.Standing, Build: l.Build, Size: l.Size, Up: l.Up})
+		out = append(out, logic.EndpointUpdate{Host: h.noun, Zone: r.location(l.Location), Cell: l.Cell,
+			State: l.Standing, Build: l.Build, Weight: l.Size, StartedAt: l.Up})
 	}
-	if !e.Whole {
+	if !e.Complete {
 		return out
 	}
 	listed := len(out)
@@ -214,10 +214,10 @@
 			h.gone = now
 		}
 		n := h.noun
-		out = append(out, logic.Listing{Host: n, Location: n.Location, Cell: n.Cell, Standing: logic.Gone,
-			Build: n.Build, Size: n.Size, Up: n.Up})
+		out = append(out, logic.EndpointUpdate{Host: n, Zone: n.Zone, Cell: n.Cell, State: logic.Removed,
+			Build: n.Build, Weight: n.Weight, StartedAt: n.StartedAt})
 	}
-	slices.SortFunc(out[listed:], func(a, b logic.Listing) int { return cmp.Compare(a.Host.ID, b.Host.ID) })
+	slices.SortFunc(out[listed:], func(a, b logic.EndpointUpdate) int { return cmp.Compare(a.Host.ID, b.Host.ID) })
 	return out
 }
 
@@ -230,7 +230,7 @@
 	r.swept = now
 	for id, h := range r.hosts {
 		if h.gone != 0 && now-h.gone > after && h.out == 0 {
-			r.mind.Forget(h.noun)
+			r.policy.Forget(h.noun)
 			delete(r.hosts, id)
 		}
 	}
@@ -241,37 +241,39 @@
 
 func (r *hands) act(a Action) { r.out = append(r.out, a) }
 
-func (r *hands) Send(s *logic.Send, within logic.Time) {
-	id := r.ids[s.Task]
+func (r *hands) Send(s *logic.Attempt, within logic.Time) {
+	id := r.ids[s.Request]
 	t := r.tasks[id]
 	t.ended = append(t.ended, false)
 	t.left++
 	if h := r.hosts[s.Host.ID]; h != nil {
 		h.out++
 	}
-	r.act(Action{Do: Send, Task: id, Send: len(t.ended) - 1, Host: s.Host.ID, Span: within, Copied: s.Copied()})
+	r.act(Action{Do: Send, Task: id, Send: len(t.ended) - 1, Host: s.Host.ID, Span: within, Copied: s.IsShadow()})
 }
 
-func (r *hands) TurnBack(t *logic.Task, stay logic.Time) {
-	r.act(Action{Do: TurnBack, Task: r.ids[t], Span: stay})
+func (r *hands) Reject(t *logic.Request, stay logic.Time) {
+	r.act(Action{Do: Reject, Task: r.ids[t], Span: stay})
 }
 
-func (r *hands) Scrap(t *logic.Task) { r.act(Action{Do: Scrap, Task: r.ids[t]}) }
+func (r *hands) Fail(t *logic.Request) { r.act(Action{Do: Fail, Task: r.ids[t]}) }
 
-func (r *hands) WakeUp(in logic.Time, a *logic.Alarm) {
+func (r *hands) SetTimer(in logic.Time, a *logic.Timer) {
 	r.marks++
 	r.alarms[r.marks] = a
-	r.act(Action{Do: Alarm, Alarm: r.marks, Span: in})
+	r.act(Action{Do: SetTimer, Alarm: r.marks, Span: in})
 }
 
-func (r *hands) WatchHosts() { r.act(Action{Do: Watch}) }
+func (r *hands) WatchEndpoints() { r.act(Action{Do: WatchEndpoints}) }
 
-func (r *hands) Vote(build, stage int, voice logic.Voice) {
+func (r *hands) Vote(build, stage int, voice logic.VoteChoice) {
 	r.act(Action{Do: Vote, Build: build, Stage: stage, Voice: voice})
 }
 
-func (r *hands) Note(text string) { r.act(Action{Do: Note, Text: text}) }
+func (r *hands) Log(text string) { r.act(Action{Do: Log, Text: text}) }
 
-func (r *hands) Tell(peer int, body []byte) { r.act(Action{Do: Tell, Peer: peer, Body: string(body)}) }
+func (r *hands) Gossip(peer int, body []byte) {
+	r.act(Action{Do: Gossip, Peer: peer, Body: string(body)})
+}
 
-func (r *hands) Probe(h *logic.Host) { r.act(Action{Do: Probe, Host: h.ID}) }
+func (r *hands) CheckHealth(h *logic.Host) { r.act(Action{Do: CheckHealth, Host: h.ID}) }
--- a/router/settle.go
+++ b/router/settle.go
@@ -9,32 +9,32 @@
 )
 
 // settle takes over other settings, between two events: tasks held go on under them, and nothing is sent anew.
-func (r *Router) settle(now logic.Time, p Place) error {
-	if err := r.place.Settles(p); err != nil {
+func (r *Router) settle(now logic.Time, p Config) error {
+	if err := r.place.CheckChange(p); err != nil {
 		return err
 	}
 	for _, c := range p.Categories {
 		noun := r.cats[c.Name]
-		noun.Promised, noun.Earnings, noun.LateShare = c.Promised, c.Earnings, c.LateShare
+		noun.LatencyObjective, noun.PriorityWeight, noun.LateShare = c.Promised, c.Earnings, c.LateShare
 	}
 	for _, c := range p.Customers {
-		r.customers[c.Name].PerSecond = c.PerSecond
+		r.customers[c.Name].QuotaPerSecond = c.PerSecond
 	}
 	p.Seed = r.place.Seed // chance goes on as it was
 	r.place = p
-	r.mind.Settled(now, p.Routers, p.Rank, p.Limits, p.Desk)
+	r.policy.ConfigChanged(now, p.Routers, p.Rank, p.Limits, p.Desk)
 	return nil
 }
 
-// Settles tells what in other settings can't change in a running router: every such thing, by name. Its place is what
+// CheckChange tells what in other settings can't change in a running router: every such thing, by name. Its place is what
 // its hosts and tasks were understood by, and what a repeat may do was promised for the tasks that it holds.
-func (p Place) Settles(q Place) error {
+func (p Config) CheckChange(q Config) error {
 	var all []error
 	if p.Location != q.Location {
 		all = append(all, fmt.Errorf("location: can't change from %q to %q in a running router", p.Location, q.Location))
 	}
 	for _, c := range p.Categories {
-		i := slices.IndexFunc(q.Categories, func(x Category) bool { return x.Name == c.Name })
+		i := slices.IndexFunc(q.Categories, func(x Class) bool { return x.Name == c.Name })
 		if i < 0 {
 			all = append(all, fmt.Errorf("category %s: can't go in a running router", c.Name))
 		} else if x := q.Categories[i]; x.Repeat != c.Repeat || x.Group != c.Group || x.Memory != c.Memory {
@@ -42,13 +42,13 @@
 		}
 	}
 	for _, c := range q.Categories {
-		if !slices.ContainsFunc(p.Categories, func(x Category) bool { return x.Name == c.Name }) {
+		if !slices.ContainsFunc(p.Categories, func(x Class) bool { return x.Name == c.Name }) {
 			all = append(all, fmt.Errorf("category %s: can't come in a running router", c.Name))
 		}
 	}
-	same := func(a, b []Customer) {
+	same := func(a, b []Tenant) {
 		for _, c := range a {
-			if !slices.ContainsFunc(b, func(x Customer) bool { return x.Name == c.Name }) {
+			if !slices.ContainsFunc(b, func(x Tenant) bool { return x.Name == c.Name }) {
 				all = append(all, fmt.Errorf("customer %s: can't come or go in a running router", c.Name))
 			}
 		}
