--- a/api/pages/main.go
+++ b/api/pages/main.go
@@ -6,13 +6,13 @@
 	"os"
 
 	"dapplefront/api"
-	"dapplefront/internal/whole"
+	"dapplefront/internal/atomicfile"
 )
 
 func main() {
 	page, err := api.Page()
 	if err == nil {
-		err = whole.Write("docs/interface.md", []byte(page), 0o644)
+		err = atomicfile.Write("docs/interface.md", []byte(page), 0o644)
 	}
 	if err != nil {
 		fmt.Fprintln(os.Stderr, "pages:", err)
--- a/cmd/dapplefront/agent.go
+++ b/cmd/dapplefront/agent.go
@@ -11,9 +11,9 @@
 	"dapplefront/agent"
 	"dapplefront/build"
 	"dapplefront/internal/agentd"
-	"dapplefront/internal/depot"
-	"dapplefront/internal/keys"
-	"dapplefront/internal/sheet"
+	"dapplefront/internal/artifact"
+	"dapplefront/internal/certs"
+	"dapplefront/internal/inifile"
 )
 
 func agentCommand(log logging) *cobra.Command {
@@ -26,7 +26,7 @@
 			if err != nil {
 				return err
 			}
-			s := sheet.Read(args[0])
+			s := inifile.Read(args[0])
 			p := readPost(s)
 			if err := s.Done(); err != nil {
 				return err
@@ -48,7 +48,7 @@
 }
 
 // readPost reads an agent's settings; mistakes are kept by the sheet.
-func readPost(s *sheet.File) agentd.Post {
+func readPost(s *inifile.File) agentd.Post {
 	a := s.Part("agent")
 	p := agentd.Post{Name: a.Text("name", "!"), Dir: a.Text("folder", "!"), Controller: a.Text("controller", "!"),
 		Disk: int64(a.Bytes("disk", "8GiB")), Log: int64(a.Bytes("output", "1MiB")), Cold: a.Span("cold", "5s"),
@@ -56,13 +56,13 @@
 		Rules: agent.Rules{Crashes: a.Whole("crashes", "5", 0, 1000), Pause: a.Span("pause", "200ms"),
 			Longest: a.Span("longest-pause", "10s"), Steady: a.Span("steady", "60s")}}
 	f := s.Part("fetch")
-	p.Source = depot.Source{Mirrors: f.List("mirrors", "!"), Tries: f.Whole("tries", "8", 1, 1000), Pause: f.Span("pause", "200ms"),
+	p.Source = artifact.Source{Mirrors: f.List("mirrors", "!"), Tries: f.Whole("tries", "8", 1, 1000), Pause: f.Span("pause", "200ms"),
 		Silence: f.Span("silence", "10s")}
 	if text := f.Text("rate", "none"); text != "none" {
 		p.Source.Rate = f.Bytes("rate", "1MiB")
 	}
 	if c := s.Part("tls"); c.Has() {
-		ring, err := keys.Open(keys.Files{Certificate: c.Text("certificate", "!"), Key: c.Text("key", "!"), Authority: c.Text("authority", "!")})
+		ring, err := certs.Open(certs.Files{Certificate: c.Text("certificate", "!"), Key: c.Text("key", "!"), Authority: c.Text("authority", "!")})
 		if err != nil {
 			c.Wrong("certificate", "%v", err)
 		} else {
@@ -98,7 +98,7 @@
 		RunE: func(c *cobra.Command, args []string) error {
 			m := &build.Manifest{Format: 1, Name: name, Group: group, Version: version, Start: start}
 			m.Ready.Path, m.Ready.Within, m.Drain.Within = ready, build.Span(within), build.Span(drain)
-			digest, err := depot.Pack(args[0], out, m)
+			digest, err := artifact.Pack(args[0], out, m)
 			if err != nil {
 				return err
 			}
@@ -123,7 +123,7 @@
 		Long: "Add a signature to a packed build. The key is a file that `build keys new` has written; an encrypted one is opened with\n" +
 			"the password in DAPPLEFRONT_KEY_PASSWORD.",
 		RunE: func(c *cobra.Command, args []string) error {
-			return depot.Sign(out, args[0], key, os.Getenv("DAPPLEFRONT_KEY_PASSWORD"))
+			return artifact.Sign(out, args[0], key, os.Getenv("DAPPLEFRONT_KEY_PASSWORD"))
 		}}
 	c.Flags().StringVar(&out, "out", "mirror", "the folder that a mirror serves")
 	c.Flags().StringVar(&key, "key", "", "the file of the private key")
@@ -142,7 +142,7 @@
 			if err != nil {
 				return err
 			}
-			m, names, err := depot.Verify(out, args[0], r, time.Now())
+			m, names, err := artifact.Verify(out, args[0], r, time.Now())
 			var refused *build.Refused
 			if errors.As(err, &refused) {
 				fmt.Fprintln(c.ErrOrStderr(), "refused:", refused)
@@ -167,7 +167,7 @@
 		Long: "Make a key pair for each name (NAME.key, encrypted with the password in DAPPLEFRONT_KEY_PASSWORD if that is set) and\n" +
 			"ring.json, which trusts them. Nothing that exists is written over.",
 		RunE: func(c *cobra.Command, args []string) error {
-			r, err := depot.Keys(".", args, os.Getenv("DAPPLEFRONT_KEY_PASSWORD"), build.Ring{Format: 1, Version: 1, Threshold: threshold, Group: group},
+			r, err := artifact.Keys(".", args, os.Getenv("DAPPLEFRONT_KEY_PASSWORD"), build.Ring{Format: 1, Version: 1, Threshold: threshold, Group: group},
 				time.Now(), time.Now().AddDate(0, 0, days))
 			if err != nil {
 				return err
--- a/cmd/dapplefront/controller.go
+++ b/cmd/dapplefront/controller.go
@@ -21,11 +21,11 @@
 	"dapplefront/client"
 	"dapplefront/control"
 	"dapplefront/internal/api"
+	"dapplefront/internal/certs"
 	"dapplefront/internal/controller"
-	"dapplefront/internal/keys"
-	"dapplefront/internal/loop"
-	"dapplefront/internal/sheet"
-	"dapplefront/logic"
+	"dapplefront/internal/eventloop"
+	"dapplefront/internal/inifile"
+	"dapplefront/policy"
 	"dapplefront/release"
 )
 
@@ -33,21 +33,21 @@
 type office struct {
 	seat   controller.NodeConfig
 	front  controller.ServerConfig
-	files  keys.Files
+	files  certs.Files
 	peers  []string
 	grants []controller.Grant
 }
 
 // readOffice reads a controller's settings; mistakes are kept by the sheet.
-func readOffice(s *sheet.File) (o office) {
+func readOffice(s *inifile.File) (o office) {
 	p := s.Part("controller")
 	o.seat = controller.NodeConfig{Name: p.Text("name", "!"), Dir: p.Text("store", "!"), Listen: p.Address("peers", "127.0.0.1:7400"),
 		First: p.Switch("first", "off"), Quick: p.Switch("near", "on"), Build: p.Whole("build", "1", 1, 65535)}
 	o.front = controller.ServerConfig{Listen: p.Address("listen", "127.0.0.1:7300"), URL: p.Text("url", ""), VotesASecond: p.Number("votes-a-second", "30", 0.1, 1e6),
 		Watchers: p.Whole("watchers", "5000", 1, 1<<20), Bookmark: p.Span("bookmark", "2s"), Slow: p.Span("slow", "5s")}
 	p = s.Part("releases")
-	r := release.Rules{Control: map[string]logic.PromotionMode{"share": logic.Quorum, "clock": logic.Timed}[p.OneOf("control", "share", "share", "any", "clock")],
-		LeastTime: loop.FromDuration(p.Span("least-time", "2s")), ClockTime: loop.FromDuration(p.Span("clock-time", "10s")), VoteLife: loop.FromDuration(p.Span("vote-life", "10s")),
+	r := release.Rules{Control: map[string]policy.PromotionMode{"share": policy.Quorum, "clock": policy.Timed}[p.OneOf("control", "share", "share", "any", "clock")],
+		LeastTime: eventloop.FromDuration(p.Span("least-time", "2s")), ClockTime: eventloop.FromDuration(p.Span("clock-time", "10s")), VoteLife: eventloop.FromDuration(p.Span("vote-life", "10s")),
 		ToMoveOn: p.Whole("to-move-on", "1", 1, 100_000), ToAbort: p.Whole("to-abort", "1", 1, 100_000), ToHold: p.Whole("to-hold", "0", 0, 100_000)}
 	shares, caps := p.Shares("shares", "3%, 12%, 40%, 100%"), p.Shares("caps", "4%, 15%, 50%, 100%")
 	if len(shares) != len(caps) {
@@ -57,15 +57,15 @@
 		r.Stages = append(r.Stages, release.Stage{Share: shares[i], Cap: caps[i]})
 	}
 	o.seat.Figures = control.Config{Rules: r, OnShare: p.Share("on-share", "0%"), BackShare: p.Share("back-share", "0%"),
-		Absent: loop.FromDuration(p.Span("absent", "30s")), Events: p.Whole("events", "4096", 100, 1<<20), Keys: p.Whole("keys", "1000", 10, 1<<20)}
+		Absent: eventloop.FromDuration(p.Span("absent", "30s")), Events: p.Whole("events", "4096", 100, 1<<20), Keys: p.Whole("keys", "1000", 10, 1<<20)}
 	o.guard(s)
 	return o
 }
 
 // guard reads certificates and who may do what.
-func (o *office) guard(s *sheet.File) {
+func (o *office) guard(s *inifile.File) {
 	p := s.Part("tls")
-	o.files = keys.Files{Certificate: p.Text("certificate", ""), Key: p.Text("key", ""), Authority: p.Text("authority", "")}
+	o.files = certs.Files{Certificate: p.Text("certificate", ""), Key: p.Text("key", ""), Authority: p.Text("authority", "")}
 	if k := o.files; p.Has() && (k.Certificate == "" || k.Key == "" || k.Authority == "") {
 		p.Wrong("", "certificate, key and authority expected")
 	}
@@ -99,14 +99,14 @@
 
 // secure puts certificates and grants in force.
 func (o *office) secure() error {
-	if o.files == (keys.Files{}) && len(o.grants) == 0 {
+	if o.files == (certs.Files{}) && len(o.grants) == 0 {
 		return nil
 	}
 	o.front.Guard = &controller.Guard{Grants: o.grants, Peers: o.peers}
-	if o.files == (keys.Files{}) {
+	if o.files == (certs.Files{}) {
 		return nil
 	}
-	ring, err := keys.Open(o.files)
+	ring, err := certs.Open(o.files)
 	if err != nil {
 		return err
 	}
@@ -116,7 +116,7 @@
 }
 
 func openOffice(file string) (office, error) {
-	s := sheet.Read(file)
+	s := inifile.Read(file)
 	o := readOffice(s)
 	return o, s.Done()
 }
@@ -206,7 +206,7 @@
 	f.StringSliceVar(&urls, "url", []string{"http://127.0.0.1:7300"}, "controllers, with commas between them")
 	f.StringVarP(&form, "output", "o", "table", "table or json")
 	f.DurationVar(&within, "within", 10*time.Second, "how long to try")
-	var files keys.Files
+	var files certs.Files
 	f.StringVar(&files.Certificate, "certificate", "", "PEM file of the caller's certificate")
 	f.StringVar(&files.Key, "key-file", "", "PEM file of its key")
 	f.StringVar(&files.Authority, "authority", "", "PEM file of the authority that controllers' certificates come from")
@@ -224,8 +224,8 @@
 				defer cancel()
 			}
 			var h *http.Client
-			if files != (keys.Files{}) {
-				ring, err := keys.Open(files)
+			if files != (certs.Files{}) {
+				ring, err := certs.Open(files)
 				if err != nil {
 					return err
 				}
--- a/cmd/dapplefront/day.go
+++ b/cmd/dapplefront/day.go
@@ -11,7 +11,7 @@
 
 	"github.com/spf13/cobra"
 
-	"dapplefront/internal/day"
+	"dapplefront/internal/scenario"
 )
 
 func dayCommand(log logging) *cobra.Command {
@@ -25,7 +25,7 @@
 			"Ends with 0 when every rule was kept, 1 when one broke, 2 when it could not run or the audit can't tell.",
 		RunE: func(c *cobra.Command, args []string) error {
 			if list {
-				names, texts := day.Kinds()
+				names, texts := scenario.Kinds()
 				for i := range names {
 					fmt.Fprintf(c.OutOrStdout(), "%-14s %s\n", names[i], texts[i])
 				}
@@ -36,18 +36,18 @@
 			if err != nil {
 				return err
 			}
-			var p day.Plan
+			var p scenario.Plan
 			if len(args) == 1 {
-				p, err = day.Read(args[0])
+				p, err = scenario.Read(args[0])
 			} else {
-				p, err = day.Draw(kind, seed, time.Duration(seconds)*time.Second)
+				p, err = scenario.Draw(kind, seed, time.Duration(seconds)*time.Second)
 			}
 			if err != nil {
 				return err
 			}
 			if shares != "" {
-				if !slices.Contains(day.Shares, shares) {
-					return fmt.Errorf("--shares %s: %s expected", shares, strings.Join(day.Shares, ", "))
+				if !slices.Contains(scenario.Shares, shares) {
+					return fmt.Errorf("--shares %s: %s expected", shares, strings.Join(scenario.Shares, ", "))
 				}
 				p.Shares = shares
 			}
@@ -63,7 +63,7 @@
 			if quiet {
 				progress = nil
 			}
-			r, err := day.Play(ctx, p, l, progress)
+			r, err := scenario.Play(ctx, p, l, progress)
 			if err != nil {
 				return err
 			}
--- a/cmd/dapplefront/main.go
+++ b/cmd/dapplefront/main.go
@@ -11,7 +11,7 @@
 	"github.com/lmittmann/tint"
 	"github.com/spf13/cobra"
 
-	"dapplefront/internal/stand"
+	"dapplefront/internal/testbed"
 )
 
 // version is set when a release is built.
@@ -23,7 +23,7 @@
 func (e exit) Error() string { return fmt.Sprintf("exit %d", int(e)) }
 
 func main() {
-	stand.HostProcess() // does not return in a host of a day with agents
+	testbed.HostProcess() // does not return in a host of a day with agents
 	err := command().Execute()
 	var code exit
 	switch {
--- a/cmd/dapplefront/plan.go
+++ b/cmd/dapplefront/plan.go
@@ -6,7 +6,7 @@
 
 	"github.com/spf13/cobra"
 
-	"dapplefront/internal/outlook"
+	"dapplefront/internal/planreport"
 	"dapplefront/plan"
 )
 
@@ -57,8 +57,8 @@
 	return c
 }
 
-func solve(file, whatIf string) (*outlook.Outlook, *plan.Plan, error) {
-	o, err := outlook.Read(file)
+func solve(file, whatIf string) (*planreport.Outlook, *plan.Plan, error) {
+	o, err := planreport.Read(file)
 	if err != nil {
 		return nil, nil, err
 	}
--- a/cmd/dapplefront/router.go
+++ b/cmd/dapplefront/router.go
@@ -8,11 +8,11 @@
 
 	"github.com/spf13/cobra"
 
-	"dapplefront/internal/charter"
-	"dapplefront/internal/day"
-	"dapplefront/internal/instance"
-	"dapplefront/internal/outlook"
-	"dapplefront/internal/sheet"
+	"dapplefront/internal/inifile"
+	"dapplefront/internal/planreport"
+	"dapplefront/internal/proxy"
+	"dapplefront/internal/routerconfig"
+	"dapplefront/internal/scenario"
 )
 
 func routerCommand(log logging) *cobra.Command {
@@ -25,13 +25,13 @@
 			if err != nil {
 				return err
 			}
-			c, err := charter.Read(args[0])
+			c, err := routerconfig.Read(args[0])
 			if err != nil {
 				return err
 			}
 			signals := make(chan os.Signal, 2)
 			signal.Notify(signals, syscall.SIGTERM, os.Interrupt)
-			i, err := instance.Start(c, l, nil)
+			i, err := proxy.Start(c, l, nil)
 			if err != nil {
 				return err
 			}
@@ -41,7 +41,7 @@
 			for sign == nil {
 				select {
 				case <-anew:
-					next, err := charter.Read(args[0])
+					next, err := routerconfig.Read(args[0])
 					if err == nil {
 						err = i.Settle(next)
 					}
@@ -67,18 +67,18 @@
 	return &cobra.Command{Use: "check FILE", Short: "Check a file of settings of a router or an agent, or a script, and tell every mistake",
 		Args: cobra.ExactArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
-			s := sheet.Read(args[0])
+			s := inifile.Read(args[0])
 			switch {
 			case s.Part("day").Has():
-				day.From(s)
+				scenario.From(s)
 			case s.Part("agent").Has():
 				readPost(s)
 			case s.Part("controller").Has():
 				readOffice(s)
 			case s.Part("plan").Has():
-				outlook.From(s)
+				planreport.From(s)
 			default:
-				charter.From(s)
+				routerconfig.From(s)
 			}
 			if err := s.Done(); err != nil {
 				fmt.Fprintln(c.ErrOrStderr(), err)
--- a/cmd/dapplefront/stand.go
+++ b/cmd/dapplefront/stand.go
@@ -15,8 +15,8 @@
 	"github.com/spf13/cobra"
 
 	"dapplefront/internal/audit"
-	"dapplefront/internal/stand"
-	"dapplefront/logic"
+	"dapplefront/internal/testbed"
+	"dapplefront/policy"
 )
 
 // untilSignal waits for an interrupt or SIGTERM.
@@ -36,17 +36,17 @@
 			if err != nil {
 				return err
 			}
-			w := stand.World{Kinds: map[string]stand.Kind{}, Marks: &stand.Marks{}}
+			w := testbed.World{Kinds: map[string]testbed.Kind{}, Marks: &testbed.Marks{}}
 			for _, k := range kinds {
 				name, span, ok := strings.Cut(k, "=")
 				d, err := time.ParseDuration(span)
 				if !ok || err != nil {
 					return fmt.Errorf("--kind %s: NAME=TIME expected, such as quote=30ms", k)
 				}
-				w.Kinds[name] = stand.Kind{Name: name, Work: d}
+				w.Kinds[name] = testbed.Kind{Name: name, Work: d}
 			}
-			h, err := stand.StartHost(stand.Machine{ID: 1, Location: "here", Cores: cores, Speed: speed, ColdShare: 1},
-				stand.Build{Number: build}, false, w)
+			h, err := testbed.StartHost(testbed.Machine{ID: 1, Location: "here", Cores: cores, Speed: speed, ColdShare: 1},
+				testbed.Build{Number: build}, false, w)
 			if err != nil {
 				return err
 			}
@@ -71,7 +71,7 @@
 			if err != nil {
 				return err
 			}
-			r, err := stand.StartRegister(address, group, nil)
+			r, err := testbed.StartRegister(address, group, nil)
 			if err != nil {
 				return err
 			}
@@ -85,8 +85,8 @@
 				if _, _, err2 := net.SplitHostPort(parts[0]); err != nil || err2 != nil {
 					return fmt.Errorf("%s: ADDRESS=LOCATION=BUILD expected", a)
 				}
-				h := stand.Elsewhere(parts[0], stand.Machine{ID: uint32(i + 1), Location: parts[1], Cores: 1, Speed: 1}, build)
-				r.Set(stand.Entry{Host: h, Standing: logic.Serving})
+				h := testbed.Elsewhere(parts[0], testbed.Machine{ID: uint32(i + 1), Location: parts[1], Cores: 1, Speed: 1}, build)
+				r.Set(testbed.Entry{Host: h, Standing: policy.Serving})
 				if !slices.Contains(locations, parts[1]) {
 					locations = append(locations, parts[1])
 				}
@@ -110,9 +110,9 @@
 		RunE: func(c *cobra.Command, args []string) error {
 			book := audit.Open()
 			defer book.Close()
-			wish := stand.Wish{Kind: stand.Kind{Name: category}, Path: path, Share: 1, Promised: promised, Patience: patience}
-			clients := stand.NewClients([]stand.Wish{wish}, []stand.Door{{Name: "router", Address: args[0], Rate: rate}},
-				stand.Habits{Rush: 1}, book, "", nil, uint64(time.Now().UnixNano()))
+			wish := testbed.Wish{Kind: testbed.Kind{Name: category}, Path: path, Share: 1, Promised: promised, Patience: patience}
+			clients := testbed.NewClients([]testbed.Wish{wish}, []testbed.Door{{Name: "router", Address: args[0], Rate: rate}},
+				testbed.Habits{Rush: 1}, book, "", nil, uint64(time.Now().UnixNano()))
 			ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt)
 			defer stop()
 			ctx, cancel := context.WithTimeout(ctx, time.Duration(seconds)*time.Second)
--- a/cmd/drill/main.go
+++ b/cmd/simadapter/main.go
@@ -5,11 +5,11 @@
 	"fmt"
 	"os"
 
-	"dapplefront/internal/drill"
+	"dapplefront/internal/simadapter"
 )
 
 func main() {
-	if err := drill.Run(os.Stdin, os.Stdout); err != nil {
+	if err := simadapter.Run(os.Stdin, os.Stdout); err != nil {
 		fmt.Fprintln(os.Stderr, "drill:", err)
 		os.Exit(1)
 	}
--- a/control/apply.go
+++ b/control/apply.go
@@ -7,8 +7,8 @@
 	"math"
 	"slices"
 
-	"dapplefront/logic"
 	"dapplefront/plan"
+	"dapplefront/policy"
 	"dapplefront/release"
 )
 
@@ -38,11 +38,11 @@
 
 // Command is one change asked for. At is the controllers' time, which never runs back.
 type Command struct {
-	At        logic.Time         `json:"at"`
+	At        policy.Time        `json:"at"`
 	Do        CommandKind        `json:"do"`
 	Build     int                `json:"build,omitempty"`
 	Stage     int                `json:"stage,omitempty"`
-	Voice     logic.VoteChoice   `json:"voice,omitempty"`
+	Voice     policy.VoteChoice  `json:"voice,omitempty"`
 	Router    string             `json:"router,omitempty"`
 	Name      string             `json:"name,omitempty"`
 	Digest    string             `json:"digest,omitempty"`
@@ -56,7 +56,7 @@
 	Hosts     map[string]int     `json:"hosts,omitempty"`
 	Body      json.RawMessage    `json:"body,omitempty"`
 	Plan      *plan.Published    `json:"plan,omitempty"`
-	For       logic.Time         `json:"for,omitempty"`
+	For       policy.Time        `json:"for,omitempty"`
 	Heed      *PlanAck           `json:"heed,omitempty"`
 }
 
@@ -216,7 +216,7 @@
 func (s *State) waits(r *Release) string {
 	r.Waits = ""
 	n := s.machine.News()
-	if n.Build != r.Build || n.Phase != logic.Canary {
+	if n.Build != r.Build || n.Phase != policy.Canary {
 		return ""
 	}
 	for i, step := range r.Steps {
@@ -313,8 +313,8 @@
 		return refuse(Conflict, "build", "%s", why)
 	}
 	for _, x := range s.Releases[:len(s.Releases)-1] { // what it overtook
-		if x.Phase == logic.Canary || x.Phase == logic.RollingBack {
-			x.Phase, x.Cap, x.Since = logic.RolledBack, 0, s.Now
+		if x.Phase == policy.Canary || x.Phase == policy.RollingBack {
+			x.Phase, x.Cap, x.Since = policy.RolledBack, 0, s.Now
 			s.mark(x, fmt.Sprintf("overtaken by build %d", c.Build))
 			s.changed(x)
 		}
@@ -366,7 +366,7 @@
 	if r == nil {
 		return no
 	}
-	if r.Phase == logic.RollingBack || r.Phase == logic.RolledBack {
+	if r.Phase == policy.RollingBack || r.Phase == policy.RolledBack {
 		return Reply{Code: Repeated}
 	}
 	if _, why := s.hear(release.Withdraw{Build: c.Build}); why != "" {
@@ -380,7 +380,7 @@
 	if r == nil {
 		return no
 	}
-	if n := s.machine.News(); r.Build == n.Build || r.Build == s.machine.Earlier() || r.Phase != logic.RolledBack && r.Phase != logic.Released {
+	if n := s.machine.News(); r.Build == n.Build || r.Build == s.machine.Earlier() || r.Phase != policy.RolledBack && r.Phase != policy.Released {
 		return refuse(Conflict, "build", "build %d serves or is on its way", r.Build)
 	}
 	s.Releases = slices.Delete(s.Releases, s.find(c.Build), s.find(c.Build)+1)
@@ -389,7 +389,7 @@
 }
 
 func (s *State) vote(c Command) Reply {
-	if c.Voice < logic.Abstain || c.Voice > logic.Rollback || c.Router == "" {
+	if c.Voice < policy.Abstain || c.Voice > policy.Rollback || c.Router == "" {
 		return refuse(Invalid, "voice", "on, hold, back or none, of a router, expected")
 	}
 	if s.find(c.Build) < 0 {
@@ -414,7 +414,7 @@
 		return refuse(Unknown, "name", "the release of build %d has no step %s", c.Build, c.Name)
 	case r.Done[i].At != 0:
 		return Reply{Code: Repeated}
-	case r.Phase != logic.Canary:
+	case r.Phase != policy.Canary:
 		return refuse(Conflict, "name", "the release is %s", phases[r.Phase])
 	case i > 0 && r.Done[i-1].At == 0:
 		return refuse(Conflict, "name", "step %s comes before it", r.Steps[i-1].Name)
@@ -516,7 +516,7 @@
 	case s.Plan != nil && c.Plan.Version <= s.Plan.Version:
 		return refuse(Conflict, "version", "version %d is in force", s.Plan.Version)
 	}
-	if n := s.machine.News(); c.Plan.Build == n.Build && n.Phase == logic.Canary {
+	if n := s.machine.News(); c.Plan.Build == n.Build && n.Phase == policy.Canary {
 		for place, w := range c.Plan.For {
 			if float64(w.Copies) > n.Cap*1e6+1 {
 				return refuse(Conflict, "for."+place+".copies", "%.3g%% of the tasks would go to build %d, %.3g%% are allowed", float64(w.Copies)/1e4, n.Build, 100*n.Cap)
--- a/control/control_test.go
+++ b/control/control_test.go
@@ -7,34 +7,34 @@
 	"github.com/stretchr/testify/require"
 	"pgregory.net/rapid"
 
-	"dapplefront/logic"
+	"dapplefront/policy"
 	"dapplefront/release"
 )
 
-var figures = Config{Rules: release.Rules{Control: logic.Quorum, Stages: []release.Stage{{Share: .1, Cap: .05}, {Share: 1, Cap: 1}},
-	LeastTime: logic.Second, VoteLife: 10 * logic.Second, ToMoveOn: 1, ToAbort: 1}, OnShare: .5, BackShare: .1, Absent: 30 * logic.Second, Events: 50, Keys: 5}
+var figures = Config{Rules: release.Rules{Control: policy.Quorum, Stages: []release.Stage{{Share: .1, Cap: .05}, {Share: 1, Cap: 1}},
+	LeastTime: policy.Second, VoteLife: 10 * policy.Second, ToMoveOn: 1, ToAbort: 1}, OnShare: .5, BackShare: .1, Absent: 30 * policy.Second, Events: 50, Keys: 5}
 
 func TestTimeNeverRunsBack(t *testing.T) {
 	s := New(figures, 1)
-	s.Apply(1, Command{Do: Create, Build: 2, At: 100 * logic.Second})
-	s.Apply(2, Command{Do: Ready, Build: 2, At: 50 * logic.Second}) // another leader's clock, far behind
-	require.Equal(t, 100*logic.Second, s.Clock())
-	s.Apply(3, Command{Do: Vote, Build: 2, Router: "r", Voice: logic.Promote, At: 60 * logic.Second})
+	s.Apply(1, Command{Do: Create, Build: 2, At: 100 * policy.Second})
+	s.Apply(2, Command{Do: Ready, Build: 2, At: 50 * policy.Second}) // another leader's clock, far behind
+	require.Equal(t, 100*policy.Second, s.Clock())
+	s.Apply(3, Command{Do: Vote, Build: 2, Router: "r", Voice: policy.Promote, At: 60 * policy.Second})
 	require.Zero(t, s.News().Stage)
-	require.True(t, s.Due(101*logic.Second))
-	s.Apply(4, Command{Do: Tick, At: 101 * logic.Second})
+	require.True(t, s.Due(101*policy.Second))
+	s.Apply(4, Command{Do: Tick, At: 101 * policy.Second})
 	require.Equal(t, 1, s.News().Stage)
 }
 
 // drawn is a command by chance, sensible or not.
-func drawn(t *rapid.T, at logic.Time) Command {
+func drawn(t *rapid.T, at policy.Time) Command {
 	note := rapid.SampledFrom([]string{"a", "b"}).Draw(t, "note")
 	c := Command{At: at, Do: rapid.SampledFrom([]CommandKind{Create, Patch, Withdraw, Delete, Vote, Ready, Gone, StepDone, Report, Tick, Join, Leave, Tell, "none"}).Draw(t, "do"),
-		Build: rapid.IntRange(0, 6).Draw(t, "build"), Stage: rapid.IntRange(-1, 3).Draw(t, "stage"), Voice: logic.VoteChoice(rapid.IntRange(-1, 4).Draw(t, "voice")),
+		Build: rapid.IntRange(0, 6).Draw(t, "build"), Stage: rapid.IntRange(-1, 3).Draw(t, "stage"), Voice: policy.VoteChoice(rapid.IntRange(-1, 4).Draw(t, "voice")),
 		Router: rapid.SampledFrom([]string{"", "r1", "r2", "r3"}).Draw(t, "router"), Name: rapid.SampledFrom([]string{"s1", "s2"}).Draw(t, "name"),
 		Key: rapid.SampledFrom([]string{"", "k1", "k2"}).Draw(t, "key"), Hash: note, Note: &note, IfVersion: uint64(rapid.IntRange(0, 3).Draw(t, "version"))}
 	if rapid.Bool().Draw(t, "steps") {
-		c.Steps = []Step{{Name: "s1", Stage: 0, Within: logic.Second}, {Name: "s2", Stage: 1, Final: rapid.Bool().Draw(t, "final")}}
+		c.Steps = []Step{{Name: "s1", Stage: 0, Within: policy.Second}, {Name: "s2", Stage: 1, Final: rapid.Bool().Draw(t, "final")}}
 	}
 	return c
 }
@@ -42,10 +42,10 @@
 func TestAnyCommandsKeepTheStateSoundAndTheSameEverywhere(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		a, b := New(figures, 1), New(figures, 1)
-		var now logic.Time
+		var now policy.Time
 		placed := map[int]bool{}
 		for i := range rapid.IntRange(1, 80).Draw(t, "commands") {
-			now += logic.Time(rapid.IntRange(0, 20_000).Draw(t, "passes"))
+			now += policy.Time(rapid.IntRange(0, 20_000).Draw(t, "passes"))
 			c := drawn(t, now)
 			before := a.Last()
 			x := a.Apply(uint64(i+1), c)
@@ -72,15 +72,15 @@
 				require.Greater(t, r.Build, last)
 				last = r.Build
 				for k, d := range r.Done {
-					if d.At == 0 && r.Phase == logic.Released {
+					if d.At == 0 && r.Phase == policy.Released {
 						require.Greater(t, r.Steps[k].Stage, 1, "a step is skipped")
 					}
 					if k > 0 && d.At != 0 {
 						require.NotZero(t, r.Done[k-1].At, "out of order")
 					}
 					if d.At != 0 && r.Steps[k].Final {
-						require.NotEqual(t, logic.RolledBack, r.Phase, "taken back past a step that can't be undone")
-						require.NotEqual(t, logic.RollingBack, r.Phase)
+						require.NotEqual(t, policy.RolledBack, r.Phase, "taken back past a step that can't be undone")
+						require.NotEqual(t, policy.RollingBack, r.Phase)
 					}
 				}
 			}
@@ -103,17 +103,17 @@
 func TestVotesAreMeasuredByTheRoutersThatAreThere(t *testing.T) {
 	s := New(figures, 1)
 	for i := range 10 {
-		s.Apply(uint64(i), Command{Do: Join, Router: fmt.Sprint("r", i), At: logic.Second})
+		s.Apply(uint64(i), Command{Do: Join, Router: fmt.Sprint("r", i), At: policy.Second})
 	}
-	_, on, back := s.Votes(logic.Promote)
+	_, on, back := s.Votes(policy.Promote)
 	require.Equal(t, []int{5, 1}, []int{on, back})
-	s.Apply(11, Command{Do: Join, Router: "r0", At: 20 * logic.Second})
-	s.Apply(12, Command{Do: Leave, Router: "r9", At: 21 * logic.Second})
-	_, on, _ = s.Votes(logic.Promote)
+	s.Apply(11, Command{Do: Join, Router: "r0", At: 20 * policy.Second})
+	s.Apply(12, Command{Do: Leave, Router: "r9", At: 21 * policy.Second})
+	_, on, _ = s.Votes(policy.Promote)
 	require.Equal(t, 5, on)
-	require.True(t, s.Due(32*logic.Second), "nine were not heard of for longer than a member may be")
-	s.Apply(13, Command{Do: Tick, At: 32 * logic.Second})
-	_, on, _ = s.Votes(logic.Promote)
+	require.True(t, s.Due(32*policy.Second), "nine were not heard of for longer than a member may be")
+	s.Apply(13, Command{Do: Tick, At: 32 * policy.Second})
+	_, on, _ = s.Votes(policy.Promote)
 	require.Equal(t, 1, on)
 }
 
@@ -127,7 +127,7 @@
 		if err != nil {
 			return
 		}
-		s.Apply(5, Command{Do: Vote, Build: 2, Router: "r", Voice: logic.Rollback, At: 5})
-		s.Apply(6, Command{Do: Tick, At: 50 * logic.Second})
+		s.Apply(5, Command{Do: Vote, Build: 2, Router: "r", Voice: policy.Rollback, At: 5})
+		s.Apply(6, Command{Do: Tick, At: 50 * policy.Second})
 	})
 }
--- a/control/state.go
+++ b/control/state.go
@@ -7,41 +7,41 @@
 	"slices"
 	"strconv"
 
-	"dapplefront/logic"
 	"dapplefront/plan"
+	"dapplefront/policy"
 	"dapplefront/release"
 )
 
 // Config are what a controller goes by. All instances have the same.
 type Config struct {
 	Rules     release.Rules
-	OnShare   float64    // of the routers that are members, whose votes move a stage on; 0 for Rules.ToMoveOn
-	BackShare float64    // and send a build back; 0 for Rules.ToAbort
-	Absent    logic.Time // a router not heard of for so long is no member any more; 0 for never
-	Events    int        // kept for watchers that come back
-	Keys      int        // of creations kept
+	OnShare   float64     // of the routers that are members, whose votes move a stage on; 0 for Rules.ToMoveOn
+	BackShare float64     // and send a build back; 0 for Rules.ToAbort
+	Absent    policy.Time // a router not heard of for so long is no member any more; 0 for never
+	Events    int         // kept for watchers that come back
+	Keys      int         // of creations kept
 }
 
 // Step is something that must be done before a stage: a change of schema or data.
 type Step struct {
-	Name   string     `json:"name"`
-	Stage  int        `json:"stage"`            // it holds this stage, from 0
-	Final  bool       `json:"final,omitempty"`  // it can't be undone: no way back past it
-	Within logic.Time `json:"within,omitempty"` // usual time; one that takes longer is told as stalled; 0 for none
+	Name   string      `json:"name"`
+	Stage  int         `json:"stage"`            // it holds this stage, from 0
+	Final  bool        `json:"final,omitempty"`  // it can't be undone: no way back past it
+	Within policy.Time `json:"within,omitempty"` // usual time; one that takes longer is told as stalled; 0 for none
 }
 
 // Done is how a step stands.
 type Done struct {
-	Waiting logic.Time `json:"waiting,omitempty"` // since when its stage waits for it; 0 for not yet
-	At      logic.Time `json:"at,omitempty"`      // when it was reported done; 0 for not yet
-	By      string     `json:"by,omitempty"`
-	Stalled bool       `json:"stalled,omitempty"`
+	Waiting policy.Time `json:"waiting,omitempty"` // since when its stage waits for it; 0 for not yet
+	At      policy.Time `json:"at,omitempty"`      // when it was reported done; 0 for not yet
+	By      string      `json:"by,omitempty"`
+	Stalled bool        `json:"stalled,omitempty"`
 }
 
 // HistoryEntry is one line of a release's trace.
 type HistoryEntry struct {
-	At   logic.Time `json:"at"`
-	What string     `json:"what"`
+	At   policy.Time `json:"at"`
+	What string      `json:"what"`
 }
 
 // Release is a release object: what was asked for, and how it stands.
@@ -52,12 +52,12 @@
 	Labels  map[string]string `json:"labels,omitempty"`
 	Steps   []Step            `json:"steps,omitempty"`
 	Version uint64            `json:"version"` // of the object; it grows with every change
-	Created logic.Time        `json:"created"`
+	Created policy.Time       `json:"created"`
 
-	Phase  logic.Phase    `json:"phase"`
+	Phase  policy.Phase   `json:"phase"`
 	Stage  int            `json:"stage"`
 	Cap    float64        `json:"cap"`
-	Since  logic.Time     `json:"since"`
+	Since  policy.Time    `json:"since"`
 	Waits  string         `json:"waits,omitempty"` // for a step, before the present stage's hosts start
 	Done   []Done         `json:"done,omitempty"`
 	Counts map[string]int `json:"counts,omitempty"` // tasks finished, turned back and scrapped, as reported
@@ -70,7 +70,7 @@
 	ID   uint64          `json:"id"`
 	Kind string          `json:"kind"`          // news, release, deleted, place, retire, counts, complaint, plan, routers
 	For  string          `json:"for,omitempty"` // one router only
-	At   logic.Time      `json:"at"`
+	At   policy.Time     `json:"at"`
 	Body json.RawMessage `json:"body"`
 }
 
@@ -87,23 +87,23 @@
 
 // saved is the state in a form that can be kept.
 type saved struct {
-	Format   int                   `json:"format"`
-	Now      logic.Time            `json:"now"`
-	Index    uint64                `json:"index"`
-	Machine  release.Saved         `json:"machine"`
-	Releases []*Release            `json:"releases"`
-	Keys     []creation            `json:"keys"`
-	Routers  map[string]logic.Time `json:"routers"`
-	Held     *DeployOrder          `json:"held,omitempty"`
-	Events   []Event               `json:"events"`
-	Next     uint64                `json:"next"`
-	Plan     *plan.Published       `json:"plan,omitempty"`
-	PlanAt   logic.Time            `json:"planAt"`
-	PlanFor  logic.Time            `json:"planFor"`
-	Heeds    map[string]PlanAck    `json:"heeds,omitempty"`
-	Members  map[string]string     `json:"members,omitempty"`
-	Agents   map[string]*Agent     `json:"agents,omitempty"`
-	Ordered  uint64                `json:"ordered,omitempty"` // the number of the last order to any agent
+	Format   int                    `json:"format"`
+	Now      policy.Time            `json:"now"`
+	Index    uint64                 `json:"index"`
+	Machine  release.Saved          `json:"machine"`
+	Releases []*Release             `json:"releases"`
+	Keys     []creation             `json:"keys"`
+	Routers  map[string]policy.Time `json:"routers"`
+	Held     *DeployOrder           `json:"held,omitempty"`
+	Events   []Event                `json:"events"`
+	Next     uint64                 `json:"next"`
+	Plan     *plan.Published        `json:"plan,omitempty"`
+	PlanAt   policy.Time            `json:"planAt"`
+	PlanFor  policy.Time            `json:"planFor"`
+	Heeds    map[string]PlanAck     `json:"heeds,omitempty"`
+	Members  map[string]string      `json:"members,omitempty"`
+	Agents   map[string]*Agent      `json:"agents,omitempty"`
+	Ordered  uint64                 `json:"ordered,omitempty"` // the number of the last order to any agent
 }
 
 // Agent is what was asked of a host's agent, and which of its reports was heard last.
@@ -148,7 +148,7 @@
 	if f.Keys == 0 {
 		f.Keys = 1000
 	}
-	s := &State{figures: f, machine: release.New(f.Rules, build), saved: saved{Format: format, Routers: map[string]logic.Time{},
+	s := &State{figures: f, machine: release.New(f.Rules, build), saved: saved{Format: format, Routers: map[string]policy.Time{},
 		Heeds: map[string]PlanAck{}, Members: map[string]string{}, Agents: map[string]*Agent{}}}
 	n := s.machine.News()
 	s.Releases = []*Release{{Build: build, Version: 1, Phase: n.Phase, Stage: n.Stage, Cap: n.Cap}}
@@ -172,7 +172,7 @@
 		return nil, err
 	}
 	if got.Routers == nil {
-		got.Routers = map[string]logic.Time{}
+		got.Routers = map[string]policy.Time{}
 	}
 	if got.Heeds == nil {
 		got.Heeds = map[string]PlanAck{}
@@ -231,10 +231,10 @@
 func (s *State) Earlier() int { return s.machine.Earlier() }
 
 // Clock is the latest time that a command had.
-func (s *State) Clock() logic.Time { return s.Now }
+func (s *State) Clock() policy.Time { return s.Now }
 
 // Due tells whether time alone would change something at a moment.
-func (s *State) Due(now logic.Time) bool {
+func (s *State) Due(now policy.Time) bool {
 	if s.machine.Due(max(now, s.Now)) {
 		return true
 	}
@@ -262,7 +262,7 @@
 
 // List is copies of the releases that have all the labels and the phase (nil for any), with builds above after, at
 // most limit of them.
-func (s *State) List(labels map[string]string, phase *logic.Phase, after, limit int) (out []*Release) {
+func (s *State) List(labels map[string]string, phase *policy.Phase, after, limit int) (out []*Release) {
 next:
 	for _, r := range s.Releases {
 		if r.Build <= after || phase != nil && r.Phase != *phase {
@@ -281,7 +281,7 @@
 }
 
 // Votes is how many votes of a voice stand for the newest build, and how many are needed of those to go on and back.
-func (s *State) Votes(voice logic.VoteChoice) (n, on, back int) {
+func (s *State) Votes(voice policy.VoteChoice) (n, on, back int) {
 	on, back = s.needed()
 	return s.machine.Votes(voice), on, back
 }
@@ -331,7 +331,7 @@
 }
 
 // InForce is the plan in force and how long it may still be followed at a moment; nil for none.
-func (s *State) InForce(now logic.Time) (*plan.Published, logic.Time) {
+func (s *State) InForce(now policy.Time) (*plan.Published, policy.Time) {
 	return s.Plan, s.PlanAt + s.PlanFor - now
 }
 
--- a/internal/agentd/agentd.go
+++ b/internal/agentd/agentd.go
@@ -25,11 +25,11 @@
 	"dapplefront/agent"
 	"dapplefront/build"
 	"dapplefront/internal/api"
-	"dapplefront/internal/depot"
+	"dapplefront/internal/artifact"
+	"dapplefront/internal/atomicfile"
 	"dapplefront/internal/journal"
-	"dapplefront/internal/proc"
+	"dapplefront/internal/process"
 	"dapplefront/internal/sse"
-	"dapplefront/internal/whole"
 )
 
 // Post is what an agent is told at start.
@@ -38,7 +38,7 @@
 	Dir        string      // for files, state and output
 	Controller string      // URL, or several with commas between them: where one is out of reach the next is asked
 	Secure     *tls.Config // towards controllers; nil for plain HTTP
-	Source     depot.Source
+	Source     artifact.Source
 	Disk       int64 // bytes of builds' files held
 	Log        int64 // bytes of output kept of each build
 	Ring       *build.Ring
@@ -57,10 +57,10 @@
 	asked   atomic.Int64 // the one of the controllers that is asked
 	post    Post
 	log     *slog.Logger
-	depot   *depot.Depot
-	fetcher *depot.Fetcher
+	depot   *artifact.Depot
+	fetcher *artifact.Fetcher
 	journal *journal.Journal
-	runner  proc.Runner
+	runner  process.Runner
 	machine *agent.Machine
 	http    *http.Client
 
@@ -80,7 +80,7 @@
 
 // Start starts an agent where the last one in its folder left off.
 func Start(p Post, log *slog.Logger) (*Agent, error) {
-	d, err := depot.Open(p.Dir, p.Disk)
+	d, err := artifact.Open(p.Dir, p.Disk)
 	if err != nil {
 		return nil, err
 	}
@@ -111,7 +111,7 @@
 		dir = p.Dir
 	}
 	a := &Agent{post: p, log: log.With("agent", p.Name), depot: d, journal: j, fetcher: d.NewFetcher(p.Source),
-		runner: proc.Runner{Owner: dir, Dir: filepath.Join(dir, "output"), Log: p.Log, Env: p.Env}, wake: make(chan struct{}, 1),
+		runner: process.Runner{Owner: dir, Dir: filepath.Join(dir, "output"), Log: p.Log, Env: p.Env}, wake: make(chan struct{}, 1),
 		sent: make(chan struct{}, 1), cancels: map[string]context.CancelFunc{}, http: &http.Client{Transport: &http.Transport{TLSClientConfig: p.Secure}},
 		number: was.Number, outbox: was.Reports}
 	a.ring = a.lastRing()
@@ -165,7 +165,7 @@
 
 // alive finds a run's process: the one that was written down, or one that a dead agent had no time to write down.
 func (a *Agent) alive(r agent.Run) (agent.Process, bool) {
-	if proc.Alive(r.Process) {
+	if process.Alive(r.Process) {
 		return r.Process, true
 	}
 	if all := a.runner.Find(r.Digest); len(all) > 0 && all[0].Port > 0 {
@@ -428,10 +428,10 @@
 				signatures, err = a.get(ctx, mirror, "/signatures/"+digest)
 			}
 			if err == nil {
-				err = whole.Write(a.file(digest, ".sigs"), signatures, 0o600)
+				err = atomicfile.Write(a.file(digest, ".sigs"), signatures, 0o600)
 			}
 			if err == nil {
-				err = whole.Write(a.file(digest, ".json"), raw, 0o600)
+				err = atomicfile.Write(a.file(digest, ".json"), raw, 0o600)
 			}
 			if err == nil {
 				return nil
@@ -533,7 +533,7 @@
 				next, err = ring.Next(raw, all, time.Now())
 			}
 			if err == nil {
-				err = whole.Write(filepath.Join(a.post.Dir, "ring.json"), raw, 0o600)
+				err = atomicfile.Write(filepath.Join(a.post.Dir, "ring.json"), raw, 0o600)
 			}
 			if err != nil {
 				a.log.Warn("a ring is not taken", "version", ring.Version+1, "error", err)
@@ -623,7 +623,7 @@
 func (a *Agent) adopt(ctx context.Context, digest string, p agent.Process, starting bool) {
 	a.spawn(func() {
 		for ctx.Err() == nil {
-			if !proc.Alive(p) {
+			if !process.Alive(p) {
 				a.done(ctx, agent.Exited{Digest: digest, Reason: "its process has ended"})
 				return
 			}
--- a/internal/agentd/agentd_test.go
+++ b/internal/agentd/agentd_test.go
@@ -25,9 +25,9 @@
 	"dapplefront/agent"
 	"dapplefront/build"
 	"dapplefront/internal/api"
-	"dapplefront/internal/depot"
-	"dapplefront/internal/proc"
-	"dapplefront/internal/stand"
+	"dapplefront/internal/artifact"
+	"dapplefront/internal/process"
+	"dapplefront/internal/testbed"
 )
 
 // The test binary is also the builds' process, and an agent to be killed.
@@ -62,8 +62,8 @@
 		c.SysProcAttr = &syscall.SysProcAttr{Setsid: true} // out of the group
 		_ = c.Start()
 	}
-	_ = os.WriteFile(os.Getenv(proc.Ready), []byte("ready"), 0o600)
-	_ = http.ListenAndServe("127.0.0.1:"+os.Getenv(proc.Port), http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+	_ = os.WriteFile(os.Getenv(process.Ready), []byte("ready"), 0o600)
+	_ = http.ListenAndServe("127.0.0.1:"+os.Getenv(process.Port), http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		_, _ = io.WriteString(w, name)
 	}))
 }
@@ -71,8 +71,8 @@
 // world is a controller, two mirrors, signers, and a witness of what has started.
 type world struct {
 	*testing.T
-	controller *stand.Controller
-	mirrors    [2]*stand.Mirror
+	controller *testbed.Controller
+	mirrors    [2]*testbed.Mirror
 	ring       *build.Ring
 	keys       []minisign.PrivateKey
 	dir        string
@@ -89,11 +89,11 @@
 		t.Cleanup(func() { _ = os.RemoveAll(dir) })
 	}
 	var err error
-	w.controller, err = stand.StartController("127.0.0.1:0")
+	w.controller, err = testbed.StartController("127.0.0.1:0")
 	require.NoError(t, err)
 	t.Cleanup(w.controller.Stop)
 	for i := range w.mirrors {
-		w.mirrors[i], err = stand.StartMirror()
+		w.mirrors[i], err = testbed.StartMirror()
 		require.NoError(t, err)
 		t.Cleanup(w.mirrors[i].Stop)
 	}
@@ -178,7 +178,7 @@
 
 func (w *world) post() Post {
 	return Post{Name: "h1", Dir: w.dir, Controller: w.controller.URL(), Disk: 64 << 20, Log: 64 << 10, Ring: w.ring,
-		Source: depot.Source{Mirrors: []string{w.mirrors[0].URL(), w.mirrors[1].URL()}, Tries: 4, Pause: time.Millisecond,
+		Source: artifact.Source{Mirrors: []string{w.mirrors[0].URL(), w.mirrors[1].URL()}, Tries: 4, Pause: time.Millisecond,
 			Silence: 500 * time.Millisecond},
 		Rules: agent.Rules{Crashes: 2, Pause: 10 * time.Millisecond, Longest: 100 * time.Millisecond, Steady: 10 * time.Second},
 		Cold:  50 * time.Millisecond, Drain: 50 * time.Millisecond}
@@ -298,19 +298,19 @@
 	m.Files = append(m.Files, build.File{Path: "big", Size: int64(len(big)), SHA256: build.Digest(big)})
 	raw, _ := m.Bytes()
 	d := w.publish(raw, files, 0, 1)
-	w.mirrors[1].Fail(func(string, []byte) stand.Fault { return stand.Fault{Status: 500} })
-	w.mirrors[0].Fail(func(path string, _ []byte) stand.Fault {
+	w.mirrors[1].Fail(func(string, []byte) testbed.Fault { return testbed.Fault{Status: 500} })
+	w.mirrors[0].Fail(func(path string, _ []byte) testbed.Fault {
 		if path == "/sha256/"+build.Digest(big) {
-			return stand.Fault{Cut: 1 << 20, Stall: true}
+			return testbed.Fault{Cut: 1 << 20, Stall: true}
 		}
-		return stand.Fault{}
+		return testbed.Fault{}
 	})
 	a := w.start()
 	w.order(d, "stage")
 	part := filepath.Join(w.dir, "part", build.Digest(big))
 	require.Eventually(t, func() bool { s, err := os.Stat(part); return err == nil && s.Size() >= 1<<20 }, 10*time.Second, time.Millisecond)
 	a.Close()
-	w.mirrors[0].Fail(func(path string, _ []byte) stand.Fault { return stand.Fault{Cut: 1 << 20} })
+	w.mirrors[0].Fail(func(path string, _ []byte) testbed.Fault { return testbed.Fault{Cut: 1 << 20} })
 	a = w.start()
 	defer a.Stop()
 	w.await(d, agent.Staged)
@@ -327,17 +327,17 @@
 	w := newWorld(t)
 	d := w.good(1, "well")
 	n := 0
-	wrong := func(path string, body []byte) stand.Fault {
+	wrong := func(path string, body []byte) testbed.Fault {
 		if !strings.HasPrefix(path, "/sha256/") {
-			return stand.Fault{}
+			return testbed.Fault{}
 		}
 		if n++; n == 1 {
-			return stand.Fault{Body: []byte(strings.Repeat("x", len(body))), Cut: len(body) / 2, Tag: `"old"`}
+			return testbed.Fault{Body: []byte(strings.Repeat("x", len(body))), Cut: len(body) / 2, Tag: `"old"`}
 		}
-		return stand.Fault{}
+		return testbed.Fault{}
 	}
 	w.mirrors[0].Fail(wrong)
-	w.mirrors[1].Fail(func(string, []byte) stand.Fault { return stand.Fault{Status: 503} })
+	w.mirrors[1].Fail(func(string, []byte) testbed.Fault { return testbed.Fault{Status: 503} })
 	a := w.start()
 	defer a.Stop()
 	w.order(d, "release")
@@ -371,7 +371,7 @@
 	a := w.start()
 	defer a.Stop()
 	_, err := Start(w.post(), slog.New(slog.DiscardHandler))
-	require.ErrorIs(t, err, depot.ErrHeld)
+	require.ErrorIs(t, err, artifact.ErrHeld)
 }
 
 func TestWithoutAControllerTheAgentGoesOnServing(t *testing.T) {
@@ -404,7 +404,7 @@
 	w.await(starting, agent.TakenBack)
 	require.Empty(t, a.runner.Find(starting))
 	for _, m := range w.mirrors {
-		m.Fail(func(string, []byte) stand.Fault { return stand.Fault{Cut: 1, Stall: true} })
+		m.Fail(func(string, []byte) testbed.Fault { return testbed.Fault{Cut: 1, Stall: true} })
 	}
 	fetching := w.good(3, "well")
 	w.order(fetching, "serve")
@@ -538,7 +538,7 @@
 	for n := range builds {
 		m, files := w.make(2+n, "well")
 		keys, body := []int{0, 1}, m.Files[0].SHA256
-		var broken stand.Fault
+		var broken testbed.Fault
 		target := "/sha256/" + body
 		change := func(how func([]byte) []byte) {
 			broken.Body = how(append([]byte(nil), files[body]...))
@@ -577,12 +577,12 @@
 			raw = []byte(strings.Replace(string(raw), `"data/shared"`, `"../../../shared"`, 1))
 			mirrorsManifest = raw
 		case 11:
-			target, broken = "/signatures/", stand.Fault{Body: []byte(`["rubbish","` + strings.Repeat("x", r.IntN(300)) + `"]`)}
+			target, broken = "/signatures/", testbed.Fault{Body: []byte(`["rubbish","` + strings.Repeat("x", r.IntN(300)) + `"]`)}
 		case 12:
-			broken = stand.Fault{Cut: 1 + r.IntN(len(files[body])-1)}
+			broken = testbed.Fault{Cut: 1 + r.IntN(len(files[body])-1)}
 			w.ring.Floor = 0
 		default:
-			target, broken = "/manifest/", stand.Fault{Body: []byte(`{"format":1}`)}
+			target, broken = "/manifest/", testbed.Fault{Body: []byte(`{"format":1}`)}
 		}
 		d := w.publish(raw, files, keys...)
 		ordered := d
@@ -595,12 +595,12 @@
 		}
 		isCut := broken.Cut > 0
 		for _, mirror := range w.mirrors {
-			mirror.Fail(func(path string, b []byte) stand.Fault {
+			mirror.Fail(func(path string, b []byte) testbed.Fault {
 				if !strings.HasPrefix(path, target) || broken.Body == nil && !isCut {
-					return stand.Fault{}
+					return testbed.Fault{}
 				}
 				if isCut { // never a byte more
-					return stand.Fault{Cut: 1, Body: []byte(strings.Repeat("y", len(b)))}
+					return testbed.Fault{Cut: 1, Body: []byte(strings.Repeat("y", len(b)))}
 				}
 				return broken
 			})
--- a/internal/api/api.go
+++ b/internal/api/api.go
@@ -13,7 +13,7 @@
 import (
 	"fmt"
 
-	"dapplefront/logic"
+	"dapplefront/policy"
 )
 
 // Names of the watch's events.
@@ -64,7 +64,7 @@
 )
 
 // News is a release in the module's words.
-func (r Release) News() (logic.ReleaseStatus, error) {
+func (r Release) News() (policy.ReleaseStatus, error) {
 	for i, name := range Phases {
 		if name != r.Phase {
 			continue
@@ -72,10 +72,10 @@
 		if r.Build < 1 || r.Stage < 0 || !(r.Cap >= 0 && r.Cap <= 1) || r.AgeMs < 0 {
 			break
 		}
-		return logic.ReleaseStatus{Build: r.Build, Stage: r.Stage, Phase: logic.Phase(i), ExposureCap: r.Cap,
-			Age: logic.Time(r.AgeMs) * 10}, nil
+		return policy.ReleaseStatus{Build: r.Build, Stage: r.Stage, Phase: policy.Phase(i), ExposureCap: r.Cap,
+			Age: policy.Time(r.AgeMs) * 10}, nil
 	}
-	return logic.ReleaseStatus{}, fmt.Errorf("news of a release that makes no sense: %+v", r)
+	return policy.ReleaseStatus{}, fmt.Errorf("news of a release that makes no sense: %+v", r)
 }
 
 // Order is what the controller wants of a host's agent: numbered goals, of which an older one arriving late is ignored.
--- a/internal/depot/depot.go
+++ b/internal/artifact/depot.go
@@ -1,7 +1,7 @@
-// Package depot keeps the files of builds on a host, by their SHA-256: two builds share what is equal. A file is
+// Package artifact keeps the files of builds on a host, by their SHA-256: two builds share what is equal. A file is
 // fetched under a temporary name, synced, checked and only then renamed, so that whatever stands under a digest is that
 // digest's content, also after a kill or a full disk. Builds are folders of hard links to it.
-package depot
+package artifact
 
 import (
 	"crypto/sha256"
--- a/internal/depot/depot_test.go
+++ b/internal/artifact/depot_test.go
@@ -1,4 +1,4 @@
-package depot_test
+package artifact_test
 
 import (
 	"context"
@@ -14,15 +14,15 @@
 	"github.com/stretchr/testify/require"
 
 	"dapplefront/build"
-	"dapplefront/internal/depot"
-	"dapplefront/internal/stand"
+	"dapplefront/internal/artifact"
+	"dapplefront/internal/testbed"
 )
 
-func served(t testing.TB, sizes ...int) (*depot.Depot, *stand.Mirror, *build.Manifest) {
-	d, err := depot.Open(t.TempDir(), 1<<30)
+func served(t testing.TB, sizes ...int) (*artifact.Depot, *testbed.Mirror, *build.Manifest) {
+	d, err := artifact.Open(t.TempDir(), 1<<30)
 	require.NoError(t, err)
 	t.Cleanup(func() { _ = d.Close() })
-	m, err := stand.StartMirror()
+	m, err := testbed.StartMirror()
 	require.NoError(t, err)
 	t.Cleanup(m.Stop)
 	b := &build.Manifest{}
@@ -38,10 +38,10 @@
 
 func TestTheMirrorThatFailsIsAskedLast(t *testing.T) {
 	d, good, b := served(t, 1000, 1000, 1000, 1000)
-	bad, err := stand.StartMirror()
+	bad, err := testbed.StartMirror()
 	require.NoError(t, err)
 	defer bad.Stop()
-	f := d.NewFetcher(depot.Source{Mirrors: []string{bad.URL(), good.URL()}, Tries: 2, Silence: time.Second})
+	f := d.NewFetcher(artifact.Source{Mirrors: []string{bad.URL(), good.URL()}, Tries: 2, Silence: time.Second})
 	require.NoError(t, f.Fetch(context.Background(), b))
 	require.Len(t, bad.Asked(), 1)
 	require.Len(t, good.Asked(), 4)
@@ -49,7 +49,7 @@
 
 func TestTheRateIsKept(t *testing.T) {
 	d, m, b := served(t, 400<<10)
-	f := d.NewFetcher(depot.Source{Mirrors: []string{m.URL()}, Tries: 1, Rate: 200 << 10, Silence: 100 * time.Millisecond})
+	f := d.NewFetcher(artifact.Source{Mirrors: []string{m.URL()}, Tries: 1, Rate: 200 << 10, Silence: 100 * time.Millisecond})
 	began := time.Now()
 	require.NoError(t, f.Fetch(context.Background(), b))
 	require.Greater(t, time.Since(began), 800*time.Millisecond, "the first second's worth comes at once")
@@ -57,7 +57,7 @@
 
 func TestOldBuildsAreCollectedAndSharedFilesStay(t *testing.T) {
 	d, m, b := served(t, 10, 20, 30)
-	f := d.NewFetcher(depot.Source{Mirrors: []string{m.URL()}, Tries: 1, Silence: time.Second})
+	f := d.NewFetcher(artifact.Source{Mirrors: []string{m.URL()}, Tries: 1, Silence: time.Second})
 	require.NoError(t, f.Fetch(context.Background(), b))
 	old, kept := &build.Manifest{Files: b.Files[:2]}, &build.Manifest{Files: b.Files[1:]}
 	_, err := d.Lay("old", old)
@@ -75,7 +75,7 @@
 
 func TestWhatRotsOnDiskIsFoundAndFetchedAnew(t *testing.T) {
 	d, m, b := served(t, 5000)
-	f := d.NewFetcher(depot.Source{Mirrors: []string{m.URL()}, Tries: 1, Silence: time.Second})
+	f := d.NewFetcher(artifact.Source{Mirrors: []string{m.URL()}, Tries: 1, Silence: time.Second})
 	require.NoError(t, f.Fetch(context.Background(), b))
 	dir, err := d.Lay("b", b)
 	require.NoError(t, err)
@@ -84,7 +84,7 @@
 	raw, _ := os.ReadFile(file)
 	raw[7] ^= 1
 	require.NoError(t, os.WriteFile(file, raw, 0o755))
-	var wrong *depot.WrongBytes
+	var wrong *artifact.WrongBytes
 	require.ErrorAs(t, d.Check(b), &wrong)
 	require.False(t, d.Has(b.Files[0]))
 	require.NoError(t, f.Fetch(context.Background(), b))
@@ -94,7 +94,7 @@
 // BenchmarkFetch fetches a file of 64 MiB, checks and syncs it; BenchmarkCopy copies it with io.Copy and syncs it.
 func BenchmarkFetch(b *testing.B) {
 	d, m, man := served(b, 64<<20)
-	f := d.NewFetcher(depot.Source{Mirrors: []string{m.URL()}, Tries: 1, Silence: 10 * time.Second})
+	f := d.NewFetcher(artifact.Source{Mirrors: []string{m.URL()}, Tries: 1, Silence: 10 * time.Second})
 	b.SetBytes(64 << 20)
 	for b.Loop() {
 		require.NoError(b, d.Collect(nil))
--- a/internal/depot/fetch.go
+++ b/internal/artifact/fetch.go
@@ -1,4 +1,4 @@
-package depot
+package artifact
 
 import (
 	"context"
--- a/internal/depot/pack.go
+++ b/internal/artifact/pack.go
@@ -1,4 +1,4 @@
-package depot
+package artifact
 
 import (
 	"crypto/rand"
@@ -15,7 +15,7 @@
 	"aead.dev/minisign"
 
 	"dapplefront/build"
-	"dapplefront/internal/whole"
+	"dapplefront/internal/atomicfile"
 )
 
 // Pack makes a build of a folder: its files go to out/sha256, its manifest to out/manifest/DIGEST. It returns the
@@ -48,7 +48,7 @@
 		}
 		f := build.File{Path: filepath.ToSlash(rel), Size: int64(len(raw)), SHA256: build.Digest(raw), Run: s.Mode()&0o111 != 0}
 		m.Files = append(m.Files, f)
-		return whole.Write(filepath.Join(out, "sha256", f.SHA256), raw, 0o644)
+		return atomicfile.Write(filepath.Join(out, "sha256", f.SHA256), raw, 0o644)
 	})
 	if err != nil {
 		return "", err
@@ -58,7 +58,7 @@
 		return "", err
 	}
 	digest := build.Digest(raw)
-	return digest, whole.Write(filepath.Join(out, "manifest", digest), raw, 0o644)
+	return digest, atomicfile.Write(filepath.Join(out, "manifest", digest), raw, 0o644)
 }
 
 func signatures(out, digest string) (all []string, err error) {
@@ -108,7 +108,7 @@
 	if err != nil {
 		return err
 	}
-	return whole.Write(filepath.Join(out, "signatures", digest), text, 0o644)
+	return atomicfile.Write(filepath.Join(out, "signatures", digest), text, 0o644)
 }
 
 // Verify checks a packed build as an agent would, files and all. A *build.Refused tells why it is refused.
--- a/internal/whole/whole.go
+++ b/internal/atomicfile/whole.go
@@ -1,5 +1,5 @@
-// Package whole writes files whole or not at all: under a temporary name beside the place, synced, then renamed.
-package whole
+// Package atomicfile writes files whole or not at all: under a temporary name beside the place, synced, then renamed.
+package atomicfile
 
 import (
 	"os"
--- a/internal/audit/book.go
+++ b/internal/audit/book.go
@@ -10,13 +10,13 @@
 	"sync"
 	"time"
 
-	"dapplefront/logic"
+	"dapplefront/policy"
 )
 
 // Category is what the rules need to know of a kind of task.
 type Category struct {
-	Repeat logic.Idempotency
-	Group  logic.DedupScope
+	Repeat policy.Idempotency
+	Group  policy.DedupScope
 	Memory time.Duration
 }
 
@@ -77,7 +77,7 @@
 	host     *Host
 	work     float64
 	news     News
-	standing map[uint32]logic.EndpointState
+	standing map[uint32]policy.EndpointState
 }
 
 // News is what the desk told a router.
@@ -189,7 +189,7 @@
 func (b *Book) Ran(h *Host, task string) { b.note(event{kind: ran, host: h, task: task}) }
 
 // Listed notes what a router is known to have been told of hosts' standings: when it acknowledged a list.
-func (b *Book) Listed(router string, standing map[uint32]logic.EndpointState) {
+func (b *Book) Listed(router string, standing map[uint32]policy.EndpointState) {
 	b.note(event{kind: listed, router: router, standing: standing})
 }
 
--- a/internal/audit/judge.go
+++ b/internal/audit/judge.go
@@ -7,7 +7,7 @@
 	"slices"
 	"time"
 
-	"dapplefront/logic"
+	"dapplefront/policy"
 )
 
 // Rules are the five, in order.
@@ -164,7 +164,7 @@
 	case listed:
 		r := j.router(e.router)
 		for id, s := range e.standing {
-			if s == logic.Serving {
+			if s == policy.Serving {
 				delete(r.drains, id)
 			} else if _, known := r.drains[id]; !known {
 				r.drains[id] = e.at
@@ -217,7 +217,7 @@
 // turnedBack judges a turn-back: it says that trying again is harmless.
 func (j *judge) turnedBack(t *try, e *event) {
 	c := j.figures.Categories[t.category]
-	if e.outcome != "turned-back" || c.Repeat == logic.Idempotent || c.Repeat == logic.IdempotentWithKey && c.Group == logic.FleetScope {
+	if e.outcome != "turned-back" || c.Repeat == policy.Idempotent || c.Repeat == policy.IdempotentWithKey && c.Group == policy.FleetScope {
 		return
 	}
 	j.verdicts["effect"].Checked++
@@ -232,7 +232,7 @@
 // effect judges that no effect takes place twice.
 func (j *judge) effect(t *try, e *event) {
 	c, l := j.figures.Categories[t.category], j.logicals[t.logical]
-	if l.runs++; c.Repeat != logic.Idempotent {
+	if l.runs++; c.Repeat != policy.Idempotent {
 		if j.verdicts["effect"].Checked++; l.runs > 1 {
 			j.find("effect", e.at, e.at, "%s task %s had its effect %d times", t.category, t.logical, l.runs)
 		}
@@ -258,7 +258,7 @@
 func (j *judge) again(t *try, e *event) {
 	c := j.figures.Categories[t.category]
 	defer func() { t.arrivals = append(t.arrivals, e) }()
-	if c.Repeat == logic.Idempotent {
+	if c.Repeat == policy.Idempotent {
 		return
 	}
 	var first *event
@@ -271,11 +271,11 @@
 	j.verdicts["effect"].Checked++
 	switch {
 	case first == nil:
-	case c.Repeat == logic.NonIdempotent:
+	case c.Repeat == policy.NonIdempotent:
 		j.find("effect", first.at, e.at, "binding task %s was sent to host %d after host %d may have run it", t.task,
 			e.host.ID, first.host.ID)
-	case c.Group == logic.ZoneScope && e.host.Location != first.host.Location,
-		c.Group == logic.CellScope && e.host.Cell != first.host.Cell:
+	case c.Group == policy.ZoneScope && e.host.Location != first.host.Location,
+		c.Group == policy.CellScope && e.host.Cell != first.host.Cell:
 		j.find("effect", first.at, e.at, "task %s was sent outside the group of host %d", t.task, first.host.ID)
 	case e.at-first.at > c.Memory+j.figures.Way:
 		j.find("effect", first.at, e.at, "task %s was sent %v after host %d may have run it", t.task, e.at-first.at, first.host.ID)
@@ -353,7 +353,7 @@
 	v := j.verdicts["exposure"]
 	v.Checked++
 	r.trial = append(r.trial, moment{e.at, e.category, build})
-	if c := f.Categories[e.category]; c.Repeat != logic.Idempotent && stage < f.Guarded {
+	if c := f.Categories[e.category]; c.Repeat != policy.Idempotent && stage < f.Guarded {
 		j.find("exposure", e.at-f.Grace, e.at, "router %s sent a %s task to build %d in guarded stage %d", e.router, e.category, build, stage)
 		return
 	}
--- a/internal/audit/judge_test.go
+++ b/internal/audit/judge_test.go
@@ -6,11 +6,11 @@
 
 	"github.com/stretchr/testify/require"
 
-	"dapplefront/logic"
+	"dapplefront/policy"
 )
 
-var figures = Figures{Categories: map[string]Category{"quote": {Repeat: logic.Idempotent}, "transfer": {Repeat: logic.NonIdempotent},
-	"order": {Repeat: logic.IdempotentWithKey, Group: logic.ZoneScope, Memory: 2 * time.Second}},
+var figures = Figures{Categories: map[string]Category{"quote": {Repeat: policy.Idempotent}, "transfer": {Repeat: policy.NonIdempotent},
+	"order": {Repeat: policy.IdempotentWithKey, Group: policy.ZoneScope, Memory: 2 * time.Second}},
 	Slack: 100 * ms, Way: 100 * ms, Grace: time.Second, Tip: 2, TipFor: time.Second, Window: 2 * time.Second, Free: 1, Guarded: 1,
 	FirstCap: .1}
 
@@ -107,13 +107,13 @@
 
 func TestDrains(t *testing.T) {
 	drained := func(at time.Duration) *story {
-		return tell().at(10*ms, event{kind: listed, router: "r", standing: map[uint32]logic.EndpointState{1: logic.Draining}}).
+		return tell().at(10*ms, event{kind: listed, router: "r", standing: map[uint32]policy.EndpointState{1: policy.Draining}}).
 			arrive(at, "a", "quote", old)
 	}
 	kept(t, drained(900*ms), "drain")
 	broken(t, drained(1300*ms), "drain", "sent to host 1")
-	kept(t, tell().at(10*ms, event{kind: listed, router: "r", standing: map[uint32]logic.EndpointState{1: logic.Removed}}).
-		at(20*ms, event{kind: listed, router: "r", standing: map[uint32]logic.EndpointState{1: logic.Serving}}).
+	kept(t, tell().at(10*ms, event{kind: listed, router: "r", standing: map[uint32]policy.EndpointState{1: policy.Removed}}).
+		at(20*ms, event{kind: listed, router: "r", standing: map[uint32]policy.EndpointState{1: policy.Serving}}).
 		arrive(2*time.Second, "a", "quote", old), "drain")
 }
 
--- a/internal/keys/keys.go
+++ b/internal/certs/keys.go
@@ -1,6 +1,6 @@
-// Package keys holds a program's certificate, its key and the authority that others' certificates must come from, and
+// Package certs holds a program's certificate, its key and the authority that others' certificates must come from, and
 // reads them anew when their files change: connections that stand go on, new ones have the new certificate.
-package keys
+package certs
 
 import (
 	"crypto/tls"
--- a/internal/desk/desk.go
+++ b/internal/controlclient/desk.go
@@ -1,6 +1,6 @@
-// Package desk is a router's link to the release controller: the watch of releases, counts and complaints by
+// Package controlclient is a router's link to the release controller: the watch of releases, counts and complaints by
 // server-sent events, and votes. It decides nothing: what the desk tells goes to the router's mind, which votes.
-package desk
+package controlclient
 
 import (
 	"bytes"
@@ -19,12 +19,12 @@
 
 	"dapplefront/internal/api"
 	"dapplefront/internal/sse"
-	"dapplefront/logic"
+	"dapplefront/policy"
 )
 
 // Handler is what the link tells, from goroutines of its own.
 type Handler struct {
-	Release   func(logic.ReleaseStatus)
+	Release   func(policy.ReleaseStatus)
 	Counts    func(api.Counts)
 	Complaint func(api.Complaint)
 	Plan      func(api.Plan)
@@ -216,7 +216,7 @@
 
 // Cast casts a vote in the background by whatever protocol and calls done once with what became of it; what went wrong
 // is told beside.
-func (h Handler) Cast(build int, vote func() (logic.ReleaseStatus, error), done func(logic.ReleaseStatus)) {
+func (h Handler) Cast(build int, vote func() (policy.ReleaseStatus, error), done func(policy.ReleaseStatus)) {
 	go func() {
 		n, err := vote()
 		if err != nil {
@@ -227,51 +227,51 @@
 }
 
 // Vote casts a vote in the background and calls done once with what became of it.
-func (l *Client) Vote(build, stage int, voice logic.VoteChoice, done func(logic.ReleaseStatus)) {
-	l.hear.Cast(build, func() (logic.ReleaseStatus, error) { return l.vote(build, stage, voice) }, done)
+func (l *Client) Vote(build, stage int, voice policy.VoteChoice, done func(policy.ReleaseStatus)) {
+	l.hear.Cast(build, func() (policy.ReleaseStatus, error) { return l.vote(build, stage, voice) }, done)
 }
 
-func (l *Client) vote(build, stage int, voice logic.VoteChoice) (logic.ReleaseStatus, error) {
-	moot := func(a logic.VoteResult, err error) (logic.ReleaseStatus, error) {
-		return logic.ReleaseStatus{Build: build, Stage: stage, VoteResult: a}, err
+func (l *Client) vote(build, stage int, voice policy.VoteChoice) (policy.ReleaseStatus, error) {
+	moot := func(a policy.VoteResult, err error) (policy.ReleaseStatus, error) {
+		return policy.ReleaseStatus{Build: build, Stage: stage, VoteResult: a}, err
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), l.within)
 	defer cancel()
 	body, err := json.Marshal(api.Vote{Stage: stage, Voice: api.Voices[voice]})
 	if err != nil {
-		return moot(logic.VoteRejected, err)
+		return moot(policy.VoteRejected, err)
 	}
 	ask, err := http.NewRequestWithContext(ctx, "PUT", fmt.Sprintf("%s/v1/releases/%d/votes/%s", l.url(), build,
 		url.PathEscape(l.name)), bytes.NewReader(body))
 	if err != nil {
-		return moot(logic.VoteRejected, err)
+		return moot(policy.VoteRejected, err)
 	}
 	ask.Header.Set("Content-Type", "application/json")
 	got, err := l.http.Do(ask)
 	if err != nil {
 		var op *net.OpError
 		if errors.As(err, &op) && op.Op == "dial" {
-			return moot(logic.VoteRejected, err) // it never reached the desk
+			return moot(policy.VoteRejected, err) // it never reached the desk
 		}
-		return moot(logic.VoteUnknown, err)
+		return moot(policy.VoteUnknown, err)
 	}
 	defer got.Body.Close()
 	switch {
 	case got.StatusCode == http.StatusConflict || got.StatusCode == http.StatusNotFound:
-		return moot(logic.VoteStale, nil)
+		return moot(policy.VoteStale, nil)
 	case got.StatusCode == http.StatusGatewayTimeout: // the leader was lost on the way
-		return moot(logic.VoteUnknown, fmt.Errorf("status %s", got.Status))
+		return moot(policy.VoteUnknown, fmt.Errorf("status %s", got.Status))
 	case got.StatusCode != http.StatusOK:
-		return moot(logic.VoteRejected, fmt.Errorf("status %s", got.Status))
+		return moot(policy.VoteRejected, fmt.Errorf("status %s", got.Status))
 	}
 	var r api.Release
 	if err := json.NewDecoder(io.LimitReader(got.Body, largest)).Decode(&r); err != nil {
-		return moot(logic.VoteUnknown, err) // accepted, by its status; but where the release stands is not known
+		return moot(policy.VoteUnknown, err) // accepted, by its status; but where the release stands is not known
 	}
 	n, err := r.News()
 	if err != nil {
-		return moot(logic.VoteUnknown, err)
+		return moot(policy.VoteUnknown, err)
 	}
-	n.VoteResult = logic.VoteAccepted
+	n.VoteResult = policy.VoteAccepted
 	return n, nil
 }
--- a/internal/controller/agents.go
+++ b/internal/controller/agents.go
@@ -10,7 +10,7 @@
 
 	"dapplefront/control"
 	"dapplefront/internal/api"
-	"dapplefront/logic"
+	"dapplefront/policy"
 )
 
 // goals are what an agent can be asked for.
@@ -69,7 +69,7 @@
 	for first := true; ; first = false {
 		changed := s.node.Watch()
 		var some []control.Order
-		s.node.Read(func(st *control.State, _ logic.Time) { some = slices.Clone(st.Orders(r.PathValue("name"), after)) })
+		s.node.Read(func(st *control.State, _ policy.Time) { some = slices.Clone(st.Orders(r.PathValue("name"), after)) })
 		if _, still := s.front.fault(); still {
 			some = nil
 		}
--- a/internal/controller/alone.go
+++ b/internal/controller/alone.go
@@ -6,7 +6,7 @@
 	"time"
 
 	"dapplefront/control"
-	"dapplefront/logic"
+	"dapplefront/policy"
 	"dapplefront/release"
 )
 
@@ -63,6 +63,6 @@
 
 // News is where the newest release stands.
 func (a *Standalone) News() (n release.Status) {
-	a.Read(func(s *control.State, _ logic.Time) { n = s.News() })
+	a.Read(func(s *control.State, _ policy.Time) { n = s.News() })
 	return n
 }
--- a/internal/controller/controller_test.go
+++ b/internal/controller/controller_test.go
@@ -18,12 +18,12 @@
 
 	"dapplefront/control"
 	"dapplefront/internal/api"
-	"dapplefront/logic"
+	"dapplefront/policy"
 	"dapplefront/release"
 )
 
-var figures = control.Config{Rules: release.Rules{Control: logic.Quorum, Stages: []release.Stage{{Share: .1, Cap: .05}, {Share: .5, Cap: .5}},
-	LeastTime: logic.Second / 20, VoteLife: 10 * logic.Second, ToMoveOn: 1, ToAbort: 1}, Absent: 5 * logic.Second}
+var figures = control.Config{Rules: release.Rules{Control: policy.Quorum, Stages: []release.Stage{{Share: .1, Cap: .05}, {Share: .5, Cap: .5}},
+	LeastTime: policy.Second / 20, VoteLife: 10 * policy.Second, ToMoveOn: 1, ToAbort: 1}, Absent: 5 * policy.Second}
 
 // group is some instances on loopback.
 type group struct {
@@ -50,7 +50,7 @@
 	t.Cleanup(g.close)
 	require.Eventually(t, func() bool {
 		known := 0
-		g.nodes[0].Read(func(s *control.State, _ logic.Time) { known = len(s.Members) })
+		g.nodes[0].Read(func(s *control.State, _ policy.Time) { known = len(s.Members) })
 		return known == n
 	}, 20*time.Second, 10*time.Millisecond)
 	return g
@@ -443,7 +443,7 @@
 
 func TestRoutersCountWhileTheyWatch(t *testing.T) {
 	was := figures
-	figures.OnShare, figures.Absent = .5, logic.Second
+	figures.OnShare, figures.Absent = .5, policy.Second
 	defer func() { figures = was }()
 	g := start(t, 1)
 	u := g.urls[0]
--- a/internal/controller/cuts_test.go
+++ b/internal/controller/cuts_test.go
@@ -14,8 +14,8 @@
 
 	"dapplefront/control"
 	"dapplefront/internal/api"
-	"dapplefront/internal/desk"
-	"dapplefront/logic"
+	"dapplefront/internal/controlclient"
+	"dapplefront/policy"
 )
 
 // wires are the links between controllers; they can be cut, one way or both.
@@ -102,7 +102,7 @@
 	t.Cleanup(g.close)
 	require.Eventually(t, func() bool {
 		known := 0
-		g.nodes[0].Read(func(s *control.State, _ logic.Time) { known = len(s.Members) })
+		g.nodes[0].Read(func(s *control.State, _ policy.Time) { known = len(s.Members) })
 		return known == 3
 	}, 20*time.Second, 10*time.Millisecond)
 	return g
@@ -222,7 +222,7 @@
 	counting := false
 	for i := range routers {
 		order := []string{g.urls[at], g.urls[(at+1)%3], g.urls[(at+2)%3]} // all watch the one that leads
-		l := desk.Open(order, fmt.Sprintf("r%d", i), "north", nil, time.Second, desk.Handler{Release: func(logic.ReleaseStatus) {
+		l := controlclient.Open(order, fmt.Sprintf("r%d", i), "north", nil, time.Second, controlclient.Handler{Release: func(policy.ReleaseStatus) {
 			mu.Lock()
 			defer mu.Unlock()
 			if counting {
--- a/internal/controller/link_test.go
+++ b/internal/controller/link_test.go
@@ -9,8 +9,8 @@
 
 	"dapplefront/control"
 	"dapplefront/internal/api"
-	"dapplefront/internal/desk"
-	"dapplefront/logic"
+	"dapplefront/internal/controlclient"
+	"dapplefront/policy"
 	"dapplefront/release"
 )
 
@@ -18,7 +18,7 @@
 	still := make(chan bool, 1)
 	is := false
 	a, err := StartStandalone(NodeConfig{Name: "c", Dir: t.TempDir(), Listen: "127.0.0.1:0", Quick: true, Build: 1, Figures: control.Config{
-		Rules: release.Rules{Control: logic.Quorum, ToMoveOn: 2, ToAbort: 1, VoteLife: 5 * logic.Second, Stages: []release.Stage{{Share: .1, Cap: .1}, {Share: 1, Cap: 1}}}}},
+		Rules: release.Rules{Control: policy.Quorum, ToMoveOn: 2, ToAbort: 1, VoteLife: 5 * policy.Second, Stages: []release.Stage{{Share: .1, Cap: .1}, {Share: 1, Cap: 1}}}}},
 		ServerConfig{Listen: "127.0.0.1:0", VotesASecond: 2, Fault: func() (time.Duration, bool) {
 			select {
 			case is = <-still:
@@ -28,20 +28,20 @@
 		}}, slog.New(slog.DiscardHandler))
 	require.NoError(t, err)
 	defer func() { require.NoError(t, a.Stop()) }()
-	news, complaints := make(chan logic.ReleaseStatus, 64), make(chan api.Complaint, 64)
-	link := desk.Open([]string{"http://127.0.0.1:1", a.URL()}, "r1", "here", nil, time.Second, desk.Handler{Release: func(n logic.ReleaseStatus) { news <- n },
+	news, complaints := make(chan policy.ReleaseStatus, 64), make(chan api.Complaint, 64)
+	link := controlclient.Open([]string{"http://127.0.0.1:1", a.URL()}, "r1", "here", nil, time.Second, controlclient.Handler{Release: func(n policy.ReleaseStatus) { news <- n },
 		Counts: func(api.Counts) {}, Complaint: func(c api.Complaint) { complaints <- c }, Trouble: func(error) {}})
 	defer link.Close()
-	next := func() logic.ReleaseStatus {
+	next := func() policy.ReleaseStatus {
 		select {
 		case n := <-news:
 			return n
 		case <-time.After(10 * time.Second):
 			t.Fatal("no news")
-			return logic.ReleaseStatus{}
+			return policy.ReleaseStatus{}
 		}
 	}
-	require.Equal(t, logic.Released, next().Phase)
+	require.Equal(t, policy.Released, next().Phase)
 	_, err = a.Hear(release.Offer{Build: 2})
 	require.NoError(t, err)
 	for next().ExposureCap != 0.1 { // it is told again and again how things stand
@@ -58,20 +58,20 @@
 			t.Fatal("an event is missing")
 		}
 	}
-	vote := func(build, stage int, v logic.VoteChoice) logic.VoteResult {
-		got := make(chan logic.ReleaseStatus, 1)
-		link.Vote(build, stage, v, func(n logic.ReleaseStatus) { got <- n })
+	vote := func(build, stage int, v policy.VoteChoice) policy.VoteResult {
+		got := make(chan policy.ReleaseStatus, 1)
+		link.Vote(build, stage, v, func(n policy.ReleaseStatus) { got <- n })
 		return (<-got).VoteResult
 	}
-	require.Equal(t, logic.VoteAccepted, vote(2, 0, logic.Promote))
-	require.Equal(t, logic.VoteStale, vote(2, 1, logic.Promote))
-	require.Equal(t, logic.VoteStale, vote(1, 0, logic.Promote))
-	seen := map[logic.VoteResult]bool{}
+	require.Equal(t, policy.VoteAccepted, vote(2, 0, policy.Promote))
+	require.Equal(t, policy.VoteStale, vote(2, 1, policy.Promote))
+	require.Equal(t, policy.VoteStale, vote(1, 0, policy.Promote))
+	seen := map[policy.VoteResult]bool{}
 	for range 12 {
-		seen[vote(2, 0, logic.Promote)] = true
+		seen[vote(2, 0, policy.Promote)] = true
 	}
-	require.True(t, seen[logic.VoteRejected], "more than the allowance")
+	require.True(t, seen[policy.VoteRejected], "more than the allowance")
 	still <- true
 	time.Sleep(600 * time.Millisecond) // one more is allowed
-	require.Contains(t, []logic.VoteResult{logic.VoteUnknown, logic.VoteRejected}, vote(2, 0, logic.Promote))
+	require.Contains(t, []policy.VoteResult{policy.VoteUnknown, policy.VoteRejected}, vote(2, 0, policy.Promote))
 }
--- a/internal/controller/node.go
+++ b/internal/controller/node.go
@@ -22,7 +22,7 @@
 	"go.etcd.io/bbolt"
 
 	"dapplefront/control"
-	"dapplefront/logic"
+	"dapplefront/policy"
 )
 
 // NodeConfig is one instance's place among the controllers.
@@ -52,7 +52,7 @@
 	changed chan struct{} // closed when the state changes
 	broken  error         // the state can't be trusted any more
 	lead    time.Time     // since when this instance leads, by its monotonic clock
-	base    logic.Time    // the controllers' time at that moment
+	base    policy.Time   // the controllers' time at that moment
 	leads   bool
 
 	stop chan struct{}
@@ -179,8 +179,8 @@
 
 // now is the controllers' time: what the state had when this instance began to lead, and what its monotonic clock has
 // counted since. So a clock that is set never moves it. The lock is held.
-func (n *Node) now() logic.Time {
-	return n.base + logic.Time(time.Since(n.lead)/(100*time.Microsecond))
+func (n *Node) now() policy.Time {
+	return n.base + policy.Time(time.Since(n.lead)/(100*time.Microsecond))
 }
 
 // tick lets time pass where that would change something, and watches who leads.
@@ -217,7 +217,7 @@
 // ---- Reading ----
 
 // Read calls f with the state as it is; f must not keep what it gets nor wait.
-func (n *Node) Read(f func(s *control.State, now logic.Time)) {
+func (n *Node) Read(f func(s *control.State, now policy.Time)) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	now := n.state.Clock()
--- a/internal/controller/secure.go
+++ b/internal/controller/secure.go
@@ -12,11 +12,11 @@
 
 	"github.com/hashicorp/raft"
 
-	"dapplefront/internal/keys"
+	"dapplefront/internal/certs"
 )
 
 // Secure is the streams between controllers by TLS, both sides with certificates whose names fit peers.
-func Secure(ring *keys.Ring, peers []string) func(net.Listener) (raft.StreamLayer, error) {
+func Secure(ring *certs.Ring, peers []string) func(net.Listener) (raft.StreamLayer, error) {
 	return func(l net.Listener) (raft.StreamLayer, error) {
 		server, client := ring.Server(), ring.Client()
 		named := func(s tls.ConnectionState) error {
--- a/internal/controller/secure_test.go
+++ b/internal/controller/secure_test.go
@@ -16,9 +16,9 @@
 	"go4.org/netipx"
 
 	"dapplefront/control"
-	"dapplefront/internal/keys"
-	"dapplefront/internal/stand"
-	"dapplefront/logic"
+	"dapplefront/internal/certs"
+	"dapplefront/internal/testbed"
+	"dapplefront/policy"
 )
 
 // pad is a log that tests read.
@@ -31,12 +31,12 @@
 func (p *pad) String() string              { p.mu.Lock(); defer p.mu.Unlock(); return p.text.String() }
 
 func TestRolesByCertificateAndNetworkAndCertificatesThatChange(t *testing.T) {
-	authority, err := stand.NewAuthority(t.TempDir())
+	authority, err := testbed.NewAuthority(t.TempDir())
 	require.NoError(t, err)
-	ring := func(name string) *keys.Ring {
+	ring := func(name string) *certs.Ring {
 		f, err := authority.Issue(name, time.Hour)
 		require.NoError(t, err)
-		r, err := keys.Open(f)
+		r, err := certs.Open(f)
 		require.NoError(t, err)
 		return r
 	}
@@ -70,7 +70,7 @@
 	}
 	require.Eventually(t, func() bool {
 		known := 0
-		nodes[2].Read(func(s *control.State, _ logic.Time) { known = len(s.Members) })
+		nodes[2].Read(func(s *control.State, _ policy.Time) { known = len(s.Members) })
 		return known == 3
 	}, 20*time.Second, 10*time.Millisecond, "controllers find each other by TLS")
 	ask := func(who *tls.Config, at int, method, path, body string) int {
@@ -99,12 +99,12 @@
 	require.NotContains(t, logged.String(), "PRIVATE")
 
 	// A stranger's certificate, and none.
-	other, err := stand.NewAuthority(t.TempDir())
+	other, err := testbed.NewAuthority(t.TempDir())
 	require.NoError(t, err)
 	f, err := other.Issue("people-ann", time.Hour)
 	require.NoError(t, err)
 	f.Authority = authority.File()
-	stranger, err := keys.Open(f)
+	stranger, err := certs.Open(f)
 	require.NoError(t, err)
 	require.Zero(t, ask(stranger.Client(), 0, "GET", "/v1/releases", ""))
 	require.Zero(t, ask(&tls.Config{InsecureSkipVerify: true}, 0, "GET", "/v1/releases", ""))
--- a/internal/controller/server.go
+++ b/internal/controller/server.go
@@ -24,8 +24,8 @@
 
 	"dapplefront/control"
 	"dapplefront/internal/api"
-	"dapplefront/logic"
 	"dapplefront/plan"
+	"dapplefront/policy"
 )
 
 // ServerConfig is how the REST interface behaves.
@@ -162,7 +162,7 @@
 		}
 		known, leader := "", ""
 		leads, name := s.node.IsLeader()
-		s.node.Read(func(st *control.State, _ logic.Time) { known, leader = st.Members[s.node.seat.Name], st.Members[name] })
+		s.node.Read(func(st *control.State, _ policy.Time) { known, leader = st.Members[s.node.seat.Name], st.Members[name] })
 		if known == s.front.URL {
 			continue
 		}
@@ -296,7 +296,7 @@
 		return false
 	}
 	to := ""
-	s.node.Read(func(st *control.State, _ logic.Time) { to = st.Members[name] })
+	s.node.Read(func(st *control.State, _ policy.Time) { to = st.Members[name] })
 	const passed = "Dapplefront-Passed" // once is enough: whoever leads may have changed meanwhile
 	if to == "" || name == s.node.seat.Name || r.Header.Get(passed) != "" {
 		w.Header().Set("Retry-After", "1")
@@ -329,7 +329,7 @@
 
 // ---- Releases ----
 
-func shown(r *control.Release, now logic.Time, st *control.State) api.ReleaseObject {
+func shown(r *control.Release, now policy.Time, st *control.State) api.ReleaseObject {
 	o := api.ReleaseObject{Release: api.Release{Build: r.Build, Stage: r.Stage, Phase: api.Phases[r.Phase], Cap: r.Cap,
 		AgeMs: max(0, int64(now-r.Since)/10), Version: int64(r.Version)}, Digest: r.Digest, Note: r.Note, Labels: r.Labels,
 		CreatedMs: int64(r.Created) / 10, Waits: r.Waits, Tasks: r.Counts, Hosts: r.Hosts}
@@ -351,8 +351,8 @@
 	}
 	if st != nil && st.News().Build == r.Build {
 		v := api.Votes{}
-		v.On, v.Needed, _ = st.Votes(logic.Promote)
-		v.Back, _, v.NeededBack = st.Votes(logic.Rollback)
+		v.On, v.Needed, _ = st.Votes(policy.Promote)
+		v.Back, _, v.NeededBack = st.Votes(policy.Rollback)
 		o.Votes = &v
 	}
 	return o
@@ -386,11 +386,11 @@
 		}
 		labels[k] = v
 	}
-	var phase *logic.Phase
+	var phase *policy.Phase
 	if text := q.Get("phase"); text != "" {
 		for i, name := range api.Phases {
 			if name == text {
-				p := logic.Phase(i)
+				p := policy.Phase(i)
 				phase = &p
 			}
 		}
@@ -414,7 +414,7 @@
 		return
 	}
 	out := api.ReleaseList{Releases: []api.ReleaseObject{}}
-	s.node.Read(func(st *control.State, now logic.Time) {
+	s.node.Read(func(st *control.State, now policy.Time) {
 		some := st.List(labels, phase, after, limit+1)
 		if len(some) > limit {
 			some = some[:limit]
@@ -434,7 +434,7 @@
 	}
 	var x *control.Release
 	var o api.ReleaseObject
-	s.node.Read(func(st *control.State, now logic.Time) {
+	s.node.Read(func(st *control.State, now policy.Time) {
 		if x = st.Get(n); x != nil {
 			o = shown(x, now, st)
 		}
@@ -453,7 +453,7 @@
 
 func (s *Server) object(r control.Reply) any {
 	var o api.ReleaseObject
-	s.node.Read(func(st *control.State, now logic.Time) { o = shown(r.Release, now, st) })
+	s.node.Read(func(st *control.State, now policy.Time) { o = shown(r.Release, now, st) })
 	return o
 }
 
@@ -470,7 +470,7 @@
 		c.Labels[k] = &v
 	}
 	for _, x := range a.Steps {
-		c.Steps = append(c.Steps, control.Step{Name: x.Name, Stage: x.Stage, Final: x.Final, Within: logic.Time(x.WithinMs) * 10})
+		c.Steps = append(c.Steps, control.Step{Name: x.Name, Stage: x.Stage, Final: x.Final, Within: policy.Time(x.WithinMs) * 10})
 	}
 	w.Header().Set("Location", fmt.Sprintf("/v1/releases/%d", a.Build))
 	s.change(w, r, c, http.StatusCreated, s.object)
@@ -531,7 +531,7 @@
 	}
 	if _, still := s.front.fault(); still { // every other vote counts; none is answered
 		if rand.IntN(2) == 0 {
-			_, _ = s.node.Propose(control.Command{Do: control.Vote, Build: n, Stage: v.Stage, Router: r.PathValue("router"), Voice: logic.VoteChoice(voice)})
+			_, _ = s.node.Propose(control.Command{Do: control.Vote, Build: n, Stage: v.Stage, Router: r.PathValue("router"), Voice: policy.VoteChoice(voice)})
 		}
 		select {
 		case <-r.Context().Done():
@@ -539,7 +539,7 @@
 		}
 		return
 	}
-	s.change(w, r, control.Command{Do: control.Vote, Build: n, Stage: v.Stage, Router: r.PathValue("router"), Voice: logic.VoteChoice(voice)},
+	s.change(w, r, control.Command{Do: control.Vote, Build: n, Stage: v.Stage, Router: r.PathValue("router"), Voice: policy.VoteChoice(voice)},
 		http.StatusOK, func(c control.Reply) any {
 			o := s.object(c).(api.ReleaseObject).Release
 			if s.front.Told != nil {
@@ -621,13 +621,13 @@
 		return
 	}
 	p := &plan.Published{Version: version, Build: a.Build, Stage: a.Stage, For: a.For}
-	s.change(w, r, control.Command{Do: control.Publish, Plan: p, For: logic.Time(a.ForMs) * 10}, http.StatusNoContent, nil)
+	s.change(w, r, control.Command{Do: control.Publish, Plan: p, For: policy.Time(a.ForMs) * 10}, http.StatusNoContent, nil)
 }
 
 func (s *Server) planFor(w http.ResponseWriter, r *http.Request) {
 	var p *plan.Published
-	var left logic.Time
-	s.node.Read(func(st *control.State, now logic.Time) { p, left = st.InForce(now) })
+	var left policy.Time
+	s.node.Read(func(st *control.State, now policy.Time) { p, left = st.InForce(now) })
 	if p == nil || strconv.FormatUint(p.Version, 10) != r.PathValue("version") {
 		problem(w, http.StatusNotFound, "version", "this version is not in force")
 		return
@@ -677,7 +677,7 @@
 		members = map[string]string{} // it is ending
 	}
 	out := api.Status{Name: s.node.seat.Name, Leads: leads, Leader: leader, BehindMs: s.node.ReplicationLag().Milliseconds(), Members: members}
-	s.node.Read(func(st *control.State, _ logic.Time) {
+	s.node.Read(func(st *control.State, _ policy.Time) {
 		out.Version, out.Routers, out.Events = st.Version(), len(st.Routers), st.Last()
 	})
 	s.mu.Lock()
--- a/internal/controller/stored_test.go
+++ b/internal/controller/stored_test.go
@@ -13,7 +13,7 @@
 	"go.etcd.io/bbolt"
 
 	"dapplefront/control"
-	"dapplefront/logic"
+	"dapplefront/policy"
 	"dapplefront/release"
 )
 
@@ -24,9 +24,9 @@
 	storedExport = "testdata/export-d72f78e.json"
 )
 
-var storedFigures = control.Config{Rules: release.Rules{Control: logic.Timed, Stages: []release.Stage{{Share: .1, Cap: .05}, {Share: .5, Cap: .5}},
-	LeastTime: logic.Second / 20, ClockTime: logic.Second / 10, VoteLife: 60 * logic.Second, ToMoveOn: 2, ToAbort: 3, ToHold: 2},
-	Absent: 600 * logic.Second, Events: 1000, Keys: 10}
+var storedFigures = control.Config{Rules: release.Rules{Control: policy.Timed, Stages: []release.Stage{{Share: .1, Cap: .05}, {Share: .5, Cap: .5}},
+	LeastTime: policy.Second / 20, ClockTime: policy.Second / 10, VoteLife: 60 * policy.Second, ToMoveOn: 2, ToAbort: 3, ToHold: 2},
+	Absent: 600 * policy.Second, Events: 1000, Keys: 10}
 
 // stored is a copy of the stored data, which a test may write to.
 func stored(t *testing.T) (dir string, export []byte) {
--- a/internal/controller/watch.go
+++ b/internal/controller/watch.go
@@ -11,7 +11,7 @@
 
 	"dapplefront/control"
 	"dapplefront/internal/api"
-	"dapplefront/logic"
+	"dapplefront/policy"
 	"dapplefront/release"
 )
 
@@ -51,7 +51,7 @@
 	var oldest uint64
 	gone := false
 	leads, _ := s.node.IsLeader()
-	s.node.Read(func(st *control.State, now logic.Time) {
+	s.node.Read(func(st *control.State, now policy.Time) {
 		if text == "" {
 			from = st.Last()
 			s.write(&out, router, control.Event{ID: from, Kind: api.EventNews, At: st.News().Since, Body: encode(st.News())}, now)
@@ -99,7 +99,7 @@
 			late += time.Hour
 		}
 		var young <-chan time.Time
-		s.node.Read(func(st *control.State, now logic.Time) {
+		s.node.Read(func(st *control.State, now policy.Time) {
 			var some []control.Event
 			if behind = from > st.Last(); behind {
 				return
@@ -143,7 +143,7 @@
 				continue
 			}
 			if router != "" { // routers like to hear that all is as it was
-				s.node.Read(func(st *control.State, now logic.Time) {
+				s.node.Read(func(st *control.State, now policy.Time) {
 					if from == st.Last() {
 						s.write(&out, router, control.Event{ID: from, Kind: api.EventNews, At: st.News().Since, Body: encode(st.News())}, now)
 					}
@@ -194,7 +194,7 @@
 func (n *Node) joinThrough(s *Server, router string) {
 	_, name := n.IsLeader()
 	to := ""
-	n.Read(func(st *control.State, _ logic.Time) { to = st.Members[name] })
+	n.Read(func(st *control.State, _ policy.Time) { to = st.Members[name] })
 	if to == "" {
 		return
 	}
@@ -208,7 +208,7 @@
 }
 
 // write adds an event as watchers hear it; ages are as of now.
-func (s *Server) write(out *[]told, router string, e control.Event, now logic.Time) {
+func (s *Server) write(out *[]told, router string, e control.Event, now policy.Time) {
 	body := []byte(e.Body)
 	age := max(0, int64(now-e.At)/10)
 	switch e.Kind {
--- a/internal/discovery/discovery.go
+++ b/internal/discovery/discovery.go
@@ -18,9 +18,9 @@
 
 	"github.com/cespare/xxhash/v2"
 
-	"dapplefront/internal/register"
-	"dapplefront/internal/stream"
-	"dapplefront/logic"
+	"dapplefront/internal/eds"
+	"dapplefront/internal/jsonstream"
+	"dapplefront/policy"
 	"dapplefront/router"
 )
 
@@ -43,7 +43,7 @@
 	Build    int     `json:"revision_no"`
 }
 
-var phases = map[string]logic.EndpointState{"up": logic.Serving, "draining": logic.Draining, "removed": logic.Removed}
+var phases = map[string]policy.EndpointState{"up": policy.Serving, "draining": policy.Draining, "removed": policy.Removed}
 
 // Check tells what in a list can't be, and where.
 func (l List) Check() error {
@@ -69,8 +69,8 @@
 
 // Watch follows one discovery service. Its methods may be called from anywhere.
 type Watch struct {
-	hear   register.Handler
-	stream *stream.Stream
+	hear   eds.Handler
+	stream *jsonstream.Stream
 
 	mu       sync.Mutex
 	revision int64
@@ -103,12 +103,12 @@
 )
 
 // Within are a watch's times.
-var Within = stream.Timeouts{First: told - alive*3/2 - wait, Silence: alive * 3 / 2}
+var Within = jsonstream.Timeouts{First: told - alive*3/2 - wait, Silence: alive * 3 / 2}
 
 // Open prepares a watch that starts from a list known from earlier, and returns that list's hosts. Ask starts it.
-func Open(address string, known List, hear register.Handler) (*Watch, []register.Host) {
+func Open(address string, known List, hear eds.Handler) (*Watch, []eds.Host) {
 	w := &Watch{hear: hear, words: map[string]*word{}, owners: map[uint32]string{}}
-	w.stream = stream.New(address, Within, stream.Handler{Open: w.open, Ended: func(err error) {
+	w.stream = jsonstream.New(address, Within, jsonstream.Handler{Open: w.open, Ended: func(err error) {
 		if noise := (*json.SyntaxError)(nil); errors.As(err, &noise) {
 			hear.Rejected(err)
 		}
@@ -185,12 +185,12 @@
 }
 
 // put takes a list in and returns the hosts it tells of; a word that means another host now also leaves the old one.
-func (w *Watch) put(l List) []register.Host {
+func (w *Watch) put(l List) []eds.Host {
 	const kept = 4 // spans of a word: complaints come within seconds
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.revision = l.Revision
-	hosts := make([]register.Host, 0, len(l.Members))
+	hosts := make([]eds.Host, 0, len(l.Members))
 	now := time.Now()
 	if l.Complete {
 		named := make(map[string]bool, len(l.Members))
@@ -279,7 +279,7 @@
 	return x.spans[0].number, true
 }
 
-func (e Entry) host(number uint32) register.Host {
-	return register.Host{Address: e.HostPort, Host: router.Host{ID: number, Location: e.Locality, Cell: e.Cell,
-		Standing: phases[e.Phase], Build: e.Build, Size: e.Size, Up: logic.Time(e.UpSince) * 10}}
+func (e Entry) host(number uint32) eds.Host {
+	return eds.Host{Address: e.HostPort, Host: router.Host{ID: number, Location: e.Locality, Cell: e.Cell,
+		Standing: phases[e.Phase], Build: e.Build, Size: e.Size, Up: policy.Time(e.UpSince) * 10}}
 }
--- a/internal/discovery/discovery_test.go
+++ b/internal/discovery/discovery_test.go
@@ -12,8 +12,8 @@
 
 	"github.com/stretchr/testify/require"
 
-	"dapplefront/internal/register"
-	"dapplefront/logic"
+	"dapplefront/internal/eds"
+	"dapplefront/policy"
 )
 
 // desk is a discovery service whose watch says what a test has it say.
@@ -52,15 +52,15 @@
 
 // heard is what a watch told.
 type heard struct {
-	lists  chan []register.Host
+	lists  chan []eds.Host
 	stale  chan bool // nothing new, but a sign of life
 	failed chan error
 	turned chan error
 }
 
-func watch(t *testing.T, d *desk, known List) (*Watch, []register.Host, *heard) {
-	h := &heard{make(chan []register.Host, 20), make(chan bool, 20), make(chan error, 20), make(chan error, 20)}
-	w, first := Open(d.address(), known, register.Handler{Listed: func(whole bool, hosts []register.Host) {
+func watch(t *testing.T, d *desk, known List) (*Watch, []eds.Host, *heard) {
+	h := &heard{make(chan []eds.Host, 20), make(chan bool, 20), make(chan error, 20), make(chan error, 20)}
+	w, first := Open(d.address(), known, eds.Handler{Listed: func(whole bool, hosts []eds.Host) {
 		if !whole && len(hosts) == 0 {
 			h.stale <- true
 			return
@@ -98,15 +98,15 @@
 	d.lines <- list(41, false, entry("a", "draining", 1))
 	got := <-h.lists
 	require.Equal(t, old, got[0].ID)
-	require.Equal(t, logic.Draining, got[0].Standing)
-	require.Equal(t, logic.Time(70), got[0].Up)
+	require.Equal(t, policy.Draining, got[0].Standing)
+	require.Equal(t, policy.Time(70), got[0].Up)
 	before := time.Now()
 	time.Sleep(2 * time.Millisecond)
 	d.lines <- list(42, false, entry("a", "up", 2))
 	got = <-h.lists
 	require.Len(t, got, 2, "the old host goes as the new one comes")
 	require.Equal(t, old, got[0].ID)
-	require.Equal(t, logic.Removed, got[0].Standing)
+	require.Equal(t, policy.Removed, got[0].Standing)
 	require.NotEqual(t, old, got[1].ID)
 	n, ok := w.Number("a", before)
 	require.True(t, ok)
@@ -117,7 +117,7 @@
 	require.False(t, ok)
 	d.lines <- list(43, false, entry("a", "removed", 2))
 	d.lines <- list(44, false, entry("a", "up", 2))
-	require.Equal(t, logic.Removed, (<-h.lists)[0].Standing)
+	require.Equal(t, policy.Removed, (<-h.lists)[0].Standing)
 	require.Equal(t, got[1].ID, (<-h.lists)[0].ID, "under the same build it is the same host, started anew")
 	require.Equal(t, "/v1/endpoints?watch=1&from=40", d.asked[0])
 }
@@ -149,7 +149,7 @@
 	require.Empty(t, h.lists)
 	w.Ask()
 	d.lines <- list(42, false, entry("a", "removed", 1))
-	require.Equal(t, logic.Removed, (<-h.lists)[0].Standing)
+	require.Equal(t, policy.Removed, (<-h.lists)[0].Standing)
 	require.Equal(t, "/v1/endpoints?watch=1&from=41", d.asked[1])
 }
 
--- a/internal/front/front.go
+++ b/internal/downstream/front.go
@@ -1,4 +1,4 @@
-// Package front is the clients' side of a router: it takes tasks as HTTP/1.1 and gives their answers. What a request
+// Package downstream is the clients' side of a router: it takes tasks as HTTP/1.1 and gives their answers. What a request
 // says of itself is read here and nowhere else:
 //
 //	category   Dapplefront-Category, else by the longest path prefix
@@ -13,7 +13,7 @@
 // Every answer says in Dapplefront-Outcome what became of the task: finished, turned-back (trying again is
 // harmless; Retry-After says when) or scrapped (nothing is promised). A request that is not taken as a task, because
 // it is malformed, too large or of no category, is answered without that field.
-package front
+package downstream
 
 import (
 	"net"
@@ -25,17 +25,17 @@
 
 	"github.com/gaissmai/bart"
 
+	"dapplefront/internal/eventloop"
 	"dapplefront/internal/http1"
-	"dapplefront/internal/loop"
-	"dapplefront/internal/sock"
-	"dapplefront/logic"
+	"dapplefront/internal/transport"
+	"dapplefront/policy"
 )
 
 // Class is a category as clients meet it.
 type Class struct {
 	Name     string
 	Paths    []string // prefixes of targets
-	Patience logic.Time
+	Patience policy.Time
 	Marked   bool   // its tasks must bear a mark
 	Method   string // that they come by; empty for any
 	Bare     bool   // they must bear no mark
@@ -69,8 +69,8 @@
 	Customer string
 	Mark     string
 	Key      string
-	Patience logic.Time // from the moment the door hands it in
-	Hint     logic.Time
+	Patience policy.Time // from the moment the door hands it in
+	Hint     policy.Time
 	Again    bool
 	From     netip.Addr
 
@@ -82,7 +82,7 @@
 
 // Server takes requests on an engine's listeners. Its methods are called from its loop's work only.
 type Server struct {
-	loop     *loop.Loop
+	loop     *eventloop.Loop
 	welcome  Config
 	budget   *http1.Budget
 	take     func(*Request)
@@ -96,8 +96,8 @@
 	open     int                         // slots without an answer
 	ready    func() bool                 // nil for from the start
 	closing  bool
-	bowing   bool       // each answer ends its connection
-	until    logic.Time // by which all is answered then; 0 for no bound
+	bowing   bool        // each answer ends its connection
+	until    policy.Time // by which all is answered then; 0 for no bound
 }
 
 type path struct {
@@ -107,7 +107,7 @@
 
 // NewServer hands tasks to take, from the loop's work. Whoever takes a Call owns its request from then on, and drops it
 // when no send needs its body any more.
-func NewServer(l *loop.Loop, w Config, budget *http1.Budget, take func(*Request)) *Server {
+func NewServer(l *eventloop.Loop, w Config, budget *http1.Budget, take func(*Request)) *Server {
 	d := &Server{loop: l, welcome: w, budget: budget, take: take, kinds: map[string]*Class{},
 		networks: new(bart.Table[string]), guests: map[*clientConn]bool{}, words: w.Protocol, ids: map[string]*pendingResponse{}}
 	if d.words == nil {
@@ -156,7 +156,7 @@
 
 // Drain goes on as before, but each answer ends its connection, so that clients move elsewhere. Requests that come from
 // now on are answered before until, as the process ends then; 0 for no such bound.
-func (d *Server) Drain(until logic.Time) {
+func (d *Server) Drain(until policy.Time) {
 	d.bowing, d.until = true, until
 	for g := range d.guests {
 		if n := len(g.slots); n > 0 {
@@ -172,7 +172,7 @@
 func (d *Server) Connections() int { return len(d.guests) }
 
 // Accept is the session of a new connection (for sock.Engine.Accept).
-func (d *Server) Accept(c *sock.Conn) sock.Session {
+func (d *Server) Accept(c *transport.Conn) transport.Session {
 	g := &clientConn{door: d, conn: c, reader: http1.NewReader(d.welcome.Bounds, d.budget, false)}
 	if a, ok := c.Remote().(*net.TCPAddr); ok {
 		g.from = a.AddrPort().Addr().Unmap()
@@ -196,14 +196,14 @@
 	if d.welcome.Spare <= 0 {
 		return false
 	}
-	now, spare := d.loop.Now(), loop.FromDuration(d.welcome.Spare)
+	now, spare := d.loop.Now(), eventloop.FromDuration(d.welcome.Spare)
 	var out *clientConn
 	for g := range d.guests {
-		heard := logic.Time(g.heard.Load())
+		heard := policy.Time(g.heard.Load())
 		if g.leaving == 0 && (len(g.slots) > 0 || g.begun.Load() != 0 || now-heard < spare) {
 			continue
 		}
-		if out == nil || out.asked && !g.asked || out.asked == g.asked && heard < logic.Time(out.heard.Load()) {
+		if out == nil || out.asked && !g.asked || out.asked == g.asked && heard < policy.Time(out.heard.Load()) {
 			out = g
 		}
 	}
@@ -216,17 +216,17 @@
 
 // sweepLater closes connections that are idle, and those that are too slow, some times a second.
 func (d *Server) sweepLater() {
-	d.loop.After(logic.Second/5, func() {
+	d.loop.After(policy.Second/5, func() {
 		d.sweep()
 		d.sweepLater()
 	})
 }
 
 func (d *Server) sweep() {
-	const linger = logic.Second // to read the answer that was sent last
-	now, slow, first := d.loop.Now(), loop.FromDuration(d.welcome.Slow), loop.FromDuration(d.welcome.First)
+	const linger = policy.Second // to read the answer that was sent last
+	now, slow, first := d.loop.Now(), eventloop.FromDuration(d.welcome.Slow), eventloop.FromDuration(d.welcome.First)
 	for g := range d.guests {
-		heard, begun := logic.Time(g.heard.Load()), logic.Time(g.begun.Load())
+		heard, begun := policy.Time(g.heard.Load()), policy.Time(g.begun.Load())
 		_, since := g.conn.Pending()
 		late := first > 0 && !g.asked && now-g.came > first
 		switch {
@@ -235,14 +235,14 @@
 		case g.leaving != 0:
 		case begun != 0 && (now-begun > slow || late):
 			g.refuse(&http1.Bad{Status: 408, Text: "the request took too long to arrive"})
-		case begun == 0 && len(g.slots) == 0 && (now-heard > loop.FromDuration(d.welcome.Idle) || late):
+		case begun == 0 && len(g.slots) == 0 && (now-heard > eventloop.FromDuration(d.welcome.Idle) || late):
 			g.leaveIdle()
 		}
 	}
 }
 
 // called reads what a request says of itself; the task must be answered by patience from begun on.
-func (d *Server) called(g *clientConn, m *http1.Message, begun logic.Time) {
+func (d *Server) called(g *clientConn, m *http1.Message, begun policy.Time) {
 	if d.bowing && len(g.slots) > 0 { // the newest one's answer ends the connection
 		g.slots[len(g.slots)-1].closes = false
 	}
@@ -269,14 +269,14 @@
 		c.Reject(0, "this router is closing")
 	case len(g.slots) > d.welcome.AtOnce:
 		m.Drop()
-		c.Reject(logic.Second/10, "too many requests at once on one connection")
+		c.Reject(policy.Second/10, "too many requests at once on one connection")
 	default:
 		c.slot, s.call = s, c
 		d.take(c)
 	}
 }
 
-func (d *Server) read(g *clientConn, m *http1.Message, begun logic.Time) (*Request, *http1.Bad) {
+func (d *Server) read(g *clientConn, m *http1.Message, begun policy.Time) (*Request, *http1.Bad) {
 	c := &Request{Message: m, OnClientGone: func() {}, slot: g.slots[len(g.slots)-1], From: g.from}
 	w := d.words
 	t, wrong := w.read(m, d.names)
@@ -346,12 +346,12 @@
 }
 
 // readSpan reads a time with its unit, or whole milliseconds.
-func readSpan(s string) (logic.Time, bool) {
+func readSpan(s string) (policy.Time, bool) {
 	if n, err := strconv.ParseUint(s, 10, 32); err == nil {
-		return logic.Time(n) * 10, true
+		return policy.Time(n) * 10, true
 	}
 	d, err := time.ParseDuration(s)
-	return loop.FromDuration(d), err == nil && d < time.Hour*24*365
+	return eventloop.FromDuration(d), err == nil && d < time.Hour*24*365
 }
 
 // Respond answers with what a host said. host is the host's id.
@@ -377,7 +377,7 @@
 }
 
 // Reject answers that trying again is harmless, best after stay.
-func (c *Request) Reject(stay logic.Time, why string) {
+func (c *Request) Reject(stay policy.Time, why string) {
 	head := appendStatus(make([]byte, 0, 256), 503, "Service Unavailable")
 	w := c.slot.guest.door.words
 	head = w.stay(w.outcome(head, "turned-back"), stay)
--- a/internal/front/guest.go
+++ b/internal/downstream/guest.go
@@ -1,4 +1,4 @@
-package front
+package downstream
 
 import (
 	"net/netip"
@@ -8,14 +8,14 @@
 	"sync/atomic"
 
 	"dapplefront/internal/http1"
-	"dapplefront/internal/sock"
-	"dapplefront/logic"
+	"dapplefront/internal/transport"
+	"dapplefront/policy"
 )
 
 // clientConn is one client's connection. Its reader belongs to the poller, under mu; its slots to the loop.
 type clientConn struct {
 	door  *Server
-	conn  *sock.Conn
+	conn  *transport.Conn
 	from  netip.Addr
 	heard atomic.Int64 // when the last byte came
 	begun atomic.Int64 // when the first byte of the request in hand came; 0 while there is none
@@ -26,9 +26,9 @@
 	deaf   bool // nothing more is read
 
 	slots   []*pendingResponse // in the order of the requests
-	came    logic.Time
-	asked   bool       // a request of it was whole
-	leaving logic.Time // since when it has had its last answer
+	came    policy.Time
+	asked   bool        // a request of it was whole
+	leaving policy.Time // since when it has had its last answer
 	gone    bool
 }
 
@@ -85,7 +85,7 @@
 				_, _ = g.conn.Write([]byte("HTTP/1.1 100 Continue\r\n\r\n"), nil)
 			}
 		case http1.Whole:
-			m, begun := g.reader.Take(), logic.Time(g.begun.Load())
+			m, begun := g.reader.Take(), policy.Time(g.begun.Load())
 			g.begun.Store(0)
 			if g.owed.Add(1) > int64(4*g.door.welcome.AtOnce) { // more than are even turned back
 				g.deaf = true
--- a/internal/front/wording.go
+++ b/internal/downstream/wording.go
@@ -1,11 +1,11 @@
-package front
+package downstream
 
 import (
 	"strconv"
 	"strings"
 
 	"dapplefront/internal/http1"
-	"dapplefront/logic"
+	"dapplefront/policy"
 )
 
 // Protocol is what differs by protocol in how requests say what they are, and answers what became of them. A field that
@@ -13,14 +13,14 @@
 type Protocol struct {
 	Category, Customer, Patience, Mark, Key, Hint, Again string // fields of a request
 
-	ID      string     // the field that names a request, as no other open one is named; it must be there
-	Exact   bool       // no field of these twice; patience must be told, in whole milliseconds
-	HintIn  logic.Time // so many of a hint's units are a tenth of a millisecond; 0 where it bears its unit
-	Outcome string     // field of an answer
-	Host    string     // field of an answer that a host gave
-	StayMs  string     // field of a turn-back, beside Retry-After
-	Decimal bool       // Retry-After may have decimals
-	Ready   string     // the path that tells whether the router is ready; empty for none
+	ID      string      // the field that names a request, as no other open one is named; it must be there
+	Exact   bool        // no field of these twice; patience must be told, in whole milliseconds
+	HintIn  policy.Time // so many of a hint's units are a tenth of a millisecond; 0 where it bears its unit
+	Outcome string      // field of an answer
+	Host    string      // field of an answer that a host gave
+	StayMs  string      // field of a turn-back, beside Retry-After
+	Decimal bool        // Retry-After may have decimals
+	Ready   string      // the path that tells whether the router is ready; empty for none
 }
 
 // DefaultProtocol is this project's own wording.
@@ -70,34 +70,34 @@
 }
 
 // span reads how long a client waits.
-func (w *Protocol) span(text string) (logic.Time, bool) {
+func (w *Protocol) span(text string) (policy.Time, bool) {
 	if w.Exact {
 		n, err := strconv.ParseUint(text, 10, 31)
-		return logic.Time(n) * 10, err == nil && n > 0 && text[0] != '+'
+		return policy.Time(n) * 10, err == nil && n > 0 && text[0] != '+'
 	}
 	span, ok := readSpan(text)
 	return span, ok && span > 0
 }
 
 // work reads a hint.
-func (w *Protocol) work(text string) (logic.Time, bool) {
+func (w *Protocol) work(text string) (policy.Time, bool) {
 	if w.HintIn > 0 {
 		n, err := strconv.ParseFloat(text, 64)
-		return logic.Time(n) / w.HintIn, err == nil && n >= 0 && n < 1e12
+		return policy.Time(n) / w.HintIn, err == nil && n >= 0 && n < 1e12
 	}
 	span, ok := readSpan(text)
 	return span, ok && span >= 0
 }
 
 // stay appends when to come back.
-func (w *Protocol) stay(head []byte, stay logic.Time) []byte {
+func (w *Protocol) stay(head []byte, stay policy.Time) []byte {
 	switch {
 	case stay <= 0:
 		return head
 	case w.Decimal:
-		head = http1.AppendField(head, "Retry-After", strconv.FormatFloat(float64(stay)/float64(logic.Second), 'f', 3, 64))
+		head = http1.AppendField(head, "Retry-After", strconv.FormatFloat(float64(stay)/float64(policy.Second), 'f', 3, 64))
 	default:
-		head = http1.AppendField(head, "Retry-After", strconv.FormatInt(int64((stay+logic.Second-1)/logic.Second), 10))
+		head = http1.AppendField(head, "Retry-After", strconv.FormatInt(int64((stay+policy.Second-1)/policy.Second), 10))
 	}
 	if w.StayMs != "" {
 		head = http1.AppendField(head, w.StayMs, strconv.FormatInt(int64(stay/10), 10))
--- a/internal/register/last.go
+++ b/internal/eds/last.go
@@ -1,4 +1,4 @@
-package register
+package eds
 
 import (
 	"bytes"
@@ -6,8 +6,8 @@
 	"fmt"
 	"os"
 
-	"dapplefront/internal/whole"
-	"dapplefront/logic"
+	"dapplefront/internal/atomicfile"
+	"dapplefront/policy"
 	"dapplefront/router"
 )
 
@@ -20,14 +20,14 @@
 // storedHost is a Host as the file has it. Its JSON names are those of the first version of the format and never
 // change, whatever the fields of Host are called.
 type storedHost struct {
-	ID       uint32              `json:"ID"`
-	Location string              `json:"Location"`
-	Cell     int                 `json:"Cell"`
-	Standing logic.EndpointState `json:"Standing"`
-	Build    int                 `json:"Build"`
-	Size     float64             `json:"Size"`
-	Up       logic.Time          `json:"Up"`
-	Address  string              `json:"Address"`
+	ID       uint32               `json:"ID"`
+	Location string               `json:"Location"`
+	Cell     int                  `json:"Cell"`
+	Standing policy.EndpointState `json:"Standing"`
+	Build    int                  `json:"Build"`
+	Size     float64              `json:"Size"`
+	Up       policy.Time          `json:"Up"`
+	Address  string               `json:"Address"`
 }
 
 func toStoredHost(h Host) storedHost {
@@ -58,7 +58,7 @@
 	if err != nil {
 		return err
 	}
-	return whole.Write(file, text, 0o600)
+	return atomicfile.Write(file, text, 0o600)
 }
 
 // LoadCache reads what Keep wrote. No file is no list and no error.
--- a/internal/register/list.go
+++ b/internal/eds/list.go
@@ -1,4 +1,4 @@
-package register
+package eds
 
 import (
 	"cmp"
@@ -13,7 +13,7 @@
 	endpointv3 "github.com/envoyproxy/go-control-plane/envoy/config/endpoint/v3"
 	"google.golang.org/protobuf/types/known/structpb"
 
-	"dapplefront/logic"
+	"dapplefront/policy"
 	"dapplefront/router"
 )
 
@@ -65,11 +65,11 @@
 	}
 	switch e.GetHealthStatus() {
 	case corev3.HealthStatus_UNKNOWN, corev3.HealthStatus_HEALTHY, corev3.HealthStatus_DEGRADED:
-		h.Standing = logic.Serving
+		h.Standing = policy.Serving
 	case corev3.HealthStatus_DRAINING:
-		h.Standing = logic.Draining
+		h.Standing = policy.Draining
 	default:
-		h.Standing = logic.Removed
+		h.Standing = policy.Removed
 	}
 	fields := e.GetMetadata().GetFilterMetadata()[Metadata].GetFields()
 	whole := func(name string, without, most float64) float64 {
@@ -94,7 +94,7 @@
 		h.Size = size / 1000
 	}
 	h.Build = int(whole("build", -1, 65535))
-	h.Up = logic.Time(whole("up", 0, 1<<52)) * 10
+	h.Up = policy.Time(whole("up", 0, 1<<52)) * 10
 	h.Cell = int(whole("cell", 0, 1<<31))
 	h.ID = uint32(whole("id", float64(h.ID), math.MaxUint32))
 	return h, err
@@ -145,8 +145,8 @@
 		}
 	}
 	for id, h := range l.hosts {
-		if _, ok := hosts[id]; !ok && h.Standing != logic.Removed {
-			h.Standing = logic.Removed
+		if _, ok := hosts[id]; !ok && h.Standing != policy.Removed {
+			h.Standing = policy.Removed
 			out = append(out, h)
 		}
 	}
--- a/internal/register/register_test.go
+++ b/internal/eds/register_test.go
@@ -1,4 +1,4 @@
-package register
+package eds
 
 import (
 	"os"
@@ -11,7 +11,7 @@
 	"google.golang.org/protobuf/types/known/structpb"
 	"google.golang.org/protobuf/types/known/wrapperspb"
 
-	"dapplefront/logic"
+	"dapplefront/policy"
 	"dapplefront/router"
 )
 
@@ -59,11 +59,11 @@
 	require.Len(t, l.all(), 3, "the last good list stays")
 	changes, err = l.put(map[string]resource{"a": {"3", []Host{at(1, "x:1"), at(5, "x:2")}}}, []string{"b"})
 	require.NoError(t, err)
-	gone := map[uint32]logic.EndpointState{}
+	gone := map[uint32]policy.EndpointState{}
 	for _, h := range changes {
 		gone[h.ID] = h.Standing
 	}
-	require.Equal(t, map[uint32]logic.EndpointState{2: logic.Removed, 3: logic.Removed, 5: logic.Serving}, gone)
+	require.Equal(t, map[uint32]policy.EndpointState{2: policy.Removed, 3: policy.Removed, 5: policy.Serving}, gone)
 }
 
 func TestTheLastListIsKeptWholeOrNotRead(t *testing.T) {
--- a/internal/register/stored_test.go
+++ b/internal/eds/stored_test.go
@@ -1,4 +1,4 @@
-package register
+package eds
 
 import (
 	"os"
@@ -7,13 +7,13 @@
 
 	"github.com/stretchr/testify/require"
 
-	"dapplefront/logic"
+	"dapplefront/policy"
 	"dapplefront/router"
 )
 
 // testdata/endpoints.json was written by the program at commit d72f78e.
 var storedHosts = []Host{
-	{Host: router.Host{ID: 7, Location: "north", Cell: 3, Standing: logic.Draining, Build: 2, Size: 1.5, Up: 123456}, Address: "127.0.0.1:4001"},
+	{Host: router.Host{ID: 7, Location: "north", Cell: 3, Standing: policy.Draining, Build: 2, Size: 1.5, Up: 123456}, Address: "127.0.0.1:4001"},
 	{Host: router.Host{ID: 9, Location: "south", Build: 1, Size: 1}, Address: "127.0.0.1:4002"},
 }
 
--- a/internal/register/watch.go
+++ b/internal/eds/watch.go
@@ -1,8 +1,8 @@
-// Package register follows the host list: xDS endpoint discovery (EDS) over gRPC, by whole lists (state of the
+// Package eds follows the host list: xDS endpoint discovery (EDS) over gRPC, by whole lists (state of the
 // world) or by changes (incremental). A version that makes no sense is turned down with a reason and the last good
 // list stays; a watch that breaks is told and not taken up again until someone asks, as when to ask is the module's
 // decision. A watch that is taken up says which versions it holds.
-package register
+package eds
 
 import (
 	"context"
--- a/internal/loop/loop.go
+++ b/internal/eventloop/loop.go
@@ -1,10 +1,10 @@
-// Package loop runs one instance's work in order, one piece at a time, on whichever goroutine brings it: there is no
+// Package eventloop runs one instance's work in order, one piece at a time, on whichever goroutine brings it: there is no
 // lock on what the pieces share and no goroutine to wake. It also keeps the instance's clock and alarms.
 //
 // Post hands in a piece of work. If no other goroutine is at work it is run at once, with whatever is posted
 // meanwhile; otherwise it waits in line. So whoever posts must not hold a lock that any work takes, and work must not
 // block.
-package loop
+package eventloop
 
 import (
 	"container/heap"
@@ -12,13 +12,13 @@
 	"sync/atomic"
 	"time"
 
-	"dapplefront/logic"
+	"dapplefront/policy"
 )
 
 // Loop is one instance's line of work.
 type Loop struct {
 	start time.Time
-	zero  logic.Time // what the clock showed at start
+	zero  policy.Time // what the clock showed at start
 
 	mu     sync.Mutex
 	line   []func()
@@ -34,20 +34,20 @@
 // New starts a loop whose clock shows the time since the epoch, and never steps back.
 func New() *Loop {
 	now := time.Now()
-	return &Loop{ended: make(chan struct{}), start: now, zero: logic.Time(now.UnixMicro() / 100)}
+	return &Loop{ended: make(chan struct{}), start: now, zero: policy.Time(now.UnixMicro() / 100)}
 }
 
 // Now is the loop's clock: tenths of a millisecond since the epoch, as told when the loop was made, and since then
 // by a clock that no one sets.
-func (l *Loop) Now() logic.Time {
-	return l.zero + logic.Time(time.Since(l.start)/(100*time.Microsecond))
+func (l *Loop) Now() policy.Time {
+	return l.zero + policy.Time(time.Since(l.start)/(100*time.Microsecond))
 }
 
 // FromDuration turns a duration into the loop's units.
-func FromDuration(d time.Duration) logic.Time { return logic.Time(d / (100 * time.Microsecond)) }
+func FromDuration(d time.Duration) policy.Time { return policy.Time(d / (100 * time.Microsecond)) }
 
 // Duration is the reverse of Span.
-func Duration(t logic.Time) time.Duration { return time.Duration(t) * 100 * time.Microsecond }
+func Duration(t policy.Time) time.Duration { return time.Duration(t) * 100 * time.Microsecond }
 
 // Post hands in work. After Close it does nothing.
 func (l *Loop) Post(work func()) {
@@ -126,7 +126,7 @@
 }
 
 // After calls do in the loop after a span; it must itself be called from the loop's work.
-func (l *Loop) After(span logic.Time, do func()) *Timer {
+func (l *Loop) After(span policy.Time, do func()) *Timer {
 	a := &Timer{at: time.Now().Add(Duration(max(0, span))), do: do}
 	heap.Push(&l.alarms, a)
 	if a.rank == 0 {
--- a/internal/loop/loop_test.go
+++ b/internal/eventloop/loop_test.go
@@ -1,4 +1,4 @@
-package loop
+package eventloop
 
 import (
 	"sync"
@@ -7,7 +7,7 @@
 
 	"github.com/stretchr/testify/require"
 
-	"dapplefront/logic"
+	"dapplefront/policy"
 )
 
 func TestWorkIsDoneOneAtATimeAndInOrder(t *testing.T) {
@@ -77,6 +77,6 @@
 }
 
 func TestSpansAndDurations(t *testing.T) {
-	require.Equal(t, logic.Second, FromDuration(time.Second))
+	require.Equal(t, policy.Second, FromDuration(time.Second))
 	require.Equal(t, 1500*time.Millisecond, Duration(15_000))
 }
--- a/internal/peers/peers.go
+++ b/internal/gossip/peers.go
@@ -1,6 +1,6 @@
-// Package peers carries short messages between routers: one UDP datagram each, to and from listed addresses only. A
+// Package gossip carries short messages between routers: one UDP datagram each, to and from listed addresses only. A
 // datagram may be lost, late or doubled; whoever hears it must make nothing of that.
-package peers
+package gossip
 
 import (
 	"errors"
@@ -10,11 +10,11 @@
 	"slices"
 	"sync/atomic"
 
-	"dapplefront/logic"
+	"dapplefront/policy"
 )
 
 // Everyone stands for all other routers.
-const Everyone = logic.Broadcast
+const Everyone = policy.Broadcast
 
 // Config is what a router is told of its peers.
 type Config struct {
--- a/internal/peers/peers_test.go
+++ b/internal/gossip/peers_test.go
@@ -1,4 +1,4 @@
-package peers
+package gossip
 
 import (
 	"net"
--- a/internal/sheet/sheet.go
+++ b/internal/inifile/sheet.go
@@ -1,10 +1,10 @@
-// Package sheet reads INI files so that every mistake is told at once, with its file and line and with what was
+// Package inifile reads INI files so that every mistake is told at once, with its file and line and with what was
 // expected. Times and shares carry units. A key that no one asks for is a mistake.
 //
 //	s := sheet.Read("router.ini")
 //	grace := s.Part("rules").Span("grace", "2s")
 //	if err := s.Done(); err != nil { ... }
-package sheet
+package inifile
 
 import (
 	"cmp"
--- a/internal/sheet/sheet_test.go
+++ b/internal/inifile/sheet_test.go
@@ -1,4 +1,4 @@
-package sheet
+package inifile
 
 import (
 	"os"
--- a/internal/stream/stream.go
+++ b/internal/jsonstream/stream.go
@@ -1,7 +1,7 @@
-// Package stream keeps one standing answer that comes value by value: a GET whose chunked body stays open and holds JSON
+// Package jsonstream keeps one standing answer that comes value by value: a GET whose chunked body stays open and holds JSON
 // objects, such as a watch. What stands may be replaced by one from another address; the old one is read on until the
 // new one speaks.
-package stream
+package jsonstream
 
 import (
 	"context"
--- a/internal/stream/stream_test.go
+++ b/internal/jsonstream/stream_test.go
@@ -1,4 +1,4 @@
-package stream
+package jsonstream
 
 import (
 	"encoding/json"
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -18,18 +18,18 @@
 	"strings"
 	"time"
 
-	"dapplefront/internal/back"
-	"dapplefront/internal/charter"
-	"dapplefront/internal/desk"
+	"dapplefront/internal/controlclient"
 	"dapplefront/internal/discovery"
-	"dapplefront/internal/front"
+	"dapplefront/internal/downstream"
+	"dapplefront/internal/eds"
+	"dapplefront/internal/eventloop"
 	"dapplefront/internal/http1"
-	"dapplefront/internal/instance"
-	"dapplefront/internal/loop"
 	"dapplefront/internal/platform"
-	"dapplefront/internal/register"
-	"dapplefront/internal/terms"
-	"dapplefront/logic"
+	"dapplefront/internal/platformsettings"
+	"dapplefront/internal/proxy"
+	"dapplefront/internal/routerconfig"
+	"dapplefront/internal/upstream"
+	"dapplefront/policy"
 )
 
 // Config is the platform's configuration file.
@@ -54,10 +54,10 @@
 // Setup is a configuration that has been read whole and checked, and what follows from it.
 type Setup struct {
 	Config
-	Charter *charter.Config
-	News    logic.ReleaseStatus
-	terms   terms.Settings
-	pairs   terms.Values
+	Charter *routerconfig.Config
+	News    policy.ReleaseStatus
+	terms   platformsettings.Settings
+	pairs   platformsettings.Values
 }
 
 // Read reads the file that EDGE_CONFIG names; what it leaves out of name, listen and discovery is taken from EDGE_NAME,
@@ -111,14 +111,14 @@
 	if err := p.Known.Check(); err != nil {
 		return nil, fmt.Errorf("known: %w", err)
 	}
-	pairs, err := terms.Flatten(p.Settings)
+	pairs, err := platformsettings.Flatten(p.Settings)
 	if err != nil {
 		return nil, fmt.Errorf("settings: %w", err)
 	}
-	if err := terms.Check(pairs); err != nil {
+	if err := platformsettings.Check(pairs); err != nil {
 		return nil, fmt.Errorf("settings.%s", strings.ReplaceAll(err.Error(), "\n", "; settings."))
 	}
-	p.pairs, p.terms = pairs, terms.Read(pairs, seed)
+	p.pairs, p.terms = pairs, platformsettings.Read(pairs, seed)
 	// Whatever the settings allow: the platform's protocol has no messages between routers, no probes and no counts, and
 	// the module must not wait for what never comes.
 	p.terms.Place.Limits.MaxGossipBytes, p.terms.Place.Limits.HealthChecks, p.terms.Place.Desk.Counted = 0, false, 0
@@ -155,12 +155,12 @@
 	return nil
 }
 
-var wording = &front.Protocol{Category: "Request-Class", Customer: "Tenant", Patience: "Request-Timeout-Ms",
+var wording = &downstream.Protocol{Category: "Request-Class", Customer: "Tenant", Patience: "Request-Timeout-Ms",
 	Mark: "Idempotency-Key", Key: "Affinity-Key", Hint: "Work-Hint", Again: "Client-Retry", ID: "Request-Id", Exact: true,
 	HintIn: 100, Decimal: true, Ready: "/ready"}
 
 // charter is what an instance is told.
-func (p *Setup) charter(pairs terms.Values) *charter.Config {
+func (p *Setup) charter(pairs platformsettings.Values) *routerconfig.Config {
 	const (
 		head, body = 16 << 10, 64 << 10
 		answer     = 1 << 20         // answers of over 64 KiB were seen: 8 in 100 on one day
@@ -174,36 +174,36 @@
 	)
 	span := func(path string) time.Duration { return time.Duration(pairs.Int(path)) * time.Microsecond }
 	room := p.Limits.Sockets - fixed
-	c := &charter.Config{Name: p.Name, Listen: p.Listen, Drain: drain, Held: p.Limits.MemoryMB << 20 / 6, Place: p.terms.Place}
-	c.Reach = back.Config{Connect: max(span("Permissions.ConnectTimeoutUs"), 50*time.Millisecond),
+	c := &routerconfig.Config{Name: p.Name, Listen: p.Listen, Drain: drain, Held: p.Limits.MemoryMB << 20 / 6, Place: p.terms.Place}
+	c.Reach = upstream.Config{Connect: max(span("Permissions.ConnectTimeoutUs"), 50*time.Millisecond),
 		Idle:  max(span("Permissions.ConnIdleUs")-edge, span("Permissions.ConnIdleUs")/2, time.Second),
 		Links: room, All: room * 9 / 20, Bounds: http1.Bounds{Head: head, Body: answer, Framed: true}, Protocol: p.signs()}
-	c.Welcome = front.Config{Name: p.Name, Slow: 2 * time.Second, Idle: 2100 * time.Millisecond, First: 2300 * time.Millisecond,
+	c.Welcome = downstream.Config{Name: p.Name, Slow: 2 * time.Second, Idle: 2100 * time.Millisecond, First: 2300 * time.Millisecond,
 		Spare: spare, Links: room - c.Reach.All, AtOnce: 1, Bounds: http1.Bounds{Head: head, Body: body},
 		Protocol: wording}
 	for i, x := range c.Place.Categories {
-		k := front.Class{Name: x.Name, Patience: loop.FromDuration(span(fmt.Sprintf("Categories.%d.DeadlineUs", i))), Method: "POST"}
+		k := downstream.Class{Name: x.Name, Patience: eventloop.FromDuration(span(fmt.Sprintf("Categories.%d.DeadlineUs", i))), Method: "POST"}
 		switch x.Repeat {
-		case logic.Idempotent:
+		case policy.Idempotent:
 			k.Method = "GET"
-		case logic.IdempotentWithKey:
+		case policy.IdempotentWithKey:
 			k.Marked = true
-		case logic.NonIdempotent:
+		case policy.NonIdempotent:
 			k.Bare = true
 		}
 		if k.Patience <= 0 {
-			k.Patience = loop.FromDuration(time.Minute)
+			k.Patience = eventloop.FromDuration(time.Minute)
 		}
-		c.Drain = max(c.Drain, loop.Duration(k.Patience))
+		c.Drain = max(c.Drain, eventloop.Duration(k.Patience))
 		c.Welcome.Classes = append(c.Welcome.Classes, k)
 	}
 	return c
 }
 
 // signs is how hosts are spoken to. Its load report is read by the fields that the settings name.
-func (p *Setup) signs() *back.Protocol {
-	return &back.Protocol{Within: "Request-Timeout-Ms", Unseen: "Not-Started", Turned: []int{503, 504}, Only: true, Whole: true,
-		Load: func(m *http1.Message) (*logic.LoadReport, error) {
+func (p *Setup) signs() *upstream.Protocol {
+	return &upstream.Protocol{Within: "Request-Timeout-Ms", Unseen: "Not-Started", Turned: []int{503, 504}, Only: true, Whole: true,
+		Load: func(m *http1.Message) (*policy.LoadReport, error) {
 			text, ok := m.Lookup("Server-Load")
 			if !ok {
 				return nil, nil
@@ -216,7 +216,7 @@
 type Node struct {
 	setup    *Setup
 	log      *slog.Logger
-	instance *instance.Proxy
+	instance *proxy.Proxy
 	watch    *discovery.Watch
 	link     *platform.Client
 }
@@ -225,15 +225,15 @@
 func Start(p *Setup, log *slog.Logger) (*Node, error) {
 	n := &Node{setup: p, log: log}
 	var err error
-	n.instance, err = instance.StartBy(instance.Protocols{
-		Register: func(hear register.Handler) (instance.Discovery, []register.Host, error) {
-			var known []register.Host
+	n.instance, err = proxy.StartBy(proxy.Protocols{
+		Register: func(hear eds.Handler) (proxy.Discovery, []eds.Host, error) {
+			var known []eds.Host
 			n.watch, known = discovery.Open(p.Discovery, p.Known, hear)
 			return n.watch, known, nil
 		},
-		Desk: func(hear desk.Handler) (instance.ReleaseClient, error) {
+		Desk: func(hear controlclient.Handler) (proxy.ReleaseClient, error) {
 			hear.Release(p.News)
-			n.link = platform.Open(p.Platform.Address, loop.Duration(p.Charter.Place.Desk.VoteTimeout), n.watch.Number, hear)
+			n.link = platform.Open(p.Platform.Address, eventloop.Duration(p.Charter.Place.Desk.VoteTimeout), n.watch.Number, hear)
 			return n.link, nil
 		},
 		Ready: func() bool { return n.watch.Tried() && n.link.Tried() }}, p.Charter, log, nil)
--- a/internal/orca/orca.go
+++ b/internal/orca/orca.go
@@ -14,7 +14,7 @@
 	"google.golang.org/protobuf/encoding/protojson"
 	"google.golang.org/protobuf/proto"
 
-	"dapplefront/logic"
+	"dapplefront/policy"
 )
 
 // Names of the header, and of the named metrics that carry what the report has no field of its own for.
@@ -123,8 +123,8 @@
 
 // Load is a report in the module's words; what was not reported is negative. The form can't tell a busy share or a
 // rate of 0 from none, so 0 counts as not reported there.
-func Load(r *orcav3.OrcaLoadReport) *logic.LoadReport {
-	l := &logic.LoadReport{Active: -1, Waiting: -1, Busy: -1, Service: -1, Rate: -1}
+func Load(r *orcav3.OrcaLoadReport) *policy.LoadReport {
+	l := &policy.LoadReport{Active: -1, Waiting: -1, Busy: -1, Service: -1, Rate: -1}
 	if v, ok := r.NamedMetrics[Active]; ok {
 		l.Active = v
 	}
--- a/internal/orca/orca_test.go
+++ b/internal/orca/orca_test.go
@@ -8,14 +8,14 @@
 	"github.com/stretchr/testify/require"
 	"google.golang.org/protobuf/proto"
 
-	"dapplefront/logic"
+	"dapplefront/policy"
 )
 
 func TestTheThreeFormsSayTheSame(t *testing.T) {
 	raw, err := proto.Marshal(&orcav3.OrcaLoadReport{CpuUtilization: .25, RpsFractional: 12.5,
 		NamedMetrics: map[string]float64{Active: 3, Service: 20, Waiting: 0}})
 	require.NoError(t, err)
-	want := &logic.LoadReport{Active: 3, Waiting: 0, Busy: .25, Service: 200, Rate: 12.5}
+	want := &policy.LoadReport{Active: 3, Waiting: 0, Busy: .25, Service: 200, Rate: 12.5}
 	for _, text := range []string{
 		"TEXT cpu_utilization=0.25, rps_fractional=12.5,named_metrics.active=3,named_metrics.service_ms=20,named_metrics.waiting=0",
 		`JSON {"cpu_utilization":0.25,"rpsFractional":12.5,"named_metrics":{"active":3,"service_ms":20,"waiting":0},"later":1}`,
@@ -32,7 +32,7 @@
 func TestWhatIsNotReportedIsNegative(t *testing.T) {
 	r, err := Parse("TEXT eps=1")
 	require.NoError(t, err)
-	require.Equal(t, &logic.LoadReport{Active: -1, Waiting: -1, Busy: -1, Service: -1, Rate: -1}, Load(r))
+	require.Equal(t, &policy.LoadReport{Active: -1, Waiting: -1, Busy: -1, Service: -1, Rate: -1}, Load(r))
 }
 
 func TestReportsThatMakeNoSense(t *testing.T) {
--- a/internal/outlook/outlook_test.go
+++ b/internal/planreport/outlook_test.go
@@ -1,4 +1,4 @@
-package outlook
+package planreport
 
 import (
 	"bytes"
@@ -8,12 +8,12 @@
 
 	"github.com/stretchr/testify/require"
 
-	"dapplefront/internal/sheet"
+	"dapplefront/internal/inifile"
 	"dapplefront/plan"
 )
 
 func TestEveryMistakeIsToldWithItsLine(t *testing.T) {
-	s := sheet.Parse("plan.ini", "[plan]\nstart = 25:00\nsteps = 3\nstep = 1h\n[category quote]\nwork = 30\nrepeat = retriable\n"+
+	s := inifile.Parse("plan.ini", "[plan]\nstart = 25:00\nsteps = 3\nstep = 1h\n[category quote]\nwork = 30\nrepeat = retriable\n"+
 		"[hosts north]\ncount = -1\n[demand north]\nquote = 1, 2\n[bounds]\nreserve = 100%\n[release]\nbuild = 2\nshares = 1%\ncaps = 1%, 2%\nat = 1h\n")
 	From(s)
 	err := s.Done()
--- a/internal/outlook/print.go
+++ b/internal/planreport/print.go
@@ -1,4 +1,4 @@
-package outlook
+package planreport
 
 import (
 	"fmt"
--- a/internal/outlook/read.go
+++ b/internal/planreport/read.go
@@ -1,6 +1,6 @@
-// Package outlook reads what a plan is made from out of an INI file, and shows plans as tables and pictures. All that is
+// Package planreport reads what a plan is made from out of an INI file, and shows plans as tables and pictures. All that is
 // worked out is plan's.
-package outlook
+package planreport
 
 import (
 	"fmt"
@@ -8,9 +8,9 @@
 	"strings"
 	"time"
 
-	"dapplefront/internal/sheet"
-	"dapplefront/logic"
+	"dapplefront/internal/inifile"
 	"dapplefront/plan"
+	"dapplefront/policy"
 )
 
 // Outlook is what a file says.
@@ -30,7 +30,7 @@
 
 // Read reads an outlook; every mistake is told with its file and line.
 func Read(file string) (*Outlook, error) {
-	s := sheet.Read(file)
+	s := inifile.Read(file)
 	o := From(s)
 	if err := s.Done(); err != nil {
 		return nil, err
@@ -45,7 +45,7 @@
 const long = 30 * 24 * time.Hour
 
 // From reads an outlook; mistakes are kept by the sheet.
-func From(s *sheet.File) *Outlook {
+func From(s *inifile.File) *Outlook {
 	p := s.Part("plan")
 	o := &Outlook{Model: &plan.Model{}, Start: clock(p, "start", "00:00")}
 	steps, step := p.Whole("steps", "1", 1, 1000), p.Span("step", "1h")
@@ -60,7 +60,7 @@
 	kinds, names := s.Parts("category")
 	for i, k := range kinds {
 		m.Categories = append(m.Categories, plan.Category{Name: names[i], Work: k.Span("work", "!").Seconds(),
-			Repeat: map[string]logic.Idempotency{"fingerprinted": logic.IdempotentWithKey, "binding": logic.NonIdempotent}[k.OneOf("repeat",
+			Repeat: map[string]policy.Idempotency{"fingerprinted": policy.IdempotentWithKey, "binding": policy.NonIdempotent}[k.OneOf("repeat",
 				"!", "retriable", "fingerprinted", "binding")], Earnings: k.Number("earnings", "1", 0, 1e7)})
 		if m.Categories[i].Work == 0 && k.Text("work", "0") != "" {
 			k.Wrong("work", "work: above 0 expected")
@@ -87,7 +87,7 @@
 	return o
 }
 
-func (o *Outlook) hosts(g sheet.Section, name string) {
+func (o *Outlook) hosts(g inifile.Section, name string) {
 	h := plan.Host{Location: g.Text("location", name), Build: g.Whole("build", "1", 1, 65535), Size: g.Number("size", "1", 1e-6, 1e7),
 		Most: g.Number("most", "0", 0, 1e7), Leaves: g.Span("leaves", "0s")}
 	count := g.Whole("count", "1", 0, 100_000)
@@ -109,7 +109,7 @@
 }
 
 // demand reads tasks a second by category: one figure for all steps, or one for each.
-func (o *Outlook) demand(d sheet.Section, location string) {
+func (o *Outlook) demand(d inifile.Section, location string) {
 	spread := d.Share("spread", "0%")
 	for _, c := range o.Model.Categories {
 		words := d.List(c.Name, "0")
@@ -130,7 +130,7 @@
 	}
 }
 
-func (o *Outlook) bounds(b sheet.Section) {
+func (o *Outlook) bounds(b inifile.Section) {
 	o.Model.Bounds = plan.Bounds{Reserve: b.Share("reserve", "0%"), Cross: b.Share("cross", "100%"),
 		CrossPrice: b.Number("cross-price", "0.02", 0, 1e7), Between: b.Number("between", "0", 0, 1000),
 		Within: b.Number("within", "0", 0, 1000), Spreads: b.Number("spreads", "0", -10, 10),
@@ -142,7 +142,7 @@
 	}
 }
 
-func (o *Outlook) release(r sheet.Section) {
+func (o *Outlook) release(r inifile.Section) {
 	out := &plan.Release{Build: r.Whole("build", "!", 1, 65535), Guarded: r.Whole("guarded-stages", "1", 0, 100),
 		ByCategory: r.Switch("by-category", "off"), Beside: r.Switch("beside", "off"), Released: r.Span("released", "0s")}
 	shares, caps, at := r.Shares("shares", "!"), r.Shares("caps", "!"), r.List("at", "!")
@@ -162,7 +162,7 @@
 }
 
 // clock reads a time of day.
-func clock(p sheet.Section, key, without string) time.Duration {
+func clock(p inifile.Section, key, without string) time.Duration {
 	text := p.Text(key, without)
 	h, m, ok := strings.Cut(text, ":")
 	hours, err := strconv.Atoi(h)
--- a/internal/platform/platform.go
+++ b/internal/platform/platform.go
@@ -15,9 +15,9 @@
 	"time"
 
 	"dapplefront/internal/api"
-	"dapplefront/internal/desk"
-	"dapplefront/internal/stream"
-	"dapplefront/logic"
+	"dapplefront/internal/controlclient"
+	"dapplefront/internal/jsonstream"
+	"dapplefront/policy"
 )
 
 // News is where the newest build stands, as the platform tells it.
@@ -30,37 +30,37 @@
 }
 
 var (
-	modes = map[string]logic.Phase{"testing": logic.Canary, "recalling": logic.RollingBack, "live": logic.Released,
-		"recalled": logic.RolledBack}
-	rulings = map[logic.VoteChoice]string{logic.Abstain: "blank", logic.Promote: "go", logic.Hold: "stay", logic.Rollback: "stop"}
+	modes = map[string]policy.Phase{"testing": policy.Canary, "recalling": policy.RollingBack, "live": policy.Released,
+		"recalled": policy.RolledBack}
+	rulings = map[policy.VoteChoice]string{policy.Abstain: "blank", policy.Promote: "go", policy.Hold: "stay", policy.Rollback: "stop"}
 	refused = map[int]struct {
 		word string
-		as   logic.VoteResult
-	}{429: {"too_many_calls", logic.VoteRejected}, 409: {"out_of_date", logic.VoteStale}, 500: {"unavailable", logic.VoteRejected},
-		400: {"bad_request", logic.VoteRejected}}
+		as   policy.VoteResult
+	}{429: {"too_many_calls", policy.VoteRejected}, 409: {"out_of_date", policy.VoteStale}, 500: {"unavailable", policy.VoteRejected},
+		400: {"bad_request", policy.VoteRejected}}
 )
 
 // Read is the module's word for news; an error where it can't be.
-func (n News) Read() (logic.ReleaseStatus, error) {
+func (n News) Read() (policy.ReleaseStatus, error) {
 	phase, ok := modes[n.Mode]
 	switch {
 	case n.Release == nil || n.Tranche == nil || n.Exposure == nil || n.OldMs == nil:
-		return logic.ReleaseStatus{}, errors.New("news without release, tranche, exposure or old_ms")
+		return policy.ReleaseStatus{}, errors.New("news without release, tranche, exposure or old_ms")
 	case !ok:
-		return logic.ReleaseStatus{}, fmt.Errorf("news of the mode %q, which is none known", n.Mode)
+		return policy.ReleaseStatus{}, fmt.Errorf("news of the mode %q, which is none known", n.Mode)
 	case *n.Release < 0 || *n.Tranche < 0 || *n.OldMs < 0 || !(*n.Exposure >= 0 && *n.Exposure <= 1):
-		return logic.ReleaseStatus{}, errors.New("news with a figure that can't be")
+		return policy.ReleaseStatus{}, errors.New("news with a figure that can't be")
 	}
-	return logic.ReleaseStatus{Build: *n.Release, Stage: *n.Tranche, Phase: phase, ExposureCap: *n.Exposure,
-		Age: logic.Time(*n.OldMs * 10)}, nil
+	return policy.ReleaseStatus{Build: *n.Release, Stage: *n.Tranche, Phase: phase, ExposureCap: *n.Exposure,
+		Age: policy.Time(*n.OldMs * 10)}, nil
 }
 
 // Client is one router's link.
 type Client struct {
-	hear   desk.Handler
+	hear   controlclient.Handler
 	number func(unit string, at time.Time) (uint32, bool)
 	within time.Duration
-	feed   *stream.Stream
+	feed   *jsonstream.Stream
 	client *http.Client
 	fails  atomic.Int64 // of the feed, in a row
 	stop   context.CancelFunc
@@ -68,13 +68,13 @@
 }
 
 // Within are a feed's times: it gives a sign of life every second.
-var Within = stream.Timeouts{First: 2 * time.Second, Silence: 3500 * time.Millisecond}
+var Within = jsonstream.Timeouts{First: 2 * time.Second, Silence: 3500 * time.Millisecond}
 
 // Open starts the feed. number tells which host a unit was at a time; within is how long a vote waits for its reply.
-func Open(address string, within time.Duration, number func(string, time.Time) (uint32, bool), hear desk.Handler) *Client {
-	l := &Client{hear: hear, number: number, within: within, client: stream.Client()}
+func Open(address string, within time.Duration, number func(string, time.Time) (uint32, bool), hear controlclient.Handler) *Client {
+	l := &Client{hear: hear, number: number, within: within, client: jsonstream.Client()}
 	l.over, l.stop = context.WithCancel(context.Background())
-	l.feed = stream.New(address, Within, stream.Handler{Ended: l.ended,
+	l.feed = jsonstream.New(address, Within, jsonstream.Handler{Ended: l.ended,
 		Open: func() (string, func(json.RawMessage) error) { return "/apis/fleet/feed", l.value }})
 	l.feed.Open()
 	return l
@@ -147,13 +147,13 @@
 }
 
 // Vote casts a vote in the background and calls done once with what became of it.
-func (l *Client) Vote(build, stage int, voice logic.VoteChoice, done func(logic.ReleaseStatus)) {
-	l.hear.Cast(build, func() (logic.ReleaseStatus, error) { return l.vote(build, stage, voice) }, done)
+func (l *Client) Vote(build, stage int, voice policy.VoteChoice, done func(policy.ReleaseStatus)) {
+	l.hear.Cast(build, func() (policy.ReleaseStatus, error) { return l.vote(build, stage, voice) }, done)
 }
 
-func (l *Client) vote(build, stage int, voice logic.VoteChoice) (logic.ReleaseStatus, error) {
-	became := func(a logic.VoteResult, err error) (logic.ReleaseStatus, error) {
-		return logic.ReleaseStatus{Build: build, Stage: stage, VoteResult: a}, err
+func (l *Client) vote(build, stage int, voice policy.VoteChoice) (policy.ReleaseStatus, error) {
+	became := func(a policy.VoteResult, err error) (policy.ReleaseStatus, error) {
+		return policy.ReleaseStatus{Build: build, Stage: stage, VoteResult: a}, err
 	}
 	ctx, cancel := context.WithTimeout(l.over, l.within)
 	defer cancel()
@@ -163,45 +163,45 @@
 	}})
 	body, err := json.Marshal(map[string]any{"release": build, "tranche": stage, "ruling": rulings[voice]})
 	if err != nil {
-		return became(logic.VoteRejected, err)
+		return became(policy.VoteRejected, err)
 	}
 	ask, err := http.NewRequestWithContext(ctx, "POST", "http://"+l.feed.Address()+"/apis/fleet/ballots", bytes.NewReader(body))
 	if err != nil {
-		return became(logic.VoteRejected, err)
+		return became(policy.VoteRejected, err)
 	}
 	ask.Header.Set("Content-Type", "application/json")
 	got, err := l.client.Do(ask)
 	if err != nil {
 		if whole.Load() {
-			return became(logic.VoteUnknown, err)
+			return became(policy.VoteUnknown, err)
 		}
-		return became(logic.VoteRejected, err)
+		return became(policy.VoteRejected, err)
 	}
 	defer got.Body.Close()
 	const largest = 64 << 10
 	text, err := io.ReadAll(io.LimitReader(got.Body, largest))
 	if err != nil {
-		return became(logic.VoteUnknown, err)
+		return became(policy.VoteUnknown, err)
 	}
 	var answer struct {
 		News
 		Error string `json:"error"`
 	}
 	if err := json.Unmarshal(text, &answer); err != nil {
-		return became(logic.VoteUnknown, err)
+		return became(policy.VoteUnknown, err)
 	}
 	if got.StatusCode == http.StatusOK {
 		n, err := answer.Read()
 		if err != nil {
-			return became(logic.VoteUnknown, err)
+			return became(policy.VoteUnknown, err)
 		}
-		n.VoteResult = logic.VoteAccepted
+		n.VoteResult = policy.VoteAccepted
 		return n, nil
 	}
 	if r, ok := refused[got.StatusCode]; ok && r.word == answer.Error {
 		return became(r.as, fmt.Errorf("status %s, %s", got.Status, answer.Error))
 	}
-	return became(logic.VoteUnknown, fmt.Errorf("status %s, %.100s", got.Status, text))
+	return became(policy.VoteUnknown, fmt.Errorf("status %s, %.100s", got.Status, text))
 }
 
 // Report does nothing: the platform counts tasks itself.
--- a/internal/platform/platform_test.go
+++ b/internal/platform/platform_test.go
@@ -12,8 +12,8 @@
 	"github.com/stretchr/testify/require"
 
 	"dapplefront/internal/api"
-	"dapplefront/internal/desk"
-	"dapplefront/logic"
+	"dapplefront/internal/controlclient"
+	"dapplefront/policy"
 )
 
 // service is a control service whose answers a test writes byte by byte.
@@ -63,18 +63,18 @@
 
 const where = `{"release":42,"tranche":1,"mode":"testing","exposure":0.28,"old_ms":310}`
 
-var there = logic.ReleaseStatus{Build: 42, Stage: 1, Phase: logic.Canary, ExposureCap: 0.28, Age: 3100}
+var there = policy.ReleaseStatus{Build: 42, Stage: 1, Phase: policy.Canary, ExposureCap: 0.28, Age: 3100}
 
 type told struct {
-	news       chan logic.ReleaseStatus
+	news       chan policy.ReleaseStatus
 	complaints chan api.Complaint
 	troubles   chan error
 }
 
 func open(t *testing.T, s *service, within time.Duration) (*Client, told) {
-	h := told{make(chan logic.ReleaseStatus, 20), make(chan api.Complaint, 20), make(chan error, 50)}
+	h := told{make(chan policy.ReleaseStatus, 20), make(chan api.Complaint, 20), make(chan error, 50)}
 	l := Open(s.Addr().String(), within, func(unit string, _ time.Time) (uint32, bool) { return 7, unit == "s-1" },
-		desk.Handler{Release: func(n logic.ReleaseStatus) { h.news <- n }, Complaint: func(c api.Complaint) { h.complaints <- c },
+		controlclient.Handler{Release: func(n policy.ReleaseStatus) { h.news <- n }, Complaint: func(c api.Complaint) { h.complaints <- c },
 			Trouble: func(err error) { h.troubles <- err }})
 	t.Cleanup(l.Close)
 	return l, h
@@ -109,31 +109,31 @@
 
 func TestWhatBecomesOfAVote(t *testing.T) {
 	counted := there
-	counted.VoteResult = logic.VoteAccepted
-	not := func(a logic.VoteResult) logic.ReleaseStatus {
-		return logic.ReleaseStatus{Build: 42, Stage: 1, VoteResult: a}
+	counted.VoteResult = policy.VoteAccepted
+	not := func(a policy.VoteResult) policy.ReleaseStatus {
+		return policy.ReleaseStatus{Build: 42, Stage: 1, VoteResult: a}
 	}
 	for name, x := range map[string]struct {
 		vote func(net.Conn, string)
-		want logic.ReleaseStatus
+		want policy.ReleaseStatus
 	}{
 		"counts":             {func(c net.Conn, _ string) { answer(c, 200, where) }, counted},
 		"1xx in front":       {func(c net.Conn, _ string) { fmt.Fprint(c, "HTTP/1.1 103 Early\r\n\r\n"); answer(c, 200, where) }, counted},
-		"too many":           {func(c net.Conn, _ string) { answer(c, 429, `{"error":"too_many_calls"}`) }, not(logic.VoteRejected)},
-		"out of date":        {func(c net.Conn, _ string) { answer(c, 409, `{"error":"out_of_date"}`) }, not(logic.VoteStale)},
-		"an error":           {func(c net.Conn, _ string) { answer(c, 500, `{"error":"unavailable"}`) }, not(logic.VoteRejected)},
-		"no such call":       {func(c net.Conn, _ string) { answer(c, 400, `{"error":"bad_request"}`) }, not(logic.VoteRejected)},
-		"other words":        {func(c net.Conn, _ string) { answer(c, 429, `{"error":"zzz"}`) }, not(logic.VoteUnknown)},
-		"noise in the body":  {func(c net.Conn, _ string) { answer(c, 200, "\x01\x02") }, not(logic.VoteUnknown)},
-		"noise":              {func(c net.Conn, _ string) { fmt.Fprint(c, "zzz\r\n\r\n") }, not(logic.VoteUnknown)},
-		"cut":                {func(net.Conn, string) {}, not(logic.VoteUnknown)},
-		"a part":             {func(c net.Conn, _ string) { fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: 99\r\n\r\n%s", where) }, not(logic.VoteUnknown)},
-		"news without stage": {func(c net.Conn, _ string) { answer(c, 200, `{"release":42}`) }, not(logic.VoteUnknown)},
+		"too many":           {func(c net.Conn, _ string) { answer(c, 429, `{"error":"too_many_calls"}`) }, not(policy.VoteRejected)},
+		"out of date":        {func(c net.Conn, _ string) { answer(c, 409, `{"error":"out_of_date"}`) }, not(policy.VoteStale)},
+		"an error":           {func(c net.Conn, _ string) { answer(c, 500, `{"error":"unavailable"}`) }, not(policy.VoteRejected)},
+		"no such call":       {func(c net.Conn, _ string) { answer(c, 400, `{"error":"bad_request"}`) }, not(policy.VoteRejected)},
+		"other words":        {func(c net.Conn, _ string) { answer(c, 429, `{"error":"zzz"}`) }, not(policy.VoteUnknown)},
+		"noise in the body":  {func(c net.Conn, _ string) { answer(c, 200, "\x01\x02") }, not(policy.VoteUnknown)},
+		"noise":              {func(c net.Conn, _ string) { fmt.Fprint(c, "zzz\r\n\r\n") }, not(policy.VoteUnknown)},
+		"cut":                {func(net.Conn, string) {}, not(policy.VoteUnknown)},
+		"a part":             {func(c net.Conn, _ string) { fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: 99\r\n\r\n%s", where) }, not(policy.VoteUnknown)},
+		"news without stage": {func(c net.Conn, _ string) { answer(c, 200, `{"release":42}`) }, not(policy.VoteUnknown)},
 	} {
 		s := newService(t, x.vote)
 		l, _ := open(t, s, 5*time.Second)
-		done := make(chan logic.ReleaseStatus, 2)
-		l.Vote(42, 1, logic.Promote, func(n logic.ReleaseStatus) { done <- n })
+		done := make(chan policy.ReleaseStatus, 2)
+		l.Vote(42, 1, policy.Promote, func(n policy.ReleaseStatus) { done <- n })
 		require.Equal(t, x.want, <-done, name)
 		require.JSONEq(t, `{"release":42,"tranche":1,"ruling":"go"}`, <-s.votes)
 		require.Empty(t, s.votes, "a vote is cast once: %s", name)
@@ -143,12 +143,12 @@
 func TestAVoteThatNeverArrivedIsRefusedAndOneInSilenceIsUnclear(t *testing.T) {
 	s := newService(t, func(net.Conn, string) { select {} })
 	l, _ := open(t, s, 100*time.Millisecond)
-	done := make(chan logic.ReleaseStatus, 1)
-	l.Vote(42, 1, logic.Rollback, func(n logic.ReleaseStatus) { done <- n })
-	require.Equal(t, logic.VoteUnknown, (<-done).VoteResult)
+	done := make(chan policy.ReleaseStatus, 1)
+	l.Vote(42, 1, policy.Rollback, func(n policy.ReleaseStatus) { done <- n })
+	require.Equal(t, policy.VoteUnknown, (<-done).VoteResult)
 	_ = s.Close()
-	l.Vote(42, 1, logic.Rollback, func(n logic.ReleaseStatus) { done <- n })
-	require.Equal(t, logic.VoteRejected, (<-done).VoteResult)
+	l.Vote(42, 1, policy.Rollback, func(n policy.ReleaseStatus) { done <- n })
+	require.Equal(t, policy.VoteRejected, (<-done).VoteResult)
 }
 
 func TestAnotherAddressIsGoneOverTo(t *testing.T) {
@@ -162,8 +162,8 @@
 	say(<-next.feeds, "{}\n")
 	_, err := feed.Read(make([]byte, 1))
 	require.Error(t, err, "then it ends")
-	done := make(chan logic.ReleaseStatus, 1)
-	l.Vote(42, 1, logic.Promote, func(n logic.ReleaseStatus) { done <- n })
-	require.Equal(t, logic.VoteAccepted, (<-done).VoteResult)
+	done := make(chan policy.ReleaseStatus, 1)
+	l.Vote(42, 1, policy.Promote, func(n policy.ReleaseStatus) { done <- n })
+	require.Equal(t, policy.VoteAccepted, (<-done).VoteResult)
 	require.Empty(t, old.votes)
 }
--- a/internal/terms/check.go
+++ b/internal/platformsettings/check.go
@@ -1,4 +1,4 @@
-package terms
+package platformsettings
 
 import (
 	"errors"
--- a/internal/terms/terms.go
+++ b/internal/platformsettings/terms.go
@@ -1,7 +1,7 @@
-// Package terms reads what a router is told at its start, in the operators' words: dotted paths with a value each. The
+// Package platformsettings reads what a router is told at its start, in the operators' words: dotted paths with a value each. The
 // simulator hands them over in pairs, the platform's configuration as nested JSON; both come through here, so that the
 // two can't differ. Microseconds become tenths of a millisecond.
-package terms
+package platformsettings
 
 import (
 	"bytes"
@@ -11,14 +11,14 @@
 	"strconv"
 	"strings"
 
-	"dapplefront/logic"
+	"dapplefront/policy"
 	"dapplefront/router"
 )
 
 const tenth = 100 // microseconds
 
 // Span turns microseconds into the module's time.
-func Span(us int64) logic.Time { return logic.Time(us / tenth) }
+func Span(us int64) policy.Time { return policy.Time(us / tenth) }
 
 // Values are values by path. A list of objects stands as its count and its numbered parts, one of plain values with
 // commas between.
@@ -44,7 +44,7 @@
 	return strings.Split(p[path], ",")
 }
 
-func (p Values) span(path string) logic.Time { return Span(p.Int(path)) }
+func (p Values) span(path string) policy.Time { return Span(p.Int(path)) }
 
 // Flatten reads a JSON object as pairs.
 func Flatten(text []byte) (Values, error) {
@@ -102,7 +102,7 @@
 type Settings struct {
 	Place   router.Config
 	Report  Report
-	Counted logic.Time // the span of the desk's counts
+	Counted policy.Time // the span of the desk's counts
 }
 
 // Read reads terms; the seed comes apart from them.
@@ -113,9 +113,9 @@
 		at := fmt.Sprintf("Categories.%d.", i)
 		c := router.Class{Name: p[at+"Name"], Promised: p.span(at + "AimUs"), Earnings: p.Float(at + "Importance"),
 			LateShare: p.Float(at + "LateValue"), Memory: p.span(at + "WindowUs")}
-		c.Repeat = map[string]logic.Idempotency{"repeatable": logic.Idempotent, "by_key": logic.IdempotentWithKey,
-			"once": logic.NonIdempotent}[p[at+"Semantics"]]
-		c.Group = map[string]logic.DedupScope{"zone": logic.ZoneScope, "cell": logic.CellScope}[p[at+"DedupScope"]]
+		c.Repeat = map[string]policy.Idempotency{"repeatable": policy.Idempotent, "by_key": policy.IdempotentWithKey,
+			"once": policy.NonIdempotent}[p[at+"Semantics"]]
+		c.Group = map[string]policy.DedupScope{"zone": policy.ZoneScope, "cell": policy.CellScope}[p[at+"DedupScope"]]
 		place.Categories = append(place.Categories, c)
 	}
 	for i := range int(p.Int("Parties.count")) {
@@ -123,7 +123,7 @@
 		place.Customers = append(place.Customers,
 			router.Tenant{Name: p[at+"Name"], PerSecond: p.Float(at + "QuotaPerS")})
 	}
-	place.Limits = logic.Limits{DrainGrace: p.span("Obligations.DrainGraceUs"),
+	place.Limits = policy.Limits{DrainGrace: p.span("Obligations.DrainGraceUs"),
 		WarmUp: p.span("Obligations.ColdUs"), ColdCapacity: p.Float("Obligations.StartCapacity"),
 		ColdOverloadFactor: p.Float("Obligations.TipMultiple"), ColdOverloadWindow: p.span("Obligations.OverloadForUs"),
 		PollInterval: p.span("Obligations.AskWithinUs"), MaxAttempts: int(p.Int("Permissions.MaxAttempts")),
@@ -138,8 +138,8 @@
 	if p.Bool("Permissions.RetryAfter") {
 		place.Limits.MaxRetryAfter = p.span("Permissions.MaxRetryAfterUs")
 	}
-	place.Desk = logic.ReleaseConfig{
-		Mode:          map[string]logic.PromotionMode{"share": logic.Quorum, "timer": logic.Timed}[p["Extra.Control"]],
+	place.Desk = policy.ReleaseConfig{
+		Mode:          map[string]policy.PromotionMode{"share": policy.Quorum, "timer": policy.Timed}[p["Extra.Control"]],
 		PromoteQuorum: int(p.Int("Extra.AyesNeeded")), RollbackQuorum: int(p.Int("Extra.ToAbort")),
 		VoteTTL: p.span("Extra.VoteStandsUs"), VoteTimeout: p.span("Extra.CallTimeoutUs"),
 		MaxVotesPerSecond: p.Float("Extra.VoteAllowance"), ExposureWindow: p.span("Extra.ExposureWindowUs"),
@@ -162,7 +162,7 @@
 type Report []string
 
 // Load reads a report's figures in the fields' order; what is not reported is negative.
-func (r Report) Load(figures []float64) *logic.LoadReport {
+func (r Report) Load(figures []float64) *policy.LoadReport {
 	if figures == nil {
 		return nil
 	}
@@ -174,7 +174,7 @@
 }
 
 // Named reads a report of names with their figures, such as "active=7,rps=2.5". One that can't be read whole is none.
-func (r Report) Named(text string) (*logic.LoadReport, error) {
+func (r Report) Named(text string) (*policy.LoadReport, error) {
 	l := blank()
 	for pair := range strings.SplitSeq(text, ",") {
 		name, figure, ok := strings.Cut(strings.TrimSpace(pair), "=")
@@ -187,11 +187,11 @@
 	return l, nil
 }
 
-func blank() *logic.LoadReport {
-	return &logic.LoadReport{Active: -1, Waiting: -1, Busy: -1, Service: -1, Rate: -1}
+func blank() *policy.LoadReport {
+	return &policy.LoadReport{Active: -1, Waiting: -1, Busy: -1, Service: -1, Rate: -1}
 }
 
-func enter(l *logic.LoadReport, field string, v float64) {
+func enter(l *policy.LoadReport, field string, v float64) {
 	switch field {
 	case "active":
 		l.Active = v
--- a/internal/terms/terms_test.go
+++ b/internal/platformsettings/terms_test.go
@@ -1,11 +1,11 @@
-package terms
+package platformsettings
 
 import (
 	"testing"
 
 	"github.com/stretchr/testify/require"
 
-	"dapplefront/logic"
+	"dapplefront/policy"
 )
 
 const nested = `{"Balancers":3,"Rank":1,"MyZone":"here","Categories":[
@@ -31,12 +31,12 @@
 	got, want := Read(p, 7), Read(paired, 7)
 	require.Equal(t, want, got)
 	require.Equal(t, 3, got.Place.Routers)
-	require.Equal(t, logic.Time(3800), got.Place.Categories[0].Promised)
-	require.Equal(t, logic.NonIdempotent, got.Place.Categories[1].Repeat)
-	require.Equal(t, logic.CellScope, got.Place.Categories[1].Group)
+	require.Equal(t, policy.Time(3800), got.Place.Categories[0].Promised)
+	require.Equal(t, policy.NonIdempotent, got.Place.Categories[1].Repeat)
+	require.Equal(t, policy.CellScope, got.Place.Categories[1].Group)
 	require.Equal(t, []float64{0.096, 0.48, 1}, got.Place.Desk.ExposureCaps)
-	require.Equal(t, logic.Time(20000), got.Place.Limits.MaxRetryAfter)
-	require.Equal(t, logic.Time(15000), got.Counted)
+	require.Equal(t, policy.Time(20000), got.Place.Limits.MaxRetryAfter)
+	require.Equal(t, policy.Time(15000), got.Counted)
 }
 
 func TestSettingsThatCanNotBeReadSayWhere(t *testing.T) {
@@ -53,7 +53,7 @@
 	got, err := r.Named("active=7, rps=2.5,avg_ms=40")
 	require.NoError(t, err)
 	require.Equal(t, r.Load([]float64{2.5, 40, 7}), got)
-	require.Equal(t, &logic.LoadReport{Active: 7, Waiting: -1, Busy: -1, Service: 400, Rate: 2.5}, got)
+	require.Equal(t, &policy.LoadReport{Active: 7, Waiting: -1, Busy: -1, Service: 400, Rate: 2.5}, got)
 	for _, text := range []string{"", "active", "active=", "active=x", "active=NaN", "active=-1", "active=1,,", "active=+Inf", "\x00"} {
 		_, err := r.Named(text)
 		require.Error(t, err, text)
--- a/internal/proc/proc.go
+++ b/internal/process/proc.go
@@ -1,7 +1,7 @@
-// Package proc starts, finds and ends the processes of builds. Each is the head of a process group of its own, writes its
+// Package process starts, finds and ends the processes of builds. Each is the head of a process group of its own, writes its
 // output to a file, so that it outlives the agent, and bears a mark in its environment by which it and whatever it has
 // forked are found again, also after the agent's death.
-package proc
+package process
 
 import (
 	"bytes"
--- a/internal/instance/hard_test.go
+++ b/internal/proxy/hard_test.go
@@ -1,4 +1,4 @@
-package instance
+package proxy
 
 import (
 	"fmt"
@@ -11,7 +11,7 @@
 
 	"github.com/stretchr/testify/require"
 
-	"dapplefront/logic"
+	"dapplefront/policy"
 	"dapplefront/release"
 )
 
@@ -97,11 +97,11 @@
 	c := r.client()
 	c.write("POST /quote HTTP/1.1\r\nHost: r\r\nDapplefront-Patience: 1s\r\nContent-Length: 60000\r\n\r\n" + strings.Repeat("x", 60000))
 	<-arriving
-	r.list(slow, logic.Draining)
+	r.list(slow, policy.Draining)
 	r.eventually(func() bool {
-		s := logic.Serving
+		s := policy.Serving
 		r.router.loop.Do(func() { s = r.router.hosts[1].Standing })
-		return s == logic.Draining
+		return s == policy.Draining
 	})
 	close(told)
 	_, outcome, _ := c.read()
@@ -122,11 +122,11 @@
 		time.Sleep(200 * time.Millisecond)
 		return right(x)
 	}))
-	for _, in := range []release.Input{release.Offer{Build: 2}, release.Ready{Build: 2}, release.Vote{Router: "r", Build: 2, Stage: 0, Voice: logic.Promote}} {
+	for _, in := range []release.Input{release.Offer{Build: 2}, release.Ready{Build: 2}, release.Vote{Router: "r", Build: 2, Stage: 0, Voice: policy.Promote}} {
 		_, err := r.desk.Hear(in)
 		require.NoError(t, err)
 	}
-	require.Equal(t, logic.Released, r.desk.News().Phase)
+	require.Equal(t, policy.Released, r.desk.News().Phase)
 	time.Sleep(200 * time.Millisecond)
 	var clients []*client
 	for range 2 { // as many as there are hosts: no jam
--- a/internal/instance/instance.go
+++ b/internal/proxy/instance.go
@@ -1,6 +1,6 @@
-// Package instance is one running router: the router library on sockets. It turns what happens at the clients' side,
+// Package proxy is one running router: the router library on sockets. It turns what happens at the clients' side,
 // the hosts' side, the register and the desk into events, and carries out the actions. It decides nothing.
-package instance
+package proxy
 
 import (
 	"context"
@@ -17,17 +17,17 @@
 	"time"
 
 	"dapplefront/internal/api"
-	"dapplefront/internal/back"
-	"dapplefront/internal/charter"
-	"dapplefront/internal/desk"
-	"dapplefront/internal/front"
+	"dapplefront/internal/certs"
+	"dapplefront/internal/controlclient"
+	"dapplefront/internal/downstream"
+	"dapplefront/internal/eds"
+	"dapplefront/internal/eventloop"
+	"dapplefront/internal/gossip"
 	"dapplefront/internal/http1"
-	"dapplefront/internal/keys"
-	"dapplefront/internal/loop"
-	"dapplefront/internal/peers"
-	"dapplefront/internal/register"
-	"dapplefront/internal/sock"
-	"dapplefront/logic"
+	"dapplefront/internal/routerconfig"
+	"dapplefront/internal/transport"
+	"dapplefront/internal/upstream"
+	"dapplefront/policy"
 	"dapplefront/record"
 	"dapplefront/router"
 )
@@ -35,33 +35,33 @@
 // FaultInjector changes what a router does, so that tests can show that a router built wrong is found out. A daemon has none.
 type FaultInjector interface {
 	// Actions may change the actions that follow an event; hosts are those that the router was ever told of.
-	Actions(now logic.Time, e router.Event, actions []router.Action, hosts map[uint32]register.Host) []router.Action
+	Actions(now policy.Time, e router.Event, actions []router.Action, hosts map[uint32]eds.Host) []router.Action
 	// Silent tells whether a final answer is kept from the client.
 	Silent(task string) bool
 }
 
 // Proxy is one running router.
 type Proxy struct {
-	charter  *charter.Config
+	charter  *routerconfig.Config
 	log      *slog.Logger
-	loop     *loop.Loop
-	engine   *sock.Engine
+	loop     *eventloop.Loop
+	engine   *transport.Engine
 	mind     *router.Router
-	door     *front.Server
-	pool     *back.Pool
+	door     *downstream.Server
+	pool     *upstream.Pool
 	budget   *http1.Budget
 	register Discovery
 	desk     ReleaseClient
 	address  net.Addr
-	signs    *back.Protocol
+	signs    *upstream.Protocol
 	bend     FaultInjector
 	records  *record.Writer // nil for none
-	peers    *peers.Socket  // nil for none
+	peers    *gossip.Socket // nil for none
 	turning  sync.Mutex     // one change of settings at a time
 
 	tasks  map[string]*inFlight
-	hosts  map[uint32]register.Host
-	known  []register.Host // told of at the start
+	hosts  map[uint32]eds.Host
+	known  []eds.Host // told of at the start
 	next   uint64
 	inbox  []router.Event
 	busy   bool
@@ -69,7 +69,7 @@
 	counts Counts
 	became map[int]map[string]int // of tasks, by build, since it was last reported
 	newest int                    // build that was told
-	keep   chan []register.Host
+	keep   chan []eds.Host
 	kept   chan struct{}
 }
 
@@ -87,10 +87,10 @@
 // inFlight is a task of which something is still to come: its answer, or the end of a send.
 type inFlight struct {
 	id    string
-	call  *front.Request
+	call  *downstream.Request
 	owed  bool
 	base  []byte // head of its sends, but for what differs
-	sends []*back.Attempt
+	sends []*upstream.Attempt
 	out   int
 	late  bool   // the last send to end was not answered in time
 	host  uint32 // that the last send went to, or that answered
@@ -104,7 +104,7 @@
 
 // ReleaseClient is the way to the release desk.
 type ReleaseClient interface {
-	Vote(build, stage int, voice logic.VoteChoice, done func(logic.ReleaseStatus))
+	Vote(build, stage int, voice policy.VoteChoice, done func(policy.ReleaseStatus))
 	Report(build int, tasks map[string]int)
 	AcknowledgePlan(version uint64, reason string)
 	Close()
@@ -112,40 +112,40 @@
 
 // Protocols are the protocols that the host list and the desk are reached by. Known are hosts told of at the start.
 type Protocols struct {
-	Register func(register.Handler) (_ Discovery, known []register.Host, _ error)
-	Desk     func(desk.Handler) (ReleaseClient, error)
+	Register func(eds.Handler) (_ Discovery, known []eds.Host, _ error)
+	Desk     func(controlclient.Handler) (ReleaseClient, error)
 	Ready    func() bool // nil for from listening on
 }
 
 // own are this project's own protocols.
-func own(c *charter.Config) Protocols {
+func own(c *routerconfig.Config) Protocols {
 	return Protocols{
-		Register: func(hear register.Handler) (Discovery, []register.Host, error) {
-			w, err := register.New(c.Register.Address, c.Name, c.Register.Names, c.Register.Changes, hear)
+		Register: func(hear eds.Handler) (Discovery, []eds.Host, error) {
+			w, err := eds.New(c.Register.Address, c.Name, c.Register.Names, c.Register.Changes, hear)
 			return w, nil, err
 		},
-		Desk: func(hear desk.Handler) (ReleaseClient, error) {
+		Desk: func(hear controlclient.Handler) (ReleaseClient, error) {
 			var secure *tls.Config
-			if c.Desk.Keys != (keys.Files{}) {
-				ring, err := keys.Open(c.Desk.Keys)
+			if c.Desk.Keys != (certs.Files{}) {
+				ring, err := certs.Open(c.Desk.Keys)
 				if err != nil {
 					return nil, err
 				}
 				secure = ring.Client()
 			}
-			return desk.Open(c.Desk.URLs, c.Name, c.Place.Location, secure, loop.Duration(c.Place.Desk.VoteTimeout), hear), nil
+			return controlclient.Open(c.Desk.URLs, c.Name, c.Place.Location, secure, eventloop.Duration(c.Place.Desk.VoteTimeout), hear), nil
 		}}
 }
 
 // Start starts a router by this project's own protocols; it listens when Start returns. bend is nil but in tests.
-func Start(c *charter.Config, log *slog.Logger, bend FaultInjector) (*Proxy, error) {
+func Start(c *routerconfig.Config, log *slog.Logger, bend FaultInjector) (*Proxy, error) {
 	return StartBy(own(c), c, log, bend)
 }
 
 // StartBy starts a router whose host list and desk are reached by the links named.
-func StartBy(links Protocols, c *charter.Config, log *slog.Logger, bend FaultInjector) (_ *Proxy, err error) {
-	i := &Proxy{charter: c, log: log.With("router", c.Name), loop: loop.New(), bend: bend, tasks: map[string]*inFlight{},
-		hosts: map[uint32]register.Host{}, became: map[int]map[string]int{}, budget: http1.NewBudget(int64(c.Held)), keep: make(chan []register.Host, 1),
+func StartBy(links Protocols, c *routerconfig.Config, log *slog.Logger, bend FaultInjector) (_ *Proxy, err error) {
+	i := &Proxy{charter: c, log: log.With("router", c.Name), loop: eventloop.New(), bend: bend, tasks: map[string]*inFlight{},
+		hosts: map[uint32]eds.Host{}, became: map[int]map[string]int{}, budget: http1.NewBudget(int64(c.Held)), keep: make(chan []eds.Host, 1),
 		kept: make(chan struct{}), signs: c.Reach.ProtocolOrDefault()}
 	var opened []func() // what is closed again, the last first, where a later part can't be opened
 	defer func() {
@@ -162,10 +162,10 @@
 	}
 	opened = append(opened, func() { _ = listener.Close() })
 	i.address = listener.Addr()
-	i.engine = sock.Start()
+	i.engine = transport.Start()
 	opened = append(opened, i.engine.Stop)
-	if i.register, i.known, err = links.Register(register.Handler{
-		Listed:   func(whole bool, hosts []register.Host) { i.loop.Do(func() { i.listed(whole, hosts) }) },
+	if i.register, i.known, err = links.Register(eds.Handler{
+		Listed:   func(whole bool, hosts []eds.Host) { i.loop.Do(func() { i.listed(whole, hosts) }) },
 		Rejected: func(err error) { i.log.Warn("host list turned down", "error", err) },
 		Failed: func(err error) {
 			i.log.Warn("host list out of reach", "error", err)
@@ -185,7 +185,7 @@
 	}
 	go i.keepLists(c.LastList)
 	i.loop.Do(func() { i.begin() })
-	if i.desk, err = links.Desk(desk.Handler{
+	if i.desk, err = links.Desk(controlclient.Handler{
 		Release:   i.told,
 		Counts:    i.counted,
 		Complaint: i.complained,
@@ -203,8 +203,8 @@
 // begin makes the mind and tells it the last list.
 func (i *Proxy) begin() {
 	c := i.charter
-	i.pool = back.NewPool(i.loop, i.engine, c.Reach, i.budget)
-	i.door = front.NewServer(i.loop, c.Welcome, i.budget, i.take)
+	i.pool = upstream.NewPool(i.loop, i.engine, c.Reach, i.budget)
+	i.door = downstream.NewServer(i.loop, c.Welcome, i.budget, i.take)
 	place := c.Place
 	place.Seed ^= uint64(i.loop.Now()) // another life, other chance
 	var actions []router.Action
@@ -214,7 +214,7 @@
 		i.noted(i.records.Begin(now, place, actions))
 	}
 	if c.LastList != "" {
-		hosts, err := register.LoadCache(c.LastList)
+		hosts, err := eds.LoadCache(c.LastList)
 		if err != nil {
 			i.log.Warn("starting without the last list", "error", err)
 		} else if len(hosts) > 0 {
@@ -233,16 +233,16 @@
 }
 
 // meet opens the way to peers that a charter names; nil for none.
-func (i *Proxy) meet(c *charter.Config) (*peers.Socket, error) {
+func (i *Proxy) meet(c *routerconfig.Config) (*gossip.Socket, error) {
 	if c.Peers == nil {
 		return nil, nil
 	}
-	return peers.Open(*c.Peers, func(rank int, body string) { i.tell(router.GossipReceived{Peer: rank, Body: body}) })
+	return gossip.Open(*c.Peers, func(rank int, body string) { i.tell(router.GossipReceived{Peer: rank, Body: body}) })
 }
 
 // Settle goes over to another charter while the router runs. Either all of it holds from one event to the next, or
 // the error names what can't be and nothing has changed. Tasks held go on; nothing is sent anew for it.
-func (i *Proxy) Settle(c *charter.Config) error {
+func (i *Proxy) Settle(c *routerconfig.Config) error {
 	i.turning.Lock()
 	defer i.turning.Unlock()
 	if err := i.charter.Changes(c); err != nil {
@@ -296,7 +296,7 @@
 
 // Bow goes on serving, but each answer ends its connection, and what comes from now on is answered within.
 func (i *Proxy) Bow(within time.Duration) {
-	i.loop.Do(func() { i.door.Drain(i.loop.Now() + loop.FromDuration(within)) })
+	i.loop.Do(func() { i.door.Drain(i.loop.Now() + eventloop.FromDuration(within)) })
 }
 
 // Drain takes no new tasks, waits until those held have got their answer and their clients have read it, at most for
@@ -392,12 +392,12 @@
 	}
 }
 
-func (i *Proxy) listed(whole bool, hosts []register.Host) {
+func (i *Proxy) listed(whole bool, hosts []eds.Host) {
 	list := make([]router.Host, len(hosts))
 	named := make(map[uint32]bool, len(hosts))
 	for n, h := range hosts {
 		list[n], named[h.ID] = h.Host, true
-		if h.Standing == logic.Removed {
+		if h.Standing == policy.Removed {
 			i.pool.Remove(h.ID)
 		} else {
 			i.pool.SetAddress(h.ID, h.Address)
@@ -405,16 +405,16 @@
 		i.hosts[h.ID] = h
 	}
 	for id, h := range i.hosts {
-		if whole && !named[id] && h.Standing != logic.Removed {
-			h.Standing = logic.Removed
+		if whole && !named[id] && h.Standing != policy.Removed {
+			h.Standing = policy.Removed
 			i.hosts[id] = h
 			i.pool.Remove(id)
 		}
 	}
 	i.hear(router.EndpointsChanged{Complete: whole, Hosts: list})
-	var all []register.Host
+	var all []eds.Host
 	for id, h := range i.hosts {
-		if h.Standing != logic.Removed {
+		if h.Standing != policy.Removed {
 			all = append(all, h)
 		} else if i.bend == nil {
 			delete(i.hosts, id)
@@ -434,7 +434,7 @@
 func (i *Proxy) keepLists(file string) {
 	defer close(i.kept)
 	for hosts := range i.keep {
-		if err := register.SaveCache(file, hosts); err != nil {
+		if err := eds.SaveCache(file, hosts); err != nil {
 			i.log.Warn("the last list is not kept", "error", err)
 		}
 	}
@@ -443,11 +443,11 @@
 func (i *Proxy) counted(c api.Counts) {
 	i.loop.Post(func() {
 		i.hear(router.StatsReported{Build: c.Build, Category: c.Category, Bad: c.Bad, Samples: c.Samples,
-			Mean: logic.Time(c.MeanMs * 10), Age: logic.Time(c.AgeMs) * 10, Over: loop.FromDuration(i.charter.Desk.Over)})
+			Mean: policy.Time(c.MeanMs * 10), Age: policy.Time(c.AgeMs) * 10, Over: eventloop.FromDuration(i.charter.Desk.Over)})
 	})
 }
 
-func (i *Proxy) told(n logic.ReleaseStatus) {
+func (i *Proxy) told(n policy.ReleaseStatus) {
 	i.loop.Post(func() {
 		i.newest = n.Build
 		i.hear(router.ReleaseChanged{News: n})
@@ -456,7 +456,7 @@
 
 // report tells the controllers now and then what became of tasks, by the build that had them last.
 func (i *Proxy) report() {
-	const every = 2 * logic.Second // a release's stage lasts about as long at the least
+	const every = 2 * policy.Second // a release's stage lasts about as long at the least
 	for build, tasks := range i.became {
 		i.desk.Report(build, tasks)
 	}
@@ -490,10 +490,10 @@
 }
 
 func (i *Proxy) complained(c api.Complaint) {
-	i.tell(router.ComplaintReceived{Host: c.Host, Category: c.Category, Age: logic.Time(c.AgeMs) * 10})
+	i.tell(router.ComplaintReceived{Host: c.Host, Category: c.Category, Age: policy.Time(c.AgeMs) * 10})
 }
 
-func (i *Proxy) take(c *front.Request) {
+func (i *Proxy) take(c *downstream.Request) {
 	if limit := i.charter.Place.Limits.MaxOpen; limit > 0 && len(i.tasks) >= limit || c.Patience <= 0 {
 		c.Message.Drop()
 		i.counts.TurnedBack++
@@ -516,13 +516,13 @@
 }
 
 // ended passes on how a send ended; the first that finished answers the client.
-func (i *Proxy) ended(h *inFlight, n int, host uint32, r back.Result) {
+func (i *Proxy) ended(h *inFlight, n int, host uint32, r upstream.Result) {
 	h.out--
-	h.late = r.Outcome == logic.TimedOut
+	h.late = r.Outcome == policy.TimedOut
 	if r.Why != "" && i.log.Enabled(context.Background(), slog.LevelDebug) {
 		i.log.Debug("send", "task", h.id, "send", n, "host", host, "fate", int(r.Outcome), "why", r.Why)
 	}
-	if r.Outcome == logic.Succeeded && h.owed {
+	if r.Outcome == policy.Succeeded && h.owed {
 		h.owed = false
 		i.counts.Finished++
 		h.host = host
@@ -574,7 +574,7 @@
 			i.register.Ask()
 		case router.Vote:
 			i.log.Info("vote", "build", a.Build, "stage", a.Stage, "voice", api.Voices[a.Voice])
-			i.desk.Vote(a.Build, a.Stage, a.Voice, func(n logic.ReleaseStatus) { i.tell(router.ReleaseChanged{News: n}) })
+			i.desk.Vote(a.Build, a.Stage, a.Voice, func(n policy.ReleaseStatus) { i.tell(router.ReleaseChanged{News: n}) })
 		case router.Gossip:
 			if i.peers != nil {
 				i.peers.Tell(a.Peer, a.Body)
@@ -600,7 +600,7 @@
 	}
 	head := http1.AppendField([]byte("GET "+p.Path+" HTTP/1.1\r\n"), "Host", i.address.String())
 	head = http1.AppendField(head, "Dapplefront-Router", i.charter.Name)
-	i.pool.Send(host, head, nil, false, loop.FromDuration(p.Within), func(r back.Result) {
+	i.pool.Send(host, head, nil, false, eventloop.FromDuration(p.Within), func(r upstream.Result) {
 		if r.Answer != nil {
 			r.Answer.Drop()
 		}
@@ -649,11 +649,11 @@
 		h.host = host
 	}
 	h.sends = append(h.sends, i.pool.Send(host, head, m.Body, m.Method == "HEAD", a.Span,
-		func(r back.Result) { i.ended(h, n, host, r) }))
+		func(r upstream.Result) { i.ended(h, n, host, r) }))
 }
 
 // head is what all sends of a task start with.
-func (i *Proxy) head(m *http1.Message, c *front.Request) []byte {
+func (i *Proxy) head(m *http1.Message, c *downstream.Request) []byte {
 	b := make([]byte, 0, 512)
 	b = append(b, m.Method...)
 	b = append(b, ' ')
--- a/internal/instance/peer_test.go
+++ b/internal/proxy/peer_test.go
@@ -1,4 +1,4 @@
-package instance
+package proxy
 
 import (
 	"bufio"
@@ -24,11 +24,11 @@
 
 	"github.com/stretchr/testify/require"
 
-	"dapplefront/internal/charter"
 	"dapplefront/internal/controller"
-	"dapplefront/internal/sheet"
-	"dapplefront/internal/stand"
-	"dapplefront/logic"
+	"dapplefront/internal/inifile"
+	"dapplefront/internal/routerconfig"
+	"dapplefront/internal/testbed"
+	"dapplefront/policy"
 )
 
 // The benchmarks run the router, and its peer, in a process of their own, so that what the hosts and the load cost
@@ -36,8 +36,8 @@
 func TestMain(m *testing.M) {
 	switch os.Getenv("DAPPLEFRONT_BENCH") {
 	case "router":
-		s := sheet.Parse("bench", os.Getenv("DAPPLEFRONT_CHARTER"))
-		c := charter.From(s)
+		s := inifile.Parse("bench", os.Getenv("DAPPLEFRONT_CHARTER"))
+		c := routerconfig.From(s)
 		if err := s.Done(); err != nil {
 			fmt.Println("error", err)
 			os.Exit(2)
@@ -170,7 +170,7 @@
 
 // routed starts a router for the hosts.
 func routed(b *testing.B, hosts []string, patience string) *child {
-	register, err := stand.StartRegister("127.0.0.1:0", "shop", nil)
+	register, err := testbed.StartRegister("127.0.0.1:0", "shop", nil)
 	require.NoError(b, err)
 	b.Cleanup(register.Stop)
 	desk, err := controller.StartStandalone(controller.NodeConfig{Name: "c", Dir: b.TempDir(), Listen: "127.0.0.1:0", Quick: true, Build: 1},
@@ -178,8 +178,8 @@
 	require.NoError(b, err)
 	b.Cleanup(func() { _ = desk.Stop() })
 	for i, h := range hosts {
-		register.Set(stand.Entry{Host: stand.Elsewhere(h, stand.Machine{ID: uint32(i + 1), Location: "here", Cores: 1,
-			Speed: 1}, 1), Standing: logic.Serving})
+		register.Set(testbed.Entry{Host: testbed.Elsewhere(h, testbed.Machine{ID: uint32(i + 1), Location: "here", Cores: 1,
+			Speed: 1}, 1), Standing: policy.Serving})
 	}
 	c := run(b, "DAPPLEFRONT_BENCH=router", "DAPPLEFRONT_CHARTER="+fmt.Sprintf(`
 [router]
--- a/internal/instance/rig_test.go
+++ b/internal/proxy/rig_test.go
@@ -1,4 +1,4 @@
-package instance
+package proxy
 
 import (
 	"bufio"
@@ -16,20 +16,20 @@
 	"github.com/stretchr/testify/require"
 
 	"dapplefront/control"
-	"dapplefront/internal/charter"
 	"dapplefront/internal/controller"
-	"dapplefront/internal/sheet"
-	"dapplefront/internal/stand"
-	"dapplefront/logic"
+	"dapplefront/internal/inifile"
+	"dapplefront/internal/routerconfig"
+	"dapplefront/internal/testbed"
+	"dapplefront/policy"
 	"dapplefront/release"
 )
 
 // rig is one real router with a real register and desk, and hosts that a test scripts byte by byte.
 type rig struct {
 	*testing.T
-	charter  *charter.Config
+	charter  *routerconfig.Config
 	router   *Proxy
-	register *stand.Register
+	register *testbed.Register
 	desk     *controller.Standalone
 	hosts    []*scripted
 }
@@ -37,7 +37,7 @@
 // scripted is a host whose connections a test serves itself. Its serve is told each request and the connection.
 type scripted struct {
 	listener net.Listener
-	entry    *stand.Host
+	entry    *testbed.Host
 	requests atomic.Int64
 	conns    atomic.Int64
 }
@@ -62,8 +62,8 @@
 func host(t *testing.T, id uint32, build int, serve func(exchange) bool) *scripted {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
-	h := &scripted{listener: l, entry: stand.Elsewhere(l.Addr().String(),
-		stand.Machine{ID: id, Location: "here", Cores: 1, Speed: 1}, build)}
+	h := &scripted{listener: l, entry: testbed.Elsewhere(l.Addr().String(),
+		testbed.Machine{ID: id, Location: "here", Cores: 1, Speed: 1}, build)}
 	go func() {
 		for {
 			c, err := l.Accept()
@@ -138,19 +138,19 @@
 func newRig(t *testing.T, extra string, hosts ...*scripted) *rig {
 	r := &rig{T: t, hosts: hosts}
 	var err error
-	r.register, err = stand.StartRegister("127.0.0.1:0", "shop", nil)
+	r.register, err = testbed.StartRegister("127.0.0.1:0", "shop", nil)
 	require.NoError(t, err)
 	t.Cleanup(r.register.Stop)
 	r.desk, err = controller.StartStandalone(controller.NodeConfig{Name: "c", Dir: t.TempDir(), Listen: "127.0.0.1:0", Quick: true, Build: 1,
-		Figures: control.Config{Rules: release.Rules{Control: logic.Quorum, Stages: []release.Stage{{Share: 1, Cap: 1}}, ToMoveOn: 1,
-			ToAbort: 1, VoteLife: 5 * logic.Second}}}, controller.ServerConfig{Listen: "127.0.0.1:0"}, slog.New(slog.DiscardHandler))
+		Figures: control.Config{Rules: release.Rules{Control: policy.Quorum, Stages: []release.Stage{{Share: 1, Cap: 1}}, ToMoveOn: 1,
+			ToAbort: 1, VoteLife: 5 * policy.Second}}}, controller.ServerConfig{Listen: "127.0.0.1:0"}, slog.New(slog.DiscardHandler))
 	require.NoError(t, err)
 	t.Cleanup(func() { _ = r.desk.Stop() })
 	for _, h := range hosts {
-		r.list(h, logic.Serving)
+		r.list(h, policy.Serving)
 	}
-	s := sheet.Parse("rig", fmt.Sprintf(rules, filepath.Join(t.TempDir(), "list"), r.register.Address(), r.desk.URL(), extra))
-	r.charter = charter.From(s)
+	s := inifile.Parse("rig", fmt.Sprintf(rules, filepath.Join(t.TempDir(), "list"), r.register.Address(), r.desk.URL(), extra))
+	r.charter = routerconfig.From(s)
 	require.NoError(t, s.Done())
 	r.start()
 	t.Cleanup(func() {
@@ -161,8 +161,8 @@
 	return r
 }
 
-func (r *rig) list(h *scripted, s logic.EndpointState) {
-	r.register.Set(stand.Entry{Host: h.entry, Standing: s})
+func (r *rig) list(h *scripted, s policy.EndpointState) {
+	r.register.Set(testbed.Entry{Host: h.entry, Standing: s})
 }
 
 // start starts the router and waits until it knows its hosts and has heard the desk.
--- a/internal/instance/settle_test.go
+++ b/internal/proxy/settle_test.go
@@ -1,4 +1,4 @@
-package instance
+package proxy
 
 import (
 	"fmt"
@@ -12,18 +12,18 @@
 
 	"github.com/stretchr/testify/require"
 
-	"dapplefront/internal/charter"
-	"dapplefront/internal/sheet"
-	"dapplefront/logic"
+	"dapplefront/internal/inifile"
+	"dapplefront/internal/routerconfig"
+	"dapplefront/policy"
 	"dapplefront/router"
 )
 
 // other is the rig's charter with changes to its text.
-func (r *rig) other(extra string, change ...string) *charter.Config {
+func (r *rig) other(extra string, change ...string) *routerconfig.Config {
 	text := fmt.Sprintf(rules, r.charter.LastList, r.register.Address(), r.desk.URL(), extra)
 	text = strings.NewReplacer(change...).Replace(text)
-	s := sheet.Parse("other", text)
-	c := charter.From(s)
+	s := inifile.Parse("other", text)
+	c := routerconfig.From(s)
 	require.NoError(r, s.Done())
 	return c
 }
@@ -128,7 +128,7 @@
 	require.NoError(t, r.router.Settle(r.other("[probes]\npath = /probe\n[peers]\naddresses = "+own+", "+peer.LocalAddr().String(),
 		"name = r\n", "name = r\nrouters = 2\n")))
 	r.router.loop.Do(func() {
-		r.router.act([]router.Action{{Do: router.CheckHealth, Host: 1}, {Do: router.Gossip, Peer: logic.Broadcast, Body: "word"}})
+		r.router.act([]router.Action{{Do: router.CheckHealth, Host: 1}, {Do: router.Gossip, Peer: policy.Broadcast, Body: "word"}})
 	})
 	require.Equal(t, "/probe", <-probed)
 	b := make([]byte, 300)
@@ -150,14 +150,14 @@
 }
 
 func TestMistakesInTheNewSectionsAreNamed(t *testing.T) {
-	s := sheet.Parse("f", fmt.Sprintf(rules, "l", "127.0.0.1:1", "http://127.0.0.1:2", `
+	s := inifile.Parse("f", fmt.Sprintf(rules, "l", "127.0.0.1:1", "http://127.0.0.1:2", `
 [probes]
 path = probe
 [peers]
 addresses = here:1, 127.0.0.1:5
 most = 9
 `))
-	charter.From(s)
+	routerconfig.From(s)
 	err := s.Done()
 	for _, what := range []string{"path = probe", "one for each of the 1 routers", "here:1", "most = 9", "f:"} {
 		require.ErrorContains(t, err, what)
--- a/internal/charter/charter.go
+++ b/internal/routerconfig/charter.go
@@ -1,6 +1,6 @@
-// Package charter is all that a router process is told at start: who it is, whom it serves, what the rules' figures
+// Package routerconfig is all that a router process is told at start: who it is, whom it serves, what the rules' figures
 // are. It is read from an INI file and checked as a whole.
-package charter
+package routerconfig
 
 import (
 	"errors"
@@ -11,14 +11,14 @@
 	"strings"
 	"time"
 
-	"dapplefront/internal/back"
-	"dapplefront/internal/front"
+	"dapplefront/internal/certs"
+	"dapplefront/internal/downstream"
+	"dapplefront/internal/eventloop"
+	"dapplefront/internal/gossip"
 	"dapplefront/internal/http1"
-	"dapplefront/internal/keys"
-	"dapplefront/internal/loop"
-	"dapplefront/internal/peers"
-	"dapplefront/internal/sheet"
-	"dapplefront/logic"
+	"dapplefront/internal/inifile"
+	"dapplefront/internal/upstream"
+	"dapplefront/policy"
 	"dapplefront/record"
 	"dapplefront/router"
 )
@@ -31,12 +31,12 @@
 	Drain    time.Duration // how long tasks held may take after a signal to end
 	Held     int           // bytes of bodies, in all
 	Place    router.Config
-	Welcome  front.Config
-	Reach    back.Config
+	Welcome  downstream.Config
+	Reach    upstream.Config
 	Register Register
 	Desk     Desk
-	Records  *record.Shelf // nil for none
-	Peers    *peers.Config // nil for none
+	Records  *record.Shelf  // nil for none
+	Peers    *gossip.Config // nil for none
 	Probe    Probe
 }
 
@@ -56,19 +56,19 @@
 // Desk is where the release desk is.
 type Desk struct {
 	URLs []string      // of the release controllers
-	Keys keys.Files    // towards them; empty for plain HTTP
+	Keys certs.Files   // towards them; empty for plain HTTP
 	Over time.Duration // the span of its counts
 }
 
 // Read reads a router's charter from a file.
 func Read(file string) (*Config, error) {
-	s := sheet.Read(file)
+	s := inifile.Read(file)
 	c := From(s)
 	return c, s.Done()
 }
 
 // From reads a router's charter; mistakes are kept by the sheet.
-func From(s *sheet.File) *Config {
+func From(s *inifile.File) *Config {
 	c := &Config{}
 	p := s.Part("router")
 	c.Name, c.Listen, c.LastList = p.Text("name", "!"), p.Address("listen", "127.0.0.1:8080"), p.Text("last-list", "")
@@ -83,7 +83,7 @@
 	}
 	p = s.Part("clients")
 	c.Held = p.Bytes("held", "256MiB")
-	c.Welcome = front.Config{Name: c.Name, Slow: p.Span("slow", "10s"), Idle: p.Span("idle", "60s"),
+	c.Welcome = downstream.Config{Name: c.Name, Slow: p.Span("slow", "10s"), Idle: p.Span("idle", "60s"),
 		Links: p.Whole("links", "20000", 1, 1<<20), AtOnce: p.Whole("at-once", "16", 1, 1024),
 		Bounds: http1.Bounds{Head: p.Bytes("largest-head", "16KiB"), Body: p.Bytes("largest-body", "1MiB")}}
 	if c.Held < 2*c.Welcome.Bounds.Body {
@@ -92,7 +92,7 @@
 	most := p.Whole("open", "20000", 1, 1<<24)
 
 	p = s.Part("hosts")
-	c.Reach = back.Config{Connect: p.Span("connect", "250ms"), Idle: p.Span("idle", "15s"),
+	c.Reach = upstream.Config{Connect: p.Span("connect", "250ms"), Idle: p.Span("idle", "15s"),
 		Links:  p.Whole("links", "250", 1, 65_000),
 		Bounds: http1.Bounds{Head: p.Bytes("largest-head", "16KiB"), Body: p.Bytes("largest-answer", "1MiB")}}
 
@@ -103,11 +103,11 @@
 	pushed := p.Switch("pushed", "off")
 
 	p = s.Part("rules")
-	c.Place.Limits = logic.Limits{DrainGrace: loop.FromDuration(p.Span("grace", "2s")), WarmUp: loop.FromDuration(p.Span("cold", "5s")),
+	c.Place.Limits = policy.Limits{DrainGrace: eventloop.FromDuration(p.Span("grace", "2s")), WarmUp: eventloop.FromDuration(p.Span("cold", "5s")),
 		ColdCapacity: p.Share("cold-share", "33%"), ColdOverloadFactor: p.Number("tip", "3", 1, 100),
-		ColdOverloadWindow: loop.FromDuration(p.Span("tip-for", "2s")), PollInterval: loop.FromDuration(askWithin),
+		ColdOverloadWindow: eventloop.FromDuration(p.Span("tip-for", "2s")), PollInterval: eventloop.FromDuration(askWithin),
 		MaxAttempts: p.Whole("most-sends", "4", 1, 16), MaxOpen: most, AllowHedging: p.Switch("two-at-once", "on"),
-		MaxRetryAfter: loop.FromDuration(p.Span("longest-stay", "2s")),
+		MaxRetryAfter: eventloop.FromDuration(p.Span("longest-stay", "2s")),
 		CrossPrice:    p.Number("cross-price", "0.02", 0, 1), WastePrice: p.Number("waste-price", "0.03", 0, 1),
 		OverShare: p.Share("over-share", "10%")}
 
@@ -123,7 +123,7 @@
 		}
 	}
 	if p = s.Part("peers"); p.Has() {
-		c.Peers = &peers.Config{Rank: c.Place.Rank, Most: p.Whole("most", "256", 32, 1200), Addresses: p.List("addresses", "!")}
+		c.Peers = &gossip.Config{Rank: c.Place.Rank, Most: p.Whole("most", "256", 32, 1200), Addresses: p.List("addresses", "!")}
 		c.Place.Limits.MaxGossipBytes = c.Peers.Most
 		if n := len(c.Peers.Addresses); n != c.Place.Routers {
 			p.Wrong("addresses", "addresses: one for each of the %d routers expected, by rank; there are %d", c.Place.Routers, n)
@@ -146,25 +146,25 @@
 	return c
 }
 
-func (c *Config) desk(p sheet.Section) {
+func (c *Config) desk(p inifile.Section) {
 	c.Desk.URLs = p.List("url", "!")
 	for _, u := range c.Desk.URLs {
 		if !strings.HasPrefix(u, "http://") && !strings.HasPrefix(u, "https://") {
 			p.Wrong("url", "url = %s: http://HOST:PORT expected, with commas between several", u)
 		}
 	}
-	c.Desk.Keys = keys.Files{Certificate: p.Text("certificate", ""), Key: p.Text("key", ""), Authority: p.Text("authority", "")}
+	c.Desk.Keys = certs.Files{Certificate: p.Text("certificate", ""), Key: p.Text("key", ""), Authority: p.Text("authority", "")}
 	if k := c.Desk.Keys; (k.Certificate == "") != (k.Key == "") || (k.Key == "") != (k.Authority == "") {
 		p.Wrong("certificate", "certificate, key and authority: all three expected, or none")
 	}
-	d := logic.ReleaseConfig{
-		Mode: map[string]logic.PromotionMode{"share": logic.Quorum, "clock": logic.Timed}[p.OneOf("control",
+	d := policy.ReleaseConfig{
+		Mode: map[string]policy.PromotionMode{"share": policy.Quorum, "clock": policy.Timed}[p.OneOf("control",
 			"share", "share", "any", "clock")],
 		ExposureCaps: p.Shares("caps", "4%, 15%, 50%, 100%"),
-		MinStageTime: loop.FromDuration(p.Span("least-time", "2s")), StageTime: loop.FromDuration(p.Span("clock-time", "10s")),
+		MinStageTime: eventloop.FromDuration(p.Span("least-time", "2s")), StageTime: eventloop.FromDuration(p.Span("clock-time", "10s")),
 		PromoteQuorum: p.Whole("to-move-on", "1", 1, 100_000), RollbackQuorum: p.Whole("to-abort", "1", 1, 100_000),
-		VoteTTL: loop.FromDuration(p.Span("vote-life", "10s")), VoteTimeout: loop.FromDuration(p.Span("vote-timeout", "2s")),
-		MaxVotesPerSecond: p.Number("votes-a-second", "30", 0.1, 1e6), ExposureWindow: loop.FromDuration(p.Span("window", "4s")),
+		VoteTTL: eventloop.FromDuration(p.Span("vote-life", "10s")), VoteTimeout: eventloop.FromDuration(p.Span("vote-timeout", "2s")),
+		MaxVotesPerSecond: p.Number("votes-a-second", "30", 0.1, 1e6), ExposureWindow: eventloop.FromDuration(p.Span("window", "4s")),
 		ExposureAllowance: p.Number("free", "2", 0, 1e6), ExposurePerClass: p.Switch("by-category", "off"),
 		GuardedStages: p.Whole("guarded-stages", "1", 0, 100), StickyKeys: p.Switch("keys-stay", "off"),
 		DelayPrice: p.Number("delay-price", "0.35", 0, 100), HarmPrice: p.Number("harm-price", "5", 0, 100),
@@ -176,24 +176,24 @@
 	c.Place.Desk = d
 }
 
-func (c *Config) kinds(s *sheet.File) {
+func (c *Config) kinds(s *inifile.File) {
 	parts, names := s.Parts("category")
 	for i, p := range parts {
 		repeat := p.OneOf("repeat", "!", "retriable", "fingerprinted", "binding")
-		k := router.Class{Name: names[i], Promised: loop.FromDuration(p.Span("promised", "!")),
+		k := router.Class{Name: names[i], Promised: eventloop.FromDuration(p.Span("promised", "!")),
 			Earnings: p.Number("earnings", "1", 0, 1e9), LateShare: p.Share("late-share", "0%"),
-			Repeat: map[string]logic.Idempotency{"fingerprinted": logic.IdempotentWithKey, "binding": logic.NonIdempotent}[repeat],
-			Group: map[string]logic.DedupScope{"location": logic.ZoneScope, "cell": logic.CellScope}[p.OneOf("group",
+			Repeat: map[string]policy.Idempotency{"fingerprinted": policy.IdempotentWithKey, "binding": policy.NonIdempotent}[repeat],
+			Group: map[string]policy.DedupScope{"location": policy.ZoneScope, "cell": policy.CellScope}[p.OneOf("group",
 				"everywhere", "everywhere", "location", "cell")]}
 		if repeat == "fingerprinted" {
-			k.Memory = loop.FromDuration(p.Span("memory", "!"))
+			k.Memory = eventloop.FromDuration(p.Span("memory", "!"))
 		}
-		patience := loop.FromDuration(p.Span("patience", "!"))
+		patience := eventloop.FromDuration(p.Span("patience", "!"))
 		if patience < k.Promised {
 			p.Wrong("patience", "patience: at least the promised time expected")
 		}
 		c.Place.Categories = append(c.Place.Categories, k)
-		c.Welcome.Classes = append(c.Welcome.Classes, front.Class{Name: names[i], Paths: p.List("paths", ""),
+		c.Welcome.Classes = append(c.Welcome.Classes, downstream.Class{Name: names[i], Paths: p.List("paths", ""),
 			Patience: patience, Marked: repeat == "fingerprinted"})
 	}
 	if len(parts) == 0 {
@@ -204,7 +204,7 @@
 		c.Place.Customers = append(c.Place.Customers, router.Tenant{Name: names[i],
 			PerSecond: p.Number("per-second", "!", 0.001, 1e9)})
 		for _, n := range p.Networks("networks", "") {
-			c.Welcome.Networks = append(c.Welcome.Networks, front.Network{Prefix: n, Customer: names[i]})
+			c.Welcome.Networks = append(c.Welcome.Networks, downstream.Network{Prefix: n, Customer: names[i]})
 		}
 	}
 }
--- a/internal/day/agents.go
+++ b/internal/scenario/agents.go
@@ -1,4 +1,4 @@
-package day
+package scenario
 
 import (
 	"crypto/rand"
@@ -20,9 +20,9 @@
 	"dapplefront/build"
 	"dapplefront/internal/agentd"
 	"dapplefront/internal/api"
-	"dapplefront/internal/depot"
-	"dapplefront/internal/stand"
-	"dapplefront/logic"
+	"dapplefront/internal/artifact"
+	"dapplefront/internal/testbed"
+	"dapplefront/policy"
 	"dapplefront/release"
 )
 
@@ -32,10 +32,10 @@
 	stage    *stage
 	log      *slog.Logger
 	ledger   *ledger
-	mirror   *stand.Mirror
-	nest     *stand.Nest
+	mirror   *testbed.Mirror
+	nest     *testbed.Nest
 	keys     []minisign.PrivateKey
-	places   []stand.Machine
+	places   []testbed.Machine
 	agents   []*agentd.Agent
 	names    []string
 	listings chan listing
@@ -44,7 +44,7 @@
 	digests map[int]string // by build
 	numbers map[string]int // by digest
 	ids     map[string]uint32
-	hosts   map[uint32]*stand.Host
+	hosts   map[uint32]*testbed.Host
 	has     []map[int]bool        // by place, the builds that were ordered there
 	retired map[int]time.Duration // when a build's taking off was ordered
 }
@@ -90,21 +90,21 @@
 // listing is what the register is to show, and when.
 type listing struct {
 	due   time.Time
-	entry stand.Entry
+	entry testbed.Entry
 }
 
 const patient = 30 * time.Second // for an agent to carry out an order; it reports failures much sooner
 
 func newCrew(s *stage) (*crew, error) {
 	c := &crew{stage: s, log: s.log, digests: map[int]string{}, numbers: map[string]int{}, ids: map[string]uint32{},
-		hosts: map[uint32]*stand.Host{}, retired: map[int]time.Duration{}, listings: make(chan listing, 4096),
+		hosts: map[uint32]*testbed.Host{}, retired: map[int]time.Duration{}, listings: make(chan listing, 4096),
 		places: places(s.plan, s.figures, mathrand.New(mathrand.NewPCG(s.plan.Seed, 3)))}
 	var err error
 	c.ledger = newLedger(s.desk, c.heard)
-	if c.mirror, err = stand.StartMirror(); err != nil {
+	if c.mirror, err = testbed.StartMirror(); err != nil {
 		return c, err
 	}
-	if c.nest, err = stand.StartNest(s.book, &stand.Marks{}, s.desk.Count, c.id); err != nil {
+	if c.nest, err = testbed.StartNest(s.book, &testbed.Marks{}, s.desk.Count, c.id); err != nil {
 		return c, err
 	}
 	s.desk.SetFleet(c)
@@ -123,7 +123,7 @@
 		ring.Keys = append(ring.Keys, build.Key{Name: name, Public: string(text), From: time.Now().Add(-time.Hour),
 			To: time.Now().Add(24 * time.Hour)})
 	}
-	if err := c.pack(stand.Build{Number: 1}, "good"); err != nil {
+	if err := c.pack(testbed.Build{Number: 1}, "good"); err != nil {
 		return c, err
 	}
 	for i := range c.places { // known before the first agent reports
@@ -140,9 +140,9 @@
 			return c, err
 		}
 		a, err := agentd.Start(agentd.Post{Name: name, Secure: secure, Dir: filepath.Join(s.dir, name), Controller: s.desk.URL(),
-			Source: depot.Source{Mirrors: []string{c.mirror.URL()}, Tries: 3, Pause: 50 * time.Millisecond, Silence: 2 * time.Second},
+			Source: artifact.Source{Mirrors: []string{c.mirror.URL()}, Tries: 3, Pause: 50 * time.Millisecond, Silence: 2 * time.Second},
 			Disk:   64 << 20, Log: 64 << 10, Ring: ring, Cold: s.figures.cold, Drain: s.figures.drains,
-			Env:   []string{stand.PlaceVariable + "=" + string(place)},
+			Env:   []string{testbed.PlaceVariable + "=" + string(place)},
 			Rules: agent.Rules{Crashes: 3, Pause: 200 * time.Millisecond, Longest: 2 * time.Second, Steady: 10 * time.Second}}, c.log)
 		if err != nil {
 			return c, err
@@ -159,18 +159,18 @@
 }
 
 // pack makes a stand-in build, signs it as its kind allows, and puts it on the mirror.
-func (c *crew) pack(b stand.Build, kind string) error {
+func (c *crew) pack(b testbed.Build, kind string) error {
 	folder, err := os.MkdirTemp(c.stage.dir, "build-")
 	if err != nil {
 		return err
 	}
-	if err := stand.PackFolder(folder, b, kindsOf(), c.nest.Address()); err != nil {
+	if err := testbed.PackFolder(folder, b, kindsOf(), c.nest.Address()); err != nil {
 		return err
 	}
 	m := &build.Manifest{Format: 1, Name: "stand-in", Group: "day", Version: b.Number, Start: []string{"run.sh"}}
 	m.Ready.Path, m.Ready.Within, m.Drain.Within = "/ready", build.Span(10*time.Second), build.Span(2*time.Second)
 	out := filepath.Join(c.stage.dir, "mirror")
-	digest, err := depot.Pack(folder, out, m)
+	digest, err := artifact.Pack(folder, out, m)
 	if err != nil {
 		return err
 	}
@@ -219,13 +219,13 @@
 		if h == nil {
 			m := c.place(name)
 			m.ID = id
-			h = stand.Elsewhere(r.Address, m, c.numbers[r.Digest])
+			h = testbed.Elsewhere(r.Address, m, c.numbers[r.Digest])
 			h.Up = time.UnixMilli(r.UpMs)
 			c.hosts[id] = h
 		}
 		c.mu.Unlock()
-		standing := map[string]logic.EndpointState{string(agent.Drains): logic.Draining, string(agent.Unlisted): logic.Removed}[r.Listing]
-		c.listings <- listing{time.Now().Add(c.stage.figures.listLate), stand.Entry{Host: h, Standing: standing}}
+		standing := map[string]policy.EndpointState{string(agent.Drains): policy.Draining, string(agent.Unlisted): policy.Removed}[r.Listing]
+		c.listings <- listing{time.Now().Add(c.stage.figures.listLate), testbed.Entry{Host: h, Standing: standing}}
 	}
 	if r.To == string(agent.Failed) {
 		c.mu.Lock()
@@ -238,13 +238,13 @@
 	}
 }
 
-func (c *crew) place(name string) stand.Machine {
+func (c *crew) place(name string) testbed.Machine {
 	for i, n := range c.names {
 		if n == name {
 			return c.places[i]
 		}
 	}
-	return stand.Machine{} // no agent of ours
+	return testbed.Machine{} // no agent of ours
 }
 
 // show lets the register follow, as late as it does.
@@ -338,7 +338,7 @@
 	digest, o := c.digests[number], api.Order{Digest: c.digests[n.Build], Build: n.Build, Goal: "release"}
 	if n.Build == number {
 		o = api.Order{Digest: digest, Build: number, Goal: "take-back", To: c.digests[earlier], ToNum: earlier}
-	} else if n.Phase != logic.Released { // overtaken on trial
+	} else if n.Phase != policy.Released { // overtaken on trial
 		o = api.Order{Digest: digest, Build: number, Goal: "take-back"}
 	}
 	c.retired[number] = c.stage.book.Now()
--- a/internal/day/breach.go
+++ b/internal/scenario/breach.go
@@ -1,12 +1,12 @@
-package day
+package scenario
 
 import (
 	"fmt"
 	"sync/atomic"
 
-	"dapplefront/internal/instance"
-	"dapplefront/internal/register"
-	"dapplefront/logic"
+	"dapplefront/internal/eds"
+	"dapplefront/internal/proxy"
+	"dapplefront/policy"
 	"dapplefront/router"
 )
 
@@ -16,21 +16,21 @@
 // wrong is a router built wrong: it bends what the right one does. The audit must find it out.
 type wrong struct {
 	how     string
-	cold    logic.Time
-	grace   logic.Time
+	cold    policy.Time
+	grace   policy.Time
 	seen    atomic.Int64
 	binding map[string]bool
-	told    map[uint32]logic.Time // when a host was first told to drain
-	news    logic.ReleaseStatus
+	told    map[uint32]policy.Time // when a host was first told to drain
+	news    policy.ReleaseStatus
 }
 
-func newWrong(how string, f figures) (instance.FaultInjector, error) {
+func newWrong(how string, f figures) (proxy.FaultInjector, error) {
 	switch how {
 	case "":
 		return nil, nil
 	case "answer", "effect", "drain", "cold", "exposure":
-		return &wrong{how: how, cold: logic.Time(f.cold.Microseconds() / 100), grace: logic.Time(f.grace.Microseconds() / 100),
-			binding: map[string]bool{}, told: map[uint32]logic.Time{}}, nil
+		return &wrong{how: how, cold: policy.Time(f.cold.Microseconds() / 100), grace: policy.Time(f.grace.Microseconds() / 100),
+			binding: map[string]bool{}, told: map[uint32]policy.Time{}}, nil
 	}
 	return nil, fmt.Errorf("no breach is called %q; answer, effect, drain, cold or exposure expected", how)
 }
@@ -39,12 +39,12 @@
 func (w *wrong) Silent(string) bool { return w.how == "answer" && w.seen.Add(1)%40 == 0 }
 
 // Actions sends where nothing may go.
-func (w *wrong) Actions(now logic.Time, e router.Event, actions []router.Action, hosts map[uint32]register.Host) []router.Action {
-	if t, ok := e.(router.ReleaseChanged); ok && t.News.Build > 0 && (t.News.VoteResult == logic.Unsolicited || t.News.VoteResult == logic.VoteAccepted) {
+func (w *wrong) Actions(now policy.Time, e router.Event, actions []router.Action, hosts map[uint32]eds.Host) []router.Action {
+	if t, ok := e.(router.ReleaseChanged); ok && t.News.Build > 0 && (t.News.VoteResult == policy.Unsolicited || t.News.VoteResult == policy.VoteAccepted) {
 		w.news = t.News
 	}
 	for id, h := range hosts {
-		if h.Standing == logic.Draining && w.told[id] == 0 {
+		if h.Standing == policy.Draining && w.told[id] == 0 {
 			w.told[id] = now
 		}
 	}
@@ -71,18 +71,18 @@
 }
 
 // target is the host that a wrong router likes most, if there is one now.
-func (w *wrong) target(now logic.Time, hosts map[uint32]register.Host) (to uint32, ok bool) {
+func (w *wrong) target(now policy.Time, hosts map[uint32]eds.Host) (to uint32, ok bool) {
 	for id, h := range hosts {
 		fits := false
 		switch w.how {
 		case "effect":
-			fits = h.Standing == logic.Serving
+			fits = h.Standing == policy.Serving
 		case "drain":
-			fits = h.Standing == logic.Draining && now-w.told[id] > w.grace
+			fits = h.Standing == policy.Draining && now-w.told[id] > w.grace
 		case "cold":
-			fits = h.Standing == logic.Serving && h.Up > 0 && now-h.Up < w.cold
+			fits = h.Standing == policy.Serving && h.Up > 0 && now-h.Up < w.cold
 		case "exposure":
-			fits = h.Standing == logic.Serving && h.Build == w.news.Build && w.news.Phase == logic.Canary
+			fits = h.Standing == policy.Serving && h.Build == w.news.Build && w.news.Phase == policy.Canary
 		}
 		if fits && (!ok || id > to) {
 			to, ok = id, true
--- a/internal/day/controllers.go
+++ b/internal/scenario/controllers.go
@@ -1,4 +1,4 @@
-package day
+package scenario
 
 import (
 	"context"
@@ -18,8 +18,8 @@
 	"dapplefront/internal/api"
 	"dapplefront/internal/audit"
 	"dapplefront/internal/controller"
-	"dapplefront/logic"
 	"dapplefront/plan"
+	"dapplefront/policy"
 	"dapplefront/release"
 )
 
@@ -34,7 +34,7 @@
 	At    time.Duration
 	Build int
 	Stage int
-	Phase logic.Phase
+	Phase policy.Phase
 }
 
 // controllers are the day's release controllers: one, three or five instances of the real one, on loopback.
@@ -90,7 +90,7 @@
 	}
 	for i := range n {
 		o := &office{seat: controller.NodeConfig{Name: fmt.Sprintf("c%d", i+1), Dir: filepath.Join(dir, fmt.Sprintf("c%d", i+1)), Listen: "127.0.0.1:0",
-			First: i == 0, Quick: true, Build: 1, Figures: control.Config{Rules: rules, Absent: 10 * logic.Second}},
+			First: i == 0, Quick: true, Build: 1, Figures: control.Config{Rules: rules, Absent: 10 * policy.Second}},
 			front: controller.ServerConfig{Listen: "127.0.0.1:0", VotesASecond: 30, Fault: c.fault, Told: c.told}}
 		if secure != nil {
 			ring, err := secure.ring(o.seat.Name)
@@ -208,7 +208,7 @@
 }
 
 func (c *controllers) told(router string, n api.Release) {
-	c.book.Told(router, audit.News{Build: n.Build, Stage: n.Stage, Released: n.Phase == api.Phases[logic.Released], Cap: n.Cap})
+	c.book.Told(router, audit.News{Build: n.Build, Stage: n.Stage, Released: n.Phase == api.Phases[policy.Released], Cap: n.Cap})
 }
 
 // hear is the fleet's watch: orders are carried out, and moves are noted.
@@ -248,14 +248,14 @@
 }
 
 // moved notes a move, once; every stage costs one instance, two of them the one that leads.
-func (c *controllers) moved(n logic.ReleaseStatus) {
+func (c *controllers) moved(n policy.ReleaseStatus) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if k := len(c.moves); n.Build == 1 || k > 0 && c.moves[k-1].Build == n.Build && c.moves[k-1].Stage == n.Stage && c.moves[k-1].Phase == n.Phase {
 		return
 	}
 	c.moves = append(c.moves, Move{At: c.book.Now(), Build: n.Build, Stage: n.Stage, Phase: n.Phase})
-	if n.Phase == logic.Canary {
+	if n.Phase == policy.Canary {
 		lead := n.Stage == 1 || n.Stage == 2
 		c.done.Add(1)
 		go func() { defer c.done.Done(); c.kill(lead) }()
@@ -344,7 +344,7 @@
 		o.mu.Lock()
 		n := o.node
 		if n != nil {
-			n.Read(func(s *control.State, _ logic.Time) { f(s) })
+			n.Read(func(s *control.State, _ policy.Time) { f(s) })
 		}
 		o.mu.Unlock()
 		if n != nil {
