--- a/internal/day/day.go
+++ b/internal/scenario/day.go
@@ -1,4 +1,4 @@
-package day
+package scenario
 
 import (
 	"context"
@@ -15,10 +15,10 @@
 
 	"dapplefront/internal/api"
 	"dapplefront/internal/audit"
-	"dapplefront/internal/charter"
-	"dapplefront/internal/instance"
-	"dapplefront/internal/stand"
-	"dapplefront/logic"
+	"dapplefront/internal/proxy"
+	"dapplefront/internal/routerconfig"
+	"dapplefront/internal/testbed"
+	"dapplefront/policy"
 	"dapplefront/release"
 )
 
@@ -57,12 +57,12 @@
 	return f
 }
 
-var wishes = []stand.Wish{
-	{Kind: stand.Kind{Name: "quote", Work: 30 * time.Millisecond, Repeat: logic.Idempotent}, Path: "/quote", Share: .6,
+var wishes = []testbed.Wish{
+	{Kind: testbed.Kind{Name: "quote", Work: 30 * time.Millisecond, Repeat: policy.Idempotent}, Path: "/quote", Share: .6,
 		Promised: 400 * time.Millisecond, Patience: 1500 * time.Millisecond},
-	{Kind: stand.Kind{Name: "order", Work: 40 * time.Millisecond, Repeat: logic.IdempotentWithKey, Memory: 10 * time.Second},
+	{Kind: testbed.Kind{Name: "order", Work: 40 * time.Millisecond, Repeat: policy.IdempotentWithKey, Memory: 10 * time.Second},
 		Path: "/order", Share: .23, Promised: 500 * time.Millisecond, Patience: 2 * time.Second},
-	{Kind: stand.Kind{Name: "transfer", Work: 25 * time.Millisecond, Repeat: logic.NonIdempotent}, Path: "/transfer", Share: .17,
+	{Kind: testbed.Kind{Name: "transfer", Work: 25 * time.Millisecond, Repeat: policy.NonIdempotent}, Path: "/transfer", Share: .17,
 		Promised: 300 * time.Millisecond, Patience: time.Second},
 }
 
@@ -72,10 +72,10 @@
 type Result struct {
 	Plan     Plan
 	Verdicts []audit.Verdict
-	Scores   map[string]stand.Score
+	Scores   map[string]testbed.Score
 	Times    map[string][]time.Duration
 	Moves    []Move
-	Counts   map[string]instance.Counts // by router, of its last life
+	Counts   map[string]proxy.Counts // by router, of its last life
 	Took     time.Duration
 	Agents   *AgentTimes // nil without agents
 	Stages   []StageScore
@@ -89,8 +89,8 @@
 // StageScore is what became of the tasks that were asked while a release stood at one point, second by second.
 type StageScore struct {
 	Build, Stage int
-	Phase        logic.Phase
-	stand.Score
+	Phase        policy.Phase
+	testbed.Score
 }
 
 // Kept is how many rules were surely kept, and the first that was not.
@@ -112,12 +112,12 @@
 	log      *slog.Logger
 	dir      string
 	book     *audit.Book
-	register *stand.Register
+	register *testbed.Register
 	desk     *controllers
 	trust    *trust // nil without TLS
 	fleet    *fleet // hosts inside this process, or
 	crew     *crew  // hosts under agents
-	clients  *stand.Clients
+	clients  *testbed.Clients
 	routers  []*seat
 	rand     *rand.Rand
 	wait     sync.WaitGroup
@@ -133,7 +133,7 @@
 	address string
 
 	mu       sync.Mutex
-	instance *instance.Proxy
+	instance *proxy.Proxy
 }
 
 // Play plays a day. It writes a line a second to progress, which may be nil.
@@ -161,7 +161,7 @@
 	go func() { s.clients.Run(ctx); close(playing) }()
 	s.watch(playing, began, progress)
 	s.wait.Wait()
-	r := &Result{Plan: p, Moves: s.desk.Moves(), Counts: map[string]instance.Counts{}, Took: time.Since(began)}
+	r := &Result{Plan: p, Moves: s.desk.Moves(), Counts: map[string]proxy.Counts{}, Took: time.Since(began)}
 	r.Scores, r.Times = s.clients.Scores()
 	r.Stages = s.stages
 	r.Planned = planned
@@ -208,14 +208,14 @@
 
 func (s *stage) build() (err error) {
 	p, f := s.plan, s.figures
-	if s.register, err = stand.StartRegister("127.0.0.1:0", "day", s.book); err != nil {
+	if s.register, err = testbed.StartRegister("127.0.0.1:0", "day", s.book); err != nil {
 		return err
 	}
 	var stages []release.Stage
 	for i, c := range f.caps {
 		stages = append(stages, release.Stage{Share: f.shares[i], Cap: c})
 	}
-	rules := release.Rules{Control: logic.Quorum, Stages: stages, LeastTime: logic.Second, VoteLife: 8 * logic.Second,
+	rules := release.Rules{Control: policy.Quorum, Stages: stages, LeastTime: policy.Second, VoteLife: 8 * policy.Second,
 		ToMoveOn: max(1, p.Routers/2), ToAbort: 1}
 	if p.Secure {
 		if s.trust, err = newTrust(s.dir); err != nil {
@@ -233,7 +233,7 @@
 	if err != nil {
 		return err
 	}
-	var doors []stand.Door
+	var doors []testbed.Door
 	for i := range p.Routers {
 		x, err := s.seat(i)
 		if err != nil {
@@ -243,21 +243,21 @@
 		if err := s.open(x); err != nil {
 			return err
 		}
-		doors = append(doors, stand.Door{Name: x.name, Address: x.address, Rate: p.Rate})
+		doors = append(doors, testbed.Door{Name: x.name, Address: x.address, Rate: p.Rate})
 	}
 	time.Sleep(300 * time.Millisecond) // the list and the news are on their way
 	secure, err := s.trust.client("clients")
 	if err != nil {
 		return err
 	}
-	s.clients = stand.NewClients(wishes, doors, stand.Habits{Rush: 1, Repeats: 2, Wait: 100 * time.Millisecond, Heed: true,
+	s.clients = testbed.NewClients(wishes, doors, testbed.Habits{Rush: 1, Repeats: 2, Wait: 100 * time.Millisecond, Heed: true,
 		Leaves: .003, Complain: .3}, s.book, strings.Split(s.desk.URL(), ", ")[0], secure, p.Seed)
 	return nil
 }
 
 // people starts all hosts inside this process.
 func (s *stage) people() error {
-	world := stand.World{Book: s.book, Kinds: kindsOf(), Marks: &stand.Marks{}}
+	world := testbed.World{Book: s.book, Kinds: kindsOf(), Marks: &testbed.Marks{}}
 	s.fleet = newFleet(s.plan, s.figures, world, s.register)
 	s.fleet.desk = s.desk
 	s.desk.SetFleet(s.fleet)
@@ -269,12 +269,12 @@
 		}
 		all = append(all, h)
 	}
-	s.fleet.list(logic.Serving, all...)
+	s.fleet.list(policy.Serving, all...)
 	return nil
 }
 
-func kindsOf() map[string]stand.Kind {
-	kinds := map[string]stand.Kind{}
+func kindsOf() map[string]testbed.Kind {
+	kinds := map[string]testbed.Kind{}
 	for _, w := range wishes {
 		kinds[w.Name] = w.Kind
 	}
@@ -322,7 +322,7 @@
 		repeat := []string{"retriable", "fingerprinted", "binding"}[w.Repeat]
 		fmt.Fprintf(&b, "[category %s]\nrepeat = %s\npaths = %s\npromised = %s\npatience = %s\n", w.Name, repeat, w.Path,
 			w.Promised, w.Patience)
-		if w.Repeat == logic.IdempotentWithKey {
+		if w.Repeat == policy.IdempotentWithKey {
 			fmt.Fprintf(&b, "memory = %s\n", w.Memory)
 		}
 	}
@@ -334,7 +334,7 @@
 
 // open starts the router of a seat.
 func (s *stage) open(x *seat) error {
-	c, err := charter.Read(x.file)
+	c, err := routerconfig.Read(x.file)
 	if err != nil {
 		return err
 	}
@@ -343,7 +343,7 @@
 		return err
 	}
 	s.book.RouterUp(x.name)
-	i, err := instance.Start(c, s.log, bend)
+	i, err := proxy.Start(c, s.log, bend)
 	if err != nil {
 		return err
 	}
@@ -391,7 +391,7 @@
 }
 
 // count adds a second's score to the stage that the release is in.
-func (s *stage) count(n release.Status, score stand.Score) {
+func (s *stage) count(n release.Status, score testbed.Score) {
 	for i := range s.stages {
 		if x := &s.stages[i]; x.Build == n.Build && x.Stage == n.Stage && x.Phase == n.Phase {
 			x.Score.Add(score)
--- a/internal/day/day_test.go
+++ b/internal/scenario/day_test.go
@@ -1,4 +1,4 @@
-package day
+package scenario
 
 import (
 	"bytes"
@@ -12,15 +12,15 @@
 
 	"github.com/stretchr/testify/require"
 
-	"dapplefront/internal/sheet"
-	"dapplefront/internal/stand"
-	"dapplefront/logic"
+	"dapplefront/internal/inifile"
+	"dapplefront/internal/testbed"
+	"dapplefront/policy"
 	"dapplefront/record"
 )
 
 // The test binary is also the hosts' process in days with agents.
 func TestMain(m *testing.M) {
-	stand.HostProcess()
+	testbed.HostProcess()
 	os.Exit(m.Run())
 }
 
@@ -64,7 +64,7 @@
 }
 
 func TestAScriptIsCheckedAsAWhole(t *testing.T) {
-	s := sheet.Parse("day.ini", "[day]\nlength = 2h\nhosts = 2\n[build 1]\nat = 5\n[trouble x]\nkind = rain\nat = 1s\nfor = 1s\n")
+	s := inifile.Parse("day.ini", "[day]\nlength = 2h\nhosts = 2\n[build 1]\nat = 5\n[trouble x]\nkind = rain\nat = 1s\nfor = 1s\n")
 	From(s)
 	err := s.Done()
 	for _, want := range []string{"day.ini:2: [day] length: from 1s to 1h", "day.ini:3: [day] each location needs", "day.ini:5: [build 1] at = 5",
@@ -84,13 +84,13 @@
 	r.Print(&out)
 	require.Equal(t, 0, r.Exit(), out.String())
 	require.NotEmpty(t, r.Agents.Phases["fetching"])
-	var phases []logic.Phase
+	var phases []policy.Phase
 	for _, m := range r.Moves {
 		if m.Build == 2 {
 			phases = append(phases, m.Phase)
 		}
 	}
-	require.Equal(t, []logic.Phase{logic.Canary, logic.RollingBack, logic.RolledBack}, phases, out.String())
+	require.Equal(t, []policy.Phase{policy.Canary, policy.RollingBack, policy.RolledBack}, phases, out.String())
 	_, took := r.Agents.Retired[2]
 	require.False(t, took, "no task reached it")
 }
--- a/internal/day/fleet.go
+++ b/internal/scenario/fleet.go
@@ -1,4 +1,4 @@
-package day
+package scenario
 
 import (
 	"math"
@@ -8,19 +8,19 @@
 	"sync/atomic"
 	"time"
 
-	"dapplefront/internal/stand"
-	"dapplefront/logic"
+	"dapplefront/internal/testbed"
+	"dapplefront/policy"
 	"dapplefront/release"
 )
 
 // fleet is all hosts: it starts, drains and replaces processes, and keeps the register told.
 type fleet struct {
-	world    stand.World
-	register *stand.Register
+	world    testbed.World
+	register *testbed.Register
 	desk     *controllers
 	figures  figures
-	places   []stand.Machine // one for each place, without an id
-	builds   map[int]stand.Build
+	places   []testbed.Machine // one for each place, without an id
+	builds   map[int]testbed.Build
 
 	mu     sync.Mutex
 	rand   *rand.Rand
@@ -34,13 +34,13 @@
 
 // member is a process at a place.
 type member struct {
-	*stand.Host
+	*testbed.Host
 	place   int
 	leaving bool
 }
 
-func newFleet(p Plan, f figures, w stand.World, register *stand.Register) *fleet {
-	fl := &fleet{register: register, figures: f, builds: map[int]stand.Build{1: {Number: 1}},
+func newFleet(p Plan, f figures, w testbed.World, register *testbed.Register) *fleet {
+	fl := &fleet{register: register, figures: f, builds: map[int]testbed.Build{1: {Number: 1}},
 		rand: rand.New(rand.NewPCG(p.Seed, 3))}
 	fl.places = places(p, f, fl.rand)
 	w.Slows = fl.slows
@@ -50,9 +50,9 @@
 }
 
 // places are the machines that a day's hosts run on, without their ids.
-func places(p Plan, f figures, r *rand.Rand) (all []stand.Machine) {
+func places(p Plan, f figures, r *rand.Rand) (all []testbed.Machine) {
 	for i := range p.Hosts {
-		all = append(all, stand.Machine{Location: f.locations[i%len(f.locations)], Cell: i % len(f.locations), Cores: 2,
+		all = append(all, testbed.Machine{Location: f.locations[i%len(f.locations)], Cell: i % len(f.locations), Cores: 2,
 			Speed: 0.85 + 0.3*r.Float64(), ColdShare: f.coldShare, Cold: f.cold, Tip: f.tip, TipFor: f.tipFor})
 	}
 	return all
@@ -96,7 +96,7 @@
 	if closed {
 		return nil, nil
 	}
-	h, err := stand.StartHost(m, b, cold, f.world)
+	h, err := testbed.StartHost(m, b, cold, f.world)
 	if err != nil {
 		return nil, err
 	}
@@ -107,10 +107,10 @@
 	return x, nil
 }
 
-func (f *fleet) list(standing logic.EndpointState, hosts ...*member) {
-	var entries []stand.Entry
+func (f *fleet) list(standing policy.EndpointState, hosts ...*member) {
+	var entries []testbed.Entry
 	for _, h := range hosts {
-		entries = append(entries, stand.Entry{Host: h.Host, Standing: standing})
+		entries = append(entries, testbed.Entry{Host: h.Host, Standing: standing})
 	}
 	f.register.Set(entries...)
 }
@@ -168,7 +168,7 @@
 			time.Sleep(wait)
 			if h, err := f.start(place, build, true); err == nil && h != nil {
 				time.Sleep(f.figures.listLate)
-				f.list(logic.Serving, h)
+				f.list(policy.Serving, h)
 			}
 		}()
 	}
@@ -191,13 +191,13 @@
 		h.leaving = true
 	}
 	f.mu.Unlock()
-	f.list(logic.Draining, hosts...)
+	f.list(policy.Draining, hosts...)
 	time.Sleep(f.figures.drains)
 	f.remove(hosts, func(h *member) { h.Stop(2 * time.Second) })
 }
 
 func (f *fleet) remove(hosts []*member, how func(*member)) {
-	f.list(logic.Removed, hosts...)
+	f.list(policy.Removed, hosts...)
 	f.mu.Lock()
 	f.hosts = slices.DeleteFunc(f.hosts, func(h *member) bool { return slices.Contains(hosts, h) })
 	f.mu.Unlock()
@@ -231,7 +231,7 @@
 			continue
 		}
 		if x, err := f.start(h.place, h.Build.Number, true); err == nil && x != nil {
-			time.AfterFunc(f.figures.listLate, func() { f.list(logic.Serving, x) })
+			time.AfterFunc(f.figures.listLate, func() { f.list(policy.Serving, x) })
 		}
 	}
 }
--- a/internal/day/plan.go
+++ b/internal/scenario/plan.go
@@ -1,6 +1,6 @@
-// Package day plays a day of trouble on loopback: real routers against stand-ins for hosts, register, desk and
+// Package scenario plays a day of trouble on loopback: real routers against stand-ins for hosts, register, desk and
 // clients, by a script or by chance, and has the audit judge the five rules from what was seen at the sockets.
-package day
+package scenario
 
 import (
 	"fmt"
@@ -9,7 +9,7 @@
 	"strings"
 	"time"
 
-	"dapplefront/internal/sheet"
+	"dapplefront/internal/inifile"
 )
 
 // Trouble is one thing that goes wrong for a while.
@@ -153,13 +153,13 @@
 
 // Read reads a plan from an INI file.
 func Read(file string) (Plan, error) {
-	s := sheet.Read(file)
+	s := inifile.Read(file)
 	p := From(s)
 	return p, s.Done()
 }
 
 // From reads a plan; mistakes are kept by the sheet.
-func From(s *sheet.File) Plan {
+func From(s *inifile.File) Plan {
 	d := s.Part("day")
 	p := Plan{Name: d.Text("name", "day"), Seed: d.Seed("seed", "1"), Length: d.Span("length", "!"),
 		Locations: d.Whole("locations", "3", 1, 50), Routers: d.Whole("routers", "4", 1, 50),
--- a/internal/day/report.go
+++ b/internal/scenario/report.go
@@ -1,4 +1,4 @@
-package day
+package scenario
 
 import (
 	"encoding/json"
@@ -11,7 +11,7 @@
 
 	"dapplefront/agent"
 	"dapplefront/internal/audit"
-	"dapplefront/internal/stand"
+	"dapplefront/internal/testbed"
 )
 
 // Print writes what a person reads at a glance. The last line says how many rules were kept.
@@ -155,7 +155,7 @@
 // WriteJSON writes the same for programs.
 func (r *Result) WriteJSON(w io.Writer) error {
 	type figure struct {
-		stand.Score
+		testbed.Score
 		P50Ms, P99Ms float64
 	}
 	out := struct {
--- a/internal/day/shares.go
+++ b/internal/scenario/shares.go
@@ -1,4 +1,4 @@
-package day
+package scenario
 
 import (
 	"context"
@@ -7,8 +7,8 @@
 	"time"
 
 	"dapplefront/internal/api"
-	"dapplefront/logic"
 	"dapplefront/plan"
+	"dapplefront/policy"
 )
 
 // PlanTimes is what became of plans.
@@ -109,7 +109,7 @@
 	}
 	news := s.desk.News()
 	trial := 0
-	if news.Phase != logic.Released {
+	if news.Phase != policy.Released {
 		trial = news.Build
 	}
 	for _, h := range s.fleet.of(0) {
--- a/internal/day/switch.go
+++ b/internal/scenario/switch.go
@@ -1,4 +1,4 @@
-package day
+package scenario
 
 import (
 	"context"
@@ -6,7 +6,7 @@
 	"os"
 	"strings"
 
-	"dapplefront/internal/charter"
+	"dapplefront/internal/routerconfig"
 )
 
 // switchOver brings all routers over to other settings while they run, one after the other, and back by the files that
@@ -43,7 +43,7 @@
 // settle lets each router that runs go over to its file with an ending.
 func (s *stage) settle(ending string) {
 	for _, x := range s.routers {
-		c, err := charter.Read(x.file + ending)
+		c, err := routerconfig.Read(x.file + ending)
 		x.mu.Lock()
 		i := x.instance
 		x.mu.Unlock()
--- a/internal/day/troubles.go
+++ b/internal/scenario/troubles.go
@@ -1,10 +1,10 @@
-package day
+package scenario
 
 import (
 	"context"
 	"time"
 
-	"dapplefront/internal/stand"
+	"dapplefront/internal/testbed"
 	"dapplefront/release"
 )
 
@@ -13,7 +13,7 @@
 	for n, o := range s.plan.Offers {
 		s.at(ctx, o.At, func() {
 			build := n + 2
-			b := stand.Build{Number: build, Speed: .95 + .1*s.draw()}
+			b := testbed.Build{Number: build, Speed: .95 + .1*s.draw()}
 			switch o.Kind {
 			case "bad-some":
 				b.Fails = .08 + .25*s.draw()
@@ -73,11 +73,11 @@
 	s.log.Info("trouble begins", "kind", t.Kind, "for", t.For, "share", t.Share, "size", t.Size)
 	defer s.log.Info("trouble ends", "kind", t.Kind)
 	lasting := func(begin, mend func()) { begin(); sleep(ctx, t.For); mend() }
-	hosts := func(change, back func(*stand.Trouble)) {
+	hosts := func(change, back func(*testbed.Trouble)) {
 		some := s.fleet.some(t.Share)
 		lasting(func() { all(some, change) }, func() { all(some, back) })
 	}
-	habits := func(change, back func(*stand.Habits)) {
+	habits := func(change, back func(*testbed.Habits)) {
 		lasting(func() { s.clients.Change(change) }, func() { s.clients.Change(back) })
 	}
 	switch t.Kind {
@@ -90,16 +90,16 @@
 	case "lose-place", "cold-place":
 		s.fleet.die(s.fleet.at(s.figures.locations[len(s.figures.locations)-1]), t.For)
 	case "hang":
-		hosts(func(x *stand.Trouble) { x.Hangs = true }, func(x *stand.Trouble) { x.Hangs = false })
+		hosts(func(x *testbed.Trouble) { x.Hangs = true }, func(x *testbed.Trouble) { x.Hangs = false })
 	case "fail-fast":
-		hosts(func(x *stand.Trouble) { x.Fails = t.Size }, func(x *stand.Trouble) { x.Fails = 0 })
+		hosts(func(x *testbed.Trouble) { x.Fails = t.Size }, func(x *testbed.Trouble) { x.Fails = 0 })
 	case "slow", "all-slow":
-		hosts(func(x *stand.Trouble) { x.Slow = t.Size }, func(x *stand.Trouble) { x.Slow = 0 })
+		hosts(func(x *testbed.Trouble) { x.Slow = t.Size }, func(x *testbed.Trouble) { x.Slow = 0 })
 	case "refuse":
-		hosts(func(x *stand.Trouble) { x.Refuses = true }, func(x *stand.Trouble) { x.Refuses = false })
+		hosts(func(x *testbed.Trouble) { x.Refuses = true }, func(x *testbed.Trouble) { x.Refuses = false })
 	case "one-sided":
 		name := s.routers[int(s.draw()*float64(len(s.routers)))].name
-		hosts(func(x *stand.Trouble) { x.NotFrom = name }, func(x *stand.Trouble) { x.NotFrom = "" })
+		hosts(func(x *testbed.Trouble) { x.NotFrom = name }, func(x *testbed.Trouble) { x.NotFrom = "" })
 	case "pause":
 		some := s.fleet.some(t.Share)
 		for end := time.Now().Add(t.For); time.Now().Before(end); {
@@ -120,19 +120,19 @@
 			s.fleet.replace(some)
 		}
 	case "burst":
-		habits(func(h *stand.Habits) { h.Rush = t.Size }, func(h *stand.Habits) { h.Rush = 1 })
+		habits(func(h *testbed.Habits) { h.Rush = t.Size }, func(h *testbed.Habits) { h.Rush = 1 })
 	case "repeats":
-		habits(func(h *stand.Habits) { h.Repeats, h.Heed, h.Wait = int(t.Size), false, 0 },
-			func(h *stand.Habits) { h.Repeats, h.Heed, h.Wait = 2, true, 100*time.Millisecond })
+		habits(func(h *testbed.Habits) { h.Repeats, h.Heed, h.Wait = int(t.Size), false, 0 },
+			func(h *testbed.Habits) { h.Repeats, h.Heed, h.Wait = 2, true, 100*time.Millisecond })
 	case "bad-requests":
-		habits(func(h *stand.Habits) { h.Bad = t.Size }, func(h *stand.Habits) { h.Bad = 0 })
+		habits(func(h *testbed.Habits) { h.Bad = t.Size }, func(h *testbed.Habits) { h.Bad = 0 })
 	case "list-down":
 		lasting(func() { s.register.Down(true) }, func() { s.register.Down(false) })
 	case "reports-late":
 		late := time.Duration(t.Size * float64(time.Second))
 		s.desk.Lateness(late)
 		t.Share = 1
-		hosts(func(x *stand.Trouble) { x.StaleLoad = late }, func(x *stand.Trouble) { x.StaleLoad = 0 })
+		hosts(func(x *testbed.Trouble) { x.StaleLoad = late }, func(x *testbed.Trouble) { x.StaleLoad = 0 })
 		s.desk.Lateness(0)
 	case "desk-still":
 		lasting(func() { s.desk.Still(true) }, func() { s.desk.Still(false) })
@@ -160,7 +160,7 @@
 	}
 }
 
-func all(hosts []*member, change func(*stand.Trouble)) {
+func all(hosts []*member, change func(*testbed.Trouble)) {
 	for _, h := range hosts {
 		h.Suffer(change)
 	}
--- a/internal/day/trust.go
+++ b/internal/scenario/trust.go
@@ -1,4 +1,4 @@
-package day
+package scenario
 
 import (
 	"crypto/tls"
@@ -6,13 +6,13 @@
 	"path/filepath"
 	"time"
 
+	"dapplefront/internal/certs"
 	"dapplefront/internal/controller"
-	"dapplefront/internal/keys"
-	"dapplefront/internal/stand"
+	"dapplefront/internal/testbed"
 )
 
 // trust is a day's certificate authority.
-type trust struct{ authority *stand.Authority }
+type trust struct{ authority *testbed.Authority }
 
 // grants are who may do what in a day: by the names that certificates are made out to.
 var grants = []controller.Grant{{Names: []string{"c?", "day"}, Roles: controller.Roles}, {Names: []string{"r*"}, Roles: []controller.Role{"read", "vote"}},
@@ -23,19 +23,19 @@
 	if err := os.MkdirAll(at, 0o700); err != nil {
 		return nil, err
 	}
-	a, err := stand.NewAuthority(at)
+	a, err := testbed.NewAuthority(at)
 	return &trust{a}, err
 }
 
 // files are a certificate for a name, made anew.
-func (t *trust) files(name string) (keys.Files, error) { return t.authority.Issue(name, 2*time.Hour) }
+func (t *trust) files(name string) (certs.Files, error) { return t.authority.Issue(name, 2*time.Hour) }
 
-func (t *trust) ring(name string) (*keys.Ring, error) {
+func (t *trust) ring(name string) (*certs.Ring, error) {
 	f, err := t.files(name)
 	if err != nil {
 		return nil, err
 	}
-	return keys.Open(f)
+	return certs.Open(f)
 }
 
 // client is how a name reaches the controllers; nil where a day does without TLS.
--- a/internal/drill/drill.go
+++ b/internal/simadapter/drill.go
@@ -1,6 +1,6 @@
-// Package drill is the simulator's door to the router library: lines of its wire become events, and actions become
+// Package simadapter is the simulator's door to the router library: lines of its wire become events, and actions become
 // lines; microseconds become tenths of a millisecond. It decides nothing.
-package drill
+package simadapter
 
 import (
 	"encoding/base64"
@@ -8,9 +8,9 @@
 	"fmt"
 	"io"
 
-	"dapplefront/internal/terms"
-	"dapplefront/internal/wire"
-	"dapplefront/logic"
+	"dapplefront/internal/platformsettings"
+	"dapplefront/internal/simwire"
+	"dapplefront/policy"
 	"dapplefront/router"
 )
 
@@ -18,7 +18,7 @@
 
 // Run answers batches until input ends.
 func Run(in io.Reader, out io.Writer) error {
-	r, w := wire.NewReader(in), wire.NewWriter(out)
+	r, w := simwire.NewReader(in), simwire.NewWriter(out)
 	seats := map[int]*seat{}
 	for {
 		b, err := r.Batch()
@@ -30,12 +30,12 @@
 		}
 		for _, e := range b.Events {
 			s := seats[e.Instance]
-			if launch, ok := e.Body.(wire.Launch); ok {
-				seats[e.Instance] = take(e.Instance, w, terms.Span(b.Now), launch)
-			} else if _, ok := e.Body.(wire.Kill); ok {
+			if launch, ok := e.Body.(simwire.Launch); ok {
+				seats[e.Instance] = take(e.Instance, w, platformsettings.Span(b.Now), launch)
+			} else if _, ok := e.Body.(simwire.Kill); ok {
 				delete(seats, e.Instance)
 			} else if s != nil {
-				if err := s.hear(terms.Span(b.Now), e.Body); err != nil {
+				if err := s.hear(platformsettings.Span(b.Now), e.Body); err != nil {
 					return fmt.Errorf("batch %d: %w", b.Number, err)
 				}
 			}
@@ -49,16 +49,16 @@
 // seat is where one instance sits: its router, and what it was told at start of reports and counts.
 type seat struct {
 	instance int
-	out      *wire.Writer
+	out      *simwire.Writer
 	router   *router.Router
 	actions  []router.Action
-	report   terms.Report
-	counted  logic.Time // the span of the desk's counts
+	report   platformsettings.Report
+	counted  policy.Time // the span of the desk's counts
 }
 
-func take(instance int, out *wire.Writer, now logic.Time, l wire.Launch) *seat {
+func take(instance int, out *simwire.Writer, now policy.Time, l simwire.Launch) *seat {
 	s := &seat{instance: instance, out: out}
-	t := terms.Read(l.Params, l.Prng)
+	t := platformsettings.Read(l.Params, l.Prng)
 	s.report, s.counted = t.Report, t.Counted
 	s.router, s.actions = router.New(now, t.Place)
 	s.act()
@@ -66,7 +66,7 @@
 }
 
 // hear passes an event on and prints what follows.
-func (s *seat) hear(now logic.Time, body any) error {
+func (s *seat) hear(now policy.Time, body any) error {
 	e := s.event(body)
 	if e == nil {
 		return nil
@@ -80,62 +80,62 @@
 // event is the router's word for an event of the wire; nil where it has none.
 func (s *seat) event(body any) router.Event {
 	switch e := body.(type) {
-	case wire.View:
+	case simwire.View:
 		if e.How == "X" {
 			return router.EndpointsUnavailable{}
 		}
 		return router.EndpointsChanged{Complete: e.How != "D", Hosts: hosts(e.Entries)}
-	case wire.Incoming:
+	case simwire.Incoming:
 		t := router.RequestArrived{Task: e.Ticket, Category: e.Qos, Customer: e.Owner, Key: e.Resource,
-			Patience: terms.Span(e.PatienceLeftUs), Again: e.Marks&2 != 0}
+			Patience: platformsettings.Span(e.PatienceLeftUs), Again: e.Marks&2 != 0}
 		if e.Marks&1 != 0 {
-			t.Hint = terms.Span(e.WorkHintUs)
+			t.Hint = platformsettings.Span(e.WorkHintUs)
 		}
 		return t
-	case wire.Ended:
-		return router.AttemptEnded{Task: e.Ticket, Send: e.N, Fate: fates[e.Code], Took: terms.Span(e.RttUs), Done: e.Done,
+	case simwire.Ended:
+		return router.AttemptEnded{Task: e.Ticket, Send: e.N, Fate: fates[e.Code], Took: platformsettings.Span(e.RttUs), Done: e.Done,
 			Load: s.report.Load(e.Metrics)}
-	case wire.TimedOutClient:
+	case simwire.TimedOutClient:
 		return router.ClientGone{Task: e.Ticket}
-	case wire.AckFirst:
+	case simwire.AckFirst:
 		return router.ResponseStarted{Task: e.Ticket, Send: e.N}
-	case wire.Due:
+	case simwire.Due:
 		return router.TimerFired{Alarm: e.Mark}
-	case wire.PhaseTold:
-		n := logic.ReleaseStatus{Build: e.Image, Stage: e.Tranche, Phase: logic.Phase(e.Standing), ExposureCap: e.Allowed,
-			Age: terms.Span(e.AgeUs)}
+	case simwire.PhaseTold:
+		n := policy.ReleaseStatus{Build: e.Image, Stage: e.Tranche, Phase: policy.Phase(e.Standing), ExposureCap: e.Allowed,
+			Age: platformsettings.Span(e.AgeUs)}
 		if e.Asked {
 			n.VoteResult = answers[e.Code]
 		}
 		return router.ReleaseChanged{News: n}
-	case wire.CountsByBuild:
-		return router.StatsReported{Build: e.Image, Category: e.Qos, Bad: e.Bad, Samples: e.Samples, Mean: terms.Span(e.RttUs),
-			Age: terms.Span(e.AgeUs), Over: s.counted}
-	case wire.FromPeer:
+	case simwire.CountsByBuild:
+		return router.StatsReported{Build: e.Image, Category: e.Qos, Bad: e.Bad, Samples: e.Samples, Mean: platformsettings.Span(e.RttUs),
+			Age: platformsettings.Span(e.AgeUs), Over: s.counted}
+	case simwire.FromPeer:
 		return router.GossipReceived{Peer: e.Author, Body: string(e.Body)}
-	case wire.HealthResult:
-		return router.HealthChecked{Host: e.Host, Fate: fates[e.Code], Took: terms.Span(e.RttUs), Load: s.report.Load(e.Metrics)}
-	case wire.BadAnswer:
-		return router.ComplaintReceived{Host: e.Host, Category: e.Qos, Age: terms.Span(e.AgeUs)}
+	case simwire.HealthResult:
+		return router.HealthChecked{Host: e.Host, Fate: fates[e.Code], Took: platformsettings.Span(e.RttUs), Load: s.report.Load(e.Metrics)}
+	case simwire.BadAnswer:
+		return router.ComplaintReceived{Host: e.Host, Category: e.Qos, Age: platformsettings.Span(e.AgeUs)}
 	}
 	return nil
 }
 
-var fates = map[string]logic.Outcome{"served": logic.Succeeded, "server_error": logic.Failed,
-	"turned_away": logic.Rejected, "no_answer": logic.TimedOut, "no_connection": logic.ConnectFailed,
-	"connection_lost": logic.ConnectionLost, "called_off": logic.Canceled, "not_sent": logic.NotSent}
+var fates = map[string]policy.Outcome{"served": policy.Succeeded, "server_error": policy.Failed,
+	"turned_away": policy.Rejected, "no_answer": policy.TimedOut, "no_connection": policy.ConnectFailed,
+	"connection_lost": policy.ConnectionLost, "called_off": policy.Canceled, "not_sent": policy.NotSent}
 
-var answers = map[string]logic.VoteResult{"served": logic.VoteAccepted, "not_sent": logic.VoteStale,
-	"turned_away": logic.VoteRejected, "server_error": logic.VoteRejected, "no_answer": logic.VoteUnknown}
+var answers = map[string]policy.VoteResult{"served": policy.VoteAccepted, "not_sent": policy.VoteStale,
+	"turned_away": policy.VoteRejected, "server_error": policy.VoteRejected, "no_answer": policy.VoteUnknown}
 
-var standings = map[string]logic.EndpointState{"in_service": logic.Serving, "terminating": logic.Draining,
-	"terminated": logic.Removed}
+var standings = map[string]policy.EndpointState{"in_service": policy.Serving, "terminating": policy.Draining,
+	"terminated": policy.Removed}
 
-func hosts(entries []wire.Entry) []router.Host {
+func hosts(entries []simwire.Entry) []router.Host {
 	out := make([]router.Host, 0, len(entries))
 	for _, e := range entries {
 		out = append(out, router.Host{ID: e.Host, Location: e.Site, Cell: int(e.Cell), Standing: standings[e.Mode],
-			Build: e.Release, Size: e.PowerHint, Up: terms.Span(e.UpSinceUs)})
+			Build: e.Release, Size: e.PowerHint, Up: platformsettings.Span(e.UpSinceUs)})
 	}
 	return out
 }
--- a/internal/drill/drill_test.go
+++ b/internal/simadapter/drill_test.go
@@ -1,4 +1,4 @@
-package drill
+package simadapter
 
 import (
 	"strings"
--- a/internal/wire/wire.go
+++ b/internal/simwire/wire.go
@@ -1,5 +1,5 @@
-// Package wire reads and prints the lines that the simulator and an adapter exchange.
-package wire
+// Package simwire reads and prints the lines that the simulator and an adapter exchange.
+package simwire
 
 import (
 	"bufio"
@@ -10,7 +10,7 @@
 	"strconv"
 	"strings"
 
-	"dapplefront/internal/terms"
+	"dapplefront/internal/platformsettings"
 )
 
 // Event is one line of a batch, for the instance that the latest SELECT named.
@@ -30,7 +30,7 @@
 type (
 	Launch struct {
 		Prng   uint64
-		Params terms.Values
+		Params platformsettings.Values
 	}
 	Entry struct {
 		Host             uint32
@@ -244,7 +244,7 @@
 		if err != nil {
 			f.fail("a seed")
 		}
-		p := terms.Values{}
+		p := platformsettings.Values{}
 		for pair := range strings.FieldsSeq(f.rest) {
 			path, value, ok := strings.Cut(pair, "=")
 			if !ok {
--- a/internal/stand/authority.go
+++ b/internal/testbed/authority.go
@@ -1,4 +1,4 @@
-package stand
+package testbed
 
 import (
 	"crypto/ecdsa"
@@ -12,8 +12,8 @@
 	"path/filepath"
 	"time"
 
-	"dapplefront/internal/keys"
-	"dapplefront/internal/whole"
+	"dapplefront/internal/atomicfile"
+	"dapplefront/internal/certs"
 )
 
 // Authority is a certificate authority for days and tests, which keeps its files in a directory.
@@ -37,7 +37,7 @@
 		return nil, err
 	}
 	a := &Authority{dir: dir, key: key, cert: cert, raw: raw}
-	return a, whole.Write(a.File(), pem.EncodeToMemory(&pem.Block{Type: "CERTIFICATE", Bytes: raw}), 0o600)
+	return a, atomicfile.Write(a.File(), pem.EncodeToMemory(&pem.Block{Type: "CERTIFICATE", Bytes: raw}), 0o600)
 }
 
 func serial() *big.Int {
@@ -52,8 +52,8 @@
 func (a *Authority) File() string { return filepath.Join(a.dir, "authority.pem") }
 
 // Issue writes a certificate for a name, which runs out after a while, over the one before.
-func (a *Authority) Issue(name string, lasts time.Duration) (keys.Files, error) {
-	f := keys.Files{Certificate: filepath.Join(a.dir, name+".pem"), Key: filepath.Join(a.dir, name+".key"), Authority: a.File()}
+func (a *Authority) Issue(name string, lasts time.Duration) (certs.Files, error) {
+	f := certs.Files{Certificate: filepath.Join(a.dir, name+".pem"), Key: filepath.Join(a.dir, name+".key"), Authority: a.File()}
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	if err != nil {
 		return f, err
@@ -69,8 +69,8 @@
 	if err != nil {
 		return f, err
 	}
-	if err := whole.Write(f.Key, pem.EncodeToMemory(&pem.Block{Type: "EC PRIVATE KEY", Bytes: der}), 0o600); err != nil {
+	if err := atomicfile.Write(f.Key, pem.EncodeToMemory(&pem.Block{Type: "EC PRIVATE KEY", Bytes: der}), 0o600); err != nil {
 		return f, err
 	}
-	return f, whole.Write(f.Certificate, pem.EncodeToMemory(&pem.Block{Type: "CERTIFICATE", Bytes: raw}), 0o600)
+	return f, atomicfile.Write(f.Certificate, pem.EncodeToMemory(&pem.Block{Type: "CERTIFICATE", Bytes: raw}), 0o600)
 }
--- a/internal/stand/clients.go
+++ b/internal/testbed/clients.go
@@ -1,4 +1,4 @@
-package stand
+package testbed
 
 import (
 	"bufio"
@@ -18,7 +18,7 @@
 
 	"dapplefront/internal/api"
 	"dapplefront/internal/audit"
-	"dapplefront/logic"
+	"dapplefront/policy"
 )
 
 // Wish is a category as clients ask for it.
@@ -212,7 +212,7 @@
 		var wait time.Duration
 		s, wait = c.try(d, w, fmt.Sprintf("%s.%d", id, try), id, left, bad, try > 0, h, r)
 		// A binding task is only tried again where the router says that this is harmless, or took nothing.
-		harmless := s.TurnedBack > 0 || w.Repeat == logic.Idempotent && s.Scrapped > 0 || s.Refused > 0
+		harmless := s.TurnedBack > 0 || w.Repeat == policy.Idempotent && s.Scrapped > 0 || s.Refused > 0
 		if !h.Heed {
 			wait = h.Wait
 		}
@@ -279,7 +279,7 @@
 	var ask strings.Builder
 	fmt.Fprintf(&ask, "POST %s HTTP/1.1\r\nHost: %s\r\nStand-Task: %s\r\nDapplefront-Patience: %dms\r\n", w.Path, d.Name, id,
 		patience.Milliseconds())
-	if w.Repeat == logic.IdempotentWithKey {
+	if w.Repeat == policy.IdempotentWithKey {
 		fmt.Fprintf(&ask, "Idempotency-Key: %s\r\n", logical)
 	}
 	if bad {
--- a/internal/stand/controller.go
+++ b/internal/testbed/controller.go
@@ -1,4 +1,4 @@
-package stand
+package testbed
 
 import (
 	"encoding/json"
--- a/internal/stand/host.go
+++ b/internal/testbed/host.go
@@ -1,7 +1,7 @@
-// Package stand holds the stand-ins that a day of trouble is played with: hosts, a register, a release desk and
+// Package testbed holds the stand-ins that a day of trouble is played with: hosts, a register, a release desk and
 // clients, on loopback sockets, with faults. Hosts are servers of net/http and clients plain sockets, so that what
 // they see owes nothing to the router's own code.
-package stand
+package testbed
 
 import (
 	"context"
@@ -24,7 +24,7 @@
 
 	"dapplefront/internal/audit"
 	"dapplefront/internal/orca"
-	"dapplefront/logic"
+	"dapplefront/policy"
 )
 
 // Build is what a build does to the tasks of its hosts; the zero Build is a good one.
@@ -43,7 +43,7 @@
 type Kind struct {
 	Name   string
 	Work   time.Duration // mean; single tasks from half to one and a half of it
-	Repeat logic.Idempotency
+	Repeat policy.Idempotency
 	Memory time.Duration
 }
 
@@ -370,7 +370,7 @@
 		h.reply(w, r, kind, began, 500, "failed")
 		return
 	}
-	if kind.Repeat != logic.IdempotentWithKey || h.marks.First(r.Header.Get("Idempotency-Key"), kind.Memory) {
+	if kind.Repeat != policy.IdempotentWithKey || h.marks.First(r.Header.Get("Idempotency-Key"), kind.Memory) {
 		if h.book != nil {
 			h.book.Ran(h.Seen, task)
 		}
--- a/internal/stand/process.go
+++ b/internal/testbed/process.go
@@ -1,4 +1,4 @@
-package stand
+package testbed
 
 import (
 	"bufio"
@@ -13,7 +13,7 @@
 	"time"
 
 	"dapplefront/internal/audit"
-	"dapplefront/internal/proc"
+	"dapplefront/internal/process"
 )
 
 // Variables that make a process a stand-in host: what the build says, and what the place says.
@@ -52,7 +52,7 @@
 	if err := json.Unmarshal([]byte(os.Getenv(PlaceVariable)), &m); err != nil {
 		return fmt.Errorf("%s: %w", PlaceVariable, err)
 	}
-	address := "127.0.0.1:" + os.Getenv(proc.Port)
+	address := "127.0.0.1:" + os.Getenv(process.Port)
 	nest, err := reach(says.Witness, hello{Address: address, Build: says.Build.Number, Machine: m, Up: time.Now()})
 	if err != nil {
 		return err
@@ -61,7 +61,7 @@
 	if err != nil {
 		return err
 	}
-	if err := os.WriteFile(os.Getenv(proc.Ready), []byte("ready"), 0o600); err != nil {
+	if err := os.WriteFile(os.Getenv(process.Ready), []byte("ready"), 0o600); err != nil {
 		return err
 	}
 	signals := make(chan os.Signal, 1)
--- a/internal/stand/register.go
+++ b/internal/testbed/register.go
@@ -1,4 +1,4 @@
-package stand
+package testbed
 
 import (
 	"fmt"
@@ -21,15 +21,15 @@
 	"google.golang.org/protobuf/types/known/wrapperspb"
 
 	"dapplefront/internal/audit"
-	"dapplefront/internal/register"
-	"dapplefront/logic"
+	"dapplefront/internal/eds"
 	"dapplefront/plan"
+	"dapplefront/policy"
 )
 
 // Entry is one host in the list.
 type Entry struct {
 	Host     *Host
-	Standing logic.EndpointState
+	Standing policy.EndpointState
 }
 
 // Register is a stand-in for the host list: EDS over gRPC, one resource for each location, whole lists and changes.
@@ -87,7 +87,7 @@
 	defer r.mu.Unlock()
 	r.version++
 	for _, e := range entries {
-		if e.Standing == logic.Removed {
+		if e.Standing == policy.Removed {
 			delete(r.entries, e.Host.ID)
 		} else {
 			r.entries[e.Host.ID] = e
@@ -185,9 +185,9 @@
 }
 
 // resource is one location's list, with the standings in it.
-func (r *Register) resource(name string) (*anypb.Any, map[uint32]logic.EndpointState) {
+func (r *Register) resource(name string) (*anypb.Any, map[uint32]policy.EndpointState) {
 	a := &endpointv3.ClusterLoadAssignment{ClusterName: name}
-	standing := map[uint32]logic.EndpointState{}
+	standing := map[uint32]policy.EndpointState{}
 	byPlace := map[string]*endpointv3.LocalityLbEndpoints{}
 	for id, e := range r.entries {
 		if r.group+"/"+e.Host.Location != name {
@@ -216,7 +216,7 @@
 	host, port, _ := net.SplitHostPort(e.Host.Address())
 	n, _ := strconv.Atoi(port)
 	health := corev3.HealthStatus_HEALTHY
-	if e.Standing == logic.Draining {
+	if e.Standing == policy.Draining {
 		health = corev3.HealthStatus_DRAINING
 	}
 	up := 0.0
@@ -237,17 +237,17 @@
 			Address: &corev3.Address_SocketAddress{SocketAddress: &corev3.SocketAddress{Address: host,
 				PortSpecifier: &corev3.SocketAddress_PortValue{PortValue: uint32(n)}}}}}},
 		LoadBalancingWeight: wrapperspb.UInt32(weight),
-		Metadata:            &corev3.Metadata{FilterMetadata: map[string]*structpb.Struct{register.Metadata: {Fields: fields}}}}
+		Metadata:            &corev3.Metadata{FilterMetadata: map[string]*structpb.Struct{eds.Metadata: {Fields: fields}}}}
 }
 
 // acked notes what a router is now known to have been told.
-func (r *Register) acked(router string, sent map[uint32]logic.EndpointState, was map[uint32]logic.EndpointState) {
+func (r *Register) acked(router string, sent map[uint32]policy.EndpointState, was map[uint32]policy.EndpointState) {
 	if r.book == nil {
 		return
 	}
-	now := map[uint32]logic.EndpointState{}
+	now := map[uint32]policy.EndpointState{}
 	for id := range was {
-		now[id] = logic.Removed
+		now[id] = policy.Removed
 	}
 	for id, s := range sent {
 		now[id] = s
@@ -266,7 +266,7 @@
 	go receive(s.Context().Done(), s.Recv, asks)
 	var router string
 	var names []string
-	var sent, held map[uint32]logic.EndpointState
+	var sent, held map[uint32]policy.EndpointState
 	nonce, version := "", -1
 	for {
 		select {
@@ -300,9 +300,9 @@
 			continue
 		}
 		version = r.version
-		out := &discoveryv3.DiscoveryResponse{VersionInfo: strconv.Itoa(version), TypeUrl: register.TypeURL,
+		out := &discoveryv3.DiscoveryResponse{VersionInfo: strconv.Itoa(version), TypeUrl: eds.TypeURL,
 			Nonce: fmt.Sprint("n", version, "-", time.Now().UnixNano())}
-		sent = map[uint32]logic.EndpointState{}
+		sent = map[uint32]policy.EndpointState{}
 		for _, name := range names {
 			raw, standing := r.resource(name)
 			out.Resources = append(out.Resources, raw)
@@ -330,8 +330,8 @@
 	var router, nonce string
 	names := map[string]bool{}
 	has := map[string]int{}
-	var pending map[string]map[uint32]logic.EndpointState
-	held := map[string]map[uint32]logic.EndpointState{}
+	var pending map[string]map[uint32]policy.EndpointState
+	held := map[string]map[uint32]policy.EndpointState{}
 	first := true
 	for {
 		select {
@@ -368,9 +368,9 @@
 		if nonce != "" || len(names) == 0 { // one at a time
 			continue
 		}
-		out := &discoveryv3.DeltaDiscoveryResponse{TypeUrl: register.TypeURL}
+		out := &discoveryv3.DeltaDiscoveryResponse{TypeUrl: eds.TypeURL}
 		r.mu.Lock()
-		pending = map[string]map[uint32]logic.EndpointState{}
+		pending = map[string]map[uint32]policy.EndpointState{}
 		for name := range names {
 			v, ok := has[name]
 			if ok && v == r.changed[name] {
--- a/internal/stand/stand_test.go
+++ b/internal/testbed/stand_test.go
@@ -1,4 +1,4 @@
-package stand
+package testbed
 
 import (
 	"sync"
@@ -8,25 +8,25 @@
 	endpointv3 "github.com/envoyproxy/go-control-plane/envoy/config/endpoint/v3"
 	"github.com/stretchr/testify/require"
 
-	"dapplefront/internal/register"
-	"dapplefront/logic"
+	"dapplefront/internal/eds"
+	"dapplefront/policy"
 )
 
 // follower is a router's watch of a register, with what it was told.
 type follower struct {
-	*register.Watch
+	*eds.Watch
 	mu       sync.Mutex
-	hosts    map[uint32]logic.EndpointState
+	hosts    map[uint32]policy.EndpointState
 	whole    int
 	failed   int
 	rejected int
 }
 
 func follow(t *testing.T, r *Register, changes bool) *follower {
-	f := &follower{hosts: map[uint32]logic.EndpointState{}}
+	f := &follower{hosts: map[uint32]policy.EndpointState{}}
 	var err error
-	f.Watch, err = register.New(r.Address(), "r1", r.Names([]string{"here", "there"}), changes, register.Handler{
-		Listed: func(whole bool, hosts []register.Host) {
+	f.Watch, err = eds.New(r.Address(), "r1", r.Names([]string{"here", "there"}), changes, eds.Handler{
+		Listed: func(whole bool, hosts []eds.Host) {
 			f.mu.Lock()
 			defer f.mu.Unlock()
 			if whole {
@@ -56,29 +56,29 @@
 		defer r.Stop()
 		a := Elsewhere("127.0.0.1:1", Machine{ID: 1, Location: "here", Cores: 1, Speed: 1}, 1)
 		b := Elsewhere("127.0.0.1:2", Machine{ID: 2, Location: "there", Cores: 1, Speed: 1}, 1)
-		r.Set(Entry{a, logic.Serving}, Entry{b, logic.Serving})
+		r.Set(Entry{a, policy.Serving}, Entry{b, policy.Serving})
 		f := follow(t, r, changes)
 		f.Ask()
 		f.eventually(t, func() bool { return len(f.hosts) == 2 })
-		r.Set(Entry{a, logic.Draining})
-		f.eventually(t, func() bool { return f.hosts[1] == logic.Draining && f.hosts[2] == logic.Serving })
+		r.Set(Entry{a, policy.Draining})
+		f.eventually(t, func() bool { return f.hosts[1] == policy.Draining && f.hosts[2] == policy.Serving })
 
 		r.Spoil(func(a *endpointv3.ClusterLoadAssignment) { a.Endpoints[0].Locality = nil })
 		f.eventually(t, func() bool { return f.rejected > 0 })
 		require.Eventually(t, func() bool { return len(r.Rejected()) > 0 }, 10*time.Second, 5*time.Millisecond)
 		require.Contains(t, r.Rejected()[0], "locality.zone is missing")
-		f.eventually(t, func() bool { return f.hosts[1] == logic.Draining }) // the last good list stays
+		f.eventually(t, func() bool { return f.hosts[1] == policy.Draining }) // the last good list stays
 		r.Spoil(nil)
-		r.Set(Entry{a, logic.Removed})
-		f.eventually(t, func() bool { s, known := f.hosts[1]; return !known || s == logic.Removed })
+		r.Set(Entry{a, policy.Removed})
+		f.eventually(t, func() bool { s, known := f.hosts[1]; return !known || s == policy.Removed })
 
 		r.Down(true)
 		f.eventually(t, func() bool { return f.failed == 1 })
 		f.Ask()
 		f.eventually(t, func() bool { return f.failed == 2 })
-		r.Set(Entry{b, logic.Draining}) // while no one can see it
+		r.Set(Entry{b, policy.Draining}) // while no one can see it
 		r.Down(false)
 		f.Ask()
-		f.eventually(t, func() bool { return f.hosts[2] == logic.Draining })
+		f.eventually(t, func() bool { return f.hosts[2] == policy.Draining })
 	}
 }
--- a/internal/sock/sock.go
+++ b/internal/transport/sock.go
@@ -1,10 +1,10 @@
-// Package sock is an instance's edge to the network: listeners and connections whose bytes go to a Session each. It
+// Package transport is an instance's edge to the network: listeners and connections whose bytes go to a Session each. It
 // knows nothing of what the bytes mean.
 //
 // It stands on the standard library's poller, which tells a descriptor's present connection from an earlier one: an
 // event that still waits when its connection is closed can't reach the newcomer that gets the same descriptor
 // (docs/router.md). A reader waits without a buffer, and borrows one when something has arrived.
-package sock
+package transport
 
 import (
 	"errors"
--- a/internal/back/back.go
+++ b/internal/upstream/back.go
@@ -1,4 +1,4 @@
-// Package back is the hosts' side of a router: it keeps connections to hosts, sends tasks over them and knows how
+// Package upstream is the hosts' side of a router: it keeps connections to hosts, sends tasks over them and knows how
 // each send ended. One connection carries one task at a time, so that what a host's silence or a cut means is never
 // mixed up between tasks.
 //
@@ -16,7 +16,7 @@
 // already arrived, the connection is dropped before the write and another one is used; where the write fails with no
 // byte taken, the task never left. Once the kernel has taken a byte nobody on this side can know whether the host
 // read it, so that is a Cut.
-package back
+package upstream
 
 import (
 	"slices"
@@ -24,11 +24,11 @@
 	"sync"
 	"time"
 
+	"dapplefront/internal/eventloop"
 	"dapplefront/internal/http1"
-	"dapplefront/internal/loop"
 	"dapplefront/internal/orca"
-	"dapplefront/internal/sock"
-	"dapplefront/logic"
+	"dapplefront/internal/transport"
+	"dapplefront/policy"
 )
 
 // Unseen is the field by which a host says that it has not looked at the task it turns back.
@@ -61,14 +61,14 @@
 	Turned []int  // the statuses that it may come with
 	Only   bool   // 200 alone is a success
 	Whole  bool   // a host begins once the last byte has arrived
-	Load   func(*http1.Message) (*logic.LoadReport, error)
+	Load   func(*http1.Message) (*policy.LoadReport, error)
 }
 
 // DefaultProtocol is this project's own way.
 var DefaultProtocol = &Protocol{Within: "Dapplefront-Within", Unit: "ms", Send: "Dapplefront-Send", Router: "Dapplefront-Router",
 	Category: "Dapplefront-Category", Traced: true, Unseen: Unseen, Turned: []int{503}, Load: orcaLoad}
 
-func orcaLoad(m *http1.Message) (*logic.LoadReport, error) {
+func orcaLoad(m *http1.Message) (*policy.LoadReport, error) {
 	if text, ok := m.Lookup(orca.Header); ok {
 		report, err := orca.Parse(text)
 		if err != nil {
@@ -87,38 +87,38 @@
 }
 
 // fate is what an answer means.
-func (s *Protocol) fate(m *http1.Message) logic.Outcome {
+func (s *Protocol) fate(m *http1.Message) policy.Outcome {
 	unseen := ""
 	if slices.Contains(s.Turned, m.Status) {
 		unseen = m.Get(s.Unseen)
 	}
 	switch {
 	case unseen == "1":
-		return logic.Rejected
+		return policy.Rejected
 	case m.Status >= 500 || m.Status == 101 || s.Only && m.Status != 200:
-		return logic.Failed
+		return policy.Failed
 	}
-	return logic.Succeeded
+	return policy.Succeeded
 }
 
 // Result is how a send ended.
 type Result struct {
-	Outcome logic.Outcome
-	Took    logic.Time
+	Outcome policy.Outcome
+	Took    policy.Time
 	Answer  *http1.Message // with Finished, Errored and TurnedBack, where the host gave one; Drop it after use
-	Load    *logic.LoadReport
+	Load    *policy.LoadReport
 	Why     string // for the log, where something went wrong
 }
 
 // Pool keeps the connections to all hosts. Its methods are called from its loop's work only.
 type Pool struct {
-	loop   *loop.Loop
-	engine *sock.Engine
+	loop   *eventloop.Loop
+	engine *transport.Engine
 	reach  Config
 	budget *http1.Budget
 	hosts  map[uint32]*host
-	links  int        // open or being opened, in all
-	rests  logic.Time // how long a link rests after an answer before it is used again
+	links  int         // open or being opened, in all
+	rests  policy.Time // how long a link rests after an answer before it is used again
 	closed bool
 }
 
@@ -126,8 +126,8 @@
 // on a link that rests is nobody's, what comes on one in use would be taken for the answer of the request on it. So a link
 // rests a while before it is used again, and twice as long as the latest such copy took, once one has been seen.
 const (
-	leastRest = 20 * logic.Second / 1000
-	mostRest  = logic.Second
+	leastRest = 20 * policy.Second / 1000
+	mostRest  = policy.Second
 )
 
 type host struct {
@@ -138,7 +138,7 @@
 }
 
 // NewPool keeps connections on an engine; answers hold bytes of the budget.
-func NewPool(l *loop.Loop, e *sock.Engine, reach Config, budget *http1.Budget) *Pool {
+func NewPool(l *eventloop.Loop, e *transport.Engine, reach Config, budget *http1.Budget) *Pool {
 	reach.Protocol = reach.ProtocolOrDefault()
 	p := &Pool{loop: l, engine: e, reach: reach, budget: budget, hosts: map[uint32]*host{}, rests: leastRest}
 	p.sweepLater()
@@ -189,10 +189,10 @@
 }
 
 func (p *Pool) sweepLater() {
-	p.loop.After(logic.Second, func() {
+	p.loop.After(policy.Second, func() {
 		now := p.loop.Now()
 		for _, h := range p.hosts {
-			h.dropIdle(func(l *upstreamConn) bool { return now-l.free > loop.FromDuration(p.reach.Idle) })
+			h.dropIdle(func(l *upstreamConn) bool { return now-l.free > eventloop.FromDuration(p.reach.Idle) })
 		}
 		if !p.closed {
 			p.sweepLater()
@@ -207,9 +207,9 @@
 	head     []byte
 	body     []byte
 	bodyless bool
-	at       logic.Time
-	until    logic.Time // when its time is up
-	alarm    *loop.Timer
+	at       policy.Time
+	until    policy.Time // when its time is up
+	alarm    *eventloop.Timer
 	written  bool
 	done     func(Result)
 }
@@ -217,12 +217,12 @@
 // Send sends head and body, which are the pool's until done is called, once, from the loop's work and never before Send
 // has returned. The head's end is added as its bytes leave, with the field that says how long is waited for the answer:
 // until then a connection may have taken its time. bodyless says that the answer has no body (HEAD).
-func (p *Pool) Send(id uint32, head, body []byte, bodyless bool, within logic.Time, done func(Result)) *Attempt {
+func (p *Pool) Send(id uint32, head, body []byte, bodyless bool, within policy.Time, done func(Result)) *Attempt {
 	now := p.loop.Now()
 	s := &Attempt{pool: p, head: head, body: body, bodyless: bodyless, at: now, until: now + within, done: done}
 	h := p.hosts[id]
 	if h == nil || p.closed || within <= 0 {
-		p.loop.Post(func() { s.end(Result{Outcome: logic.NotSent, Why: "no such host or no time left"}) })
+		p.loop.Post(func() { s.end(Result{Outcome: policy.NotSent, Why: "no such host or no time left"}) })
 		return s
 	}
 	s.alarm = p.loop.After(within, s.timeUp)
@@ -241,11 +241,11 @@
 		return s
 	}
 	if h.links >= p.reach.Links {
-		p.loop.Post(func() { s.end(Result{Outcome: logic.ConnectFailed, Why: "as many links as are allowed"}) })
+		p.loop.Post(func() { s.end(Result{Outcome: policy.ConnectFailed, Why: "as many links as are allowed"}) })
 		return s
 	}
 	if p.reach.All > 0 && p.links >= p.reach.All && !p.spare() {
-		p.loop.Post(func() { s.end(Result{Outcome: logic.ConnectFailed, Why: "as many links as are allowed in all"}) })
+		p.loop.Post(func() { s.end(Result{Outcome: policy.ConnectFailed, Why: "as many links as are allowed in all"}) })
 		return s
 	}
 	p.connect(h, s)
@@ -272,7 +272,7 @@
 	s.link = l
 	h.links++
 	p.links++
-	p.engine.Dial(h.address, p.reach.Connect, l, func(c *sock.Conn, err error) {
+	p.engine.Dial(h.address, p.reach.Connect, l, func(c *transport.Conn, err error) {
 		p.loop.Post(func() { l.opened(c, err) })
 	})
 }
@@ -280,7 +280,7 @@
 // Cancel ends a send as NeverSent if no byte of it has left; otherwise it does nothing.
 func (s *Attempt) Cancel() {
 	if s.done != nil && !s.written {
-		s.end(Result{Outcome: logic.NotSent, Why: "withheld"})
+		s.end(Result{Outcome: policy.NotSent, Why: "withheld"})
 	}
 }
 
@@ -290,9 +290,9 @@
 		return
 	}
 	l, left := s.link, s.until-s.pool.loop.Now()
-	if !l.current() || left < logic.Second/1000 {
+	if !l.current() || left < policy.Second/1000 {
 		l.send = nil
-		s.end(Result{Outcome: logic.NotSent, Why: "the host has left its address, or no time is left"})
+		s.end(Result{Outcome: policy.NotSent, Why: "the host has left its address, or no time is left"})
 		l.rest()
 		return
 	}
@@ -302,32 +302,32 @@
 	s.written = true
 	signs := s.pool.reach.Protocol
 	s.head = append(append(s.head, signs.Within...), ": "...)
-	s.head = append(strconv.AppendInt(s.head, int64(left/(logic.Second/1000)), 10), signs.Unit...)
+	s.head = append(strconv.AppendInt(s.head, int64(left/(policy.Second/1000)), 10), signs.Unit...)
 	s.head = append(s.head, "\r\n\r\n"...)
 	none, err := l.conn.Write(s.head, s.body)
 	if err != nil && none {
 		l.send = nil
-		s.end(Result{Outcome: logic.NotSent, Why: "the link was closed: " + err.Error()})
+		s.end(Result{Outcome: policy.NotSent, Why: "the link was closed: " + err.Error()})
 		l.drop()
 	} // after a part, the link's end follows and tells
 }
 
 // heard is how long a host has to see that a send is given up before the task may go elsewhere: two sends must not seem
 // out at once. Without it 8 of 157,000 tasks did, in a fleet's first second; the way there takes about a tenth of it.
-const heard = logic.Second / 1000
+const heard = policy.Second / 1000
 
 func (s *Attempt) timeUp() {
 	if s.done == nil {
 		return
 	}
 	if !s.written {
-		s.end(Result{Outcome: logic.ConnectFailed, Why: "no connection in time"})
+		s.end(Result{Outcome: policy.ConnectFailed, Why: "no connection in time"})
 		return
 	}
 	l := s.link
 	l.send = nil
 	l.drop()
-	s.alarm = s.pool.loop.After(heard, func() { s.end(Result{Outcome: logic.TimedOut, Why: "no answer in time"}) })
+	s.alarm = s.pool.loop.After(heard, func() { s.end(Result{Outcome: policy.TimedOut, Why: "no answer in time"}) })
 }
 
 // end tells the result, once. A link that is still being opened for it is left to whoever comes next.
@@ -357,9 +357,9 @@
 	pool    *Pool
 	host    *host
 	address string
-	conn    *sock.Conn
+	conn    *transport.Conn
 	send    *Attempt
-	free    logic.Time // since when it has been idle
+	free    policy.Time // since when it has been idle
 	gone    bool
 
 	mu     sync.Mutex
@@ -367,12 +367,12 @@
 	ended  bool
 }
 
-func (l *upstreamConn) opened(c *sock.Conn, err error) {
+func (l *upstreamConn) opened(c *transport.Conn, err error) {
 	if err != nil {
 		l.leave()
 		if s := l.send; s != nil {
 			l.send = nil
-			s.end(Result{Outcome: logic.ConnectFailed, Why: err.Error()})
+			s.end(Result{Outcome: policy.ConnectFailed, Why: err.Error()})
 		}
 		return
 	}
@@ -381,7 +381,7 @@
 	case l.gone: // opened and closed at once; the poller was quicker to tell
 		if s := l.send; s != nil {
 			l.send = nil
-			s.end(Result{Outcome: logic.ConnectFailed, Why: "closed as soon as opened"})
+			s.end(Result{Outcome: policy.ConnectFailed, Why: "closed as soon as opened"})
 		}
 	case l.send != nil:
 		l.send.write()
@@ -490,9 +490,9 @@
 			l.send = nil
 			unread, _ := l.conn.Pending()
 			if s.written && (unread == 0 || !l.pool.reach.Protocol.Whole) {
-				s.end(Result{Outcome: logic.ConnectionLost, Why: why})
+				s.end(Result{Outcome: policy.ConnectionLost, Why: why})
 			} else {
-				s.end(Result{Outcome: logic.NotSent, Why: why})
+				s.end(Result{Outcome: policy.NotSent, Why: why})
 			}
 			return
 		}
@@ -508,7 +508,7 @@
 	}
 	l.drop()
 	if s != nil {
-		s.end(Result{Outcome: logic.Failed, Why: "the answer is not to be read: " + err.Error()})
+		s.end(Result{Outcome: policy.Failed, Why: "the answer is not to be read: " + err.Error()})
 	}
 }
 
@@ -521,7 +521,7 @@
 		l.drop()
 		if s != nil {
 			l.send = nil
-			s.end(Result{Outcome: logic.NotSent, Why: "an answer came before the task was sent"})
+			s.end(Result{Outcome: policy.NotSent, Why: "an answer came before the task was sent"})
 		}
 		return
 	}
--- a/internal/back/pool_test.go
+++ b/internal/upstream/pool_test.go
@@ -1,4 +1,4 @@
-package back
+package upstream
 
 import (
 	"bufio"
@@ -13,16 +13,16 @@
 
 	"github.com/stretchr/testify/require"
 
+	"dapplefront/internal/eventloop"
 	"dapplefront/internal/http1"
-	"dapplefront/internal/loop"
-	"dapplefront/internal/sock"
-	"dapplefront/logic"
+	"dapplefront/internal/transport"
+	"dapplefront/policy"
 )
 
 // rig is a pool with one real host, whose connections a test serves request by request.
 type rig struct {
 	*testing.T
-	loop *loop.Loop
+	loop *eventloop.Loop
 	pool *Pool
 	host net.Listener
 	came chan arrival
@@ -40,11 +40,11 @@
 }
 
 func newRig(t *testing.T) *rig {
-	r := &rig{T: t, loop: loop.New(), came: make(chan arrival, 100)}
+	r := &rig{T: t, loop: eventloop.New(), came: make(chan arrival, 100)}
 	var err error
 	r.host, err = net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
-	engine := sock.Start()
+	engine := transport.Start()
 	t.Cleanup(func() { r.loop.Close(); engine.Stop(); _ = r.host.Close() })
 	go func() {
 		for {
@@ -73,7 +73,7 @@
 }
 
 // send starts a send from the loop's work; its result goes to the channel, after then.
-func (r *rig) send(name string, within logic.Time, to chan string, then func()) *Attempt {
+func (r *rig) send(name string, within policy.Time, to chan string, then func()) *Attempt {
 	head := []byte("GET /" + name + " HTTP/1.1\r\nHost: h\r\n")
 	return r.pool.Send(1, head, nil, false, within, func(x Result) {
 		text := fmt.Sprint(x.Outcome)
@@ -93,7 +93,7 @@
 	r := newRig(t)
 	got := make(chan string, 4)
 	r.loop.Do(func() {
-		r.send("first", 10*logic.Second, got, func() { r.send("second", 10*logic.Second, got, nil) })
+		r.send("first", 10*policy.Second, got, func() { r.send("second", 10*policy.Second, got, nil) })
 	})
 	first := <-r.came
 	first.answer("first")
@@ -113,16 +113,16 @@
 func TestLinksRestTwiceAsLongAsALateCopyTook(t *testing.T) {
 	r := newRig(t)
 	got := make(chan string, 4)
-	r.loop.Do(func() { r.send("first", 10*logic.Second, got, nil) })
+	r.loop.Do(func() { r.send("first", 10*policy.Second, got, nil) })
 	first := <-r.came
 	first.answer("first")
 	<-got
-	var freed logic.Time
+	var freed policy.Time
 	r.loop.Do(func() { freed = r.pool.hosts[1].idle[0].free })
 	require.Eventually(t, func() bool { return r.loop.Now()-freed > 2*leastRest }, 10*time.Second, time.Millisecond)
 	first.answer("first")
 	require.Eventually(t, func() bool {
-		rests := logic.Time(0)
+		rests := policy.Time(0)
 		r.loop.Do(func() { rests = r.pool.rests })
 		return rests > 4*leastRest && rests <= mostRest
 	}, 10*time.Second, time.Millisecond)
@@ -136,7 +136,7 @@
 			for _, l := range r.pool.hosts[1].idle {
 				l.free = 1 // long ago
 			}
-			r.send(strconv.Itoa(n), 10*logic.Second, got, nil)
+			r.send(strconv.Itoa(n), 10*policy.Second, got, nil)
 		})
 		(<-r.came).answer("x")
 		<-got
@@ -148,7 +148,7 @@
 func TestTheTimeToldIsWhatIsLeftAsTheBytesLeave(t *testing.T) {
 	r := newRig(t)
 	got := make(chan string, 1)
-	const within, late = 10 * logic.Second, 120 * logic.Second / 1000
+	const within, late = 10 * policy.Second, 120 * policy.Second / 1000
 	sent, barrier := make(chan bool), make(chan bool)
 	go r.loop.Post(func() {
 		r.send("x", within, got, nil)
@@ -162,7 +162,7 @@
 	q := <-r.came
 	told, err := strconv.Atoi(strings.TrimSuffix(q.Header.Get(DefaultProtocol.Within), "ms"))
 	require.NoError(t, err)
-	require.LessOrEqual(t, told, int((within-late)/(logic.Second/1000)))
+	require.LessOrEqual(t, told, int((within-late)/(policy.Second/1000)))
 	require.Greater(t, told, 0)
 	q.answer("x")
 	require.Equal(t, "x", <-got)
@@ -178,8 +178,8 @@
 		t.Run(name, func(t *testing.T) {
 			r := newRig(t)
 			got := make(chan string, 1)
-			r.loop.Do(func() { r.send("x", 10*logic.Second, got, nil); change(r) })
-			require.Equal(t, fmt.Sprint(logic.NotSent), <-got)
+			r.loop.Do(func() { r.send("x", 10*policy.Second, got, nil); change(r) })
+			require.Equal(t, fmt.Sprint(policy.NotSent), <-got)
 			require.Eventually(t, func() bool {
 				links := -1
 				r.loop.Do(func() { links = r.pool.Connections() })
@@ -194,8 +194,8 @@
 func TestAConnectionGivenUpWhileOpeningRestsForTheNext(t *testing.T) {
 	r := newRig(t)
 	got := make(chan string, 2)
-	r.loop.Do(func() { r.send("x", 10*logic.Second, got, nil).Cancel() })
-	require.Equal(t, fmt.Sprint(logic.NotSent), <-got)
+	r.loop.Do(func() { r.send("x", 10*policy.Second, got, nil).Cancel() })
+	require.Equal(t, fmt.Sprint(policy.NotSent), <-got)
 	require.Eventually(t, func() bool {
 		idle := 0
 		r.loop.Do(func() { idle = len(r.pool.hosts[1].idle) })
--- a/plan/copies.go
+++ b/plan/copies.go
@@ -3,7 +3,7 @@
 import (
 	"math/big"
 
-	"dapplefront/logic"
+	"dapplefront/policy"
 )
 
 // Copies is what the build on trial gets in a location: copies, never the originals.
@@ -61,7 +61,7 @@
 func (o origin) copies(m *Model, r *Release, stage int) (rate, work *big.Rat) {
 	var some, load int64
 	for i, c := range m.Categories {
-		if c.Repeat == logic.Idempotent || c.Repeat == logic.IdempotentWithKey && stage >= r.Guarded {
+		if c.Repeat == policy.Idempotent || c.Repeat == policy.IdempotentWithKey && stage >= r.Guarded {
 			some += o.rates[i]
 			load += up(float64(o.rates[i]) / unit * c.Work)
 		}
--- a/plan/model.go
+++ b/plan/model.go
@@ -8,14 +8,14 @@
 	"slices"
 	"time"
 
-	"dapplefront/logic"
+	"dapplefront/policy"
 )
 
 // Category is a kind of task.
 type Category struct {
 	Name     string
 	Work     float64 // seconds of work that a task takes on a host of size 1
-	Repeat   logic.Idempotency
+	Repeat   policy.Idempotency
 	Earnings float64 // of a task answered in time
 }
 
--- a/plan/plan_test.go
+++ b/plan/plan_test.go
@@ -14,7 +14,7 @@
 	"github.com/stretchr/testify/require"
 	"pgregory.net/rapid"
 
-	"dapplefront/logic"
+	"dapplefront/policy"
 )
 
 // TestMain draws the same cases each time, so that a run's verdict is about the code; PLAN_DRAW=new draws others.
@@ -150,8 +150,8 @@
 func TestGuardedStagesAndCapsByCategory(t *testing.T) {
 	m := simple(map[string]float64{"north": 60}, several("north", 10, 2))
 	m.Bounds.Cold = Cold{}
-	m.Categories = append(m.Categories, Category{Name: "order", Work: .1, Repeat: logic.IdempotentWithKey, Earnings: 1},
-		Category{Name: "transfer", Work: .1, Repeat: logic.NonIdempotent, Earnings: 1})
+	m.Categories = append(m.Categories, Category{Name: "order", Work: .1, Repeat: policy.IdempotentWithKey, Earnings: 1},
+		Category{Name: "transfer", Work: .1, Repeat: policy.NonIdempotent, Earnings: 1})
 	m.Forecast[0].Demand = append(m.Forecast[0].Demand, Demand{"north", "order", 30, 0}, Demand{"north", "transfer", 10, 0})
 	m.Release = &Release{Build: 2, Stages: []Stage{{Share: .1, Cap: .1}}, Guarded: 1, ByCategory: true}
 	require.InDelta(t, 6, solved(t, m).Copies[0].Allowed, 1e-9, "a tenth of the retriable ones")
@@ -336,7 +336,7 @@
 // fleet draws a model of some size.
 func fleet(t *rapid.T) *Model {
 	m := simple(nil)
-	m.Categories = append(m.Categories, Category{Name: "order", Work: .04, Repeat: logic.NonIdempotent, Earnings: 3})
+	m.Categories = append(m.Categories, Category{Name: "order", Work: .04, Repeat: policy.NonIdempotent, Earnings: 3})
 	m.Bounds.Cross = rapid.SampledFrom([]float64{0, .1, .5, 1}).Draw(t, "cross")
 	m.Bounds.Reserve = rapid.SampledFrom([]float64{0, .1}).Draw(t, "reserve")
 	m.Bounds.Between = rapid.SampledFrom([]float64{0, 0, 1.25}).Draw(t, "between")
--- a/logic/host_test.go
+++ b/policy/host_test.go
@@ -1,4 +1,4 @@
-package logic
+package policy
 
 import (
 	"testing"
--- a/logic/logic.go
+++ b/policy/logic.go
@@ -2,7 +2,7 @@
 // happens (Listed, Take, Ended, Left, Due, Told, Counted, Complained, Heard), each with the clock; it answers
 // through its Hands before the call returns. The interface, nouns and all, is in types.go; docs/design.md
 // says why.
-package logic
+package policy
 
 import (
 	"math"
--- a/logic/peers.go
+++ b/policy/peers.go
@@ -1,4 +1,4 @@
-package logic
+package policy
 
 // This file keeps what peers tell, packs and unpacks it. Nothing is decided here.
 
--- a/logic/samples.go
+++ b/policy/samples.go
@@ -1,4 +1,4 @@
-package logic
+package policy
 
 // This file keeps what was seen and adds it up. Nothing is decided here.
 
--- a/logic/types.go
+++ b/policy/types.go
@@ -1,6 +1,6 @@
-// Package logic decides where tasks go while a fleet's build is being replaced.
+// Package policy decides where tasks go while a fleet's build is being replaced.
 // This file is its interface: the trade's nouns, what a Router is told and what it asks for.
-package logic
+package policy
 
 // Time is a moment or a span in whole tenths of a millisecond.
 type Time int64
--- a/record/record_test.go
+++ b/record/record_test.go
@@ -14,29 +14,29 @@
 
 	"github.com/stretchr/testify/require"
 
-	"dapplefront/logic"
 	"dapplefront/plan"
+	"dapplefront/policy"
 	"dapplefront/router"
 )
 
 var place = router.Config{Seed: 7, Routers: 3, Rank: 1, Location: "north", Categories: []router.Class{
-	{Name: "quote", Promised: 4000, Earnings: 1}, {Name: "transfer", Repeat: logic.NonIdempotent, Promised: 3000, Earnings: 3}},
+	{Name: "quote", Promised: 4000, Earnings: 1}, {Name: "transfer", Repeat: policy.NonIdempotent, Promised: 3000, Earnings: 3}},
 	Customers: []router.Tenant{{Name: "Ada", PerSecond: 50}},
-	Limits: logic.Limits{DrainGrace: logic.Second, WarmUp: 4 * logic.Second, ColdCapacity: .35, ColdOverloadFactor: 3, ColdOverloadWindow: 2 * logic.Second, PollInterval: 10 * logic.Second,
-		MaxAttempts: 4, AllowHedging: true, MaxRetryAfter: 2 * logic.Second, CrossPrice: .02},
-	Desk: logic.ReleaseConfig{Mode: logic.Quorum, ExposureCaps: []float64{.05, .5, 1}, MinStageTime: logic.Second, PromoteQuorum: 2, RollbackQuorum: 1,
-		VoteTTL: 8 * logic.Second, VoteTimeout: logic.Second, MaxVotesPerSecond: 30, ExposureWindow: 4 * logic.Second, ExposureAllowance: 2, GuardedStages: 1, StickyKeys: true}}
+	Limits: policy.Limits{DrainGrace: policy.Second, WarmUp: 4 * policy.Second, ColdCapacity: .35, ColdOverloadFactor: 3, ColdOverloadWindow: 2 * policy.Second, PollInterval: 10 * policy.Second,
+		MaxAttempts: 4, AllowHedging: true, MaxRetryAfter: 2 * policy.Second, CrossPrice: .02},
+	Desk: policy.ReleaseConfig{Mode: policy.Quorum, ExposureCaps: []float64{.05, .5, 1}, MinStageTime: policy.Second, PromoteQuorum: 2, RollbackQuorum: 1,
+		VoteTTL: 8 * policy.Second, VoteTimeout: policy.Second, MaxVotesPerSecond: 30, ExposureWindow: 4 * policy.Second, ExposureAllowance: 2, GuardedStages: 1, StickyKeys: true}}
 
 // live plays a router through drawn events for so many tasks and records all of it.
 func live(t testing.TB, w *Writer, seed uint64, tasks int) {
 	r := rand.New(rand.NewPCG(seed, 1))
-	now := 1000 * logic.Second
+	now := 1000 * policy.Second
 	p := place
 	p.Seed = seed
 	mind, actions := router.New(now, p)
 	require.NoError(t, w.Begin(now, p, actions))
 	type end struct {
-		at logic.Time
+		at policy.Time
 		e  router.Event
 	}
 	var ends []end
@@ -50,18 +50,18 @@
 		for _, a := range actions {
 			switch a.Do {
 			case router.Send:
-				x := router.AttemptEnded{Task: a.Task, Send: a.Send, Fate: logic.Succeeded, Took: logic.Time(100 + r.IntN(900)), Done: true}
+				x := router.AttemptEnded{Task: a.Task, Send: a.Send, Fate: policy.Succeeded, Took: policy.Time(100 + r.IntN(900)), Done: true}
 				if r.IntN(8) == 0 {
-					x.Fate, x.Done = logic.Outcome(1+r.IntN(8)), false
+					x.Fate, x.Done = policy.Outcome(1+r.IntN(8)), false
 				}
 				if r.IntN(2) == 0 {
-					x.Load = &logic.LoadReport{Active: float64(r.IntN(9)), Waiting: -1, Busy: r.Float64(), Service: -1, Rate: 3}
+					x.Load = &policy.LoadReport{Active: float64(r.IntN(9)), Waiting: -1, Busy: r.Float64(), Service: -1, Rate: 3}
 				}
 				ends = append(ends, end{now + x.Took, x})
 			case router.SetTimer:
 				ends = append(ends, end{now + a.Span, router.TimerFired{Alarm: a.Alarm}})
 			case router.Vote:
-				ends = append(ends, end{now + 100, router.ReleaseChanged{News: logic.ReleaseStatus{Build: a.Build, Stage: a.Stage, ExposureCap: .05, VoteResult: logic.VoteAccepted}}})
+				ends = append(ends, end{now + 100, router.ReleaseChanged{News: policy.ReleaseStatus{Build: a.Build, Stage: a.Stage, ExposureCap: .05, VoteResult: policy.VoteAccepted}}})
 			}
 		}
 	}
@@ -70,10 +70,10 @@
 		hosts = append(hosts, router.Host{ID: uint32(i + 1), Location: []string{"north", "south"}[i%2], Build: 1 + i/10, Size: 1.25})
 	}
 	hear(router.EndpointsChanged{Complete: true, Hosts: hosts})
-	hear(router.ReleaseChanged{News: logic.ReleaseStatus{Build: 2, Phase: logic.Canary, ExposureCap: .05}})
+	hear(router.ReleaseChanged{News: policy.ReleaseStatus{Build: 2, Phase: policy.Canary, ExposureCap: .05}})
 	hear(router.PlanOffered{Offer: plan.Offered{Version: 1, For: time.Minute, Near: []plan.Part{{Host: 1, Weight: 2}, {Host: 3, Weight: 1}}, Far: []plan.Part{{Host: 2, Weight: 1}}, Cross: .1}})
 	for i := range tasks {
-		now += logic.Time(r.IntN(200)) // at times several events at one moment
+		now += policy.Time(r.IntN(200)) // at times several events at one moment
 		slices.SortStableFunc(ends, func(a, b end) int { return int(a.at - b.at) })
 		for len(ends) > 0 && ends[0].at <= now {
 			e := ends[0].e
@@ -87,10 +87,10 @@
 			hear(router.ClientGone{Task: strconv.Itoa(i)})
 		case 1:
 			h := hosts[r.IntN(12)]
-			h.Standing, h.Up = logic.EndpointState(r.IntN(3)), now
+			h.Standing, h.Up = policy.EndpointState(r.IntN(3)), now
 			hear(router.EndpointsChanged{Hosts: []router.Host{h}})
 		case 2:
-			hear(router.StatsReported{Build: 2, Category: "quote", Bad: 1, Samples: 9, Mean: 300, Over: 2 * logic.Second})
+			hear(router.StatsReported{Build: 2, Category: "quote", Bad: 1, Samples: 9, Mean: 300, Over: 2 * policy.Second})
 		case 3:
 			hear(router.ComplaintReceived{Host: 11, Category: "quote", Age: 50})
 		case 4:
--- a/record/settings_test.go
+++ b/record/settings_test.go
@@ -6,8 +6,8 @@
 
 	"github.com/stretchr/testify/require"
 
-	"dapplefront/internal/charter"
-	"dapplefront/internal/terms"
+	"dapplefront/internal/platformsettings"
+	"dapplefront/internal/routerconfig"
 	"dapplefront/record"
 	"dapplefront/router"
 )
@@ -15,16 +15,16 @@
 // A configuration of each kind is read and compared in its stored form, which doesn't change with names in the code.
 func TestARoutersSettingsMeanWhatTheyMeantEarlier(t *testing.T) {
 	t.Run("INI file", func(t *testing.T) {
-		c, err := charter.Read("testdata/router.ini")
+		c, err := routerconfig.Read("testdata/router.ini")
 		require.NoError(t, err)
 		requireStored(t, "testdata/router.ini.json", c.Place)
 	})
 	t.Run("platform settings", func(t *testing.T) {
 		text, err := os.ReadFile("testdata/settings.json")
 		require.NoError(t, err)
-		p, err := terms.Flatten(text)
+		p, err := platformsettings.Flatten(text)
 		require.NoError(t, err)
-		requireStored(t, "testdata/settings.json.json", terms.Read(p, 7).Place)
+		requireStored(t, "testdata/settings.json.json", platformsettings.Read(p, 7).Place)
 	})
 }
 
--- a/record/stored_config.go
+++ b/record/stored_config.go
@@ -7,7 +7,7 @@
 	"fmt"
 	"io"
 
-	"dapplefront/logic"
+	"dapplefront/policy"
 	"dapplefront/router"
 )
 
@@ -28,13 +28,13 @@
 
 // storedClass is a router.Category.
 type storedClass struct {
-	Name      string            `json:"Name"`
-	Repeat    logic.Idempotency `json:"Repeat"`
-	Group     logic.DedupScope  `json:"Group"`
-	Memory    logic.Time        `json:"Memory"`
-	Promised  logic.Time        `json:"Promised"`
-	Earnings  float64           `json:"Earnings"`
-	LateShare float64           `json:"LateShare"`
+	Name      string             `json:"Name"`
+	Repeat    policy.Idempotency `json:"Repeat"`
+	Group     policy.DedupScope  `json:"Group"`
+	Memory    policy.Time        `json:"Memory"`
+	Promised  policy.Time        `json:"Promised"`
+	Earnings  float64            `json:"Earnings"`
+	LateShare float64            `json:"LateShare"`
 }
 
 // storedTenant is a router.Customer.
@@ -45,44 +45,44 @@
 
 // storedLimits is a logic.Limits.
 type storedLimits struct {
-	Grace       logic.Time `json:"Grace"`
-	Cold        logic.Time `json:"Cold"`
-	ColdShare   float64    `json:"ColdShare"`
-	Tip         float64    `json:"Tip"`
-	TipFor      logic.Time `json:"TipFor"`
-	AskWithin   logic.Time `json:"AskWithin"`
-	MaxSends    int        `json:"MaxSends"`
-	MaxOpen     int        `json:"MaxOpen"`
-	TwoAtOnce   bool       `json:"TwoAtOnce"`
-	LongestStay logic.Time `json:"LongestStay"`
-	Pushed      bool       `json:"Pushed"`
-	Peers       int        `json:"Peers"`
-	Probes      bool       `json:"Probes"`
-	CrossPrice  float64    `json:"CrossPrice"`
-	WastePrice  float64    `json:"WastePrice"`
-	OverShare   float64    `json:"OverShare"`
+	Grace       policy.Time `json:"Grace"`
+	Cold        policy.Time `json:"Cold"`
+	ColdShare   float64     `json:"ColdShare"`
+	Tip         float64     `json:"Tip"`
+	TipFor      policy.Time `json:"TipFor"`
+	AskWithin   policy.Time `json:"AskWithin"`
+	MaxSends    int         `json:"MaxSends"`
+	MaxOpen     int         `json:"MaxOpen"`
+	TwoAtOnce   bool        `json:"TwoAtOnce"`
+	LongestStay policy.Time `json:"LongestStay"`
+	Pushed      bool        `json:"Pushed"`
+	Peers       int         `json:"Peers"`
+	Probes      bool        `json:"Probes"`
+	CrossPrice  float64     `json:"CrossPrice"`
+	WastePrice  float64     `json:"WastePrice"`
+	OverShare   float64     `json:"OverShare"`
 }
 
 // storedRelease is a logic.Desk.
 type storedRelease struct {
-	Control      logic.PromotionMode `json:"Control"`
-	Caps         []float64           `json:"Caps"`
-	LeastTime    logic.Time          `json:"LeastTime"`
-	ClockTime    logic.Time          `json:"ClockTime"`
-	ToMoveOn     int                 `json:"ToMoveOn"`
-	ToAbort      int                 `json:"ToAbort"`
-	VoteLife     logic.Time          `json:"VoteLife"`
-	VoteTimeout  logic.Time          `json:"VoteTimeout"`
-	VotesASecond float64             `json:"VotesASecond"`
-	Window       logic.Time          `json:"Window"`
-	Free         float64             `json:"Free"`
-	ByCategory   bool                `json:"ByCategory"`
-	Guarded      int                 `json:"Guarded"`
-	KeysStay     bool                `json:"KeysStay"`
-	DelayPrice   float64             `json:"DelayPrice"`
-	HarmPrice    float64             `json:"HarmPrice"`
-	Complaints   float64             `json:"Complaints"`
-	Counted      float64             `json:"Counted"`
+	Control      policy.PromotionMode `json:"Control"`
+	Caps         []float64            `json:"Caps"`
+	LeastTime    policy.Time          `json:"LeastTime"`
+	ClockTime    policy.Time          `json:"ClockTime"`
+	ToMoveOn     int                  `json:"ToMoveOn"`
+	ToAbort      int                  `json:"ToAbort"`
+	VoteLife     policy.Time          `json:"VoteLife"`
+	VoteTimeout  policy.Time          `json:"VoteTimeout"`
+	VotesASecond float64              `json:"VotesASecond"`
+	Window       policy.Time          `json:"Window"`
+	Free         float64              `json:"Free"`
+	ByCategory   bool                 `json:"ByCategory"`
+	Guarded      int                  `json:"Guarded"`
+	KeysStay     bool                 `json:"KeysStay"`
+	DelayPrice   float64              `json:"DelayPrice"`
+	HarmPrice    float64              `json:"HarmPrice"`
+	Complaints   float64              `json:"Complaints"`
+	Counted      float64              `json:"Counted"`
 }
 
 // marshalConfig returns the stored form of a configuration.
@@ -158,7 +158,7 @@
 	}
 }
 
-func toStoredLimits(l logic.Limits) storedLimits {
+func toStoredLimits(l policy.Limits) storedLimits {
 	return storedLimits{
 		Grace: l.DrainGrace, Cold: l.WarmUp, ColdShare: l.ColdCapacity, Tip: l.ColdOverloadFactor, TipFor: l.ColdOverloadWindow, AskWithin: l.PollInterval,
 		MaxSends: l.MaxAttempts, MaxOpen: l.MaxOpen, TwoAtOnce: l.AllowHedging, LongestStay: l.MaxRetryAfter,
@@ -167,8 +167,8 @@
 	}
 }
 
-func (s storedLimits) limits() logic.Limits {
-	return logic.Limits{
+func (s storedLimits) limits() policy.Limits {
+	return policy.Limits{
 		DrainGrace: s.Grace, WarmUp: s.Cold, ColdCapacity: s.ColdShare, ColdOverloadFactor: s.Tip, ColdOverloadWindow: s.TipFor, PollInterval: s.AskWithin,
 		MaxAttempts: s.MaxSends, MaxOpen: s.MaxOpen, AllowHedging: s.TwoAtOnce, MaxRetryAfter: s.LongestStay,
 		PushedDiscovery: s.Pushed, MaxGossipBytes: s.Peers, HealthChecks: s.Probes, CrossPrice: s.CrossPrice, WastePrice: s.WastePrice,
@@ -176,7 +176,7 @@
 	}
 }
 
-func toStoredRelease(d logic.ReleaseConfig) storedRelease {
+func toStoredRelease(d policy.ReleaseConfig) storedRelease {
 	return storedRelease{
 		Control: d.Mode, Caps: d.ExposureCaps, LeastTime: d.MinStageTime, ClockTime: d.StageTime, ToMoveOn: d.PromoteQuorum,
 		ToAbort: d.RollbackQuorum, VoteLife: d.VoteTTL, VoteTimeout: d.VoteTimeout, VotesASecond: d.MaxVotesPerSecond,
@@ -185,8 +185,8 @@
 	}
 }
 
-func (s storedRelease) release() logic.ReleaseConfig {
-	return logic.ReleaseConfig{
+func (s storedRelease) release() policy.ReleaseConfig {
+	return policy.ReleaseConfig{
 		Mode: s.Control, ExposureCaps: s.Caps, MinStageTime: s.LeastTime, StageTime: s.ClockTime, PromoteQuorum: s.ToMoveOn,
 		RollbackQuorum: s.ToAbort, VoteTTL: s.VoteLife, VoteTimeout: s.VoteTimeout, MaxVotesPerSecond: s.VotesASecond,
 		ExposureWindow: s.Window, ExposureAllowance: s.Free, ExposurePerClass: s.ByCategory, GuardedStages: s.Guarded, StickyKeys: s.KeysStay,
--- a/record/wire.go
+++ b/record/wire.go
@@ -8,15 +8,15 @@
 
 	"google.golang.org/protobuf/encoding/protowire"
 
-	"dapplefront/logic"
 	"dapplefront/plan"
+	"dapplefront/policy"
 	"dapplefront/router"
 )
 
 // Entry is one event with what followed.
 type Entry struct {
 	Number  uint64
-	At      logic.Time
+	At      policy.Time
 	Place   *router.Config // a router's start, instead of an event
 	Event   router.Event
 	Actions []router.Action
@@ -108,7 +108,7 @@
 	return p, err
 }
 
-func appendLoad(b *out, field protowire.Number, l *logic.LoadReport) {
+func appendLoad(b *out, field protowire.Number, l *policy.LoadReport) {
 	if l == nil {
 		return
 	}
@@ -121,8 +121,8 @@
 	})
 }
 
-func readLoad(b []byte) (*logic.LoadReport, error) {
-	l := &logic.LoadReport{}
+func readLoad(b []byte) (*policy.LoadReport, error) {
+	l := &policy.LoadReport{}
 	at := []*float64{&l.Active, &l.Waiting, &l.Busy, &l.Service, &l.Rate}
 	return l, fields(b, func(f field) error {
 		if f.number >= 1 && int(f.number) <= len(at) {
@@ -252,10 +252,10 @@
 	bytes  []byte
 }
 
-func (f field) int() int         { return int(int64(f.n)) }
-func (f field) time() logic.Time { return logic.Time(f.n) }
-func (f field) float() float64   { return math.Float64frombits(f.n) }
-func (f field) text() string     { return string(f.bytes) }
+func (f field) int() int          { return int(int64(f.n)) }
+func (f field) time() policy.Time { return policy.Time(f.n) }
+func (f field) float() float64    { return math.Float64frombits(f.n) }
+func (f field) text() string      { return string(f.bytes) }
 
 var errMalformed = errors.New("an entry that is no protobuf message")
 
@@ -331,7 +331,7 @@
 				case 2:
 					x.Send = f.int()
 				case 3:
-					x.Fate = logic.Outcome(f.int())
+					x.Fate = policy.Outcome(f.int())
 				case 4:
 					x.Took = f.time()
 				case 5:
@@ -392,13 +392,13 @@
 				case 2:
 					x.News.Stage = f.int()
 				case 3:
-					x.News.Phase = logic.Phase(f.int())
+					x.News.Phase = policy.Phase(f.int())
 				case 4:
 					x.News.ExposureCap = f.float()
 				case 5:
 					x.News.Age = f.time()
 				case 6:
-					x.News.VoteResult = logic.VoteResult(f.int())
+					x.News.VoteResult = policy.VoteResult(f.int())
 				}
 				return nil
 			})
@@ -478,7 +478,7 @@
 				case 1:
 					x.Host = uint32(f.n)
 				case 2:
-					x.Fate = logic.Outcome(f.int())
+					x.Fate = policy.Outcome(f.int())
 				case 3:
 					x.Took = f.time()
 				case 4:
@@ -507,7 +507,7 @@
 		case 3:
 			h.Cell = f.int()
 		case 4:
-			h.Standing = logic.EndpointState(f.int())
+			h.Standing = policy.EndpointState(f.int())
 		case 5:
 			h.Build = f.int()
 		case 6:
@@ -575,7 +575,7 @@
 		case 8:
 			a.Stage = f.int()
 		case 9:
-			a.Voice = logic.VoteChoice(f.int())
+			a.Voice = policy.VoteChoice(f.int())
 		case 10:
 			a.Text = f.text()
 		case 11:
--- a/record/writer.go
+++ b/record/writer.go
@@ -19,7 +19,7 @@
 	"github.com/klauspost/compress/zstd"
 	"google.golang.org/protobuf/encoding/protowire"
 
-	"dapplefront/logic"
+	"dapplefront/policy"
 	"dapplefront/router"
 )
 
@@ -121,12 +121,12 @@
 }
 
 // Begin notes a router's start: all that it was told, and its first actions.
-func (w *Writer) Begin(now logic.Time, p router.Config, actions []router.Action) error {
+func (w *Writer) Begin(now policy.Time, p router.Config, actions []router.Action) error {
 	return w.add(&Entry{At: now, Place: &p, Actions: actions})
 }
 
 // Heard notes an event and the actions that followed.
-func (w *Writer) Heard(now logic.Time, e router.Event, actions []router.Action) error {
+func (w *Writer) Heard(now policy.Time, e router.Event, actions []router.Action) error {
 	return w.add(&Entry{At: now, Event: e, Actions: actions})
 }
 
--- a/release/release.go
+++ b/release/release.go
@@ -15,7 +15,7 @@
 import (
 	"strconv"
 
-	"dapplefront/logic"
+	"dapplefront/policy"
 )
 
 // Stage is one step of a release.
@@ -26,11 +26,11 @@
 
 // Rules are what the machine goes by.
 type Rules struct {
-	Control   logic.PromotionMode
+	Control   policy.PromotionMode
 	Stages    []Stage
-	LeastTime logic.Time // of a stage
-	ClockTime logic.Time // of a stage, under logic.Clock
-	VoteLife  logic.Time
+	LeastTime policy.Time // of a stage
+	ClockTime policy.Time // of a stage, under logic.Clock
+	VoteLife  policy.Time
 	ToMoveOn  int // votes
 	ToAbort   int
 	ToHold    int // under logic.Clock
@@ -49,7 +49,7 @@
 	Vote     struct {            // a router's word, in place of its earlier one
 		Router       string
 		Build, Stage int
-		Voice        logic.VoteChoice
+		Voice        policy.VoteChoice
 	}
 )
 
@@ -86,11 +86,11 @@
 
 // Status is where the newest release stands. It is stored and sent under these names.
 type Status struct {
-	Build int         `json:"Build"`
-	Stage int         `json:"Stage"`
-	Phase logic.Phase `json:"Phase"`
-	Cap   float64     `json:"Cap"`
-	Since logic.Time  `json:"Since"`
+	Build int          `json:"Build"`
+	Stage int          `json:"Stage"`
+	Phase policy.Phase `json:"Phase"`
+	Cap   float64      `json:"Cap"`
+	Since policy.Time  `json:"Since"`
 }
 
 // state is the phase, with its trial's two parts told apart.
@@ -138,21 +138,21 @@
 
 type vote struct {
 	build, stage int
-	voice        logic.VoteChoice
-	at           logic.Time
+	voice        policy.VoteChoice
+	at           policy.Time
 }
 
 // Machine is one fleet's releases. It is not safe for concurrent use.
 type Machine struct {
 	rules   Rules
-	now     logic.Time
+	now     policy.Time
 	state   state
 	news    Status
 	earlier int // the build that serves while news.Build is on trial, or served before it
-	runs    logic.Time
-	held    logic.Time // under a clock: how long the stage was on hold
+	runs    policy.Time
+	held    policy.Time // under a clock: how long the stage was on hold
 	holding bool
-	ticked  logic.Time
+	ticked  policy.Time
 	fixed   bool // the newest build can't go back
 	votes   map[string]vote
 	out     []Effect
@@ -161,7 +161,7 @@
 // New starts with a build that serves and is released.
 func New(rules Rules, build int) *Machine {
 	return &Machine{rules: rules, state: released, earlier: build, votes: map[string]vote{},
-		news: Status{Build: build, Phase: logic.Released, Cap: 1, Stage: max(0, len(rules.Stages)-1)}}
+		news: Status{Build: build, Phase: policy.Released, Cap: 1, Stage: max(0, len(rules.Stages)-1)}}
 }
 
 // News is where the newest release stands now.
@@ -171,10 +171,10 @@
 func (m *Machine) Earlier() int { return m.earlier }
 
 // Votes is how many votes of a voice stand now for the newest build; those to go on count for its present stage only.
-func (m *Machine) Votes(voice logic.VoteChoice) (n int) {
+func (m *Machine) Votes(voice policy.VoteChoice) (n int) {
 	for _, v := range m.votes {
 		fits := v.voice == voice && v.build == m.news.Build && m.now-v.at <= m.rules.VoteLife
-		if fits && (voice == logic.Rollback || v.stage == m.news.Stage) {
+		if fits && (voice == policy.Rollback || v.stage == m.news.Stage) {
 			n++
 		}
 	}
@@ -182,7 +182,7 @@
 }
 
 // Handle takes in what happened and returns what is to be done.
-func (m *Machine) Handle(now logic.Time, in Input) []Effect {
+func (m *Machine) Handle(now policy.Time, in Input) []Effect {
 	m.now, m.out = max(now, m.now), nil
 	switch in := in.(type) {
 	case Offer:
@@ -240,23 +240,23 @@
 	if m.step(overtaken); m.state == released {
 		m.earlier = m.news.Build
 	}
-	m.state, m.fixed, m.news = starting, false, Status{Build: build, Phase: logic.Canary}
+	m.state, m.fixed, m.news = starting, false, Status{Build: build, Phase: policy.Canary}
 	clear(m.votes)
 	m.place()
 }
 
 func (m *Machine) vote(v Vote) {
 	mine := v.Build == m.news.Build && m.state != goingBack && m.state != withdrawn
-	back := v.Voice == logic.Rollback || v.Voice == logic.Abstain
+	back := v.Voice == policy.Rollback || v.Voice == policy.Abstain
 	switch {
 	case !mine || !back && (v.Stage != m.news.Stage || m.state == released):
 		m.do(Answer{Why: "it is not the present build or stage"})
 		return
-	case v.Voice == logic.Hold && m.rules.Control != logic.Timed, v.Voice == logic.Promote && m.rules.Control == logic.Timed:
+	case v.Voice == policy.Hold && m.rules.Control != policy.Timed, v.Voice == policy.Promote && m.rules.Control == policy.Timed:
 		m.do(Answer{Why: "no such vote under this control"})
 		return
 	}
-	if v.Voice == logic.Rollback && m.fixed {
+	if v.Voice == policy.Rollback && m.fixed {
 		m.do(Answer{Why: noWayBack})
 		return
 	}
@@ -266,7 +266,7 @@
 
 // weigh sees whether votes or time move the release.
 func (m *Machine) weigh() {
-	if !m.fixed && m.Votes(logic.Rollback) >= max(1, m.rules.ToAbort) {
+	if !m.fixed && m.Votes(policy.Rollback) >= max(1, m.rules.ToAbort) {
 		m.step(sendsBack)
 		return
 	}
@@ -277,10 +277,10 @@
 	if m.holding {
 		m.held += m.now - m.ticked
 	}
-	m.holding = m.rules.Control == logic.Timed && m.rules.ToHold > 0 && m.Votes(logic.Hold) >= m.rules.ToHold
+	m.holding = m.rules.Control == policy.Timed && m.rules.ToHold > 0 && m.Votes(policy.Hold) >= m.rules.ToHold
 	switch {
-	case m.rules.Control != logic.Timed:
-		if m.Votes(logic.Promote) >= max(1, m.rules.ToMoveOn) && ran >= m.rules.LeastTime {
+	case m.rules.Control != policy.Timed:
+		if m.Votes(policy.Promote) >= max(1, m.rules.ToMoveOn) && ran >= m.rules.LeastTime {
 			m.step(movesOn)
 		}
 	case !m.holding && ran-m.held >= m.rules.ClockTime:
@@ -302,7 +302,7 @@
 func (m *Machine) tell() {
 	m.news.Since = m.now
 	if m.state == withdrawn {
-		m.news.Phase = logic.RolledBack
+		m.news.Phase = policy.RolledBack
 	}
 	m.do(Notify{m.news})
 }
@@ -314,16 +314,16 @@
 		m.place()
 		return
 	}
-	m.state, m.news.Phase, m.news.Cap, m.news.Since = released, logic.Released, 1, m.now
+	m.state, m.news.Phase, m.news.Cap, m.news.Since = released, policy.Released, 1, m.now
 	m.do(Notify{m.news})
 	m.do(Retire{m.earlier})
 }
 
 // takeOff takes a build on trial back.
 func (m *Machine) takeOff() {
-	m.news.Phase, m.news.Cap, m.news.Since = logic.RollingBack, 0, m.now
+	m.news.Phase, m.news.Cap, m.news.Since = policy.RollingBack, 0, m.now
 	if m.state == withdrawn {
-		m.news.Phase = logic.RolledBack
+		m.news.Phase = policy.RolledBack
 	}
 	m.do(Notify{m.news})
 	m.do(Retire{m.news.Build})
--- a/release/release_test.go
+++ b/release/release_test.go
@@ -5,11 +5,11 @@
 
 	"github.com/stretchr/testify/require"
 
-	"dapplefront/logic"
+	"dapplefront/policy"
 	"dapplefront/release"
 )
 
-var rules = release.Rules{Control: logic.Quorum, LeastTime: logic.Second, VoteLife: 5 * logic.Second,
+var rules = release.Rules{Control: policy.Quorum, LeastTime: policy.Second, VoteLife: 5 * policy.Second,
 	ToMoveOn: 2, ToAbort: 1, Stages: []release.Stage{{Share: 0.1, Cap: 0.1}, {Share: 1, Cap: 1}}}
 
 // offered is a machine whose build 2 runs in its first stage since time 0.
@@ -21,7 +21,7 @@
 }
 
 func on(router string, stage int) release.Vote {
-	return release.Vote{Router: router, Build: 2, Stage: stage, Voice: logic.Promote}
+	return release.Vote{Router: router, Build: 2, Stage: stage, Voice: policy.Promote}
 }
 
 func TestAStageNeedsItsHostsItsTimeAndItsVotes(t *testing.T) {
@@ -29,25 +29,25 @@
 	require.Contains(t, m.Handle(0, release.Offer{Build: 2}), release.Deploy{Build: 2, Share: 0.1})
 	m.Handle(0, on("a", 0))
 	m.Handle(0, on("b", 0))
-	m.Handle(3*logic.Second, release.Tick{})
+	m.Handle(3*policy.Second, release.Tick{})
 	require.Equal(t, 0, m.News().Stage, "its hosts don't run yet")
-	m.Handle(4*logic.Second, release.Ready{Build: 2})
-	m.Handle(4*logic.Second+1, release.Tick{})
+	m.Handle(4*policy.Second, release.Ready{Build: 2})
+	m.Handle(4*policy.Second+1, release.Tick{})
 	require.Equal(t, 0, m.News().Stage, "its least time has not passed")
-	m.Handle(5*logic.Second, release.Tick{})
+	m.Handle(5*policy.Second, release.Tick{})
 	require.Equal(t, 1, m.News().Stage)
-	require.Equal(t, 0, m.Votes(logic.Promote), "votes for a stage that has passed don't count for the next")
+	require.Equal(t, 0, m.Votes(policy.Promote), "votes for a stage that has passed don't count for the next")
 }
 
 func TestTheLastStageReleasesAndRetiresTheEarlierBuild(t *testing.T) {
 	m := offered()
-	m.Handle(logic.Second, on("a", 0))
-	m.Handle(logic.Second, on("b", 0))
-	m.Handle(logic.Second, release.Ready{Build: 2})
-	m.Handle(3*logic.Second, on("a", 1))
-	require.Contains(t, m.Handle(3*logic.Second, on("b", 1)), release.Retire{Build: 1})
-	require.Equal(t, logic.Released, m.News().Phase)
-	back := m.Handle(4*logic.Second, release.Vote{Router: "a", Build: 2, Stage: 1, Voice: logic.Rollback})
+	m.Handle(policy.Second, on("a", 0))
+	m.Handle(policy.Second, on("b", 0))
+	m.Handle(policy.Second, release.Ready{Build: 2})
+	m.Handle(3*policy.Second, on("a", 1))
+	require.Contains(t, m.Handle(3*policy.Second, on("b", 1)), release.Retire{Build: 1})
+	require.Equal(t, policy.Released, m.News().Phase)
+	back := m.Handle(4*policy.Second, release.Vote{Router: "a", Build: 2, Stage: 1, Voice: policy.Rollback})
 	require.Contains(t, back, release.Deploy{Build: 1, Share: 1}, "a release can be sent back until the next is offered")
 	require.Contains(t, back, release.Retire{Build: 2})
 }
@@ -55,20 +55,20 @@
 func TestVotesRunOutAndThoseOfThePastAreMoot(t *testing.T) {
 	m := offered()
 	m.Handle(0, on("a", 0))
-	m.Handle(6*logic.Second, on("b", 0))
+	m.Handle(6*policy.Second, on("b", 0))
 	require.Equal(t, 0, m.News().Stage, "the first vote no longer stands")
-	m.Handle(6*logic.Second, on("a", 0))
+	m.Handle(6*policy.Second, on("a", 0))
 	require.Equal(t, 1, m.News().Stage)
-	require.Contains(t, m.Handle(6*logic.Second, on("a", 0)), release.Answer{Why: "it is not the present build or stage"})
+	require.Contains(t, m.Handle(6*policy.Second, on("a", 0)), release.Answer{Why: "it is not the present build or stage"})
 }
 
 func TestANewerOfferTakesATrialOff(t *testing.T) {
 	m := offered()
-	effects := m.Handle(logic.Second, release.Offer{Build: 3})
+	effects := m.Handle(policy.Second, release.Offer{Build: 3})
 	require.Contains(t, effects, release.Retire{Build: 2})
 	require.Contains(t, effects, release.Deploy{Build: 3, Share: 0.1})
 	require.Equal(t, 1, m.Earlier())
-	require.IsType(t, release.Refuse{}, m.Handle(logic.Second, release.Offer{Build: 3})[0])
+	require.IsType(t, release.Refuse{}, m.Handle(policy.Second, release.Offer{Build: 3})[0])
 }
 
 func TestAWithdrawalComesOnce(t *testing.T) {
@@ -76,22 +76,22 @@
 	require.Contains(t, m.Handle(1, release.Withdraw{Build: 2}), release.Retire{Build: 2})
 	require.IsType(t, release.Refuse{}, m.Handle(2, release.Withdraw{Build: 2})[0])
 	m.Handle(3, release.Gone{Build: 2})
-	require.Equal(t, logic.RolledBack, m.News().Phase)
+	require.Equal(t, policy.RolledBack, m.News().Phase)
 	require.Equal(t, 0.0, m.News().Cap)
 }
 
 func TestUnderAClockVotesOnlyHold(t *testing.T) {
 	r := rules
-	r.Control, r.ClockTime, r.ToHold = logic.Timed, 2*logic.Second, 1
+	r.Control, r.ClockTime, r.ToHold = policy.Timed, 2*policy.Second, 1
 	m := release.New(r, 1)
 	m.Handle(0, release.Offer{Build: 2})
 	m.Handle(0, release.Ready{Build: 2})
-	m.Handle(logic.Second, release.Vote{Router: "a", Build: 2, Voice: logic.Hold})
-	for at := logic.Second; at < 5*logic.Second; at += logic.Second / 10 {
+	m.Handle(policy.Second, release.Vote{Router: "a", Build: 2, Voice: policy.Hold})
+	for at := policy.Second; at < 5*policy.Second; at += policy.Second / 10 {
 		m.Handle(at, release.Tick{})
 	}
 	require.Equal(t, 0, m.News().Stage)
-	for at := 5 * logic.Second; at < 8*logic.Second; at += logic.Second / 10 {
+	for at := 5 * policy.Second; at < 8*policy.Second; at += policy.Second / 10 {
 		m.Handle(at, release.Tick{})
 	}
 	require.Equal(t, 1, m.News().Stage, "the vote ran out after 6 s")
--- a/release/saved.go
+++ b/release/saved.go
@@ -5,7 +5,7 @@
 	"maps"
 	"slices"
 
-	"dapplefront/logic"
+	"dapplefront/policy"
 )
 
 // Saved is all that a Machine knows, in a form that can be kept.
@@ -13,22 +13,22 @@
 	State   int         `json:"state"`
 	News    Status      `json:"news"`
 	Earlier int         `json:"earlier"`
-	Now     logic.Time  `json:"now"`
-	Runs    logic.Time  `json:"runs"`
-	Held    logic.Time  `json:"held"`
+	Now     policy.Time `json:"now"`
+	Runs    policy.Time `json:"runs"`
+	Held    policy.Time `json:"held"`
 	Holding bool        `json:"holding"`
-	Ticked  logic.Time  `json:"ticked"`
+	Ticked  policy.Time `json:"ticked"`
 	Fixed   bool        `json:"fixed"`
 	Votes   []SavedVote `json:"votes"`
 }
 
 // SavedVote is one router's standing vote.
 type SavedVote struct {
-	Router string           `json:"Router"`
-	Build  int              `json:"Build"`
-	Stage  int              `json:"Stage"`
-	Voice  logic.VoteChoice `json:"Voice"`
-	At     logic.Time       `json:"At"`
+	Router string            `json:"Router"`
+	Build  int               `json:"Build"`
+	Stage  int               `json:"Stage"`
+	Voice  policy.VoteChoice `json:"Voice"`
+	At     policy.Time       `json:"At"`
 }
 
 // Save is the machine's state, the same for the same inputs.
@@ -56,7 +56,7 @@
 }
 
 // Due tells whether time alone would move the machine at a moment.
-func (m *Machine) Due(now logic.Time) bool {
+func (m *Machine) Due(now policy.Time) bool {
 	c := *m
 	c.votes = maps.Clone(m.votes)
 	return len(c.Handle(now, Tick{})) > 0
--- a/router/cost_test.go
+++ b/router/cost_test.go
@@ -5,14 +5,14 @@
 	"strconv"
 	"testing"
 
-	"dapplefront/logic"
+	"dapplefront/policy"
 	"dapplefront/router"
 )
 
 // fleet is a router with so many hosts, at steady work: tasks come evenly, and each send ends after what its host takes.
 type fleet struct {
 	r       *router.Router
-	now     logic.Time
+	now     policy.Time
 	gap     float64 // between tasks
 	at      float64
 	next    int
@@ -21,26 +21,26 @@
 }
 
 type ending struct {
-	at   logic.Time
+	at   policy.Time
 	task string
 	send int
 	host uint32
 }
 
 func newFleet(b *testing.B, hosts int, rate float64) *fleet {
-	f := &fleet{now: 1000 * logic.Second, gap: float64(logic.Second) / rate}
+	f := &fleet{now: 1000 * policy.Second, gap: float64(policy.Second) / rate}
 	f.r, _ = router.New(f.now, router.Config{Seed: 1, Routers: 4, Location: "north", Categories: []router.Class{
-		{Name: "quote", Promised: 4000, Earnings: 1}, {Name: "order", Repeat: logic.IdempotentWithKey, Memory: 10 * logic.Second, Promised: 5000, Earnings: 1}},
-		Limits: logic.Limits{DrainGrace: logic.Second, WarmUp: 4 * logic.Second, ColdCapacity: .35, ColdOverloadFactor: 3, ColdOverloadWindow: 2 * logic.Second, PollInterval: 100000 * logic.Second,
-			MaxAttempts: 4, AllowHedging: true, MaxRetryAfter: 2 * logic.Second, CrossPrice: .02},
-		Desk: logic.ReleaseConfig{Mode: logic.Quorum, ExposureCaps: []float64{.05, .5, 1}, MinStageTime: logic.Second, PromoteQuorum: 2, RollbackQuorum: 1,
-			VoteTTL: 8 * logic.Second, VoteTimeout: logic.Second, MaxVotesPerSecond: 30, ExposureWindow: 4 * logic.Second, ExposureAllowance: 2, GuardedStages: 1}})
+		{Name: "quote", Promised: 4000, Earnings: 1}, {Name: "order", Repeat: policy.IdempotentWithKey, Memory: 10 * policy.Second, Promised: 5000, Earnings: 1}},
+		Limits: policy.Limits{DrainGrace: policy.Second, WarmUp: 4 * policy.Second, ColdCapacity: .35, ColdOverloadFactor: 3, ColdOverloadWindow: 2 * policy.Second, PollInterval: 100000 * policy.Second,
+			MaxAttempts: 4, AllowHedging: true, MaxRetryAfter: 2 * policy.Second, CrossPrice: .02},
+		Desk: policy.ReleaseConfig{Mode: policy.Quorum, ExposureCaps: []float64{.05, .5, 1}, MinStageTime: policy.Second, PromoteQuorum: 2, RollbackQuorum: 1,
+			VoteTTL: 8 * policy.Second, VoteTimeout: policy.Second, MaxVotesPerSecond: 30, ExposureWindow: 4 * policy.Second, ExposureAllowance: 2, GuardedStages: 1}})
 	var list []router.Host
 	for i := range hosts {
 		list = append(list, router.Host{ID: uint32(i + 1), Location: []string{"north", "south", "port"}[i%3], Build: 1, Size: 1})
 	}
 	f.hear(b, router.EndpointsChanged{Complete: true, Hosts: list})
-	f.hear(b, router.ReleaseChanged{News: logic.ReleaseStatus{Build: 1, Phase: logic.Released, ExposureCap: 1}})
+	f.hear(b, router.ReleaseChanged{News: policy.ReleaseStatus{Build: 1, Phase: policy.Released, ExposureCap: 1}})
 	for range 2000 {
 		f.task(b)
 	}
@@ -54,7 +54,7 @@
 	}
 	for _, a := range f.actions {
 		if a.Do == router.Send {
-			took := logic.Time(200 + 100*(f.next*7919%13)/13)
+			took := policy.Time(200 + 100*(f.next*7919%13)/13)
 			f.ends = append(f.ends, ending{f.now + took, a.Task, a.Send, a.Host})
 		}
 	}
@@ -63,7 +63,7 @@
 // task lets one task come, and all sends end that are due before it.
 func (f *fleet) task(b *testing.B) {
 	f.at += f.gap
-	now := 1000*logic.Second + logic.Time(f.at)
+	now := 1000*policy.Second + policy.Time(f.at)
 	kept := f.ends[:0]
 	var due []ending
 	for _, e := range f.ends {
@@ -76,8 +76,8 @@
 	f.ends = kept
 	for _, e := range due {
 		f.now = max(f.now, e.at)
-		f.hear(b, router.AttemptEnded{Task: e.task, Send: e.send, Fate: logic.Succeeded, Took: 250, Done: true,
-			Load: &logic.LoadReport{Active: 2, Waiting: -1, Busy: -1, Service: -1, Rate: -1}})
+		f.hear(b, router.AttemptEnded{Task: e.task, Send: e.send, Fate: policy.Succeeded, Took: 250, Done: true,
+			Load: &policy.LoadReport{Active: 2, Waiting: -1, Busy: -1, Service: -1, Rate: -1}})
 	}
 	f.now = max(f.now, now)
 	f.next++
--- a/router/events.go
+++ b/router/events.go
@@ -1,8 +1,8 @@
 package router
 
 import (
-	"dapplefront/logic"
 	"dapplefront/plan"
+	"dapplefront/policy"
 )
 
 // Event is something that a router hears of.
@@ -15,19 +15,19 @@
 		Category string
 		Customer string // a name from Place.Customers; others count as none
 		Key      string // tasks that concern the same thing; empty for none
-		Patience logic.Time
-		Hint     logic.Time // expected work; 0 where not told
-		Again    bool       // the client says that it tries again
+		Patience policy.Time
+		Hint     policy.Time // expected work; 0 where not told
+		Again    bool        // the client says that it tries again
 	}
 	// Ended is the end of send number Send of a task, counted from 0. Done tells that the task is over, by this
 	// or already before it.
 	AttemptEnded struct {
 		Task string
 		Send int
-		Fate logic.Outcome
-		Took logic.Time
+		Fate policy.Outcome
+		Took policy.Time
 		Done bool
-		Load *logic.LoadReport // what the host reported with it, nil for nothing
+		Load *policy.LoadReport // what the host reported with it, nil for nothing
 	}
 	// Began is the first byte of a streamed answer.
 	ResponseStarted struct {
@@ -44,29 +44,29 @@
 	// Unlisted is a watch or call of the host list that failed; the list held still applies.
 	EndpointsUnavailable struct{}
 	// Told is the release desk's news, or its answer to a vote.
-	ReleaseChanged struct{ News logic.ReleaseStatus }
+	ReleaseChanged struct{ News policy.ReleaseStatus }
 	// Counted is what the desk counted for a build and a category.
 	StatsReported struct {
 		Build        int
 		Category     string
 		Bad, Samples int
-		Mean, Age    logic.Time
-		Over         logic.Time // the span that was counted
+		Mean, Age    policy.Time
+		Over         policy.Time // the span that was counted
 	}
 	// Complained is a client that found an answer wrong.
 	ComplaintReceived struct {
 		Host     uint32
 		Category string
-		Age      logic.Time // since the send went out
+		Age      policy.Time // since the send went out
 	}
 	// Due is an alarm that an Alarm action asked for.
 	TimerFired struct{ Alarm int64 }
 	// Probed is what a probe of a host found.
 	HealthChecked struct {
 		Host uint32
-		Fate logic.Outcome
-		Took logic.Time
-		Load *logic.LoadReport
+		Fate policy.Outcome
+		Took policy.Time
+		Load *policy.LoadReport
 	}
 	// Heard is a message from another router, by its rank.
 	GossipReceived struct {
@@ -99,10 +99,10 @@
 	ID       uint32
 	Location string
 	Cell     int
-	Standing logic.EndpointState
+	Standing policy.EndpointState
 	Build    int
 	Size     float64
-	Up       logic.Time // when its process started; 0 is long ago
+	Up       policy.Time // when its process started; 0 is long ago
 }
 
 // ActionKind is what an action asks for.
@@ -127,11 +127,11 @@
 	Task   string
 	Send   int
 	Host   uint32
-	Span   logic.Time
+	Span   policy.Time
 	Alarm  int64
 	Build  int
 	Stage  int
-	Voice  logic.VoteChoice
+	Voice  policy.VoteChoice
 	Text   string
 	Number uint64
 	Peer   int
@@ -147,17 +147,17 @@
 	Location   string
 	Categories []Class
 	Customers  []Tenant
-	Limits     logic.Limits
-	Desk       logic.ReleaseConfig
+	Limits     policy.Limits
+	Desk       policy.ReleaseConfig
 }
 
 // Class is a kind of task.
 type Class struct {
 	Name      string
-	Repeat    logic.Idempotency
-	Group     logic.DedupScope
-	Memory    logic.Time // how long a group of hosts drops repeats
-	Promised  logic.Time
+	Repeat    policy.Idempotency
+	Group     policy.DedupScope
+	Memory    policy.Time // how long a group of hosts drops repeats
+	Promised  policy.Time
 	Earnings  float64
 	LateShare float64 // share of the earnings left after the promised time
 }
--- a/router/planned.go
+++ b/router/planned.go
@@ -3,17 +3,17 @@
 import (
 	"time"
 
-	"dapplefront/logic"
 	"dapplefront/plan"
+	"dapplefront/policy"
 )
 
 // tick is one of the module's units of time.
 const tick = 100 * time.Microsecond
 
 // planned passes a plan's version on to the mind or turns it down.
-func (r *Router) planned(now logic.Time, o plan.Offered) {
+func (r *Router) planned(now policy.Time, o plan.Offered) {
 	fleet := plan.Fleet{Hosts: make(map[uint32]plan.Known, len(r.hosts)), Cold: time.Duration(r.place.Limits.WarmUp) * tick}
-	if r.news.Phase == logic.Canary {
+	if r.news.Phase == policy.Canary {
 		fleet.Build, fleet.Cap = r.news.Build, r.news.ExposureCap
 	}
 	here := r.location(r.place.Location)
@@ -30,15 +30,15 @@
 	if err := r.follower.Offer(o, fleet); err != nil {
 		act.Text = err.Error()
 	} else {
-		r.plan, r.until = o, now+logic.Time(o.For/tick)
+		r.plan, r.until = o, now+policy.Time(o.For/tick)
 		r.policy.PlanOffered(now, r.course())
 	}
 	r.out = append(r.out, act)
 }
 
 // course is the plan in force, for the hosts that are known.
-func (r *Router) course() logic.WeightPlan {
-	c := logic.WeightPlan{Weights: make(map[*logic.Host]float64, len(r.plan.Near)+len(r.plan.Far)), Cross: r.plan.Cross, Until: r.until}
+func (r *Router) course() policy.WeightPlan {
+	c := policy.WeightPlan{Weights: make(map[*policy.Host]float64, len(r.plan.Near)+len(r.plan.Far)), Cross: r.plan.Cross, Until: r.until}
 	for _, side := range [][]plan.Part{r.plan.Near, r.plan.Far} {
 		for _, p := range side {
 			if h := r.hosts[p.Host]; h != nil {
--- a/router/planned_test.go
+++ b/router/planned_test.go
@@ -7,13 +7,13 @@
 
 	"github.com/stretchr/testify/require"
 
-	"dapplefront/logic"
 	"dapplefront/plan"
+	"dapplefront/policy"
 	"dapplefront/router"
 )
 
 // sends lets tasks come one after the other, each ended at once, and counts the sends to each host.
-func sends(t *testing.T, r *router.Router, from int, now *logic.Time, n int) map[uint32]int {
+func sends(t *testing.T, r *router.Router, from int, now *policy.Time, n int) map[uint32]int {
 	count := map[uint32]int{}
 	for i := from; i < from+n; i++ {
 		*now += 20
@@ -23,7 +23,7 @@
 		for _, a := range actions {
 			if a.Do == router.Send {
 				count[a.Host]++
-				_, err := r.Handle(*now+10, router.AttemptEnded{Task: a.Task, Send: a.Send, Fate: logic.Succeeded, Took: 10, Done: true}, nil)
+				_, err := r.Handle(*now+10, router.AttemptEnded{Task: a.Task, Send: a.Send, Fate: policy.Succeeded, Took: 10, Done: true}, nil)
 				require.NoError(t, err)
 			}
 		}
@@ -31,7 +31,7 @@
 	return count
 }
 
-func heed(t *testing.T, r *router.Router, now logic.Time, o plan.Offered) string {
+func heed(t *testing.T, r *router.Router, now policy.Time, o plan.Offered) string {
 	actions, err := r.Handle(now, router.PlanOffered{Offer: o}, nil)
 	require.NoError(t, err)
 	require.Len(t, actions, 1)
@@ -41,11 +41,11 @@
 }
 
 func TestAPlanIsAHintThatRulesAndDrainsGoBefore(t *testing.T) {
-	now := 1000 * logic.Second
+	now := 1000 * policy.Second
 	r, _ := router.New(now, router.Config{Seed: 1, Routers: 1, Location: "north", Categories: []router.Class{{Name: "quote", Promised: 4000, Earnings: 1}},
-		Limits: logic.Limits{DrainGrace: logic.Second, WarmUp: 4 * logic.Second, ColdCapacity: .3, ColdOverloadFactor: 3, ColdOverloadWindow: 2 * logic.Second, PollInterval: 1000 * logic.Second,
+		Limits: policy.Limits{DrainGrace: policy.Second, WarmUp: 4 * policy.Second, ColdCapacity: .3, ColdOverloadFactor: 3, ColdOverloadWindow: 2 * policy.Second, PollInterval: 1000 * policy.Second,
 			MaxAttempts: 4, AllowHedging: true, CrossPrice: .05},
-		Desk: logic.ReleaseConfig{ExposureCaps: []float64{.05, 1}, PromoteQuorum: 1, RollbackQuorum: 1, VoteTTL: logic.Second, ExposureWindow: logic.Second, ExposureAllowance: 1}})
+		Desk: policy.ReleaseConfig{ExposureCaps: []float64{.05, 1}, PromoteQuorum: 1, RollbackQuorum: 1, VoteTTL: policy.Second, ExposureWindow: policy.Second, ExposureAllowance: 1}})
 	host := func(id uint32, place string) router.Host {
 		return router.Host{ID: id, Location: place, Build: 1, Size: 1}
 	}
@@ -53,7 +53,7 @@
 		_, err := r.Handle(now, e, nil)
 		require.NoError(t, err)
 	}
-	hear(router.ReleaseChanged{News: logic.ReleaseStatus{Build: 1, Phase: logic.Released, ExposureCap: 1}})
+	hear(router.ReleaseChanged{News: policy.ReleaseStatus{Build: 1, Phase: policy.Released, ExposureCap: 1}})
 	hear(router.EndpointsChanged{Complete: true, Hosts: []router.Host{host(1, "north"), host(2, "north"), host(3, "north"), host(4, "north"), host(5, "south")}})
 	even := sends(t, r, 0, &now, 1000)
 	require.InDelta(t, 250, even[1], 60)
@@ -66,7 +66,7 @@
 	require.InDelta(t, 200, led[5], 60, "so many cross as it has it")
 
 	drained := host(1, "north")
-	drained.Standing = logic.Draining
+	drained.Standing = policy.Draining
 	hear(router.EndpointsChanged{Hosts: []router.Host{drained}})
 	require.Contains(t, heed(t, r, now, plan.Offered{Version: 1, For: time.Minute}), "in force already")
 	require.Empty(t, heed(t, r, now, plan.Offered{Version: 2, For: 4 * time.Second, Near: []plan.Part{{Host: 1, Weight: 9}, {Host: 2, Weight: 1}, {Host: 77, Weight: 1}}}),
@@ -77,11 +77,11 @@
 	more := sends(t, r, 3000, &now, 500)
 	require.Greater(t, more[77], 100)
 
-	now += 10 * logic.Second
+	now += 10 * policy.Second
 	past := sends(t, r, 4000, &now, 1000)
 	require.InDelta(t, past[3], past[2], 90, "a plan that has run out counts no more")
 	require.Zero(t, past[5])
 
-	hear(router.ReleaseChanged{News: logic.ReleaseStatus{Build: 2, Phase: logic.Canary, ExposureCap: .05}})
+	hear(router.ReleaseChanged{News: policy.ReleaseStatus{Build: 2, Phase: policy.Canary, ExposureCap: .05}})
 	require.Contains(t, heed(t, r, now, plan.Offered{Version: 3, Build: 2, Copies: .2, For: time.Second, Near: []plan.Part{{Host: 2, Weight: 1}}}), "would break the cap")
 }
--- a/router/router.go
+++ b/router/router.go
@@ -5,73 +5,73 @@
 	"fmt"
 	"slices"
 
-	"dapplefront/logic"
 	"dapplefront/plan"
+	"dapplefront/policy"
 )
 
 // Router is one instance's mind behind ids.
 type Router struct {
-	policy    *logic.Router
+	policy    *policy.Router
 	out       []Action
 	hosts     map[uint32]*host
-	locations map[string]*logic.Zone
-	cats      map[string]*logic.Class
-	customers map[string]*logic.Tenant
+	locations map[string]*policy.Zone
+	cats      map[string]*policy.Class
+	customers map[string]*policy.Tenant
 	tasks     map[string]*task
-	ids       map[*logic.Request]string
-	alarms    map[int64]*logic.Timer
+	ids       map[*policy.Request]string
+	alarms    map[int64]*policy.Timer
 	marks     int64
-	swept     logic.Time
-	news      logic.ReleaseStatus
+	swept     policy.Time
+	news      policy.ReleaseStatus
 	follower  plan.Follower
 	plan      plan.Offered
-	until     logic.Time // the plan in force is followed
+	until     policy.Time // the plan in force is followed
 	place     Config
 }
 
 type host struct {
-	noun *logic.Host
-	gone logic.Time // when it was told to be gone
-	out  int        // sends that have not ended
+	noun *policy.Host
+	gone policy.Time // when it was told to be gone
+	out  int         // sends that have not ended
 }
 
 type task struct {
-	noun  *logic.Request
+	noun  *policy.Request
 	ended []bool // by send
 	left  int    // sends that have not ended
 }
 
 // New starts a router that knows nothing but its place, and returns its first actions.
-func New(now logic.Time, p Config) (*Router, []Action) {
-	r := &Router{hosts: map[uint32]*host{}, locations: map[string]*logic.Zone{},
-		cats: map[string]*logic.Class{}, customers: map[string]*logic.Tenant{}, tasks: map[string]*task{},
-		ids: map[*logic.Request]string{}, alarms: map[int64]*logic.Timer{}, place: p}
-	place := logic.Config{Seed: p.Seed, Routers: p.Routers, Rank: p.Rank, Zone: r.location(p.Location),
+func New(now policy.Time, p Config) (*Router, []Action) {
+	r := &Router{hosts: map[uint32]*host{}, locations: map[string]*policy.Zone{},
+		cats: map[string]*policy.Class{}, customers: map[string]*policy.Tenant{}, tasks: map[string]*task{},
+		ids: map[*policy.Request]string{}, alarms: map[int64]*policy.Timer{}, place: p}
+	place := policy.Config{Seed: p.Seed, Routers: p.Routers, Rank: p.Rank, Zone: r.location(p.Location),
 		Limits: p.Limits, Release: p.Desk}
 	for _, c := range p.Categories {
-		noun := &logic.Class{Idempotency: c.Repeat, DedupScope: c.Group, DedupWindow: c.Memory, LatencyObjective: c.Promised,
+		noun := &policy.Class{Idempotency: c.Repeat, DedupScope: c.Group, DedupWindow: c.Memory, LatencyObjective: c.Promised,
 			PriorityWeight: c.Earnings, LateShare: c.LateShare}
 		r.cats[c.Name] = noun
 		place.Classes = append(place.Classes, noun)
 	}
 	for _, c := range p.Customers {
-		r.customers[c.Name] = &logic.Tenant{QuotaPerSecond: c.PerSecond}
+		r.customers[c.Name] = &policy.Tenant{QuotaPerSecond: c.PerSecond}
 	}
-	r.policy = logic.NewRouter(now, place, (*hands)(r))
+	r.policy = policy.NewRouter(now, place, (*hands)(r))
 	return r, r.out
 }
 
 // Handle takes in one event at its time and appends what is to be done to actions. An event that makes no sense (an
 // unknown category, an id used twice) changes nothing and is an error; one about a task that is no longer known is
 // dropped, as ends and news cross on the way.
-func (r *Router) Handle(now logic.Time, e Event, actions []Action) ([]Action, error) {
+func (r *Router) Handle(now policy.Time, e Event, actions []Action) ([]Action, error) {
 	r.out = actions
 	err := r.hear(now, e)
 	actions, r.out = r.out, nil
 	return actions, err
 }
 
-func (r *Router) hear(now logic.Time, e Event) error {
+func (r *Router) hear(now policy.Time, e Event) error {
 	switch e := e.(type) {
 	case RequestArrived:
 		return r.take(now, e)
@@ -95,7 +95,7 @@
 	case EndpointsUnavailable:
 		r.policy.EndpointsChanged(now, nil, false)
 	case ReleaseChanged:
-		if e.News.VoteResult == logic.Unsolicited || e.News.VoteResult == logic.VoteAccepted {
+		if e.News.VoteResult == policy.Unsolicited || e.News.VoteResult == policy.VoteAccepted {
 			r.news = e.News
 		}
 		r.policy.ReleaseChanged(now, e.News)
@@ -114,7 +114,7 @@
 		if c == nil {
 			return fmt.Errorf("counts of the category %q, which is none of those told at start", e.Category)
 		}
-		r.policy.StatsReported(now, logic.BuildStats{Build: e.Build, Category: c, Bad: e.Bad, Samples: e.Samples, Mean: e.Mean,
+		r.policy.StatsReported(now, policy.BuildStats{Build: e.Build, Category: c, Bad: e.Bad, Samples: e.Samples, Mean: e.Mean,
 			Age: e.Age, Over: e.Over})
 	case ComplaintReceived:
 		c := r.cats[e.Category]
@@ -135,7 +135,7 @@
 	return nil
 }
 
-func (r *Router) take(now logic.Time, e RequestArrived) error {
+func (r *Router) take(now policy.Time, e RequestArrived) error {
 	c := r.cats[e.Category]
 	if c == nil {
 		return fmt.Errorf("task %s has the category %q, which is none of those told at start", e.Task, e.Category)
@@ -143,7 +143,7 @@
 	if r.tasks[e.Task] != nil {
 		return fmt.Errorf("task %s is already held", e.Task)
 	}
-	t := &task{noun: &logic.Request{Class: c, Tenant: r.customers[e.Customer], Key: e.Key, Timeout: e.Patience,
+	t := &task{noun: &policy.Request{Class: c, Tenant: r.customers[e.Customer], Key: e.Key, Timeout: e.Patience,
 		ExpectedWork: e.Hint, ClientRetry: e.Again}}
 	r.tasks[e.Task], r.ids[t.noun] = t, e.Task
 	r.policy.RequestArrived(now, t.noun)
@@ -152,7 +152,7 @@
 }
 
 // ended passes on how a send ended, once.
-func (r *Router) ended(now logic.Time, e AttemptEnded) {
+func (r *Router) ended(now policy.Time, e AttemptEnded) {
 	t := r.tasks[e.Task]
 	if t == nil || e.Send < 0 || e.Send >= len(t.ended) || t.ended[e.Send] {
 		return
@@ -178,28 +178,28 @@
 // InFlight is how many tasks are known of: those owed an answer, and those with sends still out.
 func (r *Router) InFlight() int { return len(r.tasks) }
 
-func (r *Router) location(name string) *logic.Zone {
+func (r *Router) location(name string) *policy.Zone {
 	if r.locations[name] == nil {
-		r.locations[name] = &logic.Zone{}
+		r.locations[name] = &policy.Zone{}
 	}
 	return r.locations[name]
 }
 
 // changes turns a list into changes to what was held; hosts that a whole list leaves out are gone.
-func (r *Router) changes(now logic.Time, e EndpointsChanged) []logic.EndpointUpdate {
-	out := make([]logic.EndpointUpdate, 0, len(e.Hosts))
+func (r *Router) changes(now policy.Time, e EndpointsChanged) []policy.EndpointUpdate {
+	out := make([]policy.EndpointUpdate, 0, len(e.Hosts))
 	named := make(map[uint32]bool, len(e.Hosts))
 	for _, l := range e.Hosts {
 		h := r.hosts[l.ID]
 		if h == nil {
-			h = &host{noun: &logic.Host{ID: l.ID}}
+			h = &host{noun: &policy.Host{ID: l.ID}}
 			r.hosts[l.ID] = h
 		}
-		if h.gone = 0; l.Standing == logic.Removed {
+		if h.gone = 0; l.Standing == policy.Removed {
 			h.gone = now
 		}
 		named[l.ID] = true
-		out = append(out, logic.EndpointUpdate{Host: h.noun, Zone: r.location(l.Location), Cell: l.Cell,
+		out = append(out, policy.EndpointUpdate{Host: h.noun, Zone: r.location(l.Location), Cell: l.Cell,
 			State: l.Standing, Build: l.Build, Weight: l.Size, StartedAt: l.Up})
 	}
 	if !e.Complete {
@@ -214,16 +214,16 @@
 			h.gone = now
 		}
 		n := h.noun
-		out = append(out, logic.EndpointUpdate{Host: n, Zone: n.Zone, Cell: n.Cell, State: logic.Removed,
+		out = append(out, policy.EndpointUpdate{Host: n, Zone: n.Zone, Cell: n.Cell, State: policy.Removed,
 			Build: n.Build, Weight: n.Weight, StartedAt: n.StartedAt})
 	}
-	slices.SortFunc(out[listed:], func(a, b logic.EndpointUpdate) int { return cmp.Compare(a.Host.ID, b.Host.ID) })
+	slices.SortFunc(out[listed:], func(a, b policy.EndpointUpdate) int { return cmp.Compare(a.Host.ID, b.Host.ID) })
 	return out
 }
 
 // sweep drops hosts that have been gone for so long that no figure of theirs counts any more.
-func (r *Router) sweep(now logic.Time) {
-	const after, every = 600 * logic.Second, 60 * logic.Second // far beyond what the module looks back on
+func (r *Router) sweep(now policy.Time) {
+	const after, every = 600 * policy.Second, 60 * policy.Second // far beyond what the module looks back on
 	if now-r.swept < every {
 		return
 	}
@@ -241,7 +241,7 @@
 
 func (r *hands) act(a Action) { r.out = append(r.out, a) }
 
-func (r *hands) Send(s *logic.Attempt, within logic.Time) {
+func (r *hands) Send(s *policy.Attempt, within policy.Time) {
 	id := r.ids[s.Request]
 	t := r.tasks[id]
 	t.ended = append(t.ended, false)
@@ -252,13 +252,13 @@
 	r.act(Action{Do: Send, Task: id, Send: len(t.ended) - 1, Host: s.Host.ID, Span: within, Copied: s.IsShadow()})
 }
 
-func (r *hands) Reject(t *logic.Request, stay logic.Time) {
+func (r *hands) Reject(t *policy.Request, stay policy.Time) {
 	r.act(Action{Do: Reject, Task: r.ids[t], Span: stay})
 }
 
-func (r *hands) Fail(t *logic.Request) { r.act(Action{Do: Fail, Task: r.ids[t]}) }
+func (r *hands) Fail(t *policy.Request) { r.act(Action{Do: Fail, Task: r.ids[t]}) }
 
-func (r *hands) SetTimer(in logic.Time, a *logic.Timer) {
+func (r *hands) SetTimer(in policy.Time, a *policy.Timer) {
 	r.marks++
 	r.alarms[r.marks] = a
 	r.act(Action{Do: SetTimer, Alarm: r.marks, Span: in})
@@ -266,7 +266,7 @@
 
 func (r *hands) WatchEndpoints() { r.act(Action{Do: WatchEndpoints}) }
 
-func (r *hands) Vote(build, stage int, voice logic.VoteChoice) {
+func (r *hands) Vote(build, stage int, voice policy.VoteChoice) {
 	r.act(Action{Do: Vote, Build: build, Stage: stage, Voice: voice})
 }
 
@@ -276,4 +276,4 @@
 	r.act(Action{Do: Gossip, Peer: peer, Body: string(body)})
 }
 
-func (r *hands) CheckHealth(h *logic.Host) { r.act(Action{Do: CheckHealth, Host: h.ID}) }
+func (r *hands) CheckHealth(h *policy.Host) { r.act(Action{Do: CheckHealth, Host: h.ID}) }
--- a/router/settle.go
+++ b/router/settle.go
@@ -5,11 +5,11 @@
 	"fmt"
 	"slices"
 
-	"dapplefront/logic"
+	"dapplefront/policy"
 )
 
 // settle takes over other settings, between two events: tasks held go on under them, and nothing is sent anew.
-func (r *Router) settle(now logic.Time, p Config) error {
+func (r *Router) settle(now policy.Time, p Config) error {
 	if err := r.place.CheckChange(p); err != nil {
 		return err
 	}
