--- a/client/client.go
+++ b/client/client.go
@@ -154,7 +154,7 @@
 }
 
 // Create asks for a release. With a key it may be repeated, and is where the answer is lost.
-func (c *Client) Create(ctx context.Context, a api.Creation, key string) (r api.ReleaseObject, err error) {
+func (c *Client) Create(ctx context.Context, a api.CreateRelease, key string) (r api.ReleaseObject, err error) {
 	var h http.Header
 	if key != "" {
 		h = http.Header{"Idempotency-Key": {key}}
@@ -193,7 +193,7 @@
 }
 
 // Patch changes note and labels; version 0 is for any.
-func (c *Client) Patch(ctx context.Context, build int, a api.Change, version int64) (r api.ReleaseObject, err error) {
+func (c *Client) Patch(ctx context.Context, build int, a api.PatchRelease, version int64) (r api.ReleaseObject, err error) {
 	_, err = c.call(ctx, "PATCH", release(build), match(version), a, &r, version == 0)
 	return r, err
 }
--- a/cmd/dapplefront/agent.go
+++ b/cmd/dapplefront/agent.go
@@ -49,27 +49,27 @@
 
 // readPost reads an agent's settings; mistakes are kept by the sheet.
 func readPost(s *inifile.File) agentd.Post {
-	a := s.Part("agent")
+	a := s.Section("agent")
 	p := agentd.Post{Name: a.Text("name", "!"), Dir: a.Text("folder", "!"), Controller: a.Text("controller", "!"),
-		Disk: int64(a.Bytes("disk", "8GiB")), Log: int64(a.Bytes("output", "1MiB")), Cold: a.Span("cold", "5s"),
-		Drain: a.Span("drain", "5s"),
-		Rules: agent.Rules{Crashes: a.Whole("crashes", "5", 0, 1000), Pause: a.Span("pause", "200ms"),
-			Longest: a.Span("longest-pause", "10s"), Steady: a.Span("steady", "60s")}}
-	f := s.Part("fetch")
-	p.Source = artifact.Source{Mirrors: f.List("mirrors", "!"), Tries: f.Whole("tries", "8", 1, 1000), Pause: f.Span("pause", "200ms"),
-		Silence: f.Span("silence", "10s")}
+		Disk: int64(a.Bytes("disk", "8GiB")), Log: int64(a.Bytes("output", "1MiB")), Cold: a.Duration("cold", "5s"),
+		Drain: a.Duration("drain", "5s"),
+		Rules: agent.Rules{Crashes: a.Int("crashes", "5", 0, 1000), Pause: a.Duration("pause", "200ms"),
+			Longest: a.Duration("longest-pause", "10s"), Steady: a.Duration("steady", "60s")}}
+	f := s.Section("fetch")
+	p.Source = artifact.Source{Mirrors: f.List("mirrors", "!"), Tries: f.Int("tries", "8", 1, 1000), Pause: f.Duration("pause", "200ms"),
+		Silence: f.Duration("silence", "10s")}
 	if text := f.Text("rate", "none"); text != "none" {
 		p.Source.Rate = f.Bytes("rate", "1MiB")
 	}
-	if c := s.Part("tls"); c.Has() {
+	if c := s.Section("tls"); c.Has() {
 		ring, err := certs.Open(certs.Files{Certificate: c.Text("certificate", "!"), Key: c.Text("key", "!"), Authority: c.Text("authority", "!")})
 		if err != nil {
-			c.Wrong("certificate", "%v", err)
+			c.AddError("certificate", "%v", err)
 		} else {
 			p.Secure = ring.Client()
 		}
 	}
-	t := s.Part("trust")
+	t := s.Section("trust")
 	file := t.Text("ring", "!")
 	if file != "" {
 		raw, err := os.ReadFile(file)
@@ -77,7 +77,7 @@
 			p.Ring, err = build.ReadRing(raw)
 		}
 		if err != nil {
-			t.Wrong("ring", "%v", err)
+			t.AddError("ring", "%v", err)
 		}
 	}
 	return p
--- a/cmd/dapplefront/controller.go
+++ b/cmd/dapplefront/controller.go
@@ -40,39 +40,39 @@
 
 // readOffice reads a controller's settings; mistakes are kept by the sheet.
 func readOffice(s *inifile.File) (o office) {
-	p := s.Part("controller")
+	p := s.Section("controller")
 	o.seat = controller.NodeConfig{Name: p.Text("name", "!"), Dir: p.Text("store", "!"), Listen: p.Address("peers", "127.0.0.1:7400"),
-		First: p.Switch("first", "off"), Quick: p.Switch("near", "on"), Build: p.Whole("build", "1", 1, 65535)}
-	o.front = controller.ServerConfig{Listen: p.Address("listen", "127.0.0.1:7300"), URL: p.Text("url", ""), VotesASecond: p.Number("votes-a-second", "30", 0.1, 1e6),
-		Watchers: p.Whole("watchers", "5000", 1, 1<<20), Bookmark: p.Span("bookmark", "2s"), Slow: p.Span("slow", "5s")}
-	p = s.Part("releases")
-	r := release.Rules{Control: map[string]policy.PromotionMode{"share": policy.Quorum, "clock": policy.Timed}[p.OneOf("control", "share", "share", "any", "clock")],
-		LeastTime: eventloop.FromDuration(p.Span("least-time", "2s")), ClockTime: eventloop.FromDuration(p.Span("clock-time", "10s")), VoteLife: eventloop.FromDuration(p.Span("vote-life", "10s")),
-		ToMoveOn: p.Whole("to-move-on", "1", 1, 100_000), ToAbort: p.Whole("to-abort", "1", 1, 100_000), ToHold: p.Whole("to-hold", "0", 0, 100_000)}
+		Bootstrap: p.Bool("first", "off"), Quick: p.Bool("near", "on"), Build: p.Int("build", "1", 1, 65535)}
+	o.front = controller.ServerConfig{Listen: p.Address("listen", "127.0.0.1:7300"), URL: p.Text("url", ""), VotesASecond: p.Float("votes-a-second", "30", 0.1, 1e6),
+		Watchers: p.Int("watchers", "5000", 1, 1<<20), Bookmark: p.Duration("bookmark", "2s"), Slow: p.Duration("slow", "5s")}
+	p = s.Section("releases")
+	r := release.Rules{Mode: map[string]policy.PromotionMode{"share": policy.Quorum, "clock": policy.Timed}[p.OneOf("control", "share", "share", "any", "clock")],
+		MinStageTime: eventloop.FromDuration(p.Duration("least-time", "2s")), StageTime: eventloop.FromDuration(p.Duration("clock-time", "10s")), VoteTTL: eventloop.FromDuration(p.Duration("vote-life", "10s")),
+		PromoteQuorum: p.Int("to-move-on", "1", 1, 100_000), RollbackQuorum: p.Int("to-abort", "1", 1, 100_000), HoldQuorum: p.Int("to-hold", "0", 0, 100_000)}
 	shares, caps := p.Shares("shares", "3%, 12%, 40%, 100%"), p.Shares("caps", "4%, 15%, 50%, 100%")
 	if len(shares) != len(caps) {
-		p.Wrong("caps", "caps: as many as shares expected, %d and not %d", len(shares), len(caps))
+		p.AddError("caps", "caps: as many as shares expected, %d and not %d", len(shares), len(caps))
 	}
 	for i := range min(len(shares), len(caps)) {
-		r.Stages = append(r.Stages, release.Stage{Share: shares[i], Cap: caps[i]})
+		r.Stages = append(r.Stages, release.Stage{HostShare: shares[i], ExposureCap: caps[i]})
 	}
-	o.seat.Figures = control.Config{Rules: r, OnShare: p.Share("on-share", "0%"), BackShare: p.Share("back-share", "0%"),
-		Absent: eventloop.FromDuration(p.Span("absent", "30s")), Events: p.Whole("events", "4096", 100, 1<<20), Keys: p.Whole("keys", "1000", 10, 1<<20)}
+	o.seat.Control = control.Config{Rules: r, PromoteShare: p.Share("on-share", "0%"), RollbackShare: p.Share("back-share", "0%"),
+		RouterTimeout: eventloop.FromDuration(p.Duration("absent", "30s")), MaxEvents: p.Int("events", "4096", 100, 1<<20), MaxCreationKeys: p.Int("keys", "1000", 10, 1<<20)}
 	o.guard(s)
 	return o
 }
 
 // guard reads certificates and who may do what.
 func (o *office) guard(s *inifile.File) {
-	p := s.Part("tls")
+	p := s.Section("tls")
 	o.files = certs.Files{Certificate: p.Text("certificate", ""), Key: p.Text("key", ""), Authority: p.Text("authority", "")}
 	if k := o.files; p.Has() && (k.Certificate == "" || k.Key == "" || k.Authority == "") {
-		p.Wrong("", "certificate, key and authority expected")
+		p.AddError("", "certificate, key and authority expected")
 	}
 	o.peers = p.List("controllers", "")
-	parts, names := s.Parts("grant")
+	parts, names := s.Sections("grant")
 	for i, g := range parts {
-		grant := controller.Grant{Names: g.List("names", "")}
+		grant := controller.Grant{CommonNames: g.List("names", "")}
 		if all := g.Networks("networks", ""); len(all) > 0 {
 			var b netipx.IPSetBuilder
 			for _, n := range all {
@@ -80,18 +80,18 @@
 			}
 			set, err := b.IPSet()
 			if err != nil {
-				g.Wrong("networks", "networks: %v", err)
+				g.AddError("networks", "networks: %v", err)
 			}
 			grant.Networks = set
 		}
 		for _, r := range g.List("roles", "!") {
 			if !slices.Contains(controller.Roles, controller.Role(r)) {
-				g.Wrong("roles", "roles = %s: some of %v expected", r, controller.Roles)
+				g.AddError("roles", "roles = %s: some of %v expected", r, controller.Roles)
 			}
 			grant.Roles = append(grant.Roles, controller.Role(r))
 		}
-		if len(grant.Names) > 0 && !p.Has() {
-			g.Wrong("names", "[grant %s] goes by certificates, but there is no section [tls]", names[i])
+		if len(grant.CommonNames) > 0 && !p.Has() {
+			g.AddError("names", "[grant %s] goes by certificates, but there is no section [tls]", names[i])
 		}
 		o.grants = append(o.grants, grant)
 	}
@@ -167,7 +167,7 @@
 		}})
 	}
 	with("check FILE", "Go through every page and entry of the store that FILE names", 1, func(c *cobra.Command, o office, _ []string) error {
-		if err := controller.CheckStore(o.seat.Dir, o.seat.Figures); err != nil {
+		if err := controller.CheckStore(o.seat.Dir, o.seat.Control); err != nil {
 			fmt.Fprintln(c.ErrOrStderr(), err)
 			return exit(1)
 		}
@@ -175,7 +175,7 @@
 		return nil
 	})
 	with("export FILE", "Write the state that the store holds", 1, func(c *cobra.Command, o office, _ []string) error {
-		return controller.Export(o.seat.Dir, o.seat.Figures, c.OutOrStdout())
+		return controller.Export(o.seat.Dir, o.seat.Control, c.OutOrStdout())
 	})
 	with("import FILE STATE", "Make a new store of one member out of an exported state", 2, func(c *cobra.Command, o office, args []string) error {
 		f, err := os.Open(args[1])
@@ -258,11 +258,11 @@
 			if v := r.Votes; v != nil {
 				on, back = fmt.Sprintf("%d of %d", v.On, v.Needed), fmt.Sprintf("%d of %d", v.Back, v.NeededBack)
 			}
-			waits := r.Waits
+			waits := r.WaitsFor
 			if waits == "" {
 				waits = "-"
 			}
-			fmt.Fprintf(w, "%d\t%s\t%d\t%.3g%%\t%v\t%s\t%s\t%s\t%s\n", r.Build, r.Phase, r.Stage, 100*r.Cap,
+			fmt.Fprintf(w, "%d\t%s\t%d\t%.3g%%\t%v\t%s\t%s\t%s\t%s\n", r.Build, r.Phase, r.Stage, 100*r.ExposureCap,
 				(time.Duration(r.AgeMs) * time.Millisecond).Round(time.Second), waits, on, back, r.Note)
 		}
 		return w.Flush()
@@ -281,7 +281,7 @@
 		if err != nil {
 			return err
 		}
-		a := api.Creation{Build: n, Digest: digest, Note: note, Labels: map[string]string{}}
+		a := api.CreateRelease{Build: n, Digest: digest, Note: note, Labels: map[string]string{}}
 		for _, l := range labels {
 			name, value, ok := strings.Cut(l, "=")
 			if !ok {
@@ -295,7 +295,7 @@
 			if !ok || err != nil {
 				return fmt.Errorf("--step %s: NAME@STAGE expected, with ! behind it where there is no way back", text)
 			}
-			a.Steps = append(a.Steps, api.Step{Name: name, Stage: at, Final: strings.HasSuffix(stage, "!")})
+			a.Steps = append(a.Steps, api.Step{Name: name, Stage: at, Irreversible: strings.HasSuffix(stage, "!")})
 		}
 		r, err := k.Create(ctx, a, key)
 		if err != nil {
@@ -327,8 +327,8 @@
 		for _, s := range r.Steps {
 			fmt.Fprintf(w, "step\t%s\tbefore stage %d\t%s\t%s\n", s.Name, s.Stage, s.State, s.By)
 		}
-		for _, m := range r.Trace {
-			fmt.Fprintf(w, "%.1f s\t%s\n", float64(m.AtMs)/1000, m.What)
+		for _, m := range r.History {
+			fmt.Fprintf(w, "%.1f s\t%s\n", float64(m.AtMs)/1000, m.Text)
 		}
 		return w.Flush()
 	})
--- a/cmd/dapplefront/replay.go
+++ b/cmd/dapplefront/replay.go
@@ -53,14 +53,14 @@
 				slices.Sort(files)
 				var tell func(record.Entry)
 				if explain != "" {
-					tell = record.Life(explain, c.OutOrStdout())
+					tell = record.TraceRequest(explain, c.OutOrStdout())
 				}
 				r, err := record.Replay(files, tell)
 				if err != nil {
 					return err
 				}
 				compared, differs = compared+r.Entries, differs+r.Differences
-				fmt.Fprintf(c.OutOrStdout(), "%s: %d entries with %d actions in %d lives, %d differ\n", n, r.Entries, r.Actions, r.Lives, r.Differences)
+				fmt.Fprintf(c.OutOrStdout(), "%s: %d entries with %d actions in %d lives, %d differ\n", n, r.Entries, r.Actions, r.Starts, r.Differences)
 				for _, g := range r.Gaps {
 					fmt.Fprintf(c.OutOrStdout(), "  %s: %d entries up to the next start are not compared\n", g, r.Skipped)
 				}
--- a/cmd/dapplefront/router.go
+++ b/cmd/dapplefront/router.go
@@ -43,7 +43,7 @@
 				case <-anew:
 					next, err := routerconfig.Read(args[0])
 					if err == nil {
-						err = i.Settle(next)
+						err = i.UpdateConfig(next)
 					}
 					if err != nil {
 						l.Error("settings are not changed", "file", args[0], "error", err)
@@ -53,10 +53,10 @@
 				case sign = <-signals:
 				}
 			}
-			l.Info("draining", "signal", sign.String(), "at most", c.Drain)
+			l.Info("draining", "signal", sign.String(), "at most", c.DrainTimeout)
 			cut := make(chan struct{})
 			go func() { <-signals; close(cut) }()
-			if left := i.Drain(c.Drain, cut); left > 0 {
+			if left := i.Drain(c.DrainTimeout, cut); left > 0 {
 				return exit(1)
 			}
 			return nil
@@ -69,13 +69,13 @@
 		RunE: func(c *cobra.Command, args []string) error {
 			s := inifile.Read(args[0])
 			switch {
-			case s.Part("day").Has():
+			case s.Section("day").Has():
 				scenario.From(s)
-			case s.Part("agent").Has():
+			case s.Section("agent").Has():
 				readPost(s)
-			case s.Part("controller").Has():
+			case s.Section("controller").Has():
 				readOffice(s)
-			case s.Part("plan").Has():
+			case s.Section("plan").Has():
 				planreport.From(s)
 			default:
 				routerconfig.From(s)
--- a/control/apply.go
+++ b/control/apply.go
@@ -16,33 +16,33 @@
 type CommandKind string
 
 const (
-	Create      CommandKind = "create"   // a release: Build, Digest, Note, Labels, Steps, Key
-	Patch       CommandKind = "patch"    // Note and Labels of Build; IfVersion
-	Withdraw    CommandKind = "withdraw" // Build; IfVersion
-	Delete      CommandKind = "delete"   // Build, which must be over; IfVersion
-	Vote        CommandKind = "vote"     // of Router on Build at Stage: Voice
-	Ready       CommandKind = "ready"    // the hosts that an order asked for run
-	Gone        CommandKind = "gone"     // the hosts that an order named are gone
-	StepDone    CommandKind = "step"     // Name of Build is done, by Router
-	Report      CommandKind = "report"   // Counts and Hosts of Build
-	Tick        CommandKind = "tick"     // time has passed
-	Join        CommandKind = "join"     // Router is there, or still there
-	Leave       CommandKind = "leave"    // Router has left
-	Tell        CommandKind = "tell"     // an event that changes nothing here: Name is its kind, Body its body
-	Publish     CommandKind = "publish"  // a plan, for so long
-	AckPlan     CommandKind = "heed"     // Router's word on the plan
-	OrderTo     CommandKind = "order"    // the agent Name: Body, whose number is that of the reply's Number
-	AgentReport CommandKind = "heard"    // the agent Name reported Body, a list; each by its number counts once
-	Member      CommandKind = "member"   // the controller Name answers at Note; an empty Note for one that has gone
+	CreateRelease   CommandKind = "create"   // a release: Build, Digest, Note, Labels, Steps, Key
+	PatchRelease    CommandKind = "patch"    // Note and Labels of Build; IfVersion
+	RollBackRelease CommandKind = "withdraw" // Build; IfVersion
+	DeleteRelease   CommandKind = "delete"   // Build, which must be over; IfVersion
+	CastVote        CommandKind = "vote"     // of Router on Build at Stage: Voice
+	HostsReady      CommandKind = "ready"    // the hosts that an order asked for run
+	HostsRemoved    CommandKind = "gone"     // the hosts that an order named are gone
+	CompleteStep    CommandKind = "step"     // Name of Build is done, by Router
+	ReportCounts    CommandKind = "report"   // Counts and Hosts of Build
+	Tick            CommandKind = "tick"     // time has passed
+	JoinRouter      CommandKind = "join"     // Router is there, or still there
+	LeaveRouter     CommandKind = "leave"    // Router has left
+	EmitEvent       CommandKind = "tell"     // an event that changes nothing here: Name is its kind, Body its body
+	PublishPlan     CommandKind = "publish"  // a plan, for so long
+	AckPlan         CommandKind = "heed"     // Router's word on the plan
+	OrderAgent      CommandKind = "order"    // the agent Name: Body, whose number is that of the reply's Number
+	AgentReport     CommandKind = "heard"    // the agent Name reported Body, a list; each by its number counts once
+	SetMember       CommandKind = "member"   // the controller Name answers at Note; an empty Note for one that has gone
 )
 
 // Command is one change asked for. At is the controllers' time, which never runs back.
 type Command struct {
 	At        policy.Time        `json:"at"`
-	Do        CommandKind        `json:"do"`
+	Kind      CommandKind        `json:"do"`
 	Build     int                `json:"build,omitempty"`
 	Stage     int                `json:"stage,omitempty"`
-	Voice     policy.VoteChoice  `json:"voice,omitempty"`
+	Choice    policy.VoteChoice  `json:"voice,omitempty"`
 	Router    string             `json:"router,omitempty"`
 	Name      string             `json:"name,omitempty"`
 	Digest    string             `json:"digest,omitempty"`
@@ -56,8 +56,8 @@
 	Hosts     map[string]int     `json:"hosts,omitempty"`
 	Body      json.RawMessage    `json:"body,omitempty"`
 	Plan      *plan.Published    `json:"plan,omitempty"`
-	For       policy.Time        `json:"for,omitempty"`
-	Heed      *PlanAck           `json:"heed,omitempty"`
+	ValidFor  policy.Time        `json:"for,omitempty"`
+	PlanAck   *PlanAck           `json:"heed,omitempty"`
 }
 
 // Code says in which way a command ended.
@@ -76,13 +76,13 @@
 type Reply struct {
 	Code    Code
 	Field   string
-	Why     string
+	Reason  string
 	Release *Release // as it stands now, where the command was about one
 	Number  uint64   // of an order
 }
 
 func refuse(code Code, field, format string, values ...any) Reply {
-	return Reply{Code: code, Field: field, Why: fmt.Sprintf(format, values...)}
+	return Reply{Code: code, Field: field, Reason: fmt.Sprintf(format, values...)}
 }
 
 // Apply carries out one command. It never fails half way.
@@ -90,41 +90,41 @@
 	s.Index = index
 	s.Now = max(s.Now, c.At)
 	var r Reply
-	switch c.Do {
-	case Create:
+	switch c.Kind {
+	case CreateRelease:
 		r = s.create(c)
-	case Patch:
+	case PatchRelease:
 		r = s.patch(c)
-	case Withdraw:
+	case RollBackRelease:
 		r = s.withdraw(c)
-	case Delete:
+	case DeleteRelease:
 		r = s.delete(c)
-	case Vote:
+	case CastVote:
 		r = s.vote(c)
-	case Ready:
-		s.hear(release.Ready{Build: c.Build})
-	case Gone:
-		s.hear(release.Gone{Build: c.Build})
-	case StepDone:
+	case HostsReady:
+		s.hear(release.HostsReady{Build: c.Build})
+	case HostsRemoved:
+		s.hear(release.HostsRemoved{Build: c.Build})
+	case CompleteStep:
 		r = s.stepDone(c)
-	case Report:
+	case ReportCounts:
 		r = s.report(c)
-	case Join, Leave:
+	case JoinRouter, LeaveRouter:
 		s.member(c)
-	case Tell:
+	case EmitEvent:
 		s.emit(c.Name, c.Router, c.Body)
-	case Publish:
+	case PublishPlan:
 		r = s.publish(c)
 	case AckPlan:
-		if s.Plan == nil || c.Heed == nil || c.Heed.Version != s.Plan.Version {
+		if s.Plan == nil || c.PlanAck == nil || c.PlanAck.Version != s.Plan.Version {
 			return refuse(Conflict, "version", "this plan is not in force")
 		}
-		s.Heeds[c.Router] = *c.Heed
-	case OrderTo:
+		s.PlanAcks[c.Router] = *c.PlanAck
+	case OrderAgent:
 		r = s.orderTo(c)
 	case AgentReport:
 		r = s.hearOf(c)
-	case Member:
+	case SetMember:
 		if c.Note != nil && *c.Note != "" {
 			s.Members[c.Name] = *c.Note
 		} else {
@@ -132,7 +132,7 @@
 		}
 	case Tick:
 	default:
-		return refuse(Invalid, "do", "no command is called %q", c.Do)
+		return refuse(Invalid, "do", "no command is called %q", c.Kind)
 	}
 	s.pass()
 	if r.Release == nil && r.Code <= Repeated {
@@ -144,14 +144,14 @@
 // pass lets time pass: for the release, for routers that are not heard of, and for steps that stall.
 func (s *State) pass() {
 	for _, name := range slices.Sorted(maps.Keys(s.Routers)) {
-		if s.figures.Absent > 0 && s.Now-s.Routers[name] > s.figures.Absent {
+		if s.figures.RouterTimeout > 0 && s.Now-s.Routers[name] > s.figures.RouterTimeout {
 			s.leave(name)
 		}
 	}
 	r := s.newest()
-	for i := range r.Done {
-		d, w := &r.Done[i], r.Steps[i].Within
-		if d.Waiting > 0 && d.At == 0 && !d.Stalled && w > 0 && s.Now-d.Waiting > w {
+	for i := range r.StepStatuses {
+		d, w := &r.StepStatuses[i], r.Steps[i].ExpectedTime
+		if d.WaitingSince > 0 && d.DoneAt == 0 && !d.Stalled && w > 0 && s.Now-d.WaitingSince > w {
 			d.Stalled = true
 			s.mark(r, "step "+r.Steps[i].Name+" stalls")
 			s.changed(r)
@@ -161,14 +161,14 @@
 }
 
 // hear hands an input to the release and notes its effects.
-func (s *State) hear(in release.Input) (answer *release.Answer, refused string) {
+func (s *State) hear(in release.Input) (answer *release.VoteAnswer, refused string) {
 	for _, e := range s.machine.Handle(s.Now, in) {
 		r := s.newest()
 		switch e := e.(type) {
-		case release.Answer:
+		case release.VoteAnswer:
 			answer = &e
-		case release.Refuse:
-			refused = e.Why
+		case release.Reject:
+			refused = e.Reason
 		case release.Deploy:
 			if e.Build == r.Build && s.waits(r) != "" {
 				s.Held = &DeployOrder{e.Build, e.Share}
@@ -203,7 +203,7 @@
 		return
 	}
 	r := s.Releases[i]
-	r.Phase, r.Stage, r.Cap, r.Since = n.Phase, n.Stage, n.Cap, n.Since
+	r.Phase, r.Stage, r.ExposureCap, r.Since = n.Phase, n.Stage, n.ExposureCap, n.Since
 	s.mark(r, fmt.Sprintf("%s, stage %d", phases[n.Phase], n.Stage))
 	s.waits(r)
 	s.changed(r)
@@ -214,27 +214,27 @@
 
 // waits is the step that holds the release's present stage, "" for none.
 func (s *State) waits(r *Release) string {
-	r.Waits = ""
-	n := s.machine.News()
+	r.WaitsFor = ""
+	n := s.machine.Status()
 	if n.Build != r.Build || n.Phase != policy.Canary {
 		return ""
 	}
 	for i, step := range r.Steps {
-		if step.Stage <= n.Stage && r.Done[i].At == 0 {
-			if r.Done[i].Waiting == 0 {
-				r.Done[i].Waiting = max(1, s.Now)
+		if step.Stage <= n.Stage && r.StepStatuses[i].DoneAt == 0 {
+			if r.StepStatuses[i].WaitingSince == 0 {
+				r.StepStatuses[i].WaitingSince = max(1, s.Now)
 			}
-			r.Waits = step.Name
+			r.WaitsFor = step.Name
 			break // in their order
 		}
 	}
-	return r.Waits
+	return r.WaitsFor
 }
 
 func (s *State) mark(r *Release, what string) {
 	const most = 200 // lines of a trace; a release has some ten
-	if r.Trace = append(r.Trace, HistoryEntry{s.Now, what}); len(r.Trace) > most {
-		r.Trace = slices.Delete(r.Trace, 1, 2) // the request stays
+	if r.History = append(r.History, HistoryEntry{s.Now, what}); len(r.History) > most {
+		r.History = slices.Delete(r.History, 1, 2) // the request stays
 	}
 }
 
@@ -246,8 +246,8 @@
 
 func (s *State) emit(kind, router string, body json.RawMessage) {
 	s.Next++
-	if s.Events = append(s.Events, Event{ID: s.Next, Kind: kind, For: router, At: s.Now, Body: body}); len(s.Events) > s.figures.Events {
-		s.Events = slices.Clone(s.Events[len(s.Events)-s.figures.Events*3/4:])
+	if s.Events = append(s.Events, Event{ID: s.Next, Kind: kind, Router: router, At: s.Now, Body: body}); len(s.Events) > s.figures.MaxEvents {
+		s.Events = slices.Clone(s.Events[len(s.Events)-s.figures.MaxEvents*3/4:])
 	}
 }
 
@@ -285,7 +285,7 @@
 			return refuse(Invalid, at+".stage", "a stage from 0 to %d expected", len(s.figures.Rules.Stages)-1)
 		case i > 0 && step.Stage < c.Steps[i-1].Stage:
 			return refuse(Invalid, at+".stage", "steps stand in the order of their stages")
-		case step.Within < 0:
+		case step.ExpectedTime < 0:
 			return refuse(Invalid, at+".withinMs", "0 or more expected")
 		}
 	}
@@ -298,12 +298,12 @@
 			labels[k] = *v
 		}
 	}
-	r := &Release{Build: c.Build, Digest: c.Digest, Labels: labels, Steps: c.Steps, Done: make([]Done, len(c.Steps)), Created: s.Now}
+	r := &Release{Build: c.Build, Digest: c.Digest, Labels: labels, Steps: c.Steps, StepStatuses: make([]StepStatus, len(c.Steps)), Created: s.Now}
 	if c.Note != nil {
 		r.Note = *c.Note
 	}
 	// The machine refuses what doesn't fit before anything has changed.
-	if c.Build <= s.machine.News().Build {
+	if c.Build <= s.machine.Status().Build {
 		return refuse(Conflict, "build", "a build with a higher number has been offered already")
 	}
 	s.Releases = append(s.Releases, r)
@@ -314,13 +314,13 @@
 	}
 	for _, x := range s.Releases[:len(s.Releases)-1] { // what it overtook
 		if x.Phase == policy.Canary || x.Phase == policy.RollingBack {
-			x.Phase, x.Cap, x.Since = policy.RolledBack, 0, s.Now
+			x.Phase, x.ExposureCap, x.Since = policy.RolledBack, 0, s.Now
 			s.mark(x, fmt.Sprintf("overtaken by build %d", c.Build))
 			s.changed(x)
 		}
 	}
 	if c.Key != "" {
-		if s.Keys = append(s.Keys, creation{c.Key, c.Hash, c.Build}); len(s.Keys) > s.figures.Keys {
+		if s.Keys = append(s.Keys, creation{c.Key, c.Hash, c.Build}); len(s.Keys) > s.figures.MaxCreationKeys {
 			s.Keys = slices.Delete(s.Keys, 0, 1)
 		}
 	}
@@ -369,7 +369,7 @@
 	if r.Phase == policy.RollingBack || r.Phase == policy.RolledBack {
 		return Reply{Code: Repeated}
 	}
-	if _, why := s.hear(release.Withdraw{Build: c.Build}); why != "" {
+	if _, why := s.hear(release.RollBack{Build: c.Build}); why != "" {
 		return refuse(Conflict, "build", "%s", why)
 	}
 	return Reply{}
@@ -380,7 +380,7 @@
 	if r == nil {
 		return no
 	}
-	if n := s.machine.News(); r.Build == n.Build || r.Build == s.machine.Earlier() || r.Phase != policy.RolledBack && r.Phase != policy.Released {
+	if n := s.machine.Status(); r.Build == n.Build || r.Build == s.machine.PreviousBuild() || r.Phase != policy.RolledBack && r.Phase != policy.Released {
 		return refuse(Conflict, "build", "build %d serves or is on its way", r.Build)
 	}
 	s.Releases = slices.Delete(s.Releases, s.find(c.Build), s.find(c.Build)+1)
@@ -389,16 +389,16 @@
 }
 
 func (s *State) vote(c Command) Reply {
-	if c.Voice < policy.Abstain || c.Voice > policy.Rollback || c.Router == "" {
+	if c.Choice < policy.Abstain || c.Choice > policy.Rollback || c.Router == "" {
 		return refuse(Invalid, "voice", "on, hold, back or none, of a router, expected")
 	}
 	if s.find(c.Build) < 0 {
 		return refuse(Unknown, "build", "there is no release of build %d", c.Build)
 	}
 	s.join(c.Router) // who votes is there
-	a, _ := s.hear(release.Vote{Router: c.Router, Build: c.Build, Stage: c.Stage, Voice: c.Voice})
-	if a == nil || !a.Counted {
-		return refuse(Conflict, "stage", "%s", a.Why)
+	a, _ := s.hear(release.Vote{Router: c.Router, Build: c.Build, Stage: c.Stage, Choice: c.Choice})
+	if a == nil || !a.Accepted {
+		return refuse(Conflict, "stage", "%s", a.Reason)
 	}
 	return Reply{}
 }
@@ -412,20 +412,20 @@
 	switch {
 	case i < 0:
 		return refuse(Unknown, "name", "the release of build %d has no step %s", c.Build, c.Name)
-	case r.Done[i].At != 0:
+	case r.StepStatuses[i].DoneAt != 0:
 		return Reply{Code: Repeated}
 	case r.Phase != policy.Canary:
 		return refuse(Conflict, "name", "the release is %s", phases[r.Phase])
-	case i > 0 && r.Done[i-1].At == 0:
+	case i > 0 && r.StepStatuses[i-1].DoneAt == 0:
 		return refuse(Conflict, "name", "step %s comes before it", r.Steps[i-1].Name)
 	case r.Steps[i].Stage > r.Stage:
 		return refuse(Conflict, "name", "it belongs before stage %d, which has not come", r.Steps[i].Stage)
 	}
-	r.Done[i].At, r.Done[i].By, r.Done[i].Stalled = max(1, s.Now), c.Router, false
+	r.StepStatuses[i].DoneAt, r.StepStatuses[i].DoneBy, r.StepStatuses[i].Stalled = max(1, s.Now), c.Router, false
 	s.mark(r, "step "+c.Name+" done")
-	if r.Steps[i].Final {
+	if r.Steps[i].Irreversible {
 		s.mark(r, "no way back from here")
-		s.hear(release.Fix{Build: r.Build})
+		s.hear(release.Finalize{Build: r.Build})
 	}
 	if s.waits(r) == "" && s.Held != nil && s.Held.Build == r.Build {
 		held := *s.Held
@@ -467,9 +467,9 @@
 // ---- Routers ----
 
 func (s *State) member(c Command) {
-	if c.Do == Join && c.Router != "" {
+	if c.Kind == JoinRouter && c.Router != "" {
 		s.join(c.Router)
-	} else if c.Do == Leave {
+	} else if c.Kind == LeaveRouter {
 		s.leave(c.Router)
 	}
 }
@@ -487,7 +487,7 @@
 		return
 	}
 	delete(s.Routers, router)
-	delete(s.Heeds, router)
+	delete(s.PlanAcks, router)
 	s.machine.ForgetRouter(router)
 	s.needs()
 	s.emit("routers", "", encode(map[string]int{"count": len(s.Routers)}))
@@ -495,11 +495,11 @@
 
 // needed is how many votes move a stage on and send a build back, by the routers that are members.
 func (s *State) needed() (on, back int) {
-	on, back = s.figures.Rules.ToMoveOn, s.figures.Rules.ToAbort
-	if f := s.figures.OnShare; f > 0 {
+	on, back = s.figures.Rules.PromoteQuorum, s.figures.Rules.RollbackQuorum
+	if f := s.figures.PromoteShare; f > 0 {
 		on = max(1, int(math.Ceil(f*float64(len(s.Routers))-1e-9)))
 	}
-	if f := s.figures.BackShare; f > 0 {
+	if f := s.figures.RollbackShare; f > 0 {
 		back = max(1, int(math.Ceil(f*float64(len(s.Routers))-1e-9)))
 	}
 	return on, back
@@ -511,20 +511,20 @@
 
 func (s *State) publish(c Command) Reply {
 	switch {
-	case c.Plan == nil || c.Plan.Version == 0 || c.For <= 0:
+	case c.Plan == nil || c.Plan.Version == 0 || c.ValidFor <= 0:
 		return refuse(Invalid, "version", "a plan with a version and a time to follow it expected")
 	case s.Plan != nil && c.Plan.Version <= s.Plan.Version:
 		return refuse(Conflict, "version", "version %d is in force", s.Plan.Version)
 	}
-	if n := s.machine.News(); c.Plan.Build == n.Build && n.Phase == policy.Canary {
+	if n := s.machine.Status(); c.Plan.Build == n.Build && n.Phase == policy.Canary {
 		for place, w := range c.Plan.For {
-			if float64(w.Copies) > n.Cap*1e6+1 {
-				return refuse(Conflict, "for."+place+".copies", "%.3g%% of the tasks would go to build %d, %.3g%% are allowed", float64(w.Copies)/1e4, n.Build, 100*n.Cap)
+			if float64(w.Copies) > n.ExposureCap*1e6+1 {
+				return refuse(Conflict, "for."+place+".copies", "%.3g%% of the tasks would go to build %d, %.3g%% are allowed", float64(w.Copies)/1e4, n.Build, 100*n.ExposureCap)
 			}
 		}
 	}
-	s.Plan, s.PlanAt, s.PlanFor = c.Plan, s.Now, c.For
-	clear(s.Heeds)
+	s.Plan, s.PlanAt, s.PlanFor = c.Plan, s.Now, c.ValidFor
+	clear(s.PlanAcks)
 	s.emit("plan", "", encode(map[string]uint64{"version": c.Plan.Version}))
 	return Reply{}
 }
--- a/control/control_test.go
+++ b/control/control_test.go
@@ -11,30 +11,30 @@
 	"dapplefront/release"
 )
 
-var figures = Config{Rules: release.Rules{Control: policy.Quorum, Stages: []release.Stage{{Share: .1, Cap: .05}, {Share: 1, Cap: 1}},
-	LeastTime: policy.Second, VoteLife: 10 * policy.Second, ToMoveOn: 1, ToAbort: 1}, OnShare: .5, BackShare: .1, Absent: 30 * policy.Second, Events: 50, Keys: 5}
+var figures = Config{Rules: release.Rules{Mode: policy.Quorum, Stages: []release.Stage{{HostShare: .1, ExposureCap: .05}, {HostShare: 1, ExposureCap: 1}},
+	MinStageTime: policy.Second, VoteTTL: 10 * policy.Second, PromoteQuorum: 1, RollbackQuorum: 1}, PromoteShare: .5, RollbackShare: .1, RouterTimeout: 30 * policy.Second, MaxEvents: 50, MaxCreationKeys: 5}
 
 func TestTimeNeverRunsBack(t *testing.T) {
 	s := New(figures, 1)
-	s.Apply(1, Command{Do: Create, Build: 2, At: 100 * policy.Second})
-	s.Apply(2, Command{Do: Ready, Build: 2, At: 50 * policy.Second}) // another leader's clock, far behind
+	s.Apply(1, Command{Kind: CreateRelease, Build: 2, At: 100 * policy.Second})
+	s.Apply(2, Command{Kind: HostsReady, Build: 2, At: 50 * policy.Second}) // another leader's clock, far behind
 	require.Equal(t, 100*policy.Second, s.Clock())
-	s.Apply(3, Command{Do: Vote, Build: 2, Router: "r", Voice: policy.Promote, At: 60 * policy.Second})
-	require.Zero(t, s.News().Stage)
+	s.Apply(3, Command{Kind: CastVote, Build: 2, Router: "r", Choice: policy.Promote, At: 60 * policy.Second})
+	require.Zero(t, s.Status().Stage)
 	require.True(t, s.Due(101*policy.Second))
-	s.Apply(4, Command{Do: Tick, At: 101 * policy.Second})
-	require.Equal(t, 1, s.News().Stage)
+	s.Apply(4, Command{Kind: Tick, At: 101 * policy.Second})
+	require.Equal(t, 1, s.Status().Stage)
 }
 
 // drawn is a command by chance, sensible or not.
 func drawn(t *rapid.T, at policy.Time) Command {
 	note := rapid.SampledFrom([]string{"a", "b"}).Draw(t, "note")
-	c := Command{At: at, Do: rapid.SampledFrom([]CommandKind{Create, Patch, Withdraw, Delete, Vote, Ready, Gone, StepDone, Report, Tick, Join, Leave, Tell, "none"}).Draw(t, "do"),
-		Build: rapid.IntRange(0, 6).Draw(t, "build"), Stage: rapid.IntRange(-1, 3).Draw(t, "stage"), Voice: policy.VoteChoice(rapid.IntRange(-1, 4).Draw(t, "voice")),
+	c := Command{At: at, Kind: rapid.SampledFrom([]CommandKind{CreateRelease, PatchRelease, RollBackRelease, DeleteRelease, CastVote, HostsReady, HostsRemoved, CompleteStep, ReportCounts, Tick, JoinRouter, LeaveRouter, EmitEvent, "none"}).Draw(t, "do"),
+		Build: rapid.IntRange(0, 6).Draw(t, "build"), Stage: rapid.IntRange(-1, 3).Draw(t, "stage"), Choice: policy.VoteChoice(rapid.IntRange(-1, 4).Draw(t, "voice")),
 		Router: rapid.SampledFrom([]string{"", "r1", "r2", "r3"}).Draw(t, "router"), Name: rapid.SampledFrom([]string{"s1", "s2"}).Draw(t, "name"),
 		Key: rapid.SampledFrom([]string{"", "k1", "k2"}).Draw(t, "key"), Hash: note, Note: &note, IfVersion: uint64(rapid.IntRange(0, 3).Draw(t, "version"))}
 	if rapid.Bool().Draw(t, "steps") {
-		c.Steps = []Step{{Name: "s1", Stage: 0, Within: policy.Second}, {Name: "s2", Stage: 1, Final: rapid.Bool().Draw(t, "final")}}
+		c.Steps = []Step{{Name: "s1", Stage: 0, ExpectedTime: policy.Second}, {Name: "s2", Stage: 1, Irreversible: rapid.Bool().Draw(t, "final")}}
 	}
 	return c
 }
@@ -47,16 +47,16 @@
 		for i := range rapid.IntRange(1, 80).Draw(t, "commands") {
 			now += policy.Time(rapid.IntRange(0, 20_000).Draw(t, "passes"))
 			c := drawn(t, now)
-			before := a.Last()
+			before := a.LastEvent()
 			x := a.Apply(uint64(i+1), c)
 			y := b.Apply(uint64(i+1), c)
 			require.Equal(t, string(encode(x)), string(encode(y)))
-			if x.Code > Repeated && c.Do != Vote { // a refused command changes nothing but what time does
-				for _, e := range must(a.Since(before, "r1", 100)) {
+			if x.Code > Repeated && c.Kind != CastVote { // a refused command changes nothing but what time does
+				for _, e := range must(a.EventsSince(before, "r1", 100)) {
 					require.NotEqual(t, "deleted", e.Kind)
 				}
 			}
-			for _, e := range must(a.Since(before, "", 1000)) {
+			for _, e := range must(a.EventsSince(before, "", 1000)) {
 				if e.Kind == "place" {
 					placed[c.Build] = true
 				}
@@ -71,14 +71,14 @@
 			for _, r := range a.List(nil, nil, 0, 1000) {
 				require.Greater(t, r.Build, last)
 				last = r.Build
-				for k, d := range r.Done {
-					if d.At == 0 && r.Phase == policy.Released {
+				for k, d := range r.StepStatuses {
+					if d.DoneAt == 0 && r.Phase == policy.Released {
 						require.Greater(t, r.Steps[k].Stage, 1, "a step is skipped")
 					}
-					if k > 0 && d.At != 0 {
-						require.NotZero(t, r.Done[k-1].At, "out of order")
+					if k > 0 && d.DoneAt != 0 {
+						require.NotZero(t, r.StepStatuses[k-1].DoneAt, "out of order")
 					}
-					if d.At != 0 && r.Steps[k].Final {
+					if d.DoneAt != 0 && r.Steps[k].Irreversible {
 						require.NotEqual(t, policy.RolledBack, r.Phase, "taken back past a step that can't be undone")
 						require.NotEqual(t, policy.RollingBack, r.Phase)
 					}
@@ -103,23 +103,23 @@
 func TestVotesAreMeasuredByTheRoutersThatAreThere(t *testing.T) {
 	s := New(figures, 1)
 	for i := range 10 {
-		s.Apply(uint64(i), Command{Do: Join, Router: fmt.Sprint("r", i), At: policy.Second})
+		s.Apply(uint64(i), Command{Kind: JoinRouter, Router: fmt.Sprint("r", i), At: policy.Second})
 	}
 	_, on, back := s.Votes(policy.Promote)
 	require.Equal(t, []int{5, 1}, []int{on, back})
-	s.Apply(11, Command{Do: Join, Router: "r0", At: 20 * policy.Second})
-	s.Apply(12, Command{Do: Leave, Router: "r9", At: 21 * policy.Second})
+	s.Apply(11, Command{Kind: JoinRouter, Router: "r0", At: 20 * policy.Second})
+	s.Apply(12, Command{Kind: LeaveRouter, Router: "r9", At: 21 * policy.Second})
 	_, on, _ = s.Votes(policy.Promote)
 	require.Equal(t, 5, on)
 	require.True(t, s.Due(32*policy.Second), "nine were not heard of for longer than a member may be")
-	s.Apply(13, Command{Do: Tick, At: 32 * policy.Second})
+	s.Apply(13, Command{Kind: Tick, At: 32 * policy.Second})
 	_, on, _ = s.Votes(policy.Promote)
 	require.Equal(t, 1, on)
 }
 
 func FuzzLoad(f *testing.F) {
 	s := New(figures, 1)
-	s.Apply(1, Command{Do: Create, Build: 2, Steps: []Step{{Name: "a"}}})
+	s.Apply(1, Command{Kind: CreateRelease, Build: 2, Steps: []Step{{Name: "a"}}})
 	text, _ := s.Save()
 	f.Add(text)
 	f.Fuzz(func(t *testing.T, text []byte) {
@@ -127,7 +127,7 @@
 		if err != nil {
 			return
 		}
-		s.Apply(5, Command{Do: Vote, Build: 2, Router: "r", Voice: policy.Rollback, At: 5})
-		s.Apply(6, Command{Do: Tick, At: 50 * policy.Second})
+		s.Apply(5, Command{Kind: CastVote, Build: 2, Router: "r", Choice: policy.Rollback, At: 5})
+		s.Apply(6, Command{Kind: Tick, At: 50 * policy.Second})
 	})
 }
--- a/control/state.go
+++ b/control/state.go
@@ -14,34 +14,34 @@
 
 // Config are what a controller goes by. All instances have the same.
 type Config struct {
-	Rules     release.Rules
-	OnShare   float64     // of the routers that are members, whose votes move a stage on; 0 for Rules.ToMoveOn
-	BackShare float64     // and send a build back; 0 for Rules.ToAbort
-	Absent    policy.Time // a router not heard of for so long is no member any more; 0 for never
-	Events    int         // kept for watchers that come back
-	Keys      int         // of creations kept
+	Rules           release.Rules
+	PromoteShare    float64     // of the routers that are members, whose votes move a stage on; 0 for Rules.ToMoveOn
+	RollbackShare   float64     // and send a build back; 0 for Rules.ToAbort
+	RouterTimeout   policy.Time // a router not heard of for so long is no member any more; 0 for never
+	MaxEvents       int         // kept for watchers that come back
+	MaxCreationKeys int         // of creations kept
 }
 
 // Step is something that must be done before a stage: a change of schema or data.
 type Step struct {
-	Name   string      `json:"name"`
-	Stage  int         `json:"stage"`            // it holds this stage, from 0
-	Final  bool        `json:"final,omitempty"`  // it can't be undone: no way back past it
-	Within policy.Time `json:"within,omitempty"` // usual time; one that takes longer is told as stalled; 0 for none
+	Name         string      `json:"name"`
+	Stage        int         `json:"stage"`            // it holds this stage, from 0
+	Irreversible bool        `json:"final,omitempty"`  // it can't be undone: no way back past it
+	ExpectedTime policy.Time `json:"within,omitempty"` // usual time; one that takes longer is told as stalled; 0 for none
 }
 
-// Done is how a step stands.
-type Done struct {
-	Waiting policy.Time `json:"waiting,omitempty"` // since when its stage waits for it; 0 for not yet
-	At      policy.Time `json:"at,omitempty"`      // when it was reported done; 0 for not yet
-	By      string      `json:"by,omitempty"`
-	Stalled bool        `json:"stalled,omitempty"`
+// StepStatus is how a step stands.
+type StepStatus struct {
+	WaitingSince policy.Time `json:"waiting,omitempty"` // since when its stage waits for it; 0 for not yet
+	DoneAt       policy.Time `json:"at,omitempty"`      // when it was reported done; 0 for not yet
+	DoneBy       string      `json:"by,omitempty"`
+	Stalled      bool        `json:"stalled,omitempty"`
 }
 
 // HistoryEntry is one line of a release's trace.
 type HistoryEntry struct {
 	At   policy.Time `json:"at"`
-	What string      `json:"what"`
+	Text string      `json:"what"`
 }
 
 // Release is a release object: what was asked for, and how it stands.
@@ -54,24 +54,24 @@
 	Version uint64            `json:"version"` // of the object; it grows with every change
 	Created policy.Time       `json:"created"`
 
-	Phase  policy.Phase   `json:"phase"`
-	Stage  int            `json:"stage"`
-	Cap    float64        `json:"cap"`
-	Since  policy.Time    `json:"since"`
-	Waits  string         `json:"waits,omitempty"` // for a step, before the present stage's hosts start
-	Done   []Done         `json:"done,omitempty"`
-	Counts map[string]int `json:"counts,omitempty"` // tasks finished, turned back and scrapped, as reported
-	Hosts  map[string]int `json:"hosts,omitempty"`  // by state, as reported
-	Trace  []HistoryEntry `json:"trace,omitempty"`
+	Phase        policy.Phase   `json:"phase"`
+	Stage        int            `json:"stage"`
+	ExposureCap  float64        `json:"cap"`
+	Since        policy.Time    `json:"since"`
+	WaitsFor     string         `json:"waits,omitempty"` // for a step, before the present stage's hosts start
+	StepStatuses []StepStatus   `json:"done,omitempty"`
+	Counts       map[string]int `json:"counts,omitempty"` // tasks finished, turned back and scrapped, as reported
+	Hosts        map[string]int `json:"hosts,omitempty"`  // by state, as reported
+	History      []HistoryEntry `json:"trace,omitempty"`
 }
 
 // Event is one change that watchers are told of.
 type Event struct {
-	ID   uint64          `json:"id"`
-	Kind string          `json:"kind"`          // news, release, deleted, place, retire, counts, complaint, plan, routers
-	For  string          `json:"for,omitempty"` // one router only
-	At   policy.Time     `json:"at"`
-	Body json.RawMessage `json:"body"`
+	ID     uint64          `json:"id"`
+	Kind   string          `json:"kind"`          // news, release, deleted, place, retire, counts, complaint, plan, routers
+	Router string          `json:"for,omitempty"` // one router only
+	At     policy.Time     `json:"at"`
+	Body   json.RawMessage `json:"body"`
 }
 
 // Place and Retire are the bodies of orders to whoever runs hosts.
@@ -100,7 +100,7 @@
 	Plan     *plan.Published        `json:"plan,omitempty"`
 	PlanAt   policy.Time            `json:"planAt"`
 	PlanFor  policy.Time            `json:"planFor"`
-	Heeds    map[string]PlanAck     `json:"heeds,omitempty"`
+	PlanAcks map[string]PlanAck     `json:"heeds,omitempty"`
 	Members  map[string]string      `json:"members,omitempty"`
 	Agents   map[string]*Agent      `json:"agents,omitempty"`
 	Ordered  uint64                 `json:"ordered,omitempty"` // the number of the last order to any agent
@@ -142,16 +142,16 @@
 
 // New starts with a build that serves.
 func New(f Config, build int) *State {
-	if f.Events == 0 {
-		f.Events = 4096 // some minutes of a busy release
+	if f.MaxEvents == 0 {
+		f.MaxEvents = 4096 // some minutes of a busy release
 	}
-	if f.Keys == 0 {
-		f.Keys = 1000
+	if f.MaxCreationKeys == 0 {
+		f.MaxCreationKeys = 1000
 	}
 	s := &State{figures: f, machine: release.New(f.Rules, build), saved: saved{Format: format, Routers: map[string]policy.Time{},
-		Heeds: map[string]PlanAck{}, Members: map[string]string{}, Agents: map[string]*Agent{}}}
-	n := s.machine.News()
-	s.Releases = []*Release{{Build: build, Version: 1, Phase: n.Phase, Stage: n.Stage, Cap: n.Cap}}
+		PlanAcks: map[string]PlanAck{}, Members: map[string]string{}, Agents: map[string]*Agent{}}}
+	n := s.machine.Status()
+	s.Releases = []*Release{{Build: build, Version: 1, Phase: n.Phase, Stage: n.Stage, ExposureCap: n.ExposureCap}}
 	return s
 }
 
@@ -174,8 +174,8 @@
 	if got.Routers == nil {
 		got.Routers = map[string]policy.Time{}
 	}
-	if got.Heeds == nil {
-		got.Heeds = map[string]PlanAck{}
+	if got.PlanAcks == nil {
+		got.PlanAcks = map[string]PlanAck{}
 	}
 	if got.Members == nil {
 		got.Members = map[string]string{}
@@ -189,7 +189,7 @@
 		}
 	}
 	for i, r := range got.Releases {
-		if r == nil || len(r.Done) != len(r.Steps) || i > 0 && r.Build <= got.Releases[i-1].Build {
+		if r == nil || len(r.StepStatuses) != len(r.Steps) || i > 0 && r.Build <= got.Releases[i-1].Build {
 			return nil, fmt.Errorf("a controller's state whose release %d can't be", i)
 		}
 	}
@@ -197,8 +197,8 @@
 	if s.machine, err = release.Restore(f.Rules, got.Machine); err != nil {
 		return nil, err
 	}
-	if len(got.Releases) == 0 || got.Releases[len(got.Releases)-1].Build != got.Machine.News.Build {
-		return nil, fmt.Errorf("a controller's state without the release of build %d", got.Machine.News.Build)
+	if len(got.Releases) == 0 || got.Releases[len(got.Releases)-1].Build != got.Machine.Status.Build {
+		return nil, fmt.Errorf("a controller's state without the release of build %d", got.Machine.Status.Build)
 	}
 	s.saved = got
 	s.needs()
@@ -224,11 +224,11 @@
 // Version is the number of the last command that was applied.
 func (s *State) Version() uint64 { return s.Index }
 
-// News is where the newest release stands.
-func (s *State) News() release.Status { return s.machine.News() }
+// Status is where the newest release stands.
+func (s *State) Status() release.Status { return s.machine.Status() }
 
-// Earlier is the build that serves beside or before the newest one.
-func (s *State) Earlier() int { return s.machine.Earlier() }
+// PreviousBuild is the build that serves beside or before the newest one.
+func (s *State) PreviousBuild() int { return s.machine.PreviousBuild() }
 
 // Clock is the latest time that a command had.
 func (s *State) Clock() policy.Time { return s.Now }
@@ -239,13 +239,13 @@
 		return true
 	}
 	for r, at := range s.Routers {
-		if s.figures.Absent > 0 && now-at > s.figures.Absent && r != "" {
+		if s.figures.RouterTimeout > 0 && now-at > s.figures.RouterTimeout && r != "" {
 			return true
 		}
 	}
 	r := s.newest()
-	for i, d := range r.Done {
-		if w := r.Steps[i].Within; d.Waiting > 0 && d.At == 0 && !d.Stalled && w > 0 && now-d.Waiting > w {
+	for i, d := range r.StepStatuses {
+		if w := r.Steps[i].ExpectedTime; d.WaitingSince > 0 && d.DoneAt == 0 && !d.Stalled && w > 0 && now-d.WaitingSince > w {
 			return true
 		}
 	}
@@ -286,28 +286,28 @@
 	return s.machine.Votes(voice), on, back
 }
 
-// Oldest is the id of the oldest event kept, and Last that of the newest.
-func (s *State) Oldest() uint64 {
+// OldestEvent is the id of the oldest event kept, and Last that of the newest.
+func (s *State) OldestEvent() uint64 {
 	if len(s.Events) == 0 {
 		return s.Next + 1
 	}
 	return s.Events[0].ID
 }
 
-// Last is the id of the newest event.
-func (s *State) Last() uint64 { return s.Next }
+// LastEvent is the id of the newest event.
+func (s *State) LastEvent() uint64 { return s.Next }
 
-// Since is up to limit events after an id that a watcher should see: those for all and those for its router. ok is
+// EventsSince is up to limit events after an id that a watcher should see: those for all and those for its router. ok is
 // false where events after that id have been dropped already, or where the id has never been.
-func (s *State) Since(id uint64, router string, limit int) (out []Event, ok bool) {
-	if id+1 < s.Oldest() || id > s.Next {
+func (s *State) EventsSince(id uint64, router string, limit int) (out []Event, ok bool) {
+	if id+1 < s.OldestEvent() || id > s.Next {
 		return nil, false
 	}
 	if len(s.Events) == 0 {
 		return nil, true
 	}
-	for _, e := range s.Events[min(uint64(len(s.Events)), id+1-s.Oldest()):] {
-		if e.For == "" || e.For == router {
+	for _, e := range s.Events[min(uint64(len(s.Events)), id+1-s.OldestEvent()):] {
+		if e.Router == "" || e.Router == router {
 			if out = append(out, e); len(out) == limit {
 				break
 			}
@@ -330,8 +330,8 @@
 	return out
 }
 
-// InForce is the plan in force and how long it may still be followed at a moment; nil for none.
-func (s *State) InForce(now policy.Time) (*plan.Published, policy.Time) {
+// ActivePlan is the plan in force and how long it may still be followed at a moment; nil for none.
+func (s *State) ActivePlan(now policy.Time) (*plan.Published, policy.Time) {
 	return s.Plan, s.PlanAt + s.PlanFor - now
 }
 
@@ -348,7 +348,7 @@
 func (r *Release) clone() *Release {
 	c := *r
 	c.Labels, c.Counts, c.Hosts = maps.Clone(r.Labels), maps.Clone(r.Counts), maps.Clone(r.Hosts)
-	c.Steps, c.Done, c.Trace = slices.Clone(r.Steps), slices.Clone(r.Done), slices.Clone(r.Trace)
+	c.Steps, c.StepStatuses, c.History = slices.Clone(r.Steps), slices.Clone(r.StepStatuses), slices.Clone(r.History)
 	return &c
 }
 
--- a/internal/api/api.go
+++ b/internal/api/api.go
@@ -18,26 +18,26 @@
 
 // Names of the watch's events.
 const (
-	EventNews      = "news"
+	EventRelease   = "news"
 	EventCounts    = "counts"
 	EventComplaint = "complaint"
 )
 
 // Release is where a release stands.
 type Release struct {
-	Build   int     `json:"build"`
-	Stage   int     `json:"stage"`
-	Phase   string  `json:"phase"` // trial, going-back, released, withdrawn
-	Cap     float64 `json:"cap"`
-	AgeMs   int64   `json:"ageMs"` // since this state began
-	Version int64   `json:"version"`
+	Build       int     `json:"build"`
+	Stage       int     `json:"stage"`
+	Phase       string  `json:"phase"` // trial, going-back, released, withdrawn
+	ExposureCap float64 `json:"cap"`
+	AgeMs       int64   `json:"ageMs"` // since this state began
+	Version     int64   `json:"version"`
 }
 
 // Counts is what was counted of one build and category.
 type Counts struct {
 	Build    int     `json:"build"`
-	Category string  `json:"category"`
-	Bad      int     `json:"bad"`
+	Class    string  `json:"category"`
+	Failures int     `json:"bad"`
 	Samples  int     `json:"samples"`
 	MeanMs   float64 `json:"meanMs"`
 	AgeMs    int64   `json:"ageMs"`
@@ -45,34 +45,34 @@
 
 // Complaint is a client's word that an answer was wrong.
 type Complaint struct {
-	Router   string `json:"router"`
-	Host     uint32 `json:"host"`
-	Category string `json:"category"`
-	AgeMs    int64  `json:"ageMs"` // since the task was sent
+	Router string `json:"router"`
+	Host   uint32 `json:"host"`
+	Class  string `json:"category"`
+	AgeMs  int64  `json:"ageMs"` // since the task was sent
 }
 
 // Vote is a router's word on a build.
 type Vote struct {
-	Stage int    `json:"stage"`
-	Voice string `json:"voice"` // on, hold, back, none
+	Stage  int    `json:"stage"`
+	Choice string `json:"voice"` // on, hold, back, none
 }
 
 // Phases and voices by their names, in the order of logic's constants.
 var (
-	Phases = []string{"trial", "going-back", "released", "withdrawn"}
-	Voices = []string{"none", "on", "hold", "back"}
+	Phases      = []string{"trial", "going-back", "released", "withdrawn"}
+	VoteChoices = []string{"none", "on", "hold", "back"}
 )
 
-// News is a release in the module's words.
-func (r Release) News() (policy.ReleaseStatus, error) {
+// Status is a release in the module's words.
+func (r Release) Status() (policy.ReleaseStatus, error) {
 	for i, name := range Phases {
 		if name != r.Phase {
 			continue
 		}
-		if r.Build < 1 || r.Stage < 0 || !(r.Cap >= 0 && r.Cap <= 1) || r.AgeMs < 0 {
+		if r.Build < 1 || r.Stage < 0 || !(r.ExposureCap >= 0 && r.ExposureCap <= 1) || r.AgeMs < 0 {
 			break
 		}
-		return policy.ReleaseStatus{Build: r.Build, Stage: r.Stage, Phase: policy.Phase(i), ExposureCap: r.Cap,
+		return policy.ReleaseStatus{Build: r.Build, Stage: r.Stage, Phase: policy.Phase(i), ExposureCap: r.ExposureCap,
 			Age: policy.Time(r.AgeMs) * 10}, nil
 	}
 	return policy.ReleaseStatus{}, fmt.Errorf("news of a release that makes no sense: %+v", r)
--- a/internal/api/plan.go
+++ b/internal/api/plan.go
@@ -28,26 +28,26 @@
 	plan.Weights
 }
 
-// Heed is a router's word on a version.
-type Heed struct {
+// PlanAck is a router's word on a version.
+type PlanAck struct {
 	Followed bool   `json:"followed"`
 	Reason   string `json:"reason,omitempty"`
 }
 
 // Offered is a plan in the library's words. Hosts are named by their ids in decimals.
 func (p Plan) Offered() (o plan.Offered, err error) {
-	o = plan.Offered{Version: p.Version, Build: p.Build, Copies: float64(p.Copies) / 1e6, Cross: float64(p.Cross) / 1e9,
-		For: time.Duration(p.ForMs) * time.Millisecond}
-	parts := func(of map[string]uint64) (out []plan.Part) {
+	o = plan.Offered{Version: p.Version, Build: p.Build, ShadowShare: float64(p.Copies) / 1e6, CrossZoneShare: float64(p.Cross) / 1e9,
+		ValidFor: time.Duration(p.ForMs) * time.Millisecond}
+	parts := func(of map[string]uint64) (out []plan.HostWeight) {
 		for name, w := range of {
 			id, e := strconv.ParseUint(name, 10, 32)
 			if e != nil {
 				err = fmt.Errorf("plan %d: the host %q: a number below 2^32 expected", p.Version, name)
 			}
-			out = append(out, plan.Part{Host: uint32(id), Weight: float64(w)})
+			out = append(out, plan.HostWeight{Host: uint32(id), Weight: float64(w)})
 		}
 		return out
 	}
-	o.Near, o.Far = parts(p.Near), parts(p.Far)
+	o.LocalWeights, o.RemoteWeights = parts(p.Near), parts(p.Far)
 	return o, err
 }
--- a/internal/api/release.go
+++ b/internal/api/release.go
@@ -10,11 +10,11 @@
 	Labels    map[string]string `json:"labels,omitempty"`
 	Steps     []Step            `json:"steps,omitempty"`
 	CreatedMs int64             `json:"createdMs"` // of the controllers' time
-	Waits     string            `json:"waits,omitempty"`
+	WaitsFor  string            `json:"waits,omitempty"`
 	Votes     *Votes            `json:"votes,omitempty"` // of the newest release
 	Tasks     map[string]int    `json:"tasks,omitempty"` // finished, turned back, scrapped
 	Hosts     map[string]int    `json:"hosts,omitempty"` // by state
-	Trace     []Mark            `json:"trace,omitempty"`
+	History   []HistoryEntry    `json:"trace,omitempty"`
 }
 
 // ReleaseList is a page of releases; Next is what to ask for with ?after= where there are more.
@@ -25,12 +25,12 @@
 
 // Step is something that must be done before a stage's hosts start.
 type Step struct {
-	Name     string `json:"name"`
-	Stage    int    `json:"stage"`
-	Final    bool   `json:"final,omitempty"` // it can't be undone
-	WithinMs int64  `json:"withinMs,omitempty"`
-	State    string `json:"state,omitempty"` // later, waiting, stalled, done
-	By       string `json:"by,omitempty"`
+	Name         string `json:"name"`
+	Stage        int    `json:"stage"`
+	Irreversible bool   `json:"final,omitempty"` // it can't be undone
+	WithinMs     int64  `json:"withinMs,omitempty"`
+	State        string `json:"state,omitempty"` // later, waiting, stalled, done
+	By           string `json:"by,omitempty"`
 }
 
 // Votes are those that stand, and how many move the release.
@@ -41,14 +41,14 @@
 	NeededBack int `json:"neededBack"`
 }
 
-// Mark is one line of a release's trace.
-type Mark struct {
+// HistoryEntry is one line of a release's trace.
+type HistoryEntry struct {
 	AtMs int64  `json:"atMs"`
-	What string `json:"what"`
+	Text string `json:"what"`
 }
 
-// Creation asks for a release; with the header Idempotency-Key it may be repeated.
-type Creation struct {
+// CreateRelease asks for a release; with the header Idempotency-Key it may be repeated.
+type CreateRelease struct {
 	Build  int               `json:"build"`
 	Digest string            `json:"digest,omitempty"`
 	Note   string            `json:"note,omitempty"`
@@ -56,8 +56,8 @@
 	Steps  []Step            `json:"steps,omitempty"`
 }
 
-// Change changes a release's note and labels; a label of null goes.
-type Change struct {
+// PatchRelease changes a release's note and labels; a label of null goes.
+type PatchRelease struct {
 	Note   *string            `json:"note,omitempty"`
 	Labels map[string]*string `json:"labels,omitempty"`
 }
--- a/internal/controlclient/desk.go
+++ b/internal/controlclient/desk.go
@@ -28,7 +28,7 @@
 	Counts    func(api.Counts)
 	Complaint func(api.Complaint)
 	Plan      func(api.Plan)
-	Trouble   func(error) // the watch broke or an event made no sense; the watch is taken up again by itself
+	Failed    func(error) // the watch broke or an event made no sense; the watch is taken up again by itself
 }
 
 // Client is one router's link.
@@ -74,18 +74,18 @@
 	defer close(l.done)
 	sse.FollowAny(ctx, l.http, func() string { return l.url() + "/v1/watch?router=" + url.QueryEscape(l.name) }, l.tell, func(err error) {
 		l.at.Add(1)
-		l.hear.Trouble(err)
+		l.hear.Failed(err)
 	})
 }
 
 func (l *Client) tell(event string, data []byte) error {
 	switch event {
-	case api.EventNews:
+	case api.EventRelease:
 		var r api.Release
 		if err := json.Unmarshal(data, &r); err != nil {
 			return fmt.Errorf("event %s: %w", event, err)
 		}
-		n, err := r.News()
+		n, err := r.Status()
 		if err != nil {
 			return err
 		}
@@ -95,7 +95,7 @@
 		if err := json.Unmarshal(data, &c); err != nil {
 			return fmt.Errorf("event %s: %w", event, err)
 		}
-		if c.Bad < 0 || c.Samples < c.Bad || c.MeanMs < 0 || c.AgeMs < 0 {
+		if c.Failures < 0 || c.Samples < c.Failures || c.MeanMs < 0 || c.AgeMs < 0 {
 			return fmt.Errorf("counts that make no sense: %s", data)
 		}
 		l.hear.Counts(c)
@@ -158,7 +158,7 @@
 			time.Sleep(pause)
 		}
 		if err != nil {
-			l.hear.Trouble(fmt.Errorf("the report on build %d: %w", build, err))
+			l.hear.Failed(fmt.Errorf("the report on build %d: %w", build, err))
 		}
 	}()
 }
@@ -193,34 +193,34 @@
 	go func() {
 		ctx, cancel := context.WithTimeout(context.Background(), l.within)
 		defer cancel()
-		body, err := json.Marshal(api.Heed{Followed: reason == "", Reason: reason})
+		body, err := json.Marshal(api.PlanAck{Followed: reason == "", Reason: reason})
 		if err != nil {
-			l.hear.Trouble(err)
+			l.hear.Failed(err)
 			return
 		}
 		ask, err := http.NewRequestWithContext(ctx, "PUT", fmt.Sprintf("%s/v1/plans/%d/routers/%s", l.url(), version,
 			url.PathEscape(l.name)), bytes.NewReader(body))
 		if err != nil {
-			l.hear.Trouble(err)
+			l.hear.Failed(err)
 			return
 		}
 		ask.Header.Set("Content-Type", "application/json")
 		got, err := l.http.Do(ask)
 		if err != nil {
-			l.hear.Trouble(fmt.Errorf("the word on plan %d: %w", version, err)) // the next version is told again
+			l.hear.Failed(fmt.Errorf("the word on plan %d: %w", version, err)) // the next version is told again
 			return
 		}
 		_ = got.Body.Close()
 	}()
 }
 
-// Cast casts a vote in the background by whatever protocol and calls done once with what became of it; what went wrong
+// VoteResult casts a vote in the background by whatever protocol and calls done once with what became of it; what went wrong
 // is told beside.
-func (h Handler) Cast(build int, vote func() (policy.ReleaseStatus, error), done func(policy.ReleaseStatus)) {
+func (h Handler) VoteResult(build int, vote func() (policy.ReleaseStatus, error), done func(policy.ReleaseStatus)) {
 	go func() {
 		n, err := vote()
 		if err != nil {
-			h.Trouble(fmt.Errorf("a vote on build %d: %w", build, err))
+			h.Failed(fmt.Errorf("a vote on build %d: %w", build, err))
 		}
 		done(n)
 	}()
@@ -228,7 +228,7 @@
 
 // Vote casts a vote in the background and calls done once with what became of it.
 func (l *Client) Vote(build, stage int, voice policy.VoteChoice, done func(policy.ReleaseStatus)) {
-	l.hear.Cast(build, func() (policy.ReleaseStatus, error) { return l.vote(build, stage, voice) }, done)
+	l.hear.VoteResult(build, func() (policy.ReleaseStatus, error) { return l.vote(build, stage, voice) }, done)
 }
 
 func (l *Client) vote(build, stage int, voice policy.VoteChoice) (policy.ReleaseStatus, error) {
@@ -237,7 +237,7 @@
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), l.within)
 	defer cancel()
-	body, err := json.Marshal(api.Vote{Stage: stage, Voice: api.Voices[voice]})
+	body, err := json.Marshal(api.Vote{Stage: stage, Choice: api.VoteChoices[voice]})
 	if err != nil {
 		return moot(policy.VoteRejected, err)
 	}
@@ -268,7 +268,7 @@
 	if err := json.NewDecoder(io.LimitReader(got.Body, largest)).Decode(&r); err != nil {
 		return moot(policy.VoteUnknown, err) // accepted, by its status; but where the release stands is not known
 	}
-	n, err := r.News()
+	n, err := r.Status()
 	if err != nil {
 		return moot(policy.VoteUnknown, err)
 	}
--- a/internal/controller/agents.go
+++ b/internal/controller/agents.go
@@ -34,7 +34,7 @@
 		return
 	}
 	body, _ := json.Marshal(o)
-	s.change(w, r, control.Command{Do: control.OrderTo, Name: r.PathValue("name"), Body: body}, http.StatusCreated,
+	s.change(w, r, control.Command{Kind: control.OrderAgent, Name: r.PathValue("name"), Body: body}, http.StatusCreated,
 		func(c control.Reply) any { o.Number = c.Number; return o })
 }
 
@@ -51,7 +51,7 @@
 		}
 	}
 	body, _ := json.Marshal(all)
-	s.change(w, r, control.Command{Do: control.AgentReport, Name: r.PathValue("name"), Body: body}, http.StatusNoContent, nil)
+	s.change(w, r, control.Command{Kind: control.AgentReport, Name: r.PathValue("name"), Body: body}, http.StatusNoContent, nil)
 }
 
 // orders streams an agent's orders after Last-Event-ID; their numbers are the ids, the same at every instance.
--- a/internal/controller/alone.go
+++ b/internal/controller/alone.go
@@ -18,7 +18,7 @@
 
 // StartStandalone starts one and returns once it leads.
 func StartStandalone(seat NodeConfig, front ServerConfig, log *slog.Logger) (*Standalone, error) {
-	seat.First = true
+	seat.Bootstrap = true
 	n, err := Open(seat, log)
 	if err != nil {
 		return nil, err
@@ -44,25 +44,25 @@
 	return a.Node.Close()
 }
 
-// Hear takes in what happens to a release, as a command.
-func (a *Standalone) Hear(in release.Input) (control.Reply, error) {
+// Handle takes in what happens to a release, as a command.
+func (a *Standalone) Handle(in release.Input) (control.Reply, error) {
 	switch in := in.(type) {
 	case release.Offer:
-		return a.Propose(control.Command{Do: control.Create, Build: in.Build})
-	case release.Ready:
-		return a.Propose(control.Command{Do: control.Ready, Build: in.Build})
-	case release.Gone:
-		return a.Propose(control.Command{Do: control.Gone, Build: in.Build})
-	case release.Withdraw:
-		return a.Propose(control.Command{Do: control.Withdraw, Build: in.Build})
+		return a.Propose(control.Command{Kind: control.CreateRelease, Build: in.Build})
+	case release.HostsReady:
+		return a.Propose(control.Command{Kind: control.HostsReady, Build: in.Build})
+	case release.HostsRemoved:
+		return a.Propose(control.Command{Kind: control.HostsRemoved, Build: in.Build})
+	case release.RollBack:
+		return a.Propose(control.Command{Kind: control.RollBackRelease, Build: in.Build})
 	case release.Vote:
-		return a.Propose(control.Command{Do: control.Vote, Build: in.Build, Stage: in.Stage, Router: in.Router, Voice: in.Voice})
+		return a.Propose(control.Command{Kind: control.CastVote, Build: in.Build, Stage: in.Stage, Router: in.Router, Choice: in.Choice})
 	}
-	return a.Propose(control.Command{Do: control.Tick})
+	return a.Propose(control.Command{Kind: control.Tick})
 }
 
-// News is where the newest release stands.
-func (a *Standalone) News() (n release.Status) {
-	a.Read(func(s *control.State, _ policy.Time) { n = s.News() })
+// Status is where the newest release stands.
+func (a *Standalone) Status() (n release.Status) {
+	a.Read(func(s *control.State, _ policy.Time) { n = s.Status() })
 	return n
 }
--- a/internal/controller/bench_test.go
+++ b/internal/controller/bench_test.go
@@ -24,12 +24,12 @@
 
 // several starts a group for a benchmark and returns the one that leads.
 func several(b *testing.B, n int) *Node {
-	first, err := StartStandalone(NodeConfig{Name: "c1", Dir: b.TempDir(), Listen: "127.0.0.1:0", Quick: true, Figures: figures, Build: 1}, ServerConfig{Listen: "127.0.0.1:0"},
+	first, err := StartStandalone(NodeConfig{Name: "c1", Dir: b.TempDir(), Listen: "127.0.0.1:0", Quick: true, Control: figures, Build: 1}, ServerConfig{Listen: "127.0.0.1:0"},
 		slog.New(slog.DiscardHandler))
 	require.NoError(b, err)
 	b.Cleanup(func() { _ = first.Stop() })
 	for i := 1; i < n; i++ {
-		x, err := Open(NodeConfig{Name: fmt.Sprintf("c%d", i+1), Dir: b.TempDir(), Listen: "127.0.0.1:0", Quick: true, Figures: figures, Build: 1}, slog.New(slog.DiscardHandler))
+		x, err := Open(NodeConfig{Name: fmt.Sprintf("c%d", i+1), Dir: b.TempDir(), Listen: "127.0.0.1:0", Quick: true, Control: figures, Build: 1}, slog.New(slog.DiscardHandler))
 		require.NoError(b, err)
 		b.Cleanup(func() { _ = x.Close() })
 		require.NoError(b, first.Add(x.seat.Name, x.Address()))
@@ -73,7 +73,7 @@
 				note := strings.Repeat("x", 60)
 				b.ResetTimer()
 				writers(b, n, func(int64) error {
-					_, err := node.Propose(control.Command{Do: control.Patch, Build: 1, Note: &note})
+					_, err := node.Propose(control.Command{Kind: control.PatchRelease, Build: 1, Note: &note})
 					return err
 				})
 			})
@@ -85,7 +85,7 @@
 func BenchmarkWatchers(b *testing.B) {
 	for _, n := range []int{1, 100, 2000} {
 		b.Run(fmt.Sprintf("watchers=%d", n), func(b *testing.B) {
-			a, err := StartStandalone(NodeConfig{Name: "c1", Dir: b.TempDir(), Listen: "127.0.0.1:0", Quick: true, Figures: figures, Build: 1},
+			a, err := StartStandalone(NodeConfig{Name: "c1", Dir: b.TempDir(), Listen: "127.0.0.1:0", Quick: true, Control: figures, Build: 1},
 				ServerConfig{Listen: "127.0.0.1:0", Bookmark: time.Minute}, slog.New(slog.DiscardHandler))
 			require.NoError(b, err)
 			defer func() { _ = a.Stop() }()
@@ -124,8 +124,8 @@
 			b.ResetTimer()
 			for i := 0; b.Loop(); i++ {
 				began := time.Now()
-				body, _ := json.Marshal(api.Counts{Build: 1, Category: "c", Samples: i})
-				_, err := a.Propose(control.Command{Do: control.Tell, Name: api.EventCounts, Body: body})
+				body, _ := json.Marshal(api.Counts{Build: 1, Class: "c", Samples: i})
+				_, err := a.Propose(control.Command{Kind: control.EmitEvent, Name: api.EventCounts, Body: body})
 				require.NoError(b, err)
 				for range n {
 					<-heard
@@ -147,7 +147,7 @@
 		for _, snapshot := range []bool{false, true} {
 			b.Run(fmt.Sprintf("changes=%d/snapshot=%v", n, snapshot), func(b *testing.B) {
 				dir := b.TempDir()
-				seat := NodeConfig{Name: "c1", Dir: dir, Listen: "127.0.0.1:0", Quick: true, Figures: figures, Build: 1}
+				seat := NodeConfig{Name: "c1", Dir: dir, Listen: "127.0.0.1:0", Quick: true, Control: figures, Build: 1}
 				a, err := StartStandalone(seat, ServerConfig{Listen: "127.0.0.1:0"}, slog.New(slog.DiscardHandler))
 				require.NoError(b, err)
 				var wait sync.WaitGroup
@@ -155,7 +155,7 @@
 					wait.Go(func() {
 						for i := w; i < n; i += 16 {
 							note := fmt.Sprint(i)
-							_, _ = a.Propose(control.Command{Do: control.Patch, Build: 1, Note: &note})
+							_, _ = a.Propose(control.Command{Kind: control.PatchRelease, Build: 1, Note: &note})
 						}
 					})
 				}
--- a/internal/controller/controller_test.go
+++ b/internal/controller/controller_test.go
@@ -22,8 +22,8 @@
 	"dapplefront/release"
 )
 
-var figures = control.Config{Rules: release.Rules{Control: policy.Quorum, Stages: []release.Stage{{Share: .1, Cap: .05}, {Share: .5, Cap: .5}},
-	LeastTime: policy.Second / 20, VoteLife: 10 * policy.Second, ToMoveOn: 1, ToAbort: 1}, Absent: 5 * policy.Second}
+var figures = control.Config{Rules: release.Rules{Mode: policy.Quorum, Stages: []release.Stage{{HostShare: .1, ExposureCap: .05}, {HostShare: .5, ExposureCap: .5}},
+	MinStageTime: policy.Second / 20, VoteTTL: 10 * policy.Second, PromoteQuorum: 1, RollbackQuorum: 1}, RouterTimeout: 5 * policy.Second}
 
 // group is some instances on loopback.
 type group struct {
@@ -59,7 +59,7 @@
 func (g *group) name(i int) string { return fmt.Sprintf("c%d", i+1) }
 
 func (g *group) open(i int, raftAt, restAt string) {
-	n, err := Open(NodeConfig{Name: g.name(i), Dir: g.dirs[i], Listen: raftAt, First: i == 0, Quick: true, Figures: figures, Build: 1}, slog.New(slog.DiscardHandler))
+	n, err := Open(NodeConfig{Name: g.name(i), Dir: g.dirs[i], Listen: raftAt, Bootstrap: i == 0, Quick: true, Control: figures, Build: 1}, slog.New(slog.DiscardHandler))
 	require.NoError(g.t, err)
 	s, err := Serve(n, ServerConfig{Listen: restAt, VotesASecond: 1000, Bookmark: 50 * time.Millisecond}, slog.New(slog.DiscardHandler))
 	require.NoError(g.t, err)
@@ -186,8 +186,8 @@
 	o := object(t, text)
 	require.Equal(t, "released", o.Phase)
 	var trace []string
-	for _, m := range o.Trace {
-		trace = append(trace, m.What)
+	for _, m := range o.History {
+		trace = append(trace, m.Text)
 	}
 	require.Equal(t, []string{"requested", "hosts asked for: 10% of the places", "on trial, stage 0", "hosts asked for: 50% of the places",
 		"on trial, stage 1", "released, stage 1"}, trace)
@@ -224,7 +224,7 @@
 	w := follow(t, u+"/v1/watch", "")
 	status, _, text := call(t, "POST", u+"/v1/releases", `{"build":2,"steps":[{"name":"add-column","stage":0,"withinMs":50},{"name":"fill","stage":0},{"name":"drop","stage":1,"final":true}]}`)
 	require.Equal(t, 201, status, text)
-	require.Equal(t, "add-column", object(t, text).Waits)
+	require.Equal(t, "add-column", object(t, text).WaitsFor)
 	require.Eventually(t, func() bool {
 		_, _, text = call(t, "GET", u+"/v1/releases/2", "")
 		return object(t, text).Steps[0].State == "stalled"
@@ -246,7 +246,7 @@
 	call(t, "PUT", u+"/v1/releases/2/votes/r1", `{"stage":0,"voice":"on"}`)
 	require.Eventually(t, func() bool {
 		_, _, text = call(t, "GET", u+"/v1/releases/2", "")
-		return object(t, text).Waits == "drop"
+		return object(t, text).WaitsFor == "drop"
 	}, 10*time.Second, 10*time.Millisecond)
 	require.Equal(t, 1, w.count("place"))
 	status, _, text = call(t, "PUT", u+"/v1/releases/2/steps/drop", `{"by":"worker-2"}`)
@@ -368,7 +368,7 @@
 
 func TestEventsThatWereDroppedAreTold(t *testing.T) {
 	was := figures
-	figures.Events = 20
+	figures.MaxEvents = 20
 	defer func() { figures = was }()
 	g := start(t, 1)
 	for i := range 60 {
@@ -443,7 +443,7 @@
 
 func TestRoutersCountWhileTheyWatch(t *testing.T) {
 	was := figures
-	figures.OnShare, figures.Absent = .5, policy.Second
+	figures.PromoteShare, figures.RouterTimeout = .5, policy.Second
 	defer func() { figures = was }()
 	g := start(t, 1)
 	u := g.urls[0]
@@ -478,15 +478,15 @@
 	require.Contains(t, out.String(), `"note":"19"`)
 
 	other := t.TempDir() + "/new"
-	require.NoError(t, Import(NodeConfig{Name: "c1", Dir: other, Listen: "127.0.0.1:0", Figures: figures}, bytes.NewReader(out.Bytes())))
+	require.NoError(t, Import(NodeConfig{Name: "c1", Dir: other, Listen: "127.0.0.1:0", Control: figures}, bytes.NewReader(out.Bytes())))
 	require.NoError(t, CheckStore(other, figures))
-	require.ErrorContains(t, Import(NodeConfig{Name: "c1", Dir: other, Figures: figures}, bytes.NewReader(out.Bytes())), "not empty")
+	require.ErrorContains(t, Import(NodeConfig{Name: "c1", Dir: other, Control: figures}, bytes.NewReader(out.Bytes())), "not empty")
 	newer := strings.Replace(out.String(), `"format":2`, `"format":3`, 1)
-	require.ErrorContains(t, Import(NodeConfig{Name: "c1", Dir: t.TempDir() + "/x", Figures: figures}, strings.NewReader(newer)), "newer than this program's 2")
+	require.ErrorContains(t, Import(NodeConfig{Name: "c1", Dir: t.TempDir() + "/x", Control: figures}, strings.NewReader(newer)), "newer than this program's 2")
 	older := strings.Replace(out.String(), `"format":2`, `"format":1`, 1)
-	require.NoError(t, Import(NodeConfig{Name: "c1", Dir: t.TempDir() + "/y", Figures: figures}, strings.NewReader(older)))
+	require.NoError(t, Import(NodeConfig{Name: "c1", Dir: t.TempDir() + "/y", Control: figures}, strings.NewReader(older)))
 
 	damage(t, g.dirs[0]+"/log.db")
-	_, err := Open(NodeConfig{Name: "c1", Dir: g.dirs[0], Listen: "127.0.0.1:0", Figures: figures}, slog.New(slog.DiscardHandler))
+	_, err := Open(NodeConfig{Name: "c1", Dir: g.dirs[0], Listen: "127.0.0.1:0", Control: figures}, slog.New(slog.DiscardHandler))
 	require.ErrorContains(t, err, "damaged")
 }
--- a/internal/controller/cuts_test.go
+++ b/internal/controller/cuts_test.go
@@ -84,7 +84,7 @@
 	g := &group{t: t}
 	for i := range 3 {
 		name := fmt.Sprintf("c%d", i+1)
-		seat := NodeConfig{Name: name, Dir: t.TempDir(), Listen: "127.0.0.1:0", First: i == 0, Quick: true, Figures: figures, Build: 1, Streams: w.streams(name)}
+		seat := NodeConfig{Name: name, Dir: t.TempDir(), Listen: "127.0.0.1:0", Bootstrap: i == 0, Quick: true, Control: figures, Build: 1, Streams: w.streams(name)}
 		if disk != nil {
 			seat.Disk = func(l raft.LogStore, s raft.StableStore) (raft.LogStore, raft.StableStore) { return disk(i, l), s }
 		}
@@ -228,7 +228,7 @@
 			if counting {
 				heard++
 			}
-		}, Counts: func(api.Counts) {}, Complaint: func(api.Complaint) {}, Trouble: func(error) {}, Plan: func(api.Plan) {}})
+		}, Counts: func(api.Counts) {}, Complaint: func(api.Complaint) {}, Failed: func(error) {}, Plan: func(api.Plan) {}})
 		t.Cleanup(l.Close)
 	}
 	watching := func(i int) int {
--- a/internal/controller/damage_test.go
+++ b/internal/controller/damage_test.go
@@ -29,12 +29,12 @@
 // holds the very state that it held.
 func TestAFlippedBitInAnyPageIsFoundOrHarmless(t *testing.T) {
 	dir := t.TempDir()
-	a, err := StartStandalone(NodeConfig{Name: "c1", Dir: dir, Listen: "127.0.0.1:0", Quick: true, Figures: figures, Build: 1}, ServerConfig{Listen: "127.0.0.1:0"},
+	a, err := StartStandalone(NodeConfig{Name: "c1", Dir: dir, Listen: "127.0.0.1:0", Quick: true, Control: figures, Build: 1}, ServerConfig{Listen: "127.0.0.1:0"},
 		slog.New(slog.DiscardHandler))
 	require.NoError(t, err)
 	for i := range 60 {
 		note := fmt.Sprintf("change number %d, long enough to fill some pages with what matters", i)
-		_, err := a.Propose(control.Command{Do: control.Patch, Build: 1, Note: &note})
+		_, err := a.Propose(control.Command{Kind: control.PatchRelease, Build: 1, Note: &note})
 		require.NoError(t, err)
 	}
 	require.NoError(t, a.Stop())
--- a/internal/controller/described_test.go
+++ b/internal/controller/described_test.go
@@ -168,7 +168,7 @@
 
 func TestEveryDocumentedReplyAndEventIsGivenAndNoOther(t *testing.T) {
 	was := figures
-	figures.Events = 400
+	figures.MaxEvents = 400
 	defer func() { figures = was }()
 	d := describe(t)
 	g := start(t, 3)
@@ -258,7 +258,7 @@
 	g.fronts[lead].votes.SetBurst(0)
 	do(429, "PUT", "/v1/releases/1/votes/r1", `{"stage":0,"voice":"on"}`)
 	for i := range 500 {
-		g.nodes[lead].Propose(control.Command{Do: control.Tell, Name: "counts", Body: []byte(fmt.Sprintf(`{"build":1,"category":"c","bad":0,"samples":%d,"meanMs":0,"ageMs":0}`, i))})
+		g.nodes[lead].Propose(control.Command{Kind: control.EmitEvent, Name: "counts", Body: []byte(fmt.Sprintf(`{"build":1,"category":"c","bad":0,"samples":%d,"meanMs":0,"ageMs":0}`, i))})
 	}
 	do(410, "GET", "/v1/watch", "", "Last-Event-ID", "1")
 	d.mu.Lock()
@@ -423,7 +423,7 @@
 
 func TestDrawnRequestsGetADocumentedAnswerEach(t *testing.T) {
 	d := describe(t)
-	a, err := StartStandalone(NodeConfig{Name: "c1", Dir: t.TempDir(), Listen: "127.0.0.1:0", Quick: true, Figures: figures, Build: 1},
+	a, err := StartStandalone(NodeConfig{Name: "c1", Dir: t.TempDir(), Listen: "127.0.0.1:0", Quick: true, Control: figures, Build: 1},
 		ServerConfig{Listen: "127.0.0.1:0", VotesASecond: 1e6}, slog.New(slog.DiscardHandler))
 	require.NoError(t, err)
 	defer func() { require.NoError(t, a.Stop()) }()
--- a/internal/controller/guard.go
+++ b/internal/controller/guard.go
@@ -27,9 +27,9 @@
 // Grant lets callers do something: those whose certificate's common name fits Names (as path.Match has it) and whose
 // address is in Networks; an empty field fits all.
 type Grant struct {
-	Names    []string
-	Networks *netipx.IPSet
-	Roles    []Role
+	CommonNames []string
+	Networks    *netipx.IPSet
+	Roles       []Role
 }
 
 // Guard says who may do what, by certificates and networks.
@@ -64,7 +64,7 @@
 	at, err := netip.ParseAddrPort(r.RemoteAddr)
 	passed := r.Header.Get(onBehalf) != "" // the controller that passed it on has looked at the network
 	for _, grant := range g.Grants {
-		fits := len(grant.Names) == 0 || slices.ContainsFunc(grant.Names, func(p string) bool { ok, _ := path.Match(p, name); return ok })
+		fits := len(grant.CommonNames) == 0 || slices.ContainsFunc(grant.CommonNames, func(p string) bool { ok, _ := path.Match(p, name); return ok })
 		near := grant.Networks == nil || passed && g.peer(peerName(r)) || err == nil && grant.Networks.Contains(at.Addr().Unmap())
 		if fits && near && slices.Contains(grant.Roles, role) {
 			return true
--- a/internal/controller/kill_test.go
+++ b/internal/controller/kill_test.go
@@ -25,7 +25,7 @@
 	if dir == "" {
 		os.Exit(m.Run())
 	}
-	a, err := StartStandalone(NodeConfig{Name: "c1", Dir: dir, Listen: "127.0.0.1:0", Quick: true, Figures: figures, Build: 1}, ServerConfig{Listen: "127.0.0.1:0"},
+	a, err := StartStandalone(NodeConfig{Name: "c1", Dir: dir, Listen: "127.0.0.1:0", Quick: true, Control: figures, Build: 1}, ServerConfig{Listen: "127.0.0.1:0"},
 		slog.New(slog.DiscardHandler))
 	if err != nil {
 		fmt.Println("error", err)
@@ -149,7 +149,7 @@
 		g := &group{t: t, dirs: []string{t.TempDir()}, nodes: make([]*Node, 1), fronts: make([]*Server, 1), urls: make([]string, 1)}
 		t.Cleanup(g.close)
 		open := func() {
-			seat := NodeConfig{Name: "c1", Dir: g.dirs[0], Listen: "127.0.0.1:0", First: true, Quick: true, Figures: figures, Build: 1}
+			seat := NodeConfig{Name: "c1", Dir: g.dirs[0], Listen: "127.0.0.1:0", Bootstrap: true, Quick: true, Control: figures, Build: 1}
 			if lies {
 				seat.Disk = func(l raft.LogStore, s raft.StableStore) (raft.LogStore, raft.StableStore) {
 					return &forgetful{LogStore: l}, s
--- a/internal/controller/link_test.go
+++ b/internal/controller/link_test.go
@@ -17,8 +17,8 @@
 func TestARoutersLinkHearsNewsAndItsVotesAreAnswered(t *testing.T) {
 	still := make(chan bool, 1)
 	is := false
-	a, err := StartStandalone(NodeConfig{Name: "c", Dir: t.TempDir(), Listen: "127.0.0.1:0", Quick: true, Build: 1, Figures: control.Config{
-		Rules: release.Rules{Control: policy.Quorum, ToMoveOn: 2, ToAbort: 1, VoteLife: 5 * policy.Second, Stages: []release.Stage{{Share: .1, Cap: .1}, {Share: 1, Cap: 1}}}}},
+	a, err := StartStandalone(NodeConfig{Name: "c", Dir: t.TempDir(), Listen: "127.0.0.1:0", Quick: true, Build: 1, Control: control.Config{
+		Rules: release.Rules{Mode: policy.Quorum, PromoteQuorum: 2, RollbackQuorum: 1, VoteTTL: 5 * policy.Second, Stages: []release.Stage{{HostShare: .1, ExposureCap: .1}, {HostShare: 1, ExposureCap: 1}}}}},
 		ServerConfig{Listen: "127.0.0.1:0", VotesASecond: 2, Fault: func() (time.Duration, bool) {
 			select {
 			case is = <-still:
@@ -30,7 +30,7 @@
 	defer func() { require.NoError(t, a.Stop()) }()
 	news, complaints := make(chan policy.ReleaseStatus, 64), make(chan api.Complaint, 64)
 	link := controlclient.Open([]string{"http://127.0.0.1:1", a.URL()}, "r1", "here", nil, time.Second, controlclient.Handler{Release: func(n policy.ReleaseStatus) { news <- n },
-		Counts: func(api.Counts) {}, Complaint: func(c api.Complaint) { complaints <- c }, Trouble: func(error) {}})
+		Counts: func(api.Counts) {}, Complaint: func(c api.Complaint) { complaints <- c }, Failed: func(error) {}})
 	defer link.Close()
 	next := func() policy.ReleaseStatus {
 		select {
@@ -42,7 +42,7 @@
 		}
 	}
 	require.Equal(t, policy.Released, next().Phase)
-	_, err = a.Hear(release.Offer{Build: 2})
+	_, err = a.Handle(release.Offer{Build: 2})
 	require.NoError(t, err)
 	for next().ExposureCap != 0.1 { // it is told again and again how things stand
 	}
--- a/internal/controller/node.go
+++ b/internal/controller/node.go
@@ -27,15 +27,15 @@
 
 // NodeConfig is one instance's place among the controllers.
 type NodeConfig struct {
-	Name    string // of its own among them
-	Dir     string // of its store; nothing else may write there
-	Listen  string // for the other controllers
-	First   bool   // starts a new group of one, where the store is empty
-	Quick   bool   // short times, for loopback: a leader is missed after half a second
-	Figures control.Config
-	Build   int                                                                     // that serves when a group starts
-	Streams func(net.Listener) (raft.StreamLayer, error)                            // nil for plain TCP
-	Disk    func(raft.LogStore, raft.StableStore) (raft.LogStore, raft.StableStore) // wraps the store, in tests
+	Name      string // of its own among them
+	Dir       string // of its store; nothing else may write there
+	Listen    string // for the other controllers
+	Bootstrap bool   // starts a new group of one, where the store is empty
+	Quick     bool   // short times, for loopback: a leader is missed after half a second
+	Control   control.Config
+	Build     int                                                                     // that serves when a group starts
+	Streams   func(net.Listener) (raft.StreamLayer, error)                            // nil for plain TCP
+	Disk      func(raft.LogStore, raft.StableStore) (raft.LogStore, raft.StableStore) // wraps the store, in tests
 }
 
 // Node is one running instance.
@@ -71,7 +71,7 @@
 		return nil, err
 	}
 	file := filepath.Join(seat.Dir, "log.db")
-	if err := CheckStore(seat.Dir, seat.Figures); err != nil {
+	if err := CheckStore(seat.Dir, seat.Control); err != nil {
 		return nil, err
 	}
 	bolt, err := raftboltdb.New(raftboltdb.Options{Path: file, BoltOptions: &bbolt.Options{Timeout: time.Second}, MsgpackUseNewTimeFormat: true})
@@ -79,7 +79,7 @@
 		return nil, fmt.Errorf("store %s: %w", file, err)
 	}
 	n := &Node{seat: seat, log: log.With("controller", seat.Name), bolt: bolt, changed: make(chan struct{}), stop: make(chan struct{}),
-		state: control.New(seat.Figures, seat.Build), began: time.Now()}
+		state: control.New(seat.Control, seat.Build), began: time.Now()}
 	if err := n.start(); err != nil {
 		_ = bolt.Close()
 		return nil, err
@@ -117,7 +117,7 @@
 	if n.seat.Disk != nil {
 		logs, stable = n.seat.Disk(logs, stable)
 	}
-	if n.seat.First {
+	if n.seat.Bootstrap {
 		has, err := raft.HasExistingState(logs, stable, snaps)
 		if err != nil {
 			return err
@@ -208,7 +208,7 @@
 			due := n.leads && n.state.Due(n.now())
 			n.mu.Unlock()
 			if due {
-				_, _ = n.Propose(control.Command{Do: control.Tick})
+				_, _ = n.Propose(control.Command{Kind: control.Tick})
 			}
 		}
 	}
@@ -307,7 +307,7 @@
 	c, err := unpack(l.Data)
 	if err != nil {
 		m.log.Error("an entry of the log is damaged", "index", l.Index, "error", err)
-		return control.Reply{Code: control.Invalid, Why: err.Error()} // the same on every instance that has it so
+		return control.Reply{Code: control.Invalid, Reason: err.Error()} // the same on every instance that has it so
 	}
 	r := m.state.Apply(l.Index, c)
 	(*Node)(m).wake()
@@ -343,7 +343,7 @@
 	if err != nil {
 		return err
 	}
-	s, err := control.Load(m.seat.Figures, text)
+	s, err := control.Load(m.seat.Control, text)
 	if err != nil {
 		return err
 	}
--- a/internal/controller/secure_test.go
+++ b/internal/controller/secure_test.go
@@ -47,8 +47,8 @@
 		require.NoError(t, err)
 		return s
 	}
-	grants := []Grant{{Names: []string{"router-*"}, Roles: []Role{read, mayVote}}, {Names: []string{"people-*"}, Roles: []Role{read, mayRelease, mayWithdraw}},
-		{Names: []string{"people-far"}, Networks: nets("10.0.0.0/8"), Roles: []Role{mayServe}}, {Names: []string{"c*"}, Roles: Roles}}
+	grants := []Grant{{CommonNames: []string{"router-*"}, Roles: []Role{read, mayVote}}, {CommonNames: []string{"people-*"}, Roles: []Role{read, mayRelease, mayWithdraw}},
+		{CommonNames: []string{"people-far"}, Networks: nets("10.0.0.0/8"), Roles: []Role{mayServe}}, {CommonNames: []string{"c*"}, Roles: Roles}}
 	var logged pad
 	log := slog.New(slog.NewTextHandler(&logged, nil))
 	var nodes []*Node
@@ -56,7 +56,7 @@
 	for i := range 3 {
 		name := fmt.Sprintf("c%d", i+1)
 		r := ring(name)
-		n, err := Open(NodeConfig{Name: name, Dir: t.TempDir(), Listen: "127.0.0.1:0", First: i == 0, Quick: true, Figures: figures, Build: 1,
+		n, err := Open(NodeConfig{Name: name, Dir: t.TempDir(), Listen: "127.0.0.1:0", Bootstrap: i == 0, Quick: true, Control: figures, Build: 1,
 			Streams: Secure(r, []string{"c*"})}, log)
 		require.NoError(t, err)
 		s, err := Serve(n, ServerConfig{Listen: "127.0.0.1:0", Bookmark: 50 * time.Millisecond, Guard: &Guard{TLS: r.Server(), Client: r.Client(), Grants: grants,
--- a/internal/controller/server.go
+++ b/internal/controller/server.go
@@ -167,7 +167,7 @@
 			continue
 		}
 		if leads {
-			_, _ = s.node.Propose(control.Command{Do: control.Member, Name: s.node.seat.Name, Note: &s.front.URL})
+			_, _ = s.node.Propose(control.Command{Kind: control.SetMember, Name: s.node.seat.Name, Note: &s.front.URL})
 		} else if leader != "" {
 			body, _ := json.Marshal(map[string]string{"url": s.front.URL})
 			ask, err := http.NewRequest("PUT", leader+"/v1/controllers/"+url.PathEscape(s.node.seat.Name), bytes.NewReader(body))
@@ -273,7 +273,7 @@
 	case err != nil:
 		problem(w, http.StatusGatewayTimeout, "", err.Error())
 	case reply.Code > control.Repeated:
-		problem(w, statuses[reply.Code], reply.Field, reply.Why)
+		problem(w, statuses[reply.Code], reply.Field, reply.Reason)
 	default:
 		if reply.Release != nil {
 			w.Header().Set("ETag", reply.Release.ETag())
@@ -330,26 +330,26 @@
 // ---- Releases ----
 
 func shown(r *control.Release, now policy.Time, st *control.State) api.ReleaseObject {
-	o := api.ReleaseObject{Release: api.Release{Build: r.Build, Stage: r.Stage, Phase: api.Phases[r.Phase], Cap: r.Cap,
+	o := api.ReleaseObject{Release: api.Release{Build: r.Build, Stage: r.Stage, Phase: api.Phases[r.Phase], ExposureCap: r.ExposureCap,
 		AgeMs: max(0, int64(now-r.Since)/10), Version: int64(r.Version)}, Digest: r.Digest, Note: r.Note, Labels: r.Labels,
-		CreatedMs: int64(r.Created) / 10, Waits: r.Waits, Tasks: r.Counts, Hosts: r.Hosts}
+		CreatedMs: int64(r.Created) / 10, WaitsFor: r.WaitsFor, Tasks: r.Counts, Hosts: r.Hosts}
 	for i, step := range r.Steps {
-		x := api.Step{Name: step.Name, Stage: step.Stage, Final: step.Final, WithinMs: int64(step.Within) / 10}
-		if d := r.Done[i]; d.At != 0 {
-			x.State, x.By = "done", d.By
+		x := api.Step{Name: step.Name, Stage: step.Stage, Irreversible: step.Irreversible, WithinMs: int64(step.ExpectedTime) / 10}
+		if d := r.StepStatuses[i]; d.DoneAt != 0 {
+			x.State, x.By = "done", d.DoneBy
 		} else if d.Stalled {
 			x.State = "stalled"
-		} else if d.Waiting != 0 {
+		} else if d.WaitingSince != 0 {
 			x.State = "waiting"
 		} else {
 			x.State = "later"
 		}
 		o.Steps = append(o.Steps, x)
 	}
-	for _, m := range r.Trace {
-		o.Trace = append(o.Trace, api.Mark{AtMs: int64(m.At) / 10, What: m.What})
+	for _, m := range r.History {
+		o.History = append(o.History, api.HistoryEntry{AtMs: int64(m.At) / 10, Text: m.Text})
 	}
-	if st != nil && st.News().Build == r.Build {
+	if st != nil && st.Status().Build == r.Build {
 		v := api.Votes{}
 		v.On, v.Needed, _ = st.Votes(policy.Promote)
 		v.Back, _, v.NeededBack = st.Votes(policy.Rollback)
@@ -458,19 +458,19 @@
 }
 
 func (s *Server) create(w http.ResponseWriter, r *http.Request) {
-	var a api.Creation
+	var a api.CreateRelease
 	if !decode(w, r, &a) {
 		return
 	}
 	text, _ := json.Marshal(a)
 	sum := sha256.Sum256(text)
-	c := control.Command{Do: control.Create, Build: a.Build, Digest: a.Digest, Note: &a.Note, Labels: map[string]*string{},
+	c := control.Command{Kind: control.CreateRelease, Build: a.Build, Digest: a.Digest, Note: &a.Note, Labels: map[string]*string{},
 		Key: r.Header.Get("Idempotency-Key"), Hash: hex.EncodeToString(sum[:])}
 	for k, v := range a.Labels {
 		c.Labels[k] = &v
 	}
 	for _, x := range a.Steps {
-		c.Steps = append(c.Steps, control.Step{Name: x.Name, Stage: x.Stage, Final: x.Final, Within: policy.Time(x.WithinMs) * 10})
+		c.Steps = append(c.Steps, control.Step{Name: x.Name, Stage: x.Stage, Irreversible: x.Irreversible, ExpectedTime: policy.Time(x.WithinMs) * 10})
 	}
 	w.Header().Set("Location", fmt.Sprintf("/v1/releases/%d", a.Build))
 	s.change(w, r, c, http.StatusCreated, s.object)
@@ -482,15 +482,19 @@
 		return
 	}
 	version, ok := ifMatch(w, r)
-	var a api.Change
+	var a api.PatchRelease
 	if !ok || !decode(w, r, &a) {
 		return
 	}
-	s.change(w, r, control.Command{Do: control.Patch, Build: n, IfVersion: version, Note: a.Note, Labels: a.Labels}, http.StatusOK, s.object)
+	s.change(w, r, control.Command{Kind: control.PatchRelease, Build: n, IfVersion: version, Note: a.Note, Labels: a.Labels}, http.StatusOK, s.object)
 }
 
-func (s *Server) withdraw(w http.ResponseWriter, r *http.Request) { s.simple(w, r, control.Withdraw) }
-func (s *Server) delete(w http.ResponseWriter, r *http.Request)   { s.simple(w, r, control.Delete) }
+func (s *Server) withdraw(w http.ResponseWriter, r *http.Request) {
+	s.simple(w, r, control.RollBackRelease)
+}
+func (s *Server) delete(w http.ResponseWriter, r *http.Request) {
+	s.simple(w, r, control.DeleteRelease)
+}
 
 func (s *Server) simple(w http.ResponseWriter, r *http.Request, do control.CommandKind) {
 	n, ok := build(w, r)
@@ -501,11 +505,11 @@
 	if !ok {
 		return
 	}
-	if do == control.Delete {
-		s.change(w, r, control.Command{Do: do, Build: n, IfVersion: version}, http.StatusNoContent, nil)
+	if do == control.DeleteRelease {
+		s.change(w, r, control.Command{Kind: do, Build: n, IfVersion: version}, http.StatusNoContent, nil)
 		return
 	}
-	s.change(w, r, control.Command{Do: do, Build: n, IfVersion: version}, http.StatusOK, s.object)
+	s.change(w, r, control.Command{Kind: do, Build: n, IfVersion: version}, http.StatusOK, s.object)
 }
 
 func (s *Server) vote(w http.ResponseWriter, r *http.Request) {
@@ -515,13 +519,13 @@
 		return
 	}
 	voice := -1
-	for i, name := range api.Voices {
-		if name == v.Voice {
+	for i, name := range api.VoteChoices {
+		if name == v.Choice {
 			voice = i
 		}
 	}
 	if voice < 0 {
-		problem(w, http.StatusBadRequest, "voice", strings.Join(api.Voices, ", ")+" expected")
+		problem(w, http.StatusBadRequest, "voice", strings.Join(api.VoteChoices, ", ")+" expected")
 		return
 	}
 	if !s.votes.Allow() {
@@ -531,7 +535,7 @@
 	}
 	if _, still := s.front.fault(); still { // every other vote counts; none is answered
 		if rand.IntN(2) == 0 {
-			_, _ = s.node.Propose(control.Command{Do: control.Vote, Build: n, Stage: v.Stage, Router: r.PathValue("router"), Voice: policy.VoteChoice(voice)})
+			_, _ = s.node.Propose(control.Command{Kind: control.CastVote, Build: n, Stage: v.Stage, Router: r.PathValue("router"), Choice: policy.VoteChoice(voice)})
 		}
 		select {
 		case <-r.Context().Done():
@@ -539,7 +543,7 @@
 		}
 		return
 	}
-	s.change(w, r, control.Command{Do: control.Vote, Build: n, Stage: v.Stage, Router: r.PathValue("router"), Voice: policy.VoteChoice(voice)},
+	s.change(w, r, control.Command{Kind: control.CastVote, Build: n, Stage: v.Stage, Router: r.PathValue("router"), Choice: policy.VoteChoice(voice)},
 		http.StatusOK, func(c control.Reply) any {
 			o := s.object(c).(api.ReleaseObject).Release
 			if s.front.Told != nil {
@@ -555,7 +559,7 @@
 	if !ok || !decode(w, r, &a) {
 		return
 	}
-	s.change(w, r, control.Command{Do: control.StepDone, Build: n, Name: r.PathValue("step"), Router: a.By}, http.StatusOK, s.object)
+	s.change(w, r, control.Command{Kind: control.CompleteStep, Build: n, Name: r.PathValue("step"), Router: a.By}, http.StatusOK, s.object)
 }
 
 // order is the word of whoever runs hosts that an order has been carried out: ready or gone.
@@ -564,12 +568,12 @@
 	if !ok {
 		return
 	}
-	do, ok := map[string]control.CommandKind{"ready": control.Ready, "gone": control.Gone}[r.PathValue("order")]
+	do, ok := map[string]control.CommandKind{"ready": control.HostsReady, "gone": control.HostsRemoved}[r.PathValue("order")]
 	if !ok {
 		problem(w, http.StatusNotFound, "order", "ready or gone expected")
 		return
 	}
-	s.change(w, r, control.Command{Do: do, Build: n}, http.StatusNoContent, nil)
+	s.change(w, r, control.Command{Kind: do, Build: n}, http.StatusNoContent, nil)
 }
 
 func (s *Server) report(w http.ResponseWriter, r *http.Request) {
@@ -578,7 +582,7 @@
 	if !ok || !decode(w, r, &a) {
 		return
 	}
-	s.change(w, r, control.Command{Do: control.Report, Build: n, Counts: a.Tasks, Hosts: a.Hosts}, http.StatusNoContent, nil)
+	s.change(w, r, control.Command{Kind: control.ReportCounts, Build: n, Counts: a.Tasks, Hosts: a.Hosts}, http.StatusNoContent, nil)
 }
 
 // ---- What is passed on ----
@@ -588,12 +592,12 @@
 	if !decode(w, r, &c) {
 		return
 	}
-	if c.Build < 1 || c.Bad < 0 || c.Samples < c.Bad || c.MeanMs < 0 || c.AgeMs < 0 || c.Category == "" {
+	if c.Build < 1 || c.Failures < 0 || c.Samples < c.Failures || c.MeanMs < 0 || c.AgeMs < 0 || c.Class == "" {
 		problem(w, http.StatusBadRequest, "samples", "counts that make sense expected")
 		return
 	}
 	body, _ := json.Marshal(c)
-	s.change(w, r, control.Command{Do: control.Tell, Name: api.EventCounts, Body: body}, http.StatusAccepted, nil)
+	s.change(w, r, control.Command{Kind: control.EmitEvent, Name: api.EventCounts, Body: body}, http.StatusAccepted, nil)
 }
 
 func (s *Server) complain(w http.ResponseWriter, r *http.Request) {
@@ -606,7 +610,7 @@
 		return
 	}
 	body, _ := json.Marshal(c)
-	s.change(w, r, control.Command{Do: control.Tell, Name: api.EventComplaint, Router: c.Router, Body: body}, http.StatusAccepted, nil)
+	s.change(w, r, control.Command{Kind: control.EmitEvent, Name: api.EventComplaint, Router: c.Router, Body: body}, http.StatusAccepted, nil)
 }
 
 // ---- Plans ----
@@ -621,13 +625,13 @@
 		return
 	}
 	p := &plan.Published{Version: version, Build: a.Build, Stage: a.Stage, For: a.For}
-	s.change(w, r, control.Command{Do: control.Publish, Plan: p, For: policy.Time(a.ForMs) * 10}, http.StatusNoContent, nil)
+	s.change(w, r, control.Command{Kind: control.PublishPlan, Plan: p, ValidFor: policy.Time(a.ForMs) * 10}, http.StatusNoContent, nil)
 }
 
 func (s *Server) planFor(w http.ResponseWriter, r *http.Request) {
 	var p *plan.Published
 	var left policy.Time
-	s.node.Read(func(st *control.State, now policy.Time) { p, left = st.InForce(now) })
+	s.node.Read(func(st *control.State, now policy.Time) { p, left = st.ActivePlan(now) })
 	if p == nil || strconv.FormatUint(p.Version, 10) != r.PathValue("version") {
 		problem(w, http.StatusNotFound, "version", "this version is not in force")
 		return
@@ -645,7 +649,7 @@
 	if !ok {
 		return
 	}
-	var h api.Heed
+	var h api.PlanAck
 	if !decode(w, r, &h) {
 		return
 	}
@@ -656,18 +660,18 @@
 	if !h.Followed {
 		s.log.Warn("a plan is turned down", "version", version, "router", r.PathValue("router"), "reason", h.Reason)
 	}
-	s.change(w, r, control.Command{Do: control.AckPlan, Router: r.PathValue("router"), Heed: &control.PlanAck{Version: version, Reason: h.Reason}},
+	s.change(w, r, control.Command{Kind: control.AckPlan, Router: r.PathValue("router"), PlanAck: &control.PlanAck{Version: version, Reason: h.Reason}},
 		http.StatusNoContent, nil)
 }
 
 // ---- Routers and controllers ----
 
 func (s *Server) join(w http.ResponseWriter, r *http.Request) {
-	s.change(w, r, control.Command{Do: control.Join, Router: r.PathValue("router")}, http.StatusNoContent, nil)
+	s.change(w, r, control.Command{Kind: control.JoinRouter, Router: r.PathValue("router")}, http.StatusNoContent, nil)
 }
 
 func (s *Server) leave(w http.ResponseWriter, r *http.Request) {
-	s.change(w, r, control.Command{Do: control.Leave, Router: r.PathValue("router")}, http.StatusNoContent, nil)
+	s.change(w, r, control.Command{Kind: control.LeaveRouter, Router: r.PathValue("router")}, http.StatusNoContent, nil)
 }
 
 func (s *Server) status(w http.ResponseWriter, r *http.Request) {
@@ -678,7 +682,7 @@
 	}
 	out := api.Status{Name: s.node.seat.Name, Leads: leads, Leader: leader, BehindMs: s.node.ReplicationLag().Milliseconds(), Members: members}
 	s.node.Read(func(st *control.State, _ policy.Time) {
-		out.Version, out.Routers, out.Events = st.Version(), len(st.Routers), st.Last()
+		out.Version, out.Routers, out.Events = st.Version(), len(st.Routers), st.LastEvent()
 	})
 	s.mu.Lock()
 	out.Watchers, out.Slow = s.watchers, s.cuts
@@ -703,7 +707,7 @@
 		w.WriteHeader(http.StatusNoContent)
 		return
 	}
-	s.change(w, r, control.Command{Do: control.Member, Name: name, Note: &a.URL}, http.StatusNoContent, nil)
+	s.change(w, r, control.Command{Kind: control.SetMember, Name: name, Note: &a.URL}, http.StatusNoContent, nil)
 }
 
 func (s *Server) removeMember(w http.ResponseWriter, r *http.Request) {
@@ -712,5 +716,5 @@
 		problem(w, http.StatusServiceUnavailable, "name", err.Error())
 		return
 	}
-	s.change(w, r, control.Command{Do: control.Member, Name: name}, http.StatusNoContent, nil)
+	s.change(w, r, control.Command{Kind: control.SetMember, Name: name}, http.StatusNoContent, nil)
 }
--- a/internal/controller/store.go
+++ b/internal/controller/store.go
@@ -137,7 +137,7 @@
 	if err != nil {
 		return err
 	}
-	if _, err := control.Load(seat.Figures, text); err != nil {
+	if _, err := control.Load(seat.Control, text); err != nil {
 		return err
 	}
 	if some, err := os.ReadDir(seat.Dir); err == nil && len(some) > 0 {
--- a/internal/controller/stored_test.go
+++ b/internal/controller/stored_test.go
@@ -24,9 +24,9 @@
 	storedExport = "testdata/export-d72f78e.json"
 )
 
-var storedFigures = control.Config{Rules: release.Rules{Control: policy.Timed, Stages: []release.Stage{{Share: .1, Cap: .05}, {Share: .5, Cap: .5}},
-	LeastTime: policy.Second / 20, ClockTime: policy.Second / 10, VoteLife: 60 * policy.Second, ToMoveOn: 2, ToAbort: 3, ToHold: 2},
-	Absent: 600 * policy.Second, Events: 1000, Keys: 10}
+var storedFigures = control.Config{Rules: release.Rules{Mode: policy.Timed, Stages: []release.Stage{{HostShare: .1, ExposureCap: .05}, {HostShare: .5, ExposureCap: .5}},
+	MinStageTime: policy.Second / 20, StageTime: policy.Second / 10, VoteTTL: 60 * policy.Second, PromoteQuorum: 2, RollbackQuorum: 3, HoldQuorum: 2},
+	RouterTimeout: 600 * policy.Second, MaxEvents: 1000, MaxCreationKeys: 10}
 
 // stored is a copy of the stored data, which a test may write to.
 func stored(t *testing.T) (dir string, export []byte) {
@@ -55,7 +55,7 @@
 func TestAnEarlierExportIsImportedAndExportedByteForByte(t *testing.T) {
 	_, want := stored(t)
 	dir := filepath.Join(t.TempDir(), "new")
-	require.NoError(t, Import(NodeConfig{Name: "c1", Dir: dir, Listen: "127.0.0.1:0", Figures: storedFigures}, bytes.NewReader(want)))
+	require.NoError(t, Import(NodeConfig{Name: "c1", Dir: dir, Listen: "127.0.0.1:0", Control: storedFigures}, bytes.NewReader(want)))
 	require.NoError(t, CheckStore(dir, storedFigures))
 	require.Equal(t, string(want), exported(t, dir))
 }
@@ -81,7 +81,7 @@
 func TestCommandsOfAnEarlierProgramAreReadAndWrittenByteForByte(t *testing.T) {
 	dir, _ := stored(t)
 	seen := map[string]bool{}
-	_, err := replay(dir, storedFigures, func(_ uint64, c control.Command) { seen[string(c.Do)] = true })
+	_, err := replay(dir, storedFigures, func(_ uint64, c control.Command) { seen[string(c.Kind)] = true })
 	require.NoError(t, err)
 	for _, verb := range []string{"create", "patch", "withdraw", "delete", "vote", "ready", "gone", "step", "report", "tick", "join", "leave",
 		"tell", "publish", "heed", "order", "heard", "member"} {
--- a/internal/controller/watch.go
+++ b/internal/controller/watch.go
@@ -53,16 +53,16 @@
 	leads, _ := s.node.IsLeader()
 	s.node.Read(func(st *control.State, now policy.Time) {
 		if text == "" {
-			from = st.Last()
-			s.write(&out, router, control.Event{ID: from, Kind: api.EventNews, At: st.News().Since, Body: encode(st.News())}, now)
-			if p, left := st.InForce(now); p != nil && left > 0 {
+			from = st.LastEvent()
+			s.write(&out, router, control.Event{ID: from, Kind: api.EventRelease, At: st.Status().Since, Body: encode(st.Status())}, now)
+			if p, left := st.ActivePlan(now); p != nil && left > 0 {
 				s.write(&out, router, control.Event{ID: from, Kind: api.EventPlan, Body: encode(api.PlanNotice{Version: p.Version})}, now)
 			}
 			return
 		}
-		if _, ok := st.Since(from, router, 1); !ok {
+		if _, ok := st.EventsSince(from, router, 1); !ok {
 			// An id beyond the newest: this instance is behind, and the watch waits for it; the one that leads knows all.
-			oldest, gone = st.Oldest(), from <= st.Last() || leads
+			oldest, gone = st.OldestEvent(), from <= st.LastEvent() || leads
 		}
 	})
 	if gone {
@@ -101,14 +101,14 @@
 		var young <-chan time.Time
 		s.node.Read(func(st *control.State, now policy.Time) {
 			var some []control.Event
-			if behind = from > st.Last(); behind {
+			if behind = from > st.LastEvent(); behind {
 				return
 			}
-			if some, ok = st.Since(from, router, batch); !ok {
+			if some, ok = st.EventsSince(from, router, batch); !ok {
 				return
 			}
 			more = len(some) == batch
-			upto := st.Last()
+			upto := st.LastEvent()
 			if more {
 				upto = some[batch-1].ID
 			}
@@ -144,8 +144,8 @@
 			}
 			if router != "" { // routers like to hear that all is as it was
 				s.node.Read(func(st *control.State, now policy.Time) {
-					if from == st.Last() {
-						s.write(&out, router, control.Event{ID: from, Kind: api.EventNews, At: st.News().Since, Body: encode(st.News())}, now)
+					if from == st.LastEvent() {
+						s.write(&out, router, control.Event{ID: from, Kind: api.EventRelease, At: st.Status().Since, Body: encode(st.Status())}, now)
 					}
 				})
 			}
@@ -164,11 +164,11 @@
 }
 
 // forRouters are the kinds of events that routers hear of.
-var forRouters = map[string]bool{api.EventNews: true, api.EventCounts: true, api.EventComplaint: true, api.EventPlan: true}
+var forRouters = map[string]bool{api.EventRelease: true, api.EventCounts: true, api.EventComplaint: true, api.EventPlan: true}
 
 // renew sees that a router which watches stays a member, wherever it watches.
 func (s *Server) renew(router string) {
-	absent := time.Duration(s.node.seat.Figures.Absent) * 100 * time.Microsecond
+	absent := time.Duration(s.node.seat.Control.RouterTimeout) * 100 * time.Microsecond
 	if router == "" || absent == 0 {
 		return
 	}
@@ -183,7 +183,7 @@
 	}
 	go func() {
 		if leads, _ := s.node.IsLeader(); leads {
-			_, _ = s.node.Propose(control.Command{Do: control.Join, Router: router})
+			_, _ = s.node.Propose(control.Command{Kind: control.JoinRouter, Router: router})
 			return
 		}
 		s.node.joinThrough(s, router)
@@ -212,10 +212,10 @@
 	body := []byte(e.Body)
 	age := max(0, int64(now-e.At)/10)
 	switch e.Kind {
-	case api.EventNews:
+	case api.EventRelease:
 		var n release.Status
 		if json.Unmarshal(e.Body, &n) == nil {
-			told := api.Release{Build: n.Build, Stage: n.Stage, Phase: api.Phases[n.Phase], Cap: n.Cap,
+			told := api.Release{Build: n.Build, Stage: n.Stage, Phase: api.Phases[n.Phase], ExposureCap: n.ExposureCap,
 				AgeMs: max(0, int64(now-n.Since)/10), Version: int64(e.ID)}
 			if body = encode(told); router != "" && s.front.Told != nil {
 				s.front.Told(router, told)
--- a/internal/discovery/discovery.go
+++ b/internal/discovery/discovery.go
@@ -280,6 +280,6 @@
 }
 
 func (e Entry) host(number uint32) eds.Host {
-	return eds.Host{Address: e.HostPort, Host: router.Host{ID: number, Location: e.Locality, Cell: e.Cell,
-		Standing: phases[e.Phase], Build: e.Build, Size: e.Size, Up: policy.Time(e.UpSince) * 10}}
+	return eds.Host{Address: e.HostPort, Host: router.Host{ID: number, Zone: e.Locality, Cell: e.Cell,
+		State: phases[e.Phase], Build: e.Build, Weight: e.Size, StartedAt: policy.Time(e.UpSince) * 10}}
 }
--- a/internal/discovery/discovery_test.go
+++ b/internal/discovery/discovery_test.go
@@ -98,15 +98,15 @@
 	d.lines <- list(41, false, entry("a", "draining", 1))
 	got := <-h.lists
 	require.Equal(t, old, got[0].ID)
-	require.Equal(t, policy.Draining, got[0].Standing)
-	require.Equal(t, policy.Time(70), got[0].Up)
+	require.Equal(t, policy.Draining, got[0].State)
+	require.Equal(t, policy.Time(70), got[0].StartedAt)
 	before := time.Now()
 	time.Sleep(2 * time.Millisecond)
 	d.lines <- list(42, false, entry("a", "up", 2))
 	got = <-h.lists
 	require.Len(t, got, 2, "the old host goes as the new one comes")
 	require.Equal(t, old, got[0].ID)
-	require.Equal(t, policy.Removed, got[0].Standing)
+	require.Equal(t, policy.Removed, got[0].State)
 	require.NotEqual(t, old, got[1].ID)
 	n, ok := w.Number("a", before)
 	require.True(t, ok)
@@ -117,7 +117,7 @@
 	require.False(t, ok)
 	d.lines <- list(43, false, entry("a", "removed", 2))
 	d.lines <- list(44, false, entry("a", "up", 2))
-	require.Equal(t, policy.Removed, (<-h.lists)[0].Standing)
+	require.Equal(t, policy.Removed, (<-h.lists)[0].State)
 	require.Equal(t, got[1].ID, (<-h.lists)[0].ID, "under the same build it is the same host, started anew")
 	require.Equal(t, "/v1/endpoints?watch=1&from=40", d.asked[0])
 }
@@ -149,7 +149,7 @@
 	require.Empty(t, h.lists)
 	w.Ask()
 	d.lines <- list(42, false, entry("a", "removed", 1))
-	require.Equal(t, policy.Removed, (<-h.lists)[0].Standing)
+	require.Equal(t, policy.Removed, (<-h.lists)[0].State)
 	require.Equal(t, "/v1/endpoints?watch=1&from=41", d.asked[1])
 }
 
--- a/internal/downstream/front.go
+++ b/internal/downstream/front.go
@@ -33,46 +33,46 @@
 
 // Class is a category as clients meet it.
 type Class struct {
-	Name     string
-	Paths    []string // prefixes of targets
-	Patience policy.Time
-	Marked   bool   // its tasks must bear a mark
-	Method   string // that they come by; empty for any
-	Bare     bool   // they must bear no mark
+	Name                   string
+	Paths                  []string // prefixes of targets
+	Timeout                policy.Time
+	RequiresIdempotencyKey bool   // its tasks must bear a mark
+	Method                 string // that they come by; empty for any
+	ForbidsIdempotencyKey  bool   // they must bear no mark
 }
 
 // Network is where a customer's clients are.
 type Network struct {
-	Prefix   netip.Prefix
-	Customer string
+	Prefix netip.Prefix
+	Tenant string
 }
 
 // Config is what a door is told of those who come.
 type Config struct {
-	Classes  []Class
-	Networks []Network
-	Bounds   http1.Bounds
-	Slow     time.Duration // how long a request may take to arrive, and an answer to be read
-	Idle     time.Duration // how long a connection is kept without a task
-	Links    int           // open connections, at the most
-	AtOnce   int           // requests of one connection that are worked on at once
-	Name     string        // of the router, for the Via field
-	First    time.Duration // how long the first request of a connection may take to be whole; 0 for no such bound
-	Spare    time.Duration // a connection that has been idle for so long goes when another needs its place; 0 for none
-	Protocol *Protocol     // nil for this project's own
+	Classes             []Class
+	Networks            []Network
+	Limits              http1.Limits
+	TransferTimeout     time.Duration // how long a request may take to arrive, and an answer to be read
+	IdleTimeout         time.Duration // how long a connection is kept without a task
+	MaxConnections      int           // open connections, at the most
+	MaxPipelined        int           // requests of one connection that are worked on at once
+	RouterName          string        // of the router, for the Via field
+	FirstRequestTimeout time.Duration // how long the first request of a connection may take to be whole; 0 for no such bound
+	ReclaimIdleAfter    time.Duration // a connection that has been idle for so long goes when another needs its place; 0 for none
+	Protocol            *Protocol     // nil for this project's own
 }
 
 // Request is a request that has come to the door as a task.
 type Request struct {
-	Message  *http1.Message
-	Category string
-	Customer string
-	Mark     string
-	Key      string
-	Patience policy.Time // from the moment the door hands it in
-	Hint     policy.Time
-	Again    bool
-	From     netip.Addr
+	Message        *http1.Message
+	Class          string
+	Tenant         string
+	IdempotencyKey string
+	Key            string
+	Timeout        policy.Time // from the moment the door hands it in
+	ExpectedWork   policy.Time
+	ClientRetry    bool
+	From           netip.Addr
 
 	// OnClientGone is called from the loop's work when the client has gone before the answer. Whoever takes a Call sets it.
 	OnClientGone func()
@@ -123,7 +123,7 @@
 	}
 	slices.SortStableFunc(d.paths, func(a, b path) int { return len(b.prefix) - len(a.prefix) })
 	for _, n := range w.Networks {
-		d.networks.Insert(n.Prefix, n.Customer)
+		d.networks.Insert(n.Prefix, n.Tenant)
 	}
 	d.sweepLater()
 	return d
@@ -173,14 +173,14 @@
 
 // Accept is the session of a new connection (for sock.Engine.Accept).
 func (d *Server) Accept(c *transport.Conn) transport.Session {
-	g := &clientConn{door: d, conn: c, reader: http1.NewReader(d.welcome.Bounds, d.budget, false)}
+	g := &clientConn{door: d, conn: c, reader: http1.NewReader(d.welcome.Limits, d.budget, false)}
 	if a, ok := c.Remote().(*net.TCPAddr); ok {
 		g.from = a.AddrPort().Addr().Unmap()
 	}
 	g.came = d.loop.Now()
 	g.heard.Store(int64(g.came))
 	d.loop.Post(func() {
-		if len(d.guests) >= d.welcome.Links && !d.room() {
+		if len(d.guests) >= d.welcome.MaxConnections && !d.room() {
 			g.gone = true // what it has asked already is not worked on, as no answer can reach it
 			c.Close()
 			return
@@ -193,10 +193,10 @@
 // room ends the connection that can best be spared: one that has said nothing for longest, or was idle for longest.
 // One with an open request, or with one on its way, stays.
 func (d *Server) room() bool {
-	if d.welcome.Spare <= 0 {
+	if d.welcome.ReclaimIdleAfter <= 0 {
 		return false
 	}
-	now, spare := d.loop.Now(), eventloop.FromDuration(d.welcome.Spare)
+	now, spare := d.loop.Now(), eventloop.FromDuration(d.welcome.ReclaimIdleAfter)
 	var out *clientConn
 	for g := range d.guests {
 		heard := policy.Time(g.heard.Load())
@@ -224,18 +224,18 @@
 
 func (d *Server) sweep() {
 	const linger = policy.Second // to read the answer that was sent last
-	now, slow, first := d.loop.Now(), eventloop.FromDuration(d.welcome.Slow), eventloop.FromDuration(d.welcome.First)
+	now, slow, first := d.loop.Now(), eventloop.FromDuration(d.welcome.TransferTimeout), eventloop.FromDuration(d.welcome.FirstRequestTimeout)
 	for g := range d.guests {
 		heard, begun := policy.Time(g.heard.Load()), policy.Time(g.begun.Load())
 		_, since := g.conn.Pending()
 		late := first > 0 && !g.asked && now-g.came > first
 		switch {
-		case g.leaving != 0 && now-g.leaving > linger || !since.IsZero() && time.Since(since) > d.welcome.Slow:
+		case g.leaving != 0 && now-g.leaving > linger || !since.IsZero() && time.Since(since) > d.welcome.TransferTimeout:
 			g.leave()
 		case g.leaving != 0:
 		case begun != 0 && (now-begun > slow || late):
-			g.refuse(&http1.Bad{Status: 408, Text: "the request took too long to arrive"})
-		case begun == 0 && len(g.slots) == 0 && (now-heard > eventloop.FromDuration(d.welcome.Idle) || late):
+			g.refuse(&http1.Error{Status: 408, Text: "the request took too long to arrive"})
+		case begun == 0 && len(g.slots) == 0 && (now-heard > eventloop.FromDuration(d.welcome.IdleTimeout) || late):
 			g.leaveIdle()
 		}
 	}
@@ -250,10 +250,10 @@
 	g.slots = append(g.slots, s)
 	g.asked = true
 	d.open++
-	if w := d.words; w.Ready != "" && m.Method == "GET" && m.Target == w.Ready {
+	if w := d.words; w.ReadinessPath != "" && m.Method == "GET" && m.Target == w.ReadinessPath {
 		m.Drop()
 		if d.bowing || d.ready != nil && !d.ready() {
-			s.refuse(&http1.Bad{Status: 503, Text: "not ready"})
+			s.refuse(&http1.Error{Status: 503, Text: "not ready"})
 			return
 		}
 		s.text(appendStatus(make([]byte, 0, 128), 200, "OK"), "ready")
@@ -267,7 +267,7 @@
 	case d.closing:
 		m.Drop()
 		c.Reject(0, "this router is closing")
-	case len(g.slots) > d.welcome.AtOnce:
+	case len(g.slots) > d.welcome.MaxPipelined:
 		m.Drop()
 		c.Reject(policy.Second/10, "too many requests at once on one connection")
 	default:
@@ -276,7 +276,7 @@
 	}
 }
 
-func (d *Server) read(g *clientConn, m *http1.Message, begun policy.Time) (*Request, *http1.Bad) {
+func (d *Server) read(g *clientConn, m *http1.Message, begun policy.Time) (*Request, *http1.Error) {
 	c := &Request{Message: m, OnClientGone: func() {}, slot: g.slots[len(g.slots)-1], From: g.from}
 	w := d.words
 	t, wrong := w.read(m, d.names)
@@ -286,61 +286,61 @@
 	var kind *Class
 	if t[category].there {
 		if kind = d.kinds[t[category].value]; kind == nil {
-			return nil, &http1.Bad{Status: 400, Text: w.Category + " names none of the categories served here"}
+			return nil, &http1.Error{Status: 400, Text: w.Class + " names none of the categories served here"}
 		}
 	}
-	c.Customer, c.Key, c.Mark = t[customer].value, t[key].value, t[mark].value
+	c.Tenant, c.Key, c.IdempotencyKey = t[customer].value, t[key].value, t[mark].value
 	for i := 0; kind == nil && i < len(d.paths); i++ {
 		if strings.HasPrefix(m.Target, d.paths[i].prefix) {
 			kind = d.paths[i].kind
 		}
 	}
 	switch {
-	case kind == nil && w.Exact:
-		return nil, &http1.Bad{Status: 400, Text: w.Category + " is missing"}
+	case kind == nil && w.Strict:
+		return nil, &http1.Error{Status: 400, Text: w.Class + " is missing"}
 	case kind == nil:
-		return nil, &http1.Bad{Status: 404, Text: "no category has this path"}
-	case kind.Marked && c.Mark == "":
-		return nil, &http1.Bad{Status: 400, Text: "tasks of the category " + kind.Name + " need an " + w.Mark}
-	case kind.Bare && t[mark].there:
-		return nil, &http1.Bad{Status: 400, Text: "tasks of the category " + kind.Name + " bear no " + w.Mark}
+		return nil, &http1.Error{Status: 404, Text: "no category has this path"}
+	case kind.RequiresIdempotencyKey && c.IdempotencyKey == "":
+		return nil, &http1.Error{Status: 400, Text: "tasks of the category " + kind.Name + " need an " + w.IdempotencyKey}
+	case kind.ForbidsIdempotencyKey && t[mark].there:
+		return nil, &http1.Error{Status: 400, Text: "tasks of the category " + kind.Name + " bear no " + w.IdempotencyKey}
 	case kind.Method != "" && m.Method != kind.Method:
-		return nil, &http1.Bad{Status: 405, Text: "tasks of the category " + kind.Name + " come by " + kind.Method}
+		return nil, &http1.Error{Status: 405, Text: "tasks of the category " + kind.Name + " come by " + kind.Method}
 	case kind.Method == "GET" && len(m.Body) > 0:
-		return nil, &http1.Bad{Status: 400, Text: "tasks of the category " + kind.Name + " have no body"}
+		return nil, &http1.Error{Status: 400, Text: "tasks of the category " + kind.Name + " have no body"}
 	}
 	if w.ID != "" {
 		id := t[name].value
 		if id == "" {
-			return nil, &http1.Bad{Status: 400, Text: w.ID + " is missing"}
+			return nil, &http1.Error{Status: 400, Text: w.ID + " is missing"}
 		}
 		if d.ids[id] != nil {
-			return nil, &http1.Bad{Status: 400, Text: w.ID + " is that of another request, which is still open"}
+			return nil, &http1.Error{Status: 400, Text: w.ID + " is that of another request, which is still open"}
 		}
 		s := c.slot
 		s.id, d.ids[id] = id, s
 	}
-	c.Category, c.Again, c.Patience = kind.Name, t[again].value == "1", kind.Patience
-	if t[patience].value != "" || w.Exact {
+	c.Class, c.ClientRetry, c.Timeout = kind.Name, t[again].value == "1", kind.Timeout
+	if t[patience].value != "" || w.Strict {
 		span, ok := w.span(t[patience].value)
 		if !ok {
-			return nil, &http1.Bad{Status: 400, Text: w.Patience + " is not a time above 0 such as 240ms, or milliseconds"}
+			return nil, &http1.Error{Status: 400, Text: w.Timeout + " is not a time above 0 such as 240ms, or milliseconds"}
 		}
-		c.Patience = min(span, kind.Patience) // more than its category's is not believed
+		c.Timeout = min(span, kind.Timeout) // more than its category's is not believed
 	}
 	if t[hint].value != "" {
 		span, ok := w.work(t[hint].value)
 		if !ok {
-			return nil, &http1.Bad{Status: 400, Text: w.Hint + " is not a time such as 12ms"}
+			return nil, &http1.Error{Status: 400, Text: w.ExpectedWork + " is not a time such as 12ms"}
 		}
-		c.Hint = span
+		c.ExpectedWork = span
 	}
 	now := d.loop.Now()
-	if c.Patience -= now - begun; d.until != 0 {
-		c.Patience = min(c.Patience, d.until-now)
+	if c.Timeout -= now - begun; d.until != 0 {
+		c.Timeout = min(c.Timeout, d.until-now)
 	}
-	if c.Customer == "" {
-		c.Customer, _ = d.networks.Lookup(g.from)
+	if c.Tenant == "" {
+		c.Tenant, _ = d.networks.Lookup(g.from)
 	}
 	return c, nil
 }
--- a/internal/downstream/guest.go
+++ b/internal/downstream/guest.go
@@ -70,7 +70,7 @@
 			g.owed.Add(1)
 			return append(work, func() {
 				if g.owed.Add(-1); !g.over() {
-					g.refuse(err.(*http1.Bad))
+					g.refuse(err.(*http1.Error))
 				}
 			})
 		}
@@ -87,7 +87,7 @@
 		case http1.Whole:
 			m, begun := g.reader.Take(), policy.Time(g.begun.Load())
 			g.begun.Store(0)
-			if g.owed.Add(1) > int64(4*g.door.welcome.AtOnce) { // more than are even turned back
+			if g.owed.Add(1) > int64(4*g.door.welcome.MaxPipelined) { // more than are even turned back
 				g.deaf = true
 				m.Drop()
 				g.conn.Close()
@@ -173,7 +173,7 @@
 }
 
 // refuse answers what can't be read, after the answers owed before it, and ends the connection.
-func (g *clientConn) refuse(wrong *http1.Bad) {
+func (g *clientConn) refuse(wrong *http1.Error) {
 	g.mu.Lock()
 	g.deaf = true
 	g.reader.Drop()
@@ -187,7 +187,7 @@
 	s.refuse(wrong)
 }
 
-func (s *pendingResponse) refuse(wrong *http1.Bad) {
+func (s *pendingResponse) refuse(wrong *http1.Error) {
 	head := appendStatus(make([]byte, 0, 256), wrong.Status, reasons[wrong.Status])
 	if wrong.Status == 503 {
 		head = http1.AppendField(head, "Retry-After", "1")
@@ -236,7 +236,7 @@
 		next := g.slots[0]
 		g.slots = g.slots[1:]
 		g.owed.Add(-1)
-		if pending, _ := g.conn.Pending(); pending > 4*g.door.welcome.Bounds.Body+1<<16 {
+		if pending, _ := g.conn.Pending(); pending > 4*g.door.welcome.Limits.Body+1<<16 {
 			g.conn.Close() // it asks and doesn't read
 			return
 		}
--- a/internal/downstream/wording.go
+++ b/internal/downstream/wording.go
@@ -11,22 +11,22 @@
 // Protocol is what differs by protocol in how requests say what they are, and answers what became of them. A field that
 // is empty has no part in a protocol.
 type Protocol struct {
-	Category, Customer, Patience, Mark, Key, Hint, Again string // fields of a request
+	Class, Tenant, Timeout, IdempotencyKey, Key, ExpectedWork, ClientRetry string // fields of a request
 
-	ID      string      // the field that names a request, as no other open one is named; it must be there
-	Exact   bool        // no field of these twice; patience must be told, in whole milliseconds
-	HintIn  policy.Time // so many of a hint's units are a tenth of a millisecond; 0 where it bears its unit
-	Outcome string      // field of an answer
-	Host    string      // field of an answer that a host gave
-	StayMs  string      // field of a turn-back, beside Retry-After
-	Decimal bool        // Retry-After may have decimals
-	Ready   string      // the path that tells whether the router is ready; empty for none
+	ID                string      // the field that names a request, as no other open one is named; it must be there
+	Strict            bool        // no field of these twice; patience must be told, in whole milliseconds
+	WorkUnitsPerTick  policy.Time // so many of a hint's units are a tenth of a millisecond; 0 where it bears its unit
+	Outcome           string      // field of an answer
+	Host              string      // field of an answer that a host gave
+	RetryAfterMs      string      // field of a turn-back, beside Retry-After
+	DecimalRetryAfter bool        // Retry-After may have decimals
+	ReadinessPath     string      // the path that tells whether the router is ready; empty for none
 }
 
 // DefaultProtocol is this project's own wording.
-var DefaultProtocol = &Protocol{Category: "Dapplefront-Category", Customer: "Dapplefront-Customer", Patience: "Dapplefront-Patience",
-	Mark: "Idempotency-Key", Key: "Dapplefront-Key", Hint: "Dapplefront-Work", Again: "Dapplefront-Again",
-	Outcome: "Dapplefront-Outcome", Host: "Dapplefront-Host", StayMs: "Dapplefront-Retry-After-Ms"}
+var DefaultProtocol = &Protocol{Class: "Dapplefront-Category", Tenant: "Dapplefront-Customer", Timeout: "Dapplefront-Patience",
+	IdempotencyKey: "Idempotency-Key", Key: "Dapplefront-Key", ExpectedWork: "Dapplefront-Work", ClientRetry: "Dapplefront-Again",
+	Outcome: "Dapplefront-Outcome", Host: "Dapplefront-Host", RetryAfterMs: "Dapplefront-Retry-After-Ms"}
 
 // The fields of a request, as told.
 const (
@@ -48,15 +48,15 @@
 }
 
 // read reads a request's fields; which holds their names.
-func (w *Protocol) read(m *http1.Message, which *[fields]string) (t told, wrong *http1.Bad) {
+func (w *Protocol) read(m *http1.Message, which *[fields]string) (t told, wrong *http1.Error) {
 	for i := range m.Fields {
 		f := &m.Fields[i]
 		for n, name := range which {
 			if len(name) != len(f.Name) || !strings.EqualFold(name, f.Name) {
 				continue
 			}
-			if t[n].there && w.Exact {
-				return t, &http1.Bad{Status: 400, Text: name + " stands twice"}
+			if t[n].there && w.Strict {
+				return t, &http1.Error{Status: 400, Text: name + " stands twice"}
 			}
 			t[n].value, t[n].there = f.Value, true
 		}
@@ -65,13 +65,13 @@
 }
 
 func (w *Protocol) names() *[fields]string {
-	return &[fields]string{category: w.Category, customer: w.Customer, patience: w.Patience, mark: w.Mark, key: w.Key,
-		hint: w.Hint, again: w.Again, name: w.ID}
+	return &[fields]string{category: w.Class, customer: w.Tenant, patience: w.Timeout, mark: w.IdempotencyKey, key: w.Key,
+		hint: w.ExpectedWork, again: w.ClientRetry, name: w.ID}
 }
 
 // span reads how long a client waits.
 func (w *Protocol) span(text string) (policy.Time, bool) {
-	if w.Exact {
+	if w.Strict {
 		n, err := strconv.ParseUint(text, 10, 31)
 		return policy.Time(n) * 10, err == nil && n > 0 && text[0] != '+'
 	}
@@ -81,9 +81,9 @@
 
 // work reads a hint.
 func (w *Protocol) work(text string) (policy.Time, bool) {
-	if w.HintIn > 0 {
+	if w.WorkUnitsPerTick > 0 {
 		n, err := strconv.ParseFloat(text, 64)
-		return policy.Time(n) / w.HintIn, err == nil && n >= 0 && n < 1e12
+		return policy.Time(n) / w.WorkUnitsPerTick, err == nil && n >= 0 && n < 1e12
 	}
 	span, ok := readSpan(text)
 	return span, ok && span >= 0
@@ -94,13 +94,13 @@
 	switch {
 	case stay <= 0:
 		return head
-	case w.Decimal:
+	case w.DecimalRetryAfter:
 		head = http1.AppendField(head, "Retry-After", strconv.FormatFloat(float64(stay)/float64(policy.Second), 'f', 3, 64))
 	default:
 		head = http1.AppendField(head, "Retry-After", strconv.FormatInt(int64((stay+policy.Second-1)/policy.Second), 10))
 	}
-	if w.StayMs != "" {
-		head = http1.AppendField(head, w.StayMs, strconv.FormatInt(int64(stay/10), 10))
+	if w.RetryAfterMs != "" {
+		head = http1.AppendField(head, w.RetryAfterMs, strconv.FormatInt(int64(stay/10), 10))
 	}
 	return head
 }
--- a/internal/eds/last.go
+++ b/internal/eds/last.go
@@ -32,7 +32,7 @@
 
 func toStoredHost(h Host) storedHost {
 	return storedHost{
-		ID: h.ID, Location: h.Location, Cell: h.Cell, Standing: h.Standing, Build: h.Build, Size: h.Size, Up: h.Up,
+		ID: h.ID, Location: h.Zone, Cell: h.Cell, Standing: h.State, Build: h.Build, Size: h.Weight, Up: h.StartedAt,
 		Address: h.Address,
 	}
 }
@@ -40,7 +40,7 @@
 func (s storedHost) host() Host {
 	return Host{
 		Host: router.Host{
-			ID: s.ID, Location: s.Location, Cell: s.Cell, Standing: s.Standing, Build: s.Build, Size: s.Size, Up: s.Up,
+			ID: s.ID, Zone: s.Location, Cell: s.Cell, State: s.Standing, Build: s.Build, Weight: s.Size, StartedAt: s.Up,
 		},
 		Address: s.Address,
 	}
--- a/internal/eds/list.go
+++ b/internal/eds/list.go
@@ -41,7 +41,7 @@
 			if err != nil {
 				return nil, fmt.Errorf("%s: endpoints[%d].lb_endpoints[%d]: %w", a.GetClusterName(), i, j, err)
 			}
-			h.Location = location
+			h.Zone = location
 			hosts = append(hosts, h)
 		}
 	}
@@ -56,20 +56,20 @@
 	}
 	h.Address = netip.AddrPortFrom(ip, uint16(s.GetPortValue())).String()
 	h.ID = uint32(xxhash.Sum64String(h.Address))
-	h.Size = 1
+	h.Weight = 1
 	if w := e.GetLoadBalancingWeight(); w != nil {
 		if w.GetValue() == 0 {
 			return h, fmt.Errorf("load_balancing_weight: 1 or more expected")
 		}
-		h.Size = float64(w.GetValue()) / 1000 // thousandths, so that rough sizes fit xDS's whole numbers
+		h.Weight = float64(w.GetValue()) / 1000 // thousandths, so that rough sizes fit xDS's whole numbers
 	}
 	switch e.GetHealthStatus() {
 	case corev3.HealthStatus_UNKNOWN, corev3.HealthStatus_HEALTHY, corev3.HealthStatus_DEGRADED:
-		h.Standing = policy.Serving
+		h.State = policy.Serving
 	case corev3.HealthStatus_DRAINING:
-		h.Standing = policy.Draining
+		h.State = policy.Draining
 	default:
-		h.Standing = policy.Removed
+		h.State = policy.Removed
 	}
 	fields := e.GetMetadata().GetFilterMetadata()[Metadata].GetFields()
 	whole := func(name string, without, most float64) float64 {
@@ -91,10 +91,10 @@
 		return n.NumberValue
 	}
 	if size := whole("size", 0, 1<<32); size > 0 { // the weight is a plan's, and this is what the host can do
-		h.Size = size / 1000
+		h.Weight = size / 1000
 	}
 	h.Build = int(whole("build", -1, 65535))
-	h.Up = policy.Time(whole("up", 0, 1<<52)) * 10
+	h.StartedAt = policy.Time(whole("up", 0, 1<<52)) * 10
 	h.Cell = int(whole("cell", 0, 1<<31))
 	h.ID = uint32(whole("id", float64(h.ID), math.MaxUint32))
 	return h, err
@@ -145,8 +145,8 @@
 		}
 	}
 	for id, h := range l.hosts {
-		if _, ok := hosts[id]; !ok && h.Standing != policy.Removed {
-			h.Standing = policy.Removed
+		if _, ok := hosts[id]; !ok && h.State != policy.Removed {
+			h.State = policy.Removed
 			out = append(out, h)
 		}
 	}
--- a/internal/eds/register_test.go
+++ b/internal/eds/register_test.go
@@ -44,7 +44,7 @@
 }
 
 func at(id uint32, address string) Host {
-	return Host{Host: router.Host{ID: id, Location: "here", Build: 1, Size: 1}, Address: address}
+	return Host{Host: router.Host{ID: id, Zone: "here", Build: 1, Weight: 1}, Address: address}
 }
 
 func TestAListIsTakenInWholeOrNotAtAll(t *testing.T) {
@@ -61,7 +61,7 @@
 	require.NoError(t, err)
 	gone := map[uint32]policy.EndpointState{}
 	for _, h := range changes {
-		gone[h.ID] = h.Standing
+		gone[h.ID] = h.State
 	}
 	require.Equal(t, map[uint32]policy.EndpointState{2: policy.Removed, 3: policy.Removed, 5: policy.Serving}, gone)
 }
@@ -89,10 +89,10 @@
 	e.LoadBalancingWeight = wrapperspb.UInt32(700)
 	h, err := readHost(e)
 	require.NoError(t, err)
-	require.Equal(t, 2.5, h.Size)
+	require.Equal(t, 2.5, h.Weight)
 	e = endpoint("127.0.0.1", 9, map[string]any{"build": 1})
 	e.LoadBalancingWeight = wrapperspb.UInt32(700)
 	h, err = readHost(e)
 	require.NoError(t, err)
-	require.Equal(t, 0.7, h.Size)
+	require.Equal(t, 0.7, h.Weight)
 }
--- a/internal/eds/stored_test.go
+++ b/internal/eds/stored_test.go
@@ -13,8 +13,8 @@
 
 // testdata/endpoints.json was written by the program at commit d72f78e.
 var storedHosts = []Host{
-	{Host: router.Host{ID: 7, Location: "north", Cell: 3, Standing: policy.Draining, Build: 2, Size: 1.5, Up: 123456}, Address: "127.0.0.1:4001"},
-	{Host: router.Host{ID: 9, Location: "south", Build: 1, Size: 1}, Address: "127.0.0.1:4002"},
+	{Host: router.Host{ID: 7, Zone: "north", Cell: 3, State: policy.Draining, Build: 2, Weight: 1.5, StartedAt: 123456}, Address: "127.0.0.1:4001"},
+	{Host: router.Host{ID: 9, Zone: "south", Build: 1, Weight: 1}, Address: "127.0.0.1:4002"},
 }
 
 func TestAnEarlierVersionsEndpointListIsReadWhole(t *testing.T) {
--- a/internal/gossip/peers.go
+++ b/internal/gossip/peers.go
@@ -19,7 +19,7 @@
 // Config is what a router is told of its peers.
 type Config struct {
 	Rank      int
-	Most      int      // bytes of a message
+	MaxBytes  int      // bytes of a message
 	Addresses []string // of all routers, by rank
 }
 
@@ -55,14 +55,14 @@
 
 func (s *Socket) listen(hear func(rank int, body string)) {
 	defer close(s.ended)
-	b := make([]byte, s.circle.Most+1)
+	b := make([]byte, s.circle.MaxBytes+1)
 	for {
 		n, from, err := s.conn.ReadFromUDPAddrPort(b)
 		if errors.Is(err, net.ErrClosed) {
 			return
 		}
 		rank := slices.Index(s.all, netip.AddrPortFrom(from.Addr().Unmap(), from.Port()))
-		if err != nil || rank < 0 || rank == s.circle.Rank || n > s.circle.Most {
+		if err != nil || rank < 0 || rank == s.circle.Rank || n > s.circle.MaxBytes {
 			s.dropped.Add(1)
 			continue
 		}
@@ -70,9 +70,9 @@
 	}
 }
 
-// Tell sends a message to one router or to all others. What can't be sent is lost, as on the way.
-func (s *Socket) Tell(rank int, body string) {
-	if len(body) > s.circle.Most {
+// Send sends a message to one router or to all others. What can't be sent is lost, as on the way.
+func (s *Socket) Send(rank int, body string) {
+	if len(body) > s.circle.MaxBytes {
 		return
 	}
 	for i, at := range s.all {
--- a/internal/gossip/peers_test.go
+++ b/internal/gossip/peers_test.go
@@ -19,12 +19,12 @@
 func TestListedRoutersAreHeardAndStrangersAndLongMessagesDropped(t *testing.T) {
 	addresses := []string{free(t), free(t), free(t)}
 	heard := make(chan string, 10)
-	a, err := Open(Config{Rank: 0, Most: 16, Addresses: addresses}, func(rank int, body string) {
+	a, err := Open(Config{Rank: 0, MaxBytes: 16, Addresses: addresses}, func(rank int, body string) {
 		heard <- string(rune('0'+rank)) + body
 	})
 	require.NoError(t, err)
 	defer a.Close()
-	b, err := Open(Config{Rank: 1, Most: 64, Addresses: addresses}, func(int, string) {})
+	b, err := Open(Config{Rank: 1, MaxBytes: 64, Addresses: addresses}, func(int, string) {})
 	require.NoError(t, err)
 	defer b.Close()
 
@@ -33,18 +33,18 @@
 	defer stranger.Close()
 	_, err = stranger.Write([]byte("stranger"))
 	require.NoError(t, err)
-	b.Tell(0, strings.Repeat("x", 17))
+	b.Send(0, strings.Repeat("x", 17))
 	require.Eventually(t, func() bool { return a.Dropped() == 2 }, 10*time.Second, time.Millisecond)
-	b.Tell(Everyone, "word")
+	b.Send(Everyone, "word")
 	require.Equal(t, "1word", <-heard)
-	b.Tell(2, "no one listens there")
-	b.Tell(0, "more")
+	b.Send(2, "no one listens there")
+	b.Send(0, "more")
 	require.Equal(t, "1more", <-heard)
 }
 
 func TestAddressesAreChecked(t *testing.T) {
-	_, err := Open(Config{Rank: 0, Most: 16, Addresses: []string{"here:1"}}, nil)
+	_, err := Open(Config{Rank: 0, MaxBytes: 16, Addresses: []string{"here:1"}}, nil)
 	require.ErrorContains(t, err, `"here:1"`)
-	_, err = Open(Config{Rank: 3, Most: 16, Addresses: []string{"127.0.0.1:1"}}, nil)
+	_, err = Open(Config{Rank: 3, MaxBytes: 16, Addresses: []string{"127.0.0.1:1"}}, nil)
 	require.ErrorContains(t, err, "rank 3")
 }
--- a/internal/http1/message.go
+++ b/internal/http1/message.go
@@ -80,16 +80,16 @@
 	m.Body, m.reserved = nil, 0
 }
 
-// Bad is a message that can't be taken, and the status that says so.
-type Bad struct {
+// Error is a message that can't be taken, and the status that says so.
+type Error struct {
 	Status int
 	Text   string
 }
 
-func (b *Bad) Error() string { return fmt.Sprintf("%d: %s", b.Status, b.Text) }
+func (b *Error) Error() string { return fmt.Sprintf("%d: %s", b.Status, b.Text) }
 
 func bad(status int, format string, values ...any) error {
-	return &Bad{status, fmt.Sprintf(format, values...)}
+	return &Error{status, fmt.Sprintf(format, values...)}
 }
 
 // hop are the fields that concern one connection only (RFC 9110, 7.6.1), beside those that Connection names.
--- a/internal/http1/reader.go
+++ b/internal/http1/reader.go
@@ -15,8 +15,8 @@
 	Whole              // the message is whole: Take it before reading on
 )
 
-// Bounds of one message, in bytes; each is at least 1.
-type Bounds struct {
+// Limits of one message, in bytes; each is at least 1.
+type Limits struct {
 	Head   int // start line and fields
 	Body   int
 	Framed bool // a response must tell its length, or come in chunks: its connection's end may be a cut
@@ -44,7 +44,7 @@
 
 // Reader puts messages together. The zero Reader is not ready: use NewReader.
 type Reader struct {
-	bounds   Bounds
+	bounds   Limits
 	budget   *Budget
 	response bool
 	bodyless bool // the response to a HEAD request
@@ -58,7 +58,7 @@
 }
 
 // NewReader reads requests, or responses. Bodies hold bytes of the budget until Message.Drop.
-func NewReader(bounds Bounds, budget *Budget, response bool) *Reader {
+func NewReader(bounds Limits, budget *Budget, response bool) *Reader {
 	return &Reader{bounds: bounds, budget: budget, response: response}
 }
 
--- a/internal/http1/reader_test.go
+++ b/internal/http1/reader_test.go
@@ -13,7 +13,7 @@
 	"pgregory.net/rapid"
 )
 
-var bounds = Bounds{Head: 1024, Body: 4096}
+var bounds = Limits{Head: 1024, Body: 4096}
 
 // readAll feeds data in pieces of a size and returns the messages, and what was wrong.
 func readAll(r *Reader, data []byte, piece int) (all []*Message, err error) {
@@ -87,7 +87,7 @@
 	require.Len(t, one, 1)
 	r := NewReader(bounds, b, false)
 	_, err = readAll(r, []byte(ask), 100)
-	var wrong *Bad
+	var wrong *Error
 	require.True(t, errors.As(err, &wrong))
 	require.Equal(t, 503, wrong.Status)
 	r.Drop()
--- a/internal/inifile/sheet.go
+++ b/internal/inifile/sheet.go
@@ -130,17 +130,17 @@
 	name  string
 }
 
-// Part is the section of that name; one that is absent has only default values.
-func (s *File) Part(name string) Section {
+// Section is the section of that name; one that is absent has only default values.
+func (s *File) Section(name string) Section {
 	s.asked[[2]string{name, ""}] = true
 	return Section{s, name}
 }
 
-// Parts are the sections whose names start with word and a space, with the rest of their names, in order.
-func (s *File) Parts(word string) (parts []Section, names []string) {
+// Sections are the sections whose names start with word and a space, with the rest of their names, in order.
+func (s *File) Sections(word string) (parts []Section, names []string) {
 	for _, section := range s.sections {
 		if name, ok := strings.CutPrefix(section, word+" "); ok {
-			parts, names = append(parts, s.Part(section)), append(names, name)
+			parts, names = append(parts, s.Section(section)), append(names, name)
 		}
 	}
 	return parts, names
@@ -152,8 +152,8 @@
 // Line is where the section starts.
 func (p Section) Line() int { return p.sheet.lines[[2]string{p.name, ""}] }
 
-// Wrong tells a mistake of a key, or of the section where the key is empty or absent.
-func (p Section) Wrong(key, format string, values ...any) {
+// AddError tells a mistake of a key, or of the section where the key is empty or absent.
+func (p Section) AddError(key, format string, values ...any) {
 	line := p.sheet.lines[[2]string{p.name, key}]
 	if line == 0 {
 		line = max(1, p.Line())
@@ -167,14 +167,14 @@
 	p.sheet.asked[at] = true
 	if p.sheet.lines[at] == 0 {
 		if without == "!" {
-			p.Wrong("", "%s is missing", key)
+			p.AddError("", "%s is missing", key)
 			return ""
 		}
 		return without
 	}
 	v := p.sheet.ini.Section(p.name).Key(key).String()
 	if v == "" {
-		p.Wrong(key, "%s has no value", key)
+		p.AddError(key, "%s has no value", key)
 	}
 	return v
 }
@@ -187,15 +187,15 @@
 	}
 	v, err := of(text)
 	if err != nil {
-		p.Wrong(key, "%s = %s: %s expected", key, text, expected)
+		p.AddError(key, "%s = %s: %s expected", key, text, expected)
 	}
 	return v
 }
 
 var errOther = errors.New("other")
 
-// Span is a time with a unit, 0 or more.
-func (p Section) Span(key, without string) time.Duration {
+// Duration is a time with a unit, 0 or more.
+func (p Section) Duration(key, without string) time.Duration {
 	return read(p, key, without, "a time with a unit, such as 250ms or 2s,", func(s string) (time.Duration, error) {
 		d, err := time.ParseDuration(s)
 		if s == "0" || d < 0 || err != nil {
@@ -233,8 +233,8 @@
 	return v / 100, nil
 }
 
-// Number is a number from low to high.
-func (p Section) Number(key, without string, low, high float64) float64 {
+// Float is a number from low to high.
+func (p Section) Float(key, without string, low, high float64) float64 {
 	return read(p, key, without, fmt.Sprintf("a number from %g to %g", low, high), func(s string) (float64, error) {
 		v, err := strconv.ParseFloat(s, 64)
 		if err != nil || !(v >= low && v <= high) || math.IsInf(v, 0) {
@@ -244,8 +244,8 @@
 	})
 }
 
-// Whole is a whole number from low to high.
-func (p Section) Whole(key, without string, low, high int) int {
+// Int is a whole number from low to high.
+func (p Section) Int(key, without string, low, high int) int {
 	return read(p, key, without, fmt.Sprintf("a whole number from %d to %d", low, high), func(s string) (int, error) {
 		v, err := strconv.Atoi(s)
 		if err != nil || v < low || v > high {
@@ -260,8 +260,8 @@
 	return read(p, key, without, "a whole number", func(s string) (uint64, error) { return strconv.ParseUint(s, 10, 64) })
 }
 
-// Switch is on or off.
-func (p Section) Switch(key, without string) bool {
+// Bool is on or off.
+func (p Section) Bool(key, without string) bool {
 	return p.OneOf(key, without, "on", "off") == "on"
 }
 
--- a/internal/inifile/sheet_test.go
+++ b/internal/inifile/sheet_test.go
@@ -27,17 +27,17 @@
 [c]
 x = 1 # said
 `)
-	p := s.Part("a")
-	p.Span("span", "1s")
+	p := s.Section("a")
+	p.Duration("span", "1s")
 	p.Share("share", "1%")
-	p.Number("rate", "1", 0, 10)
+	p.Float("rate", "1", 0, 10)
 	p.Bytes("size", "1KiB")
 	p.Address("where", "127.0.0.1:1")
 	p.OneOf("word", "one", "one", "two")
-	p.Switch("on", "off")
+	p.Bool("on", "off")
 	p.Networks("nets", "")
 	p.Text("needed", "!")
-	require.Equal(t, 1, s.Part("c").Whole("x", "0", 0, 5))
+	require.Equal(t, 1, s.Section("c").Int("x", "0", 0, 5))
 	text := s.Done().Error()
 	for _, want := range []string{"f.ini:3: [a] span = 5: a time with a unit", "f.ini:4: [a] share = 120%: a share",
 		"f.ini:5: share stands on line 4 already", "f.ini:6: [a] rate = fast: a number from 0 to 10 expected", "f.ini:7: [a] size",
@@ -50,20 +50,20 @@
 
 func TestDefaultsAndValues(t *testing.T) {
 	s := Parse("f.ini", "[a]\nspan = 250ms\nlist = x, y ,\nsize = 2MiB\nshares = 1%, 50%\n[kind one]\n[kind two]\n")
-	p := s.Part("a")
-	require.Equal(t, 250*time.Millisecond, p.Span("span", "1s"))
+	p := s.Section("a")
+	require.Equal(t, 250*time.Millisecond, p.Duration("span", "1s"))
 	require.Equal(t, []string{"x", "y"}, p.List("list", ""))
 	require.Equal(t, 2<<20, p.Bytes("size", "1B"))
 	require.Equal(t, []float64{.01, .5}, p.Shares("shares", "1%"))
-	require.Equal(t, time.Second, p.Span("other", "1s"))
-	_, names := s.Parts("kind")
+	require.Equal(t, time.Second, p.Duration("other", "1s"))
+	_, names := s.Sections("kind")
 	require.Equal(t, []string{"one", "two"}, names)
 	require.NoError(t, s.Done())
 }
 
 func TestAFileThatIsNotThere(t *testing.T) {
 	s := Read(filepath.Join(t.TempDir(), "none.ini"))
-	s.Part("a").Text("b", "!")
+	s.Section("a").Text("b", "!")
 	require.ErrorIs(t, func() error { _, err := os.Stat("none"); return err }(), os.ErrNotExist)
 	require.ErrorContains(t, s.Done(), "can't be read")
 }
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -121,7 +121,7 @@
 	p.pairs, p.terms = pairs, platformsettings.Read(pairs, seed)
 	// Whatever the settings allow: the platform's protocol has no messages between routers, no probes and no counts, and
 	// the module must not wait for what never comes.
-	p.terms.Place.Limits.MaxGossipBytes, p.terms.Place.Limits.HealthChecks, p.terms.Place.Desk.Counted = 0, false, 0
+	p.terms.Router.Limits.MaxGossipBytes, p.terms.Router.Limits.HealthChecks, p.terms.Router.Release.SampledShare = 0, false, 0
 	p.Charter = p.charter(pairs)
 	return p, nil
 }
@@ -155,9 +155,9 @@
 	return nil
 }
 
-var wording = &downstream.Protocol{Category: "Request-Class", Customer: "Tenant", Patience: "Request-Timeout-Ms",
-	Mark: "Idempotency-Key", Key: "Affinity-Key", Hint: "Work-Hint", Again: "Client-Retry", ID: "Request-Id", Exact: true,
-	HintIn: 100, Decimal: true, Ready: "/ready"}
+var wording = &downstream.Protocol{Class: "Request-Class", Tenant: "Tenant", Timeout: "Request-Timeout-Ms",
+	IdempotencyKey: "Idempotency-Key", Key: "Affinity-Key", ExpectedWork: "Work-Hint", ClientRetry: "Client-Retry", ID: "Request-Id", Strict: true,
+	WorkUnitsPerTick: 100, DecimalRetryAfter: true, ReadinessPath: "/ready"}
 
 // charter is what an instance is told.
 func (p *Setup) charter(pairs platformsettings.Values) *routerconfig.Config {
@@ -174,35 +174,35 @@
 	)
 	span := func(path string) time.Duration { return time.Duration(pairs.Int(path)) * time.Microsecond }
 	room := p.Limits.Sockets - fixed
-	c := &routerconfig.Config{Name: p.Name, Listen: p.Listen, Drain: drain, Held: p.Limits.MemoryMB << 20 / 6, Place: p.terms.Place}
-	c.Reach = upstream.Config{Connect: max(span("Permissions.ConnectTimeoutUs"), 50*time.Millisecond),
-		Idle:  max(span("Permissions.ConnIdleUs")-edge, span("Permissions.ConnIdleUs")/2, time.Second),
-		Links: room, All: room * 9 / 20, Bounds: http1.Bounds{Head: head, Body: answer, Framed: true}, Protocol: p.signs()}
-	c.Welcome = downstream.Config{Name: p.Name, Slow: 2 * time.Second, Idle: 2100 * time.Millisecond, First: 2300 * time.Millisecond,
-		Spare: spare, Links: room - c.Reach.All, AtOnce: 1, Bounds: http1.Bounds{Head: head, Body: body},
+	c := &routerconfig.Config{Name: p.Name, Listen: p.Listen, DrainTimeout: drain, MaxBodyBytes: p.Limits.MemoryMB << 20 / 6, Router: p.terms.Router}
+	c.Upstream = upstream.Config{ConnectTimeout: max(span("Permissions.ConnectTimeoutUs"), 50*time.Millisecond),
+		IdleTimeout:           max(span("Permissions.ConnIdleUs")-edge, span("Permissions.ConnIdleUs")/2, time.Second),
+		MaxConnectionsPerHost: room, MaxConnections: room * 9 / 20, Limits: http1.Limits{Head: head, Body: answer, Framed: true}, Protocol: p.signs()}
+	c.Downstream = downstream.Config{RouterName: p.Name, TransferTimeout: 2 * time.Second, IdleTimeout: 2100 * time.Millisecond, FirstRequestTimeout: 2300 * time.Millisecond,
+		ReclaimIdleAfter: spare, MaxConnections: room - c.Upstream.MaxConnections, MaxPipelined: 1, Limits: http1.Limits{Head: head, Body: body},
 		Protocol: wording}
-	for i, x := range c.Place.Categories {
-		k := downstream.Class{Name: x.Name, Patience: eventloop.FromDuration(span(fmt.Sprintf("Categories.%d.DeadlineUs", i))), Method: "POST"}
-		switch x.Repeat {
+	for i, x := range c.Router.Classes {
+		k := downstream.Class{Name: x.Name, Timeout: eventloop.FromDuration(span(fmt.Sprintf("Categories.%d.DeadlineUs", i))), Method: "POST"}
+		switch x.Idempotency {
 		case policy.Idempotent:
 			k.Method = "GET"
 		case policy.IdempotentWithKey:
-			k.Marked = true
+			k.RequiresIdempotencyKey = true
 		case policy.NonIdempotent:
-			k.Bare = true
+			k.ForbidsIdempotencyKey = true
 		}
-		if k.Patience <= 0 {
-			k.Patience = eventloop.FromDuration(time.Minute)
+		if k.Timeout <= 0 {
+			k.Timeout = eventloop.FromDuration(time.Minute)
 		}
-		c.Drain = max(c.Drain, eventloop.Duration(k.Patience))
-		c.Welcome.Classes = append(c.Welcome.Classes, k)
+		c.DrainTimeout = max(c.DrainTimeout, eventloop.Duration(k.Timeout))
+		c.Downstream.Classes = append(c.Downstream.Classes, k)
 	}
 	return c
 }
 
 // signs is how hosts are spoken to. Its load report is read by the fields that the settings name.
 func (p *Setup) signs() *upstream.Protocol {
-	return &upstream.Protocol{Within: "Request-Timeout-Ms", Unseen: "Not-Started", Turned: []int{503, 504}, Only: true, Whole: true,
+	return &upstream.Protocol{Timeout: "Request-Timeout-Ms", NotStarted: "Not-Started", NotStartedStatuses: []int{503, 504}, OnlyStatusOK: true, StartsWhenComplete: true,
 		Load: func(m *http1.Message) (*policy.LoadReport, error) {
 			text, ok := m.Lookup("Server-Load")
 			if !ok {
@@ -226,14 +226,14 @@
 	n := &Node{setup: p, log: log}
 	var err error
 	n.instance, err = proxy.StartBy(proxy.Protocols{
-		Register: func(hear eds.Handler) (proxy.Discovery, []eds.Host, error) {
+		Discovery: func(hear eds.Handler) (proxy.Discovery, []eds.Host, error) {
 			var known []eds.Host
 			n.watch, known = discovery.Open(p.Discovery, p.Known, hear)
 			return n.watch, known, nil
 		},
-		Desk: func(hear controlclient.Handler) (proxy.ReleaseClient, error) {
+		Release: func(hear controlclient.Handler) (proxy.ReleaseClient, error) {
 			hear.Release(p.News)
-			n.link = platform.Open(p.Platform.Address, eventloop.Duration(p.Charter.Place.Desk.VoteTimeout), n.watch.Number, hear)
+			n.link = platform.Open(p.Platform.Address, eventloop.Duration(p.Charter.Router.Release.VoteTimeout), n.watch.Number, hear)
 			return n.link, nil
 		},
 		Ready: func() bool { return n.watch.Tried() && n.link.Tried() }}, p.Charter, log, nil)
@@ -246,10 +246,10 @@
 	if err := n.setup.changes(p); err != nil {
 		return err
 	}
-	p.Charter.Place.Seed = n.setup.Charter.Place.Seed
-	p.Charter.Reach.Protocol = n.setup.Charter.Reach.Protocol // reads the same fields, as changes makes sure
+	p.Charter.Router.Seed = n.setup.Charter.Router.Seed
+	p.Charter.Upstream.Protocol = n.setup.Charter.Upstream.Protocol // reads the same fields, as changes makes sure
 	if !reflect.DeepEqual(p.Charter, n.setup.Charter) {
-		if err := n.instance.Settle(p.Charter); err != nil {
+		if err := n.instance.UpdateConfig(p.Charter); err != nil {
 			return err
 		}
 	}
@@ -265,7 +265,7 @@
 func (n *Node) Shutdown(cut <-chan struct{}) int {
 	const still, early = 750 * time.Millisecond, 200 * time.Millisecond // what arrives in the first 0.7 s is served
 	const read = 100 * time.Millisecond                                 // for the last answers to be read
-	within := n.setup.Charter.Drain - early
+	within := n.setup.Charter.DrainTimeout - early
 	n.instance.Bow(still + within - read)
 	select {
 	case <-time.After(still):
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -112,7 +112,7 @@
 	c, d := r.client(), r.client()
 	text, id := request("POST", "pay")
 	_, _ = io.WriteString(c, text)
-	r.until(func() bool { tasks, _, _, _ := r.node.instance.Held(); return tasks == 1 })
+	r.until(func() bool { tasks, _, _, _ := r.node.instance.InFlight(); return tasks == 1 })
 	_, _ = io.WriteString(d, text)
 	require.Equal(t, 400, d.read().status)
 	goOn <- true
@@ -126,12 +126,12 @@
 
 func TestSilentConnectionsMakeRoomForThoseThatAsk(t *testing.T) {
 	r := start(t, newMachine(t, "a", right))
-	for range 2 * r.node.setup.Charter.Welcome.Links {
+	for range 2 * r.node.setup.Charter.Downstream.MaxConnections {
 		r.client()
 	}
 	r.until(func() bool { got, _ := r.ask("GET", "quote", ""); return got.status == 200 })
-	_, guests, _, _ := r.node.instance.Held()
-	require.LessOrEqual(t, guests, r.node.setup.Charter.Welcome.Links)
+	_, guests, _, _ := r.node.instance.InFlight()
+	require.LessOrEqual(t, guests, r.node.setup.Charter.Downstream.MaxConnections)
 }
 
 // What a host's answer means for a task that must not run twice: only what surely never ran goes to another host.
@@ -337,7 +337,7 @@
 	held, kept := r.client(), r.client()
 	text, _ := request("POST", "order", "Idempotency-Key: k")
 	_, _ = io.WriteString(held, text)
-	r.until(func() bool { tasks, _, _, _ := r.node.instance.Held(); return tasks == 1 })
+	r.until(func() bool { tasks, _, _, _ := r.node.instance.InFlight(); return tasks == 1 })
 	ended := make(chan int)
 	n := r.node
 	r.node = nil
@@ -532,7 +532,7 @@
 			b := config(at.address(), at.address())
 			change(b)
 			p := setup(t, b)
-			require.False(t, p.Charter.Place.Limits.HealthChecks || p.Charter.Place.Limits.MaxGossipBytes > 0 || p.Charter.Place.Desk.Counted > 0,
+			require.False(t, p.Charter.Router.Limits.HealthChecks || p.Charter.Router.Limits.MaxGossipBytes > 0 || p.Charter.Router.Release.SampledShare > 0,
 				"no wait for what the protocol has not")
 			n, err := Start(p, slog.New(slog.DiscardHandler))
 			require.NoError(t, err)
--- a/internal/orca/orca.go
+++ b/internal/orca/orca.go
@@ -124,24 +124,24 @@
 // Load is a report in the module's words; what was not reported is negative. The form can't tell a busy share or a
 // rate of 0 from none, so 0 counts as not reported there.
 func Load(r *orcav3.OrcaLoadReport) *policy.LoadReport {
-	l := &policy.LoadReport{Active: -1, Waiting: -1, Busy: -1, Service: -1, Rate: -1}
+	l := &policy.LoadReport{ActiveRequests: -1, QueuedRequests: -1, CPUUtilization: -1, MeanLatency: -1, RequestsPerSecond: -1}
 	if v, ok := r.NamedMetrics[Active]; ok {
-		l.Active = v
+		l.ActiveRequests = v
 	}
 	if v, ok := r.NamedMetrics[Waiting]; ok {
-		l.Waiting = v
+		l.QueuedRequests = v
 	}
 	if v, ok := r.NamedMetrics[Service]; ok {
-		l.Service = v * 10
+		l.MeanLatency = v * 10
 	}
-	if l.Busy = r.ApplicationUtilization; l.Busy == 0 {
-		l.Busy = r.CpuUtilization
+	if l.CPUUtilization = r.ApplicationUtilization; l.CPUUtilization == 0 {
+		l.CPUUtilization = r.CpuUtilization
 	}
-	if l.Busy == 0 {
-		l.Busy = -1
+	if l.CPUUtilization == 0 {
+		l.CPUUtilization = -1
 	}
-	if l.Rate = r.RpsFractional; l.Rate == 0 {
-		l.Rate = -1
+	if l.RequestsPerSecond = r.RpsFractional; l.RequestsPerSecond == 0 {
+		l.RequestsPerSecond = -1
 	}
 	return l
 }
--- a/internal/orca/orca_test.go
+++ b/internal/orca/orca_test.go
@@ -15,7 +15,7 @@
 	raw, err := proto.Marshal(&orcav3.OrcaLoadReport{CpuUtilization: .25, RpsFractional: 12.5,
 		NamedMetrics: map[string]float64{Active: 3, Service: 20, Waiting: 0}})
 	require.NoError(t, err)
-	want := &policy.LoadReport{Active: 3, Waiting: 0, Busy: .25, Service: 200, Rate: 12.5}
+	want := &policy.LoadReport{ActiveRequests: 3, QueuedRequests: 0, CPUUtilization: .25, MeanLatency: 200, RequestsPerSecond: 12.5}
 	for _, text := range []string{
 		"TEXT cpu_utilization=0.25, rps_fractional=12.5,named_metrics.active=3,named_metrics.service_ms=20,named_metrics.waiting=0",
 		`JSON {"cpu_utilization":0.25,"rpsFractional":12.5,"named_metrics":{"active":3,"service_ms":20,"waiting":0},"later":1}`,
@@ -32,7 +32,7 @@
 func TestWhatIsNotReportedIsNegative(t *testing.T) {
 	r, err := Parse("TEXT eps=1")
 	require.NoError(t, err)
-	require.Equal(t, &policy.LoadReport{Active: -1, Waiting: -1, Busy: -1, Service: -1, Rate: -1}, Load(r))
+	require.Equal(t, &policy.LoadReport{ActiveRequests: -1, QueuedRequests: -1, CPUUtilization: -1, MeanLatency: -1, RequestsPerSecond: -1}, Load(r))
 }
 
 func TestReportsThatMakeNoSense(t *testing.T) {
@@ -49,7 +49,7 @@
 	f.Add("BIN CQAAAAAAANA/")
 	f.Fuzz(func(t *testing.T, text string) {
 		if r, err := Parse(text); err == nil {
-			if l := Load(r); l.Active < -1 || l.Busy < -1 || l.Rate < -1 || l.Service < -10 {
+			if l := Load(r); l.ActiveRequests < -1 || l.CPUUtilization < -1 || l.RequestsPerSecond < -1 || l.MeanLatency < -10 {
 				t.Fatalf("%q gives %+v", text, l)
 			}
 		}
--- a/internal/planreport/plot.go
+++ b/internal/planreport/plot.go
@@ -105,7 +105,7 @@
 		switch s := p.Steps[n]; name {
 		case "asked":
 			for _, d := range p.Model().Forecast[n].Demand {
-				v += max(0, d.Rate+p.Model().Bounds.Spreads*d.Spread)
+				v += max(0, d.Rate+p.Model().Limits.Spreads*d.Spread)
 			}
 		case "crossing":
 			v = s.Crossing("")
--- a/internal/planreport/print.go
+++ b/internal/planreport/print.go
@@ -15,11 +15,11 @@
 func places(m *plan.Model) []string {
 	all := map[string]bool{}
 	for _, h := range m.Hosts {
-		all[h.Location] = true
+		all[h.Zone] = true
 	}
 	for _, f := range m.Forecast {
 		for _, d := range f.Demand {
-			all[d.Location] = true
+			all[d.Zone] = true
 		}
 	}
 	return slices.Sorted(maps.Keys(all))
@@ -39,7 +39,7 @@
 	for n, s := range p.Steps {
 		asked, copies := 0.0, 0.0
 		for _, d := range m.Forecast[n].Demand {
-			asked += max(0, d.Rate+m.Bounds.Spreads*d.Spread)
+			asked += max(0, d.Rate+m.Limits.Spreads*d.Spread)
 		}
 		for _, c := range s.Copies {
 			copies += c.Planned
@@ -69,7 +69,7 @@
 }
 
 func (o *Outlook) losses(w io.Writer, p *plan.Plan) {
-	b := p.Model().Bounds
+	b := p.Model().Limits
 	if !b.LoseHost && !b.LosePlace {
 		return
 	}
@@ -156,7 +156,7 @@
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(t, "time\twhat\twhere\twas\tnow\t")
 	for _, c := range changes {
-		where, form := c.Location, "%.1f/s"
+		where, form := c.Zone, "%.1f/s"
 		if where == "" {
 			where = "all"
 		}
--- a/internal/planreport/read.go
+++ b/internal/planreport/read.go
@@ -46,56 +46,56 @@
 
 // From reads an outlook; mistakes are kept by the sheet.
 func From(s *inifile.File) *Outlook {
-	p := s.Part("plan")
+	p := s.Section("plan")
 	o := &Outlook{Model: &plan.Model{}, Start: clock(p, "start", "00:00")}
-	steps, step := p.Whole("steps", "1", 1, 1000), p.Span("step", "1h")
+	steps, step := p.Int("steps", "1", 1, 1000), p.Duration("step", "1h")
 	if step <= 0 {
-		p.Wrong("step", "step: above 0 expected")
+		p.AddError("step", "step: above 0 expected")
 		step = time.Hour
 	}
 	m := o.Model
 	for n := range steps {
 		m.Forecast = append(m.Forecast, plan.Forecast{At: time.Duration(n) * step})
 	}
-	kinds, names := s.Parts("category")
+	kinds, names := s.Sections("category")
 	for i, k := range kinds {
-		m.Categories = append(m.Categories, plan.Category{Name: names[i], Work: k.Span("work", "!").Seconds(),
-			Repeat: map[string]policy.Idempotency{"fingerprinted": policy.IdempotentWithKey, "binding": policy.NonIdempotent}[k.OneOf("repeat",
-				"!", "retriable", "fingerprinted", "binding")], Earnings: k.Number("earnings", "1", 0, 1e7)})
-		if m.Categories[i].Work == 0 && k.Text("work", "0") != "" {
-			k.Wrong("work", "work: above 0 expected")
+		m.Classes = append(m.Classes, plan.Class{Name: names[i], Work: k.Duration("work", "!").Seconds(),
+			Idempotency: map[string]policy.Idempotency{"fingerprinted": policy.IdempotentWithKey, "binding": policy.NonIdempotent}[k.OneOf("repeat",
+				"!", "retriable", "fingerprinted", "binding")], PriorityWeight: k.Float("earnings", "1", 0, 1e7)})
+		if m.Classes[i].Work == 0 && k.Text("work", "0") != "" {
+			k.AddError("work", "work: above 0 expected")
 		}
 	}
 	if len(kinds) == 0 {
-		p.Wrong("", "a section [category NAME] is missing")
+		p.AddError("", "a section [category NAME] is missing")
 	}
-	groups, names := s.Parts("hosts")
+	groups, names := s.Sections("hosts")
 	for i, g := range groups {
 		o.hosts(g, names[i])
 	}
 	if len(groups) == 0 {
-		p.Wrong("", "a section [hosts NAME] is missing")
+		p.AddError("", "a section [hosts NAME] is missing")
 	}
-	demands, names := s.Parts("demand")
+	demands, names := s.Sections("demand")
 	for i, d := range demands {
 		o.demand(d, names[i])
 	}
-	o.bounds(s.Part("bounds"))
-	if r := s.Part("release"); r.Has() {
+	o.bounds(s.Section("bounds"))
+	if r := s.Section("release"); r.Has() {
 		o.release(r)
 	}
 	return o
 }
 
 func (o *Outlook) hosts(g inifile.Section, name string) {
-	h := plan.Host{Location: g.Text("location", name), Build: g.Whole("build", "1", 1, 65535), Size: g.Number("size", "1", 1e-6, 1e7),
-		Most: g.Number("most", "0", 0, 1e7), Leaves: g.Span("leaves", "0s")}
-	count := g.Whole("count", "1", 0, 100_000)
-	ago, in := g.Span("started", long.String()), g.Span("starts", "0s")
+	h := plan.Host{Zone: g.Text("location", name), Build: g.Int("build", "1", 1, 65535), Weight: g.Float("size", "1", 1e-6, 1e7),
+		Most: g.Float("most", "0", 0, 1e7), Leaves: g.Duration("leaves", "0s")}
+	count := g.Int("count", "1", 0, 100_000)
+	ago, in := g.Duration("started", long.String()), g.Duration("starts", "0s")
 	h.Starts = -ago
 	if g.Text("starts", "-") != "-" {
 		if g.Text("started", "-") != "-" {
-			g.Wrong("starts", "started (so long ago) or starts (so long after the plan's start) expected, not both")
+			g.AddError("starts", "started (so long ago) or starts (so long after the plan's start) expected, not both")
 		}
 		h.Starts = in
 	}
@@ -111,49 +111,49 @@
 // demand reads tasks a second by category: one figure for all steps, or one for each.
 func (o *Outlook) demand(d inifile.Section, location string) {
 	spread := d.Share("spread", "0%")
-	for _, c := range o.Model.Categories {
+	for _, c := range o.Model.Classes {
 		words := d.List(c.Name, "0")
 		if len(words) != 1 && len(words) != len(o.Model.Forecast) {
-			d.Wrong(c.Name, "%s: one figure, or one for each of %d steps expected, not %d", c.Name, len(o.Model.Forecast), len(words))
+			d.AddError(c.Name, "%s: one figure, or one for each of %d steps expected, not %d", c.Name, len(o.Model.Forecast), len(words))
 			continue
 		}
 		for n := range o.Model.Forecast {
 			word := words[min(n, len(words)-1)]
 			rate, err := strconv.ParseFloat(word, 64)
 			if err != nil || !(rate >= 0 && rate <= 1e7) {
-				d.Wrong(c.Name, "%s: %s: tasks a second from 0 to 10 million expected", c.Name, word)
+				d.AddError(c.Name, "%s: %s: tasks a second from 0 to 10 million expected", c.Name, word)
 				break
 			}
 			f := &o.Model.Forecast[n]
-			f.Demand = append(f.Demand, plan.Demand{Location: location, Category: c.Name, Rate: rate, Spread: spread * rate})
+			f.Demand = append(f.Demand, plan.Demand{Zone: location, Class: c.Name, Rate: rate, Spread: spread * rate})
 		}
 	}
 }
 
 func (o *Outlook) bounds(b inifile.Section) {
-	o.Model.Bounds = plan.Bounds{Reserve: b.Share("reserve", "0%"), Cross: b.Share("cross", "100%"),
-		CrossPrice: b.Number("cross-price", "0.02", 0, 1e7), Between: b.Number("between", "0", 0, 1000),
-		Within: b.Number("within", "0", 0, 1000), Spreads: b.Number("spreads", "0", -10, 10),
-		LoseHost: b.Switch("lose-host", "off"), LosePlace: b.Switch("lose-location", "off"),
-		Cold: plan.Cold{Lasts: b.Span("cold", "5s"), Share: b.Share("cold-share", "33%"), Tasks: b.Number("cold-tasks", "0", 0, 1e7),
-			Window: b.Span("cold-window", "2s")}}
-	if o.Model.Bounds.Reserve > .99 {
-		b.Wrong("reserve", "reserve: at most 99%% expected")
+	o.Model.Limits = plan.Limits{Reserve: b.Share("reserve", "0%"), Cross: b.Share("cross", "100%"),
+		CrossPrice: b.Float("cross-price", "0.02", 0, 1e7), Between: b.Float("between", "0", 0, 1000),
+		Within: b.Float("within", "0", 0, 1000), Spreads: b.Float("spreads", "0", -10, 10),
+		LoseHost: b.Bool("lose-host", "off"), LosePlace: b.Bool("lose-location", "off"),
+		Cold: plan.Cold{Lasts: b.Duration("cold", "5s"), Share: b.Share("cold-share", "33%"), Tasks: b.Float("cold-tasks", "0", 0, 1e7),
+			Window: b.Duration("cold-window", "2s")}}
+	if o.Model.Limits.Reserve > .99 {
+		b.AddError("reserve", "reserve: at most 99%% expected")
 	}
 }
 
 func (o *Outlook) release(r inifile.Section) {
-	out := &plan.Release{Build: r.Whole("build", "!", 1, 65535), Guarded: r.Whole("guarded-stages", "1", 0, 100),
-		ByCategory: r.Switch("by-category", "off"), Beside: r.Switch("beside", "off"), Released: r.Span("released", "0s")}
+	out := &plan.Release{Build: r.Int("build", "!", 1, 65535), Guarded: r.Int("guarded-stages", "1", 0, 100),
+		ByCategory: r.Bool("by-category", "off"), Beside: r.Bool("beside", "off"), Released: r.Duration("released", "0s")}
 	shares, caps, at := r.Shares("shares", "!"), r.Shares("caps", "!"), r.List("at", "!")
 	if len(shares) != len(caps) || len(shares) != len(at) {
-		r.Wrong("shares", "shares, caps and at: as many of each expected, not %d, %d and %d", len(shares), len(caps), len(at))
+		r.AddError("shares", "shares, caps and at: as many of each expected, not %d, %d and %d", len(shares), len(caps), len(at))
 		return
 	}
 	for n := range shares {
 		d, err := time.ParseDuration(at[n])
 		if err != nil || d < 0 {
-			r.Wrong("at", "at: %s: a time with a unit expected", at[n])
+			r.AddError("at", "at: %s: a time with a unit expected", at[n])
 			return
 		}
 		out.Stages = append(out.Stages, plan.Stage{At: d, Share: shares[n], Cap: caps[n]})
@@ -168,7 +168,7 @@
 	hours, err := strconv.Atoi(h)
 	minutes, err2 := strconv.Atoi(m)
 	if !ok || err != nil || err2 != nil || hours < 0 || hours > 23 || minutes < 0 || minutes > 59 {
-		p.Wrong(key, "%s = %s: a time of day such as 07:30 expected", key, text)
+		p.AddError(key, "%s = %s: a time of day such as 07:30 expected", key, text)
 	}
 	return time.Duration(hours)*time.Hour + time.Duration(minutes)*time.Minute
 }
--- a/internal/platform/platform.go
+++ b/internal/platform/platform.go
@@ -97,7 +97,7 @@
 
 // ended takes the feed up again, at once the first time and then with a growing wait.
 func (l *Client) ended(err error) {
-	l.hear.Trouble(err)
+	l.hear.Failed(err)
 	n := l.fails.Add(1)
 	if n == 1 {
 		l.feed.Open()
@@ -139,7 +139,7 @@
 			return errors.New("a flag without unit or old_ms")
 		}
 		if n, ok := l.number(f.Unit, time.Now().Add(-time.Duration(*f.OldMs*float64(time.Millisecond)))); ok {
-			l.hear.Complaint(api.Complaint{Host: n, Category: f.Product, AgeMs: int64(*f.OldMs)})
+			l.hear.Complaint(api.Complaint{Host: n, Class: f.Product, AgeMs: int64(*f.OldMs)})
 		}
 	} // others are signs of life, or of newer platforms
 	l.fails.Store(0)
@@ -148,7 +148,7 @@
 
 // Vote casts a vote in the background and calls done once with what became of it.
 func (l *Client) Vote(build, stage int, voice policy.VoteChoice, done func(policy.ReleaseStatus)) {
-	l.hear.Cast(build, func() (policy.ReleaseStatus, error) { return l.vote(build, stage, voice) }, done)
+	l.hear.VoteResult(build, func() (policy.ReleaseStatus, error) { return l.vote(build, stage, voice) }, done)
 }
 
 func (l *Client) vote(build, stage int, voice policy.VoteChoice) (policy.ReleaseStatus, error) {
--- a/internal/platform/platform_test.go
+++ b/internal/platform/platform_test.go
@@ -75,7 +75,7 @@
 	h := told{make(chan policy.ReleaseStatus, 20), make(chan api.Complaint, 20), make(chan error, 50)}
 	l := Open(s.Addr().String(), within, func(unit string, _ time.Time) (uint32, bool) { return 7, unit == "s-1" },
 		controlclient.Handler{Release: func(n policy.ReleaseStatus) { h.news <- n }, Complaint: func(c api.Complaint) { h.complaints <- c },
-			Trouble: func(err error) { h.troubles <- err }})
+			Failed: func(err error) { h.troubles <- err }})
 	t.Cleanup(l.Close)
 	return l, h
 }
@@ -89,7 +89,7 @@
 	say(feed, `{"type":"flag","object":{"unit":"s-9","product":"x","old_ms":1}}`+"\n")
 	say(feed, `{"type":"flag","object":{"unit":"s-1","pro`)
 	say(feed, `duct":"lookup","old_ms":1200}}`+"\n")
-	require.Equal(t, api.Complaint{Host: 7, Category: "lookup", AgeMs: 1200}, <-h.complaints)
+	require.Equal(t, api.Complaint{Host: 7, Class: "lookup", AgeMs: 1200}, <-h.complaints)
 	for _, noise := range []string{"noise\n", `{"type":"stage","object":{"release":43}}` + "\n",
 		`{"type":"stage","object":{"release":43,"tranche":0,"mode":"odd","exposure":1,"old_ms":0}}` + "\n",
 		`{"type":"stage","object":{"release":43,"tranche":0,"mode":"live","exposure":7,"old_ms":0}}` + "\n"} {
--- a/internal/platformsettings/terms.go
+++ b/internal/platformsettings/terms.go
@@ -17,8 +17,8 @@
 
 const tenth = 100 // microseconds
 
-// Span turns microseconds into the module's time.
-func Span(us int64) policy.Time { return policy.Time(us / tenth) }
+// FromMicroseconds turns microseconds into the module's time.
+func FromMicroseconds(us int64) policy.Time { return policy.Time(us / tenth) }
 
 // Values are values by path. A list of objects stands as its count and its numbered parts, one of plain values with
 // commas between.
@@ -44,7 +44,7 @@
 	return strings.Split(p[path], ",")
 }
 
-func (p Values) span(path string) policy.Time { return Span(p.Int(path)) }
+func (p Values) span(path string) policy.Time { return FromMicroseconds(p.Int(path)) }
 
 // Flatten reads a JSON object as pairs.
 func Flatten(text []byte) (Values, error) {
@@ -100,36 +100,36 @@
 
 // Settings are what an instance is told at its start.
 type Settings struct {
-	Place   router.Config
-	Report  Report
-	Counted policy.Time // the span of the desk's counts
+	Router      router.Config
+	Report      ReportFields
+	StatsWindow policy.Time // the span of the desk's counts
 }
 
 // Read reads terms; the seed comes apart from them.
 func Read(p Values, seed uint64) Settings {
 	t := Settings{Report: p.List("Report.Fields")}
-	place := router.Config{Seed: seed, Routers: int(p.Int("Balancers")), Rank: int(p.Int("Rank")), Location: p["MyZone"]}
+	place := router.Config{Seed: seed, Routers: int(p.Int("Balancers")), Rank: int(p.Int("Rank")), Zone: p["MyZone"]}
 	for i := range int(p.Int("Categories.count")) {
 		at := fmt.Sprintf("Categories.%d.", i)
-		c := router.Class{Name: p[at+"Name"], Promised: p.span(at + "AimUs"), Earnings: p.Float(at + "Importance"),
-			LateShare: p.Float(at + "LateValue"), Memory: p.span(at + "WindowUs")}
-		c.Repeat = map[string]policy.Idempotency{"repeatable": policy.Idempotent, "by_key": policy.IdempotentWithKey,
+		c := router.Class{Name: p[at+"Name"], LatencyObjective: p.span(at + "AimUs"), PriorityWeight: p.Float(at + "Importance"),
+			LateValueShare: p.Float(at + "LateValue"), DedupWindow: p.span(at + "WindowUs")}
+		c.Idempotency = map[string]policy.Idempotency{"repeatable": policy.Idempotent, "by_key": policy.IdempotentWithKey,
 			"once": policy.NonIdempotent}[p[at+"Semantics"]]
-		c.Group = map[string]policy.DedupScope{"zone": policy.ZoneScope, "cell": policy.CellScope}[p[at+"DedupScope"]]
-		place.Categories = append(place.Categories, c)
+		c.DedupScope = map[string]policy.DedupScope{"zone": policy.ZoneScope, "cell": policy.CellScope}[p[at+"DedupScope"]]
+		place.Classes = append(place.Classes, c)
 	}
 	for i := range int(p.Int("Parties.count")) {
 		at := fmt.Sprintf("Parties.%d.", i)
-		place.Customers = append(place.Customers,
-			router.Tenant{Name: p[at+"Name"], PerSecond: p.Float(at + "QuotaPerS")})
+		place.Tenants = append(place.Tenants,
+			router.Tenant{Name: p[at+"Name"], QuotaPerSecond: p.Float(at + "QuotaPerS")})
 	}
 	place.Limits = policy.Limits{DrainGrace: p.span("Obligations.DrainGraceUs"),
 		WarmUp: p.span("Obligations.ColdUs"), ColdCapacity: p.Float("Obligations.StartCapacity"),
 		ColdOverloadFactor: p.Float("Obligations.TipMultiple"), ColdOverloadWindow: p.span("Obligations.OverloadForUs"),
 		PollInterval: p.span("Obligations.AskWithinUs"), MaxAttempts: int(p.Int("Permissions.MaxAttempts")),
 		MaxOpen: int(p.Int("Permissions.MaxOpen")), AllowHedging: p.Bool("Permissions.SecondCopies"),
-		PushedDiscovery: p["RegistryMode"] == "pushed", CrossPrice: p.Float("Prices.CrossZone"),
-		WastePrice: p.Float("Prices.Waste"), OverShare: p.Float("OverShareWorth")}
+		PushedDiscovery: p["RegistryMode"] == "pushed", CrossZonePrice: p.Float("Prices.CrossZone"),
+		WastePrice: p.Float("Prices.Waste"), OverQuotaValueShare: p.Float("OverShareWorth")}
 	const message = 256 // bytes; the wire states it, its settings don't
 	if p.Bool("Permissions.Peers") {
 		place.Limits.MaxGossipBytes = message
@@ -138,7 +138,7 @@
 	if p.Bool("Permissions.RetryAfter") {
 		place.Limits.MaxRetryAfter = p.span("Permissions.MaxRetryAfterUs")
 	}
-	place.Desk = policy.ReleaseConfig{
+	place.Release = policy.ReleaseConfig{
 		Mode:          map[string]policy.PromotionMode{"share": policy.Quorum, "timer": policy.Timed}[p["Extra.Control"]],
 		PromoteQuorum: int(p.Int("Extra.AyesNeeded")), RollbackQuorum: int(p.Int("Extra.ToAbort")),
 		VoteTTL: p.span("Extra.VoteStandsUs"), VoteTimeout: p.span("Extra.CallTimeoutUs"),
@@ -146,23 +146,23 @@
 		ExposureAllowance: p.Float("Extra.Free"), ExposurePerClass: p["Extra.Counts"] == "class",
 		GuardedStages: int(p.Int("Extra.GuardedStages")), StickyKeys: p.Bool("Extra.KeysStay"),
 		DelayPrice: p.Float("Extra.LagFee"), HarmPrice: p.Float("Extra.HarmFee"),
-		Complaints: p.Float("Extra.ComplaintShare"), MinStageTime: p.span("Extra.BakeUs"),
+		ComplaintShare: p.Float("Extra.ComplaintShare"), MinStageTime: p.span("Extra.BakeUs"),
 		StageTime: p.span("Extra.StageTimeUs")}
 	if p.Int("Extra.MetricsPeriodUs") > 0 {
-		place.Desk.Counted, t.Counted = p.Float("Extra.SampledShare"), p.span("Extra.MetricsPeriodUs")
+		place.Release.SampledShare, t.StatsWindow = p.Float("Extra.SampledShare"), p.span("Extra.MetricsPeriodUs")
 	}
 	for _, share := range p.List("Extra.StageCap") {
-		place.Desk.ExposureCaps = append(place.Desk.ExposureCaps, Values{"": share}.Float(""))
+		place.Release.ExposureCaps = append(place.Release.ExposureCaps, Values{"": share}.Float(""))
 	}
-	t.Place = place
+	t.Router = place
 	return t
 }
 
-// Report is the fields of a load report, in their order.
-type Report []string
+// ReportFields is the fields of a load report, in their order.
+type ReportFields []string
 
 // Load reads a report's figures in the fields' order; what is not reported is negative.
-func (r Report) Load(figures []float64) *policy.LoadReport {
+func (r ReportFields) Load(figures []float64) *policy.LoadReport {
 	if figures == nil {
 		return nil
 	}
@@ -174,7 +174,7 @@
 }
 
 // Named reads a report of names with their figures, such as "active=7,rps=2.5". One that can't be read whole is none.
-func (r Report) Named(text string) (*policy.LoadReport, error) {
+func (r ReportFields) Named(text string) (*policy.LoadReport, error) {
 	l := blank()
 	for pair := range strings.SplitSeq(text, ",") {
 		name, figure, ok := strings.Cut(strings.TrimSpace(pair), "=")
@@ -188,20 +188,20 @@
 }
 
 func blank() *policy.LoadReport {
-	return &policy.LoadReport{Active: -1, Waiting: -1, Busy: -1, Service: -1, Rate: -1}
+	return &policy.LoadReport{ActiveRequests: -1, QueuedRequests: -1, CPUUtilization: -1, MeanLatency: -1, RequestsPerSecond: -1}
 }
 
 func enter(l *policy.LoadReport, field string, v float64) {
 	switch field {
 	case "active":
-		l.Active = v
+		l.ActiveRequests = v
 	case "waiting":
-		l.Waiting = v
+		l.QueuedRequests = v
 	case "cpu":
-		l.Busy = v
+		l.CPUUtilization = v
 	case "avg_ms":
-		l.Service = v * 10
+		l.MeanLatency = v * 10
 	case "rps":
-		l.Rate = v
+		l.RequestsPerSecond = v
 	}
 }
--- a/internal/platformsettings/terms_test.go
+++ b/internal/platformsettings/terms_test.go
@@ -30,13 +30,13 @@
 	require.NoError(t, err)
 	got, want := Read(p, 7), Read(paired, 7)
 	require.Equal(t, want, got)
-	require.Equal(t, 3, got.Place.Routers)
-	require.Equal(t, policy.Time(3800), got.Place.Categories[0].Promised)
-	require.Equal(t, policy.NonIdempotent, got.Place.Categories[1].Repeat)
-	require.Equal(t, policy.CellScope, got.Place.Categories[1].Group)
-	require.Equal(t, []float64{0.096, 0.48, 1}, got.Place.Desk.ExposureCaps)
-	require.Equal(t, policy.Time(20000), got.Place.Limits.MaxRetryAfter)
-	require.Equal(t, policy.Time(15000), got.Counted)
+	require.Equal(t, 3, got.Router.Routers)
+	require.Equal(t, policy.Time(3800), got.Router.Classes[0].LatencyObjective)
+	require.Equal(t, policy.NonIdempotent, got.Router.Classes[1].Idempotency)
+	require.Equal(t, policy.CellScope, got.Router.Classes[1].DedupScope)
+	require.Equal(t, []float64{0.096, 0.48, 1}, got.Router.Release.ExposureCaps)
+	require.Equal(t, policy.Time(20000), got.Router.Limits.MaxRetryAfter)
+	require.Equal(t, policy.Time(15000), got.StatsWindow)
 }
 
 func TestSettingsThatCanNotBeReadSayWhere(t *testing.T) {
@@ -49,11 +49,11 @@
 }
 
 func TestReportsAreReadWholeOrNotAtAll(t *testing.T) {
-	r := Report{"rps", "avg_ms", "active"}
+	r := ReportFields{"rps", "avg_ms", "active"}
 	got, err := r.Named("active=7, rps=2.5,avg_ms=40")
 	require.NoError(t, err)
 	require.Equal(t, r.Load([]float64{2.5, 40, 7}), got)
-	require.Equal(t, &policy.LoadReport{Active: 7, Waiting: -1, Busy: -1, Service: 400, Rate: 2.5}, got)
+	require.Equal(t, &policy.LoadReport{ActiveRequests: 7, QueuedRequests: -1, CPUUtilization: -1, MeanLatency: 400, RequestsPerSecond: 2.5}, got)
 	for _, text := range []string{"", "active", "active=", "active=x", "active=NaN", "active=-1", "active=1,,", "active=+Inf", "\x00"} {
 		_, err := r.Named(text)
 		require.Error(t, err, text)
--- a/internal/proxy/hard_test.go
+++ b/internal/proxy/hard_test.go
@@ -100,7 +100,7 @@
 	r.list(slow, policy.Draining)
 	r.eventually(func() bool {
 		s := policy.Serving
-		r.router.loop.Do(func() { s = r.router.hosts[1].Standing })
+		r.router.loop.Do(func() { s = r.router.hosts[1].State })
 		return s == policy.Draining
 	})
 	close(told)
@@ -122,11 +122,11 @@
 		time.Sleep(200 * time.Millisecond)
 		return right(x)
 	}))
-	for _, in := range []release.Input{release.Offer{Build: 2}, release.Ready{Build: 2}, release.Vote{Router: "r", Build: 2, Stage: 0, Voice: policy.Promote}} {
-		_, err := r.desk.Hear(in)
+	for _, in := range []release.Input{release.Offer{Build: 2}, release.HostsReady{Build: 2}, release.Vote{Router: "r", Build: 2, Stage: 0, Choice: policy.Promote}} {
+		_, err := r.desk.Handle(in)
 		require.NoError(t, err)
 	}
-	require.Equal(t, policy.Released, r.desk.News().Phase)
+	require.Equal(t, policy.Released, r.desk.Status().Phase)
 	time.Sleep(200 * time.Millisecond)
 	var clients []*client
 	for range 2 { // as many as there are hosts: no jam
@@ -139,7 +139,7 @@
 	case <-time.After(5 * time.Second):
 		t.Fatal("no task went to the released build")
 	}
-	_, err := r.desk.Hear(release.Withdraw{Build: 2})
+	_, err := r.desk.Handle(release.RollBack{Build: 2})
 	require.NoError(t, err)
 	for _, c := range clients {
 		_, outcome, _ := c.read()
@@ -213,7 +213,7 @@
 	c.ask("/quote", "")
 	r.eventually(func() bool { return h.requests.Load() == 1 })
 	_ = c.Close()
-	r.eventually(func() bool { return r.router.Counts().Left == 1 })
+	r.eventually(func() bool { return r.router.Counts().ClientsGone == 1 })
 	<-answered
 	r.idle()
 	time.Sleep(50 * time.Millisecond) // a link rests a little before it is used again
--- a/internal/proxy/instance.go
+++ b/internal/proxy/instance.go
@@ -75,13 +75,13 @@
 
 // Counts is what an instance has done since it started. The JSON names stand in a day's report.
 type Counts struct {
-	Taken      uint64 `json:"Taken"`
-	Finished   uint64 `json:"Finished"`
-	TurnedBack uint64 `json:"TurnedBack"`
-	Scrapped   uint64 `json:"Scrapped"`
-	Left       uint64 `json:"Left"`
-	Sends      uint64 `json:"Sends"`
-	Copies     uint64 `json:"Copies"`
+	Received       uint64 `json:"Taken"`
+	Succeeded      uint64 `json:"Finished"`
+	Rejected       uint64 `json:"TurnedBack"`
+	Failed         uint64 `json:"Scrapped"`
+	ClientsGone    uint64 `json:"Left"`
+	Attempts       uint64 `json:"Sends"`
+	ShadowAttempts uint64 `json:"Copies"`
 }
 
 // inFlight is a task of which something is still to come: its answer, or the end of a send.
@@ -112,28 +112,28 @@
 
 // Protocols are the protocols that the host list and the desk are reached by. Known are hosts told of at the start.
 type Protocols struct {
-	Register func(eds.Handler) (_ Discovery, known []eds.Host, _ error)
-	Desk     func(controlclient.Handler) (ReleaseClient, error)
-	Ready    func() bool // nil for from listening on
+	Discovery func(eds.Handler) (_ Discovery, known []eds.Host, _ error)
+	Release   func(controlclient.Handler) (ReleaseClient, error)
+	Ready     func() bool // nil for from listening on
 }
 
 // own are this project's own protocols.
 func own(c *routerconfig.Config) Protocols {
 	return Protocols{
-		Register: func(hear eds.Handler) (Discovery, []eds.Host, error) {
-			w, err := eds.New(c.Register.Address, c.Name, c.Register.Names, c.Register.Changes, hear)
+		Discovery: func(hear eds.Handler) (Discovery, []eds.Host, error) {
+			w, err := eds.New(c.Discovery.Address, c.Name, c.Discovery.Resources, c.Discovery.Incremental, hear)
 			return w, nil, err
 		},
-		Desk: func(hear controlclient.Handler) (ReleaseClient, error) {
+		Release: func(hear controlclient.Handler) (ReleaseClient, error) {
 			var secure *tls.Config
-			if c.Desk.Keys != (certs.Files{}) {
-				ring, err := certs.Open(c.Desk.Keys)
+			if c.ControlPlane.Certificates != (certs.Files{}) {
+				ring, err := certs.Open(c.ControlPlane.Certificates)
 				if err != nil {
 					return nil, err
 				}
 				secure = ring.Client()
 			}
-			return controlclient.Open(c.Desk.URLs, c.Name, c.Place.Location, secure, eventloop.Duration(c.Place.Desk.VoteTimeout), hear), nil
+			return controlclient.Open(c.ControlPlane.URLs, c.Name, c.Router.Zone, secure, eventloop.Duration(c.Router.Release.VoteTimeout), hear), nil
 		}}
 }
 
@@ -145,8 +145,8 @@
 // StartBy starts a router whose host list and desk are reached by the links named.
 func StartBy(links Protocols, c *routerconfig.Config, log *slog.Logger, bend FaultInjector) (_ *Proxy, err error) {
 	i := &Proxy{charter: c, log: log.With("router", c.Name), loop: eventloop.New(), bend: bend, tasks: map[string]*inFlight{},
-		hosts: map[uint32]eds.Host{}, became: map[int]map[string]int{}, budget: http1.NewBudget(int64(c.Held)), keep: make(chan []eds.Host, 1),
-		kept: make(chan struct{}), signs: c.Reach.ProtocolOrDefault()}
+		hosts: map[uint32]eds.Host{}, became: map[int]map[string]int{}, budget: http1.NewBudget(int64(c.MaxBodyBytes)), keep: make(chan []eds.Host, 1),
+		kept: make(chan struct{}), signs: c.Upstream.ProtocolOrDefault()}
 	var opened []func() // what is closed again, the last first, where a later part can't be opened
 	defer func() {
 		if err != nil {
@@ -164,7 +164,7 @@
 	i.address = listener.Addr()
 	i.engine = transport.Start()
 	opened = append(opened, i.engine.Stop)
-	if i.register, i.known, err = links.Register(eds.Handler{
+	if i.register, i.known, err = links.Discovery(eds.Handler{
 		Listed:   func(whole bool, hosts []eds.Host) { i.loop.Do(func() { i.listed(whole, hosts) }) },
 		Rejected: func(err error) { i.log.Warn("host list turned down", "error", err) },
 		Failed: func(err error) {
@@ -183,14 +183,14 @@
 	if i.peers, err = i.meet(c); err != nil {
 		return nil, err
 	}
-	go i.keepLists(c.LastList)
+	go i.keepLists(c.EndpointCache)
 	i.loop.Do(func() { i.begin() })
-	if i.desk, err = links.Desk(controlclient.Handler{
+	if i.desk, err = links.Release(controlclient.Handler{
 		Release:   i.told,
 		Counts:    i.counted,
 		Complaint: i.complained,
 		Plan:      i.planned,
-		Trouble:   func(err error) { i.log.Warn("desk", "error", err) }}); err != nil {
+		Failed:    func(err error) { i.log.Warn("desk", "error", err) }}); err != nil {
 		return nil, err
 	}
 	i.loop.Do(i.report)
@@ -203,18 +203,18 @@
 // begin makes the mind and tells it the last list.
 func (i *Proxy) begin() {
 	c := i.charter
-	i.pool = upstream.NewPool(i.loop, i.engine, c.Reach, i.budget)
-	i.door = downstream.NewServer(i.loop, c.Welcome, i.budget, i.take)
-	place := c.Place
+	i.pool = upstream.NewPool(i.loop, i.engine, c.Upstream, i.budget)
+	i.door = downstream.NewServer(i.loop, c.Downstream, i.budget, i.take)
+	place := c.Router
 	place.Seed ^= uint64(i.loop.Now()) // another life, other chance
 	var actions []router.Action
 	now := i.loop.Now()
 	i.mind, actions = router.New(now, place)
 	if i.records != nil {
-		i.noted(i.records.Begin(now, place, actions))
+		i.noted(i.records.WriteStart(now, place, actions))
 	}
-	if c.LastList != "" {
-		hosts, err := eds.LoadCache(c.LastList)
+	if c.EndpointCache != "" {
+		hosts, err := eds.LoadCache(c.EndpointCache)
 		if err != nil {
 			i.log.Warn("starting without the last list", "error", err)
 		} else if len(hosts) > 0 {
@@ -234,21 +234,21 @@
 
 // meet opens the way to peers that a charter names; nil for none.
 func (i *Proxy) meet(c *routerconfig.Config) (*gossip.Socket, error) {
-	if c.Peers == nil {
+	if c.Gossip == nil {
 		return nil, nil
 	}
-	return gossip.Open(*c.Peers, func(rank int, body string) { i.tell(router.GossipReceived{Peer: rank, Body: body}) })
+	return gossip.Open(*c.Gossip, func(rank int, body string) { i.tell(router.GossipReceived{Peer: rank, Body: body}) })
 }
 
-// Settle goes over to another charter while the router runs. Either all of it holds from one event to the next, or
+// UpdateConfig goes over to another charter while the router runs. Either all of it holds from one event to the next, or
 // the error names what can't be and nothing has changed. Tasks held go on; nothing is sent anew for it.
-func (i *Proxy) Settle(c *routerconfig.Config) error {
+func (i *Proxy) UpdateConfig(c *routerconfig.Config) error {
 	i.turning.Lock()
 	defer i.turning.Unlock()
 	if err := i.charter.Changes(c); err != nil {
 		return err
 	}
-	same := reflect.DeepEqual(i.charter.Peers, c.Peers)
+	same := reflect.DeepEqual(i.charter.Gossip, c.Gossip)
 	next := i.peers
 	if !same {
 		if i.peers != nil {
@@ -263,7 +263,7 @@
 	}
 	var refused error
 	if !i.loop.Do(func() {
-		if refused = i.hear(router.ConfigChanged{Place: c.Place}); refused == nil {
+		if refused = i.hear(router.ConfigChanged{Config: c.Router}); refused == nil {
 			i.charter, i.peers = c, next
 		}
 	}) {
@@ -273,7 +273,7 @@
 		next.Close()
 	}
 	if refused == nil {
-		i.log.Info("settings changed", "routers", c.Place.Routers, "peers", c.Peers != nil, "probes", c.Place.Limits.HealthChecks)
+		i.log.Info("settings changed", "routers", c.Router.Routers, "peers", c.Gossip != nil, "probes", c.Router.Limits.HealthChecks)
 	}
 	return refused
 }
@@ -287,9 +287,9 @@
 	return c
 }
 
-// Held is how many tasks wait for an answer, connections are open to clients and to hosts, and bytes of bodies are
+// InFlight is how many tasks wait for an answer, connections are open to clients and to hosts, and bytes of bodies are
 // held.
-func (i *Proxy) Held() (tasks, guests, links int, bytes int64) {
+func (i *Proxy) InFlight() (tasks, guests, links int, bytes int64) {
 	i.loop.Do(func() { tasks, guests, links = i.door.Open(), i.door.Connections(), i.pool.Connections() })
 	return tasks, guests, links, i.budget.Used()
 }
@@ -320,8 +320,8 @@
 	}
 	c := i.Counts()
 	i.Kill()
-	i.log.Info("ended", "cut off", left, "taken", c.Taken, "finished", c.Finished, "turned back", c.TurnedBack,
-		"scrapped", c.Scrapped, "left by clients", c.Left)
+	i.log.Info("ended", "cut off", left, "taken", c.Received, "finished", c.Succeeded, "turned back", c.Rejected,
+		"scrapped", c.Failed, "left by clients", c.ClientsGone)
 	return left
 }
 
@@ -340,7 +340,7 @@
 	close(i.keep)
 	<-i.kept
 	if i.records != nil {
-		if n := i.records.Lost(); n > 0 {
+		if n := i.records.Dropped(); n > 0 {
 			i.log.Warn("records were dropped", "entries", n)
 		}
 		i.noted(i.records.Close())
@@ -374,7 +374,7 @@
 		}
 		i.spare = actions
 		if i.records != nil {
-			i.noted(i.records.Heard(now, e, actions))
+			i.noted(i.records.WriteEvent(now, e, actions))
 		}
 		if i.bend != nil {
 			actions = i.bend.Actions(now, e, actions, i.hosts)
@@ -397,7 +397,7 @@
 	named := make(map[uint32]bool, len(hosts))
 	for n, h := range hosts {
 		list[n], named[h.ID] = h.Host, true
-		if h.Standing == policy.Removed {
+		if h.State == policy.Removed {
 			i.pool.Remove(h.ID)
 		} else {
 			i.pool.SetAddress(h.ID, h.Address)
@@ -405,8 +405,8 @@
 		i.hosts[h.ID] = h
 	}
 	for id, h := range i.hosts {
-		if whole && !named[id] && h.Standing != policy.Removed {
-			h.Standing = policy.Removed
+		if whole && !named[id] && h.State != policy.Removed {
+			h.State = policy.Removed
 			i.hosts[id] = h
 			i.pool.Remove(id)
 		}
@@ -414,13 +414,13 @@
 	i.hear(router.EndpointsChanged{Complete: whole, Hosts: list})
 	var all []eds.Host
 	for id, h := range i.hosts {
-		if h.Standing != policy.Removed {
+		if h.State != policy.Removed {
 			all = append(all, h)
 		} else if i.bend == nil {
 			delete(i.hosts, id)
 		}
 	}
-	if i.charter.LastList == "" {
+	if i.charter.EndpointCache == "" {
 		return
 	}
 	select { // an older list that still waits to be written is let go
@@ -442,15 +442,15 @@
 
 func (i *Proxy) counted(c api.Counts) {
 	i.loop.Post(func() {
-		i.hear(router.StatsReported{Build: c.Build, Category: c.Category, Bad: c.Bad, Samples: c.Samples,
-			Mean: policy.Time(c.MeanMs * 10), Age: policy.Time(c.AgeMs) * 10, Over: eventloop.FromDuration(i.charter.Desk.Over)})
+		i.hear(router.StatsReported{Build: c.Build, Class: c.Class, Failures: c.Failures, Samples: c.Samples,
+			MeanLatency: policy.Time(c.MeanMs * 10), Age: policy.Time(c.AgeMs) * 10, Window: eventloop.FromDuration(i.charter.ControlPlane.StatsWindow)})
 	})
 }
 
 func (i *Proxy) told(n policy.ReleaseStatus) {
 	i.loop.Post(func() {
 		i.newest = n.Build
-		i.hear(router.ReleaseChanged{News: n})
+		i.hear(router.ReleaseChanged{Status: n})
 	})
 }
 
@@ -490,52 +490,52 @@
 }
 
 func (i *Proxy) complained(c api.Complaint) {
-	i.tell(router.ComplaintReceived{Host: c.Host, Category: c.Category, Age: policy.Time(c.AgeMs) * 10})
+	i.tell(router.ComplaintReceived{Host: c.Host, Class: c.Class, Age: policy.Time(c.AgeMs) * 10})
 }
 
 func (i *Proxy) take(c *downstream.Request) {
-	if limit := i.charter.Place.Limits.MaxOpen; limit > 0 && len(i.tasks) >= limit || c.Patience <= 0 {
+	if limit := i.charter.Router.Limits.MaxOpen; limit > 0 && len(i.tasks) >= limit || c.Timeout <= 0 {
 		c.Message.Drop()
-		i.counts.TurnedBack++
-		c.Reject(i.charter.Place.Limits.MaxRetryAfter/4, "this router holds as many tasks as it may")
+		i.counts.Rejected++
+		c.Reject(i.charter.Router.Limits.MaxRetryAfter/4, "this router holds as many tasks as it may")
 		return
 	}
 	i.next++
 	h := &inFlight{id: strconv.FormatUint(i.next, 36), call: c, owed: true}
 	i.tasks[h.id] = h
-	i.counts.Taken++
+	i.counts.Received++
 	c.OnClientGone = func() {
 		h.owed = false
-		i.counts.Left++
+		i.counts.ClientsGone++
 		i.withhold(h)
-		i.hear(router.ClientGone{Task: h.id})
+		i.hear(router.ClientGone{RequestID: h.id})
 		i.forget(h)
 	}
-	i.hear(router.RequestArrived{Task: h.id, Category: c.Category, Customer: c.Customer, Key: c.Key, Patience: c.Patience,
-		Hint: c.Hint, Again: c.Again})
+	i.hear(router.RequestArrived{RequestID: h.id, Class: c.Class, Tenant: c.Tenant, Key: c.Key, Timeout: c.Timeout,
+		ExpectedWork: c.ExpectedWork, ClientRetry: c.ClientRetry})
 }
 
 // ended passes on how a send ended; the first that finished answers the client.
 func (i *Proxy) ended(h *inFlight, n int, host uint32, r upstream.Result) {
 	h.out--
 	h.late = r.Outcome == policy.TimedOut
-	if r.Why != "" && i.log.Enabled(context.Background(), slog.LevelDebug) {
-		i.log.Debug("send", "task", h.id, "send", n, "host", host, "fate", int(r.Outcome), "why", r.Why)
+	if r.Reason != "" && i.log.Enabled(context.Background(), slog.LevelDebug) {
+		i.log.Debug("send", "task", h.id, "send", n, "host", host, "fate", int(r.Outcome), "why", r.Reason)
 	}
 	if r.Outcome == policy.Succeeded && h.owed {
 		h.owed = false
-		i.counts.Finished++
+		i.counts.Succeeded++
 		h.host = host
 		i.becomes("finished", h)
 		if i.bend == nil || !i.bend.Silent(h.id) {
-			h.call.Respond(r.Answer, host)
+			h.call.Respond(r.Response, host)
 		}
 		i.withhold(h)
 	}
-	if r.Answer != nil {
-		r.Answer.Drop()
+	if r.Response != nil {
+		r.Response.Drop()
 	}
-	i.hear(router.AttemptEnded{Task: h.id, Send: n, Fate: r.Outcome, Took: r.Took, Done: !h.owed, Load: r.Load})
+	i.hear(router.AttemptEnded{RequestID: h.id, Attempt: n, Outcome: r.Outcome, Latency: r.Latency, Done: !h.owed, Load: r.Load})
 	i.forget(h)
 }
 
@@ -558,34 +558,34 @@
 
 func (i *Proxy) act(actions []router.Action) {
 	for _, a := range actions {
-		switch a.Do {
-		case router.Send:
-			if h := i.tasks[a.Task]; h != nil {
+		switch a.Kind {
+		case router.SendAttempt:
+			if h := i.tasks[a.RequestID]; h != nil {
 				i.send(h, a)
 			}
 		case router.Reject, router.Fail:
-			if h := i.tasks[a.Task]; h != nil && h.owed {
+			if h := i.tasks[a.RequestID]; h != nil && h.owed {
 				i.refuse(h, a)
 			}
 		case router.SetTimer:
-			mark := a.Alarm
-			i.loop.After(a.Span, func() { i.hear(router.TimerFired{Alarm: mark}) })
+			mark := a.Timer
+			i.loop.After(a.Duration, func() { i.hear(router.TimerFired{Timer: mark}) })
 		case router.WatchEndpoints:
 			i.register.Ask()
-		case router.Vote:
-			i.log.Info("vote", "build", a.Build, "stage", a.Stage, "voice", api.Voices[a.Voice])
-			i.desk.Vote(a.Build, a.Stage, a.Voice, func(n policy.ReleaseStatus) { i.tell(router.ReleaseChanged{News: n}) })
-		case router.Gossip:
+		case router.CastVote:
+			i.log.Info("vote", "build", a.Build, "stage", a.Stage, "voice", api.VoteChoices[a.Choice])
+			i.desk.Vote(a.Build, a.Stage, a.Choice, func(n policy.ReleaseStatus) { i.tell(router.ReleaseChanged{Status: n}) })
+		case router.SendGossip:
 			if i.peers != nil {
-				i.peers.Tell(a.Peer, a.Body)
+				i.peers.Send(a.Peer, a.Body)
 			}
 		case router.CheckHealth:
 			i.probe(a.Host)
 		case router.AcknowledgePlan:
 			if a.Text != "" {
-				i.log.Warn("a plan is turned down", "version", a.Number, "reason", a.Text)
+				i.log.Warn("a plan is turned down", "version", a.PlanVersion, "reason", a.Text)
 			}
-			i.desk.AcknowledgePlan(a.Number, a.Text)
+			i.desk.AcknowledgePlan(a.PlanVersion, a.Text)
 		case router.Log:
 			i.log.Info("note", "text", a.Text)
 		}
@@ -594,32 +594,32 @@
 
 // probe asks a host how it does by a small request, and hears what came of it as of no task.
 func (i *Proxy) probe(host uint32) {
-	p := i.charter.Probe
+	p := i.charter.HealthCheck
 	if p.Path == "" {
 		return
 	}
 	head := http1.AppendField([]byte("GET "+p.Path+" HTTP/1.1\r\n"), "Host", i.address.String())
 	head = http1.AppendField(head, "Dapplefront-Router", i.charter.Name)
-	i.pool.Send(host, head, nil, false, eventloop.FromDuration(p.Within), func(r upstream.Result) {
-		if r.Answer != nil {
-			r.Answer.Drop()
+	i.pool.Send(host, head, nil, false, eventloop.FromDuration(p.Timeout), func(r upstream.Result) {
+		if r.Response != nil {
+			r.Response.Drop()
 		}
-		i.hear(router.HealthChecked{Host: host, Fate: r.Outcome, Took: r.Took, Load: r.Load})
+		i.hear(router.HealthChecked{Host: host, Outcome: r.Outcome, Latency: r.Latency, Load: r.Load})
 	})
 }
 
 func (i *Proxy) refuse(h *inFlight, a router.Action) {
 	h.owed = false
-	if a.Do == router.Reject {
-		i.counts.TurnedBack++
+	if a.Kind == router.Reject {
+		i.counts.Rejected++
 		i.becomes("turned back", h)
 	} else {
-		i.counts.Scrapped++
+		i.counts.Failed++
 		i.becomes("scrapped", h)
 	}
 	if i.bend == nil || !i.bend.Silent(h.id) {
-		if a.Do == router.Reject {
-			h.call.Reject(a.Span, "turned back; trying again is harmless")
+		if a.Kind == router.Reject {
+			h.call.Reject(a.Duration, "turned back; trying again is harmless")
 		} else {
 			h.call.Fail(h.late)
 		}
@@ -635,20 +635,20 @@
 	}
 	head := append(make([]byte, 0, len(h.base)+96), h.base...)
 	signs := i.signs
-	if signs.Send != "" {
-		head = append(append(head, signs.Send...), ": "...)
-		head = append(strconv.AppendInt(head, int64(a.Send), 10), "\r\n"...)
+	if signs.Attempt != "" {
+		head = append(append(head, signs.Attempt...), ": "...)
+		head = append(strconv.AppendInt(head, int64(a.Attempt), 10), "\r\n"...)
 	}
 	h.out++
-	i.counts.Sends++
-	if a.Copied {
-		i.counts.Copies++
+	i.counts.Attempts++
+	if a.IsShadow {
+		i.counts.ShadowAttempts++
 	}
-	n, host := a.Send, a.Host
-	if !a.Copied {
+	n, host := a.Attempt, a.Host
+	if !a.IsShadow {
 		h.host = host
 	}
-	h.sends = append(h.sends, i.pool.Send(host, head, m.Body, m.Method == "HEAD", a.Span,
+	h.sends = append(h.sends, i.pool.Send(host, head, m.Body, m.Method == "HEAD", a.Duration,
 		func(r upstream.Result) { i.ended(h, n, host, r) }))
 }
 
@@ -663,16 +663,16 @@
 		b = http1.AppendField(b, "Host", i.address.String())
 	}
 	b = m.AppendFields(b, i.ours)
-	if i.signs.Traced {
+	if i.signs.ForwardedHeaders {
 		b = http1.AppendField(b, "Via", "1.1 "+i.charter.Name)
 	}
 	if i.signs.Router != "" {
 		b = http1.AppendField(b, i.signs.Router, i.charter.Name)
 	}
-	if i.signs.Category != "" {
-		b = http1.AppendField(b, i.signs.Category, c.Category)
+	if i.signs.Class != "" {
+		b = http1.AppendField(b, i.signs.Class, c.Class)
 	}
-	if i.signs.Traced && c.From.IsValid() {
+	if i.signs.ForwardedHeaders && c.From.IsValid() {
 		b = http1.AppendField(b, "X-Forwarded-For", c.From.String())
 	}
 	if len(m.Body) > 0 || m.Method == "POST" || m.Method == "PUT" || m.Method == "PATCH" {
@@ -685,7 +685,7 @@
 
 // ours tells the fields that a router sets on its way to a host, whatever the client wrote.
 func (i *Proxy) ours(name string) bool {
-	for _, n := range [...]string{i.signs.Within, i.signs.Send, i.signs.Router, i.signs.Category} {
+	for _, n := range [...]string{i.signs.Timeout, i.signs.Attempt, i.signs.Router, i.signs.Class} {
 		if len(name) == len(n) && strings.EqualFold(name, n) {
 			return true
 		}
--- a/internal/proxy/rig_test.go
+++ b/internal/proxy/rig_test.go
@@ -142,8 +142,8 @@
 	require.NoError(t, err)
 	t.Cleanup(r.register.Stop)
 	r.desk, err = controller.StartStandalone(controller.NodeConfig{Name: "c", Dir: t.TempDir(), Listen: "127.0.0.1:0", Quick: true, Build: 1,
-		Figures: control.Config{Rules: release.Rules{Control: policy.Quorum, Stages: []release.Stage{{Share: 1, Cap: 1}}, ToMoveOn: 1,
-			ToAbort: 1, VoteLife: 5 * policy.Second}}}, controller.ServerConfig{Listen: "127.0.0.1:0"}, slog.New(slog.DiscardHandler))
+		Control: control.Config{Rules: release.Rules{Mode: policy.Quorum, Stages: []release.Stage{{HostShare: 1, ExposureCap: 1}}, PromoteQuorum: 1,
+			RollbackQuorum: 1, VoteTTL: 5 * policy.Second}}}, controller.ServerConfig{Listen: "127.0.0.1:0"}, slog.New(slog.DiscardHandler))
 	require.NoError(t, err)
 	t.Cleanup(func() { _ = r.desk.Stop() })
 	for _, h := range hosts {
@@ -187,7 +187,7 @@
 func (r *rig) idle() {
 	r.Helper()
 	r.eventually(func() bool {
-		tasks, _, _, bytes := r.router.Held()
+		tasks, _, _, bytes := r.router.InFlight()
 		left := 0
 		r.router.loop.Do(func() { left = len(r.router.tasks) + r.router.mind.InFlight() })
 		return tasks == 0 && bytes == 0 && left == 0
--- a/internal/proxy/settle_test.go
+++ b/internal/proxy/settle_test.go
@@ -20,7 +20,7 @@
 
 // other is the rig's charter with changes to its text.
 func (r *rig) other(extra string, change ...string) *routerconfig.Config {
-	text := fmt.Sprintf(rules, r.charter.LastList, r.register.Address(), r.desk.URL(), extra)
+	text := fmt.Sprintf(rules, r.charter.EndpointCache, r.register.Address(), r.desk.URL(), extra)
 	text = strings.NewReplacer(change...).Replace(text)
 	s := inifile.Parse("other", text)
 	c := routerconfig.From(s)
@@ -66,9 +66,9 @@
 		}()
 	}
 	for range 10 {
-		require.NoError(t, r.router.Settle(there))
+		require.NoError(t, r.router.UpdateConfig(there))
 		time.Sleep(5 * time.Millisecond)
-		require.NoError(t, r.router.Settle(first))
+		require.NoError(t, r.router.UpdateConfig(first))
 		time.Sleep(5 * time.Millisecond)
 	}
 	for range clients * each {
@@ -77,19 +77,19 @@
 	r.idle()
 	require.EqualValues(t, moved.Load(), ran.Load(), "each binding task that finished ran once, others never")
 	require.Positive(t, moved.Load())
-	require.NoError(t, r.router.Settle(there))
+	require.NoError(t, r.router.UpdateConfig(there))
 	r.router.loop.Do(func() {
 		require.NotNil(t, r.router.peers)
-		require.False(t, r.router.charter.Place.Limits.AllowHedging)
+		require.False(t, r.router.charter.Router.Limits.AllowHedging)
 	})
-	require.NoError(t, r.router.Settle(first))
+	require.NoError(t, r.router.UpdateConfig(first))
 	r.router.loop.Do(func() { require.Nil(t, r.router.peers) })
 }
 
 func TestWhatARunningRouterCantChangeIsNamedAndChangesNothing(t *testing.T) {
 	r := newRig(t, "", host(t, 1, 1, right))
 	first := r.charter
-	err := r.router.Settle(r.other("two-at-once = off", "location = here", "location = there",
+	err := r.router.UpdateConfig(r.other("two-at-once = off", "location = here", "location = there",
 		"repeat = binding", "repeat = retriable", "connect = 250ms", "connect = 300ms"))
 	for _, what := range []string{"location", "category transfer", "[hosts]"} {
 		require.ErrorContains(t, err, what)
@@ -97,7 +97,7 @@
 	taken, err := net.ListenPacket("udp", "127.0.0.1:0") // an address that another has
 	require.NoError(t, err)
 	defer taken.Close()
-	err = r.router.Settle(r.other("[peers]\naddresses = " + taken.LocalAddr().String()))
+	err = r.router.UpdateConfig(r.other("[peers]\naddresses = " + taken.LocalAddr().String()))
 	require.ErrorContains(t, err, "peers")
 	require.Same(t, first, r.router.charter)
 	r.router.loop.Do(func() { require.Nil(t, r.router.peers) })
@@ -125,10 +125,10 @@
 	peer, err := net.ListenPacket("udp", "127.0.0.1:0")
 	require.NoError(t, err)
 	defer peer.Close()
-	require.NoError(t, r.router.Settle(r.other("[probes]\npath = /probe\n[peers]\naddresses = "+own+", "+peer.LocalAddr().String(),
+	require.NoError(t, r.router.UpdateConfig(r.other("[probes]\npath = /probe\n[peers]\naddresses = "+own+", "+peer.LocalAddr().String(),
 		"name = r\n", "name = r\nrouters = 2\n")))
 	r.router.loop.Do(func() {
-		r.router.act([]router.Action{{Do: router.CheckHealth, Host: 1}, {Do: router.Gossip, Peer: policy.Broadcast, Body: "word"}})
+		r.router.act([]router.Action{{Kind: router.CheckHealth, Host: 1}, {Kind: router.SendGossip, Peer: policy.Broadcast, Body: "word"}})
 	})
 	require.Equal(t, "/probe", <-probed)
 	b := make([]byte, 300)
--- a/internal/scenario/agents.go
+++ b/internal/scenario/agents.go
@@ -233,7 +233,7 @@
 		c.mu.Unlock()
 		c.log.Info("a build is refused", "agent", name, "build", n, "cause", r.Cause)
 		if n > 1 {
-			c.stage.desk.Hear(release.Withdraw{Build: n})
+			c.stage.desk.Hear(release.RollBack{Build: n})
 		}
 	}
 }
@@ -325,7 +325,7 @@
 	wait.Wait()
 	if !failed.Load() {
 		time.Sleep(c.stage.figures.listLate)
-		c.stage.desk.Hear(release.Ready{Build: number})
+		c.stage.desk.Hear(release.HostsReady{Build: number})
 	}
 }
 
@@ -362,7 +362,7 @@
 		}()
 	}
 	wait.Wait()
-	c.stage.desk.Hear(release.Gone{Build: number})
+	c.stage.desk.Hear(release.HostsRemoved{Build: number})
 }
 
 // die kills the processes of some hosts; their agents start them again, cold.
--- a/internal/scenario/breach.go
+++ b/internal/scenario/breach.go
@@ -40,11 +40,11 @@
 
 // Actions sends where nothing may go.
 func (w *wrong) Actions(now policy.Time, e router.Event, actions []router.Action, hosts map[uint32]eds.Host) []router.Action {
-	if t, ok := e.(router.ReleaseChanged); ok && t.News.Build > 0 && (t.News.VoteResult == policy.Unsolicited || t.News.VoteResult == policy.VoteAccepted) {
-		w.news = t.News
+	if t, ok := e.(router.ReleaseChanged); ok && t.Status.Build > 0 && (t.Status.VoteResult == policy.Unsolicited || t.Status.VoteResult == policy.VoteAccepted) {
+		w.news = t.Status
 	}
 	for id, h := range hosts {
-		if h.Standing == policy.Draining && w.told[id] == 0 {
+		if h.State == policy.Draining && w.told[id] == 0 {
 			w.told[id] = now
 		}
 	}
@@ -54,13 +54,13 @@
 		return actions
 	}
 	for i, a := range actions {
-		if a.Do != router.Send || !ok {
+		if a.Kind != router.SendAttempt || !ok {
 			continue
 		}
 		if w.how == "effect" {
-			if t.Category == "transfer" && w.seen.Add(1)%5 == 0 && to != a.Host {
+			if t.Class == "transfer" && w.seen.Add(1)%5 == 0 && to != a.Host {
 				again := a
-				again.Send, again.Host = a.Send+100, to
+				again.Attempt, again.Host = a.Attempt+100, to
 				return append(actions, again)
 			}
 			continue
@@ -76,13 +76,13 @@
 		fits := false
 		switch w.how {
 		case "effect":
-			fits = h.Standing == policy.Serving
+			fits = h.State == policy.Serving
 		case "drain":
-			fits = h.Standing == policy.Draining && now-w.told[id] > w.grace
+			fits = h.State == policy.Draining && now-w.told[id] > w.grace
 		case "cold":
-			fits = h.Standing == policy.Serving && h.Up > 0 && now-h.Up < w.cold
+			fits = h.State == policy.Serving && h.StartedAt > 0 && now-h.StartedAt < w.cold
 		case "exposure":
-			fits = h.Standing == policy.Serving && h.Build == w.news.Build && w.news.Phase == policy.Canary
+			fits = h.State == policy.Serving && h.Build == w.news.Build && w.news.Phase == policy.Canary
 		}
 		if fits && (!ok || id > to) {
 			to, ok = id, true
