--- a/internal/scenario/controllers.go
+++ b/internal/scenario/controllers.go
@@ -55,7 +55,7 @@
 	late   time.Duration
 	still  bool
 	counts map[[2]string]*tally
-	heeds  map[uint64]map[string]api.Heed
+	heeds  map[uint64]map[string]api.PlanAck
 	kills  [2]int // instances ended while the day was played, and of them those that led
 }
 
@@ -77,7 +77,7 @@
 // startControllers starts so many at which build 1 has been released.
 func startControllers(n int, rules release.Rules, f figures, dir string, secure *trust, book *audit.Book, log *slog.Logger) (*controllers, error) {
 	ctx, stop := context.WithCancel(context.Background())
-	c := &controllers{log: log, book: book, figures: f, dir: dir, stop: stop, counts: map[[2]string]*tally{}, heeds: map[uint64]map[string]api.Heed{}}
+	c := &controllers{log: log, book: book, figures: f, dir: dir, stop: stop, counts: map[[2]string]*tally{}, heeds: map[uint64]map[string]api.PlanAck{}}
 	var urls []string
 	var h *http.Client
 	if secure != nil {
@@ -90,7 +90,7 @@
 	}
 	for i := range n {
 		o := &office{seat: controller.NodeConfig{Name: fmt.Sprintf("c%d", i+1), Dir: filepath.Join(dir, fmt.Sprintf("c%d", i+1)), Listen: "127.0.0.1:0",
-			First: i == 0, Quick: true, Build: 1, Figures: control.Config{Rules: rules, Absent: 10 * policy.Second}},
+			Bootstrap: i == 0, Quick: true, Build: 1, Control: control.Config{Rules: rules, RouterTimeout: 10 * policy.Second}},
 			front: controller.ServerConfig{Listen: "127.0.0.1:0", VotesASecond: 30, Fault: c.fault, Told: c.told}}
 		if secure != nil {
 			ring, err := secure.ring(o.seat.Name)
@@ -208,7 +208,7 @@
 }
 
 func (c *controllers) told(router string, n api.Release) {
-	c.book.Told(router, audit.News{Build: n.Build, Stage: n.Stage, Released: n.Phase == api.Phases[policy.Released], Cap: n.Cap})
+	c.book.Told(router, audit.News{Build: n.Build, Stage: n.Stage, Released: n.Phase == api.Phases[policy.Released], Cap: n.ExposureCap})
 }
 
 // hear is the fleet's watch: orders are carried out, and moves are noted.
@@ -233,12 +233,12 @@
 			return err
 		}
 		go fleet.Retire(r.Build)
-	case api.EventNews:
+	case api.EventRelease:
 		var r api.Release
 		if err := json.Unmarshal(data, &r); err != nil {
 			return err
 		}
-		n, err := r.News()
+		n, err := r.Status()
 		if err != nil {
 			return err
 		}
@@ -275,7 +275,7 @@
 				return
 			}
 			for _, t := range counts {
-				a := api.Counts{Build: t.build, Category: t.category, Bad: t.bad, Samples: t.samples, AgeMs: late.Milliseconds()}
+				a := api.Counts{Build: t.build, Class: t.category, Failures: t.bad, Samples: t.samples, AgeMs: late.Milliseconds()}
 				if t.good > 0 {
 					a.MeanMs = float64(t.took.Microseconds()) / 1000 / float64(t.good)
 				}
@@ -320,13 +320,13 @@
 	c.ask(func(ctx context.Context) error {
 		switch in := in.(type) {
 		case release.Offer:
-			_, err := c.client.Create(ctx, api.Creation{Build: in.Build}, fmt.Sprint("day-", in.Build))
+			_, err := c.client.Create(ctx, api.CreateRelease{Build: in.Build}, fmt.Sprint("day-", in.Build))
 			return err
-		case release.Ready:
+		case release.HostsReady:
 			return c.client.Carried(ctx, in.Build, "ready")
-		case release.Gone:
+		case release.HostsRemoved:
 			return c.client.Carried(ctx, in.Build, "gone")
-		case release.Withdraw:
+		case release.RollBack:
 			_, err := c.client.Withdraw(ctx, in.Build)
 			return err
 		}
@@ -354,12 +354,12 @@
 }
 
 func (c *controllers) News() (n release.Status) {
-	c.state(func(s *control.State) { n = s.News() })
+	c.state(func(s *control.State) { n = s.Status() })
 	return n
 }
 
 func (c *controllers) Earlier() (n int) {
-	c.state(func(s *control.State) { n = s.Earlier() })
+	c.state(func(s *control.State) { n = s.PreviousBuild() })
 	return n
 }
 
@@ -395,9 +395,9 @@
 		if s.Plan == nil {
 			return
 		}
-		by := map[string]api.Heed{}
-		for r, h := range s.Heeds {
-			by[r] = api.Heed{Followed: h.Reason == "", Reason: h.Reason}
+		by := map[string]api.PlanAck{}
+		for r, h := range s.PlanAcks {
+			by[r] = api.PlanAck{Followed: h.Reason == "", Reason: h.Reason}
 		}
 		c.mu.Lock()
 		c.heeds[s.Plan.Version] = by
@@ -405,7 +405,7 @@
 	})
 }
 
-func (c *controllers) Heeds() map[uint64]map[string]api.Heed {
+func (c *controllers) Heeds() map[uint64]map[string]api.PlanAck {
 	c.note()
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/scenario/day.go
+++ b/internal/scenario/day.go
@@ -213,10 +213,10 @@
 	}
 	var stages []release.Stage
 	for i, c := range f.caps {
-		stages = append(stages, release.Stage{Share: f.shares[i], Cap: c})
+		stages = append(stages, release.Stage{HostShare: f.shares[i], ExposureCap: c})
 	}
-	rules := release.Rules{Control: policy.Quorum, Stages: stages, LeastTime: policy.Second, VoteLife: 8 * policy.Second,
-		ToMoveOn: max(1, p.Routers/2), ToAbort: 1}
+	rules := release.Rules{Mode: policy.Quorum, Stages: stages, MinStageTime: policy.Second, VoteTTL: 8 * policy.Second,
+		PromoteQuorum: max(1, p.Routers/2), RollbackQuorum: 1}
 	if p.Secure {
 		if s.trust, err = newTrust(s.dir); err != nil {
 			return err
--- a/internal/scenario/fleet.go
+++ b/internal/scenario/fleet.go
@@ -173,13 +173,13 @@
 		}()
 	}
 	start.Wait()
-	f.desk.Hear(release.Ready{Build: build})
+	f.desk.Hear(release.HostsReady{Build: build})
 }
 
 // Retire drains a build's hosts and ends them (Fleet).
 func (f *fleet) Retire(build int) {
 	f.drain(f.of(build))
-	f.desk.Hear(release.Gone{Build: build})
+	f.desk.Hear(release.HostsRemoved{Build: build})
 }
 
 func (f *fleet) drain(hosts []*member) {
--- a/internal/scenario/plan.go
+++ b/internal/scenario/plan.go
@@ -160,15 +160,15 @@
 
 // From reads a plan; mistakes are kept by the sheet.
 func From(s *inifile.File) Plan {
-	d := s.Part("day")
-	p := Plan{Name: d.Text("name", "day"), Seed: d.Seed("seed", "1"), Length: d.Span("length", "!"),
-		Locations: d.Whole("locations", "3", 1, 50), Routers: d.Whole("routers", "4", 1, 50),
-		Hosts: d.Whole("hosts", "24", 1, 400), Agents: d.Switch("agents", "off"), Shares: d.OneOf("shares", "none", Shares...), Controllers: d.Whole("controllers", "1", 1, 5), Secure: d.Switch("tls", "off"), Rate: d.Number("rate", "150", 0.1, 100_000)}
+	d := s.Section("day")
+	p := Plan{Name: d.Text("name", "day"), Seed: d.Seed("seed", "1"), Length: d.Duration("length", "!"),
+		Locations: d.Int("locations", "3", 1, 50), Routers: d.Int("routers", "4", 1, 50),
+		Hosts: d.Int("hosts", "24", 1, 400), Agents: d.Bool("agents", "off"), Shares: d.OneOf("shares", "none", Shares...), Controllers: d.Int("controllers", "1", 1, 5), Secure: d.Bool("tls", "off"), Rate: d.Float("rate", "150", 0.1, 100_000)}
 	if p.Hosts < p.Locations || p.Routers < p.Locations {
-		d.Wrong("hosts", "each location needs a host and a router: at least %d of each expected", p.Locations)
+		d.AddError("hosts", "each location needs a host and a router: at least %d of each expected", p.Locations)
 	}
 	if p.Length > time.Hour || p.Length < time.Second {
-		d.Wrong("length", "length: from 1s to 1h expected")
+		d.AddError("length", "length: from 1s to 1h expected")
 	}
 	var builds, troubles []string
 	for _, k := range kinds {
@@ -178,18 +178,18 @@
 			troubles = append(troubles, k.name)
 		}
 	}
-	parts, _ := s.Parts("build")
+	parts, _ := s.Sections("build")
 	for _, b := range parts {
-		p.Offers = append(p.Offers, Offer{At: b.Span("at", "!"), Kind: b.OneOf("kind", "good", builds...)})
+		p.Offers = append(p.Offers, Offer{At: b.Duration("at", "!"), Kind: b.OneOf("kind", "good", builds...)})
 	}
 	slices.SortStableFunc(p.Offers, func(a, b Offer) int { return int(a.At - b.At) })
-	parts, _ = s.Parts("trouble")
+	parts, _ = s.Sections("trouble")
 	for _, t := range parts {
-		p.Troubles = append(p.Troubles, Trouble{Kind: t.OneOf("kind", "!", troubles...), At: t.Span("at", "!"),
-			For: t.Span("for", "!"), Share: t.Share("share", "25%"), Size: t.Number("size", "2", 0, 1000)})
+		p.Troubles = append(p.Troubles, Trouble{Kind: t.OneOf("kind", "!", troubles...), At: t.Duration("at", "!"),
+			For: t.Duration("for", "!"), Share: t.Share("share", "25%"), Size: t.Float("size", "2", 0, 1000)})
 	}
 	if err := p.possible(); err != nil {
-		d.Wrong("agents", "%v", err)
+		d.AddError("agents", "%v", err)
 	}
 	return p
 }
--- a/internal/scenario/shares.go
+++ b/internal/scenario/shares.go
@@ -18,7 +18,7 @@
 	Reason                   string // of the last version that was turned down
 }
 
-func (p *PlanTimes) heard(all map[uint64]map[string]api.Heed) {
+func (p *PlanTimes) heard(all map[uint64]map[string]api.PlanAck) {
 	for _, by := range all {
 		for _, h := range by {
 			if h.Followed {
@@ -93,10 +93,10 @@
 func (s *stage) model(began time.Time) *plan.Model {
 	f := s.figures
 	now := time.Since(began)
-	m := &plan.Model{Forecast: []plan.Forecast{{At: now}}, Bounds: plan.Bounds{Cross: 1, CrossPrice: .02, Reserve: .05,
+	m := &plan.Model{Forecast: []plan.Forecast{{At: now}}, Limits: plan.Limits{Cross: 1, CrossPrice: .02, Reserve: .05,
 		Cold: plan.Cold{Lasts: f.cold, Share: f.coldShare}}}
 	for _, w := range wishes {
-		m.Categories = append(m.Categories, plan.Category{Name: w.Name, Work: w.Work.Seconds(), Repeat: w.Repeat, Earnings: 1})
+		m.Classes = append(m.Classes, plan.Class{Name: w.Name, Work: w.Work.Seconds(), Idempotency: w.Repeat, PriorityWeight: 1})
 	}
 	rates := map[string]float64{}
 	for i := range s.routers {
@@ -104,7 +104,7 @@
 	}
 	for _, place := range f.locations {
 		for _, w := range wishes {
-			m.Forecast[0].Demand = append(m.Forecast[0].Demand, plan.Demand{Location: place, Category: w.Name, Rate: rates[place] * w.Share})
+			m.Forecast[0].Demand = append(m.Forecast[0].Demand, plan.Demand{Zone: place, Class: w.Name, Rate: rates[place] * w.Share})
 		}
 	}
 	news := s.desk.News()
@@ -113,8 +113,8 @@
 		trial = news.Build
 	}
 	for _, h := range s.fleet.of(0) {
-		x := plan.Host{Name: strconv.FormatUint(uint64(h.ID), 10), Location: h.Location, Build: h.Build.Number,
-			Size: float64(h.Cores) * h.Speed, Starts: now - time.Hour}
+		x := plan.Host{Name: strconv.FormatUint(uint64(h.ID), 10), Zone: h.Location, Build: h.Build.Number,
+			Weight: float64(h.Cores) * h.Speed, Starts: now - time.Hour}
 		if !h.Up.IsZero() {
 			x.Starts = min(now, h.Up.Sub(began))
 		}
@@ -128,7 +128,7 @@
 	for _, w := range wishes {
 		mean += w.Share * w.Work.Seconds()
 	}
-	m.Bounds.Cold.Window = f.tipFor
-	m.Bounds.Cold.Tasks = math.Floor(.5 * f.tip * f.tipFor.Seconds() / mean)
+	m.Limits.Cold.Window = f.tipFor
+	m.Limits.Cold.Tasks = math.Floor(.5 * f.tip * f.tipFor.Seconds() / mean)
 	return m
 }
--- a/internal/scenario/switch.go
+++ b/internal/scenario/switch.go
@@ -48,7 +48,7 @@
 		i := x.instance
 		x.mu.Unlock()
 		if err == nil && i != nil {
-			err = i.Settle(c)
+			err = i.UpdateConfig(c)
 		}
 		if err != nil {
 			s.log.Error("a router keeps its settings", "router", x.name, "error", err)
--- a/internal/scenario/trust.go
+++ b/internal/scenario/trust.go
@@ -15,8 +15,8 @@
 type trust struct{ authority *testbed.Authority }
 
 // grants are who may do what in a day: by the names that certificates are made out to.
-var grants = []controller.Grant{{Names: []string{"c?", "day"}, Roles: controller.Roles}, {Names: []string{"r*"}, Roles: []controller.Role{"read", "vote"}},
-	{Names: []string{"h*"}, Roles: []controller.Role{"read", "serve"}}, {Names: []string{"clients"}, Roles: []controller.Role{"read"}}}
+var grants = []controller.Grant{{CommonNames: []string{"c?", "day"}, Roles: controller.Roles}, {CommonNames: []string{"r*"}, Roles: []controller.Role{"read", "vote"}},
+	{CommonNames: []string{"h*"}, Roles: []controller.Role{"read", "serve"}}, {CommonNames: []string{"clients"}, Roles: []controller.Role{"read"}}}
 
 func newTrust(dir string) (*trust, error) {
 	at := filepath.Join(dir, "keys")
--- a/internal/simadapter/drill.go
+++ b/internal/simadapter/drill.go
@@ -31,11 +31,11 @@
 		for _, e := range b.Events {
 			s := seats[e.Instance]
 			if launch, ok := e.Body.(simwire.Launch); ok {
-				seats[e.Instance] = take(e.Instance, w, platformsettings.Span(b.Now), launch)
+				seats[e.Instance] = take(e.Instance, w, platformsettings.FromMicroseconds(b.Now), launch)
 			} else if _, ok := e.Body.(simwire.Kill); ok {
 				delete(seats, e.Instance)
 			} else if s != nil {
-				if err := s.hear(platformsettings.Span(b.Now), e.Body); err != nil {
+				if err := s.hear(platformsettings.FromMicroseconds(b.Now), e.Body); err != nil {
 					return fmt.Errorf("batch %d: %w", b.Number, err)
 				}
 			}
@@ -52,15 +52,15 @@
 	out      *simwire.Writer
 	router   *router.Router
 	actions  []router.Action
-	report   platformsettings.Report
+	report   platformsettings.ReportFields
 	counted  policy.Time // the span of the desk's counts
 }
 
 func take(instance int, out *simwire.Writer, now policy.Time, l simwire.Launch) *seat {
 	s := &seat{instance: instance, out: out}
 	t := platformsettings.Read(l.Params, l.Prng)
-	s.report, s.counted = t.Report, t.Counted
-	s.router, s.actions = router.New(now, t.Place)
+	s.report, s.counted = t.Report, t.StatsWindow
+	s.router, s.actions = router.New(now, t.Router)
 	s.act()
 	return s
 }
@@ -86,37 +86,37 @@
 		}
 		return router.EndpointsChanged{Complete: e.How != "D", Hosts: hosts(e.Entries)}
 	case simwire.Incoming:
-		t := router.RequestArrived{Task: e.Ticket, Category: e.Qos, Customer: e.Owner, Key: e.Resource,
-			Patience: platformsettings.Span(e.PatienceLeftUs), Again: e.Marks&2 != 0}
+		t := router.RequestArrived{RequestID: e.Ticket, Class: e.Qos, Tenant: e.Owner, Key: e.Resource,
+			Timeout: platformsettings.FromMicroseconds(e.PatienceLeftUs), ClientRetry: e.Marks&2 != 0}
 		if e.Marks&1 != 0 {
-			t.Hint = platformsettings.Span(e.WorkHintUs)
+			t.ExpectedWork = platformsettings.FromMicroseconds(e.WorkHintUs)
 		}
 		return t
 	case simwire.Ended:
-		return router.AttemptEnded{Task: e.Ticket, Send: e.N, Fate: fates[e.Code], Took: platformsettings.Span(e.RttUs), Done: e.Done,
+		return router.AttemptEnded{RequestID: e.Ticket, Attempt: e.N, Outcome: fates[e.Code], Latency: platformsettings.FromMicroseconds(e.RttUs), Done: e.Done,
 			Load: s.report.Load(e.Metrics)}
 	case simwire.TimedOutClient:
-		return router.ClientGone{Task: e.Ticket}
+		return router.ClientGone{RequestID: e.Ticket}
 	case simwire.AckFirst:
-		return router.ResponseStarted{Task: e.Ticket, Send: e.N}
+		return router.ResponseStarted{RequestID: e.Ticket, Attempt: e.N}
 	case simwire.Due:
-		return router.TimerFired{Alarm: e.Mark}
+		return router.TimerFired{Timer: e.Mark}
 	case simwire.PhaseTold:
 		n := policy.ReleaseStatus{Build: e.Image, Stage: e.Tranche, Phase: policy.Phase(e.Standing), ExposureCap: e.Allowed,
-			Age: platformsettings.Span(e.AgeUs)}
+			Age: platformsettings.FromMicroseconds(e.AgeUs)}
 		if e.Asked {
 			n.VoteResult = answers[e.Code]
 		}
-		return router.ReleaseChanged{News: n}
+		return router.ReleaseChanged{Status: n}
 	case simwire.CountsByBuild:
-		return router.StatsReported{Build: e.Image, Category: e.Qos, Bad: e.Bad, Samples: e.Samples, Mean: platformsettings.Span(e.RttUs),
-			Age: platformsettings.Span(e.AgeUs), Over: s.counted}
+		return router.StatsReported{Build: e.Image, Class: e.Qos, Failures: e.Bad, Samples: e.Samples, MeanLatency: platformsettings.FromMicroseconds(e.RttUs),
+			Age: platformsettings.FromMicroseconds(e.AgeUs), Window: s.counted}
 	case simwire.FromPeer:
 		return router.GossipReceived{Peer: e.Author, Body: string(e.Body)}
 	case simwire.HealthResult:
-		return router.HealthChecked{Host: e.Host, Fate: fates[e.Code], Took: platformsettings.Span(e.RttUs), Load: s.report.Load(e.Metrics)}
+		return router.HealthChecked{Host: e.Host, Outcome: fates[e.Code], Latency: platformsettings.FromMicroseconds(e.RttUs), Load: s.report.Load(e.Metrics)}
 	case simwire.BadAnswer:
-		return router.ComplaintReceived{Host: e.Host, Category: e.Qos, Age: platformsettings.Span(e.AgeUs)}
+		return router.ComplaintReceived{Host: e.Host, Class: e.Qos, Age: platformsettings.FromMicroseconds(e.AgeUs)}
 	}
 	return nil
 }
@@ -134,8 +134,8 @@
 func hosts(entries []simwire.Entry) []router.Host {
 	out := make([]router.Host, 0, len(entries))
 	for _, e := range entries {
-		out = append(out, router.Host{ID: e.Host, Location: e.Site, Cell: int(e.Cell), Standing: standings[e.Mode],
-			Build: e.Release, Size: e.PowerHint, Up: platformsettings.Span(e.UpSinceUs)})
+		out = append(out, router.Host{ID: e.Host, Zone: e.Site, Cell: int(e.Cell), State: standings[e.Mode],
+			Build: e.Release, Weight: e.PowerHint, StartedAt: platformsettings.FromMicroseconds(e.UpSinceUs)})
 	}
 	return out
 }
@@ -143,20 +143,20 @@
 // act prints what the router wants done.
 func (s *seat) act() {
 	for _, a := range s.actions {
-		switch a.Do {
-		case router.Send:
-			s.out.Act(s.instance, "TRY", a.Task, a.Host, int64(a.Span)*tenth)
+		switch a.Kind {
+		case router.SendAttempt:
+			s.out.Act(s.instance, "TRY", a.RequestID, a.Host, int64(a.Duration)*tenth)
 		case router.Reject:
-			s.out.Act(s.instance, "DECLINE", a.Task, int64(a.Span)*tenth)
+			s.out.Act(s.instance, "DECLINE", a.RequestID, int64(a.Duration)*tenth)
 		case router.Fail:
-			s.out.Act(s.instance, "FINISH_ERROR", a.Task)
+			s.out.Act(s.instance, "FINISH_ERROR", a.RequestID)
 		case router.SetTimer:
-			s.out.Act(s.instance, "SET_ALARM", int64(a.Span)*tenth, a.Alarm)
+			s.out.Act(s.instance, "SET_ALARM", int64(a.Duration)*tenth, a.Timer)
 		case router.WatchEndpoints:
 			s.out.Act(s.instance, "STREAM_CHANGES", 1)
-		case router.Vote:
-			s.out.Act(s.instance, "JUDGE", a.Build, a.Stage, int(a.Voice))
-		case router.Gossip:
+		case router.CastVote:
+			s.out.Act(s.instance, "JUDGE", a.Build, a.Stage, int(a.Choice))
+		case router.SendGossip:
 			s.out.Act(s.instance, "PUBLISH", a.Peer, base64.StdEncoding.EncodeToString([]byte(a.Body)))
 		case router.CheckHealth:
 			s.out.Act(s.instance, "PING", a.Host)
--- a/internal/testbed/clients.go
+++ b/internal/testbed/clients.go
@@ -351,7 +351,7 @@
 	}
 	after := 500*time.Millisecond + time.Duration(r.Float64()*float64(2*time.Second))
 	time.AfterFunc(after, func() {
-		body, _ := json.Marshal(api.Complaint{Router: router, Host: uint32(id), Category: category,
+		body, _ := json.Marshal(api.Complaint{Router: router, Host: uint32(id), Class: category,
 			AgeMs: (took + after).Milliseconds()})
 		if got, err := c.http.Post(c.desk+"/v1/complaints", "application/json", bytes.NewReader(body)); err == nil {
 			_ = got.Body.Close()
--- a/internal/testbed/stand_test.go
+++ b/internal/testbed/stand_test.go
@@ -34,7 +34,7 @@
 				clear(f.hosts)
 			}
 			for _, h := range hosts {
-				f.hosts[h.ID] = h.Standing
+				f.hosts[h.ID] = h.State
 			}
 		},
 		Rejected: func(error) { f.mu.Lock(); f.rejected++; f.mu.Unlock() },
--- a/internal/upstream/back.go
+++ b/internal/upstream/back.go
@@ -31,17 +31,17 @@
 	"dapplefront/policy"
 )
 
-// Unseen is the field by which a host says that it has not looked at the task it turns back.
-const Unseen = "Dapplefront-Unseen"
+// NotStartedHeader is the field by which a host says that it has not looked at the task it turns back.
+const NotStartedHeader = "Dapplefront-Unseen"
 
 // Config is what a pool is told of links.
 type Config struct {
-	Connect  time.Duration // how long a connection may take
-	Idle     time.Duration // how long one is kept without a task
-	Links    int           // to one host, at the most
-	All      int           // to all hosts, at the most; 0 for no bound
-	Bounds   http1.Bounds  // of an answer
-	Protocol *Protocol     // how hosts are spoken to; nil for this project's own way
+	ConnectTimeout        time.Duration // how long a connection may take
+	IdleTimeout           time.Duration // how long one is kept without a task
+	MaxConnectionsPerHost int           // to one host, at the most
+	MaxConnections        int           // to all hosts, at the most; 0 for no bound
+	Limits                http1.Limits  // of an answer
+	Protocol              *Protocol     // how hosts are spoken to; nil for this project's own way
 }
 
 // ProtocolOrDefault is how hosts are spoken to.
@@ -54,19 +54,19 @@
 
 // Protocol are what differs by protocol in how hosts are spoken to and what their answers mean.
 type Protocol struct {
-	Within, Unit, Send, Router, Category string // fields of a send, and the unit of Within; empty for none
+	Timeout, TimeoutUnit, Attempt, Router, Class string // fields of a send, and the unit of Within; empty for none
 
-	Traced bool   // Via and X-Forwarded-For tell whom a send comes from
-	Unseen string // the field that says with 1 that a host has not looked at the task it turns back
-	Turned []int  // the statuses that it may come with
-	Only   bool   // 200 alone is a success
-	Whole  bool   // a host begins once the last byte has arrived
-	Load   func(*http1.Message) (*policy.LoadReport, error)
+	ForwardedHeaders   bool   // Via and X-Forwarded-For tell whom a send comes from
+	NotStarted         string // the field that says with 1 that a host has not looked at the task it turns back
+	NotStartedStatuses []int  // the statuses that it may come with
+	OnlyStatusOK       bool   // 200 alone is a success
+	StartsWhenComplete bool   // a host begins once the last byte has arrived
+	Load               func(*http1.Message) (*policy.LoadReport, error)
 }
 
 // DefaultProtocol is this project's own way.
-var DefaultProtocol = &Protocol{Within: "Dapplefront-Within", Unit: "ms", Send: "Dapplefront-Send", Router: "Dapplefront-Router",
-	Category: "Dapplefront-Category", Traced: true, Unseen: Unseen, Turned: []int{503}, Load: orcaLoad}
+var DefaultProtocol = &Protocol{Timeout: "Dapplefront-Within", TimeoutUnit: "ms", Attempt: "Dapplefront-Send", Router: "Dapplefront-Router",
+	Class: "Dapplefront-Category", ForwardedHeaders: true, NotStarted: NotStartedHeader, NotStartedStatuses: []int{503}, Load: orcaLoad}
 
 func orcaLoad(m *http1.Message) (*policy.LoadReport, error) {
 	if text, ok := m.Lookup(orca.Header); ok {
@@ -89,13 +89,13 @@
 // fate is what an answer means.
 func (s *Protocol) fate(m *http1.Message) policy.Outcome {
 	unseen := ""
-	if slices.Contains(s.Turned, m.Status) {
-		unseen = m.Get(s.Unseen)
+	if slices.Contains(s.NotStartedStatuses, m.Status) {
+		unseen = m.Get(s.NotStarted)
 	}
 	switch {
 	case unseen == "1":
 		return policy.Rejected
-	case m.Status >= 500 || m.Status == 101 || s.Only && m.Status != 200:
+	case m.Status >= 500 || m.Status == 101 || s.OnlyStatusOK && m.Status != 200:
 		return policy.Failed
 	}
 	return policy.Succeeded
@@ -103,11 +103,11 @@
 
 // Result is how a send ended.
 type Result struct {
-	Outcome policy.Outcome
-	Took    policy.Time
-	Answer  *http1.Message // with Finished, Errored and TurnedBack, where the host gave one; Drop it after use
-	Load    *policy.LoadReport
-	Why     string // for the log, where something went wrong
+	Outcome  policy.Outcome
+	Latency  policy.Time
+	Response *http1.Message // with Finished, Errored and TurnedBack, where the host gave one; Drop it after use
+	Load     *policy.LoadReport
+	Reason   string // for the log, where something went wrong
 }
 
 // Pool keeps the connections to all hosts. Its methods are called from its loop's work only.
@@ -192,7 +192,7 @@
 	p.loop.After(policy.Second, func() {
 		now := p.loop.Now()
 		for _, h := range p.hosts {
-			h.dropIdle(func(l *upstreamConn) bool { return now-l.free > eventloop.FromDuration(p.reach.Idle) })
+			h.dropIdle(func(l *upstreamConn) bool { return now-l.free > eventloop.FromDuration(p.reach.IdleTimeout) })
 		}
 		if !p.closed {
 			p.sweepLater()
@@ -222,7 +222,7 @@
 	s := &Attempt{pool: p, head: head, body: body, bodyless: bodyless, at: now, until: now + within, done: done}
 	h := p.hosts[id]
 	if h == nil || p.closed || within <= 0 {
-		p.loop.Post(func() { s.end(Result{Outcome: policy.NotSent, Why: "no such host or no time left"}) })
+		p.loop.Post(func() { s.end(Result{Outcome: policy.NotSent, Reason: "no such host or no time left"}) })
 		return s
 	}
 	s.alarm = p.loop.After(within, s.timeUp)
@@ -240,12 +240,12 @@
 		p.loop.Post(s.write) // so that done never comes before the caller has the Send
 		return s
 	}
-	if h.links >= p.reach.Links {
-		p.loop.Post(func() { s.end(Result{Outcome: policy.ConnectFailed, Why: "as many links as are allowed"}) })
+	if h.links >= p.reach.MaxConnectionsPerHost {
+		p.loop.Post(func() { s.end(Result{Outcome: policy.ConnectFailed, Reason: "as many links as are allowed"}) })
 		return s
 	}
-	if p.reach.All > 0 && p.links >= p.reach.All && !p.spare() {
-		p.loop.Post(func() { s.end(Result{Outcome: policy.ConnectFailed, Why: "as many links as are allowed in all"}) })
+	if p.reach.MaxConnections > 0 && p.links >= p.reach.MaxConnections && !p.spare() {
+		p.loop.Post(func() { s.end(Result{Outcome: policy.ConnectFailed, Reason: "as many links as are allowed in all"}) })
 		return s
 	}
 	p.connect(h, s)
@@ -268,11 +268,11 @@
 }
 
 func (p *Pool) connect(h *host, s *Attempt) {
-	l := &upstreamConn{pool: p, host: h, address: h.address, send: s, reader: http1.NewReader(p.reach.Bounds, p.budget, true)}
+	l := &upstreamConn{pool: p, host: h, address: h.address, send: s, reader: http1.NewReader(p.reach.Limits, p.budget, true)}
 	s.link = l
 	h.links++
 	p.links++
-	p.engine.Dial(h.address, p.reach.Connect, l, func(c *transport.Conn, err error) {
+	p.engine.Dial(h.address, p.reach.ConnectTimeout, l, func(c *transport.Conn, err error) {
 		p.loop.Post(func() { l.opened(c, err) })
 	})
 }
@@ -280,7 +280,7 @@
 // Cancel ends a send as NeverSent if no byte of it has left; otherwise it does nothing.
 func (s *Attempt) Cancel() {
 	if s.done != nil && !s.written {
-		s.end(Result{Outcome: policy.NotSent, Why: "withheld"})
+		s.end(Result{Outcome: policy.NotSent, Reason: "withheld"})
 	}
 }
 
@@ -292,7 +292,7 @@
 	l, left := s.link, s.until-s.pool.loop.Now()
 	if !l.current() || left < policy.Second/1000 {
 		l.send = nil
-		s.end(Result{Outcome: policy.NotSent, Why: "the host has left its address, or no time is left"})
+		s.end(Result{Outcome: policy.NotSent, Reason: "the host has left its address, or no time is left"})
 		l.rest()
 		return
 	}
@@ -301,13 +301,13 @@
 	l.mu.Unlock()
 	s.written = true
 	signs := s.pool.reach.Protocol
-	s.head = append(append(s.head, signs.Within...), ": "...)
-	s.head = append(strconv.AppendInt(s.head, int64(left/(policy.Second/1000)), 10), signs.Unit...)
+	s.head = append(append(s.head, signs.Timeout...), ": "...)
+	s.head = append(strconv.AppendInt(s.head, int64(left/(policy.Second/1000)), 10), signs.TimeoutUnit...)
 	s.head = append(s.head, "\r\n\r\n"...)
 	none, err := l.conn.Write(s.head, s.body)
 	if err != nil && none {
 		l.send = nil
-		s.end(Result{Outcome: policy.NotSent, Why: "the link was closed: " + err.Error()})
+		s.end(Result{Outcome: policy.NotSent, Reason: "the link was closed: " + err.Error()})
 		l.drop()
 	} // after a part, the link's end follows and tells
 }
@@ -321,20 +321,20 @@
 		return
 	}
 	if !s.written {
-		s.end(Result{Outcome: policy.ConnectFailed, Why: "no connection in time"})
+		s.end(Result{Outcome: policy.ConnectFailed, Reason: "no connection in time"})
 		return
 	}
 	l := s.link
 	l.send = nil
 	l.drop()
-	s.alarm = s.pool.loop.After(heard, func() { s.end(Result{Outcome: policy.TimedOut, Why: "no answer in time"}) })
+	s.alarm = s.pool.loop.After(heard, func() { s.end(Result{Outcome: policy.TimedOut, Reason: "no answer in time"}) })
 }
 
 // end tells the result, once. A link that is still being opened for it is left to whoever comes next.
 func (s *Attempt) end(r Result) {
 	if s.done == nil {
-		if r.Answer != nil {
-			r.Answer.Drop()
+		if r.Response != nil {
+			r.Response.Drop()
 		}
 		return
 	}
@@ -348,7 +348,7 @@
 		}
 	}
 	s.head, s.body, s.link = nil, nil, nil
-	r.Took = s.pool.loop.Now() - s.at
+	r.Latency = s.pool.loop.Now() - s.at
 	done(r)
 }
 
@@ -372,7 +372,7 @@
 		l.leave()
 		if s := l.send; s != nil {
 			l.send = nil
-			s.end(Result{Outcome: policy.ConnectFailed, Why: err.Error()})
+			s.end(Result{Outcome: policy.ConnectFailed, Reason: err.Error()})
 		}
 		return
 	}
@@ -381,7 +381,7 @@
 	case l.gone: // opened and closed at once; the poller was quicker to tell
 		if s := l.send; s != nil {
 			l.send = nil
-			s.end(Result{Outcome: policy.ConnectFailed, Why: "closed as soon as opened"})
+			s.end(Result{Outcome: policy.ConnectFailed, Reason: "closed as soon as opened"})
 		}
 	case l.send != nil:
 		l.send.write()
@@ -489,10 +489,10 @@
 		if s := l.send; s != nil && l.conn != nil {
 			l.send = nil
 			unread, _ := l.conn.Pending()
-			if s.written && (unread == 0 || !l.pool.reach.Protocol.Whole) {
-				s.end(Result{Outcome: policy.ConnectionLost, Why: why})
+			if s.written && (unread == 0 || !l.pool.reach.Protocol.StartsWhenComplete) {
+				s.end(Result{Outcome: policy.ConnectionLost, Reason: why})
 			} else {
-				s.end(Result{Outcome: policy.NotSent, Why: why})
+				s.end(Result{Outcome: policy.NotSent, Reason: why})
 			}
 			return
 		}
@@ -508,7 +508,7 @@
 	}
 	l.drop()
 	if s != nil {
-		s.end(Result{Outcome: policy.Failed, Why: "the answer is not to be read: " + err.Error()})
+		s.end(Result{Outcome: policy.Failed, Reason: "the answer is not to be read: " + err.Error()})
 	}
 }
 
@@ -521,16 +521,16 @@
 		l.drop()
 		if s != nil {
 			l.send = nil
-			s.end(Result{Outcome: policy.NotSent, Why: "an answer came before the task was sent"})
+			s.end(Result{Outcome: policy.NotSent, Reason: "an answer came before the task was sent"})
 		}
 		return
 	}
 	l.send = nil
 	signs := l.pool.reach.Protocol
-	r := Result{Outcome: signs.fate(m), Answer: m}
+	r := Result{Outcome: signs.fate(m), Response: m}
 	load, err := signs.Load(m)
 	if r.Load = load; err != nil { // a report that can't be read is none
-		r.Why = err.Error()
+		r.Reason = err.Error()
 	}
 	if last || m.Closes() || l.gone {
 		l.drop()
--- a/internal/upstream/pool_test.go
+++ b/internal/upstream/pool_test.go
@@ -65,8 +65,8 @@
 		}
 	}()
 	r.loop.Do(func() {
-		r.pool = NewPool(r.loop, engine, Config{Connect: 10 * time.Second, Idle: time.Minute, Links: 10,
-			Bounds: http1.Bounds{Head: 4096, Body: 4096}}, http1.NewBudget(1<<20))
+		r.pool = NewPool(r.loop, engine, Config{ConnectTimeout: 10 * time.Second, IdleTimeout: time.Minute, MaxConnectionsPerHost: 10,
+			Limits: http1.Limits{Head: 4096, Body: 4096}}, http1.NewBudget(1<<20))
 		r.pool.SetAddress(1, r.host.Addr().String())
 	})
 	return r
@@ -77,9 +77,9 @@
 	head := []byte("GET /" + name + " HTTP/1.1\r\nHost: h\r\n")
 	return r.pool.Send(1, head, nil, false, within, func(x Result) {
 		text := fmt.Sprint(x.Outcome)
-		if x.Answer != nil {
-			text = string(x.Answer.Body)
-			x.Answer.Drop()
+		if x.Response != nil {
+			text = string(x.Response.Body)
+			x.Response.Drop()
 		}
 		if then != nil {
 			then()
@@ -160,7 +160,7 @@
 	require.Eventually(t, func() bool { return r.open.Load() == 1 && r.loop.Now()-began > late }, 10*time.Second, time.Millisecond)
 	close(barrier)
 	q := <-r.came
-	told, err := strconv.Atoi(strings.TrimSuffix(q.Header.Get(DefaultProtocol.Within), "ms"))
+	told, err := strconv.Atoi(strings.TrimSuffix(q.Header.Get(DefaultProtocol.Timeout), "ms"))
 	require.NoError(t, err)
 	require.LessOrEqual(t, told, int((within-late)/(policy.Second/1000)))
 	require.Greater(t, told, 0)
--- a/plan/ahead.go
+++ b/plan/ahead.go
@@ -80,10 +80,10 @@
 	byPlace := map[string][]int{}
 	var places []string
 	for i, h := range m.Hosts {
-		if byPlace[h.Location] == nil {
-			places = append(places, h.Location)
+		if byPlace[h.Zone] == nil {
+			places = append(places, h.Zone)
 		}
-		byPlace[h.Location] = append(byPlace[h.Location], i)
+		byPlace[h.Zone] = append(byPlace[h.Zone], i)
 	}
 	slices.Sort(places)
 	for _, p := range places {
@@ -126,12 +126,12 @@
 			count := 0
 			for j := range now {
 				if now[j].Build == m.Release.Build {
-					now[j].Starts = f.At - m.Bounds.Cold.Lasts
+					now[j].Starts = f.At - m.Limits.Cold.Lasts
 					count++
 				}
 			}
-			s := &Step{At: f.At, bounds: m.Bounds, origins: m.origins(f)}
-			s.place(rooms(now, m.Bounds, f.At, m.Release.Build))
+			s := &Step{At: f.At, bounds: m.Limits, origins: m.origins(f)}
+			s.place(rooms(now, m.Limits, f.At, m.Release.Build))
 			s.serveOnly()
 			s.copies(m, n)
 			fit := StageFit{Stage: n, Step: i, Hosts: count, Unserved: s.Unserved()}
@@ -169,9 +169,9 @@
 	for i, f := range m.Forecast {
 		hosts, _, trial := m.hostsAt(f.At)
 		try := func(what string, gone func(room) bool, free string) {
-			s := &Step{At: f.At, bounds: m.Bounds, origins: m.origins(f)}
+			s := &Step{At: f.At, bounds: m.Limits, origins: m.origins(f)}
 			var left []room
-			for _, r := range rooms(hosts, m.Bounds, f.At, trial) {
+			for _, r := range rooms(hosts, m.Limits, f.At, trial) {
 				if !gone(r) {
 					left = append(left, r)
 				}
@@ -187,16 +187,16 @@
 			}
 		}
 		step := p.Steps[i]
-		if m.Bounds.LosePlace {
+		if m.Limits.LosePlace {
 			var last string
 			for _, x := range step.pools {
 				if x.place != last {
 					last = x.place
-					try("the location "+last, func(r room) bool { return r.host.Location == x.place }, last)
+					try("the location "+last, func(r room) bool { return r.host.Zone == x.place }, last)
 				}
 			}
 		}
-		if m.Bounds.LoseHost {
+		if m.Limits.LoseHost {
 			for _, x := range step.pools {
 				big := slices.MaxFunc(x.rooms, func(a, b room) int { return cmp.Compare(a.work, b.work) })
 				try("the host "+big.host.Name, func(r room) bool { return r.host.Name == big.host.Name }, "")
@@ -219,7 +219,7 @@
 	words := strings.Fields(what)
 	known := func(place string) error {
 		for _, h := range m.Hosts {
-			if h.Location == place {
+			if h.Zone == place {
 				return nil
 			}
 		}
@@ -236,14 +236,14 @@
 		if err := known(words[1]); err != nil {
 			return nil, err
 		}
-		out.Hosts = slices.DeleteFunc(out.Hosts, func(h Host) bool { return h.Location == words[1] })
-		out.Bounds.Cross = 1 // its tasks have nowhere else to go
+		out.Hosts = slices.DeleteFunc(out.Hosts, func(h Host) bool { return h.Zone == words[1] })
+		out.Limits.Cross = 1 // its tasks have nowhere else to go
 	case len(words) == 2 && words[0] == "cold":
 		if err := known(words[1]); err != nil {
 			return nil, err
 		}
 		for i := range out.Hosts {
-			if out.Hosts[i].Location == words[1] {
+			if out.Hosts[i].Zone == words[1] {
 				out.Hosts[i].Starts = m.Forecast[0].At
 			}
 		}
@@ -256,7 +256,7 @@
 		for i := range out.Forecast {
 			d := slices.Clone(out.Forecast[i].Demand)
 			for j := range d {
-				if len(words) == 2 || d[j].Location == words[2] {
+				if len(words) == 2 || d[j].Zone == words[2] {
 					d[j].Rate *= by
 					d[j].Spread *= by
 				}
--- a/plan/copies.go
+++ b/plan/copies.go
@@ -60,8 +60,8 @@
 // copies are the tasks and the work a second, in millionths, that a stage lets go to the build on trial from here.
 func (o origin) copies(m *Model, r *Release, stage int) (rate, work *big.Rat) {
 	var some, load int64
-	for i, c := range m.Categories {
-		if c.Repeat == policy.Idempotent || c.Repeat == policy.IdempotentWithKey && stage >= r.Guarded {
+	for i, c := range m.Classes {
+		if c.Idempotency == policy.Idempotent || c.Idempotency == policy.IdempotentWithKey && stage >= r.Guarded {
 			some += o.rates[i]
 			load += up(float64(o.rates[i]) / unit * c.Work)
 		}
--- a/plan/diff.go
+++ b/plan/diff.go
@@ -12,7 +12,7 @@
 type Change struct {
 	At       time.Duration
 	What     string // unserved, crossing, use, tasks
-	Location string
+	Zone     string
 	Was, Now float64
 }
 
--- a/plan/follow.go
+++ b/plan/follow.go
@@ -7,17 +7,17 @@
 
 // Offered is a version as it reaches a router.
 type Offered struct {
-	Version uint64
-	Build   int           // the build on trial that it was made for, 0 for none
-	Copies  float64       // share of the tasks that it lets go there as copies
-	Cross   float64       // share of the tasks that go to other locations
-	Near    []Part        // hosts of the router's location
-	Far     []Part        // and others
-	For     time.Duration // how long it may be followed
+	Version        uint64
+	Build          int           // the build on trial that it was made for, 0 for none
+	ShadowShare    float64       // share of the tasks that it lets go there as copies
+	CrossZoneShare float64       // share of the tasks that go to other locations
+	LocalWeights   []HostWeight  // hosts of the router's location
+	RemoteWeights  []HostWeight  // and others
+	ValidFor       time.Duration // how long it may be followed
 }
 
-// Part is one host's weight.
-type Part struct {
+// HostWeight is one host's weight.
+type HostWeight struct {
 	Host   uint32
 	Weight float64
 }
@@ -52,22 +52,22 @@
 		return fmt.Errorf("version %d is in force already", o.Version)
 	case o.Version < f.last:
 		return fmt.Errorf("version %d is older than version %d, which is in force", o.Version, f.last)
-	case o.For <= 0:
+	case o.ValidFor <= 0:
 		return fmt.Errorf("version %d is out of date", o.Version)
-	case !(o.Cross >= 0 && o.Cross <= 1) || !(o.Copies >= 0 && o.Copies <= 1):
-		return fmt.Errorf("version %d: shares from 0 to 1 expected, not %g and %g", o.Version, o.Cross, o.Copies)
-	case o.Build != 0 && o.Build == fleet.Build && o.Copies > fleet.Cap+1e-6:
+	case !(o.CrossZoneShare >= 0 && o.CrossZoneShare <= 1) || !(o.ShadowShare >= 0 && o.ShadowShare <= 1):
+		return fmt.Errorf("version %d: shares from 0 to 1 expected, not %g and %g", o.Version, o.CrossZoneShare, o.ShadowShare)
+	case o.Build != 0 && o.Build == fleet.Build && o.ShadowShare > fleet.Cap+1e-6:
 		return fmt.Errorf("version %d would break the cap: %.3g%% of the tasks to build %d, %.3g%% are allowed", o.Version,
-			100*o.Copies, o.Build, 100*fleet.Cap)
+			100*o.ShadowShare, o.Build, 100*fleet.Cap)
 	}
 	known, sum := 0, 0.0
 	warm := 0.0 // the largest weight of a warm host for its size
-	for _, p := range o.Near {
+	for _, p := range o.LocalWeights {
 		if k, ok := fleet.Hosts[p.Host]; ok && k.Age >= fleet.Cold && k.Size > 0 {
 			warm = max(warm, p.Weight/k.Size)
 		}
 	}
-	for i, side := range [][]Part{o.Near, o.Far} {
+	for i, side := range [][]HostWeight{o.LocalWeights, o.RemoteWeights} {
 		for _, p := range side {
 			if !(p.Weight >= 0 && p.Weight < 1e18) {
 				return fmt.Errorf("version %d: host %d has the weight %g", o.Version, p.Host, p.Weight)
@@ -86,7 +86,7 @@
 			}
 		}
 	}
-	all := len(o.Near) + len(o.Far)
+	all := len(o.LocalWeights) + len(o.RemoteWeights)
 	if sum == 0 || 2*known < all {
 		return fmt.Errorf("version %d speaks of other hosts: %d of %d are known here", o.Version, known, all)
 	}
--- a/plan/keeper.go
+++ b/plan/keeper.go
@@ -45,8 +45,8 @@
 	}
 	f := m.Forecast[0]
 	hosts, stage, trial := m.hostsAt(f.At)
-	s := &Step{At: f.At, bounds: m.Bounds, origins: m.origins(f)}
-	s.place(rooms(hosts, m.Bounds, f.At, trial))
+	s := &Step{At: f.At, bounds: m.Limits, origins: m.origins(f)}
+	s.place(rooms(hosts, m.Limits, f.At, trial))
 	if k.last != nil {
 		carried, v, err := k.carry(s)
 		near := err == nil && v.use <= s.leastUse()*(1+k.Near) && v.cross <= s.leastCrossing()+k.Near*s.asked()
@@ -67,7 +67,7 @@
 	}
 	with := *m
 	with.Present = k.present(hosts)
-	with.Bounds.Cold.Tasks *= 1 - k.Near/2 // so that the weights of bounded hosts can stay when others come or go
+	with.Limits.Cold.Tasks *= 1 - k.Near/2 // so that the weights of bounded hosts can stay when others come or go
 	full, err := with.step(0)
 	if err != nil {
 		return Outcome{}, err
@@ -169,7 +169,7 @@
 	}
 	rate := int64(0)
 	for _, o := range s.origins {
-		if o.name == r.host.Location {
+		if o.name == r.host.Zone {
 			rate = o.rate
 		}
 	}
--- a/plan/keeper_test.go
+++ b/plan/keeper_test.go
@@ -65,7 +65,7 @@
 	cross := k.Last().For["north"].Cross
 	require.Equal(t, uint64(200_000_000), cross)
 	more := *m // enough hosts now; crossing goes on for a while, lest it flutter
-	more.Hosts = append(append([]Host{}, m.Hosts...), Host{Name: "more", Location: "north", Build: 1, Size: 4, Starts: -week})
+	more.Hosts = append(append([]Host{}, m.Hosts...), Host{Name: "more", Zone: "north", Build: 1, Weight: 4, Starts: -week})
 	versions := 0
 	for s := 1; s <= 20; s++ {
 		now := &more
@@ -126,9 +126,9 @@
 }
 
 func offered(version uint64, weights ...float64) Offered {
-	o := Offered{Version: version, For: time.Minute, Build: 2, Copies: .05}
+	o := Offered{Version: version, ValidFor: time.Minute, Build: 2, ShadowShare: .05}
 	for i, w := range weights {
-		o.Near = append(o.Near, Part{uint32(i + 1), w})
+		o.LocalWeights = append(o.LocalWeights, HostWeight{uint32(i + 1), w})
 	}
 	return o
 }
@@ -141,14 +141,14 @@
 	for want, o := range map[string]Offered{
 		"older than version 5":      offered(4, 1, 1),
 		"in force already":          offered(5, 1, 1),
-		"out of date":               func() Offered { o := offered(6, 1, 1); o.For = 0; return o }(),
-		"would break the cap":       func() Offered { o := offered(6, 1, 1); o.Copies = .06; return o }(),
+		"out of date":               func() Offered { o := offered(6, 1, 1); o.ValidFor = 0; return o }(),
+		"would break the cap":       func() Offered { o := offered(6, 1, 1); o.ShadowShare = .06; return o }(),
 		"runs a build on trial":     offered(6, 1, 1, .3, 1),
 		"has just started":          offered(6, 1, 1, 1.1),
 		"has the weight -1":         offered(6, -1, 1),
 		"speaks of other hosts":     offered(6, 0, 0),
-		"3 of 7 are known":          {Version: 6, For: 1, Near: []Part{{1, 1}, {2, 1}, {3, 0}, {91, 1}, {92, 1}, {93, 1}, {94, 1}}},
-		"shares from 0 to 1 expect": func() Offered { o := offered(6, 1, 1); o.Cross = 1.5; return o }(),
+		"3 of 7 are known":          {Version: 6, ValidFor: 1, LocalWeights: []HostWeight{{1, 1}, {2, 1}, {3, 0}, {91, 1}, {92, 1}, {93, 1}, {94, 1}}},
+		"shares from 0 to 1 expect": func() Offered { o := offered(6, 1, 1); o.CrossZoneShare = 1.5; return o }(),
 	} {
 		require.ErrorContains(t, f.Offer(o, fleet), want)
 		require.Equal(t, uint64(5), f.Held(), "the last good one stays")
@@ -160,26 +160,26 @@
 func spread(hosts int) *Model {
 	m := simple(nil)
 	r := rand.New(rand.NewPCG(1, 1))
-	m.Bounds.Cross, m.Bounds.Reserve = .3, .05
-	m.Categories, m.Forecast = nil, nil
+	m.Limits.Cross, m.Limits.Reserve = .3, .05
+	m.Classes, m.Forecast = nil, nil
 	for i := range 5 {
-		m.Categories = append(m.Categories, Category{Name: fmt.Sprint("c", i), Work: .02 + .01*float64(i), Earnings: float64(1 + i)})
+		m.Classes = append(m.Classes, Class{Name: fmt.Sprint("c", i), Work: .02 + .01*float64(i), PriorityWeight: float64(1 + i)})
 	}
 	places := []string{"north", "port", "south"}
 	can := map[string]float64{}
 	for i := range hosts {
-		h := Host{Name: fmt.Sprintf("h%05d", i), Location: places[i%3], Build: 1, Size: 1 + r.Float64(), Starts: -week}
+		h := Host{Name: fmt.Sprintf("h%05d", i), Zone: places[i%3], Build: 1, Weight: 1 + r.Float64(), Starts: -week}
 		if r.IntN(10) == 0 {
 			h.Starts = -time.Duration(r.IntN(4000)) * time.Millisecond
 		}
-		can[h.Location] += h.Size
+		can[h.Zone] += h.Weight
 		m.Hosts = append(m.Hosts, h)
 	}
 	for n := range 12 {
 		var d []Demand
 		for p, place := range places {
 			load := .5 + .45*float64((n+4*p)%12)/11 // one location after the other comes to its peak
-			for i, c := range m.Categories {
+			for i, c := range m.Classes {
 				d = append(d, Demand{place, c.Name, can[place] * load / 5 / (.02 + .01*float64(i)), 0})
 			}
 		}
--- a/plan/model.go
+++ b/plan/model.go
@@ -11,30 +11,30 @@
 	"dapplefront/policy"
 )
 
-// Category is a kind of task.
-type Category struct {
-	Name     string
-	Work     float64 // seconds of work that a task takes on a host of size 1
-	Repeat   policy.Idempotency
-	Earnings float64 // of a task answered in time
+// Class is a kind of task.
+type Class struct {
+	Name           string
+	Work           float64 // seconds of work that a task takes on a host of size 1
+	Idempotency    policy.Idempotency
+	PriorityWeight float64 // of a task answered in time
 }
 
 // Host is a machine that can get tasks.
 type Host struct {
-	Name     string
-	Location string
-	Build    int
-	Size     float64       // seconds of work a second when warm
-	Starts   time.Duration // when its process starts, from the plan's start; negative for earlier
-	Leaves   time.Duration // when it drains; 0 for never
-	Most     float64       // tasks a second at most, whatever its state; 0 for no such bound
+	Name   string
+	Zone   string
+	Build  int
+	Weight float64       // seconds of work a second when warm
+	Starts time.Duration // when its process starts, from the plan's start; negative for earlier
+	Leaves time.Duration // when it drains; 0 for never
+	Most   float64       // tasks a second at most, whatever its state; 0 for no such bound
 }
 
 // Demand is what one location is asked of one category during a step.
 type Demand struct {
-	Location, Category string
-	Rate               float64 // tasks a second
-	Spread             float64 // of the forecast, one standard deviation in tasks a second
+	Zone, Class string
+	Rate        float64 // tasks a second
+	Spread      float64 // of the forecast, one standard deviation in tasks a second
 }
 
 // Forecast is the demand of one step.
@@ -51,8 +51,8 @@
 	Window time.Duration
 }
 
-// Bounds are what every share must keep.
-type Bounds struct {
+// Limits are what every share must keep.
+type Limits struct {
 	Reserve    float64 // of each host's capacity, kept free
 	Cold       Cold
 	Cross      float64 // of a location's tasks, how many may go to other locations
@@ -83,12 +83,12 @@
 
 // Model is all that a plan is made from.
 type Model struct {
-	Categories []Category
-	Hosts      []Host
-	Forecast   []Forecast
-	Bounds     Bounds
-	Release    *Release
-	Present    Present // what routers follow now; nil for nothing
+	Classes  []Class
+	Hosts    []Host
+	Forecast []Forecast
+	Limits   Limits
+	Release  *Release
+	Present  Present // what routers follow now; nil for nothing
 }
 
 // Present is shares in force: by the location where tasks are taken, then by host.
@@ -109,13 +109,13 @@
 		}
 	}
 	cats := map[string]bool{}
-	for _, c := range m.Categories {
+	for _, c := range m.Classes {
 		if c.Name == "" || cats[c.Name] {
 			wrong("category %q: a name of its own expected", c.Name)
 		}
 		cats[c.Name] = true
 		number("category "+c.Name+": work", c.Work, 1e-6, 1e4)
-		number("category "+c.Name+": earnings", c.Earnings, 0, most)
+		number("category "+c.Name+": earnings", c.PriorityWeight, 0, most)
 	}
 	hosts := map[string]bool{}
 	for _, h := range m.Hosts {
@@ -123,10 +123,10 @@
 			wrong("host %q is listed twice or has no name", h.Name)
 		}
 		hosts[h.Name] = true
-		if h.Location == "" {
+		if h.Zone == "" {
 			wrong("host %s: a location is missing", h.Name)
 		}
-		number("host "+h.Name+": size", h.Size, 1e-6, most)
+		number("host "+h.Name+": size", h.Weight, 1e-6, most)
 		number("host "+h.Name+": most", h.Most, 0, most)
 		if h.Leaves != 0 && h.Leaves <= h.Starts {
 			wrong("host %s leaves at %v, before it starts at %v", h.Name, h.Leaves, h.Starts)
@@ -141,11 +141,11 @@
 		}
 		named := map[[2]string]bool{}
 		for _, d := range f.Demand {
-			at := fmt.Sprintf("step %d, demand of %s in %s", n+1, d.Category, d.Location)
-			if !cats[d.Category] {
+			at := fmt.Sprintf("step %d, demand of %s in %s", n+1, d.Class, d.Zone)
+			if !cats[d.Class] {
 				wrong("%s: no category has this name", at)
 			}
-			if k := [2]string{d.Location, d.Category}; named[k] || d.Location == "" {
+			if k := [2]string{d.Zone, d.Class}; named[k] || d.Zone == "" {
 				wrong("%s stands twice or has no location", at)
 			} else {
 				named[k] = true
@@ -154,7 +154,7 @@
 			number(at+": spread", d.Spread, 0, most)
 		}
 	}
-	b := m.Bounds
+	b := m.Limits
 	number("reserve", b.Reserve, 0, .99)
 	number("crossing", b.Cross, 0, 1)
 	number("price of crossing", b.CrossPrice, 0, most)
@@ -227,7 +227,7 @@
 }
 
 // rooms are what the hosts can do at a moment, by name. Those that run the build on trial are told apart.
-func rooms(hosts []Host, b Bounds, at time.Duration, trial int) []room {
+func rooms(hosts []Host, b Limits, at time.Duration, trial int) []room {
 	out := make([]room, 0, len(hosts))
 	for i := range hosts {
 		h := &hosts[i]
@@ -235,10 +235,10 @@
 		if strength == 0 {
 			continue
 		}
-		r := room{host: h, work: down(h.Size * strength * (1 - b.Reserve)), full: down(h.Size * strength), tasks: -1,
+		r := room{host: h, work: down(h.Weight * strength * (1 - b.Reserve)), full: down(h.Weight * strength), tasks: -1,
 			cold: at-h.Starts < b.Cold.Lasts, onTest: trial != 0 && h.Build == trial}
 		if r.cold && b.Cold.Tasks > 0 {
-			r.tasks = down(b.Cold.Tasks / b.Cold.Window.Seconds() * h.Size * strength)
+			r.tasks = down(b.Cold.Tasks / b.Cold.Window.Seconds() * h.Weight * strength)
 		}
 		if h.Most > 0 && (r.tasks < 0 || fix(h.Most) < r.tasks) {
 			r.tasks = fix(h.Most)
@@ -253,25 +253,25 @@
 func (m *Model) origins(f Forecast) []origin {
 	by := map[string]*origin{}
 	cats := map[string]int{}
-	for i, c := range m.Categories {
+	for i, c := range m.Classes {
 		cats[c.Name] = i
 	}
 	for _, d := range f.Demand {
-		rate := up(max(0, d.Rate+m.Bounds.Spreads*d.Spread))
+		rate := up(max(0, d.Rate+m.Limits.Spreads*d.Spread))
 		if rate == 0 {
 			continue
 		}
-		o := by[d.Location]
+		o := by[d.Zone]
 		if o == nil {
-			o = &origin{name: d.Location, rates: make([]int64, len(m.Categories))}
-			by[d.Location] = o
+			o = &origin{name: d.Zone, rates: make([]int64, len(m.Classes))}
+			by[d.Zone] = o
 		}
-		i := cats[d.Category]
-		c := m.Categories[i]
+		i := cats[d.Class]
+		c := m.Classes[i]
 		o.rate += rate
 		o.rates[i] += rate
 		o.work += up(float64(rate) / unit * c.Work)
-		o.worth += max(1, fix(float64(rate)/unit*c.Earnings)) // what earns nothing is still wanted
+		o.worth += max(1, fix(float64(rate)/unit*c.PriorityWeight)) // what earns nothing is still wanted
 	}
 	out := make([]origin, 0, len(by))
 	for _, o := range by {
--- a/plan/plan_test.go
+++ b/plan/plan_test.go
@@ -32,7 +32,7 @@
 // several makes so many hosts of a size in a location that have long been up.
 func several(location string, n int, size float64) (out []Host) {
 	for i := range n {
-		out = append(out, Host{Name: fmt.Sprintf("%s-%d", location, i), Location: location, Build: 1, Size: size, Starts: -week})
+		out = append(out, Host{Name: fmt.Sprintf("%s-%d", location, i), Zone: location, Build: 1, Weight: size, Starts: -week})
 	}
 	return out
 }
@@ -40,15 +40,15 @@
 func asked(rates map[string]float64) []Forecast {
 	var d []Demand
 	for l, r := range rates {
-		d = append(d, Demand{Location: l, Category: "quote", Rate: r})
+		d = append(d, Demand{Zone: l, Class: "quote", Rate: r})
 	}
 	return []Forecast{{Demand: d}}
 }
 
 // simple is a model of one category that takes 100 ms.
 func simple(rates map[string]float64, hosts ...[]Host) *Model {
-	return &Model{Categories: []Category{{Name: "quote", Work: .1, Earnings: 1}}, Hosts: slices.Concat(hosts...), Forecast: asked(rates),
-		Bounds: Bounds{Cross: 1, CrossPrice: .02, Cold: Cold{Lasts: 5 * time.Second, Share: .33, Tasks: 4, Window: 2 * time.Second}}}
+	return &Model{Classes: []Class{{Name: "quote", Work: .1, PriorityWeight: 1}}, Hosts: slices.Concat(hosts...), Forecast: asked(rates),
+		Limits: Limits{Cross: 1, CrossPrice: .02, Cold: Cold{Lasts: 5 * time.Second, Share: .33, Tasks: 4, Window: 2 * time.Second}}}
 }
 
 func solved(t *testing.T, m *Model) *Step {
@@ -68,7 +68,7 @@
 	require.Nil(t, s.Unfit)
 	require.InDelta(t, 68-13.2, s.Crossing("port"), 1e-6)
 
-	m.Bounds.Cross = .5
+	m.Limits.Cross = .5
 	s = solved(t, m)
 	require.InDelta(t, 68-34-13.2, s.Unfit.Unserved, 1e-6)
 	require.Equal(t, []string{"port is asked 68 tasks a second, 6.8 s of work",
@@ -88,7 +88,7 @@
 	s := solved(t, m)
 	require.Nil(t, s.Unfit)
 	require.InDelta(t, 30, s.Crossing("port"), 1e-9)
-	m.Bounds.Cross = .2
+	m.Limits.Cross = .2
 	s = solved(t, m)
 	require.InDelta(t, 24, s.Unfit.Unserved, 1e-9)
 	require.Contains(t, s.Unfit.Because, "port has no host, and at most 20% of its tasks may cross")
@@ -98,11 +98,11 @@
 
 func TestOneHugeHost(t *testing.T) {
 	m := simple(map[string]float64{"north": 50}, several("north", 3, 1))
-	m.Hosts[0].Size = 97
+	m.Hosts[0].Weight = 97
 	s := solved(t, m)
 	share, _ := s.Share("north", "north-0").Float64()
 	require.InDelta(t, 97./99, share, 1e-12)
-	m.Bounds.LoseHost = true
+	m.Limits.LoseHost = true
 	p, err := Solve(m)
 	require.NoError(t, err)
 	lost := p.Losses()
@@ -127,7 +127,7 @@
 func TestACapThatNoNumberOfHostsMeets(t *testing.T) {
 	m := simple(map[string]float64{"north": 60}, several("north", 10, 1))
 	m.Release = &Release{Build: 2, Stages: []Stage{{Share: .03, Cap: .05}}} // one host of ten, yet a twentieth of the tasks
-	m.Bounds.Cold = Cold{}
+	m.Limits.Cold = Cold{}
 	s := solved(t, m)
 	require.Nil(t, s.Unfit)
 	require.InDelta(t, 3, s.Copies[0].Planned, 1e-9)
@@ -149,9 +149,9 @@
 
 func TestGuardedStagesAndCapsByCategory(t *testing.T) {
 	m := simple(map[string]float64{"north": 60}, several("north", 10, 2))
-	m.Bounds.Cold = Cold{}
-	m.Categories = append(m.Categories, Category{Name: "order", Work: .1, Repeat: policy.IdempotentWithKey, Earnings: 1},
-		Category{Name: "transfer", Work: .1, Repeat: policy.NonIdempotent, Earnings: 1})
+	m.Limits.Cold = Cold{}
+	m.Classes = append(m.Classes, Class{Name: "order", Work: .1, Idempotency: policy.IdempotentWithKey, PriorityWeight: 1},
+		Class{Name: "transfer", Work: .1, Idempotency: policy.NonIdempotent, PriorityWeight: 1})
 	m.Forecast[0].Demand = append(m.Forecast[0].Demand, Demand{"north", "order", 30, 0}, Demand{"north", "transfer", 10, 0})
 	m.Release = &Release{Build: 2, Stages: []Stage{{Share: .1, Cap: .1}}, Guarded: 1, ByCategory: true}
 	require.InDelta(t, 6, solved(t, m).Copies[0].Allowed, 1e-9, "a tenth of the retriable ones")
@@ -164,7 +164,7 @@
 func TestSizesThatDifferAThousandfold(t *testing.T) {
 	m := simple(map[string]float64{"north": 500}, several("north", 2, 100), several("south", 5, .1))
 	for i := range m.Hosts[2:] {
-		m.Hosts[2+i].Location = "north"
+		m.Hosts[2+i].Zone = "north"
 	}
 	s := solved(t, m)
 	a, _ := s.Share("north", "north-0").Float64()
@@ -193,7 +193,7 @@
 
 func TestTheLeastChangeFromThePresentDecidesBetweenEqualAnswers(t *testing.T) {
 	m := simple(map[string]float64{"north": 30, "south": 10, "port": 10}, several("north", 2, 1), several("south", 3, 1), several("port", 3, 1))
-	m.Bounds.Cross = 1
+	m.Limits.Cross = 1
 	far := func(s *Step, place string) (sum float64) {
 		for i := range 3 {
 			v, _ := s.Share("north", fmt.Sprintf("%s-%d", place, i)).Float64()
@@ -219,17 +219,17 @@
 
 func TestBalanceBetweenAndWithinLocations(t *testing.T) {
 	m := simple(map[string]float64{"north": 18, "south": 2}, several("north", 2, 1), several("south", 2, 1))
-	m.Bounds.Between = 1.2
+	m.Limits.Between = 1.2
 	s := solved(t, m)
 	require.Nil(t, s.Unfit)
 	require.InDelta(t, .6, s.Use("north"), 1e-6)
-	m.Bounds.Cross = .1
+	m.Limits.Cross = .1
 	s = solved(t, m)
 	require.Contains(t, s.Unfit.Because, "north may be used at most 1.2 times as much as the fleet")
 	// A cold half: the warm one may be used at most 1.1 times as much as the location.
 	m = simple(map[string]float64{"north": 10}, several("north", 4, 1))
 	m.Hosts[0].Starts, m.Hosts[1].Starts = 0, 0
-	m.Bounds.Within = 1.1
+	m.Limits.Within = 1.1
 	s = solved(t, m)
 	require.NotNil(t, s.Unfit)
 	require.Contains(t, s.Unfit.String(), "no host in north may be used more than 1.1 times")
@@ -237,7 +237,7 @@
 
 func TestALocationLostIsSurvivedOrNot(t *testing.T) {
 	m := simple(map[string]float64{"north": 20, "south": 20, "port": 20}, several("north", 3, 1), several("south", 3, 1), several("port", 3, 1))
-	m.Bounds.LosePlace, m.Bounds.Cross = true, .1
+	m.Limits.LosePlace, m.Limits.Cross = true, .1
 	p, err := Solve(m)
 	require.NoError(t, err)
 	require.Empty(t, p.Losses(), "six hosts' worth of work, and six left")
@@ -281,10 +281,10 @@
 func TestAForecastThatIsWrongByHalf(t *testing.T) {
 	m := simple(map[string]float64{"north": 40}, several("north", 6, 1), several("south", 6, 1))
 	m.Forecast[0].Demand[0].Spread = 20
-	m.Bounds.Spreads = 1
+	m.Limits.Spreads = 1
 	s := solved(t, m)
 	require.InDelta(t, 1, s.Use("north"), 1e-6, "planned for half as much again")
-	m.Bounds.Spreads = 2
+	m.Limits.Spreads = 2
 	s = solved(t, m)
 	require.InDelta(t, 20, s.Crossing(""), 1e-6)
 }
@@ -295,12 +295,12 @@
 	_, err := Solve(m)
 	require.ErrorContains(t, err, `host "north-0" is listed twice`)
 	for want, spoil := range map[string]func(m *Model){
-		"host north-0: size":         func(m *Model) { m.Hosts[0].Size = math.NaN() },
+		"host north-0: size":         func(m *Model) { m.Hosts[0].Weight = math.NaN() },
 		"leaves at":                  func(m *Model) { m.Hosts[0].Leaves = -2 * week },
-		"no category has this name":  func(m *Model) { m.Forecast[0].Demand[0].Category = "?" },
+		"no category has this name":  func(m *Model) { m.Forecast[0].Demand[0].Class = "?" },
 		"step 1, demand of quote":    func(m *Model) { m.Forecast[0].Demand[0].Rate = -1 },
-		"reserve":                    func(m *Model) { m.Bounds.Reserve = 1 },
-		"a balance below 1":          func(m *Model) { m.Bounds.Between = .5 },
+		"reserve":                    func(m *Model) { m.Limits.Reserve = 1 },
+		"a balance below 1":          func(m *Model) { m.Limits.Between = .5 },
 		"a forecast of at least one": func(m *Model) { m.Forecast = nil },
 		"a release needs":            func(m *Model) { m.Release = &Release{} },
 		"present share":              func(m *Model) { m.Present = Present{"north": {"x": 2}} },
@@ -315,10 +315,10 @@
 
 func TestTheCheckFindsSharesThatAreWrong(t *testing.T) {
 	m := simple(map[string]float64{"north": 10, "south": 5}, several("north", 2, 1), several("south", 2, 1))
-	m.Bounds.Cross, m.Bounds.Between, m.Bounds.Within = .1, 1.5, 1.2
+	m.Limits.Cross, m.Limits.Between, m.Limits.Within = .1, 1.5, 1.2
 	m.Hosts[3].Starts = 0
-	m.Bounds.Between = 0
-	m.Bounds.Within = 0
+	m.Limits.Between = 0
+	m.Limits.Within = 0
 	for name, spoil := range map[string]func(s *Step){
 		"sum up":  func(s *Step) { s.to[0][0] = big.NewRat(9, 10) },
 		"less":    func(s *Step) { s.to[0][0] = big.NewRat(-1, 10) },
@@ -336,23 +336,23 @@
 // fleet draws a model of some size.
 func fleet(t *rapid.T) *Model {
 	m := simple(nil)
-	m.Categories = append(m.Categories, Category{Name: "order", Work: .04, Repeat: policy.NonIdempotent, Earnings: 3})
-	m.Bounds.Cross = rapid.SampledFrom([]float64{0, .1, .5, 1}).Draw(t, "cross")
-	m.Bounds.Reserve = rapid.SampledFrom([]float64{0, .1}).Draw(t, "reserve")
-	m.Bounds.Between = rapid.SampledFrom([]float64{0, 0, 1.25}).Draw(t, "between")
-	m.Bounds.Within = rapid.SampledFrom([]float64{0, 0, 1.5}).Draw(t, "within")
+	m.Classes = append(m.Classes, Class{Name: "order", Work: .04, Idempotency: policy.NonIdempotent, PriorityWeight: 3})
+	m.Limits.Cross = rapid.SampledFrom([]float64{0, .1, .5, 1}).Draw(t, "cross")
+	m.Limits.Reserve = rapid.SampledFrom([]float64{0, .1}).Draw(t, "reserve")
+	m.Limits.Between = rapid.SampledFrom([]float64{0, 0, 1.25}).Draw(t, "between")
+	m.Limits.Within = rapid.SampledFrom([]float64{0, 0, 1.5}).Draw(t, "within")
 	var d []Demand
 	for _, place := range []string{"north", "port", "south"} {
 		n := rapid.IntRange(0, 6).Draw(t, place)
 		for i, h := range several(place, n, 1) {
-			h.Size = rapid.SampledFrom([]float64{.5, 1, 2, 40}).Draw(t, fmt.Sprintf("size %d", i))
+			h.Weight = rapid.SampledFrom([]float64{.5, 1, 2, 40}).Draw(t, fmt.Sprintf("size %d", i))
 			if rapid.IntRange(0, 2).Draw(t, "cold") == 0 {
 				h.Starts = -time.Duration(rapid.IntRange(0, 5).Draw(t, "age")) * time.Second
 			}
 			m.Hosts = append(m.Hosts, h)
 		}
 		for _, c := range []string{"quote", "order"} {
-			d = append(d, Demand{Location: place, Category: c, Rate: float64(rapid.IntRange(0, 80).Draw(t, "rate"))})
+			d = append(d, Demand{Zone: place, Class: c, Rate: float64(rapid.IntRange(0, 80).Draw(t, "rate"))})
 		}
 	}
 	m.Forecast = []Forecast{{Demand: d}}
@@ -370,11 +370,11 @@
 		m := fleet(t)
 		before := step(t, m)
 		more := *m
-		more.Hosts = append(slices.Clone(m.Hosts), Host{Name: "more", Location: rapid.SampledFrom([]string{"north", "port"}).Draw(t, "where"),
-			Build: 1, Size: 3, Starts: -week})
+		more.Hosts = append(slices.Clone(m.Hosts), Host{Name: "more", Zone: rapid.SampledFrom([]string{"north", "port"}).Draw(t, "where"),
+			Build: 1, Weight: 3, Starts: -week})
 		after := step(t, &more)
 		// A balance between locations is against the fleet's use, which further hosts bring down: it may bind earlier.
-		if m.Bounds.Between > 0 || m.Bounds.Within > 0 {
+		if m.Limits.Between > 0 || m.Limits.Within > 0 {
 			return
 		}
 		require.LessOrEqual(t, lost(after), lost(before)+1e-9)
@@ -415,7 +415,7 @@
 		other := *m
 		other.Hosts = slices.Clone(m.Hosts)
 		for i := range other.Hosts {
-			other.Hosts[i].Size *= by
+			other.Hosts[i].Weight *= by
 		}
 		d := slices.Clone(m.Forecast[0].Demand)
 		for i := range d {
--- a/plan/pools.go
+++ b/plan/pools.go
@@ -25,7 +25,7 @@
 func pools(all []room) []pool {
 	byPlace := map[string][]room{}
 	for _, r := range all {
-		byPlace[r.host.Location] = append(byPlace[r.host.Location], r)
+		byPlace[r.host.Zone] = append(byPlace[r.host.Zone], r)
 	}
 	places := make([]string, 0, len(byPlace))
 	for p := range byPlace {
--- a/plan/release_test.go
+++ b/plan/release_test.go
@@ -37,7 +37,7 @@
 		places := map[string]int{}
 		for _, h := range hosts {
 			if h.Build == 2 {
-				places[h.Location]++
+				places[h.Zone]++
 			}
 		}
 		require.Equal(t, map[string]int{"north": 1, "south": 1}, places, "locations by turns")
--- a/plan/search_test.go
+++ b/plan/search_test.go
@@ -246,11 +246,11 @@
 // model is the same case in the solver's words.
 func (c small) model(order []int) *Model {
 	names := []string{"east", "north", "port"}
-	m := &Model{Categories: []Category{{Name: "quote", Work: 1, Earnings: 1}},
-		Bounds:   Bounds{Cross: float64(c.cross) / 100, Cold: Cold{Lasts: 5 * time.Second, Share: 1}},
+	m := &Model{Classes: []Class{{Name: "quote", Work: 1, PriorityWeight: 1}},
+		Limits:   Limits{Cross: float64(c.cross) / 100, Cold: Cold{Lasts: 5 * time.Second, Share: 1}},
 		Forecast: []Forecast{{}}}
 	for _, h := range order {
-		x := Host{Name: fmt.Sprintf("h%d", h), Location: names[c.place[h]], Build: 1, Size: float64(c.can[h]), Starts: -time.Hour}
+		x := Host{Name: fmt.Sprintf("h%d", h), Zone: names[c.place[h]], Build: 1, Weight: float64(c.can[h]), Starts: -time.Hour}
 		if c.may[h] >= 0 {
 			x.Starts, x.Most = 0, float64(c.may[h])
 		}
@@ -260,7 +260,7 @@
 		m.Hosts = append(m.Hosts, x)
 	}
 	for l, n := range c.asked {
-		m.Forecast[0].Demand = append(m.Forecast[0].Demand, Demand{Location: names[l], Category: "quote", Rate: float64(n)})
+		m.Forecast[0].Demand = append(m.Forecast[0].Demand, Demand{Zone: names[l], Class: "quote", Rate: float64(n)})
 	}
 	return m
 }
@@ -275,8 +275,8 @@
 		trial = 2
 		m.Release = &Release{Build: 2, Stages: []Stage{{Share: 1, Cap: float64(c.capped) / 100}}}
 	}
-	s := &Step{bounds: m.Bounds, origins: m.origins(m.Forecast[0])}
-	s.place(rooms(m.Hosts, m.Bounds, 0, trial))
+	s := &Step{bounds: m.Limits, origins: m.origins(m.Forecast[0])}
+	s.place(rooms(m.Hosts, m.Limits, 0, trial))
 	s.solve(nil)
 	if trial != 0 {
 		s.copies(m, 0)
--- a/plan/solve.go
+++ b/plan/solve.go
@@ -12,7 +12,7 @@
 	Unfit  *Unfit   // nil where all is served
 	Copies []Copies // at the build on trial, by location; empty where none is
 
-	bounds  Bounds
+	bounds  Limits
 	origins []origin
 	pools   []pool
 	trial   []pool
@@ -58,8 +58,8 @@
 func (m *Model) step(n int) (*Step, error) {
 	f := m.Forecast[n]
 	hosts, stage, trial := m.hostsAt(f.At)
-	s := &Step{At: f.At, bounds: m.Bounds, origins: m.origins(f)}
-	s.place(rooms(hosts, m.Bounds, f.At, trial))
+	s := &Step{At: f.At, bounds: m.Limits, origins: m.origins(f)}
+	s.place(rooms(hosts, m.Limits, f.At, trial))
 	s.solve(m.Present)
 	if trial != 0 {
 		s.copies(m, stage)
--- a/plan/unfit.go
+++ b/plan/unfit.go
@@ -227,7 +227,7 @@
 			parts = append(parts, fmt.Sprintf("%.3g%% of the tasks of %s", 100*n*unit/float64(o.rate), o.name))
 		}
 	}
-	return Way{"let " + strings.Join(parts, " and ") + " cross", free.Crossing("") * m.Bounds.CrossPrice}, true
+	return Way{"let " + strings.Join(parts, " and ") + " cross", free.Crossing("") * m.Limits.CrossPrice}, true
 }
 
 // wait is how long it takes until all could be served at this step's demand as hosts warm up, to a tenth of a second,
--- a/plan/verify.go
+++ b/plan/verify.go
@@ -33,7 +33,7 @@
 				return fmt.Errorf("%s runs the build on trial, but gets tasks from %s", r.host.Name, o.name)
 			}
 			sum.Add(sum, x)
-			if r.host.Location != o.name {
+			if r.host.Zone != o.name {
 				crosses.Add(crosses, x)
 			}
 			add(work, r.host.Name, new(big.Rat).Mul(x, big.NewRat(o.work, 1)))
@@ -74,7 +74,7 @@
 	for _, r := range all {
 		w, n := work[r.host.Name], tasks[r.host.Name]
 		if !r.onTest {
-			capOf[r.host.Location] += r.work
+			capOf[r.host.Zone] += r.work
 			capAll += r.work
 		}
 		if w == nil {
@@ -87,7 +87,7 @@
 			return fmt.Errorf("%s gets %s tasks, %d are allowed", r.host.Name, n.FloatString(3), r.tasks)
 		}
 		if !r.onTest {
-			add(workOf, r.host.Location, w)
+			add(workOf, r.host.Zone, w)
 		}
 	}
 	for place, w := range workOf {
@@ -100,8 +100,8 @@
 	}
 	for _, r := range all {
 		if w := work[r.host.Name]; w != nil && !r.onTest {
-			most := new(big.Rat).Mul(big.NewRat(fix(b.Within), unit), workOf[r.host.Location])
-			most.Mul(most, big.NewRat(r.work, capOf[r.host.Location]))
+			most := new(big.Rat).Mul(big.NewRat(fix(b.Within), unit), workOf[r.host.Zone])
+			most.Mul(most, big.NewRat(r.work, capOf[r.host.Zone]))
 			if w.Cmp(most) > 0 {
 				return fmt.Errorf("%s is used more than the balance within its location allows", r.host.Name)
 			}
--- a/policy/host_test.go
+++ b/policy/host_test.go
@@ -52,7 +52,7 @@
 		payment: &Class{Idempotency: NonIdempotent, LatencyObjective: Second, PriorityWeight: 2}}
 	p := Config{Seed: 7, Routers: 1, Zone: f.here, Classes: []*Class{f.quote, f.order, f.payment},
 		Limits: Limits{DrainGrace: Second, WarmUp: 5 * Second, ColdCapacity: 0.3, ColdOverloadFactor: 3, ColdOverloadWindow: Second,
-			PollInterval: 10 * Second, MaxAttempts: 4, AllowHedging: true, CrossPrice: 0.1},
+			PollInterval: 10 * Second, MaxAttempts: 4, AllowHedging: true, CrossZonePrice: 0.1},
 		Release: ReleaseConfig{ExposureCaps: []float64{0.1, 0.5, 1}, MinStageTime: Second, VoteTTL: 10 * Second, VoteTimeout: Second,
 			ExposureWindow: 4 * Second, ExposureAllowance: 1, GuardedStages: 1}}
 	if change != nil {
--- a/policy/logic.go
+++ b/policy/logic.go
@@ -118,9 +118,9 @@
 		return own * float64(r.routers)
 	}
 	usual := mean(r.reports) + own
-	if l := h.load; l != nil && l.Active >= 0 {
+	if l := h.load; l != nil && l.ActiveRequests >= 0 {
 		fresh := math.Exp(-float64(r.now-h.loadAt) / float64(fades))
-		return max(own, usual+(l.Active+since(h.sent, h.loadAt-1, nil)-usual)*fresh)
+		return max(own, usual+(l.ActiveRequests+since(h.sent, h.loadAt-1, nil)-usual)*fresh)
 	}
 	return usual
 }
@@ -163,7 +163,7 @@
 	if a != nil && r.spreads() {
 		return a // the way is poor: what may be lost there costs more than a wait
 	}
-	price := r.limits.CrossPrice * float64(25+r.chance(50)) / 100 // in a band, lest all cross at once
+	price := r.limits.CrossZonePrice * float64(25+r.chance(50)) / 100 // in a band, lest all cross at once
 	if a != nil && b != nil && r.crosses() && r.misses(t, far)-r.misses(t, near) <= price {
 		return b // as planned, as it is not much worse
 	}
@@ -177,7 +177,7 @@
 // which a router with little traffic can't see.
 func (r *Router) spreads() bool {
 	const cheap = 0.015 // points of service: near sends alone lost five times that
-	return r.limits.CrossPrice <= cheap
+	return r.limits.CrossZonePrice <= cheap
 }
 
 // together tells that hosts are drawn wherever they stand. Not while the way there is poor: of the last sends
@@ -755,7 +755,7 @@
 
 // counting tells whether the desk counts far more of all sends than a router sees: then its counts, though
 // late and not by host, are judged; but after a release only own sends tell errors from a jam.
-func (r *Router) counting() bool { return r.desk.Counted*float64(r.routers) > 2 }
+func (r *Router) counting() bool { return r.desk.SampledShare*float64(r.routers) > 2 }
 func (r *Router) byDesk() bool   { return r.counting() && r.news.Phase == Canary }
 
 // weight is the evidence that the newest build is bad, in odds; 1 is none. Copies are judged against the
@@ -810,7 +810,7 @@
 	test(1, r.cats, small, large, 0.6)
 	for _, c := range r.cats {
 		c.odds = test(1/float64(len(r.cats)), []*Class{c}, whole, 0.7)
-		if r.desk.Counted > 0 && !r.byDesk() && c.Idempotency != Idempotent { // not told by host: far beyond one sick one
+		if r.desk.SampledShare > 0 && !r.byDesk() && c.Idempotency != Idempotent { // not told by host: far beyond one sick one
 			o := r.tallied(c, now.build, before.build, 4, 0.1, 0.25, 0.6)
 			add(1/float64(len(r.cats)), o, o)
 		}
@@ -837,7 +837,7 @@
 	} else if r.now-r.quickAt > lasting && r.quickAt < r.staged+begins { // later, it is another trouble
 		add(1, math.Inf(1), 1)
 	}
-	if r.desk.Complaints > 0 {
+	if r.desk.ComplaintShare > 0 {
 		x := part{now.complaints(), float64(len(now.samples)), before.complaints() / float64(len(before.samples)+1)}
 		if r.limits.MaxGossipBytes > 0 && r.byDesk() { // of all routers, against all sends
 			y := r.blamed(before)
--- a/policy/logic_test.go
+++ b/policy/logic_test.go
@@ -293,8 +293,8 @@
 
 func TestLastingSlownessIsToldByTheDeskWhereItSeesMore(t *testing.T) {
 	f, _ := begin(t, nil)
-	f.r.counts = []BuildStats{{Build: 1, Category: f.quote, Samples: 90, Mean: 500, at: Second},
-		{Build: 2, Category: f.quote, Samples: 90, Mean: 1000, at: 9 * Second}}
+	f.r.counts = []BuildStats{{Build: 1, Class: f.quote, Samples: 90, MeanLatency: 500, at: Second},
+		{Build: 2, Class: f.quote, Samples: 90, MeanLatency: 1000, at: 9 * Second}}
 	gap, _ := calmer(f.r.counts, nil, 1, 2, 2*Second, 8*Second, 0)
 	require.InDelta(t, 0.69, gap, 0.01)
 }
@@ -302,7 +302,7 @@
 func TestManyRoutersJudgeByTheDesksCountsAndAFewOfThemVote(t *testing.T) {
 	votes := map[VoteChoice]int{}
 	story := func(rank, bad int, took Time) {
-		f, list := begin(t, func(p *Config) { p.Routers, p.Rank, p.Release.Counted = 40, rank, 0.2 })
+		f, list := begin(t, func(p *Config) { p.Routers, p.Rank, p.Release.SampledShare = 40, rank, 0.2 })
 		f.r.EndpointsChanged(f.now, append(list, f.host(10, 2), f.host(11, 2), f.host(12, 2)), true)
 		f.trial(2, 1)
 		for range 4 { // seconds; this router's own copies all fail, the desk's counts say what the story says
@@ -313,8 +313,8 @@
 				return Succeeded
 			})
 			for _, c := range []*Class{f.quote, f.order, f.payment} {
-				f.r.StatsReported(f.now, BuildStats{Build: 1, Category: c, Bad: 1, Samples: 60, Mean: Second / 20})
-				f.r.StatsReported(f.now, BuildStats{Build: 2, Category: c, Bad: bad, Samples: 60, Mean: took})
+				f.r.StatsReported(f.now, BuildStats{Build: 1, Class: c, Failures: 1, Samples: 60, MeanLatency: Second / 20})
+				f.r.StatsReported(f.now, BuildStats{Build: 2, Class: c, Failures: bad, Samples: 60, MeanLatency: took})
 			}
 		}
 		for _, v := range f.votes {
@@ -512,7 +512,7 @@
 }
 
 func TestComplaintsHoldABuildThatAnswersWrongly(t *testing.T) {
-	f, _ := begin(t, func(p *Config) { p.Release.Complaints = 0.3 })
+	f, _ := begin(t, func(p *Config) { p.Release.ComplaintShare = 0.3 })
 	f.trial(2, 1)
 	f.serve(40, f.quote, fine)
 	clear, _ := f.r.weight()
@@ -650,7 +650,7 @@
 }
 
 func TestTwoSidesAreWeighedByTheirJamAndThePrice(t *testing.T) {
-	f, list := begin(t, func(p *Config) { p.Limits.CrossPrice = 0.1 })
+	f, list := begin(t, func(p *Config) { p.Limits.CrossZonePrice = 0.1 })
 	for i := range 3 {
 		list[i].Zone = f.there
 	}
@@ -719,7 +719,7 @@
 		task := f.take(f.quote)
 		f.pass(Second / 20)
 		for _, s := range task.Attempts {
-			load := &LoadReport{Active: 4}
+			load := &LoadReport{ActiveRequests: 4}
 			if s.Host.ID%3 == 0 {
 				n, load = n+1, &LoadReport{}
 			}
--- a/policy/peers_test.go
+++ b/policy/peers_test.go
@@ -11,7 +11,7 @@
 func among(t *testing.T, change func(*Config)) (*fake, []EndpointUpdate) {
 	return begin(t, func(p *Config) {
 		p.Routers, p.Rank, p.Limits.MaxGossipBytes, p.Limits.HealthChecks, p.Limits.PushedDiscovery = 300, 7, 256, true, true
-		p.Limits.CrossPrice, p.Release.Counted, p.Release.Complaints = 0.01, 0.4, 0.3
+		p.Limits.CrossZonePrice, p.Release.SampledShare, p.Release.ComplaintShare = 0.01, 0.4, 0.3
 		if change != nil {
 			change(p)
 		}
@@ -130,7 +130,7 @@
 		f, _ := among(t, func(p *Config) { p.Routers, p.Rank, p.Release.Mode = 300, 0, Quorum })
 		count := func(build, n int) {
 			for _, c := range []*Class{f.quote, f.order, f.payment} {
-				f.r.StatsReported(f.now, BuildStats{Build: build, Category: c, Samples: n, Mean: Second / 20, Over: 2 * Second})
+				f.r.StatsReported(f.now, BuildStats{Build: build, Class: c, Samples: n, MeanLatency: Second / 20, Window: 2 * Second})
 			}
 		}
 		count(1, 400)
@@ -215,7 +215,7 @@
 	f, list := among(t, nil)
 	for range 6 {
 		for _, c := range []*Class{f.quote, f.order, f.payment} {
-			f.r.StatsReported(f.now, BuildStats{Build: 1, Category: c, Samples: 60, Mean: Second / 20, Over: 2 * Second})
+			f.r.StatsReported(f.now, BuildStats{Build: 1, Class: c, Samples: 60, MeanLatency: Second / 20, Window: 2 * Second})
 		}
 	}
 	usual := f.order.mid
@@ -231,7 +231,7 @@
 		}
 	}
 	for range 3 {
-		f.r.StatsReported(f.now, BuildStats{Build: 1, Category: f.order, Samples: 60, Mean: 2 * Second, Over: 2 * Second})
+		f.r.StatsReported(f.now, BuildStats{Build: 1, Class: f.order, Samples: 60, MeanLatency: 2 * Second, Window: 2 * Second})
 	}
 	require.Equal(t, usual, f.order.mid, "what is usual stays")
 	for _, l := range list {
@@ -312,7 +312,7 @@
 		count := func(mean Time) {
 			for _, b := range []int{1, 2} {
 				for _, c := range []*Class{f.quote, f.order, f.payment} {
-					f.r.StatsReported(f.now, BuildStats{Build: b, Category: c, Samples: 100, Mean: mean, Over: 2 * Second})
+					f.r.StatsReported(f.now, BuildStats{Build: b, Class: c, Samples: 100, MeanLatency: mean, Window: 2 * Second})
 				}
 			}
 		}
@@ -364,7 +364,7 @@
 	for _, fate := range []Outcome{Succeeded, TimedOut, ConnectFailed, Failed} {
 		for range 3 {
 			f.r.HealthChecked(f.now, gone.Host, fate, 10*Second, nil)
-			f.r.HealthChecked(f.now, list[1].Host, fate, 10*Second, &LoadReport{Active: -1})
+			f.r.HealthChecked(f.now, list[1].Host, fate, 10*Second, &LoadReport{ActiveRequests: -1})
 		}
 	}
 	f.serve(30, f.quote, fine)
--- a/policy/samples.go
+++ b/policy/samples.go
@@ -154,8 +154,8 @@
 		r.muster.out[r.side(s.Host)] -= was - len(s.Host.open)
 	}
 	if load != nil {
-		if s.Host.load, s.Host.loadAt = load, r.now; load.Active >= 0 {
-			r.reports = keep(r.reports, load.Active, 64)
+		if s.Host.load, s.Host.loadAt = load, r.now; load.ActiveRequests >= 0 {
+			r.reports = keep(r.reports, load.ActiveRequests, 64)
 		}
 	}
 	if s.Host.linkAt = r.now; fate == ConnectFailed {
@@ -276,8 +276,8 @@
 // counted adds up what the desk counted of a category.
 func counted(all []BuildStats, c *Class) (bad, n float64, hosts int) {
 	for _, x := range all {
-		if x.Category == c {
-			bad, n, hosts = bad+float64(x.Bad), n+float64(x.Samples), x.hosts
+		if x.Class == c {
+			bad, n, hosts = bad+float64(x.Failures), n+float64(x.Samples), x.hosts
 		}
 	}
 	return bad, n, hosts
@@ -287,10 +287,10 @@
 // category and period, with the sends behind each side and the hosts of the first.
 func countedGap(now, before []BuildStats) (gap, n, of float64, hosts int) {
 	for _, x := range now {
-		y, good := beside(x, before), float64(x.Samples-x.Bad)
-		if hosts = x.hosts; good > 0 && x.Mean > 0 && y.Mean > 0 {
-			gap += good * (math.Log(float64(x.Mean)/float64(y.Mean)) - x.cold + y.cold)
-			n, of = n+good, of+float64(y.Samples-y.Bad)
+		y, good := beside(x, before), float64(x.Samples-x.Failures)
+		if hosts = x.hosts; good > 0 && x.MeanLatency > 0 && y.MeanLatency > 0 {
+			gap += good * (math.Log(float64(x.MeanLatency)/float64(y.MeanLatency)) - x.cold + y.cold)
+			n, of = n+good, of+float64(y.Samples-y.Failures)
 		}
 	}
 	return gap / max(1, n), n, of, hosts
@@ -300,18 +300,18 @@
 // was offered, less so much, as the desk counted them, and the number of the former; a category narrows it.
 func calmer(all []BuildStats, c *Class, was, is int, offered, now Time, less float64) (gap, n float64) {
 	for _, x := range all {
-		if x.Build != is || x.Mean <= 0 || x.at <= now || c != nil && x.Category != c {
+		if x.Build != is || x.MeanLatency <= 0 || x.at <= now || c != nil && x.Class != c {
 			continue
 		}
 		took, sum := 0.0, 0.0
 		for _, y := range all {
-			if y.Build == was && y.Mean > 0 && y.at <= offered && y.Category == x.Category {
-				good := float64(y.Samples - y.Bad)
-				took, sum = took+good*float64(y.Mean), sum+good
+			if y.Build == was && y.MeanLatency > 0 && y.at <= offered && y.Class == x.Class {
+				good := float64(y.Samples - y.Failures)
+				took, sum = took+good*float64(y.MeanLatency), sum+good
 			}
 		}
-		if good := float64(x.Samples - x.Bad); sum > 0 && took > 0 {
-			gap, n = gap+good*(math.Log(float64(x.Mean)*sum/took)-x.cold), n+good
+		if good := float64(x.Samples - x.Failures); sum > 0 && took > 0 {
+			gap, n = gap+good*(math.Log(float64(x.MeanLatency)*sum/took)-x.cold), n+good
 		}
 	}
 	return gap/max(1, n) - less, n
@@ -471,9 +471,9 @@
 func paired(now, before []BuildStats, c *Class, kin float64) (parts []part) {
 	bad, n, _ := counted(before, c)
 	all := part{0.5 + bad, 1 + n, 0}
-	of := func(x BuildStats) part { return part{bad: float64(x.Bad), n: float64(x.Samples)} }
+	of := func(x BuildStats) part { return part{bad: float64(x.Failures), n: float64(x.Samples)} }
 	for _, x := range now {
-		if x.Category == c {
+		if x.Class == c {
 			p := of(x)
 			p.usual = of(beside(x, before)).share(all, kin)
 			parts = append(parts, p)
@@ -485,7 +485,7 @@
 // beside is the count of the same category and period at the other build.
 func beside(x BuildStats, others []BuildStats) BuildStats {
 	for _, y := range others {
-		if y.Category == x.Category && y.at == x.at {
+		if y.Class == x.Class && y.at == x.at {
 			return y
 		}
 	}
@@ -646,8 +646,8 @@
 	for _, h := range r.hosts {
 		if h.Build == c.Build && h.State == Serving {
 			c.hosts++
-			cold += r.strengthAt(h, now-c.Age-c.Over/2)
-			if now-c.Age-c.Over-h.StartedAt > r.limits.WarmUp {
+			cold += r.strengthAt(h, now-c.Age-c.Window/2)
+			if now-c.Age-c.Window-h.StartedAt > r.limits.WarmUp {
 				c.warm++
 			}
 		}
@@ -657,13 +657,13 @@
 	if len(r.counts) == 0 || r.counts[len(r.counts)-1].at != now {
 		r.laden = 0 // what hosts hold: how much comes by how long it takes
 	}
-	if r.desk.Counted > 0 && c.Over > 0 {
+	if r.desk.SampledShare > 0 && c.Window > 0 {
 		serve := r.count(func(h *Host) bool { return h.State == Serving })
-		r.laden += float64(c.Samples) / r.desk.Counted / float64(c.Over) * float64(c.Mean) / max(1, serve)
+		r.laden += float64(c.Samples) / r.desk.SampledShare / float64(c.Window) * float64(c.MeanLatency) / max(1, serve)
 	}
 	r.counts = keep(r.counts, c, 240)
 	if on, _, _ := r.trial(c.Build); r.counting() && !on {
-		r.reckon(c.Category)
+		r.reckon(c.Class)
 	}
 }
 
@@ -674,8 +674,8 @@
 	const few, calm = 10, 0.85
 	var means []Time
 	for _, x := range r.counts {
-		if on, _, _ := r.trial(x.Build); !on && x.Category == c && x.Samples-x.Bad >= few {
-			means = append(means, x.Mean)
+		if on, _, _ := r.trial(x.Build); !on && x.Class == c && x.Samples-x.Failures >= few {
+			means = append(means, x.MeanLatency)
 		}
 	}
 	if len(means) > 0 {
@@ -1076,7 +1076,7 @@
 // counted; these come later, so there are never fewer.
 func (r *Router) blamed(b *book) part {
 	bad := float64(r.blames[b.build])
-	return part{bad: bad, n: max(1, bad, r.sendsAt(b.build)/max(0.01, r.desk.Counted))}
+	return part{bad: bad, n: max(1, bad, r.sendsAt(b.build)/max(0.01, r.desk.SampledShare))}
 }
 
 // strained is how jammed the side is that is the less so, of those that have hosts.
--- a/policy/types.go
+++ b/policy/types.go
@@ -33,7 +33,7 @@
 	DedupWindow      Time // how long a group drops repeats
 	LatencyObjective Time // answered within this it earns in full
 	PriorityWeight   float64
-	LateShare        float64 // share of the earnings left after the promised time
+	LateValueShare   float64 // share of the earnings left after the promised time
 
 	took []Time    // what finished sends took lately
 	work []float64 // the same, less what the host's other tasks added
@@ -107,7 +107,7 @@
 }
 
 // LoadReport is what a host reports of itself; a negative figure was not reported.
-type LoadReport struct{ Active, Waiting, Busy, Service, Rate float64 }
+type LoadReport struct{ ActiveRequests, QueuedRequests, CPUUtilization, MeanLatency, RequestsPerSecond float64 }
 
 // Request is one call that the router has taken.
 type Request struct {
@@ -193,13 +193,13 @@
 
 // BuildStats is what the release desk counted for one build and category over a period.
 type BuildStats struct {
-	Build        int
-	Category     *Class
-	Bad, Samples int
-	Mean         Time
-	Age          Time
+	Build             int
+	Class             *Class
+	Failures, Samples int
+	MeanLatency       Time
+	Age               Time
 
-	Over Time // the span that was counted
+	Window Time // the span that was counted
 
 	at    Time
 	hosts int     // that ran the build when the count came
@@ -244,28 +244,28 @@
 	StickyKeys        bool
 	DelayPrice        float64
 	HarmPrice         float64
-	Complaints        float64 // share of the wrong answers that is reported
-	Counted           float64 // share of the sends in the desk's counts
+	ComplaintShare    float64 // share of the wrong answers that is reported
+	SampledShare      float64 // share of the sends in the desk's counts
 }
 
 // Limits are the rules' figures and what the place allows.
 type Limits struct {
-	DrainGrace         Time
-	WarmUp             Time
-	ColdCapacity       float64
-	ColdOverloadFactor float64
-	ColdOverloadWindow Time
-	PollInterval       Time
-	MaxAttempts        int
-	MaxOpen            int
-	AllowHedging       bool
-	MaxRetryAfter      Time // that a turn-back may name as a time to come back; 0 for none
-	PushedDiscovery    bool // the host list comes by itself
-	MaxGossipBytes     int  // most bytes of a message to another router; 0 where there are none
-	HealthChecks       bool // hosts may be probed
-	CrossPrice         float64
-	WastePrice         float64
-	OverShare          float64
+	DrainGrace          Time
+	WarmUp              Time
+	ColdCapacity        float64
+	ColdOverloadFactor  float64
+	ColdOverloadWindow  Time
+	PollInterval        Time
+	MaxAttempts         int
+	MaxOpen             int
+	AllowHedging        bool
+	MaxRetryAfter       Time // that a turn-back may name as a time to come back; 0 for none
+	PushedDiscovery     bool // the host list comes by itself
+	MaxGossipBytes      int  // most bytes of a message to another router; 0 where there are none
+	HealthChecks        bool // hosts may be probed
+	CrossZonePrice      float64
+	WastePrice          float64
+	OverQuotaValueShare float64
 }
 
 // Effects carry out what a Router decides.
--- a/record/record_test.go
+++ b/record/record_test.go
@@ -19,12 +19,12 @@
 	"dapplefront/router"
 )
 
-var place = router.Config{Seed: 7, Routers: 3, Rank: 1, Location: "north", Categories: []router.Class{
-	{Name: "quote", Promised: 4000, Earnings: 1}, {Name: "transfer", Repeat: policy.NonIdempotent, Promised: 3000, Earnings: 3}},
-	Customers: []router.Tenant{{Name: "Ada", PerSecond: 50}},
+var place = router.Config{Seed: 7, Routers: 3, Rank: 1, Zone: "north", Classes: []router.Class{
+	{Name: "quote", LatencyObjective: 4000, PriorityWeight: 1}, {Name: "transfer", Idempotency: policy.NonIdempotent, LatencyObjective: 3000, PriorityWeight: 3}},
+	Tenants: []router.Tenant{{Name: "Ada", QuotaPerSecond: 50}},
 	Limits: policy.Limits{DrainGrace: policy.Second, WarmUp: 4 * policy.Second, ColdCapacity: .35, ColdOverloadFactor: 3, ColdOverloadWindow: 2 * policy.Second, PollInterval: 10 * policy.Second,
-		MaxAttempts: 4, AllowHedging: true, MaxRetryAfter: 2 * policy.Second, CrossPrice: .02},
-	Desk: policy.ReleaseConfig{Mode: policy.Quorum, ExposureCaps: []float64{.05, .5, 1}, MinStageTime: policy.Second, PromoteQuorum: 2, RollbackQuorum: 1,
+		MaxAttempts: 4, AllowHedging: true, MaxRetryAfter: 2 * policy.Second, CrossZonePrice: .02},
+	Release: policy.ReleaseConfig{Mode: policy.Quorum, ExposureCaps: []float64{.05, .5, 1}, MinStageTime: policy.Second, PromoteQuorum: 2, RollbackQuorum: 1,
 		VoteTTL: 8 * policy.Second, VoteTimeout: policy.Second, MaxVotesPerSecond: 30, ExposureWindow: 4 * policy.Second, ExposureAllowance: 2, GuardedStages: 1, StickyKeys: true}}
 
 // live plays a router through drawn events for so many tasks and records all of it.
@@ -34,7 +34,7 @@
 	p := place
 	p.Seed = seed
 	mind, actions := router.New(now, p)
-	require.NoError(t, w.Begin(now, p, actions))
+	require.NoError(t, w.WriteStart(now, p, actions))
 	type end struct {
 		at policy.Time
 		e  router.Event
@@ -46,32 +46,32 @@
 		if err != nil {
 			actions = nil
 		}
-		require.NoError(t, w.Heard(now, e, actions))
+		require.NoError(t, w.WriteEvent(now, e, actions))
 		for _, a := range actions {
-			switch a.Do {
-			case router.Send:
-				x := router.AttemptEnded{Task: a.Task, Send: a.Send, Fate: policy.Succeeded, Took: policy.Time(100 + r.IntN(900)), Done: true}
+			switch a.Kind {
+			case router.SendAttempt:
+				x := router.AttemptEnded{RequestID: a.RequestID, Attempt: a.Attempt, Outcome: policy.Succeeded, Latency: policy.Time(100 + r.IntN(900)), Done: true}
 				if r.IntN(8) == 0 {
-					x.Fate, x.Done = policy.Outcome(1+r.IntN(8)), false
+					x.Outcome, x.Done = policy.Outcome(1+r.IntN(8)), false
 				}
 				if r.IntN(2) == 0 {
-					x.Load = &policy.LoadReport{Active: float64(r.IntN(9)), Waiting: -1, Busy: r.Float64(), Service: -1, Rate: 3}
+					x.Load = &policy.LoadReport{ActiveRequests: float64(r.IntN(9)), QueuedRequests: -1, CPUUtilization: r.Float64(), MeanLatency: -1, RequestsPerSecond: 3}
 				}
-				ends = append(ends, end{now + x.Took, x})
+				ends = append(ends, end{now + x.Latency, x})
 			case router.SetTimer:
-				ends = append(ends, end{now + a.Span, router.TimerFired{Alarm: a.Alarm}})
-			case router.Vote:
-				ends = append(ends, end{now + 100, router.ReleaseChanged{News: policy.ReleaseStatus{Build: a.Build, Stage: a.Stage, ExposureCap: .05, VoteResult: policy.VoteAccepted}}})
+				ends = append(ends, end{now + a.Duration, router.TimerFired{Timer: a.Timer}})
+			case router.CastVote:
+				ends = append(ends, end{now + 100, router.ReleaseChanged{Status: policy.ReleaseStatus{Build: a.Build, Stage: a.Stage, ExposureCap: .05, VoteResult: policy.VoteAccepted}}})
 			}
 		}
 	}
 	var hosts []router.Host
 	for i := range 12 {
-		hosts = append(hosts, router.Host{ID: uint32(i + 1), Location: []string{"north", "south"}[i%2], Build: 1 + i/10, Size: 1.25})
+		hosts = append(hosts, router.Host{ID: uint32(i + 1), Zone: []string{"north", "south"}[i%2], Build: 1 + i/10, Weight: 1.25})
 	}
 	hear(router.EndpointsChanged{Complete: true, Hosts: hosts})
-	hear(router.ReleaseChanged{News: policy.ReleaseStatus{Build: 2, Phase: policy.Canary, ExposureCap: .05}})
-	hear(router.PlanOffered{Offer: plan.Offered{Version: 1, For: time.Minute, Near: []plan.Part{{Host: 1, Weight: 2}, {Host: 3, Weight: 1}}, Far: []plan.Part{{Host: 2, Weight: 1}}, Cross: .1}})
+	hear(router.ReleaseChanged{Status: policy.ReleaseStatus{Build: 2, Phase: policy.Canary, ExposureCap: .05}})
+	hear(router.PlanOffered{Offer: plan.Offered{Version: 1, ValidFor: time.Minute, LocalWeights: []plan.HostWeight{{Host: 1, Weight: 2}, {Host: 3, Weight: 1}}, RemoteWeights: []plan.HostWeight{{Host: 2, Weight: 1}}, CrossZoneShare: .1}})
 	for i := range tasks {
 		now += policy.Time(r.IntN(200)) // at times several events at one moment
 		slices.SortStableFunc(ends, func(a, b end) int { return int(a.at - b.at) })
@@ -80,28 +80,28 @@
 			ends = ends[1:]
 			hear(e)
 		}
-		hear(router.RequestArrived{Task: strconv.Itoa(i), Category: []string{"quote", "transfer"}[r.IntN(2)], Customer: []string{"Ada", "Ben", ""}[r.IntN(3)],
-			Key: fmt.Sprint("account-", r.IntN(20)), Patience: 10_000, Again: r.IntN(9) == 0})
+		hear(router.RequestArrived{RequestID: strconv.Itoa(i), Class: []string{"quote", "transfer"}[r.IntN(2)], Tenant: []string{"Ada", "Ben", ""}[r.IntN(3)],
+			Key: fmt.Sprint("account-", r.IntN(20)), Timeout: 10_000, ClientRetry: r.IntN(9) == 0})
 		switch r.IntN(60) {
 		case 0:
-			hear(router.ClientGone{Task: strconv.Itoa(i)})
+			hear(router.ClientGone{RequestID: strconv.Itoa(i)})
 		case 1:
 			h := hosts[r.IntN(12)]
-			h.Standing, h.Up = policy.EndpointState(r.IntN(3)), now
+			h.State, h.StartedAt = policy.EndpointState(r.IntN(3)), now
 			hear(router.EndpointsChanged{Hosts: []router.Host{h}})
 		case 2:
-			hear(router.StatsReported{Build: 2, Category: "quote", Bad: 1, Samples: 9, Mean: 300, Over: 2 * policy.Second})
+			hear(router.StatsReported{Build: 2, Class: "quote", Failures: 1, Samples: 9, MeanLatency: 300, Window: 2 * policy.Second})
 		case 3:
-			hear(router.ComplaintReceived{Host: 11, Category: "quote", Age: 50})
+			hear(router.ComplaintReceived{Host: 11, Class: "quote", Age: 50})
 		case 4:
 			hear(router.EndpointsUnavailable{})
 		case 5:
-			hear(router.RequestArrived{Task: "x", Category: "none of these"}) // an error, and no action
+			hear(router.RequestArrived{RequestID: "x", Class: "none of these"}) // an error, and no action
 		}
 	}
 }
 
-func recorded(t testing.TB, tasks int, shelf Shelf) (string, []string) {
+func recorded(t testing.TB, tasks int, shelf Config) (string, []string) {
 	shelf.Dir, shelf.Name = t.TempDir(), "r1"
 	w, err := Create(shelf)
 	require.NoError(t, err)
@@ -113,33 +113,33 @@
 }
 
 func TestAReplayIsIdentical(t *testing.T) {
-	_, files := recorded(t, 6000, Shelf{})
+	_, files := recorded(t, 6000, Config{})
 	r, err := Replay(files, nil)
 	require.NoError(t, err)
 	require.Nil(t, r.First, "%v", r.First)
-	require.Equal(t, 1, r.Lives)
+	require.Equal(t, 1, r.Starts)
 	require.Greater(t, r.Actions, 6000)
 	require.Empty(t, r.Gaps)
 }
 
 func TestADeliberateChangeIsFoundAndExplained(t *testing.T) {
-	_, files := recorded(t, 500, Shelf{})
+	_, files := recorded(t, 500, Config{})
 	dir := t.TempDir()
-	w, err := Create(Shelf{Dir: dir, Name: "r1", Secret: []byte("s")})
+	w, err := Create(Config{Dir: dir, Name: "r1", Secret: []byte("s")})
 	require.NoError(t, err)
 	changed := ""
 	f, err := os.Open(files[0])
 	require.NoError(t, err)
 	require.NoError(t, Read(f, func(e Entry) error {
 		for i, a := range e.Actions { // as a module whose constant was another would have it: one task elsewhere
-			if x, ok := e.Event.(router.RequestArrived); ok && a.Do == router.Send && changed == "" && x.Task == "200" {
-				e.Actions[i].Host, changed = a.Host%10+1, x.Task
+			if x, ok := e.Event.(router.RequestArrived); ok && a.Kind == router.SendAttempt && changed == "" && x.RequestID == "200" {
+				e.Actions[i].Host, changed = a.Host%10+1, x.RequestID
 			}
 		}
-		if e.Place != nil {
-			return w.Begin(e.At, *e.Place, e.Actions)
+		if e.Config != nil {
+			return w.WriteStart(e.At, *e.Config, e.Actions)
 		}
-		return w.Heard(e.At, e.Event, e.Actions)
+		return w.WriteEvent(e.At, e.Event, e.Actions)
 	}))
 	require.NoError(t, f.Close())
 	require.NoError(t, w.Close())
@@ -154,20 +154,20 @@
 	require.Contains(t, text, "replayed: send 0 of task 200")
 	require.Contains(t, text, "before it:")
 	var life bytes.Buffer
-	_, err = Replay(files, Life("200", &life))
+	_, err = Replay(files, TraceRequest("200", &life))
 	require.NoError(t, err)
 	require.Contains(t, life.String(), "task 200 taken")
 	require.Contains(t, life.String(), "send 0 of task 200")
 }
 
 func TestNeitherKeysNorCustomersStandInARecord(t *testing.T) {
-	_, files := recorded(t, 300, Shelf{})
+	_, files := recorded(t, 300, Config{})
 	f, err := os.Open(files[0])
 	require.NoError(t, err)
 	defer f.Close()
 	keys := map[string]bool{}
 	require.NoError(t, Read(f, func(e Entry) error {
-		text := fmt.Sprintf("%+v %+v", e.Place, e.Event)
+		text := fmt.Sprintf("%+v %+v", e.Config, e.Event)
 		require.NotContains(t, text, "Ada")
 		require.NotContains(t, text, "account-")
 		if x, ok := e.Event.(router.RequestArrived); ok && x.Key != "" {
@@ -179,7 +179,7 @@
 }
 
 func TestDamageIsToldWhereItIs(t *testing.T) {
-	_, files := recorded(t, 3000, Shelf{})
+	_, files := recorded(t, 3000, Config{})
 	whole, err := os.ReadFile(files[0])
 	require.NoError(t, err)
 	read := func(text []byte) (n int, err error) {
@@ -205,10 +205,10 @@
 	// A stream that goes on after damage: the rest waits for a router's start.
 	dir := t.TempDir()
 	require.NoError(t, os.WriteFile(filepath.Join(dir, "a"), flipped, 0o600))
-	_, next := recorded(t, 200, Shelf{})
+	_, next := recorded(t, 200, Config{})
 	r, err := Replay([]string{filepath.Join(dir, "a"), next[0]}, nil)
 	require.NoError(t, err)
-	require.Equal(t, 2, r.Lives)
+	require.Equal(t, 2, r.Starts)
 	require.Zero(t, r.Differences)
 	require.Contains(t, r.Gaps[0], "checksum differs")
 }
@@ -224,10 +224,10 @@
 func TestADiskThatStandsStillNeverHoldsATaskUp(t *testing.T) {
 	free := make(chan struct{})
 	dir := t.TempDir()
-	w, err := Create(Shelf{Dir: dir, Name: "r1", Disk: func(f *os.File) Sink { return stalled{f, free} }})
+	w, err := Create(Config{Dir: dir, Name: "r1", OpenSink: func(f *os.File) Sink { return stalled{f, free} }})
 	require.NoError(t, err)
 	live(t, w, 3, 40_000) // more than the blocks that may wait
-	require.Positive(t, w.Lost(), "whole blocks were dropped")
+	require.Positive(t, w.Dropped(), "whole blocks were dropped")
 	close(free)
 	require.Eventually(t, func() bool { return len(w.blocks) == 0 }, 10*time.Second, time.Millisecond)
 	live(t, w, 4, 500) // the router starts anew
@@ -239,11 +239,11 @@
 	require.Zero(t, r.Differences)
 	require.NotEmpty(t, r.Gaps)
 	require.Contains(t, r.Gaps[0], "were dropped")
-	require.Equal(t, 2, r.Lives)
+	require.Equal(t, 2, r.Starts)
 }
 
 func TestFilesRotateAndTheOldestGo(t *testing.T) {
-	dir, files := recorded(t, 20_000, Shelf{Size: 100 << 10, Most: 400 << 10})
+	dir, files := recorded(t, 20_000, Config{MaxFileBytes: 100 << 10, MaxBytes: 400 << 10})
 	require.Greater(t, len(files), 1)
 	var sum int64
 	for _, f := range files {
@@ -255,12 +255,12 @@
 	r, err := Replay(files, nil)
 	require.NoError(t, err)
 	require.Zero(t, r.Differences)
-	require.True(t, r.Lives == 1 || r.Skipped > 0, "the start is there, or nothing is compared")
+	require.True(t, r.Starts == 1 || r.Skipped > 0, "the start is there, or nothing is compared")
 	require.True(t, strings.HasPrefix(files[0], dir))
 }
 
 func FuzzRead(f *testing.F) {
-	_, files := recorded(f, 50, Shelf{})
+	_, files := recorded(f, 50, Config{})
 	whole, err := os.ReadFile(files[0])
 	require.NoError(f, err)
 	f.Add(whole)
@@ -271,13 +271,13 @@
 }
 
 func FuzzEntry(f *testing.F) {
-	b, err := appendEntry(nil, &Entry{Number: 1, At: 5, Event: router.RequestArrived{Task: "a", Key: "k"}, Actions: []router.Action{{Do: router.Send, Task: "a"}}},
+	b, err := appendEntry(nil, &Entry{Number: 1, At: 5, Event: router.RequestArrived{RequestID: "a", Key: "k"}, Actions: []router.Action{{Kind: router.SendAttempt, RequestID: "a"}}},
 		func(s string) string { return s })
 	require.NoError(f, err)
 	f.Add([]byte(b))
 	f.Fuzz(func(t *testing.T, text []byte) {
 		e, err := readEntry(text)
-		if err != nil || e.Place != nil {
+		if err != nil || e.Config != nil {
 			return
 		}
 		b, err := appendEntry(nil, &e, func(s string) string { return s })
@@ -289,18 +289,18 @@
 }
 
 func BenchmarkHeard(b *testing.B) {
-	w, err := Create(Shelf{Dir: b.TempDir(), Name: "r"})
+	w, err := Create(Config{Dir: b.TempDir(), Name: "r"})
 	require.NoError(b, err)
-	e := router.RequestArrived{Task: "1x", Category: "quote", Key: "account-1", Patience: 10_000}
-	actions := []router.Action{{Do: router.Send, Task: "1x", Host: 7, Span: 4000}, {Do: router.SetTimer, Alarm: 99, Span: 800}}
+	e := router.RequestArrived{RequestID: "1x", Class: "quote", Key: "account-1", Timeout: 10_000}
+	actions := []router.Action{{Kind: router.SendAttempt, RequestID: "1x", Host: 7, Duration: 4000}, {Kind: router.SetTimer, Timer: 99, Duration: 800}}
 	b.ReportAllocs()
 	for b.Loop() {
-		if err := w.Heard(5, e, actions); err != nil {
+		if err := w.WriteEvent(5, e, actions); err != nil {
 			b.Fatal(err)
 		}
 	}
 	b.StopTimer()
 	require.NoError(b, w.Close())
 	b.ReportMetric(float64(w.Written())/float64(b.N), "B/entry")
-	b.ReportMetric(float64(w.Lost())/float64(b.N), "lost/entry")
+	b.ReportMetric(float64(w.Dropped())/float64(b.N), "lost/entry")
 }
--- a/record/replay.go
+++ b/record/replay.go
@@ -13,7 +13,7 @@
 // Report is what a replay found.
 type Report struct {
 	Entries, Actions int
-	Lives            int // starts of routers
+	Starts           int // starts of routers
 	Differences      int
 	First            *Difference
 	Skipped          int // entries after a gap, up to the next start
@@ -30,7 +30,7 @@
 
 func (d *Difference) String() string {
 	var b strings.Builder
-	fmt.Fprintf(&b, "entry %d at %.4f s: %s\n", d.Entry.Number, float64(d.Entry.At)/10_000, Words(d.Entry.Event))
+	fmt.Fprintf(&b, "entry %d at %.4f s: %s\n", d.Entry.Number, float64(d.Entry.At)/10_000, EventText(d.Entry.Event))
 	for _, a := range d.Recorded {
 		fmt.Fprintf(&b, "  recorded: %s\n", deed(a))
 	}
@@ -39,7 +39,7 @@
 	}
 	fmt.Fprintf(&b, "before it:\n")
 	for _, e := range d.Before {
-		fmt.Fprintf(&b, "  %d at %.4f s: %s\n", e.Number, float64(e.At)/10_000, Words(e.Event))
+		fmt.Fprintf(&b, "  %d at %.4f s: %s\n", e.Number, float64(e.At)/10_000, EventText(e.Event))
 	}
 	return b.String()
 }
@@ -82,15 +82,15 @@
 
 func (p *player) entry(e Entry) error {
 	r := p.report
-	if p.next != 0 && e.Number != p.next && e.Place == nil {
+	if p.next != 0 && e.Number != p.next && e.Config == nil {
 		p.gap(fmt.Sprintf("entries %d to %d were dropped", p.next, e.Number-1))
 	}
 	p.next = e.Number + 1
 	var got []router.Action
 	switch {
-	case e.Place != nil:
-		r.Lives++
-		p.mind, got = router.New(e.At, *e.Place)
+	case e.Config != nil:
+		r.Starts++
+		p.mind, got = router.New(e.At, *e.Config)
 	case p.mind == nil:
 		r.Skipped++
 		return nil
@@ -117,24 +117,24 @@
 	return nil
 }
 
-// Words say an event for people.
-func Words(e router.Event) string {
+// EventText say an event for people.
+func EventText(e router.Event) string {
 	switch e := e.(type) {
 	case router.RequestArrived:
-		return fmt.Sprintf("task %s taken: %s, patience %.1f ms", e.Task, e.Category, float64(e.Patience)/10)
+		return fmt.Sprintf("task %s taken: %s, patience %.1f ms", e.RequestID, e.Class, float64(e.Timeout)/10)
 	case router.AttemptEnded:
 		fates := []string{"out", "finished", "failed", "turned back", "no answer", "no link", "cut", "called off", "never sent"}
-		return fmt.Sprintf("send %d of task %s: %s after %.1f ms", e.Send, e.Task, fates[min(max(0, int(e.Fate)), len(fates)-1)], float64(e.Took)/10)
+		return fmt.Sprintf("send %d of task %s: %s after %.1f ms", e.Attempt, e.RequestID, fates[min(max(0, int(e.Outcome)), len(fates)-1)], float64(e.Latency)/10)
 	case router.ClientGone:
-		return fmt.Sprintf("the client of task %s has gone", e.Task)
+		return fmt.Sprintf("the client of task %s has gone", e.RequestID)
 	case router.EndpointsChanged:
 		return fmt.Sprintf("%d hosts listed", len(e.Hosts))
 	case router.EndpointsUnavailable:
 		return "the list is out of reach"
 	case router.ReleaseChanged:
-		return fmt.Sprintf("told of build %d, stage %d, phase %d, cap %.3g", e.News.Build, e.News.Stage, e.News.Phase, e.News.ExposureCap)
+		return fmt.Sprintf("told of build %d, stage %d, phase %d, cap %.3g", e.Status.Build, e.Status.Stage, e.Status.Phase, e.Status.ExposureCap)
 	case router.TimerFired:
-		return fmt.Sprintf("alarm %d", e.Alarm)
+		return fmt.Sprintf("alarm %d", e.Timer)
 	case nil:
 		return "start"
 	}
@@ -142,49 +142,49 @@
 }
 
 func deed(a router.Action) string {
-	switch a.Do {
-	case router.Send:
+	switch a.Kind {
+	case router.SendAttempt:
 		kind := ""
-		if a.Copied {
+		if a.IsShadow {
 			kind = ", a copy"
 		}
-		return fmt.Sprintf("send %d of task %s to host %d, waiting %.1f ms%s", a.Send, a.Task, a.Host, float64(a.Span)/10, kind)
+		return fmt.Sprintf("send %d of task %s to host %d, waiting %.1f ms%s", a.Attempt, a.RequestID, a.Host, float64(a.Duration)/10, kind)
 	case router.Reject:
-		return fmt.Sprintf("turn task %s back", a.Task)
+		return fmt.Sprintf("turn task %s back", a.RequestID)
 	case router.Fail:
-		return fmt.Sprintf("scrap task %s", a.Task)
+		return fmt.Sprintf("scrap task %s", a.RequestID)
 	case router.SetTimer:
-		return fmt.Sprintf("alarm %d in %.1f ms", a.Alarm, float64(a.Span)/10)
-	case router.Vote:
-		return fmt.Sprintf("vote %d on build %d, stage %d", a.Voice, a.Build, a.Stage)
+		return fmt.Sprintf("alarm %d in %.1f ms", a.Timer, float64(a.Duration)/10)
+	case router.CastVote:
+		return fmt.Sprintf("vote %d on build %d, stage %d", a.Choice, a.Build, a.Stage)
 	}
 	return fmt.Sprintf("%+v", a)
 }
 
-// Life tells a task's story out of a stream of entries: when it came, which sends it got and what became of them.
-func Life(task string, to io.Writer) func(Entry) {
+// TraceRequest tells a task's story out of a stream of entries: when it came, which sends it got and what became of them.
+func TraceRequest(task string, to io.Writer) func(Entry) {
 	return func(e Entry) {
 		about := false
 		switch x := e.Event.(type) {
 		case router.RequestArrived:
-			about = x.Task == task
+			about = x.RequestID == task
 		case router.AttemptEnded:
-			about = x.Task == task
+			about = x.RequestID == task
 		case router.ClientGone:
-			about = x.Task == task
+			about = x.RequestID == task
 		}
 		said := false
 		for _, a := range e.Actions {
-			if a.Task == task {
+			if a.RequestID == task {
 				if !said {
-					fmt.Fprintf(to, "%.4f s: %s\n", float64(e.At)/10_000, Words(e.Event))
+					fmt.Fprintf(to, "%.4f s: %s\n", float64(e.At)/10_000, EventText(e.Event))
 					said = true
 				}
 				fmt.Fprintf(to, "    %s\n", deed(a))
 			}
 		}
 		if about && !said {
-			fmt.Fprintf(to, "%.4f s: %s\n", float64(e.At)/10_000, Words(e.Event))
+			fmt.Fprintf(to, "%.4f s: %s\n", float64(e.At)/10_000, EventText(e.Event))
 		}
 	}
 }
--- a/record/settings_test.go
+++ b/record/settings_test.go
@@ -17,14 +17,14 @@
 	t.Run("INI file", func(t *testing.T) {
 		c, err := routerconfig.Read("testdata/router.ini")
 		require.NoError(t, err)
-		requireStored(t, "testdata/router.ini.json", c.Place)
+		requireStored(t, "testdata/router.ini.json", c.Router)
 	})
 	t.Run("platform settings", func(t *testing.T) {
 		text, err := os.ReadFile("testdata/settings.json")
 		require.NoError(t, err)
 		p, err := platformsettings.Flatten(text)
 		require.NoError(t, err)
-		requireStored(t, "testdata/settings.json.json", platformsettings.Read(p, 7).Place)
+		requireStored(t, "testdata/settings.json.json", platformsettings.Read(p, 7).Router)
 	})
 }
 
--- a/record/stored_config.go
+++ b/record/stored_config.go
@@ -106,13 +106,13 @@
 
 func toStored(p router.Config) storedConfig {
 	stored := storedConfig{
-		Seed: p.Seed, Routers: p.Routers, Rank: p.Rank, Location: p.Location,
-		Limits: toStoredLimits(p.Limits), Desk: toStoredRelease(p.Desk),
+		Seed: p.Seed, Routers: p.Routers, Rank: p.Rank, Location: p.Zone,
+		Limits: toStoredLimits(p.Limits), Desk: toStoredRelease(p.Release),
 	}
-	for _, c := range p.Categories {
+	for _, c := range p.Classes {
 		stored.Categories = append(stored.Categories, toStoredClass(c))
 	}
-	for _, c := range p.Customers {
+	for _, c := range p.Tenants {
 		stored.Customers = append(stored.Customers, toStoredTenant(c))
 	}
 	return stored
@@ -120,41 +120,41 @@
 
 func (s storedConfig) config() router.Config {
 	p := router.Config{
-		Seed: s.Seed, Routers: s.Routers, Rank: s.Rank, Location: s.Location,
-		Limits: s.Limits.limits(), Desk: s.Desk.release(),
+		Seed: s.Seed, Routers: s.Routers, Rank: s.Rank, Zone: s.Location,
+		Limits: s.Limits.limits(), Release: s.Desk.release(),
 	}
 	for _, c := range s.Categories {
-		p.Categories = append(p.Categories, c.class())
+		p.Classes = append(p.Classes, c.class())
 	}
 	for _, c := range s.Customers {
-		p.Customers = append(p.Customers, c.tenant())
+		p.Tenants = append(p.Tenants, c.tenant())
 	}
 	return p
 }
 
 func toStoredClass(c router.Class) storedClass {
 	return storedClass{
-		Name: c.Name, Repeat: c.Repeat, Group: c.Group, Memory: c.Memory, Promised: c.Promised,
-		Earnings: c.Earnings, LateShare: c.LateShare,
+		Name: c.Name, Repeat: c.Idempotency, Group: c.DedupScope, Memory: c.DedupWindow, Promised: c.LatencyObjective,
+		Earnings: c.PriorityWeight, LateShare: c.LateValueShare,
 	}
 }
 
 func (s storedClass) class() router.Class {
 	return router.Class{
-		Name: s.Name, Repeat: s.Repeat, Group: s.Group, Memory: s.Memory, Promised: s.Promised,
-		Earnings: s.Earnings, LateShare: s.LateShare,
+		Name: s.Name, Idempotency: s.Repeat, DedupScope: s.Group, DedupWindow: s.Memory, LatencyObjective: s.Promised,
+		PriorityWeight: s.Earnings, LateValueShare: s.LateShare,
 	}
 }
 
 func toStoredTenant(c router.Tenant) storedTenant {
 	return storedTenant{
-		Name: c.Name, PerSecond: c.PerSecond,
+		Name: c.Name, PerSecond: c.QuotaPerSecond,
 	}
 }
 
 func (s storedTenant) tenant() router.Tenant {
 	return router.Tenant{
-		Name: s.Name, PerSecond: s.PerSecond,
+		Name: s.Name, QuotaPerSecond: s.PerSecond,
 	}
 }
 
@@ -162,8 +162,8 @@
 	return storedLimits{
 		Grace: l.DrainGrace, Cold: l.WarmUp, ColdShare: l.ColdCapacity, Tip: l.ColdOverloadFactor, TipFor: l.ColdOverloadWindow, AskWithin: l.PollInterval,
 		MaxSends: l.MaxAttempts, MaxOpen: l.MaxOpen, TwoAtOnce: l.AllowHedging, LongestStay: l.MaxRetryAfter,
-		Pushed: l.PushedDiscovery, Peers: l.MaxGossipBytes, Probes: l.HealthChecks, CrossPrice: l.CrossPrice, WastePrice: l.WastePrice,
-		OverShare: l.OverShare,
+		Pushed: l.PushedDiscovery, Peers: l.MaxGossipBytes, Probes: l.HealthChecks, CrossPrice: l.CrossZonePrice, WastePrice: l.WastePrice,
+		OverShare: l.OverQuotaValueShare,
 	}
 }
 
@@ -171,8 +171,8 @@
 	return policy.Limits{
 		DrainGrace: s.Grace, WarmUp: s.Cold, ColdCapacity: s.ColdShare, ColdOverloadFactor: s.Tip, ColdOverloadWindow: s.TipFor, PollInterval: s.AskWithin,
 		MaxAttempts: s.MaxSends, MaxOpen: s.MaxOpen, AllowHedging: s.TwoAtOnce, MaxRetryAfter: s.LongestStay,
-		PushedDiscovery: s.Pushed, MaxGossipBytes: s.Peers, HealthChecks: s.Probes, CrossPrice: s.CrossPrice, WastePrice: s.WastePrice,
-		OverShare: s.OverShare,
+		PushedDiscovery: s.Pushed, MaxGossipBytes: s.Peers, HealthChecks: s.Probes, CrossZonePrice: s.CrossPrice, WastePrice: s.WastePrice,
+		OverQuotaValueShare: s.OverShare,
 	}
 }
 
@@ -181,7 +181,7 @@
 		Control: d.Mode, Caps: d.ExposureCaps, LeastTime: d.MinStageTime, ClockTime: d.StageTime, ToMoveOn: d.PromoteQuorum,
 		ToAbort: d.RollbackQuorum, VoteLife: d.VoteTTL, VoteTimeout: d.VoteTimeout, VotesASecond: d.MaxVotesPerSecond,
 		Window: d.ExposureWindow, Free: d.ExposureAllowance, ByCategory: d.ExposurePerClass, Guarded: d.GuardedStages, KeysStay: d.StickyKeys,
-		DelayPrice: d.DelayPrice, HarmPrice: d.HarmPrice, Complaints: d.Complaints, Counted: d.Counted,
+		DelayPrice: d.DelayPrice, HarmPrice: d.HarmPrice, Complaints: d.ComplaintShare, Counted: d.SampledShare,
 	}
 }
 
@@ -190,6 +190,6 @@
 		Mode: s.Control, ExposureCaps: s.Caps, MinStageTime: s.LeastTime, StageTime: s.ClockTime, PromoteQuorum: s.ToMoveOn,
 		RollbackQuorum: s.ToAbort, VoteTTL: s.VoteLife, VoteTimeout: s.VoteTimeout, MaxVotesPerSecond: s.VotesASecond,
 		ExposureWindow: s.Window, ExposureAllowance: s.Free, ExposurePerClass: s.ByCategory, GuardedStages: s.Guarded, StickyKeys: s.KeysStay,
-		DelayPrice: s.DelayPrice, HarmPrice: s.HarmPrice, Complaints: s.Complaints, Counted: s.Counted,
+		DelayPrice: s.DelayPrice, HarmPrice: s.HarmPrice, ComplaintShare: s.Complaints, SampledShare: s.Counted,
 	}
 }
--- a/record/stored_test.go
+++ b/record/stored_test.go
@@ -20,9 +20,9 @@
 		events := map[string]int{}
 		actions := map[router.ActionKind]int{}
 		r, err := Replay([]string{file}, func(e Entry) {
-			events[Words(e.Event)]++
+			events[EventText(e.Event)]++
 			for _, a := range e.Actions {
-				actions[a.Do]++
+				actions[a.Kind]++
 			}
 		})
 		require.NoError(t, err)
@@ -30,7 +30,7 @@
 		require.Zero(t, r.Differences)
 		require.Zero(t, r.Skipped)
 		require.Empty(t, r.Gaps)
-		require.Equal(t, 1, r.Lives)
+		require.Equal(t, 1, r.Starts)
 		require.Greater(t, r.Entries, 3000)
 		require.Greater(t, r.Actions, 2000)
 		require.GreaterOrEqual(t, len(actions), 9, "kinds of actions in %s", file)
--- a/record/wire.go
+++ b/record/wire.go
@@ -17,7 +17,7 @@
 type Entry struct {
 	Number  uint64
 	At      policy.Time
-	Place   *router.Config // a router's start, instead of an event
+	Config  *router.Config // a router's start, instead of an event
 	Event   router.Event
 	Actions []router.Action
 }
@@ -70,8 +70,8 @@
 	b.number(1, e.Number)
 	b.int(2, int64(e.At))
 	switch {
-	case e.Place != nil:
-		if err := appendPlace(&b, 3, *e.Place, hide); err != nil {
+	case e.Config != nil:
+		if err := appendPlace(&b, 3, *e.Config, hide); err != nil {
 			return b, err
 		}
 	default:
@@ -87,11 +87,11 @@
 
 // appendPlace writes a place as JSON, with customers not named.
 func appendPlace(b *out, field protowire.Number, p router.Config, hide hidden) error {
-	named := p.Customers
-	p.Customers = nil
+	named := p.Tenants
+	p.Tenants = nil
 	for _, c := range named {
 		c.Name = hide(c.Name)
-		p.Customers = append(p.Customers, c)
+		p.Tenants = append(p.Tenants, c)
 	}
 	text, err := marshalConfig(p)
 	b.message(field, func(b *out) { b.text(1, string(text)) })
@@ -113,17 +113,17 @@
 		return
 	}
 	b.message(field, func(b *out) {
-		b.float(1, l.Active)
-		b.float(2, l.Waiting)
-		b.float(3, l.Busy)
-		b.float(4, l.Service)
-		b.float(5, l.Rate)
+		b.float(1, l.ActiveRequests)
+		b.float(2, l.QueuedRequests)
+		b.float(3, l.CPUUtilization)
+		b.float(4, l.MeanLatency)
+		b.float(5, l.RequestsPerSecond)
 	})
 }
 
 func readLoad(b []byte) (*policy.LoadReport, error) {
 	l := &policy.LoadReport{}
-	at := []*float64{&l.Active, &l.Waiting, &l.Busy, &l.Service, &l.Rate}
+	at := []*float64{&l.ActiveRequests, &l.QueuedRequests, &l.CPUUtilization, &l.MeanLatency, &l.RequestsPerSecond}
 	return l, fields(b, func(f field) error {
 		if f.number >= 1 && int(f.number) <= len(at) {
 			*at[f.number-1] = f.float()
@@ -136,39 +136,39 @@
 	switch e := event.(type) {
 	case router.RequestArrived:
 		b.message(4, func(b *out) {
-			b.text(1, e.Task)
-			b.text(2, e.Category)
-			b.text(3, hide(e.Customer))
+			b.text(1, e.RequestID)
+			b.text(2, e.Class)
+			b.text(3, hide(e.Tenant))
 			b.text(4, hide(e.Key))
-			b.int(5, int64(e.Patience))
-			b.int(6, int64(e.Hint))
-			b.bool(7, e.Again)
+			b.int(5, int64(e.Timeout))
+			b.int(6, int64(e.ExpectedWork))
+			b.bool(7, e.ClientRetry)
 		})
 	case router.AttemptEnded:
 		b.message(5, func(b *out) {
-			b.text(1, e.Task)
-			b.int(2, int64(e.Send))
-			b.int(3, int64(e.Fate))
-			b.int(4, int64(e.Took))
+			b.text(1, e.RequestID)
+			b.int(2, int64(e.Attempt))
+			b.int(3, int64(e.Outcome))
+			b.int(4, int64(e.Latency))
 			b.bool(5, e.Done)
 			appendLoad(b, 6, e.Load)
 		})
 	case router.ResponseStarted:
-		b.message(6, func(b *out) { b.text(1, e.Task); b.int(2, int64(e.Send)) })
+		b.message(6, func(b *out) { b.text(1, e.RequestID); b.int(2, int64(e.Attempt)) })
 	case router.ClientGone:
-		b.message(7, func(b *out) { b.text(1, e.Task) })
+		b.message(7, func(b *out) { b.text(1, e.RequestID) })
 	case router.EndpointsChanged:
 		b.message(8, func(b *out) {
 			b.bool(1, e.Complete)
 			for _, h := range e.Hosts {
 				b.message(2, func(b *out) {
 					b.number(1, uint64(h.ID))
-					b.text(2, h.Location)
+					b.text(2, h.Zone)
 					b.int(3, int64(h.Cell))
-					b.int(4, int64(h.Standing))
+					b.int(4, int64(h.State))
 					b.int(5, int64(h.Build))
-					b.float(6, h.Size)
-					b.int(7, int64(h.Up))
+					b.float(6, h.Weight)
+					b.int(7, int64(h.StartedAt))
 				})
 			}
 		})
@@ -176,36 +176,36 @@
 		b.bool(9, true)
 	case router.ReleaseChanged:
 		b.message(10, func(b *out) {
-			b.int(1, int64(e.News.Build))
-			b.int(2, int64(e.News.Stage))
-			b.int(3, int64(e.News.Phase))
-			b.float(4, e.News.ExposureCap)
-			b.int(5, int64(e.News.Age))
-			b.int(6, int64(e.News.VoteResult))
+			b.int(1, int64(e.Status.Build))
+			b.int(2, int64(e.Status.Stage))
+			b.int(3, int64(e.Status.Phase))
+			b.float(4, e.Status.ExposureCap)
+			b.int(5, int64(e.Status.Age))
+			b.int(6, int64(e.Status.VoteResult))
 		})
 	case router.StatsReported:
 		b.message(11, func(b *out) {
 			b.int(1, int64(e.Build))
-			b.text(2, e.Category)
-			b.int(3, int64(e.Bad))
+			b.text(2, e.Class)
+			b.int(3, int64(e.Failures))
 			b.int(4, int64(e.Samples))
-			b.int(5, int64(e.Mean))
+			b.int(5, int64(e.MeanLatency))
 			b.int(6, int64(e.Age))
-			b.int(7, int64(e.Over))
+			b.int(7, int64(e.Window))
 		})
 	case router.ComplaintReceived:
-		b.message(12, func(b *out) { b.number(1, uint64(e.Host)); b.text(2, e.Category); b.int(3, int64(e.Age)) })
+		b.message(12, func(b *out) { b.number(1, uint64(e.Host)); b.text(2, e.Class); b.int(3, int64(e.Age)) })
 	case router.TimerFired:
-		b.int(13, e.Alarm+1)
+		b.int(13, e.Timer+1)
 	case router.ConfigChanged:
-		return appendPlace(b, 16, e.Place, hide)
+		return appendPlace(b, 16, e.Config, hide)
 	case router.GossipReceived:
 		b.message(17, func(b *out) { b.int(1, int64(e.Peer)); b.text(2, e.Body) })
 	case router.HealthChecked:
 		b.message(18, func(b *out) {
 			b.number(1, uint64(e.Host))
-			b.int(2, int64(e.Fate))
-			b.int(3, int64(e.Took))
+			b.int(2, int64(e.Outcome))
+			b.int(3, int64(e.Latency))
 			appendLoad(b, 4, e.Load)
 		})
 	case router.PlanOffered:
@@ -213,10 +213,10 @@
 			o := e.Offer
 			b.number(1, o.Version)
 			b.int(2, int64(o.Build))
-			b.float(3, o.Copies)
-			b.float(4, o.Cross)
-			b.int(5, int64(o.For))
-			for i, side := range [][]plan.Part{o.Near, o.Far} {
+			b.float(3, o.ShadowShare)
+			b.float(4, o.CrossZoneShare)
+			b.int(5, int64(o.ValidFor))
+			for i, side := range [][]plan.HostWeight{o.LocalWeights, o.RemoteWeights} {
 				for _, p := range side {
 					b.message(protowire.Number(6+i), func(b *out) { b.number(1, uint64(p.Host)); b.float(2, p.Weight) })
 				}
@@ -229,18 +229,18 @@
 }
 
 func appendAction(b *out, a router.Action) {
-	b.int(1, int64(a.Do))
-	b.text(2, a.Task)
-	b.int(3, int64(a.Send))
+	b.int(1, int64(a.Kind))
+	b.text(2, a.RequestID)
+	b.int(3, int64(a.Attempt))
 	b.number(4, uint64(a.Host))
-	b.int(5, int64(a.Span))
-	b.int(6, a.Alarm)
+	b.int(5, int64(a.Duration))
+	b.int(6, a.Timer)
 	b.int(7, int64(a.Build))
 	b.int(8, int64(a.Stage))
-	b.int(9, int64(a.Voice))
+	b.int(9, int64(a.Choice))
 	b.text(10, a.Text)
-	b.number(11, a.Number)
-	b.bool(12, a.Copied)
+	b.number(11, a.PlanVersion)
+	b.bool(12, a.IsShadow)
 	b.int(13, int64(a.Peer))
 	b.text(14, a.Body)
 }
@@ -297,26 +297,26 @@
 		case 2:
 			e.At = f.time()
 		case 3:
-			e.Place, err = readPlace(f.bytes)
+			e.Config, err = readPlace(f.bytes)
 			return err
 		case 4:
 			x := router.RequestArrived{}
 			err := fields(f.bytes, func(f field) error {
 				switch f.number {
 				case 1:
-					x.Task = f.text()
+					x.RequestID = f.text()
 				case 2:
-					x.Category = f.text()
+					x.Class = f.text()
 				case 3:
-					x.Customer = f.text()
+					x.Tenant = f.text()
 				case 4:
 					x.Key = f.text()
 				case 5:
-					x.Patience = f.time()
+					x.Timeout = f.time()
 				case 6:
-					x.Hint = f.time()
+					x.ExpectedWork = f.time()
 				case 7:
-					x.Again = f.n != 0
+					x.ClientRetry = f.n != 0
 				}
 				return nil
 			})
@@ -327,13 +327,13 @@
 			err := fields(f.bytes, func(f field) error {
 				switch f.number {
 				case 1:
-					x.Task = f.text()
+					x.RequestID = f.text()
 				case 2:
-					x.Send = f.int()
+					x.Attempt = f.int()
 				case 3:
-					x.Fate = policy.Outcome(f.int())
+					x.Outcome = policy.Outcome(f.int())
 				case 4:
-					x.Took = f.time()
+					x.Latency = f.time()
 				case 5:
 					x.Done = f.n != 0
 				case 6:
@@ -349,9 +349,9 @@
 			x := router.ResponseStarted{}
 			err := fields(f.bytes, func(f field) error {
 				if f.number == 1 {
-					x.Task = f.text()
+					x.RequestID = f.text()
 				} else if f.number == 2 {
-					x.Send = f.int()
+					x.Attempt = f.int()
 				}
 				return nil
 			})
@@ -361,7 +361,7 @@
 			x := router.ClientGone{}
 			err := fields(f.bytes, func(f field) error {
 				if f.number == 1 {
-					x.Task = f.text()
+					x.RequestID = f.text()
 				}
 				return nil
 			})
@@ -388,17 +388,17 @@
 			err := fields(f.bytes, func(f field) error {
 				switch f.number {
 				case 1:
-					x.News.Build = f.int()
+					x.Status.Build = f.int()
 				case 2:
-					x.News.Stage = f.int()
+					x.Status.Stage = f.int()
 				case 3:
-					x.News.Phase = policy.Phase(f.int())
+					x.Status.Phase = policy.Phase(f.int())
 				case 4:
-					x.News.ExposureCap = f.float()
+					x.Status.ExposureCap = f.float()
 				case 5:
-					x.News.Age = f.time()
+					x.Status.Age = f.time()
 				case 6:
-					x.News.VoteResult = policy.VoteResult(f.int())
+					x.Status.VoteResult = policy.VoteResult(f.int())
 				}
 				return nil
 			})
@@ -411,17 +411,17 @@
 				case 1:
 					x.Build = f.int()
 				case 2:
-					x.Category = f.text()
+					x.Class = f.text()
 				case 3:
-					x.Bad = f.int()
+					x.Failures = f.int()
 				case 4:
 					x.Samples = f.int()
 				case 5:
-					x.Mean = f.time()
+					x.MeanLatency = f.time()
 				case 6:
 					x.Age = f.time()
 				case 7:
-					x.Over = f.time()
+					x.Window = f.time()
 				}
 				return nil
 			})
@@ -434,7 +434,7 @@
 				case 1:
 					x.Host = uint32(f.n)
 				case 2:
-					x.Category = f.text()
+					x.Class = f.text()
 				case 3:
 					x.Age = f.time()
 				}
@@ -443,7 +443,7 @@
 			e.Event = x
 			return err
 		case 13:
-			e.Event = router.TimerFired{Alarm: int64(f.n) - 1}
+			e.Event = router.TimerFired{Timer: int64(f.n) - 1}
 		case 14:
 			x := router.PlanOffered{}
 			err := readPlanned(f.bytes, &x.Offer)
@@ -456,7 +456,7 @@
 		case 16:
 			p, err := readPlace(f.bytes)
 			if p != nil {
-				e.Event = router.ConfigChanged{Place: *p}
+				e.Event = router.ConfigChanged{Config: *p}
 			}
 			return err
 		case 17:
@@ -478,9 +478,9 @@
 				case 1:
 					x.Host = uint32(f.n)
 				case 2:
-					x.Fate = policy.Outcome(f.int())
+					x.Outcome = policy.Outcome(f.int())
 				case 3:
-					x.Took = f.time()
+					x.Latency = f.time()
 				case 4:
 					x.Load, err = readLoad(f.bytes)
 				}
@@ -491,7 +491,7 @@
 		}
 		return nil
 	})
-	if err == nil && e.Place == nil && e.Event == nil {
+	if err == nil && e.Config == nil && e.Event == nil {
 		err = errors.New("an entry without an event, or with one that this version doesn't know")
 	}
 	return e, err
@@ -503,17 +503,17 @@
 		case 1:
 			h.ID = uint32(f.n)
 		case 2:
-			h.Location = f.text()
+			h.Zone = f.text()
 		case 3:
 			h.Cell = f.int()
 		case 4:
-			h.Standing = policy.EndpointState(f.int())
+			h.State = policy.EndpointState(f.int())
 		case 5:
 			h.Build = f.int()
 		case 6:
-			h.Size = f.float()
+			h.Weight = f.float()
 		case 7:
-			h.Up = f.time()
+			h.StartedAt = f.time()
 		}
 		return nil
 	})
@@ -528,13 +528,13 @@
 		case 2:
 			o.Build = f.int()
 		case 3:
-			o.Copies = f.float()
+			o.ShadowShare = f.float()
 		case 4:
-			o.Cross = f.float()
+			o.CrossZoneShare = f.float()
 		case 5:
-			o.For = time.Duration(f.n)
+			o.ValidFor = time.Duration(f.n)
 		case 6, 7:
-			p := plan.Part{}
+			p := plan.HostWeight{}
 			if err := fields(f.bytes, func(f field) error {
 				if f.number == 1 {
 					p.Host = uint32(f.n)
@@ -546,9 +546,9 @@
 				return err
 			}
 			if f.number == 6 {
-				o.Near = append(o.Near, p)
+				o.LocalWeights = append(o.LocalWeights, p)
 			} else {
-				o.Far = append(o.Far, p)
+				o.RemoteWeights = append(o.RemoteWeights, p)
 			}
 		}
 		return nil
@@ -559,29 +559,29 @@
 	err = fields(b, func(f field) error {
 		switch f.number {
 		case 1:
-			a.Do = router.ActionKind(f.int())
+			a.Kind = router.ActionKind(f.int())
 		case 2:
-			a.Task = f.text()
+			a.RequestID = f.text()
 		case 3:
-			a.Send = f.int()
+			a.Attempt = f.int()
 		case 4:
 			a.Host = uint32(f.n)
 		case 5:
-			a.Span = f.time()
+			a.Duration = f.time()
 		case 6:
-			a.Alarm = int64(f.n)
+			a.Timer = int64(f.n)
 		case 7:
 			a.Build = f.int()
 		case 8:
 			a.Stage = f.int()
 		case 9:
-			a.Voice = policy.VoteChoice(f.int())
+			a.Choice = policy.VoteChoice(f.int())
 		case 10:
 			a.Text = f.text()
 		case 11:
-			a.Number = f.n
+			a.PlanVersion = f.n
 		case 12:
-			a.Copied = f.n != 0
+			a.IsShadow = f.n != 0
 		case 13:
 			a.Peer = f.int()
 		case 14:
--- a/record/writer.go
+++ b/record/writer.go
@@ -23,15 +23,15 @@
 	"dapplefront/router"
 )
 
-// Shelf is where records go and how much of them.
-type Shelf struct {
-	Dir    string
-	Name   string        // of the router; files are NAME-TIME.rec
-	Size   int64         // of a file before the next is begun; 0 for 64 MiB
-	Age    time.Duration // likewise; 0 for an hour
-	Most   int64         // bytes of all files of this name; the oldest go; 0 for 1 GiB
-	Secret []byte        // hashes keys and customers; nil for one that is made up and forgotten
-	Disk   func(*os.File) Sink
+// Config is where records go and how much of them.
+type Config struct {
+	Dir          string
+	Name         string        // of the router; files are NAME-TIME.rec
+	MaxFileBytes int64         // of a file before the next is begun; 0 for 64 MiB
+	MaxFileAge   time.Duration // likewise; 0 for an hour
+	MaxBytes     int64         // bytes of all files of this name; the oldest go; 0 for 1 GiB
+	Secret       []byte        // hashes keys and customers; nil for one that is made up and forgotten
+	OpenSink     func(*os.File) Sink
 }
 
 // Sink is what blocks are written to.
@@ -59,7 +59,7 @@
 
 // Writer writes one router's records. Its methods are for one goroutine; none of them waits for the disk.
 type Writer struct {
-	shelf  Shelf
+	shelf  Config
 	now    block
 	since  time.Time
 	number uint64
@@ -74,18 +74,18 @@
 }
 
 // Create starts a writer; its files come when there is something to write.
-func Create(s Shelf) (*Writer, error) {
-	if s.Size == 0 {
-		s.Size = 64 << 20
+func Create(s Config) (*Writer, error) {
+	if s.MaxFileBytes == 0 {
+		s.MaxFileBytes = 64 << 20
 	}
-	if s.Age == 0 {
-		s.Age = time.Hour
+	if s.MaxFileAge == 0 {
+		s.MaxFileAge = time.Hour
 	}
-	if s.Most == 0 {
-		s.Most = 1 << 30
+	if s.MaxBytes == 0 {
+		s.MaxBytes = 1 << 30
 	}
-	if s.Disk == nil {
-		s.Disk = func(f *os.File) Sink { return f }
+	if s.OpenSink == nil {
+		s.OpenSink = func(f *os.File) Sink { return f }
 	}
 	if s.Secret == nil {
 		s.Secret = make([]byte, 32)
@@ -120,13 +120,13 @@
 	return h
 }
 
-// Begin notes a router's start: all that it was told, and its first actions.
-func (w *Writer) Begin(now policy.Time, p router.Config, actions []router.Action) error {
-	return w.add(&Entry{At: now, Place: &p, Actions: actions})
+// WriteStart notes a router's start: all that it was told, and its first actions.
+func (w *Writer) WriteStart(now policy.Time, p router.Config, actions []router.Action) error {
+	return w.add(&Entry{At: now, Config: &p, Actions: actions})
 }
 
-// Heard notes an event and the actions that followed.
-func (w *Writer) Heard(now policy.Time, e router.Event, actions []router.Action) error {
+// WriteEvent notes an event and the actions that followed.
+func (w *Writer) WriteEvent(now policy.Time, e router.Event, actions []router.Action) error {
 	return w.add(&Entry{At: now, Event: e, Actions: actions})
 }
 
@@ -169,8 +169,8 @@
 	}
 }
 
-// Lost is how many entries were dropped.
-func (w *Writer) Lost() uint64 { return w.lost }
+// Dropped is how many entries were dropped.
+func (w *Writer) Dropped() uint64 { return w.lost }
 
 // Written is how many bytes went to the disk.
 func (w *Writer) Written() int64 { return w.bytes.Load() }
@@ -199,7 +199,7 @@
 	var all []error
 	count := 0
 	for b := range w.blocks {
-		if file != nil && (size >= w.shelf.Size || time.Since(begun) >= w.shelf.Age) {
+		if file != nil && (size >= w.shelf.MaxFileBytes || time.Since(begun) >= w.shelf.MaxFileAge) {
 			all = append(all, file.Close())
 			file = nil
 		}
@@ -211,7 +211,7 @@
 				all = append(all, err)
 				continue
 			}
-			file, size, begun = w.shelf.Disk(f), 0, time.Now()
+			file, size, begun = w.shelf.OpenSink(f), 0, time.Now()
 			if _, err := file.Write([]byte(magic)); err != nil {
 				all = append(all, err)
 			}
@@ -254,7 +254,7 @@
 		if err != nil {
 			continue
 		}
-		if sum += s.Size(); sum > w.shelf.Most-w.shelf.Size && !strings.HasSuffix(f, newest) {
+		if sum += s.Size(); sum > w.shelf.MaxBytes-w.shelf.MaxFileBytes && !strings.HasSuffix(f, newest) {
 			_ = os.Remove(f)
 		}
 	}
--- a/release/release.go
+++ b/release/release.go
@@ -20,46 +20,46 @@
 
 // Stage is one step of a release.
 type Stage struct {
-	Share float64 // of the fleet's places that get the build
-	Cap   float64 // of each router's tasks that may go there
+	HostShare   float64 // of the fleet's places that get the build
+	ExposureCap float64 // of each router's tasks that may go there
 }
 
 // Rules are what the machine goes by.
 type Rules struct {
-	Control   policy.PromotionMode
-	Stages    []Stage
-	LeastTime policy.Time // of a stage
-	ClockTime policy.Time // of a stage, under logic.Clock
-	VoteLife  policy.Time
-	ToMoveOn  int // votes
-	ToAbort   int
-	ToHold    int // under logic.Clock
+	Mode           policy.PromotionMode
+	Stages         []Stage
+	MinStageTime   policy.Time // of a stage
+	StageTime      policy.Time // of a stage, under logic.Clock
+	VoteTTL        policy.Time
+	PromoteQuorum  int // votes
+	RollbackQuorum int
+	HoldQuorum     int // under logic.Clock
 }
 
 // Input is something that happens.
 type Input interface{ input() }
 
 type (
-	Offer    struct{ Build int } // a newer build is to be released
-	Ready    struct{ Build int } // all hosts that Place asked for run
-	Gone     struct{ Build int } // all hosts that Retire named have gone
-	Withdraw struct{ Build int } // someone takes the build back
-	Fix      struct{ Build int } // from now on the build can't go back: something was done that can't be undone
-	Tick     struct{}            // time has passed
-	Vote     struct {            // a router's word, in place of its earlier one
+	Offer        struct{ Build int } // a newer build is to be released
+	HostsReady   struct{ Build int } // all hosts that Place asked for run
+	HostsRemoved struct{ Build int } // all hosts that Retire named have gone
+	RollBack     struct{ Build int } // someone takes the build back
+	Finalize     struct{ Build int } // from now on the build can't go back: something was done that can't be undone
+	Tick         struct{}            // time has passed
+	Vote         struct {            // a router's word, in place of its earlier one
 		Router       string
 		Build, Stage int
-		Voice        policy.VoteChoice
+		Choice       policy.VoteChoice
 	}
 )
 
-func (Offer) input()    {}
-func (Ready) input()    {}
-func (Gone) input()     {}
-func (Withdraw) input() {}
-func (Fix) input()      {}
-func (Tick) input()     {}
-func (Vote) input()     {}
+func (Offer) input()        {}
+func (HostsReady) input()   {}
+func (HostsRemoved) input() {}
+func (RollBack) input()     {}
+func (Finalize) input()     {}
+func (Tick) input()         {}
+func (Vote) input()         {}
 
 // Effect is something to be done.
 type Effect interface{ effect() }
@@ -69,28 +69,28 @@
 		Build int
 		Share float64
 	}
-	Retire struct{ Build int } // drain the build's hosts, then end them
-	Notify struct{ Status }    // to all routers
-	Answer struct {            // to the vote just heard
-		Counted bool
-		Why     string // where it did not count
+	Retire     struct{ Build int } // drain the build's hosts, then end them
+	Notify     struct{ Status }    // to all routers
+	VoteAnswer struct {            // to the vote just heard
+		Accepted bool
+		Reason   string // where it did not count
 	}
-	Refuse struct{ Why string } // to the offer or withdrawal just heard
+	Reject struct{ Reason string } // to the offer or withdrawal just heard
 )
 
-func (Deploy) effect() {}
-func (Retire) effect() {}
-func (Notify) effect() {}
-func (Answer) effect() {}
-func (Refuse) effect() {}
+func (Deploy) effect()     {}
+func (Retire) effect()     {}
+func (Notify) effect()     {}
+func (VoteAnswer) effect() {}
+func (Reject) effect()     {}
 
 // Status is where the newest release stands. It is stored and sent under these names.
 type Status struct {
-	Build int          `json:"Build"`
-	Stage int          `json:"Stage"`
-	Phase policy.Phase `json:"Phase"`
-	Cap   float64      `json:"Cap"`
-	Since policy.Time  `json:"Since"`
+	Build       int          `json:"Build"`
+	Stage       int          `json:"Stage"`
+	Phase       policy.Phase `json:"Phase"`
+	ExposureCap float64      `json:"Cap"`
+	Since       policy.Time  `json:"Since"`
 }
 
 // state is the phase, with its trial's two parts told apart.
@@ -161,19 +161,19 @@
 // New starts with a build that serves and is released.
 func New(rules Rules, build int) *Machine {
 	return &Machine{rules: rules, state: released, earlier: build, votes: map[string]vote{},
-		news: Status{Build: build, Phase: policy.Released, Cap: 1, Stage: max(0, len(rules.Stages)-1)}}
+		news: Status{Build: build, Phase: policy.Released, ExposureCap: 1, Stage: max(0, len(rules.Stages)-1)}}
 }
 
-// News is where the newest release stands now.
-func (m *Machine) News() Status { return m.news }
+// Status is where the newest release stands now.
+func (m *Machine) Status() Status { return m.news }
 
-// Earlier is the build that serves beside or before the newest one.
-func (m *Machine) Earlier() int { return m.earlier }
+// PreviousBuild is the build that serves beside or before the newest one.
+func (m *Machine) PreviousBuild() int { return m.earlier }
 
 // Votes is how many votes of a voice stand now for the newest build; those to go on count for its present stage only.
 func (m *Machine) Votes(voice policy.VoteChoice) (n int) {
 	for _, v := range m.votes {
-		fits := v.voice == voice && v.build == m.news.Build && m.now-v.at <= m.rules.VoteLife
+		fits := v.voice == voice && v.build == m.news.Build && m.now-v.at <= m.rules.VoteTTL
 		if fits && (voice == policy.Rollback || v.stage == m.news.Stage) {
 			n++
 		}
@@ -187,23 +187,23 @@
 	switch in := in.(type) {
 	case Offer:
 		m.offer(in.Build)
-	case Ready:
+	case HostsReady:
 		if in.Build == m.news.Build {
 			m.step(ready)
 		}
-	case Gone:
+	case HostsRemoved:
 		if in.Build == m.news.Build {
 			m.step(gone)
 		}
-	case Withdraw:
+	case RollBack:
 		if in.Build != m.news.Build || m.state == goingBack || m.state == withdrawn {
-			m.do(Refuse{Why: "it is not the newest release, or it is going back already"})
+			m.do(Reject{Reason: "it is not the newest release, or it is going back already"})
 		} else if m.fixed {
-			m.do(Refuse{Why: noWayBack})
+			m.do(Reject{Reason: noWayBack})
 		} else {
 			m.step(sendsBack)
 		}
-	case Fix:
+	case Finalize:
 		m.fixed = m.fixed || in.Build == m.news.Build
 	case Vote:
 		m.vote(in)
@@ -230,11 +230,11 @@
 
 func (m *Machine) offer(build int) {
 	if build <= m.news.Build {
-		m.do(Refuse{Why: "a build with a higher number has been offered already"})
+		m.do(Reject{Reason: "a build with a higher number has been offered already"})
 		return
 	}
 	if m.fixed && m.state != released {
-		m.do(Refuse{Why: "build " + strconv.Itoa(m.news.Build) + " must be released first: " + noWayBack})
+		m.do(Reject{Reason: "build " + strconv.Itoa(m.news.Build) + " must be released first: " + noWayBack})
 		return
 	}
 	if m.step(overtaken); m.state == released {
@@ -247,26 +247,26 @@
 
 func (m *Machine) vote(v Vote) {
 	mine := v.Build == m.news.Build && m.state != goingBack && m.state != withdrawn
-	back := v.Voice == policy.Rollback || v.Voice == policy.Abstain
+	back := v.Choice == policy.Rollback || v.Choice == policy.Abstain
 	switch {
 	case !mine || !back && (v.Stage != m.news.Stage || m.state == released):
-		m.do(Answer{Why: "it is not the present build or stage"})
+		m.do(VoteAnswer{Reason: "it is not the present build or stage"})
 		return
-	case v.Voice == policy.Hold && m.rules.Control != policy.Timed, v.Voice == policy.Promote && m.rules.Control == policy.Timed:
-		m.do(Answer{Why: "no such vote under this control"})
+	case v.Choice == policy.Hold && m.rules.Mode != policy.Timed, v.Choice == policy.Promote && m.rules.Mode == policy.Timed:
+		m.do(VoteAnswer{Reason: "no such vote under this control"})
 		return
 	}
-	if v.Voice == policy.Rollback && m.fixed {
-		m.do(Answer{Why: noWayBack})
+	if v.Choice == policy.Rollback && m.fixed {
+		m.do(VoteAnswer{Reason: noWayBack})
 		return
 	}
-	m.votes[v.Router] = vote{v.Build, v.Stage, v.Voice, m.now}
-	m.do(Answer{Counted: true})
+	m.votes[v.Router] = vote{v.Build, v.Stage, v.Choice, m.now}
+	m.do(VoteAnswer{Accepted: true})
 }
 
 // weigh sees whether votes or time move the release.
 func (m *Machine) weigh() {
-	if !m.fixed && m.Votes(policy.Rollback) >= max(1, m.rules.ToAbort) {
+	if !m.fixed && m.Votes(policy.Rollback) >= max(1, m.rules.RollbackQuorum) {
 		m.step(sendsBack)
 		return
 	}
@@ -277,13 +277,13 @@
 	if m.holding {
 		m.held += m.now - m.ticked
 	}
-	m.holding = m.rules.Control == policy.Timed && m.rules.ToHold > 0 && m.Votes(policy.Hold) >= m.rules.ToHold
+	m.holding = m.rules.Mode == policy.Timed && m.rules.HoldQuorum > 0 && m.Votes(policy.Hold) >= m.rules.HoldQuorum
 	switch {
-	case m.rules.Control != policy.Timed:
-		if m.Votes(policy.Promote) >= max(1, m.rules.ToMoveOn) && ran >= m.rules.LeastTime {
+	case m.rules.Mode != policy.Timed:
+		if m.Votes(policy.Promote) >= max(1, m.rules.PromoteQuorum) && ran >= m.rules.MinStageTime {
 			m.step(movesOn)
 		}
-	case !m.holding && ran-m.held >= m.rules.ClockTime:
+	case !m.holding && ran-m.held >= m.rules.StageTime:
 		m.step(movesOn)
 	}
 }
@@ -291,8 +291,8 @@
 // place asks for the present stage's hosts and tells of it.
 func (m *Machine) place() {
 	s := m.rules.Stages[m.news.Stage]
-	m.news.Cap, m.news.Since, m.held, m.holding = s.Cap, m.now, 0, false
-	m.do(Deploy{m.news.Build, s.Share})
+	m.news.ExposureCap, m.news.Since, m.held, m.holding = s.ExposureCap, m.now, 0, false
+	m.do(Deploy{m.news.Build, s.HostShare})
 	m.do(Notify{m.news})
 }
 
@@ -314,14 +314,14 @@
 		m.place()
 		return
 	}
-	m.state, m.news.Phase, m.news.Cap, m.news.Since = released, policy.Released, 1, m.now
+	m.state, m.news.Phase, m.news.ExposureCap, m.news.Since = released, policy.Released, 1, m.now
 	m.do(Notify{m.news})
 	m.do(Retire{m.earlier})
 }
 
 // takeOff takes a build on trial back.
 func (m *Machine) takeOff() {
-	m.news.Phase, m.news.Cap, m.news.Since = policy.RollingBack, 0, m.now
+	m.news.Phase, m.news.ExposureCap, m.news.Since = policy.RollingBack, 0, m.now
 	if m.state == withdrawn {
 		m.news.Phase = policy.RolledBack
 	}
--- a/router/cost_test.go
+++ b/router/cost_test.go
@@ -29,18 +29,18 @@
 
 func newFleet(b *testing.B, hosts int, rate float64) *fleet {
 	f := &fleet{now: 1000 * policy.Second, gap: float64(policy.Second) / rate}
-	f.r, _ = router.New(f.now, router.Config{Seed: 1, Routers: 4, Location: "north", Categories: []router.Class{
-		{Name: "quote", Promised: 4000, Earnings: 1}, {Name: "order", Repeat: policy.IdempotentWithKey, Memory: 10 * policy.Second, Promised: 5000, Earnings: 1}},
+	f.r, _ = router.New(f.now, router.Config{Seed: 1, Routers: 4, Zone: "north", Classes: []router.Class{
+		{Name: "quote", LatencyObjective: 4000, PriorityWeight: 1}, {Name: "order", Idempotency: policy.IdempotentWithKey, DedupWindow: 10 * policy.Second, LatencyObjective: 5000, PriorityWeight: 1}},
 		Limits: policy.Limits{DrainGrace: policy.Second, WarmUp: 4 * policy.Second, ColdCapacity: .35, ColdOverloadFactor: 3, ColdOverloadWindow: 2 * policy.Second, PollInterval: 100000 * policy.Second,
-			MaxAttempts: 4, AllowHedging: true, MaxRetryAfter: 2 * policy.Second, CrossPrice: .02},
-		Desk: policy.ReleaseConfig{Mode: policy.Quorum, ExposureCaps: []float64{.05, .5, 1}, MinStageTime: policy.Second, PromoteQuorum: 2, RollbackQuorum: 1,
+			MaxAttempts: 4, AllowHedging: true, MaxRetryAfter: 2 * policy.Second, CrossZonePrice: .02},
+		Release: policy.ReleaseConfig{Mode: policy.Quorum, ExposureCaps: []float64{.05, .5, 1}, MinStageTime: policy.Second, PromoteQuorum: 2, RollbackQuorum: 1,
 			VoteTTL: 8 * policy.Second, VoteTimeout: policy.Second, MaxVotesPerSecond: 30, ExposureWindow: 4 * policy.Second, ExposureAllowance: 2, GuardedStages: 1}})
 	var list []router.Host
 	for i := range hosts {
-		list = append(list, router.Host{ID: uint32(i + 1), Location: []string{"north", "south", "port"}[i%3], Build: 1, Size: 1})
+		list = append(list, router.Host{ID: uint32(i + 1), Zone: []string{"north", "south", "port"}[i%3], Build: 1, Weight: 1})
 	}
 	f.hear(b, router.EndpointsChanged{Complete: true, Hosts: list})
-	f.hear(b, router.ReleaseChanged{News: policy.ReleaseStatus{Build: 1, Phase: policy.Released, ExposureCap: 1}})
+	f.hear(b, router.ReleaseChanged{Status: policy.ReleaseStatus{Build: 1, Phase: policy.Released, ExposureCap: 1}})
 	for range 2000 {
 		f.task(b)
 	}
@@ -53,9 +53,9 @@
 		b.Fatal(err)
 	}
 	for _, a := range f.actions {
-		if a.Do == router.Send {
+		if a.Kind == router.SendAttempt {
 			took := policy.Time(200 + 100*(f.next*7919%13)/13)
-			f.ends = append(f.ends, ending{f.now + took, a.Task, a.Send, a.Host})
+			f.ends = append(f.ends, ending{f.now + took, a.RequestID, a.Attempt, a.Host})
 		}
 	}
 }
@@ -76,12 +76,12 @@
 	f.ends = kept
 	for _, e := range due {
 		f.now = max(f.now, e.at)
-		f.hear(b, router.AttemptEnded{Task: e.task, Send: e.send, Fate: policy.Succeeded, Took: 250, Done: true,
-			Load: &policy.LoadReport{Active: 2, Waiting: -1, Busy: -1, Service: -1, Rate: -1}})
+		f.hear(b, router.AttemptEnded{RequestID: e.task, Attempt: e.send, Outcome: policy.Succeeded, Latency: 250, Done: true,
+			Load: &policy.LoadReport{ActiveRequests: 2, QueuedRequests: -1, CPUUtilization: -1, MeanLatency: -1, RequestsPerSecond: -1}})
 	}
 	f.now = max(f.now, now)
 	f.next++
-	f.hear(b, router.RequestArrived{Task: strconv.Itoa(f.next), Category: []string{"quote", "order"}[f.next%2], Patience: 15000})
+	f.hear(b, router.RequestArrived{RequestID: strconv.Itoa(f.next), Class: []string{"quote", "order"}[f.next%2], Timeout: 15000})
 }
 
 // BenchmarkTask is the library's work for one task, from its arrival to the end of its send.
--- a/router/planned.go
+++ b/router/planned.go
@@ -16,7 +16,7 @@
 	if r.news.Phase == policy.Canary {
 		fleet.Build, fleet.Cap = r.news.Build, r.news.ExposureCap
 	}
-	here := r.location(r.place.Location)
+	here := r.location(r.place.Zone)
 	for id, h := range r.hosts {
 		n := h.noun
 		age := now - n.StartedAt
@@ -26,11 +26,11 @@
 		fleet.Hosts[id] = plan.Known{Near: n.Zone == here, Size: n.Weight, Age: time.Duration(max(0, age)) * tick,
 			Trial: fleet.Build != 0 && n.Build == fleet.Build}
 	}
-	act := Action{Do: AcknowledgePlan, Number: o.Version}
+	act := Action{Kind: AcknowledgePlan, PlanVersion: o.Version}
 	if err := r.follower.Offer(o, fleet); err != nil {
 		act.Text = err.Error()
 	} else {
-		r.plan, r.until = o, now+policy.Time(o.For/tick)
+		r.plan, r.until = o, now+policy.Time(o.ValidFor/tick)
 		r.policy.PlanOffered(now, r.course())
 	}
 	r.out = append(r.out, act)
@@ -38,8 +38,8 @@
 
 // course is the plan in force, for the hosts that are known.
 func (r *Router) course() policy.WeightPlan {
-	c := policy.WeightPlan{Weights: make(map[*policy.Host]float64, len(r.plan.Near)+len(r.plan.Far)), Cross: r.plan.Cross, Until: r.until}
-	for _, side := range [][]plan.Part{r.plan.Near, r.plan.Far} {
+	c := policy.WeightPlan{Weights: make(map[*policy.Host]float64, len(r.plan.LocalWeights)+len(r.plan.RemoteWeights)), Cross: r.plan.CrossZoneShare, Until: r.until}
+	for _, side := range [][]plan.HostWeight{r.plan.LocalWeights, r.plan.RemoteWeights} {
 		for _, p := range side {
 			if h := r.hosts[p.Host]; h != nil {
 				c.Weights[h.noun] = p.Weight
--- a/router/router.go
+++ b/router/router.go
@@ -46,16 +46,16 @@
 	r := &Router{hosts: map[uint32]*host{}, locations: map[string]*policy.Zone{},
 		cats: map[string]*policy.Class{}, customers: map[string]*policy.Tenant{}, tasks: map[string]*task{},
 		ids: map[*policy.Request]string{}, alarms: map[int64]*policy.Timer{}, place: p}
-	place := policy.Config{Seed: p.Seed, Routers: p.Routers, Rank: p.Rank, Zone: r.location(p.Location),
-		Limits: p.Limits, Release: p.Desk}
-	for _, c := range p.Categories {
-		noun := &policy.Class{Idempotency: c.Repeat, DedupScope: c.Group, DedupWindow: c.Memory, LatencyObjective: c.Promised,
-			PriorityWeight: c.Earnings, LateShare: c.LateShare}
+	place := policy.Config{Seed: p.Seed, Routers: p.Routers, Rank: p.Rank, Zone: r.location(p.Zone),
+		Limits: p.Limits, Release: p.Release}
+	for _, c := range p.Classes {
+		noun := &policy.Class{Idempotency: c.Idempotency, DedupScope: c.DedupScope, DedupWindow: c.DedupWindow, LatencyObjective: c.LatencyObjective,
+			PriorityWeight: c.PriorityWeight, LateValueShare: c.LateValueShare}
 		r.cats[c.Name] = noun
 		place.Classes = append(place.Classes, noun)
 	}
-	for _, c := range p.Customers {
-		r.customers[c.Name] = &policy.Tenant{QuotaPerSecond: c.PerSecond}
+	for _, c := range p.Tenants {
+		r.customers[c.Name] = &policy.Tenant{QuotaPerSecond: c.QuotaPerSecond}
 	}
 	r.policy = policy.NewRouter(now, place, (*hands)(r))
 	return r, r.out
@@ -78,13 +78,13 @@
 	case AttemptEnded:
 		r.ended(now, e)
 	case ResponseStarted:
-		if t := r.tasks[e.Task]; t != nil && e.Send >= 0 && e.Send < len(t.noun.Attempts) {
-			r.policy.ResponseStarted(now, t.noun.Attempts[e.Send])
+		if t := r.tasks[e.RequestID]; t != nil && e.Attempt >= 0 && e.Attempt < len(t.noun.Attempts) {
+			r.policy.ResponseStarted(now, t.noun.Attempts[e.Attempt])
 		}
 	case ClientGone:
-		if t := r.tasks[e.Task]; t != nil {
+		if t := r.tasks[e.RequestID]; t != nil {
 			r.policy.ClientGone(now, t.noun)
-			r.forget(e.Task, t)
+			r.forget(e.RequestID, t)
 		}
 	case EndpointsChanged:
 		r.policy.EndpointsChanged(now, r.changes(now, e), true)
@@ -95,38 +95,38 @@
 	case EndpointsUnavailable:
 		r.policy.EndpointsChanged(now, nil, false)
 	case ReleaseChanged:
-		if e.News.VoteResult == policy.Unsolicited || e.News.VoteResult == policy.VoteAccepted {
-			r.news = e.News
+		if e.Status.VoteResult == policy.Unsolicited || e.Status.VoteResult == policy.VoteAccepted {
+			r.news = e.Status
 		}
-		r.policy.ReleaseChanged(now, e.News)
+		r.policy.ReleaseChanged(now, e.Status)
 	case HealthChecked:
 		if h := r.hosts[e.Host]; h != nil {
-			r.policy.HealthChecked(now, h.noun, e.Fate, e.Took, e.Load)
+			r.policy.HealthChecked(now, h.noun, e.Outcome, e.Latency, e.Load)
 		}
 	case GossipReceived:
 		r.policy.GossipReceived(now, e.Peer, []byte(e.Body))
 	case ConfigChanged:
-		return r.settle(now, e.Place)
+		return r.settle(now, e.Config)
 	case PlanOffered:
 		r.planned(now, e.Offer)
 	case StatsReported:
-		c := r.cats[e.Category]
+		c := r.cats[e.Class]
 		if c == nil {
-			return fmt.Errorf("counts of the category %q, which is none of those told at start", e.Category)
+			return fmt.Errorf("counts of the category %q, which is none of those told at start", e.Class)
 		}
-		r.policy.StatsReported(now, policy.BuildStats{Build: e.Build, Category: c, Bad: e.Bad, Samples: e.Samples, Mean: e.Mean,
-			Age: e.Age, Over: e.Over})
+		r.policy.StatsReported(now, policy.BuildStats{Build: e.Build, Class: c, Failures: e.Failures, Samples: e.Samples, MeanLatency: e.MeanLatency,
+			Age: e.Age, Window: e.Window})
 	case ComplaintReceived:
-		c := r.cats[e.Category]
+		c := r.cats[e.Class]
 		if c == nil {
-			return fmt.Errorf("a complaint of the category %q, which is none of those told at start", e.Category)
+			return fmt.Errorf("a complaint of the category %q, which is none of those told at start", e.Class)
 		}
 		if h := r.hosts[e.Host]; h != nil {
 			r.policy.ComplaintReceived(now, h.noun, c, e.Age)
 		}
 	case TimerFired:
-		if a := r.alarms[e.Alarm]; a != nil {
-			delete(r.alarms, e.Alarm)
+		if a := r.alarms[e.Timer]; a != nil {
+			delete(r.alarms, e.Timer)
 			r.policy.TimerFired(now, a)
 		}
 	default:
@@ -136,35 +136,35 @@
 }
 
 func (r *Router) take(now policy.Time, e RequestArrived) error {
-	c := r.cats[e.Category]
+	c := r.cats[e.Class]
 	if c == nil {
-		return fmt.Errorf("task %s has the category %q, which is none of those told at start", e.Task, e.Category)
+		return fmt.Errorf("task %s has the category %q, which is none of those told at start", e.RequestID, e.Class)
 	}
-	if r.tasks[e.Task] != nil {
-		return fmt.Errorf("task %s is already held", e.Task)
+	if r.tasks[e.RequestID] != nil {
+		return fmt.Errorf("task %s is already held", e.RequestID)
 	}
-	t := &task{noun: &policy.Request{Class: c, Tenant: r.customers[e.Customer], Key: e.Key, Timeout: e.Patience,
-		ExpectedWork: e.Hint, ClientRetry: e.Again}}
-	r.tasks[e.Task], r.ids[t.noun] = t, e.Task
+	t := &task{noun: &policy.Request{Class: c, Tenant: r.customers[e.Tenant], Key: e.Key, Timeout: e.Timeout,
+		ExpectedWork: e.ExpectedWork, ClientRetry: e.ClientRetry}}
+	r.tasks[e.RequestID], r.ids[t.noun] = t, e.RequestID
 	r.policy.RequestArrived(now, t.noun)
-	r.forget(e.Task, t)
+	r.forget(e.RequestID, t)
 	return nil
 }
 
 // ended passes on how a send ended, once.
 func (r *Router) ended(now policy.Time, e AttemptEnded) {
-	t := r.tasks[e.Task]
-	if t == nil || e.Send < 0 || e.Send >= len(t.ended) || t.ended[e.Send] {
+	t := r.tasks[e.RequestID]
+	if t == nil || e.Attempt < 0 || e.Attempt >= len(t.ended) || t.ended[e.Attempt] {
 		return
 	}
-	s := t.noun.Attempts[e.Send]
-	t.ended[e.Send] = true
+	s := t.noun.Attempts[e.Attempt]
+	t.ended[e.Attempt] = true
 	t.left--
 	if h := r.hosts[s.Host.ID]; h != nil && h.noun == s.Host {
 		h.out--
 	}
-	r.policy.AttemptEnded(now, s, e.Fate, e.Took, e.Done, e.Load)
-	r.forget(e.Task, t)
+	r.policy.AttemptEnded(now, s, e.Outcome, e.Latency, e.Done, e.Load)
+	r.forget(e.RequestID, t)
 }
 
 // forget drops a task of which nothing more can be heard.
@@ -195,12 +195,12 @@
 			h = &host{noun: &policy.Host{ID: l.ID}}
 			r.hosts[l.ID] = h
 		}
-		if h.gone = 0; l.Standing == policy.Removed {
+		if h.gone = 0; l.State == policy.Removed {
 			h.gone = now
 		}
 		named[l.ID] = true
-		out = append(out, policy.EndpointUpdate{Host: h.noun, Zone: r.location(l.Location), Cell: l.Cell,
-			State: l.Standing, Build: l.Build, Weight: l.Size, StartedAt: l.Up})
+		out = append(out, policy.EndpointUpdate{Host: h.noun, Zone: r.location(l.Zone), Cell: l.Cell,
+			State: l.State, Build: l.Build, Weight: l.Weight, StartedAt: l.StartedAt})
 	}
 	if !e.Complete {
 		return out
@@ -249,31 +249,31 @@
 	if h := r.hosts[s.Host.ID]; h != nil {
 		h.out++
 	}
-	r.act(Action{Do: Send, Task: id, Send: len(t.ended) - 1, Host: s.Host.ID, Span: within, Copied: s.IsShadow()})
+	r.act(Action{Kind: SendAttempt, RequestID: id, Attempt: len(t.ended) - 1, Host: s.Host.ID, Duration: within, IsShadow: s.IsShadow()})
 }
 
 func (r *hands) Reject(t *policy.Request, stay policy.Time) {
-	r.act(Action{Do: Reject, Task: r.ids[t], Span: stay})
+	r.act(Action{Kind: Reject, RequestID: r.ids[t], Duration: stay})
 }
 
-func (r *hands) Fail(t *policy.Request) { r.act(Action{Do: Fail, Task: r.ids[t]}) }
+func (r *hands) Fail(t *policy.Request) { r.act(Action{Kind: Fail, RequestID: r.ids[t]}) }
 
 func (r *hands) SetTimer(in policy.Time, a *policy.Timer) {
 	r.marks++
 	r.alarms[r.marks] = a
-	r.act(Action{Do: SetTimer, Alarm: r.marks, Span: in})
+	r.act(Action{Kind: SetTimer, Timer: r.marks, Duration: in})
 }
 
-func (r *hands) WatchEndpoints() { r.act(Action{Do: WatchEndpoints}) }
+func (r *hands) WatchEndpoints() { r.act(Action{Kind: WatchEndpoints}) }
 
 func (r *hands) Vote(build, stage int, voice policy.VoteChoice) {
-	r.act(Action{Do: Vote, Build: build, Stage: stage, Voice: voice})
+	r.act(Action{Kind: CastVote, Build: build, Stage: stage, Choice: voice})
 }
 
-func (r *hands) Log(text string) { r.act(Action{Do: Log, Text: text}) }
+func (r *hands) Log(text string) { r.act(Action{Kind: Log, Text: text}) }
 
 func (r *hands) Gossip(peer int, body []byte) {
-	r.act(Action{Do: Gossip, Peer: peer, Body: string(body)})
+	r.act(Action{Kind: SendGossip, Peer: peer, Body: string(body)})
 }
 
-func (r *hands) CheckHealth(h *policy.Host) { r.act(Action{Do: CheckHealth, Host: h.ID}) }
+func (r *hands) CheckHealth(h *policy.Host) { r.act(Action{Kind: CheckHealth, Host: h.ID}) }
