--- /dev/null
+++ b/cmd/dapplefront/build.go
@@ -0,0 +1,129 @@
+package main
+
+import (
+	"errors"
+	"os"
+	"time"
+
+	"github.com/spf13/cobra"
+
+	"dapplefront/build"
+	"dapplefront/internal/artifact"
+)
+
+// passwordVariable holds the password of encrypted private keys.
+const passwordVariable = "DAPPLEFRONT_KEY_PASSWORD"
+
+func buildCommand() *cobra.Command {
+	c := &cobra.Command{Use: "build", Short: "Pack, sign and verify builds, and make keys and rings"}
+	c.AddCommand(packCommand(), signCommand(), verifyCommand(), keysCommand())
+	return c
+}
+
+func packCommand() *cobra.Command {
+	var out, name, group, ready string
+	var version int
+	var start []string
+	var readyTimeout, drainTimeout time.Duration
+	c := &cobra.Command{
+		Use:   "pack FOLDER",
+		Short: "Make a build of a folder: files by digest, and a manifest to sign",
+		Args:  cobra.ExactArgs(1),
+		RunE: func(c *cobra.Command, args []string) error {
+			m := &build.Manifest{Format: 1, Name: name, Group: group, Version: version, Start: start}
+			m.Ready.Path, m.Ready.Within, m.Drain.Within = ready, build.Span(readyTimeout), build.Span(drainTimeout)
+			digest, err := artifact.Pack(args[0], out, m)
+			if err != nil {
+				return err
+			}
+			c.Println(digest)
+			return nil
+		},
+	}
+	f := c.Flags()
+	f.StringVar(&out, "out", "mirror", "the folder that a mirror serves")
+	f.StringVar(&name, "name", "", "the build's name")
+	f.StringVar(&group, "group", "", "the host group that it is for")
+	f.IntVar(&version, "version", 0, "its number, higher than that of earlier builds")
+	f.StringArrayVar(&start, "start", nil, "its command, a word each; the first is a file of the folder, {port} the port to listen on")
+	f.StringVar(&ready, "ready", "/ready", "the path of its readiness check")
+	f.DurationVar(&readyTimeout, "ready-within", 10*time.Second, "how long it may take to get ready")
+	f.DurationVar(&drainTimeout, "drain-within", 10*time.Second, "how long it may take to end")
+	return c
+}
+
+func signCommand() *cobra.Command {
+	var out, key string
+	c := &cobra.Command{
+		Use:   "sign DIGEST",
+		Short: "Add a signature to a packed build",
+		Args:  cobra.ExactArgs(1),
+		Long: "Add a signature to a packed build. The key is a file that `build keys new` has written; an encrypted one is opened with\n" +
+			"the password in DAPPLEFRONT_KEY_PASSWORD.",
+		RunE: func(_ *cobra.Command, args []string) error {
+			return artifact.Sign(out, args[0], key, os.Getenv(passwordVariable))
+		},
+	}
+	c.Flags().StringVar(&out, "out", "mirror", "the folder that a mirror serves")
+	c.Flags().StringVar(&key, "key", "", "the file of the private key")
+	return c
+}
+
+func verifyCommand() *cobra.Command {
+	var out, ring string
+	c := &cobra.Command{
+		Use:   "verify DIGEST",
+		Short: "Check a packed build as an agent would",
+		Args:  cobra.ExactArgs(1),
+		RunE: func(c *cobra.Command, args []string) error {
+			raw, err := os.ReadFile(ring)
+			if err != nil {
+				return err
+			}
+			trusted, err := build.ReadRing(raw)
+			if err != nil {
+				return err
+			}
+			m, names, err := artifact.Verify(out, args[0], trusted, time.Now())
+			var refused *build.Refused
+			if errors.As(err, &refused) {
+				c.PrintErrln("refused:", refused)
+				return exitCode(exitFailed)
+			}
+			if err != nil {
+				return err
+			}
+			c.Printf("%s %d for %s: %d files, %d bytes, signed by %v\n", m.Name, m.Version, m.Group, len(m.Files), m.Size(), names)
+			return nil
+		},
+	}
+	c.Flags().StringVar(&out, "out", "mirror", "the folder that a mirror serves")
+	c.Flags().StringVar(&ring, "ring", "ring.json", "the file of trusted keys")
+	return c
+}
+
+func keysCommand() *cobra.Command {
+	var group string
+	var threshold, days int
+	c := &cobra.Command{
+		Use:   "keys NAME ...",
+		Short: "Make a key pair for each name, and a ring that trusts them",
+		Args:  cobra.MinimumNArgs(1),
+		Long: "Make a key pair for each name (NAME.key, encrypted with the password in DAPPLEFRONT_KEY_PASSWORD if that is set) and\n" +
+			"ring.json, which trusts them. Nothing that exists is written over.",
+		RunE: func(c *cobra.Command, args []string) error {
+			now := time.Now()
+			wanted := build.Ring{Format: 1, Version: 1, Threshold: threshold, Group: group}
+			ring, err := artifact.Keys(".", args, os.Getenv(passwordVariable), wanted, now, now.AddDate(0, 0, days))
+			if err != nil {
+				return err
+			}
+			c.Printf("ring.json: %d of %d keys sign for %s\n", ring.Threshold, len(ring.Keys), ring.Group)
+			return nil
+		},
+	}
+	c.Flags().StringVar(&group, "group", "", "the host group")
+	c.Flags().IntVar(&threshold, "threshold", 1, "how many signatures a build needs")
+	c.Flags().IntVar(&days, "days", 365, "how long the keys are valid")
+	return c
+}
--- /dev/null
+++ b/cmd/dapplefront/check.go
@@ -0,0 +1,44 @@
+package main
+
+import (
+	"github.com/spf13/cobra"
+
+	"dapplefront/internal/inifile"
+	"dapplefront/internal/planreport"
+	"dapplefront/internal/routerconfig"
+	"dapplefront/internal/scenario"
+)
+
+func checkCommand() *cobra.Command {
+	return &cobra.Command{
+		Use:   "check FILE",
+		Short: "Check a file of settings of a router, an agent or a controller, a plan or a scenario, and tell every mistake",
+		Args:  cobra.ExactArgs(1),
+		RunE: func(c *cobra.Command, args []string) error {
+			file := inifile.Read(args[0])
+			readAny(file)
+			if err := file.Done(); err != nil {
+				c.PrintErrln(err)
+				return exitCode(exitFailed)
+			}
+			c.Printf("%s: no mistakes\n", args[0])
+			return nil
+		},
+	}
+}
+
+// readAny reads a file as what its first section says that it is; mistakes are kept by the file.
+func readAny(file *inifile.File) {
+	switch {
+	case file.Section("day").Has():
+		scenario.From(file)
+	case file.Section("agent").Has():
+		readAgentConfig(file)
+	case file.Section("controller").Has():
+		readControllerConfig(file)
+	case file.Section("plan").Has():
+		planreport.From(file)
+	default:
+		routerconfig.From(file)
+	}
+}
--- /dev/null
+++ b/cmd/dapplefront/endpoints.go
@@ -0,0 +1,65 @@
+package main
+
+import (
+	"fmt"
+	"net"
+	"slices"
+	"strconv"
+	"strings"
+
+	"github.com/spf13/cobra"
+
+	"dapplefront/internal/testbed"
+	"dapplefront/policy"
+)
+
+func endpointsCommand(options *logOptions) *cobra.Command {
+	var address, group string
+	c := &cobra.Command{
+		Use:   "endpoints ADDRESS=ZONE=BUILD ...",
+		Short: "Run stand-in endpoint discovery (xDS) with a fixed list",
+		Args:  cobra.MinimumNArgs(1),
+		RunE: func(_ *cobra.Command, args []string) error {
+			log, err := options.logger("info")
+			if err != nil {
+				return err
+			}
+			discovery, err := testbed.StartRegister(address, group, nil)
+			if err != nil {
+				return err
+			}
+			var zones []string
+			for i, text := range args {
+				host, zone, err := parseEndpoint(text, uint32(i+1))
+				if err != nil {
+					return err
+				}
+				discovery.Set(testbed.Entry{Host: host, Standing: policy.Serving})
+				if !slices.Contains(zones, zone) {
+					zones = append(zones, zone)
+				}
+			}
+			log.Info("register", "address", discovery.Address(), "names", strings.Join(discovery.Names(zones), ", "))
+			awaitTermination()
+			discovery.Stop()
+			return nil
+		},
+	}
+	c.Flags().StringVar(&address, "listen", "127.0.0.1:9000", "where to listen")
+	c.Flags().StringVar(&group, "group", "shop", "the first part of the resources' names")
+	return c
+}
+
+// parseEndpoint reads ADDRESS=ZONE=BUILD as the host with this id.
+func parseEndpoint(text string, id uint32) (h *testbed.Host, zone string, err error) {
+	parts := strings.Split(text, "=")
+	if len(parts) != 3 {
+		return nil, "", fmt.Errorf("%s: ADDRESS=ZONE=BUILD expected", text)
+	}
+	address, zone := parts[0], parts[1]
+	build, err := strconv.Atoi(parts[2])
+	if _, _, addressErr := net.SplitHostPort(address); err != nil || addressErr != nil {
+		return nil, "", fmt.Errorf("%s: ADDRESS=ZONE=BUILD expected", text)
+	}
+	return testbed.Elsewhere(address, testbed.Machine{ID: id, Location: zone, Cores: 1, Speed: 1}, build), zone, nil
+}
--- /dev/null
+++ b/cmd/dapplefront/logging.go
@@ -0,0 +1,40 @@
+package main
+
+import (
+	"fmt"
+	"log/slog"
+	"os"
+	"time"
+
+	"github.com/lmittmann/tint"
+)
+
+// logOptions are the flags about logging that all commands have.
+type logOptions struct {
+	level  string // debug, info, warn or error; empty for the command's default
+	format string // text or json
+}
+
+// logger returns a logger to standard error. An option that can't be read is an error that names its flag.
+func (o *logOptions) logger(defaultLevel string) (*slog.Logger, error) {
+	text := o.level
+	if text == "" {
+		text = defaultLevel
+	}
+	var level slog.Level
+	if err := level.UnmarshalText([]byte(text)); err != nil {
+		return nil, fmt.Errorf("--log %s: debug, info, warn or error expected", text)
+	}
+	switch o.format {
+	case "text":
+		return slog.New(tint.NewTextHandler(os.Stderr, &tint.Options{Level: level, TimeFormat: time.StampMilli, NoColor: !isTerminal(os.Stderr)})), nil
+	case "json":
+		return slog.New(slog.NewJSONHandler(os.Stderr, &slog.HandlerOptions{Level: level})), nil
+	}
+	return nil, fmt.Errorf("--log-form %s: text or json expected", o.format)
+}
+
+func isTerminal(f *os.File) bool {
+	s, err := f.Stat()
+	return err == nil && s.Mode()&os.ModeCharDevice != 0
+}
--- a/cmd/dapplefront/node.go
+++ b/cmd/dapplefront/node.go
@@ -1,7 +1,7 @@
 package main
 
 import (
-	"fmt"
+	"errors"
 	"os"
 	"os/signal"
 	"syscall"
@@ -11,26 +11,33 @@
 	"dapplefront/internal/node"
 )
 
-func nodeCommand(log logging) *cobra.Command {
-	return &cobra.Command{Use: "node", Short: "Run a router on the operators' platform", Args: cobra.NoArgs,
+// configVariable names the file of a router's configuration on the operators' platform.
+const configVariable = "EDGE_CONFIG"
+
+func nodeCommand(options *logOptions) *cobra.Command {
+	return &cobra.Command{
+		Use:   "node",
+		Short: "Run a router on the operators' platform",
+		Args:  cobra.NoArgs,
 		Long: "Run a router on the operators' platform, by the configuration that EDGE_CONFIG names (docs/operate-node.md).\n" +
-			"SIGTERM ends it as planned; SIGHUP reads the configuration anew; one with a mistake changes nothing.",
+			"SIGTERM drains it; SIGHUP reads the configuration anew; one with a mistake changes nothing.",
 		RunE: func(*cobra.Command, []string) error {
-			l, err := log("info")
+			log, err := options.logger("info")
 			if err != nil {
 				return err
 			}
-			file := os.Getenv("EDGE_CONFIG")
+			file := os.Getenv(configVariable)
 			if file == "" {
-				return fmt.Errorf("EDGE_CONFIG is not set")
+				return errors.New(configVariable + " is not set")
 			}
-			end, anew := make(chan os.Signal, 2), make(chan os.Signal, 1)
-			signal.Notify(end, syscall.SIGTERM, os.Interrupt)
-			signal.Notify(anew, syscall.SIGHUP)
-			left, err := node.Run(file, l, end, anew)
+			terminate, reload := make(chan os.Signal, 2), make(chan os.Signal, 1)
+			signal.Notify(terminate, syscall.SIGTERM, os.Interrupt)
+			signal.Notify(reload, syscall.SIGHUP)
+			left, err := node.Run(file, log, terminate, reload)
 			if err == nil && left > 0 {
-				err = exit(1)
+				err = exitCode(exitFailed)
 			}
 			return err
-		}}
+		},
+	}
 }
--- /dev/null
+++ b/cmd/dapplefront/release.go
@@ -0,0 +1,308 @@
+package main
+
+import (
+	"context"
+	"encoding/json"
+	"errors"
+	"fmt"
+	"net/http"
+	"strconv"
+	"strings"
+	"time"
+
+	"github.com/spf13/cobra"
+
+	"dapplefront/client"
+	"dapplefront/internal/api"
+	"dapplefront/internal/certs"
+)
+
+// releaseOptions are the flags that all release commands have.
+type releaseOptions struct {
+	urls    []string
+	output  string // table or json
+	timeout time.Duration
+	files   certs.Files
+}
+
+// releaseCommand speaks to controllers. It ends with 0 when done, 1 when the controller says no, 2 when it can't be
+// reached.
+func releaseCommand() *cobra.Command {
+	var o releaseOptions
+	root := &cobra.Command{Use: "release", Short: "Create, read, watch and withdraw releases"}
+	f := root.PersistentFlags()
+	f.StringSliceVar(&o.urls, "url", []string{"http://127.0.0.1:7300"}, "controllers, with commas between them")
+	f.StringVarP(&o.output, "output", "o", "table", "table or json")
+	f.DurationVar(&o.timeout, "within", 10*time.Second, "how long to try")
+	f.StringVar(&o.files.Certificate, "certificate", "", "PEM file of the caller's certificate")
+	f.StringVar(&o.files.Key, "key-file", "", "PEM file of its key")
+	f.StringVar(&o.files.Authority, "authority", "", "PEM file of the authority that controllers' certificates come from")
+	_ = root.RegisterFlagCompletionFunc("output", cobra.FixedCompletions([]string{"table", "json"}, cobra.ShellCompDirectiveNoFileComp))
+	root.AddCommand(
+		o.createCommand(), o.getCommand(), o.listCommand(), o.withdrawCommand(), o.votesCommand(), o.stepCommand(),
+		o.watchCommand(), o.statusCommand(), o.joinCommand(), o.partCommand(),
+	)
+	return root
+}
+
+// action is what one of the release commands does.
+type action func(ctx context.Context, c *cobra.Command, controllers *client.Client, args []string) error
+
+// run does an action within the timeout.
+func (o *releaseOptions) run(do action) func(*cobra.Command, []string) error {
+	return o.follow(func(ctx context.Context, c *cobra.Command, controllers *client.Client, args []string) error {
+		ctx, cancel := context.WithTimeout(ctx, o.timeout)
+		defer cancel()
+		return do(ctx, c, controllers, args)
+	})
+}
+
+// follow does an action until a signal ends it. What the controller refuses is printed and ends with 1.
+func (o *releaseOptions) follow(do action) func(*cobra.Command, []string) error {
+	return func(c *cobra.Command, args []string) error {
+		if o.output != "table" && o.output != "json" {
+			return fmt.Errorf("-o %s: table or json expected", o.output)
+		}
+		ctx, stop := terminationContext()
+		defer stop()
+		transport, err := o.httpClient()
+		if err != nil {
+			return err
+		}
+		err = do(ctx, c, client.New(o.urls, transport), args)
+		var refused *client.Error
+		if errors.As(err, &refused) {
+			c.PrintErrln("dapplefront:", refused)
+			return exitCode(exitFailed)
+		}
+		return err
+	}
+}
+
+// httpClient returns a client with the caller's certificate; nil where there is none.
+func (o *releaseOptions) httpClient() (*http.Client, error) {
+	if o.files == (certs.Files{}) {
+		return nil, nil
+	}
+	ring, err := certs.Open(o.files)
+	if err != nil {
+		return nil, err
+	}
+	return &http.Client{Transport: &http.Transport{TLSClientConfig: ring.Client()}}, nil
+}
+
+func parseBuild(text string) (int, error) {
+	n, err := strconv.Atoi(text)
+	if err != nil || n < 1 {
+		return 0, fmt.Errorf("build %q: a number from 1 expected", text)
+	}
+	return n, nil
+}
+
+func (o *releaseOptions) createCommand() *cobra.Command {
+	var key, note, digest string
+	var labels, steps []string
+	c := &cobra.Command{Use: "create BUILD", Short: "Ask for a release", Args: cobra.ExactArgs(1)}
+	c.RunE = o.run(func(ctx context.Context, c *cobra.Command, controllers *client.Client, args []string) error {
+		build, err := parseBuild(args[0])
+		if err != nil {
+			return err
+		}
+		request := api.CreateRelease{Build: build, Digest: digest, Note: note, Labels: map[string]string{}}
+		for _, text := range labels {
+			name, value, ok := strings.Cut(text, "=")
+			if !ok {
+				return fmt.Errorf("--label %s: NAME=VALUE expected", text)
+			}
+			request.Labels[name] = value
+		}
+		for _, text := range steps {
+			step, err := parseStep(text)
+			if err != nil {
+				return err
+			}
+			request.Steps = append(request.Steps, step)
+		}
+		r, err := controllers.Create(ctx, request, key)
+		if err != nil {
+			return err
+		}
+		return o.print(c, r)
+	})
+	c.Flags().StringVar(&key, "key", "", "creation may be repeated under this key")
+	c.Flags().StringVar(&note, "note", "", "for people")
+	c.Flags().StringVar(&digest, "digest", "", "of the build's manifest")
+	c.Flags().StringSliceVar(&labels, "label", nil, "NAME=VALUE")
+	c.Flags().StringSliceVar(&steps, "step", nil, "NAME@STAGE: what must be done before a stage; NAME@STAGE! for what can't be undone")
+	return c
+}
+
+// parseStep reads NAME@STAGE, with ! behind it where there is no way back.
+func parseStep(text string) (api.Step, error) {
+	name, stageText, ok := strings.Cut(text, "@")
+	stage, err := strconv.Atoi(strings.TrimSuffix(stageText, "!"))
+	if !ok || err != nil {
+		return api.Step{}, fmt.Errorf("--step %s: NAME@STAGE expected, with ! behind it where there is no way back", text)
+	}
+	return api.Step{Name: name, Stage: stage, Irreversible: strings.HasSuffix(stageText, "!")}, nil
+}
+
+func (o *releaseOptions) getCommand() *cobra.Command {
+	return &cobra.Command{
+		Use:   "get BUILD",
+		Short: "Show a release with its steps and its history",
+		Args:  cobra.ExactArgs(1),
+		RunE: o.run(func(ctx context.Context, c *cobra.Command, controllers *client.Client, args []string) error {
+			build, err := parseBuild(args[0])
+			if err != nil {
+				return err
+			}
+			r, err := controllers.Get(ctx, build, true)
+			if err != nil {
+				return err
+			}
+			if err := o.print(c, r); err != nil || o.output == "json" {
+				return err
+			}
+			return printHistory(c, r)
+		}),
+	}
+}
+
+func (o *releaseOptions) listCommand() *cobra.Command {
+	var phase string
+	var labels []string
+	c := &cobra.Command{Use: "list", Short: "List releases", Args: cobra.NoArgs}
+	c.RunE = o.run(func(ctx context.Context, c *cobra.Command, controllers *client.Client, _ []string) error {
+		all, err := controllers.List(ctx, labels, phase)
+		if err != nil {
+			return err
+		}
+		return o.print(c, all...)
+	})
+	c.Flags().StringSliceVar(&labels, "label", nil, "NAME=VALUE")
+	c.Flags().StringVar(&phase, "phase", "", strings.Join(api.Phases, ", "))
+	_ = c.RegisterFlagCompletionFunc("phase", cobra.FixedCompletions(api.Phases, cobra.ShellCompDirectiveNoFileComp))
+	return c
+}
+
+func (o *releaseOptions) withdrawCommand() *cobra.Command {
+	return &cobra.Command{
+		Use:   "withdraw BUILD",
+		Short: "Roll a build back",
+		Args:  cobra.ExactArgs(1),
+		RunE: o.run(func(ctx context.Context, c *cobra.Command, controllers *client.Client, args []string) error {
+			build, err := parseBuild(args[0])
+			if err != nil {
+				return err
+			}
+			r, err := controllers.Withdraw(ctx, build)
+			if err != nil {
+				return err
+			}
+			return o.print(c, r)
+		}),
+	}
+}
+
+func (o *releaseOptions) votesCommand() *cobra.Command {
+	return &cobra.Command{
+		Use:   "votes BUILD",
+		Short: "Tell how the votes stand",
+		Args:  cobra.ExactArgs(1),
+		RunE: o.run(func(ctx context.Context, c *cobra.Command, controllers *client.Client, args []string) error {
+			build, err := parseBuild(args[0])
+			if err != nil {
+				return err
+			}
+			r, err := controllers.Get(ctx, build, true)
+			if err != nil {
+				return err
+			}
+			v := r.Votes
+			switch {
+			case v == nil:
+				c.Printf("build %d is not the newest release: no votes stand\n", build)
+			case o.output == "json":
+				return json.NewEncoder(c.OutOrStdout()).Encode(v)
+			default:
+				c.Printf("on: %d of %d needed; back: %d of %d needed\n", v.On, v.Needed, v.Back, v.NeededBack)
+			}
+			return nil
+		}),
+	}
+}
+
+func (o *releaseOptions) stepCommand() *cobra.Command {
+	return &cobra.Command{
+		Use:   "step BUILD NAME",
+		Short: "Report a step done",
+		Args:  cobra.ExactArgs(2),
+		RunE: o.run(func(ctx context.Context, c *cobra.Command, controllers *client.Client, args []string) error {
+			build, err := parseBuild(args[0])
+			if err != nil {
+				return err
+			}
+			r, err := controllers.StepDone(ctx, build, args[1], "dapplefront release step")
+			if err != nil {
+				return err
+			}
+			return o.print(c, r)
+		}),
+	}
+}
+
+func (o *releaseOptions) watchCommand() *cobra.Command {
+	return &cobra.Command{
+		Use:   "watch",
+		Short: "Follow what happens",
+		Args:  cobra.NoArgs,
+		RunE: o.follow(func(ctx context.Context, c *cobra.Command, controllers *client.Client, _ []string) error {
+			onEvent := func(event string, data []byte) error {
+				if event != "bookmark" {
+					c.Printf("%s %s\n", event, data)
+				}
+				return nil
+			}
+			controllers.Watch(ctx, onEvent, func(err error) { c.PrintErrln("dapplefront:", err) })
+			return nil
+		}),
+	}
+}
+
+func (o *releaseOptions) statusCommand() *cobra.Command {
+	return &cobra.Command{
+		Use:   "status",
+		Short: "Tell how a controller stands",
+		Args:  cobra.NoArgs,
+		RunE: o.run(func(ctx context.Context, c *cobra.Command, controllers *client.Client, _ []string) error {
+			status, err := controllers.Status(ctx)
+			if err != nil {
+				return err
+			}
+			return printJSON(c, status)
+		}),
+	}
+}
+
+func (o *releaseOptions) joinCommand() *cobra.Command {
+	return &cobra.Command{
+		Use:   "join NAME ADDRESS",
+		Short: "Take a controller in as a member, which runs with an empty store",
+		Args:  cobra.ExactArgs(2),
+		RunE: o.run(func(ctx context.Context, _ *cobra.Command, controllers *client.Client, args []string) error {
+			return controllers.Join(ctx, args[0], api.Controller{Address: args[1]})
+		}),
+	}
+}
+
+func (o *releaseOptions) partCommand() *cobra.Command {
+	return &cobra.Command{
+		Use:   "part NAME",
+		Short: "Take a controller out for good",
+		Args:  cobra.ExactArgs(1),
+		RunE: o.run(func(ctx context.Context, _ *cobra.Command, controllers *client.Client, args []string) error {
+			return controllers.Part(ctx, args[0])
+		}),
+	}
+}
--- /dev/null
+++ b/cmd/dapplefront/release_output.go
@@ -0,0 +1,74 @@
+package main
+
+import (
+	"encoding/json"
+	"errors"
+	"fmt"
+	"io"
+	"text/tabwriter"
+	"time"
+
+	"github.com/spf13/cobra"
+
+	"dapplefront/internal/api"
+)
+
+// print shows releases as a table or as JSON; one alone is no list.
+func (o *releaseOptions) print(c *cobra.Command, releases ...api.ReleaseObject) error {
+	if o.output == "json" {
+		if len(releases) == 1 {
+			return printJSON(c, releases[0])
+		}
+		return printJSON(c, releases)
+	}
+	return printTable(c.OutOrStdout(), func(table io.Writer) error {
+		_, err := fmt.Fprintln(table, "BUILD\tPHASE\tSTAGE\tCAP\tSINCE\tWAITS FOR\tVOTES ON\tBACK\tNOTE")
+		for _, r := range releases {
+			err = errors.Join(err, printRelease(table, r))
+		}
+		return err
+	})
+}
+
+func printRelease(table io.Writer, r api.ReleaseObject) error {
+	promote, rollback := "-", "-"
+	if v := r.Votes; v != nil {
+		promote = fmt.Sprintf("%d of %d", v.On, v.Needed)
+		rollback = fmt.Sprintf("%d of %d", v.Back, v.NeededBack)
+	}
+	waitsFor := r.WaitsFor
+	if waitsFor == "" {
+		waitsFor = "-"
+	}
+	age := (time.Duration(r.AgeMs) * time.Millisecond).Round(time.Second)
+	_, err := fmt.Fprintf(table, "%d\t%s\t%d\t%.3g%%\t%v\t%s\t%s\t%s\t%s\n",
+		r.Build, r.Phase, r.Stage, 100*r.ExposureCap, age, waitsFor, promote, rollback, r.Note)
+	return err
+}
+
+// printHistory shows a release's steps and the lines of its history.
+func printHistory(c *cobra.Command, r api.ReleaseObject) error {
+	return printTable(c.OutOrStdout(), func(table io.Writer) (err error) {
+		for _, s := range r.Steps {
+			_, lineErr := fmt.Fprintf(table, "step\t%s\tbefore stage %d\t%s\t%s\n", s.Name, s.Stage, s.State, s.By)
+			err = errors.Join(err, lineErr)
+		}
+		for _, entry := range r.History {
+			_, lineErr := fmt.Fprintf(table, "%.1f s\t%s\n", float64(entry.AtMs)/1000, entry.Text)
+			err = errors.Join(err, lineErr)
+		}
+		return err
+	})
+}
+
+// printTable writes columns that fill separates with tabs.
+func printTable(to io.Writer, fill func(table io.Writer) error) error {
+	table := tabwriter.NewWriter(to, 0, 0, 2, ' ', 0)
+	return errors.Join(fill(table), table.Flush())
+}
+
+func printJSON(c *cobra.Command, v any) error {
+	e := json.NewEncoder(c.OutOrStdout())
+	e.SetIndent("", "  ")
+	return e.Encode(v)
+}
--- a/cmd/dapplefront/replay.go
+++ b/cmd/dapplefront/replay.go
@@ -1,7 +1,8 @@
 package main
 
 import (
-	"fmt"
+	"errors"
+	"maps"
 	"os"
 	"path/filepath"
 	"regexp"
@@ -17,65 +18,81 @@
 
 func replayCommand() *cobra.Command {
 	var explain string
-	c := &cobra.Command{Use: "replay FILE|FOLDER...", Short: "Run decision records through the library and compare every action",
-		Args: cobra.MinimumNArgs(1),
+	c := &cobra.Command{
+		Use:   "replay FILE|FOLDER...",
+		Short: "Run decision records through the library and compare every action",
+		Args:  cobra.MinimumNArgs(1),
 		Long: "Run decision records through the library alone and compare every action with the recorded one.\n" +
 			"Ends with 0 when all are equal, 1 when one differs, 2 when there is nothing to compare.",
 		RunE: func(c *cobra.Command, args []string) error {
-			byRouter := map[string][]string{}
-			for _, a := range args {
-				s, err := os.Stat(a)
-				if err != nil {
-					return err
-				}
-				files := []string{a}
-				if s.IsDir() {
-					if files, err = filepath.Glob(filepath.Join(a, "*.rec")); err != nil {
-						return err
-					}
-				}
-				for _, f := range files {
-					name := filepath.Base(f)
-					if m := recordName.FindStringSubmatch(name); m != nil {
-						name = m[1]
-					}
-					byRouter[name] = append(byRouter[name], f)
-				}
-			}
-			var names []string
-			for n := range byRouter {
-				names = append(names, n)
+			byRouter, err := recordFiles(args)
+			if err != nil {
+				return err
 			}
-			slices.Sort(names)
-			compared, differs := 0, 0
-			for _, n := range names {
-				files := byRouter[n]
-				slices.Sort(files)
-				var tell func(record.Entry)
-				if explain != "" {
-					tell = record.TraceRequest(explain, c.OutOrStdout())
-				}
-				r, err := record.Replay(files, tell)
+			compared, different := 0, 0
+			for _, name := range slices.Sorted(maps.Keys(byRouter)) {
+				report, err := replayRouter(c, name, byRouter[name], explain)
 				if err != nil {
 					return err
 				}
-				compared, differs = compared+r.Entries, differs+r.Differences
-				fmt.Fprintf(c.OutOrStdout(), "%s: %d entries with %d actions in %d lives, %d differ\n", n, r.Entries, r.Actions, r.Starts, r.Differences)
-				for _, g := range r.Gaps {
-					fmt.Fprintf(c.OutOrStdout(), "  %s: %d entries up to the next start are not compared\n", g, r.Skipped)
-				}
-				if r.First != nil {
-					fmt.Fprintf(c.OutOrStdout(), "the first difference of %s: %s", n, r.First)
-				}
+				compared += report.Entries
+				different += report.Differences
 			}
 			switch {
-			case differs > 0:
-				return exit(1)
+			case different > 0:
+				return exitCode(exitFailed)
 			case compared == 0:
-				return fmt.Errorf("nothing to compare")
+				return errors.New("nothing to compare")
 			}
 			return nil
-		}}
-	c.Flags().StringVar(&explain, "explain", "", "tell the life of the task with this id")
+		},
+	}
+	c.Flags().StringVar(&explain, "explain", "", "tell the history of the request with this id")
 	return c
 }
+
+// recordFiles finds the files of records that paths name, by router.
+func recordFiles(paths []string) (map[string][]string, error) {
+	byRouter := map[string][]string{}
+	for _, path := range paths {
+		info, err := os.Stat(path)
+		if err != nil {
+			return nil, err
+		}
+		files := []string{path}
+		if info.IsDir() {
+			if files, err = filepath.Glob(filepath.Join(path, "*.rec")); err != nil {
+				return nil, err
+			}
+		}
+		for _, file := range files {
+			name := filepath.Base(file)
+			if m := recordName.FindStringSubmatch(name); m != nil {
+				name = m[1]
+			}
+			byRouter[name] = append(byRouter[name], file)
+		}
+	}
+	return byRouter, nil
+}
+
+// replayRouter replays one router's files and prints what it found.
+func replayRouter(c *cobra.Command, name string, files []string, explain string) (*record.Report, error) {
+	slices.Sort(files)
+	var trace func(record.Entry)
+	if explain != "" {
+		trace = record.TraceRequest(explain, c.OutOrStdout())
+	}
+	report, err := record.Replay(files, trace)
+	if err != nil {
+		return nil, err
+	}
+	c.Printf("%s: %d entries with %d actions in %d lives, %d differ\n", name, report.Entries, report.Actions, report.Starts, report.Differences)
+	for _, gap := range report.Gaps {
+		c.Printf("  %s: %d entries up to the next start are not compared\n", gap, report.Skipped)
+	}
+	if report.First != nil {
+		c.Printf("the first difference of %s: %s", name, report.First)
+	}
+	return report, nil
+}
