--- a/internal/audit/judge.go
+++ b/internal/audit/judge.go
@@ -322,7 +322,8 @@
 // exposure judges a send at a build on trial against what the router was told and took.
 func (j *judge) exposure(r *routerLife, e *event) {
 	build, f := e.host.Build, j.figures
-	if len(r.news) == 0 { // nothing told yet: nothing may go to what is later known to be on trial, but no one can say
+	// A router that was told nothing can't know what is on trial; what it sent then may arrive a little after its first news.
+	if len(r.news) == 0 || e.at <= r.news[0].at+f.Way {
 		return
 	}
 	onTrial, stage, limit := false, math.MaxInt, 0.0
--- a/internal/audit/judge_test.go
+++ b/internal/audit/judge_test.go
@@ -151,6 +151,21 @@
 	kept(t, sends(40, News{Build: 2, Released: true, Cap: 1}, "transfer"), "exposure")
 }
 
+// A router that has just started sends before it is told of a release; what is on its way then arrives after the news.
+func TestExposureCountsFromTheFirstNewsOfANewRouter(t *testing.T) {
+	started := func(arrival time.Duration) *story {
+		s := &story{}
+		s.at(0, event{kind: routerUp, router: "r"})
+		s.at(50*ms, event{kind: told, router: "r", news: News{Build: 2, Stage: 3, Cap: 0}})
+		for i := range 3 {
+			s.arrive(arrival+time.Duration(i)*ms, "a", "transfer", next)
+		}
+		return s
+	}
+	kept(t, started(92*ms), "exposure")
+	require.NotEmpty(t, started(200*ms).verdict("exposure").Broken, "longer after the news than anything takes on its way")
+}
+
 func TestAStallOfTheMachineIsNoVerdict(t *testing.T) {
 	s := tell().ask(0, "a", "quote").answer(1500*ms, "a", "finished")
 	s.Beat(900 * ms)
