--- /dev/null
+++ b/control/replay_test.go
@@ -0,0 +1,74 @@
+package control
+
+import (
+	"crypto/sha256"
+	"encoding/hex"
+	"encoding/json"
+	"os"
+	"path/filepath"
+	"testing"
+
+	"github.com/stretchr/testify/require"
+
+	"dapplefront/policy"
+)
+
+// The files replies-*.json were written by the program of commit 744ade3: commands, sensible or not, with the replies that
+// it gave and the state that it ended with. They are never written anew: a replicated log that is replayed by a later
+// program has to give the same replies and the same state.
+
+// storedReply is a reply in the form of the files. Release is the start of the SHA-256 of the reply's release as JSON.
+type storedReply struct {
+	Code    int    `json:"code"`
+	Field   string `json:"field"`
+	Reason  string `json:"reason"`
+	Number  uint64 `json:"number"`
+	Release string `json:"release"`
+}
+
+// applyStored applies a command and returns what became of it in the form of the files.
+func applyStored(t *testing.T, s *State, index uint64, c Command) storedReply {
+	t.Helper()
+	reply := s.Apply(index, c)
+	text, err := json.Marshal(reply.Release)
+	require.NoError(t, err)
+	sum := sha256.Sum256(text)
+	return storedReply{Code: int(reply.Code), Field: reply.Field, Reason: reply.Reason, Number: reply.Number, Release: hex.EncodeToString(sum[:8])}
+}
+
+func TestCommandsOfAnEarlierProgramGiveTheSameRepliesAndState(t *testing.T) {
+	files, err := filepath.Glob("testdata/replies-*.json")
+	require.NoError(t, err)
+	require.Len(t, files, 3)
+	for _, file := range files {
+		t.Run(filepath.Base(file), func(t *testing.T) {
+			text, err := os.ReadFile(file)
+			require.NoError(t, err)
+			var stored struct {
+				Timed        bool `json:"timed"`
+				FixedQuorums bool `json:"fixedQuorums"`
+				Commands     []struct {
+					Command Command `json:"command"`
+					storedReply
+				} `json:"commands"`
+				State json.RawMessage `json:"state"`
+			}
+			require.NoError(t, json.Unmarshal(text, &stored))
+			require.Len(t, stored.Commands, 150)
+			config := figures
+			if stored.Timed {
+				config.Rules.Mode, config.Rules.StageTime, config.Rules.HoldQuorum = policy.Timed, 3*policy.Second, 1
+			}
+			if stored.FixedQuorums {
+				config.PromoteShare, config.RollbackShare, config.Rules.RollbackQuorum = 0, 0, 2
+			}
+			s := New(config, 1)
+			for i, c := range stored.Commands {
+				require.Equal(t, c.storedReply, applyStored(t, s, uint64(i+1), c.Command), "command %d: %+v", i, c.Command)
+			}
+			state, err := s.Save()
+			require.NoError(t, err)
+			require.Equal(t, string(stored.State), string(state))
+		})
+	}
+}
