--- a/policy/logic.go
+++ b/policy/logic.go
@@ -13,14 +13,14 @@
 
 // NewRouter starts a router that knows nothing but its place.
 func NewRouter(now Time, p Config, hands Effects) *Router {
-	r := &Router{effects: hands, seed: p.Seed, now: now, born: now, routers: max(1, p.Routers), rank: p.Rank,
-		location: p.Zone, cats: p.Classes, limits: p.Limits, desk: p.Release, kept: map[string]int{},
-		blames: map[int]int{}, unsaid: map[int]int{}, crowd: 0.3} // a fleet neither idle nor full, until known
-	for _, c := range r.cats {
-		c.mid = max(1, c.LatencyObjective/5) // until something is known
+	r := &Router{effects: hands, seed: p.Seed, now: now, startedAt: now, routers: max(1, p.Routers), rank: p.Rank,
+		zone: p.Zone, classes: p.Classes, limits: p.Limits, releaseConfig: p.Release, stickyBuilds: map[string]int{},
+		complaints: map[int]int{}, unsentComplaints: map[int]int{}, concurrencyCost: 0.3} // a fleet neither idle nor full, until known
+	for _, c := range r.classes {
+		c.usualLatency = max(1, c.LatencyObjective/5) // until something is known
 	}
-	if hands.SetTimer(judgeEvery, &Timer{}); !p.Limits.PushedDiscovery { // many that start at once don't ask as one
-		hands.SetTimer(Time(r.chance(int(min(2*Second, Time(r.routers-1)*Second/10))+1)), &Timer{list: true})
+	if hands.SetTimer(reviewInterval, &Timer{}); !p.Limits.PushedDiscovery { // many that start at once don't ask as one
+		hands.SetTimer(Time(r.randomN(int(min(2*Second, Time(r.routers-1)*Second/10))+1)), &Timer{polls: true})
 	}
 	return r
 }
@@ -29,18 +29,18 @@
 func (r *Router) TimerFired(now Time, a *Timer) {
 	r.now = now
 	switch {
-	case a.list:
-		r.asked = now
+	case a.polls:
+		r.lastPollAt = now
 		r.effects.WatchEndpoints()
 	case a.attempt == nil:
-		r.crowding(40, 6, 0.02, 1.5) // few sends make no line, and one very long task says little
-		r.review()
-		r.gossip()
-		r.scout()
-		r.judge()
-		r.effects.SetTimer(judgeEvery, a)
-	case a.attempt.outcome == Pending && !a.attempt.began:
-		r.step(a.attempt.Request, lingers)
+		r.fitConcurrencyCost(40, 6, 0.02, 1.5) // few sends make no line, and one very long task says little
+		r.reviewHealth()
+		r.sendGossip()
+		r.checkRemotePath()
+		r.updateVote()
+		r.effects.SetTimer(reviewInterval, a)
+	case a.attempt.outcome == Pending && !a.attempt.responseStarted:
+		r.handleRequestEvent(a.attempt.Request, attemptSlow)
 	}
 }
 
@@ -52,101 +52,101 @@
 func (r *Router) EndpointsChanged(now Time, changes []EndpointUpdate, ok bool) {
 	r.now = now
 	if !ok {
-		r.lost = max(r.lost, map[bool]int{true: 1}[now-r.asked < 3*Second]) // a call ends by then, a watch goes on
-		wait := min(3*Second/8<<min(2*r.lost, 6), max(r.limits.PollInterval, Second)*2/5)
-		r.lost++
-		r.effects.SetTimer(wait+Time(r.chance(int(wait)+1)), &Timer{list: true})
+		r.failedPolls = max(r.failedPolls, map[bool]int{true: 1}[now-r.lastPollAt < 3*Second]) // a call ends by then, a watch goes on
+		wait := min(3*Second/8<<min(2*r.failedPolls, 6), max(r.limits.PollInterval, Second)*2/5)
+		r.failedPolls++
+		r.effects.SetTimer(wait+Time(r.randomN(int(wait)+1)), &Timer{polls: true})
 		return
 	}
-	r.lost = 0
+	r.failedPolls = 0
 	for _, l := range changes {
-		r.enter(l)
+		r.applyEndpoint(l)
 	}
 }
 
 // ---- Builds, exposure and cold hosts ----
 
-// room tells whether one more send of the category at a build on trial keeps the rule on exposure. Sends are
+// withinExposure tells whether one more send of the category at a build on trial keeps the rule on exposure. Sends are
 // counted over a little more than the window and tasks over a little less. What an earlier life of this
 // router sent is unknown after a start, so nothing goes there until one window has passed.
-func (r *Router) room(build int, c *Class) bool {
+func (r *Router) withinExposure(build int, c *Class) bool {
 	const edge = Second / 20 // several ticks of any clock
-	on, stage, share := r.trial(build)
+	on, stage, share := r.exposureOf(build)
 	if !on {
 		return true
 	}
-	if share <= 0 || r.now-r.born < r.desk.ExposureWindow+edge || c.Idempotency != Idempotent && stage < r.desk.GuardedStages {
+	if share <= 0 || r.now-r.startedAt < r.releaseConfig.ExposureWindow+edge || c.Idempotency != Idempotent && stage < r.releaseConfig.GuardedStages {
 		return false
 	}
-	if !r.desk.ExposurePerClass {
+	if !r.releaseConfig.ExposurePerClass {
 		c = nil
 	}
-	tried, taken := since(r.tried, r.now-r.desk.ExposureWindow-edge, c), since(r.taken, r.now-r.desk.ExposureWindow+edge, c)
-	return tried+1 <= r.desk.ExposureAllowance+share*taken
+	tried, taken := countSince(r.canaryAttempts, r.now-r.releaseConfig.ExposureWindow-edge, c), countSince(r.arrivals, r.now-r.releaseConfig.ExposureWindow+edge, c)
+	return tried+1 <= r.releaseConfig.ExposureAllowance+share*taken
 }
 
-// mayWarm keeps a cold host from being pushed over by all routers together: each sends its part of what the
+// withinWarmUpBudget keeps a cold host from being pushed over by all routers together: each sends its part of what the
 // rule allows, by what hosts get now. Where that is below one send, tasks go by chance, so often that all
 // routers' sums keep to it however uneven they are: turns by rank left the work of one router in a hundred.
-func (r *Router) mayWarm(h *Host) bool {
+func (r *Router) withinWarmUpBudget(h *Host) bool {
 	const part = 0.5            // of the budget; the rest is for uneven routers, heavy tasks and bursts
 	const flowOver = 4 * Second // long enough to even out bursts
-	if r.warm(h) {
+	if r.isWarm(h) {
 		return true
 	}
-	budget := part * r.limits.ColdOverloadFactor * r.strength(h) * float64(r.limits.ColdOverloadWindow) * r.rate(flowOver)
-	if since(h.sent, r.now-r.limits.ColdOverloadWindow, nil)+1 > max(1, budget) {
+	budget := part * r.limits.ColdOverloadFactor * r.capacityFactor(h) * float64(r.limits.ColdOverloadWindow) * r.baselineAttemptRate(flowOver)
+	if countSince(h.attempts, r.now-r.limits.ColdOverloadWindow, nil)+1 > max(1, budget) {
 		return false
 	}
-	due := since(r.taken, r.now-flowOver, nil) * float64(r.limits.ColdOverloadWindow) / float64(flowOver) *
-		r.able(h) / max(r.able(h), r.oldAble()) // on trial too, where shares are those of earlier hosts
-	return due <= budget || float64(r.chance(1000)) < 1000*budget/due
+	due := countSince(r.arrivals, r.now-flowOver, nil) * float64(r.limits.ColdOverloadWindow) / float64(flowOver) *
+		r.capacity(h) / max(r.capacity(h), r.baselineCapacity()) // on trial too, where shares are those of earlier hosts
+	return due <= budget || float64(r.randomN(1000)) < 1000*budget/due
 }
 
 // ---- Choosing a host ----
 
-// held is how many tasks a host seems to have in hand: what it reported, with what was sent since, which
+// hostLoad is how many tasks a host seems to have in hand: what it reported, with what was sent since, which
 // fades into what hosts hold on average; else this router's own open sends as a share of everyone's. A
 // reported rate is no help: it calls all routers at once.
-func (r *Router) held(h *Host) float64 {
+func (r *Router) hostLoad(h *Host) float64 {
 	const fades = Second // about what it takes a queue to become another
-	own := float64(len(h.open))
-	if len(r.reports) == 0 && r.counting() {
-		return r.laden + own // a router's own few, times their number, would be a host's load now and nothing then
+	own := float64(len(h.inFlight))
+	if len(r.reportedLoads) == 0 && r.statsOutweighOwn() {
+		return r.countedLoad + own // a router's own few, times their number, would be a host's load now and nothing then
 	}
-	if len(r.reports) == 0 {
+	if len(r.reportedLoads) == 0 {
 		return own * float64(r.routers)
 	}
-	usual := mean(r.reports) + own
+	usual := recentMean(r.reportedLoads) + own
 	if l := h.load; l != nil && l.ActiveRequests >= 0 {
 		fresh := math.Exp(-float64(r.now-h.loadAt) / float64(fades))
-		return max(own, usual+(l.ActiveRequests+since(h.sent, h.loadAt-1, nil)-usual)*fresh)
+		return max(own, usual+(l.ActiveRequests+countSince(h.attempts, h.loadAt-1, nil)-usual)*fresh)
 	}
 	return usual
 }
 
-// pick draws two hosts at random among those nearby and two among the rest, and takes the less busy one; a
+// pickHost draws two hosts at random among those nearby and two among the rest, and takes the less busy one; a
 // far one only if the promised time is so much likelier to be kept there that it is worth half the price: a
 // miss costs windows, classes and tails beyond its earnings. Most of a large fleet was heard of long ago, so
 // some that reported just now, to this router alone, are drawn too. While many hosts take no connections, as
 // after deaths that no list tells or where these are scarce, only links that work are used.
-func (r *Router) pick(t *Request, fits func(*Host) bool) (best *Host) {
+func (r *Router) pickHost(t *Request, fits func(*Host) bool) (best *Host) {
 	const doubt, old = 8, 10 * Second // few sends prove little, and hosts change
 	const lately, more = Second, 3    // as long as a report says much; few, lest one host draws all
 	const barred, last = 0.2, 20      // of the last sends: more than a few hosts refuse
-	here, there := r.parted(func(h *Host) bool { return fits(h) && r.mayGo(t, h) })
-	if r.together() {
+	here, there := r.splitByLocality(func(h *Host) bool { return fits(h) && r.isEligible(t, h) })
+	if r.mergesZones() {
 		here, there = append(here, there...), nil
-		r.here = here // so that what it grew to is kept
+		r.localHosts = here // so that what it grew to is kept
 	}
-	busy := func(h *Host) float64 { return r.pace(h, doubt, old) * (1 + r.held(h)) }
-	scarce := r.share(last, func(x moment) bool { return x.fate == ConnectFailed }) > barred
+	busy := func(h *Host) float64 { return r.hostSlowdown(h, doubt, old) * (1 + r.hostLoad(h)) }
+	scarce := r.endedShare(last, func(x trafficEvent) bool { return x.outcome == ConnectFailed }) > barred
 	draw := func(from []*Host) (best *Host) {
-		known := r.lately(from, r.now-lately)
+		known := r.recentlyConnected(from, r.now-lately)
 		try := func(n int, from []*Host) {
-			w := r.shares(from)
+			w := r.drawWeights(from)
 			for range min(n, len(from)) {
-				if h := r.lot(from, w, best == nil); best == nil || busy(h) < busy(best) {
+				if h := r.drawHost(from, w, best == nil); best == nil || busy(h) < busy(best) {
 					best = h
 				}
 			}
@@ -154,106 +154,106 @@
 		if !scarce || len(known) == 0 {
 			try(2, from)
 		}
-		if scarce || len(r.reports) > 0 && 2*len(known) < len(from) {
+		if scarce || len(r.reportedLoads) > 0 && 2*len(known) < len(from) {
 			try(more, known)
 		}
 		return best
 	}
 	a, b := draw(here), draw(there)
-	if a != nil && r.spreads() {
+	if a != nil && r.crossesCheaply() {
 		return a // the way is poor: what may be lost there costs more than a wait
 	}
-	price := r.limits.CrossZonePrice * float64(25+r.chance(50)) / 100 // in a band, lest all cross at once
-	if a != nil && b != nil && r.crosses() && r.misses(t, far)-r.misses(t, near) <= price {
+	price := r.limits.CrossZonePrice * float64(25+r.randomN(50)) / 100 // in a band, lest all cross at once
+	if a != nil && b != nil && r.planCrosses() && r.missProbability(t, remoteZones)-r.missProbability(t, localZone) <= price {
 		return b // as planned, as it is not much worse
 	}
-	if a == nil || b != nil && r.misses(t, near)-r.misses(t, far) > price {
+	if a == nil || b != nil && r.missProbability(t, localZone)-r.missProbability(t, remoteZones) > price {
 		return b
 	}
 	return a
 }
 
-// spreads tells that crossing costs less than an uneven split of traffic or hosts over locations does,
+// crossesCheaply tells that crossing costs less than an uneven split of traffic or hosts over locations does,
 // which a router with little traffic can't see.
-func (r *Router) spreads() bool {
+func (r *Router) crossesCheaply() bool {
 	const cheap = 0.015 // points of service: near sends alone lost five times that
 	return r.limits.CrossZonePrice <= cheap
 }
 
-// together tells that hosts are drawn wherever they stand. Not while the way there is poor: of the last sends
+// mergesZones tells that hosts are drawn wherever they stand. Not while the way there is poor: of the last sends
 // there far more failed or dragged than of those nearby.
-func (r *Router) together() bool {
+func (r *Router) mergesZones() bool {
 	const few, gap = 1.5, 0.3
-	if !r.spreads() {
+	if !r.crossesCheaply() {
 		return false
 	}
-	there, here := r.way(), r.ways[near].as(r.now)
-	poor := there.bad >= few && there.bad/there.n >= here.bad/max(1, here.n)+gap
+	there, here := r.remotePathStats(), r.paths[localZone].decayedTo(r.now)
+	poor := there.failures >= few && there.failures/there.attempts >= here.failures/max(1, here.attempts)+gap
 	// What fades is no good news: where probes tell, the way stays shut until something came through.
-	r.shut = poor || r.shut && r.limits.HealthChecks && there.n-there.bad < few/2
-	return !r.shut
+	r.remoteDegraded = poor || r.remoteDegraded && r.limits.HealthChecks && there.attempts-there.failures < few/2
+	return !r.remoteDegraded
 }
 
-// lot draws a host by the shares that are due, or the first of a draw by the parts of a plan that holds. The
+// drawHost draws a host by the shares that are due, or the first of a draw by the parts of a plan that holds. The
 // other stays drawn so, that a plan that has become wrong is corrected by how busy the two are.
-func (r *Router) lot(from []*Host, due []float64, first bool) *Host {
-	if first && r.now < r.course.Until && slices.ContainsFunc(from, func(h *Host) bool { return h.part > 0 }) {
-		due = r.parts(from)
+func (r *Router) drawHost(from []*Host, due []float64, first bool) *Host {
+	if first && r.now < r.plan.Until && slices.ContainsFunc(from, func(h *Host) bool { return h.planWeight > 0 }) {
+		due = r.hostPlanWeights(from)
 	}
-	return r.drawBy(from, due)
+	return r.drawWeighted(from, due)
 }
 
-// shares are what hosts are due, until it is asked for again: by what they can do, as the list hints at it
+// drawWeights are what hosts are due, until it is asked for again: by what they can do, as the list hints at it
 // and as they warm. Most routers meet a host too seldom to learn its speed: what peers tell of it counts
 // here, where it moves shares, and not between two drawn, or all routers would take the same one at once.
-func (r *Router) shares(from []*Host) []float64 {
+func (r *Router) drawWeights(from []*Host) []float64 {
 	const doubt = 4 // usual sends
 	r.weights = r.weights[:0]
 	for _, h := range from {
-		w := h.rumour(r.now, firsthand, passedOn)
-		r.weights = append(r.weights, r.able(h)/max(1, (doubt+w.pace)/(doubt+w.n)))
+		w := h.peerHealth(r.now, firstHandWeight, secondHandWeight)
+		r.weights = append(r.weights, r.capacity(h)/max(1, (doubt+w.slowdown)/(doubt+w.attempts)))
 	}
 	return r.weights
 }
 
-// crosses draws whether a task starts far away, as a plan that holds has it.
-func (r *Router) crosses() bool {
-	return r.now < r.course.Until && r.course.Cross > 0 && float64(r.chance(1<<20)) < r.course.Cross*(1<<20)
+// planCrosses draws whether a task starts far away, as a plan that holds has it.
+func (r *Router) planCrosses() bool {
+	return r.now < r.plan.Until && r.plan.Cross > 0 && float64(r.randomN(1<<20)) < r.plan.Cross*(1<<20)
 }
 
-// mayGo keeps repeats among the hosts that drop them, and off hosts that the task has already tried.
-func (r *Router) mayGo(t *Request, h *Host) bool {
+// isEligible keeps repeats among the hosts that drop them, and off hosts that the task has already tried.
+func (r *Router) isEligible(t *Request, h *Host) bool {
 	const edge = Second / 20 // of a group's memory: the way to the host counts too
-	if slices.ContainsFunc(t.Attempts, func(s *Attempt) bool { return s.Host == h }) || !r.mayWarm(h) ||
-		h.health == shunned && r.now < h.until {
+	if slices.ContainsFunc(t.Attempts, func(s *Attempt) bool { return s.Host == h }) || !r.withinWarmUpBudget(h) ||
+		h.health == backingOff && r.now < h.backoffUntil {
 		return false
 	}
-	x, c := t.risky, t.Class
+	x, c := t.firstAmbiguous, t.Class
 	switch {
 	case x == nil || c.Idempotency == Idempotent:
 		return true
-	case c.Idempotency == NonIdempotent || r.now-x.at > c.DedupWindow-edge:
+	case c.Idempotency == NonIdempotent || r.now-x.sentAt > c.DedupWindow-edge:
 		return false
 	}
 	here := h.Zone == x.Host.Zone && (c.DedupScope == ZoneScope || h.Cell == x.Host.Cell)
 	return here || c.DedupScope == FleetScope
 }
 
-// earlier picks a host for the ordinary way: of the newest build that is not on trial, else of an older one,
+// pickBaseline picks a host for the ordinary way: of the newest build that is not on trial, else of an older one,
 // else whatever the rule on exposure allows. Keys stay with the build that answered them where that is told.
-func (r *Router) earlier(t *Request) *Host {
-	sticks, m := 0, r.standing()
-	if t.Key != "" && r.desk.StickyKeys && (r.news.Phase == Canary || r.news.Phase == Released) {
-		sticks = r.kept[t.Key]
+func (r *Router) pickBaseline(t *Request) *Host {
+	sticks, m := 0, r.snapshot()
+	if t.Key != "" && r.releaseConfig.StickyKeys && (r.releaseStatus.Phase == Canary || r.releaseStatus.Phase == Released) {
+		sticks = r.stickyBuilds[t.Key]
 	}
-	level, newest := 0, m.newest
-	if 3*m.latest < m.all {
+	level, newest := 0, m.newestBaseline
+	if 3*m.newestBaselineHosts < m.baselineHosts {
 		level = 1 // too few to carry all, as when a list that is down has not told of the rest
 	}
 	for ; level < 3; level++ {
-		if h := r.pick(t, func(h *Host) bool {
-			return h.Build >= sticks && (level == 2 && r.room(h.Build, t.Class) ||
-				level < 2 && r.old(h) && h.health != sick && (level == 1 || h.Build == newest))
+		if h := r.pickHost(t, func(h *Host) bool {
+			return h.Build >= sticks && (level == 2 && r.withinExposure(h.Build, t.Class) ||
+				level < 2 && r.isBaseline(h) && h.health != ejected && (level == 1 || h.Build == newest))
 		}); h != nil {
 			return h
 		}
@@ -261,118 +261,118 @@
 	return nil
 }
 
-// probation picks a sick host whose turn for a trickle has come; only repeatable tasks go there. Where peers
+// pickEjected picks a sick host whose turn for a trickle has come; only repeatable tasks go there. Where peers
 // tell what they meet, the trickle is that of all routers, or hundreds of them would keep a sick host busy.
-func (r *Router) probation(t *Request) *Host {
+func (r *Router) pickEjected(t *Request) *Host {
 	const wait, all = Second, 4.0 // slow enough to cost little, fast enough to find a recovery; of all, in it
-	few := all * float64(r.standing().sick) / float64(r.routers)
-	if r.standing().sick == 0 || r.limits.MaxGossipBytes > 0 &&
-		float64(r.chance(1000)) >= 1000*few/max(1, since(r.taken, r.now-wait, nil)) {
-		r.drawn++ // as pick does for whatever it finds
+	few := all * float64(r.snapshot().ejected) / float64(r.routers)
+	if r.snapshot().ejected == 0 || r.limits.MaxGossipBytes > 0 &&
+		float64(r.randomN(1000)) >= 1000*few/max(1, countSince(r.arrivals, r.now-wait, nil)) {
+		r.draws++ // as pick does for whatever it finds
 		return nil
 	}
-	return r.pick(t, func(h *Host) bool {
-		return h.health == sick && t.Class.Idempotency == Idempotent && r.old(h) &&
-			len(h.open) == 0 && since(h.sent, r.now-wait, nil) == 0
+	return r.pickHost(t, func(h *Host) bool {
+		return h.health == ejected && t.Class.Idempotency == Idempotent && r.isBaseline(h) &&
+			len(h.inFlight) == 0 && countSince(h.attempts, r.now-wait, nil) == 0
 	})
 }
 
-// onTrial picks a host for a copy, or nil where one is not allowed or not wanted. A host on trial is given
+// pickCanary picks a host for a copy, or nil where one is not allowed or not wanted. A host on trial is given
 // what one of the earlier build gets, by what it can do: one that fails under load must do so before the
 // release, and what a good build serves early is worth its delay. Categories with an effect follow after
 // the first stages, a few until they have been judged, and then all whose likely harm costs less than the
 // delay of the rest.
-func (r *Router) onTrial(t *Request) *Host {
+func (r *Router) pickCanary(t *Request) *Host {
 	const taste = 0.25                          // of what earlier hosts get, effects not yet judged
 	const cleared, guilty, fails = 0.1, 10, 0.3 // odds; what a bad build fails of a category, more or less
 	const lately, least, all = 2 * Second, 2, 8 // a while, copies in it of each router at the least, and of all
-	n, c := r.news, t.Class
-	alone := r.ballot.voice == Rollback && r.desk.RollbackQuorum <= 1 // others may not agree, and more copies change a mind
-	if !r.heard || n.Phase != Canary || alone || r.resting() || !r.room(n.Build, c) {
+	n, c := r.releaseStatus, t.Class
+	alone := r.vote.choice == Rollback && r.releaseConfig.RollbackQuorum <= 1 // others may not agree, and more copies change a mind
+	if !r.releaseKnown || n.Phase != Canary || alone || r.shadowsPaused() || !r.withinExposure(n.Build, c) {
 		return nil
 	}
-	both := r.together()
-	by := func(h *Host) bool { return both || r.side(h) == near }
-	here := func(h *Host) bool { return r.runs(h) && by(h) }
+	both := r.mergesZones()
+	by := func(h *Host) bool { return both || r.localityOf(h) == localZone }
+	here := func(h *Host) bool { return r.runsNewestBuild(h) && by(h) }
 	on := here
-	if well := func(h *Host) bool { return here(h) && h.health != sick }; r.counting() && r.count(well) > 0 {
+	if well := func(h *Host) bool { return here(h) && h.health != ejected }; r.statsOutweighOwn() && r.countHosts(well) > 0 {
 		on = well // the desk tells no host from a build: a sick one's failures would be the build's
 	}
 	// Where others cross, those nearby alone say little of what a host gets.
-	peer := func(h *Host) bool { return r.old(h) && (by(h) || r.spreads()) }
-	each := since(r.taken, r.now-lately, nil) / max(1, r.allAble(peer))
-	due := max(min(least, all/float64(r.routers)), each*r.allAble(on))
-	if c.Idempotency != Idempotent && r.desk.HarmPrice*fails*c.odds >= r.desk.DelayPrice {
-		if c.odds < cleared || c.odds > guilty || float64(r.chance(1000)) >= 1000*taste {
+	peer := func(h *Host) bool { return r.isBaseline(h) && (by(h) || r.crossesCheaply()) }
+	each := countSince(r.arrivals, r.now-lately, nil) / max(1, r.totalCapacity(peer))
+	due := max(min(least, all/float64(r.routers)), each*r.totalCapacity(on))
+	if c.Idempotency != Idempotent && r.releaseConfig.HarmPrice*fails*c.failureOdds >= r.releaseConfig.DelayPrice {
+		if c.failureOdds < cleared || c.failureOdds > guilty || float64(r.randomN(1000)) >= 1000*taste {
 			return nil
 		}
 	}
 	if due >= least {
-		due -= since(r.tried, r.now-lately, nil) + 1
+		due -= countSince(r.canaryAttempts, r.now-lately, nil) + 1
 	} else { // less than a router can count: by chance, lest all of them send at once
-		due = due/max(1, since(r.taken, r.now-lately, nil)) - float64(r.chance(1000))/1000
+		due = due/max(1, countSince(r.arrivals, r.now-lately, nil)) - float64(r.randomN(1000))/1000
 	}
 	if due < 0 || c.Idempotency != Idempotent && n.Stage == 0 {
 		return nil
 	}
-	most := r.holds() + 1                 // tasks: a line that copies make is no build's fault
-	return r.pick(t, func(h *Host) bool { // a sick one is judged too, but not at the cost of an effect
-		return on(h) && (h.health != sick || c.Idempotency == Idempotent) && r.held(h) <= most &&
-			since(h.sent, r.now-lately, nil) < max(1, each*r.able(h)) // not what others are too cold for
+	most := r.typicalLoad() + 1               // tasks: a line that copies make is no build's fault
+	return r.pickHost(t, func(h *Host) bool { // a sick one is judged too, but not at the cost of an effect
+		return on(h) && (h.health != ejected || c.Idempotency == Idempotent) && r.hostLoad(h) <= most &&
+			countSince(h.attempts, r.now-lately, nil) < max(1, each*r.capacity(h)) // not what others are too cold for
 	})
 }
 
 // ---- Tasks ----
 
-// tasks says what follows for a task. One that can go nowhere is settled at once.
-var tasks = []taskRow{
-	{clean, arrives, clean, (*Router).place},
-	{clean, neverRan, clean, (*Router).again},
-	{clean, mayHaveRun, risky, (*Router).again},
-	{clean, lingers, clean, (*Router).hedge},
-	{clean, ends, over, (*Router).rest},
-	{risky, neverRan, risky, (*Router).again},
-	{risky, mayHaveRun, risky, (*Router).again},
-	{risky, lingers, risky, (*Router).hedge},
-	{risky, ends, over, (*Router).rest},
-}
-
-// place sends a new task on its ordinary way: to the earlier build, with a copy or a lone copy on trial.
-func (r *Router) place(t *Request) {
-	h := r.onTrial(t)
+// requestTransitions says what follows for a task. One that can go nowhere is settled at once.
+var requestTransitions = []requestTransition{
+	{notExecuted, requestArrived, notExecuted, (*Router).dispatch},
+	{notExecuted, attemptNotExecuted, notExecuted, (*Router).continueAfterFailure},
+	{notExecuted, attemptMayHaveExecuted, mayHaveExecuted, (*Router).continueAfterFailure},
+	{notExecuted, attemptSlow, notExecuted, (*Router).hedge},
+	{notExecuted, requestEnded, finished, (*Router).ignoreEvent},
+	{mayHaveExecuted, attemptNotExecuted, mayHaveExecuted, (*Router).continueAfterFailure},
+	{mayHaveExecuted, attemptMayHaveExecuted, mayHaveExecuted, (*Router).continueAfterFailure},
+	{mayHaveExecuted, attemptSlow, mayHaveExecuted, (*Router).hedge},
+	{mayHaveExecuted, requestEnded, finished, (*Router).ignoreEvent},
+}
+
+// dispatch sends a new task on its ordinary way: to the earlier build, with a copy or a lone copy on trial.
+func (r *Router) dispatch(t *Request) {
+	h := r.pickCanary(t)
 	if h != nil && t.Class.Idempotency == Idempotent && r.limits.AllowHedging {
-		if first := r.earlier(t); first != nil && r.old(first) { // else both would go to the build on trial
-			r.send(t, first, original)
+		if first := r.pickBaseline(t); first != nil && r.isBaseline(first) { // else both would go to the build on trial
+			r.send(t, first, primaryAttempt)
 		}
-		r.send(t, h, copied)
+		r.send(t, h, shadowAttempt)
 		return
 	}
 	if h == nil {
-		h = r.probation(t)
+		h = r.pickEjected(t)
 	}
 	if h != nil {
-		r.send(t, h, lone)
+		r.send(t, h, shadowFirstAttempt)
 		return
 	}
-	if h = r.earlier(t); h == nil || r.tooLate(t, h) {
-		r.settle(t)
+	if h = r.pickBaseline(t); h == nil || r.shedsLoad(t, h) {
+		r.giveUp(t)
 		return
 	}
-	r.send(t, h, original)
+	r.send(t, h, primaryAttempt)
 }
 
-// jam is how often longer than usual the hosts nearby or the rest take to answer: what is out at those that
+// expectedSlowdown is how often longer than usual the hosts nearby or the rest take to answer: what is out at those that
 // work, by the rate at which work was answered. As what is out drains it falls, and hosts are never left
 // idle. One of many routers has little out, by chance more or less: it takes the mean of the time in which
 // so many tasks are answered, and counts answers over longer. Nor can it see a host hang: where some answer
 // nothing, while what others answer comes in time, there is no jam.
-func (r *Router) jam(side int) float64 {
+func (r *Router) expectedSlowdown(side int) float64 {
 	const few, blink = 10, Second                          // answers to take the mean over, at the longest
 	const luck, lag = 0.5, 3.0                             // spreads over its due; times as slow as answers are
 	const short, long, enough = 2 * Second, 8 * Second, 20 // to count answers over
-	work, span, strain := r.answered(side, short, long, enough/4, enough)
+	work, span, strain := r.recentWork(side, short, long, enough/4, enough)
 	rest := max(0, 1-4/float64(r.routers)) // each of up to four sees enough of all sends at each moment
-	out, hosts := r.out(side, Time(rest*float64(min(blink, few*r.gap(few)))))
+	out, hosts := r.meanInFlight(side, Time(rest*float64(min(blink, few*r.meanCompletionInterval(few)))))
 	if out -= luck * math.Sqrt(out*rest); out*float64(r.routers) <= hosts {
 		return 0
 	}
@@ -382,126 +382,126 @@
 	return min(out*float64(span)/work, lag*strain)
 }
 
-// tooLate turns a task back early when the hosts around the one chosen would answer it too late. The less a
+// shedsLoad turns a task back early when the hosts around the one chosen would answer it too late. The less a
 // task earns for its time, the sooner, and sooner yet beyond its customer's share.
-func (r *Router) tooLate(t *Request, h *Host) bool {
+func (r *Router) shedsLoad(t *Request, h *Host) bool {
 	const high, low, beyond = 1.0, 0.8, 0.5 // of the promised time: the tail is longer than the mean
 	const last, firm, least = 30, 1.0, 0.4  // of the last answers: as many as come late, the sooner
 	const begin, end = 0.4, 0.8             // of the limit: what all know alike not all must do at once
 	limit, better := high, 0
-	for _, c := range r.cats {
-		if c.PriorityWeight*float64(t.Class.mid) > t.Class.PriorityWeight*float64(c.mid) {
+	for _, c := range r.classes {
+		if c.PriorityWeight*float64(t.Class.usualLatency) > t.Class.PriorityWeight*float64(c.usualLatency) {
 			better++
 		}
 	}
-	if 2*better >= len(r.cats) {
+	if 2*better >= len(r.classes) {
 		limit = low
 	}
-	if c := t.Tenant; c != nil && since(c.taken, r.now-2*Second, nil) > 2.4*c.QuotaPerSecond/float64(r.routers) {
+	if c := t.Tenant; c != nil && countSince(c.arrivals, r.now-2*Second, nil) > 2.4*c.QuotaPerSecond/float64(r.routers) {
 		limit *= beyond
 	}
-	limit *= max(least, 1-firm*r.lateOf(t.Class, last))
+	limit *= max(least, 1-firm*r.lateShare(t.Class, last))
 	limit *= float64(min(t.Class.LatencyObjective, t.Timeout))
 	if r.limits.MaxGossipBytes == 0 {
-		return r.jam(r.side(h))*float64(t.Class.mid) > limit
+		return r.expectedSlowdown(r.localityOf(h))*float64(t.Class.usualLatency) > limit
 	}
-	took := r.rushed(t.Class) * float64(t.Class.mid)
-	return float64(r.chance(1000)) < 1000*(took/limit-begin)/(end-begin)
+	took := r.expectedClassSlowdown(t.Class) * float64(t.Class.usualLatency)
+	return float64(r.randomN(1000)) < 1000*(took/limit-begin)/(end-begin)
 }
 
-// rushed is the jam of one category, as this router and its peers see it together: one alone of hundreds
+// expectedClassSlowdown is the jam of one category, as this router and its peers see it together: one alone of hundreds
 // holds a send or none, and a category that waits by itself at all hosts is no jam of the others.
-func (r *Router) rushed(c *Class) float64 {
+func (r *Router) expectedClassSlowdown(c *Class) float64 {
 	const few, luck, lag = 10, 0.5, 3.0 // usual answers to lean on; as in a jam seen alone
-	out, hosts := 0.0, float64(r.standing().well[near]+r.standing().well[far])
-	r.waits()
-	for _, x := range r.cats {
-		out += float64(x.out) + x.told.as(r.now).out
+	out, hosts := 0.0, float64(r.snapshot().healthy[localZone]+r.snapshot().healthy[remoteZones])
+	r.countInFlight()
+	for _, x := range r.classes {
+		out += float64(x.inFlight) + x.peerStats.decayedTo(r.now).inFlight
 	}
-	if out*float64(r.routers)/(1+r.voices*fade(r.now-r.heardAt)) <= hosts {
+	if out*float64(r.routers)/(1+r.activePeers*decayFactor(r.now-r.lastGossipAt)) <= hosts {
 		return 0
 	}
-	own, told, lean := c.seen.as(r.now), c.told.as(r.now), few*float64(c.mid)
-	work, took := own.work+told.work+lean, own.took+told.took+lean
-	out = float64(c.out) + told.out
+	own, told, lean := c.ownStats.decayedTo(r.now), c.peerStats.decayedTo(r.now), few*float64(c.usualLatency)
+	work, took := own.usualLatency+told.usualLatency+lean, own.latency+told.latency+lean
+	out = float64(c.inFlight) + told.inFlight
 	out = max(0, out-luck*math.Sqrt(out))
-	return min((out*float64(fading)+lean)/work, lag*took/work)
+	return min((out*float64(decayTime)+lean)/work, lag*took/work)
 }
 
-func (r *Router) send(t *Request, h *Host, how role) {
-	s := r.enlist(t, h, how)
-	within, slowest := t.at+t.Timeout-r.now, t.Class.LatencyObjective/2
-	if len(t.Class.took) >= 40 { // fewer show no tail
-		slowest = above(t.Class.took, 0.05)
+func (r *Router) send(t *Request, h *Host, how attemptRole) {
+	s := r.startAttempt(t, h, how)
+	within, slowest := t.arrivedAt+t.Timeout-r.now, t.Class.LatencyObjective/2
+	if len(t.Class.latencies) >= 40 { // fewer show no tail
+		slowest = upperQuantile(t.Class.latencies, 0.05)
 	}
-	lingersAt := max(slowest*3/2, t.Class.mid*2) // beyond 19 in 20, with some slack
-	s.fair = min(within, Time(float64(max(lingersAt, t.Class.LatencyObjective/3))/r.strength(h)))
+	lingersAt := max(slowest*3/2, t.Class.usualLatency*2) // beyond 19 in 20, with some slack
+	s.shadowTimeout = min(within, Time(float64(max(lingersAt, t.Class.LatencyObjective/3))/r.capacityFactor(h)))
 	switch {
-	case !t.Class.mayRepeat():
-	case r.limits.AllowHedging && how != copied:
+	case !t.Class.repeatsSafely():
+	case r.limits.AllowHedging && how != shadowAttempt:
 		r.effects.SetTimer(lingersAt, &Timer{attempt: s})
 	case r.limits.AllowHedging || len(t.Attempts) >= r.limits.MaxAttempts:
-	case how == lone: // it leaves its original the time to answer; a cold host is slow
-		within = s.fair
-	case t.at+t.Class.LatencyObjective-r.now-t.Class.mid > lingersAt && r.spare(t.Class):
+	case how == shadowFirstAttempt: // it leaves its original the time to answer; a cold host is slow
+		within = s.shadowTimeout
+	case t.arrivedAt+t.Class.LatencyObjective-r.now-t.Class.usualLatency > lingersAt && r.retryBudgetAllows(t.Class):
 		within = min(within, lingersAt)
 	}
 	r.effects.Send(s, within)
 }
 
-// spare tells whether the budget has room for a further send, so that a slow fleet is not given more work.
+// retryBudgetAllows tells whether the budget has room for a further send, so that a slow fleet is not given more work.
 // The few beyond the share are for a fleet of few routers: each of hundreds would add them.
-func (r *Router) spare(c *Class) bool {
+func (r *Router) retryBudgetAllows(c *Class) bool {
 	const over, few, oneIn = 5 * Second, 4, 8 // one for every eight tasks taken lately, and a few
 	const alone = 4.0                         // routers that each may have them
 	const full = 3                            // times longer than usual: for want of hosts, not by bad luck
-	owed := few*min(1, alone/float64(r.routers)) + since(r.taken, r.now-over, nil)/oneIn
-	return r.strained(c) < full && since(r.extra, r.now-over, nil) < owed
+	owed := few*min(1, alone/float64(r.routers)) + countSince(r.arrivals, r.now-over, nil)/oneIn
+	return r.leastExpectedSlowdown(c) < full && countSince(r.retries, r.now-over, nil) < owed
 }
 
-// more sends a task once more where that is allowed, affordable and can still be in time. What follows a lone
+// retry sends a task once more where that is allowed, affordable and can still be in time. What follows a lone
 // copy, or a send that this router cut short, no budget holds back: it was asked when that one was sent.
-func (r *Router) more(t *Request) bool {
-	left := t.at + t.Timeout - r.now
+func (r *Router) retry(t *Request) bool {
+	left := t.arrivedAt + t.Timeout - r.now
 	last := t.Attempts[len(t.Attempts)-1]
-	first := last.role == lone || last.outcome == TimedOut && !r.limits.AllowHedging // this router cut it short
-	if len(t.Attempts) >= r.limits.MaxAttempts || left <= t.Class.mid/2 || !first && !r.spare(t.Class) {
+	first := last.role == shadowFirstAttempt || last.outcome == TimedOut && !r.limits.AllowHedging // this router cut it short
+	if len(t.Attempts) >= r.limits.MaxAttempts || left <= t.Class.usualLatency/2 || !first && !r.retryBudgetAllows(t.Class) {
 		return false
 	}
-	h := r.earlier(t)
+	h := r.pickBaseline(t)
 	if h == nil {
 		return false
 	}
-	if last.role != lone {
-		r.extra = keep(r.extra, moment{at: r.now, cat: t.Class}, 2048)
+	if last.role != shadowFirstAttempt {
+		r.retries = appendBounded(r.retries, trafficEvent{at: r.now, class: t.Class}, 2048)
 	}
-	r.send(t, h, further)
+	r.send(t, h, retryAttempt)
 	return true
 }
 
-// again answers a failed send: with a further one, with waiting for one still out, or with the final answer.
-func (r *Router) again(t *Request) {
+// continueAfterFailure answers a failed send: with a further one, with waiting for one still out, or with the final answer.
+func (r *Router) continueAfterFailure(t *Request) {
 	out := func(s *Attempt) bool { return s.outcome == Pending }
-	main := func(s *Attempt) bool { return s.outcome == Pending && s.role != copied }
-	if !slices.ContainsFunc(t.Attempts, main) && !r.more(t) && !slices.ContainsFunc(t.Attempts, out) {
-		r.settle(t)
+	main := func(s *Attempt) bool { return s.outcome == Pending && s.role != shadowAttempt }
+	if !slices.ContainsFunc(t.Attempts, main) && !r.retry(t) && !slices.ContainsFunc(t.Attempts, out) {
+		r.giveUp(t)
 	}
 }
 
 // hedge sends a second copy of a task that takes unusually long.
 func (r *Router) hedge(t *Request) {
-	if t.risky == nil {
-		t.risky = t.Attempts[0] // still out, it may have run
+	if t.firstAmbiguous == nil {
+		t.firstAmbiguous = t.Attempts[0] // still out, it may have run
 	}
-	r.more(t)
+	r.retry(t)
 }
 
-func (r *Router) rest(*Request) {} // the answer is given; copies still out are only evidence
+func (r *Router) ignoreEvent(*Request) {} // the answer is given; copies still out are only evidence
 
-// settle gives the final answer, at once: turned back where trying again is known to be harmless.
-func (r *Router) settle(t *Request) {
-	t.state = over
-	if t.risky != nil && !t.Class.mayRepeat() {
+// giveUp gives the final answer, at once: turned back where trying again is known to be harmless.
+func (r *Router) giveUp(t *Request) {
+	t.state = finished
+	if t.firstAmbiguous != nil && !t.Class.repeatsSafely() {
 		r.effects.Fail(t)
 		return
 	}
@@ -512,133 +512,133 @@
 func (r *Router) AttemptEnded(now Time, s *Attempt, fate Outcome, took Time, done bool, load *LoadReport) {
 	t := s.Request
 	r.now = now
-	r.close(s, fate, load)
-	r.learn(s, took)
-	in := mayHaveRun
+	r.finishAttempt(s, fate, load)
+	r.recordOutcome(s, took)
+	in := attemptMayHaveExecuted
 	switch {
 	case done || fate == Succeeded:
-		in = ends
+		in = requestEnded
 	case fate == Rejected || fate == ConnectFailed || fate == NotSent:
-		in = neverRan
-	case t.risky == nil || s.at < t.risky.at:
-		t.risky = s
+		in = attemptNotExecuted
+	case t.firstAmbiguous == nil || s.sentAt < t.firstAmbiguous.sentAt:
+		t.firstAmbiguous = s
 	}
-	both := r.news.Phase == Canary || r.standing().latest < r.standing().all // builds a key could go between
-	if fate == Succeeded && r.desk.StickyKeys && t.Key != "" && s.build >= r.news.Build && both {
-		r.kept[t.Key] = s.build
+	both := r.releaseStatus.Phase == Canary || r.snapshot().newestBaselineHosts < r.snapshot().baselineHosts // builds a key could go between
+	if fate == Succeeded && r.releaseConfig.StickyKeys && t.Key != "" && s.build >= r.releaseStatus.Build && both {
+		r.stickyBuilds[t.Key] = s.build
 	}
-	r.step(t, in)
+	r.handleRequestEvent(t, in)
 }
 
 // ---- Health ----
 
-// healths says how a host's health moves; a sick host only gets the trickle of probation.
-var healths = []healthRow{
-	{fit, fails, sick, 0},
-	{fit, refuses, shunned, Second / 5}, // full or unreachable: others first for a moment
-	{shunned, refuses, shunned, Second},
-	{shunned, fails, sick, 0},
-	{shunned, works, fit, 0},
-	{sick, works, fit, 0},
+// healthTransitions says how a host's health moves; a sick host only gets the trickle of probation.
+var healthTransitions = []healthTransition{
+	{healthy, hostFailing, ejected, 0},
+	{healthy, hostRefused, backingOff, Second / 5}, // full or unreachable: others first for a moment
+	{backingOff, hostRefused, backingOff, Second},
+	{backingOff, hostFailing, ejected, 0},
+	{backingOff, hostRecovered, healthy, 0},
+	{ejected, hostRecovered, healthy, 0},
 }
 
-// learn keeps what a send showed, of its host, its category and its build, and reviews the host's health.
-func (r *Router) learn(s *Attempt, took Time) {
+// recordOutcome keeps what a send showed, of its host, its category and its build, and reviews the host's health.
+func (r *Router) recordOutcome(s *Attempt, took Time) {
 	h, c := s.Host, s.Request.Class
-	if s.outcome == NotSent || s.outcome == Canceled || s.up != h.StartedAt || s.build != h.Build {
+	if s.outcome == NotSent || s.outcome == Canceled || s.hostStartedAt != h.StartedAt || s.build != h.Build {
 		return
 	}
-	x := r.sampled(s, took)
-	r.usually(c, s, x)
-	if h.past = append(h.past, x); len(h.past) > 8 { // enough to tell a slow host, few to forget one
-		h.past = h.past[1:]
+	x := r.newSample(s, took)
+	r.learnUsualLatency(c, s, x)
+	if h.samples = append(h.samples, x); len(h.samples) > 8 { // enough to tell a slow host, few to forget one
+		h.samples = h.samples[1:]
 	}
-	in := steady
+	in := hostUnchanged
 	switch {
 	case s.outcome == Rejected || s.outcome == ConnectFailed:
-		in = refuses
-	case h.health == sick: // two good answers in a row, whatever came before
-		if n := len(h.past); x.well() && n > 1 && h.past[n-2].well() {
-			in = works
+		in = hostRefused
+	case h.health == ejected: // two good answers in a row, whatever came before
+		if n := len(h.samples); x.ok() && n > 1 && h.samples[n-2].ok() {
+			in = hostRecovered
 		}
-	case r.failing(h):
-		in = fails
-	case x.well():
-		in = works
-	}
-	if on, _, _ := r.trial(s.build); in != refuses && (s.IsShadow() || !on) { // who had nowhere else is no copy
-		if !s.IsShadow() && !r.limits.AllowHedging && c.mayRepeat() && took > s.fair { // a copy would have been cut
-			x.fate = TimedOut
+	case r.isFailing(h):
+		in = hostFailing
+	case x.ok():
+		in = hostRecovered
+	}
+	if on, _, _ := r.exposureOf(s.build); in != hostRefused && (s.IsShadow() || !on) { // who had nowhere else is no copy
+		if !s.IsShadow() && !r.limits.AllowHedging && c.repeatsSafely() && took > s.shadowTimeout { // a copy would have been cut
+			x.outcome = TimedOut
 		}
-		b := r.book(s.build)
-		b.samples = keep(b.samples, x, 1500) // a trial's worth, or some ten seconds of a busy router's sends
+		b := r.window(s.build)
+		b.samples = appendBounded(b.samples, x, 1500) // a trial's worth, or some ten seconds of a busy router's sends
 	}
-	r.move(h, in)
+	r.transitionHealth(h, in)
 }
 
-const tardy = 4 // usual times of a host that holds as much, after which a send seems stuck
+const stuckFactor = 4 // usual times of a host that holds as much, after which a send seems stuck
 
-// review looks at all hosts. One that takes tasks and answers none before these run out of time is sick; when
+// reviewHealth looks at all hosts. One that takes tasks and answers none before these run out of time is sick; when
 // half the fleet or more does so none is to blame. A sick one is tried again once what spoke against it has
 // faded, where peers watch it too: the trickle of one router in hundreds would not find it well for minutes.
 // While the list is out of reach, hosts of builds before one long released count as told to drain.
-func (r *Router) review() {
+func (r *Router) reviewHealth() {
 	const few, trace = 3, 0.3 // sends; of a bad send
 	const told = 6 * Second   // as the platform has it: what a list would have told counts by then
-	hung := func(h *Host) bool { return h.health == fit && h.stuck(r.now, tardy) >= few }
-	blame := 2*r.count(hung) < r.count(func(h *Host) bool { return h.health == fit })
-	lost := r.lost > 0 && r.now-r.liveAt > told // where no later host is known there is none to send to
+	hung := func(h *Host) bool { return h.health == healthy && h.stuckAttempts(r.now, stuckFactor) >= few }
+	blame := 2*r.countHosts(hung) < r.countHosts(func(h *Host) bool { return h.health == healthy })
+	lost := r.failedPolls > 0 && r.now-r.releasedAt > told // where no later host is known there is none to send to
 	for _, h := range r.hosts {
 		switch {
-		case lost && h.Build < r.live && h.State == Serving:
-			h.State, h.left, r.muster.counted = Draining, r.now, false
+		case lost && h.Build < r.releasedBuild && h.State == Serving:
+			h.State, h.leftAt, r.fleet.valid = Draining, r.now, false
 		case blame && hung(h):
-			r.move(h, fails)
-		case h.health == sick && r.limits.MaxGossipBytes > 0 &&
-			h.words[0].as(r.now).bad+h.rumour(r.now, firsthand, passedOn).bad < trace:
-			r.move(h, works)
+			r.transitionHealth(h, hostFailing)
+		case h.health == ejected && r.limits.MaxGossipBytes > 0 &&
+			h.healthByHops[0].decayedTo(r.now).failures+h.peerHealth(r.now, firstHandWeight, secondHandWeight).failures < trace:
+			r.transitionHealth(h, hostRecovered)
 		}
 	}
 }
 
-// well tells whether a send ended as one at a host that works.
-func (x sample) well() bool { return x.fate == Succeeded && x.strain < 3 }
+// ok tells whether a send ended as one at a host that works.
+func (x attemptSample) ok() bool { return x.outcome == Succeeded && x.slowdown < 3 }
 
-// failing compares a host's last sends with its peers of the same build: it must fail or drag far more than
+// isFailing compares a host's last sends with its peers of the same build: it must fail or drag far more than
 // they do, so that neither a bad build nor a slow fleet empties the list.
-func (r *Router) failing(h *Host) bool {
+func (r *Router) isFailing(h *Host) bool {
 	const gap, drag, least = 0.35, 3.0, 6 // about three of the last eight; three times as slow as its peers
-	share, strain := r.ails(h, least)
+	share, strain := r.faultScore(h, least)
 	if share <= gap && strain <= drag { // whatever its peers do
 		return false
 	}
-	shares, strains := r.peersAil(h, least)
-	return len(shares) > 1 && (share > gap+2*above(shares, 0.5) || strain > drag*max(1, above(strains, 0.5)))
+	shares, strains := r.peerFaultScores(h, least)
+	return len(shares) > 1 && (share > gap+2*upperQuantile(shares, 0.5) || strain > drag*max(1, upperQuantile(strains, 0.5)))
 }
 
 // ---- Peers ----
 
-const firsthand, passedOn = 0.5, 0.5 // of an own send, a peer's word weighs: its links are its own
+const firstHandWeight, secondHandWeight = 0.5, 0.5 // of an own send, a peer's word weighs: its links are its own
 
-// gossip tells a peer drawn by chance, nearby where any is known, what was met lately and what peers told of
+// sendGossip tells a peer drawn by chance, nearby where any is known, what was met lately and what peers told of
 // theirs: passed on once, so that no word comes back as new. Where hundreds meet a host once in ten seconds
 // each, only so they know it before it has failed them all. Complaints are rare and go to all.
-func (r *Router) gossip() {
+func (r *Router) sendGossip() {
 	const oneIn, kin, many = 5, 3, 16 // looks; of those nearby but one in so many; words, the worst first
 	const least = 0.3                 // of a send: older is forgotten
-	if r.limits.MaxGossipBytes == 0 || r.routers < 2 || r.chance(oneIn) > 0 {
+	if r.limits.MaxGossipBytes == 0 || r.routers < 2 || r.randomN(oneIn) > 0 {
 		return
 	}
-	for _, blame := range r.unsaidBlames() {
+	for _, blame := range r.unsentComplaintMessages() {
 		r.effects.Gossip(Broadcast, blame)
 	}
-	d := r.lore(least)
-	d.worst(many)
-	peer := (r.rank + 1 + r.chance(r.routers-1)) % r.routers
-	if len(r.fellows) > 0 && r.chance(kin) > 0 {
-		peer = r.fellows[r.chance(len(r.fellows))]
+	d := r.summarize(least)
+	d.keepWorst(many)
+	peer := (r.rank + 1 + r.randomN(r.routers-1)) % r.routers
+	if len(r.localPeers) > 0 && r.randomN(kin) > 0 {
+		peer = r.localPeers[r.randomN(len(r.localPeers))]
 	}
-	r.effects.Gossip(peer, d.pack(r.limits.MaxGossipBytes))
+	r.effects.Gossip(peer, d.encode(r.limits.MaxGossipBytes))
 }
 
 // GossipReceived takes in a peer's word. It names no host that the own list has not and moves no bound of a rule; what
@@ -646,56 +646,56 @@
 func (r *Router) GossipReceived(now Time, peer int, body []byte) {
 	const known = 16 // fellows
 	r.now = now
-	if build, n, ok := unpackBlame(body); ok {
-		r.blames[build] += n
+	if build, n, ok := decodeComplaints(body); ok {
+		r.complaints[build] += n
 		return
 	}
-	d, ok := r.unpack(body)
+	d, ok := r.decodeSummary(body)
 	if !ok || peer == r.rank {
 		return
 	}
-	if r.crowdTold(d); d.stands == nil || r.side(d.stands) != near {
+	if r.mergeClassStats(d); d.nearbyHost == nil || r.localityOf(d.nearbyHost) != localZone {
 		return
 	}
-	if !slices.Contains(r.fellows, peer) {
-		r.fellows = keep(r.fellows, peer, known)
+	if !slices.Contains(r.localPeers, peer) {
+		r.localPeers = appendBounded(r.localPeers, peer, known)
 	}
-	r.nearTold(d)
-	for _, w := range d.words {
-		if w.host.health == fit && r.failing(w.host) {
-			r.move(w.host, fails)
+	r.mergeLocalReport(d)
+	for _, w := range d.hosts {
+		if w.host.health == healthy && r.isFailing(w.host) {
+			r.transitionHealth(w.host, hostFailing)
 		}
 	}
 }
 
-// scout probes a host far away now and then while the way there is poor, so that no task need try whether
+// checkRemotePath probes a host far away now and then while the way there is poor, so that no task need try whether
 // it still is; what comes of it is told like a send.
-func (r *Router) scout() {
+func (r *Router) checkRemotePath() {
 	const oneIn = 20 // looks: with what those nearby tell, enough to keep the way shut and to find it open
-	if !r.limits.HealthChecks || !r.spreads() || r.together() || r.chance(oneIn) > 0 {
+	if !r.limits.HealthChecks || !r.crossesCheaply() || r.mergesZones() || r.randomN(oneIn) > 0 {
 		return
 	}
-	if _, there := r.parted(func(*Host) bool { return true }); len(there) > 0 { // sick ones too
-		r.effects.CheckHealth(there[r.chance(len(there))])
+	if _, there := r.splitByLocality(func(*Host) bool { return true }); len(there) > 0 { // sick ones too
+		r.effects.CheckHealth(there[r.randomN(len(there))])
 	}
 }
 
 // ---- Evidence ----
 
-// spoken bounds the odds by the number of hosts that speak for them: each may at most quadruple them.
-func spoken(o float64, hosts int) float64 { return min(o, math.Pow(4, float64(max(1, hosts)))) }
+// boundByHosts bounds the odds by the number of hosts that speak for them: each may at most quadruple them.
+func boundByHosts(o float64, hosts int) float64 { return min(o, math.Pow(4, float64(max(1, hosts)))) }
 
-// drag weighs whether a build's hosts are slower than the ones before, host by host, as they differ. apart is
+// latencyEvidence weighs whether a build's hosts are slower than the ones before, host by host, as they differ. apart is
 // the variance between two good sets, at two times; share is how many must be that slow. Or the desk speaks.
-func (r *Router) drag(now, before []word, counts [2][]BuildStats, was int, apart, share float64) float64 {
-	const differ, scatter = 0.2, 0.8              // variance: the one's square, and the other by sends
-	const more = 0.6                              // log of 1.8: a fleet that is half full feels that
-	fresh, a := paces(now, differ, scatter, 3, 1) // or 1, with so many hosts that none is met three times
-	usual, b := paces(before, differ, scatter, 3, 1)
+func (r *Router) latencyEvidence(now, before []hostSummary, counts [2][]BuildStats, was int, apart, share float64) float64 {
+	const differ, scatter = 0.2, 0.8                         // variance: the one's square, and the other by sends
+	const more = 0.6                                         // log of 1.8: a fleet that is half full feels that
+	fresh, a := hostLogSlowdowns(now, differ, scatter, 3, 1) // or 1, with so many hosts that none is met three times
+	usual, b := hostLogSlowdowns(before, differ, scatter, 3, 1)
 	hosts := len(fresh)
-	if r.byDesk() {
-		gap, n, of, on := countedGap(counts[0], counts[1])
-		if calm, m := calmer(r.counts, nil, was, r.news.Build, r.offered, r.offered, 0); m > 0 {
+	if r.judgesByStats() {
+		gap, n, of, on := logLatencyGap(counts[0], counts[1])
+		if calm, m := logLatencyGapToPast(r.stats, nil, was, r.releaseStatus.Build, r.offeredAt, r.offeredAt, 0); m > 0 {
 			gap = min(gap, calm) // a trial that takes most of the traffic leaves the earlier hosts idle
 		}
 		fresh, usual, hosts = []float64{gap}, []float64{0}, on
@@ -704,147 +704,147 @@
 	if min(len(fresh), len(usual)) == 0 {
 		return 1
 	}
-	gap := above(fresh, share) - above(usual, 0.5)
-	return spoken(ratio(gap, more, a+b+apart, 6), hosts)
+	gap := upperQuantile(fresh, share) - upperQuantile(usual, 0.5)
+	return boundByHosts(likelihoodRatio(gap, more, a+b+apart, 6), hosts)
 }
 
-// resting tells whether copies rest, as the fleet has slowed during the trial.
-func (r *Router) resting() bool { return r.swell == paused || r.swell == proven }
+// shadowsPaused tells whether copies rest, as the fleet has slowed during the trial.
+func (r *Router) shadowsPaused() bool { return r.surge == surgePaused || r.surge == surgeProven }
 
-// unsure tells that the fleet has slowed for no known cause, or that the hosts known are too few to carry all
+// isUnreadyForRelease tells that the fleet has slowed for no known cause, or that the hosts known are too few to carry all
 // after a release, or too cold: the more jammed the fleet, the warmer they must be.
-func (r *Router) unsure() bool {
-	need := min(0.95, 0.4+0.15*max(1, r.jam(near))) // it binds where answers take twice as long as usual
-	return r.swell == paused || r.swell == watched || 2*r.count(r.runs) < r.count(r.old) ||
-		r.strong(r.runs) < need*r.count(r.runs)
+func (r *Router) isUnreadyForRelease() bool {
+	need := min(0.95, 0.4+0.15*max(1, r.expectedSlowdown(localZone))) // it binds where answers take twice as long as usual
+	return r.surge == surgePaused || r.surge == surgeObserved || 2*r.countHosts(r.runsNewestBuild) < r.countHosts(r.isBaseline) ||
+		r.totalCapacityFactor(r.runsNewestBuild) < need*r.countHosts(r.runsNewestBuild)
 }
 
-// swells says whether the build on trial slows old and new alike, which leaves no gap between them: copies
+// surgeTransitions says whether the build on trial slows old and new alike, which leaves no gap between them: copies
 // rest while the earlier build is slower than before. Where routers see the desk's counts they rest together.
-var swells = []swellRow{
-	{level, swelling, paused},
-	{paused, ebbing, watched},   // copies rest and it is quick again: so far that may be chance
-	{paused, lasting, level},    // it is slow without copies too
-	{watched, swelling, proven}, // with copies it was slow twice, and without them quick
-	{watched, lasting, level},
-	{proven, lasting, level},
+var surgeTransitions = []surgeTransition{
+	{surgeNone, surgeRose, surgePaused},
+	{surgePaused, surgeSubsided, surgeObserved}, // copies rest and it is quick again: so far that may be chance
+	{surgePaused, surgeTimedOut, surgeNone},     // it is slow without copies too
+	{surgeObserved, surgeRose, surgeProven},     // with copies it was slow twice, and without them quick
+	{surgeObserved, surgeTimedOut, surgeNone},
+	{surgeProven, surgeTimedOut, surgeNone},
 }
 
-// shared reads the table and weighs it; a category that waits alone is another trouble, so all must be slow.
-func (r *Router) shared(before *book) float64 {
+// surgeEvidence reads the table and weighs it; a category that waits alone is another trouble, so all must be slow.
+func (r *Router) surgeEvidence(before *buildWindow) float64 {
 	const high, low = 0.4, 0.25  // log of half slower than before the trial; of little more than then
 	const rest = 15 * Second     // by then what waits at hosts has gone and the desk has counted it
 	const few, small = 60, 0.15  // sends, as these scatter; of the sends: what gets less can't slow a fleet so
 	const proof, alone = 400, 20 // odds: enough among the other tests that find nothing, and with another's only
-	slow, n := r.slowest(before, r.now-rest/6)
+	slow, n := r.surgeMagnitude(before, r.now-rest/6)
 	switch {
 	case n < few:
-	case slow > high && r.tasted(r.now-rest/6) > small:
-		r.surge(swelling)
+	case slow > high && r.canaryShare(r.now-rest/6) > small:
+		r.transitionSurge(surgeRose)
 	case slow < low:
-		r.surge(ebbing)
+		r.transitionSurge(surgeSubsided)
 	}
-	if r.now-r.surged > rest {
-		r.surge(lasting)
+	if r.now-r.surgeSince > rest {
+		r.transitionSurge(surgeTimedOut)
 	}
-	if r.swell == proven { // own sends alone swell by a trouble of the fleet as well
-		return map[bool]float64{true: proof, false: alone}[r.byDesk()]
+	if r.surge == surgeProven { // own sends alone swell by a trouble of the fleet as well
+		return map[bool]float64{true: proof, false: alone}[r.judgesByStats()]
 	}
 	return 1
 }
 
-// counting tells whether the desk counts far more of all sends than a router sees: then its counts, though
+// statsOutweighOwn tells whether the desk counts far more of all sends than a router sees: then its counts, though
 // late and not by host, are judged; but after a release only own sends tell errors from a jam.
-func (r *Router) counting() bool { return r.desk.SampledShare*float64(r.routers) > 2 }
-func (r *Router) byDesk() bool   { return r.counting() && r.news.Phase == Canary }
+func (r *Router) statsOutweighOwn() bool { return r.releaseConfig.SampledShare*float64(r.routers) > 2 }
+func (r *Router) judgesByStats() bool    { return r.statsOutweighOwn() && r.releaseStatus.Phase == Canary }
 
-// weight is the evidence that the newest build is bad, in odds; 1 is none. Copies are judged against the
+// evidence is the evidence that the newest build is bad, in odds; 1 is none. Copies are judged against the
 // sends at the build before it: failures over all and by category, the desk's counts, slowness, complaints.
 // The mean is what a vote back needs; what may still be wrong, test by test, is what a release needs to know.
-func (r *Router) weight() (mean float64, doubts []float64) {
+func (r *Router) evidence() (mean float64, doubts []float64) {
 	const floor, worst, stray = 0.01, 0.25, 1                  // least usual failures; hosts left out
 	const while, kin = 2 * Second, 5.0                         // one time; originals that the rest weigh
 	const twice, lasting, begins = 0.4, 8 * Second, 5 * Second // log of it; so long, so soon after a release
-	now, before := r.book(r.news.Build), r.before(r.news.Build, 20)
+	now, before := r.window(r.releaseStatus.Build), r.baselineWindow(r.releaseStatus.Build, 20)
 	if before == nil {
 		return 1, nil
 	}
 	// Copies and originals of the same time are compared, or a trouble that begins or ends speaks for a build.
 	fresh, peers := now.since(before.start()), before.since(now.start())
-	if r.news.Phase == Released { // what was kept of the earlier build, against what happens now
+	if r.releaseStatus.Phase == Released { // what was kept of the earlier build, against what happens now
 		fresh, peers = now.since(r.now-10*Second), before.samples
 	}
 	// A cold host is slow whatever its build; time-outs of hasty clients or in a release's jam say nothing.
-	warm := func(s sample) bool { return s.age > r.limits.WarmUp }
-	fair := func(s sample) bool {
-		return s.fate != TimedOut || warm(s) && !s.hasty && r.news.Phase == Canary
+	warm := func(s attemptSample) bool { return s.hostAge > r.limits.WarmUp }
+	fair := func(s attemptSample) bool {
+		return s.outcome != TimedOut || warm(s) && !s.impatient && r.releaseStatus.Phase == Canary
 	}
-	counts := r.heardOf(now.build, before.build)
+	counts := r.comparableStats(now.build, before.build)
 	sum, shares := 0.0, 0.0
 	add := func(share, guilt, doubt float64) {
 		sum, shares, doubts = sum+share*guilt, shares+share, append(doubts, doubt)
 	}
 	test := func(share float64, cats []*Class, gaps ...float64) (doubt float64) {
 		weigh := func(but float64) float64 {
-			var parts []part
+			var parts []stratum
 			most := 0
 			for _, c := range cats { // each against its own originals: the mix may change
-				is := func(s sample) bool { return s.cat == c && fair(s) }
-				some, hosts := matched(fresh, peers, is, but, stray, while, kin)
-				if r.byDesk() { // which does not tell hosts apart: this router's own copies do
-					some, hosts = paired(counts[0], counts[1], c, kin), hosts+1
-					some = floored(some, r.calmShare(before, c, floor, kin)) // a trial leaves earlier hosts idle
+				is := func(s attemptSample) bool { return s.class == c && fair(s) }
+				some, hosts := strataByTime(fresh, peers, is, but, stray, while, kin)
+				if r.judgesByStats() { // which does not tell hosts apart: this router's own copies do
+					some, hosts = strataByPeriod(counts[0], counts[1], c, kin), hosts+1
+					some = withRateFloor(some, r.pretrialFailureRate(before, c, floor, kin)) // a trial leaves earlier hosts idle
 				}
 				parts, most = append(parts, some...), max(most, hosts)
 			}
-			return spoken(odds(floored(parts, floor), gaps...), most)
+			return boundByHosts(failureEvidence(withRateFloor(parts, floor), gaps...), most)
 		}
 		doubt = weigh(0)
 		add(share, weigh(worst), doubt)
 		return doubt
 	}
 	small, large, whole, apart := 0.06, 0.15, 0.25, 0.04
-	if r.news.Phase == Released { // the earlier machines are gone: a small harm is cheaper than going back
+	if r.releaseStatus.Phase == Released { // the earlier machines are gone: a small harm is cheaper than going back
 		small, large, whole, apart = 0.3, 0.5, 0.5, 0.16 // and a jam after the release is not the build's
 	}
-	test(1, r.cats, small, large, 0.6)
-	for _, c := range r.cats {
-		c.odds = test(1/float64(len(r.cats)), []*Class{c}, whole, 0.7)
-		if r.desk.SampledShare > 0 && !r.byDesk() && c.Idempotency != Idempotent { // not told by host: far beyond one sick one
-			o := r.tallied(c, now.build, before.build, 4, 0.1, 0.25, 0.6)
-			add(1/float64(len(r.cats)), o, o)
+	test(1, r.classes, small, large, 0.6)
+	for _, c := range r.classes {
+		c.failureOdds = test(1/float64(len(r.classes)), []*Class{c}, whole, 0.7)
+		if r.releaseConfig.SampledShare > 0 && !r.judgesByStats() && c.Idempotency != Idempotent { // not told by host: far beyond one sick one
+			o := r.countedFailureEvidence(c, now.build, before.build, 4, 0.1, 0.25, 0.6)
+			add(1/float64(len(r.classes)), o, o)
 		}
 	}
-	done := func(s sample) bool { // errors are quick
-		return warm(s) && (s.fate == Succeeded || s.fate == TimedOut)
+	done := func(s attemptSample) bool { // errors are quick
+		return warm(s) && (s.outcome == Succeeded || s.outcome == TimedOut)
 	}
-	level := levels(peers, done, while, kin)
-	all, usual := words(fresh, done, level), words(peers, done, level)
-	slower := func(share float64) float64 { return r.drag(all, usual, counts, before.build, apart, share) }
+	level := logSlowdownByTime(peers, done, while, kin)
+	all, usual := summarizeByHost(fresh, done, level), summarizeByHost(peers, done, level)
+	slower := func(share float64) float64 { return r.latencyEvidence(all, usual, counts, before.build, apart, share) }
 	add(1, slower(0.75), slower(0.5)) // most hosts to convict, half to doubt
-	if r.news.Phase == Canary {
-		o := r.shared(before)
+	if r.releaseStatus.Phase == Canary {
+		o := r.surgeEvidence(before)
 		add(1, o, o)
 	}
-	logs := now.slowness(r.now-3*Second, r.crowd)
+	logs := now.logLatencyRatiosSince(r.now-3*Second, r.concurrencyCost)
 	n := float64(len(logs)) // few of them scatter
 	slow := stat.Mean(logs, nil) - 0.5/math.Sqrt(n)
-	if r.counting() { // a router's own figures are against a third more than the middle
-		slow, n = calmer(r.counts, nil, before.build, now.build, r.offered, r.now-3*Second, 0.3)
+	if r.statsOutweighOwn() { // a router's own figures are against a third more than the middle
+		slow, n = logLatencyGapToPast(r.stats, nil, before.build, now.build, r.offeredAt, r.now-3*Second, 0.3)
 	}
-	if r.news.Phase != Released || n < 5 || slow < twice {
-		r.quickAt = r.now
-	} else if r.now-r.quickAt > lasting && r.quickAt < r.staged+begins { // later, it is another trouble
+	if r.releaseStatus.Phase != Released || n < 5 || slow < twice {
+		r.lastUnslowedAt = r.now
+	} else if r.now-r.lastUnslowedAt > lasting && r.lastUnslowedAt < r.stageStartedAt+begins { // later, it is another trouble
 		add(1, math.Inf(1), 1)
 	}
-	if r.desk.ComplaintShare > 0 {
-		x := part{now.complaints(), float64(len(now.samples)), before.complaints() / float64(len(before.samples)+1)}
-		if r.limits.MaxGossipBytes > 0 && r.byDesk() { // of all routers, against all sends
-			y := r.blamed(before)
-			x = r.blamed(now)
-			x.usual = y.bad / y.n
+	if r.releaseConfig.ComplaintShare > 0 {
+		x := stratum{now.complaintCount(), float64(len(now.samples)), before.complaintCount() / float64(len(before.samples)+1)}
+		if r.limits.MaxGossipBytes > 0 && r.judgesByStats() { // of all routers, against all sends
+			y := r.complaintStratum(before)
+			x = r.complaintStratum(now)
+			x.expectedRate = y.failures / y.attempts
 		}
-		o := odds(floored([]part{x}, 0.003), 0.01, 0.04) // now and then a client errs
+		o := failureEvidence(withRateFloor([]stratum{x}, 0.003), 0.01, 0.04) // now and then a client errs
 		add(1, o, o)
 	}
 	return sum / shares, doubts
@@ -852,18 +852,18 @@
 
 // ---- Votes ----
 
-const judgeEvery = Second / 5 // a fraction of the shortest stage
+const reviewInterval = Second / 5 // a fraction of the shortest stage
 
-var ballots = []ballotRow{
-	{quiet, wants, asked, true},
-	{stands, wants, asked, true},
-	{asked, silent, quiet, false},
-	{asked, counts, stands, false},
-	{asked, drops, quiet, false},
+var voteTransitions = []voteTransition{
+	{voteIdle, voteWanted, votePending, true},
+	{voteStanding, voteWanted, votePending, true},
+	{votePending, voteTimedOut, voteIdle, false},
+	{votePending, voteCounted, voteStanding, false},
+	{votePending, voteDropped, voteIdle, false},
 }
 
-// lean is what part of the proof each of so many routers owes whose votes must agree, on their own evidence.
-func lean(votes int) float64 { return 1 / math.Sqrt(float64(max(1, votes-1))) }
+// evidenceShare is what part of the proof each of so many routers owes whose votes must agree, on their own evidence.
+func evidenceShare(votes int) float64 { return 1 / math.Sqrt(float64(max(1, votes-1))) }
 
 // verdict turns the weight of the evidence into a vote. A move that exposes little needs no proof, as sends
 // at the build stay few; the release does, and as waiting has its price, the demand falls as time goes on.
@@ -871,52 +871,52 @@
 	const alarm, loud, several = 8.0, 30.0, 2.5 // one good build in so many goes back by chance; one host's odds
 	const doubt, sure = 4.0, 0.3                // on in a stage unless in doubt; release when fairly sure
 	const softer, bear, most = 0.02, 0.5, 8.0   // a second's wait of that, of the worst; while copies go on
-	if !r.heard || r.news.Build == 0 || r.news.Phase == RollingBack || r.news.Phase == RolledBack {
+	if !r.releaseKnown || r.releaseStatus.Build == 0 || r.releaseStatus.Phase == RollingBack || r.releaseStatus.Phase == RolledBack {
 		return Abstain, w, doubts
 	}
-	w, doubts = r.weight()
+	w, doubts = r.evidence()
 	limit, worst := doubt, math.Inf(1)
-	final := r.news.Stage+1 >= len(r.desk.ExposureCaps)
+	final := r.releaseStatus.Stage+1 >= len(r.releaseConfig.ExposureCaps)
 	if final {
-		waited := float64(max(0, r.now-r.staged-r.desk.MinStageTime)) / float64(Second)
-		part := lean(r.desk.PromoteQuorum)
+		waited := float64(max(0, r.now-r.stageStartedAt-r.releaseConfig.MinStageTime)) / float64(Second)
+		part := evidenceShare(r.releaseConfig.PromoteQuorum)
 		limit, worst = min(1, math.Pow(sure, part)+softer*waited), min(most, 1+bear*waited)/part
 	}
 	limitBack := alarm
-	if r.byDesk() || r.news.Phase == Released { // the desk tells no host from a build; a release is dear to undo
+	if r.judgesByStats() || r.releaseStatus.Phase == Released { // the desk tells no host from a build; a release is dear to undo
 		limitBack = loud
 	}
 	switch {
-	case w > max(several, math.Pow(limitBack, lean(r.desk.RollbackQuorum))):
+	case w > max(several, math.Pow(limitBack, evidenceShare(r.releaseConfig.RollbackQuorum))):
 		return Rollback, w, doubts
-	case r.news.Phase == Canary && r.desk.Mode == Timed && w > doubt:
+	case r.releaseStatus.Phase == Canary && r.releaseConfig.Mode == Timed && w > doubt:
 		return Hold, w, doubts
-	case r.news.Phase == Released || r.desk.Mode == Timed || len(doubts) == 0 || final && r.unsure():
+	case r.releaseStatus.Phase == Released || r.releaseConfig.Mode == Timed || len(doubts) == 0 || final && r.isUnreadyForRelease():
 	case w < limit && slices.Max(doubts) <= worst:
 		return Promote, w, doubts
 	}
 	return Abstain, w, doubts
 }
 
-// speaks tells whether it is this router's turn to vote. Where one vote decides, a few at a time do, by rank
+// mayVote tells whether it is this router's turn to vote. Where one vote decides, a few at a time do, by rank
 // and a shared clock: were all to look, the one with the oddest luck would decide, and the desk be flooded.
-func (r *Router) speaks() bool {
+func (r *Router) mayVote() bool {
 	const few, stretch = 3, 4 * Second // a vote that is lost is no harm, nor is a router that is down
 	turn := r.rank + r.routers - int(r.now/stretch)*few%r.routers
-	return r.desk.Mode != AnyRouter || r.routers <= few || turn%r.routers < few
+	return r.releaseConfig.Mode != AnyRouter || r.routers <= few || turn%r.routers < few
 }
 
-func (r *Router) judge() {
+func (r *Router) updateVote() {
 	voice, w, doubts := r.verdict()
-	if r.ballot.state == asked && r.now-r.ballot.at > r.desk.VoteTimeout+Second/2 {
-		r.poll(silent, 0, 0, nil)
+	if r.vote.state == votePending && r.now-r.vote.castAt > r.releaseConfig.VoteTimeout+Second/2 {
+		r.transitionVote(voteTimedOut, 0, 0, nil)
 	}
-	if !r.speaks() && (r.ballot.state != stands || r.ballot.voice != Promote || voice == Promote) {
+	if !r.mayVote() && (r.vote.state != voteStanding || r.vote.choice != Promote || voice == Promote) {
 		return // but what stands is taken back at any time: it would move the build on, whoever's turn it is
 	}
 	const pause = Second // before a vote that did not count is cast again: the desk is not flooded
-	if voice != r.ballot.voice && (voice != Abstain || r.ballot.state == stands) || voice != Abstain &&
-		(r.ballot.state == quiet && r.now-r.ballot.at > pause || r.now-r.ballot.at > r.desk.VoteTTL*7/10) {
-		r.poll(wants, voice, w, doubts)
+	if voice != r.vote.choice && (voice != Abstain || r.vote.state == voteStanding) || voice != Abstain &&
+		(r.vote.state == voteIdle && r.now-r.vote.castAt > pause || r.now-r.vote.castAt > r.releaseConfig.VoteTTL*7/10) {
+		r.transitionVote(voteWanted, voice, w, doubts)
 	}
 }
--- a/policy/logic_test.go
+++ b/policy/logic_test.go
@@ -8,105 +8,105 @@
 )
 
 func TestEveryTaskGetsOneAnswerAndNothingAfterIt(t *testing.T) {
-	f, _ := begin(t, nil)
-	task := f.take(f.quote)
+	f, _ := newFakeFleet(t, nil)
+	task := f.arrive(f.quote)
 	f.end(task.Attempts[0], Succeeded, Second/20)
-	sends := len(f.sent)
-	f.pass(5 * Second)
+	sends := len(f.attempts)
+	f.advance(5 * Second)
 	require.True(t, task.Answered())
-	require.Len(t, f.sent, sends)
-	require.Empty(t, f.turned)
+	require.Len(t, f.attempts, sends)
+	require.Empty(t, f.rejected)
 }
 
 func TestWhatCannotBeSentIsAnsweredAtOnce(t *testing.T) {
-	f, list := begin(t, nil)
+	f, list := newFakeFleet(t, nil)
 	for i := range list {
 		list[i].State = Removed
 	}
-	f.r.EndpointsChanged(f.now, list, true)
-	task := f.take(f.payment)
-	require.Equal(t, []*Request{task}, f.turned)
-	require.Empty(t, f.sent)
+	f.router.EndpointsChanged(f.now, list, true)
+	task := f.arrive(f.payment)
+	require.Equal(t, []*Request{task}, f.rejected)
+	require.Empty(t, f.attempts)
 }
 
 func TestBindingTaskThatMayHaveRunIsNeitherSentAgainNorTurnedBack(t *testing.T) {
-	f, _ := begin(t, nil)
-	task := f.take(f.payment)
-	f.pass(2 * Second) // it lingers, and is not copied either
+	f, _ := newFakeFleet(t, nil)
+	task := f.arrive(f.payment)
+	f.advance(2 * Second) // it lingers, and is not copied either
 	require.Len(t, task.Attempts, 1)
 	f.end(task.Attempts[0], ConnectionLost, 2*Second)
-	require.Equal(t, []*Request{task}, f.scrapped)
+	require.Equal(t, []*Request{task}, f.failed)
 	require.Len(t, task.Attempts, 1)
 }
 
 func TestBindingTaskThatNeverRanIsSentAgain(t *testing.T) {
-	f, _ := begin(t, nil)
-	task := f.take(f.payment)
+	f, _ := newFakeFleet(t, nil)
+	task := f.arrive(f.payment)
 	f.end(task.Attempts[0], ConnectFailed, Second/40)
 	require.Len(t, task.Attempts, 2)
 	require.NotSame(t, task.Attempts[0].Host, task.Attempts[1].Host)
 }
 
 func TestFingerprintedTaskStaysInItsGroupAndMemory(t *testing.T) {
-	f, list := begin(t, nil)
+	f, list := newFakeFleet(t, nil)
 	f.order.DedupScope = ZoneScope
-	list[5].Zone = f.there
-	f.r.EndpointsChanged(f.now, list, true)
+	list[5].Zone = f.remoteZone
+	f.router.EndpointsChanged(f.now, list, true)
 	for range 20 {
-		task := f.take(f.order)
+		task := f.arrive(f.order)
 		f.end(task.Attempts[0], Failed, Second/40)
 		for _, s := range task.Attempts[1:] {
 			require.Same(t, task.Attempts[0].Host.Zone, s.Host.Zone)
 		}
-		f.pass(Second)
-		f.r.ClientGone(f.now, task)
+		f.advance(Second)
+		f.router.ClientGone(f.now, task)
 	}
-	late := f.take(f.order)
+	late := f.arrive(f.order)
 	late.Timeout = 9 * Second
-	f.pass(4 * Second) // longer than the hosts remember
+	f.advance(4 * Second) // longer than the hosts remember
 	n := len(late.Attempts)
 	f.end(late.Attempts[0], ConnectionLost, 4*Second)
 	require.Len(t, late.Attempts, n)
 }
 
 func TestNoSecondSendWhileTheFirstIsOutWhereForbidden(t *testing.T) {
-	f, _ := begin(t, func(p *Config) { p.Limits.AllowHedging = false })
-	f.trial(1, 0.5)
+	f, _ := newFakeFleet(t, func(p *Config) { p.Limits.AllowHedging = false })
+	f.startCanary(1, 0.5)
 	for range 40 {
-		task := f.take(f.quote)
+		task := f.arrive(f.quote)
 		require.LessOrEqual(t, len(task.Attempts), 1)
 		if s := task.Attempts[0]; s.build == 2 { // a lone copy, with the time left for its original
-			require.Less(t, f.within[s], task.Timeout/2)
-			f.end(s, TimedOut, f.within[s])
+			require.Less(t, f.timeouts[s], task.Timeout/2)
+			f.end(s, TimedOut, f.timeouts[s])
 			require.Len(t, task.Attempts, 2)
 			require.Equal(t, 1, task.Attempts[1].build)
 		}
-		f.pass(Second / 20)
+		f.advance(Second / 20)
 		f.end(task.Attempts[len(task.Attempts)-1], Succeeded, Second/20)
 	}
-	require.Positive(t, f.toBuild(2))
+	require.Positive(t, f.attemptsAtBuild(2))
 }
 
 func TestNothingNewToADrainingHost(t *testing.T) {
-	f, list := begin(t, nil)
+	f, list := newFakeFleet(t, nil)
 	list[0].State, list[1].State = Draining, Removed
-	f.r.EndpointsChanged(f.now, list, true)
-	f.serve(100, f.quote, fine)
-	for _, s := range f.sent {
+	f.router.EndpointsChanged(f.now, list, true)
+	f.serve(100, f.quote, succeeds)
+	for _, s := range f.attempts {
 		require.Equal(t, Serving, s.Host.State)
 	}
 }
 
 func TestAListThatIsDownIsAskedAgainButNotFlooded(t *testing.T) {
-	f, _ := begin(t, nil)
-	f.pass(Second / 100) // a lone router asks at once
-	require.Equal(t, 1, f.asks)
-	f.pass(4 * Second) // a watch stood for a while
+	f, _ := newFakeFleet(t, nil)
+	f.advance(Second / 100) // a lone router asks at once
+	require.Equal(t, 1, f.polls)
+	f.advance(4 * Second) // a watch stood for a while
 	for n := range 20 {
-		before, failed := f.asks, f.now
-		f.r.EndpointsChanged(f.now, nil, false)
-		for f.asks == before {
-			f.pass(Second / 100)
+		before, failed := f.polls, f.now
+		f.router.EndpointsChanged(f.now, nil, false)
+		for f.polls == before {
+			f.advance(Second / 100)
 		}
 		least, most := 4*Second, 8*Second // the most is within ask-within
 		if n == 0 {
@@ -116,21 +116,21 @@
 		}
 		require.GreaterOrEqual(t, f.now-failed, least)
 		require.LessOrEqual(t, f.now-failed, most+Second/100)
-		f.pass(8 * Second)
-		require.Equal(t, before+1, f.asks)
+		f.advance(8 * Second)
+		require.Equal(t, before+1, f.polls)
 	}
 }
 
 // A call that fails is no watch that stood: who answers it has too many callers, or is down.
 func TestAFirstCallThatFailsIsNotRepeatedSoon(t *testing.T) {
-	f, _ := begin(t, nil)
-	f.pass(Second / 100)
-	f.pass(2 * Second)
-	f.r.EndpointsChanged(f.now, nil, false)
-	f.pass(Second)
-	require.Equal(t, 1, f.asks)
-	f.pass(3 * Second)
-	require.Equal(t, 2, f.asks)
+	f, _ := newFakeFleet(t, nil)
+	f.advance(Second / 100)
+	f.advance(2 * Second)
+	f.router.EndpointsChanged(f.now, nil, false)
+	f.advance(Second)
+	require.Equal(t, 1, f.polls)
+	f.advance(3 * Second)
+	require.Equal(t, 2, f.polls)
 }
 
 // A fleet that starts or loses its list at one moment doesn't ask as one, again and again.
@@ -138,16 +138,16 @@
 	const routers = 60
 	var starts, retries []Time
 	for rank := range routers {
-		f, _ := begin(t, func(p *Config) { p.Routers, p.Rank, p.Seed = routers, rank, uint64(rank) })
-		for ; f.asks == 0; f.pass(Second / 100) {
+		f, _ := newFakeFleet(t, func(p *Config) { p.Routers, p.Rank, p.Seed = routers, rank, uint64(rank) })
+		for ; f.polls == 0; f.advance(Second / 100) {
 		}
 		starts = append(starts, f.now)
 		for range 4 {
-			f.r.EndpointsChanged(f.now, nil, false)
+			f.router.EndpointsChanged(f.now, nil, false)
 		}
-		for n := len(f.due) - 1; ; n-- {
-			if f.alarms[n].list {
-				retries = append(retries, f.due[n]-f.now)
+		for n := len(f.timersDue) - 1; ; n-- {
+			if f.timers[n].polls {
+				retries = append(retries, f.timersDue[n]-f.now)
 				break
 			}
 		}
@@ -169,20 +169,20 @@
 }
 
 func TestAColdHostGetsLittleEvenWhenItIsAlmostAlone(t *testing.T) {
-	f, list := begin(t, nil)
-	f.serve(100, f.quote, fine)
+	f, list := newFakeFleet(t, nil)
+	f.serve(100, f.quote, succeeds)
 	for i := range list[:6] {
 		list[i].State = Draining
 	}
 	fresh := f.host(20, 1)
 	fresh.StartedAt = f.now
-	f.r.EndpointsChanged(f.now, append(list, fresh), true)
+	f.router.EndpointsChanged(f.now, append(list, fresh), true)
 	n := 0
 	for range 100 { // a hundred a second, six times what one host had
-		if task := f.take(f.quote); len(task.Attempts) > 0 && task.Attempts[0].Host == fresh.Host {
+		if task := f.arrive(f.quote); len(task.Attempts) > 0 && task.Attempts[0].Host == fresh.Host {
 			n++
 		}
-		f.pass(Second / 100)
+		f.advance(Second / 100)
 	}
 	require.Positive(t, n)
 	require.Less(t, n, 10)
@@ -191,15 +191,15 @@
 func TestManyRoutersTogetherDoNotPushAColdHostOver(t *testing.T) {
 	n := 0
 	for rank := range 60 { // each serves ten tasks a second of a fleet where that is far over a cold host's due
-		f, list := begin(t, func(p *Config) { p.Seed, p.Routers, p.Rank = uint64(rank), 60, rank })
-		f.serve(80, f.quote, fine)
+		f, list := newFakeFleet(t, func(p *Config) { p.Seed, p.Routers, p.Rank = uint64(rank), 60, rank })
+		f.serve(80, f.quote, succeeds)
 		list[0].StartedAt = f.now
-		f.r.EndpointsChanged(f.now, list, true)
-		f.sent = nil
+		f.router.EndpointsChanged(f.now, list, true)
+		f.attempts = nil
 		for range 20 { // two windows of the rule
-			f.serve(2, f.quote, fine)
+			f.serve(2, f.quote, succeeds)
 		}
-		for _, s := range f.sent {
+		for _, s := range f.attempts {
 			if s.Host == list[0].Host {
 				n++
 			}
@@ -210,38 +210,38 @@
 }
 
 func TestSendsOnTrialKeepTheCapAndTheGuard(t *testing.T) {
-	f, _ := begin(t, nil)
-	f.trial(0, 0.1)
+	f, _ := newFakeFleet(t, nil)
+	f.startCanary(0, 0.1)
 	for range 300 {
-		f.serve(1, f.quote, fine)
-		f.serve(1, f.order, fine)
-		require.LessOrEqual(t, since(f.r.tried, f.now-4*Second, nil), 1+0.1*since(f.r.taken, f.now-4*Second, nil))
+		f.serve(1, f.quote, succeeds)
+		f.serve(1, f.order, succeeds)
+		require.LessOrEqual(t, countSince(f.router.canaryAttempts, f.now-4*Second, nil), 1+0.1*countSince(f.router.arrivals, f.now-4*Second, nil))
 	}
-	require.Positive(t, f.toBuild(2))
-	for _, s := range f.sent {
+	require.Positive(t, f.attemptsAtBuild(2))
+	for _, s := range f.attempts {
 		require.False(t, s.build == 2 && s.Request.Class != f.quote)
 	}
-	f.r.ReleaseChanged(f.now, ReleaseStatus{Build: 2, Phase: RollingBack})
-	n := f.toBuild(2)
-	f.serve(100, f.quote, fine)
-	require.Equal(t, n, f.toBuild(2))
+	f.router.ReleaseChanged(f.now, ReleaseStatus{Build: 2, Phase: RollingBack})
+	n := f.attemptsAtBuild(2)
+	f.serve(100, f.quote, succeeds)
+	require.Equal(t, n, f.attemptsAtBuild(2))
 }
 
 func TestAfterAStartExposureIsUnknownAndAnUnannouncedBuildInItsFirstStage(t *testing.T) {
-	f, _ := begin(t, nil)
-	on, stage, share := f.r.trial(2)
+	f, _ := newFakeFleet(t, nil)
+	on, stage, share := f.router.exposureOf(2)
 	require.Equal(t, []any{true, 0, 0.1}, []any{on, stage, share})
-	f.r.ReleaseChanged(f.now, ReleaseStatus{Build: 2, Stage: 1, ExposureCap: 0.5})
-	f.serve(60, f.quote, fine) // three seconds, less than the window
-	require.Zero(t, f.toBuild(2))
+	f.router.ReleaseChanged(f.now, ReleaseStatus{Build: 2, Stage: 1, ExposureCap: 0.5})
+	f.serve(60, f.quote, succeeds) // three seconds, less than the window
+	require.Zero(t, f.attemptsAtBuild(2))
 }
 
 func TestKeysStayWithTheBuildThatAnsweredThem(t *testing.T) {
-	f, _ := begin(t, func(p *Config) { p.Release.StickyKeys = true })
-	f.trial(1, 0.5)
-	f.r.kept["pen"] = 2
+	f, _ := newFakeFleet(t, func(p *Config) { p.Release.StickyKeys = true })
+	f.startCanary(1, 0.5)
+	f.router.stickyBuilds["pen"] = 2
 	task := &Request{Class: f.quote, Timeout: Second, Key: "pen"}
-	f.r.RequestArrived(f.now, task)
+	f.router.RequestArrived(f.now, task)
 	for _, s := range task.Attempts {
 		require.Equal(t, 2, s.build)
 	}
@@ -249,12 +249,12 @@
 
 func TestAGoodBuildIsVotedOnAndABadOneBack(t *testing.T) {
 	story := func(bad func(*Attempt) bool) []VoteChoice {
-		f, list := begin(t, nil)
+		f, list := newFakeFleet(t, nil)
 		for id := range uint32(5) {
 			list = append(list, f.host(10+id, 2))
 		}
-		f.r.EndpointsChanged(f.now, list, true)
-		f.trial(2, 1)
+		f.router.EndpointsChanged(f.now, list, true)
+		f.startCanary(2, 1)
 		for range 100 {
 			for _, c := range []*Class{f.quote, f.order, f.payment} {
 				f.serve(1, c, func(s *Attempt) Outcome {
@@ -276,11 +276,11 @@
 }
 
 func TestNoWaitBearsADoubtThatStoppedItsCategorysCopies(t *testing.T) {
-	f, list := begin(t, nil)
-	f.r.EndpointsChanged(f.now, append(list, f.host(10, 2), f.host(11, 2), f.host(12, 2)), true)
-	f.trial(2, 1)
+	f, list := newFakeFleet(t, nil)
+	f.router.EndpointsChanged(f.now, append(list, f.host(10, 2), f.host(11, 2), f.host(12, 2)), true)
+	f.startCanary(2, 1)
 	for range 300 {
-		f.serve(3, f.quote, fine)
+		f.serve(3, f.quote, succeeds)
 		f.serve(1, f.order, func(s *Attempt) Outcome {
 			if s.build == 2 {
 				return Failed
@@ -292,29 +292,29 @@
 }
 
 func TestLastingSlownessIsToldByTheDeskWhereItSeesMore(t *testing.T) {
-	f, _ := begin(t, nil)
-	f.r.counts = []BuildStats{{Build: 1, Class: f.quote, Samples: 90, MeanLatency: 500, at: Second},
-		{Build: 2, Class: f.quote, Samples: 90, MeanLatency: 1000, at: 9 * Second}}
-	gap, _ := calmer(f.r.counts, nil, 1, 2, 2*Second, 8*Second, 0)
+	f, _ := newFakeFleet(t, nil)
+	f.router.stats = []BuildStats{{Build: 1, Class: f.quote, Samples: 90, MeanLatency: 500, receivedAt: Second},
+		{Build: 2, Class: f.quote, Samples: 90, MeanLatency: 1000, receivedAt: 9 * Second}}
+	gap, _ := logLatencyGapToPast(f.router.stats, nil, 1, 2, 2*Second, 8*Second, 0)
 	require.InDelta(t, 0.69, gap, 0.01)
 }
 
 func TestManyRoutersJudgeByTheDesksCountsAndAFewOfThemVote(t *testing.T) {
 	votes := map[VoteChoice]int{}
 	story := func(rank, bad int, took Time) {
-		f, list := begin(t, func(p *Config) { p.Routers, p.Rank, p.Release.SampledShare = 40, rank, 0.2 })
-		f.r.EndpointsChanged(f.now, append(list, f.host(10, 2), f.host(11, 2), f.host(12, 2)), true)
-		f.trial(2, 1)
+		f, list := newFakeFleet(t, func(p *Config) { p.Routers, p.Rank, p.Release.SampledShare = 40, rank, 0.2 })
+		f.router.EndpointsChanged(f.now, append(list, f.host(10, 2), f.host(11, 2), f.host(12, 2)), true)
+		f.startCanary(2, 1)
 		for range 4 { // seconds; this router's own copies all fail, the desk's counts say what the story says
 			f.serve(20, f.quote, func(s *Attempt) Outcome {
-				if s.build == 2 && len(s.Host.past) < 3 {
+				if s.build == 2 && len(s.Host.samples) < 3 {
 					return Failed
 				}
 				return Succeeded
 			})
 			for _, c := range []*Class{f.quote, f.order, f.payment} {
-				f.r.StatsReported(f.now, BuildStats{Build: 1, Class: c, Failures: 1, Samples: 60, MeanLatency: Second / 20})
-				f.r.StatsReported(f.now, BuildStats{Build: 2, Class: c, Failures: bad, Samples: 60, MeanLatency: took})
+				f.router.StatsReported(f.now, BuildStats{Build: 1, Class: c, Failures: 1, Samples: 60, MeanLatency: Second / 20})
+				f.router.StatsReported(f.now, BuildStats{Build: 2, Class: c, Failures: bad, Samples: 60, MeanLatency: took})
 			}
 		}
 		for _, v := range f.votes {
@@ -334,19 +334,19 @@
 }
 
 func TestNoWarmHostOnTrialGetsWhatColdOnesCannotTake(t *testing.T) {
-	f, list := begin(t, nil)
+	f, list := newFakeFleet(t, nil)
 	for id := range uint32(5) {
 		fresh := f.host(10+id, 2)
 		fresh.StartedAt = 6*Second + 1
 		list = append(list, fresh)
 	}
-	f.serve(120, f.quote, fine)
-	f.r.EndpointsChanged(f.now, list, true)
-	f.r.ReleaseChanged(f.now, ReleaseStatus{Build: 2, Stage: 2, ExposureCap: 1})
-	f.sent = nil
-	f.serve(40, f.quote, fine) // two seconds
+	f.serve(120, f.quote, succeeds)
+	f.router.EndpointsChanged(f.now, list, true)
+	f.router.ReleaseChanged(f.now, ReleaseStatus{Build: 2, Stage: 2, ExposureCap: 1})
+	f.attempts = nil
+	f.serve(40, f.quote, succeeds) // two seconds
 	n := map[*Host]int{}
-	for _, s := range f.sent {
+	for _, s := range f.attempts {
 		n[s.Host]++
 	}
 	require.Positive(t, n[list[6].Host])
@@ -354,97 +354,97 @@
 }
 
 func TestCopiesMakeNoLineAtAHostOnTrial(t *testing.T) {
-	f, list := begin(t, nil)
-	f.serve(120, f.quote, fine)
-	f.r.ReleaseChanged(f.now, ReleaseStatus{Build: 2, Stage: 1, ExposureCap: 1})
+	f, list := newFakeFleet(t, nil)
+	f.serve(120, f.quote, succeeds)
+	f.router.ReleaseChanged(f.now, ReleaseStatus{Build: 2, Stage: 1, ExposureCap: 1})
 	trial := list[6].Host
 	most := 0
 	for range 60 { // it pauses while the others answer
-		t := f.take(f.quote)
-		f.pass(Second / 20)
+		t := f.arrive(f.quote)
+		f.advance(Second / 20)
 		for _, s := range t.Attempts {
 			if s.Host != trial {
 				f.end(s, Succeeded, Second/20)
 			}
 		}
-		most = max(most, len(trial.open))
+		most = max(most, len(trial.inFlight))
 	}
 	require.Positive(t, most)
 	require.LessOrEqual(t, most, 2)
 }
 
 func TestOriginalsThatHadNowhereElseToGoAreNoCopies(t *testing.T) {
-	f, list := begin(t, nil)
-	f.serve(120, f.quote, fine)
-	f.r.ReleaseChanged(f.now, ReleaseStatus{Build: 2, Stage: 2, ExposureCap: 1})
+	f, list := newFakeFleet(t, nil)
+	f.serve(120, f.quote, succeeds)
+	f.router.ReleaseChanged(f.now, ReleaseStatus{Build: 2, Stage: 2, ExposureCap: 1})
 	for i := range list[:6] { // the earlier hosts leave before the release is told
 		list[i].State = Draining
 	}
-	f.r.EndpointsChanged(f.now, list, true)
+	f.router.EndpointsChanged(f.now, list, true)
 	f.votes = nil
 	f.serve(60, f.payment, func(*Attempt) Outcome { return TimedOut })
-	f.pass(Second)
-	require.Positive(t, f.toBuild(2))
+	f.advance(Second)
+	require.Positive(t, f.attemptsAtBuild(2))
 	require.NotContains(t, f.votes, Rollback)
 	copies := 0
-	for _, s := range f.sent {
+	for _, s := range f.attempts {
 		if s.IsShadow() {
 			copies++
 		}
 	}
-	require.Greater(t, f.toBuild(2), copies)
-	require.Len(t, f.r.book(2).samples, copies)
+	require.Greater(t, f.attemptsAtBuild(2), copies)
+	require.Len(t, f.router.window(2).samples, copies)
 }
 
 func TestOriginalsAreJudgedByTheTimeThatACopyIsGiven(t *testing.T) {
-	f, list := begin(t, func(p *Config) { p.Limits.AllowHedging = false })
-	f.r.EndpointsChanged(f.now, append(list, f.host(10, 2), f.host(11, 2), f.host(12, 2)), true)
+	f, list := newFakeFleet(t, func(p *Config) { p.Limits.AllowHedging = false })
+	f.router.EndpointsChanged(f.now, append(list, f.host(10, 2), f.host(11, 2), f.host(12, 2)), true)
 	f.quote.LatencyObjective = Second / 7 // too short for a send to be cut and another made in time
-	f.serve(120, f.quote, fine)
-	f.r.ReleaseChanged(f.now, ReleaseStatus{Build: 2, Stage: 1, ExposureCap: 1})
+	f.serve(120, f.quote, succeeds)
+	f.router.ReleaseChanged(f.now, ReleaseStatus{Build: 2, Stage: 1, ExposureCap: 1})
 	f.votes = nil
 	n := map[int]int{}
 	for range 800 { // one send in 22 takes long, at either build
-		t := f.take(f.quote)
-		f.pass(Second / 20)
+		t := f.arrive(f.quote)
+		f.advance(Second / 20)
 		for i := 0; i < len(t.Attempts); i++ {
 			s := t.Attempts[i]
 			took := Time(Second / 20)
 			if n[s.build]++; n[s.build]%22 == 0 {
 				took = Second * 8 / 10
 			}
-			if took > f.within[s] {
-				f.end(s, TimedOut, f.within[s])
+			if took > f.timeouts[s] {
+				f.end(s, TimedOut, f.timeouts[s])
 			} else {
 				f.end(s, Succeeded, took)
 			}
 		}
 	}
-	require.Greater(t, f.toBuild(2), 10)
+	require.Greater(t, f.attemptsAtBuild(2), 10)
 	require.NotContains(t, f.votes, Rollback)
 }
 
 func TestASwellSeenByOwnSendsAloneConvictsNoBuildAndEnds(t *testing.T) {
-	f, _ := begin(t, nil)
-	f.trial(1, 0.5)
-	f.r.swell, f.r.surged = proven, f.now
-	w, doubts := f.r.weight()
+	f, _ := newFakeFleet(t, nil)
+	f.startCanary(1, 0.5)
+	f.router.surge, f.router.surgeSince = surgeProven, f.now
+	w, doubts := f.router.evidence()
 	require.Contains(t, doubts, 20.0)
 	require.Less(t, w, 8.0)
-	f.pass(16 * Second)
-	require.Equal(t, level, f.r.swell)
+	f.advance(16 * Second)
+	require.Equal(t, surgeNone, f.router.surge)
 }
 
 func TestSendsCutShortCountInTheBudgetOfFurtherOnes(t *testing.T) {
-	f, _ := begin(t, func(p *Config) { p.Limits.AllowHedging = false })
-	f.serve(120, f.quote, fine)
+	f, _ := newFakeFleet(t, func(p *Config) { p.Limits.AllowHedging = false })
+	f.serve(120, f.quote, succeeds)
 	cut := 0
 	for range 200 { // all hosts are slower than before
-		t := f.take(f.quote)
-		f.pass(Second / 40)
-		if s := t.Attempts[0]; f.within[s] < t.Timeout {
+		t := f.arrive(f.quote)
+		f.advance(Second / 40)
+		if s := t.Attempts[0]; f.timeouts[s] < t.Timeout {
 			cut++
-			f.end(s, TimedOut, f.within[s])
+			f.end(s, TimedOut, f.timeouts[s])
 		}
 		f.end(t.Attempts[len(t.Attempts)-1], Succeeded, Second/20)
 	}
@@ -453,29 +453,29 @@
 }
 
 func TestATroubleThatBeginsDuringATrialDoesNotSpeakAgainstTheBuild(t *testing.T) {
-	var fresh, peers []sample
+	var fresh, peers []attemptSample
 	for i := range Time(200) { // errors come in the last two of ten seconds, when copies have become many
 		late, at := i >= 160, i*Second/20
-		x := sample{at: at, host: &Host{}, fate: Succeeded}
+		x := attemptSample{at: at, host: &Host{}, outcome: Succeeded}
 		if peers = append(peers, x); late && i%2 == 0 {
-			peers[i].fate = Failed
+			peers[i].outcome = Failed
 		}
 		if late {
 			fresh = append(fresh, peers[i])
 		}
 	}
-	is := func(sample) bool { return true }
-	parts, _ := matched(fresh, peers, is, 0, 1, 2*Second, 5)
-	require.Less(t, odds(floored(parts, 0.01), 0.06, 0.15, 0.6), 3.0)
+	is := func(attemptSample) bool { return true }
+	parts, _ := strataByTime(fresh, peers, is, 0, 1, 2*Second, 5)
+	require.Less(t, failureEvidence(withRateFloor(parts, 0.01), 0.06, 0.15, 0.6), 3.0)
 }
 
 func TestWhereManyMustAgreeOneFailingHostDoesNotSendABuildBack(t *testing.T) {
-	f, list := begin(t, func(p *Config) {
+	f, list := newFakeFleet(t, func(p *Config) {
 		p.Routers, p.Release.Mode, p.Release.PromoteQuorum, p.Release.RollbackQuorum = 60, Quorum, 30, 15
 		p.Limits.AllowHedging = false
 	})
-	f.r.EndpointsChanged(f.now, append(list, f.host(10, 2), f.host(11, 2), f.host(12, 2), f.host(13, 2)), true)
-	f.trial(2, 1)
+	f.router.EndpointsChanged(f.now, append(list, f.host(10, 2), f.host(11, 2), f.host(12, 2), f.host(13, 2)), true)
+	f.startCanary(2, 1)
 	story := func(bad func(*Attempt) bool) {
 		f.serve(200, f.quote, func(s *Attempt) Outcome {
 			if s.build == 2 && bad(s) {
@@ -488,69 +488,69 @@
 	require.NotContains(t, f.votes, Rollback)
 	story(func(*Attempt) bool { return true })
 	require.Contains(t, f.votes, Rollback)
-	f.sent = nil
+	f.attempts = nil
 	story(func(*Attempt) bool { return true })
-	require.Positive(t, f.toBuild(2)) // others may not agree, so the copies go on
+	require.Positive(t, f.attemptsAtBuild(2)) // others may not agree, so the copies go on
 }
 
 func TestAHungHostIsNoJamWhereAnswersComeInTime(t *testing.T) {
-	f, list := begin(t, func(p *Config) { p.Routers = 50 })
+	f, list := newFakeFleet(t, func(p *Config) { p.Routers = 50 })
 	for range 300 {
-		task := f.take(f.quote)
-		f.pass(Second / 10)
+		task := f.arrive(f.quote)
+		f.advance(Second / 10)
 		for _, s := range task.Attempts {
 			if s.Host != list[0].Host && s.Host != list[1].Host {
 				f.end(s, Succeeded, Second/20)
 			}
 		}
 	}
-	require.Empty(t, f.turned)
+	require.Empty(t, f.rejected)
 }
 
 func TestAnotherMixOfTasksIsNoFailure(t *testing.T) {
-	require.Less(t, odds([]part{{90, 100, 0.9}, {1, 900, 0.01}}, 0.1, 0.3), 1.0)
+	require.Less(t, failureEvidence([]stratum{{90, 100, 0.9}, {1, 900, 0.01}}, 0.1, 0.3), 1.0)
 }
 
 func TestComplaintsHoldABuildThatAnswersWrongly(t *testing.T) {
-	f, _ := begin(t, func(p *Config) { p.Release.ComplaintShare = 0.3 })
-	f.trial(2, 1)
-	f.serve(40, f.quote, fine)
-	clear, _ := f.r.weight()
+	f, _ := newFakeFleet(t, func(p *Config) { p.Release.ComplaintShare = 0.3 })
+	f.startCanary(2, 1)
+	f.serve(40, f.quote, succeeds)
+	clear, _ := f.router.evidence()
 	for range 3 {
-		f.r.ComplaintReceived(f.now, f.sent[len(f.sent)-1].Host, f.quote, Second/2)
-		for _, h := range f.r.hosts {
+		f.router.ComplaintReceived(f.now, f.attempts[len(f.attempts)-1].Host, f.quote, Second/2)
+		for _, h := range f.router.hosts {
 			if h.Build == 2 {
-				f.r.ComplaintReceived(f.now, h, f.quote, Second/2)
+				f.router.ComplaintReceived(f.now, h, f.quote, Second/2)
 			}
 		}
 	}
-	wrong, _ := f.r.weight()
+	wrong, _ := f.router.evidence()
 	require.Greater(t, wrong, 7*clear)
 }
 
 func TestColdTimeoutsDoNotSpeakAgainstABuild(t *testing.T) {
-	f, list := begin(t, nil)
-	f.trial(1, 0.5)
+	f, list := newFakeFleet(t, nil)
+	f.startCanary(1, 0.5)
 	list[6].StartedAt = f.now
-	f.r.EndpointsChanged(f.now, list, true)
+	f.router.EndpointsChanged(f.now, list, true)
 	f.serve(60, f.quote, func(s *Attempt) Outcome {
 		if s.build == 2 {
 			return TimedOut
 		}
 		return Succeeded
 	})
-	w, _ := f.r.weight()
+	w, _ := f.router.evidence()
 	require.LessOrEqual(t, w, 1.0)
 }
 
 func TestClientsThatGiveUpEarlyDoNotSpeakAgainstABuild(t *testing.T) {
-	f, list := begin(t, nil)
-	f.r.EndpointsChanged(f.now, append(list, f.host(10, 2), f.host(11, 2), f.host(12, 2)), true)
-	f.trial(2, 1)
+	f, list := newFakeFleet(t, nil)
+	f.router.EndpointsChanged(f.now, append(list, f.host(10, 2), f.host(11, 2), f.host(12, 2)), true)
+	f.startCanary(2, 1)
 	for range 60 {
 		task := &Request{Class: f.quote, Timeout: Second / 4}
-		f.r.RequestArrived(f.now, task)
-		f.pass(Second / 20)
+		f.router.RequestArrived(f.now, task)
+		f.advance(Second / 20)
 		for _, s := range task.Attempts {
 			fate := Succeeded
 			if s.build == 2 {
@@ -563,21 +563,21 @@
 }
 
 func TestAnUnansweredVoteIsCastAgainWithoutAFlood(t *testing.T) {
-	f, _ := begin(t, nil)
-	f.trial(0, 0.1)
-	f.pass(20 * Second)
+	f, _ := newFakeFleet(t, nil)
+	f.startCanary(0, 0.1)
+	f.advance(20 * Second)
 	require.Greater(t, len(f.votes), 5)
 	require.Less(t, len(f.votes), 20)
-	f.r.ReleaseChanged(f.now, ReleaseStatus{VoteResult: VoteAccepted, Build: 2, ExposureCap: 0.1})
+	f.router.ReleaseChanged(f.now, ReleaseStatus{VoteResult: VoteAccepted, Build: 2, ExposureCap: 0.1})
 	n := len(f.votes)
-	f.pass(5 * Second)
+	f.advance(5 * Second)
 	require.Len(t, f.votes, n)
-	f.pass(5 * Second) // renewed before it runs out
+	f.advance(5 * Second) // renewed before it runs out
 	require.Greater(t, len(f.votes), n)
 }
 
 func TestASickHostGetsATrickleAndComesBack(t *testing.T) {
-	f, list := begin(t, nil)
+	f, list := newFakeFleet(t, nil)
 	ill := true
 	fate := func(s *Attempt) Outcome {
 		if s.Host.ID == 1 && ill {
@@ -586,85 +586,85 @@
 		return Succeeded
 	}
 	f.serve(200, f.quote, fate)
-	require.Equal(t, sick, list[0].Host.health)
-	f.sent = nil
+	require.Equal(t, ejected, list[0].Host.health)
+	f.attempts = nil
 	f.serve(100, f.payment, fate)
-	for _, s := range f.sent {
+	for _, s := range f.attempts {
 		require.NotEqual(t, uint32(1), s.Host.ID)
 	}
 	ill = false
 	f.serve(100, f.quote, fate)
-	require.Equal(t, fit, list[0].Host.health)
+	require.Equal(t, healthy, list[0].Host.health)
 }
 
 func TestWhenAllHostsFailNoneIsToBlame(t *testing.T) {
-	f, list := begin(t, nil)
+	f, list := newFakeFleet(t, nil)
 	f.serve(100, f.quote, func(*Attempt) Outcome { return Failed })
 	for _, l := range list[:6] {
-		require.Equal(t, fit, l.Host.health)
+		require.Equal(t, healthy, l.Host.health)
 	}
 }
 
 func TestAJamTurnsBackEarlyAndAnIdleFleetTakesAgain(t *testing.T) {
-	f, _ := begin(t, nil)
-	f.serve(60, f.quote, fine)
+	f, _ := newFakeFleet(t, nil)
+	f.serve(60, f.quote, succeeds)
 	for range 400 { // nothing is answered any more
-		f.take(f.quote)
-		f.pass(Second / 100)
+		f.arrive(f.quote)
+		f.advance(Second / 100)
 	}
-	require.NotEmpty(t, f.turned)
-	for _, s := range f.sent {
+	require.NotEmpty(t, f.rejected)
+	for _, s := range f.attempts {
 		if s.outcome == Pending {
 			f.end(s, TimedOut, 3*Second)
 		}
 	}
-	f.pass(Second)
-	require.NotEmpty(t, f.take(f.quote).Attempts)
+	f.advance(Second)
+	require.NotEmpty(t, f.arrive(f.quote).Attempts)
 }
 
 func TestFurtherSendsKeepABudget(t *testing.T) {
-	f, _ := begin(t, nil)
-	f.serve(80, f.quote, fine)
-	f.sent = nil
+	f, _ := newFakeFleet(t, nil)
+	f.serve(80, f.quote, succeeds)
+	f.attempts = nil
 	f.serve(100, f.quote, func(*Attempt) Outcome { return Failed })
-	require.Less(t, len(f.sent), 130)
+	require.Less(t, len(f.attempts), 130)
 }
 
 func TestAHungHostIsLeftBeforeItsSendsRunOutOfTime(t *testing.T) {
-	f, list := begin(t, nil)
-	f.serve(100, f.quote, fine)
+	f, list := newFakeFleet(t, nil)
+	f.serve(100, f.quote, succeeds)
 	for range 60 {
-		n := len(f.sent)
+		n := len(f.attempts)
 		for range 24 { // a busy moment: each host gets its share
-			f.take(f.payment)
+			f.arrive(f.payment)
 		}
-		f.pass(Second / 20)
-		for _, s := range f.sent[n:] {
+		f.advance(Second / 20)
+		for _, s := range f.attempts[n:] {
 			if s.Host.ID != 1 {
 				f.end(s, Succeeded, Second/20)
 			}
 		}
 	}
-	require.Equal(t, sick, list[0].Host.health)
-	require.Less(t, len(list[0].Host.open), 60) // of 1440 tasks; an even share would be 240
+	require.Equal(t, ejected, list[0].Host.health)
+	require.Less(t, len(list[0].Host.inFlight), 60) // of 1440 tasks; an even share would be 240
 }
 
 func TestTwoSidesAreWeighedByTheirJamAndThePrice(t *testing.T) {
-	f, list := begin(t, func(p *Config) { p.Limits.CrossZonePrice = 0.1 })
+	f, list := newFakeFleet(t, func(p *Config) { p.Limits.CrossZonePrice = 0.1 })
 	for i := range 3 {
-		list[i].Zone = f.there
+		list[i].Zone = f.remoteZone
 	}
-	f.r.EndpointsChanged(f.now, list, true)
-	f.serve(100, f.quote, fine)
-	for _, s := range f.sent {
-		require.Same(t, f.here, s.Host.Zone) // it is quiet: nothing is worth the price
+	f.router.EndpointsChanged(f.now, list, true)
+	f.serve(100, f.quote, succeeds)
+	for _, s := range f.attempts {
+		require.Same(t, f.localZone, s.Host.Zone) // it is quiet: nothing is worth the price
 	}
 	var crossed bool
 	for range 60 { // the hosts here answer no more, those there do
-		task := f.take(f.quote)
-		f.pass(Second / 50)
+		task := f.arrive(f.quote)
+		f.advance(Second / 50)
 		for _, s := range task.Attempts {
-			if s.Host.Zone == f.there {
+			if s.Host.Zone == f.remoteZone {
 				crossed = true
 				f.end(s, Succeeded, Second/20)
 			}
@@ -674,17 +674,17 @@
 }
 
 func TestABuildThatSlowsEveryHostIsSentBackAfterItsRelease(t *testing.T) {
-	f, list := begin(t, nil)
-	f.trial(2, 1)
-	f.serve(60, f.quote, fine)
-	f.r.ReleaseChanged(f.now, ReleaseStatus{Build: 2, Stage: 2, Phase: Released, ExposureCap: 1})
+	f, list := newFakeFleet(t, nil)
+	f.startCanary(2, 1)
+	f.serve(60, f.quote, succeeds)
+	f.router.ReleaseChanged(f.now, ReleaseStatus{Build: 2, Stage: 2, Phase: Released, ExposureCap: 1})
 	for i := range list[:6] {
 		list[i].Build = 2
 	}
-	f.r.EndpointsChanged(f.now, list, true)
+	f.router.EndpointsChanged(f.now, list, true)
 	for range 250 {
-		task := f.take(f.quote)
-		f.pass(Second / 10)
+		task := f.arrive(f.quote)
+		f.advance(Second / 10)
 		for _, s := range task.Attempts {
 			f.end(s, Succeeded, Second/8) // more than twice as long as before the trial
 		}
@@ -693,44 +693,44 @@
 }
 
 func TestFewKnownHostsOfANewBuildAreNeitherReleasedNorRushed(t *testing.T) {
-	f, list := begin(t, nil) // one host of build 2, six of build 1, and the list tells no more
-	f.trial(2, 1)
+	f, list := newFakeFleet(t, nil) // one host of build 2, six of build 1, and the list tells no more
+	f.startCanary(2, 1)
 	for range 60 {
-		f.serve(1, f.quote, fine)
-		f.serve(1, f.order, fine)
-		f.serve(1, f.payment, fine)
+		f.serve(1, f.quote, succeeds)
+		f.serve(1, f.order, succeeds)
+		f.serve(1, f.payment, succeeds)
 	}
 	require.NotContains(t, f.votes, Promote)
-	f.r.ReleaseChanged(f.now, ReleaseStatus{Build: 2, Stage: 2, Phase: Released, ExposureCap: 1})
-	f.sent = nil
-	f.serve(100, f.quote, fine)
-	require.Less(t, f.toBuild(2), 50)
-	require.Positive(t, len(list[0].Host.sent))
+	f.router.ReleaseChanged(f.now, ReleaseStatus{Build: 2, Stage: 2, Phase: Released, ExposureCap: 1})
+	f.attempts = nil
+	f.serve(100, f.quote, succeeds)
+	require.Less(t, f.attemptsAtBuild(2), 50)
+	require.Positive(t, len(list[0].Host.attempts))
 }
 
 func TestInALargeFleetHostsThatJustReportedLittleAreDrawnToo(t *testing.T) {
-	f, list := begin(t, func(p *Config) { p.Routers = 50 })
+	f, list := newFakeFleet(t, func(p *Config) { p.Routers = 50 })
 	for id := range uint32(60) {
 		list = append(list, f.host(100+id, 1))
 	}
-	f.r.EndpointsChanged(f.now, list, true)
+	f.router.EndpointsChanged(f.now, list, true)
 	n := 0
 	for range 200 { // one host in three holds nothing, the others hold four
-		task := f.take(f.quote)
-		f.pass(Second / 20)
+		task := f.arrive(f.quote)
+		f.advance(Second / 20)
 		for _, s := range task.Attempts {
 			load := &LoadReport{ActiveRequests: 4}
 			if s.Host.ID%3 == 0 {
 				n, load = n+1, &LoadReport{}
 			}
-			f.r.AttemptEnded(f.now, s, Succeeded, Second/20, true, load)
+			f.router.AttemptEnded(f.now, s, Succeeded, Second/20, true, load)
 		}
 	}
 	require.Greater(t, n, 120) // two random ones would give some seventy
 }
 
 func TestWhileLinksAreScarceThoseThatWorkAreUsed(t *testing.T) {
-	f, list := begin(t, nil)
+	f, list := newFakeFleet(t, nil)
 	refused := 0
 	fate := func(s *Attempt) Outcome {
 		if s.Host != list[2].Host && s.Host != list[3].Host {
@@ -756,18 +756,18 @@
 		"it has gone back":     {true, []ReleaseStatus{{Build: 2, Phase: RolledBack}, {Build: 3, Phase: Canary, ExposureCap: 0.1}}, true},
 		"the next is on trial": {true, []ReleaseStatus{{Build: 3, Phase: Canary, ExposureCap: 0.1}}, false},
 	} {
-		f, list := begin(t, nil)
-		f.pass(4 * Second)
+		f, list := newFakeFleet(t, nil)
+		f.advance(4 * Second)
 		for i := range list { // a build with too few known hosts to carry all
 			list[i].Build = 1
 		}
 		list[6].Build = 2
-		f.r.EndpointsChanged(f.now, list, true)
-		f.r.ReleaseChanged(f.now, ReleaseStatus{Build: 2, Stage: 2, Phase: Released, ExposureCap: 1})
+		f.router.EndpointsChanged(f.now, list, true)
+		f.router.ReleaseChanged(f.now, ReleaseStatus{Build: 2, Stage: 2, Phase: Released, ExposureCap: 1})
 		to := func() (old, all int) {
-			before := len(f.sent)
-			f.serve(60, f.quote, fine)
-			for _, s := range f.sent[before:] {
+			before := len(f.attempts)
+			f.serve(60, f.quote, succeeds)
+			for _, s := range f.attempts[before:] {
 				if all++; s.Host.Build == 1 {
 					old++
 				}
@@ -775,14 +775,14 @@
 			return old, all
 		}
 		if x.lost {
-			f.r.EndpointsChanged(f.now, nil, false)
+			f.router.EndpointsChanged(f.now, nil, false)
 		}
 		old, _ := to()
 		require.Positive(t, old, "%s: it may still be as it was", name)
 		for _, n := range x.after {
-			f.r.ReleaseChanged(f.now, n)
+			f.router.ReleaseChanged(f.now, n)
 		}
-		f.pass(5 * Second)
+		f.advance(5 * Second)
 		old, all := to()
 		require.Positive(t, all, name)
 		require.Equal(t, x.old, old > 0, name)
@@ -792,7 +792,7 @@
 		for i := range list {
 			list[i].State = Serving
 		}
-		f.r.EndpointsChanged(f.now, list[:6], true) // the list is back, and has them serve
+		f.router.EndpointsChanged(f.now, list[:6], true) // the list is back, and has them serve
 		if old, _ = to(); len(x.after) == 0 {
 			require.Positive(t, old, name)
 		}
@@ -801,55 +801,55 @@
 
 // Where no host of the released build is known either, what comes is turned back: hosts that are told to drain get nothing.
 func TestWithoutAListAfterAReleaseNothingIsBetterThanADrainedHost(t *testing.T) {
-	f, _ := begin(t, nil)
-	f.pass(4 * Second)
-	f.r.ReleaseChanged(f.now, ReleaseStatus{Build: 3, Stage: 2, Phase: Released, ExposureCap: 1})
-	f.r.EndpointsChanged(f.now, nil, false)
-	f.pass(7 * Second)
-	sent, turned := len(f.sent), len(f.turned)
-	f.serve(20, f.quote, fine)
-	require.Len(t, f.sent, sent)
-	require.Len(t, f.turned, turned+20)
+	f, _ := newFakeFleet(t, nil)
+	f.advance(4 * Second)
+	f.router.ReleaseChanged(f.now, ReleaseStatus{Build: 3, Stage: 2, Phase: Released, ExposureCap: 1})
+	f.router.EndpointsChanged(f.now, nil, false)
+	f.advance(7 * Second)
+	sent, turned := len(f.attempts), len(f.rejected)
+	f.serve(20, f.quote, succeeds)
+	require.Len(t, f.attempts, sent)
+	require.Len(t, f.rejected, turned+20)
 }
 
 // What is kept of keys ends with the time in which they could go from one build to the other.
 func TestKeysAreKeptNoLongerThanTwoBuildsServe(t *testing.T) {
-	f, list := begin(t, func(p *Config) { p.Release.StickyKeys = true })
+	f, list := newFakeFleet(t, func(p *Config) { p.Release.StickyKeys = true })
 	keyed := func(n int) {
 		for i := range n {
 			x := &Request{Class: f.quote, Timeout: 3 * Second, Key: string(rune('a' + i))}
-			f.r.RequestArrived(f.now, x)
+			f.router.RequestArrived(f.now, x)
 			for _, s := range x.Attempts {
 				f.end(s, Succeeded, Second/20)
 			}
-			f.pass(Second / 20)
+			f.advance(Second / 20)
 		}
 	}
-	f.pass(5 * Second)
-	f.r.ReleaseChanged(f.now, ReleaseStatus{Build: 2, Stage: 2, Phase: Released, ExposureCap: 1})
+	f.advance(5 * Second)
+	f.router.ReleaseChanged(f.now, ReleaseStatus{Build: 2, Stage: 2, Phase: Released, ExposureCap: 1})
 	list[0].Build = 2
-	f.r.EndpointsChanged(f.now, list, true)
+	f.router.EndpointsChanged(f.now, list, true)
 	keyed(20)
-	require.NotEmpty(t, f.r.kept, "earlier hosts still serve")
+	require.NotEmpty(t, f.router.stickyBuilds, "earlier hosts still serve")
 	for i := range list {
 		list[i].Build = 2
 	}
-	f.r.EndpointsChanged(f.now, list, true)
-	before := len(f.r.kept)
+	f.router.EndpointsChanged(f.now, list, true)
+	before := len(f.router.stickyBuilds)
 	keyed(26)
-	require.Len(t, f.r.kept, before, "one build alone")
-	f.r.ReleaseChanged(f.now, ReleaseStatus{Build: 3, Phase: Canary, ExposureCap: 0.1})
-	require.Empty(t, f.r.kept)
+	require.Len(t, f.router.stickyBuilds, before, "one build alone")
+	f.router.ReleaseChanged(f.now, ReleaseStatus{Build: 3, Phase: Canary, ExposureCap: 0.1})
+	require.Empty(t, f.router.stickyBuilds)
 }
 
 // Where no earlier host is left, a request doesn't go to the build on trial twice.
 func TestOneRequestHasOneAttemptOnTrialWhereNoEarlierHostIsLeft(t *testing.T) {
-	f, list := begin(t, nil)
-	f.r.ReleaseChanged(f.now, ReleaseStatus{Build: 2, Phase: Canary, ExposureCap: 0.1})
+	f, list := newFakeFleet(t, nil)
+	f.router.ReleaseChanged(f.now, ReleaseStatus{Build: 2, Phase: Canary, ExposureCap: 0.1})
 	for i := range list[:6] {
 		list[i].State = Removed
 	}
-	f.r.EndpointsChanged(f.now, list, true)
-	f.pass(5 * Second) // beyond the window after a start
-	require.Len(t, f.take(f.quote).Attempts, 1, "one is free in a window")
+	f.router.EndpointsChanged(f.now, list, true)
+	f.advance(5 * Second) // beyond the window after a start
+	require.Len(t, f.arrive(f.quote).Attempts, 1, "one is free in a window")
 }
--- a/policy/muster_test.go
+++ b/policy/muster_test.go
@@ -7,24 +7,24 @@
 	"pgregory.net/rapid"
 )
 
-// mute carries nothing out.
-type mute struct{ sends []*Attempt }
+// discardEffects carries nothing out.
+type discardEffects struct{ attempts []*Attempt }
 
-func (m *mute) Send(s *Attempt, _ Time)   { m.sends = append(m.sends, s) }
-func (m *mute) Reject(*Request, Time)     {}
-func (m *mute) Fail(*Request)             {}
-func (m *mute) SetTimer(Time, *Timer)     {}
-func (m *mute) WatchEndpoints()           {}
-func (m *mute) Vote(int, int, VoteChoice) {}
-func (m *mute) Log(string)                {}
-func (m *mute) Gossip(int, []byte)        {}
-func (m *mute) CheckHealth(*Host)         {}
+func (m *discardEffects) Send(s *Attempt, _ Time)   { m.attempts = append(m.attempts, s) }
+func (m *discardEffects) Reject(*Request, Time)     {}
+func (m *discardEffects) Fail(*Request)             {}
+func (m *discardEffects) SetTimer(Time, *Timer)     {}
+func (m *discardEffects) WatchEndpoints()           {}
+func (m *discardEffects) Vote(int, int, VoteChoice) {}
+func (m *discardEffects) Log(string)                {}
+func (m *discardEffects) Gossip(int, []byte)        {}
+func (m *discardEffects) CheckHealth(*Host)         {}
 
 // TestSumsThatAreKeptEqualSumsMadeAnew holds the running sums to what a walk over all hosts and answers finds, after any
 // events.
 func TestSumsThatAreKeptEqualSumsMadeAnew(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		hands := &mute{}
+		hands := &discardEffects{}
 		home, away := &Zone{}, &Zone{}
 		cat := &Class{LatencyObjective: 4000, PriorityWeight: 1}
 		r := NewRouter(0, Config{Seed: 1, Routers: rapid.SampledFrom([]int{1, 3, 9}).Draw(t, "routers"), Zone: home, Classes: []*Class{cat},
@@ -50,7 +50,7 @@
 				r.ReleaseChanged(now, ReleaseStatus{Build: rapid.IntRange(1, 2).Draw(t, "told"), Phase: Phase(rapid.IntRange(0, 3).Draw(t, "phase")), ExposureCap: .1})
 			case 2, 3, 4, 5:
 				r.RequestArrived(now, &Request{Class: cat, Timeout: 10_000})
-				open, hands.sends = append(open, hands.sends...), nil
+				open, hands.attempts = append(open, hands.attempts...), nil
 			default:
 				if len(open) == 0 {
 					continue
@@ -59,22 +59,22 @@
 				s := open[i]
 				open = append(open[:i], open[i+1:]...)
 				fate := rapid.SampledFrom([]Outcome{Succeeded, Succeeded, Succeeded, Failed, TimedOut, ConnectFailed, Rejected}).Draw(t, "fate")
-				r.AttemptEnded(now, s, fate, now-s.at, fate == Succeeded, nil)
-				open, hands.sends = append(open, hands.sends...), nil
+				r.AttemptEnded(now, s, fate, now-s.sentAt, fate == Succeeded, nil)
+				open, hands.attempts = append(open, hands.attempts...), nil
 			}
-			kept := *r.standing()
-			r.muster.counted = false
-			require.Equal(t, *r.standing(), kept)
+			kept := *r.snapshot()
+			r.fleet.valid = false
+			require.Equal(t, *r.snapshot(), kept)
 			for side := range 2 {
 				done, took, n := Time(0), Time(0), 0
-				for _, x := range r.done { // the window, by a walk
-					if x.side == side && x.work > 0 && now-x.at <= 2*Second {
-						done, took, n = done+x.work, took+x.took, n+1
+				for _, x := range r.ended { // the window, by a walk
+					if x.locality == side && x.usualLatency > 0 && now-x.at <= 2*Second {
+						done, took, n = done+x.usualLatency, took+x.latency, n+1
 					}
 				}
-				l := &r.work[side].last
-				require.Equal(t, n, l.since(now-2*Second, now-8*Second, r.begun))
-				require.Equal(t, []Time{done, took}, []Time{l.work, l.took})
+				l := &r.completedWork[side].last
+				require.Equal(t, n, l.advance(now-2*Second, now-8*Second, r.endedBase))
+				require.Equal(t, []Time{done, took}, []Time{l.usualLatency, l.latency})
 			}
 		}
 	})
--- a/policy/peers.go
+++ b/policy/peers.go
@@ -9,137 +9,137 @@
 	"slices"
 )
 
-// fading is how long sums of what was seen last: about as long as a host's trouble or a jam takes to be
+// decayTime is how long sums of what was seen last: about as long as a host's trouble or a jam takes to be
 // another.
-const fading = 3 * Second
+const decayTime = 3 * Second
 
-// fade is what is left of a sum after a span.
-func fade(span Time) float64 { return math.Exp(-float64(max(0, span)) / float64(fading)) }
+// decayFactor is what is left of a sum after a span.
+func decayFactor(span Time) float64 { return math.Exp(-float64(max(0, span)) / float64(decayTime)) }
 
-// repute sums up sends at a host or a way, faded.
-type repute struct {
-	at           Time
-	n, bad, pace float64
+// healthStats sums up sends at a host or a way, faded.
+type healthStats struct {
+	at                           Time
+	attempts, failures, slowdown float64
 }
 
-// as is a repute's sums at a later moment.
-func (p repute) as(now Time) repute {
-	if p.n == 0 {
-		return repute{at: now} // nothing to fade, as for most hosts at most routers
+// decayedTo is a repute's sums at a later moment.
+func (p healthStats) decayedTo(now Time) healthStats {
+	if p.attempts == 0 {
+		return healthStats{at: now} // nothing to fade, as for most hosts at most routers
 	}
-	f := fade(now - p.at)
-	return repute{now, p.n * f, p.bad * f, p.pace * f}
+	f := decayFactor(now - p.at)
+	return healthStats{now, p.attempts * f, p.failures * f, p.slowdown * f}
 }
 
-func (p *repute) add(x repute) {
-	y := p.as(max(x.at, p.at))
-	*p = repute{y.at, y.n + x.n, y.bad + x.bad, y.pace + x.pace}
+func (p *healthStats) add(x healthStats) {
+	y := p.decayedTo(max(x.at, p.at))
+	*p = healthStats{y.at, y.attempts + x.attempts, y.failures + x.failures, y.slowdown + x.slowdown}
 }
 
-// rush sums up a category's sends: how many are out, and of those answered their usual and their real times.
-type rush struct {
-	at              Time
-	out, work, took float64
+// admissionStats sums up a category's sends: how many are out, and of those answered their usual and their real times.
+type admissionStats struct {
+	at                              Time
+	inFlight, usualLatency, latency float64
 }
 
-func (p rush) as(now Time) rush {
-	f := fade(now - p.at)
-	return rush{now, p.out * f, p.work * f, p.took * f}
+func (p admissionStats) decayedTo(now Time) admissionStats {
+	f := decayFactor(now - p.at)
+	return admissionStats{now, p.inFlight * f, p.usualLatency * f, p.latency * f}
 }
 
-func (p *rush) add(x rush) {
-	y := p.as(max(x.at, p.at))
-	*p = rush{y.at, y.out + x.out, y.work + x.work, y.took + x.took}
+func (p *admissionStats) add(x admissionStats) {
+	y := p.decayedTo(max(x.at, p.at))
+	*p = admissionStats{y.at, y.inFlight + x.inFlight, y.usualLatency + x.usualLatency, y.latency + x.latency}
 }
 
-// saying is a word on a host; hop 0 is first hand, 1 was told by who met it.
-type saying struct {
+// hostReport is a word on a host; hop 0 is first hand, 1 was told by who met it.
+type hostReport struct {
 	host *Host
-	hop  int
-	repute
+	hops int
+	healthStats
 }
 
-// digest is what one router tells another.
-type digest struct {
-	stands *Host // one near the sender, if any
-	way    repute
-	rushes []rush
-	words  []saying
+// gossipSummary is what one router tells another.
+type gossipSummary struct {
+	nearbyHost *Host // one near the sender, if any
+	remotePath healthStats
+	classes    []admissionStats
+	hosts      []hostReport
 }
 
-// worst keeps so many words, those with most bad first.
-func (d *digest) worst(many int) {
-	slices.SortStableFunc(d.words, func(a, b saying) int {
-		if c := cmp.Compare(b.bad, a.bad); c != 0 {
+// keepWorst keeps so many words, those with most bad first.
+func (d *gossipSummary) keepWorst(many int) {
+	slices.SortStableFunc(d.hosts, func(a, b hostReport) int {
+		if c := cmp.Compare(b.failures, a.failures); c != 0 {
 			return c
 		}
-		return cmp.Compare(b.n, a.n)
+		return cmp.Compare(b.attempts, a.attempts)
 	})
-	d.words = d.words[:min(many, len(d.words))]
+	d.hosts = d.hosts[:min(many, len(d.hosts))]
 }
 
 const (
-	kindDigest, kindBlame = 1, 2
-	headBytes, rushBytes  = 8, 5
-	wordBytes             = 8
-	grain                 = 8.0  // counts are told in eighths
-	paceGrain             = 16.0 // paces in sixteenths
-	spell                 = 100  // sums of times in hundredths of a second
+	messageSummary, messageComplaints   = 1, 2
+	summaryHeaderBytes, classStatsBytes = 8, 5
+	hostReportBytes                     = 8
+	countScale                          = 8.0  // counts are told in eighths
+	slowdownScale                       = 16.0 // paces in sixteenths
+	latencyScale                        = 100  // sums of times in hundredths of a second
 )
 
-func small(x float64) byte { return byte(math.Round(max(0, min(255, x)))) }
+func toByte(x float64) byte { return byte(math.Round(max(0, min(255, x)))) }
 
-func (d digest) pack(most int) []byte {
-	b := []byte{kindDigest, byte(len(d.rushes))}
+func (d gossipSummary) encode(most int) []byte {
+	b := []byte{messageSummary, byte(len(d.classes))}
 	id := uint32(0)
-	if d.stands != nil {
-		id = d.stands.ID
+	if d.nearbyHost != nil {
+		id = d.nearbyHost.ID
 	}
 	b = binary.LittleEndian.AppendUint32(b, id)
-	b = append(b, small(d.way.n*grain), small(d.way.bad*grain))
-	for _, x := range d.rushes {
-		b = append(b, small(x.out))
-		b = binary.LittleEndian.AppendUint16(b, uint16(min(math.MaxUint16, x.work/spell)))
-		b = binary.LittleEndian.AppendUint16(b, uint16(min(math.MaxUint16, x.took/spell)))
-	}
-	for _, w := range d.words {
-		if len(b)+wordBytes > most {
+	b = append(b, toByte(d.remotePath.attempts*countScale), toByte(d.remotePath.failures*countScale))
+	for _, x := range d.classes {
+		b = append(b, toByte(x.inFlight))
+		b = binary.LittleEndian.AppendUint16(b, uint16(min(math.MaxUint16, x.usualLatency/latencyScale)))
+		b = binary.LittleEndian.AppendUint16(b, uint16(min(math.MaxUint16, x.latency/latencyScale)))
+	}
+	for _, w := range d.hosts {
+		if len(b)+hostReportBytes > most {
 			break
 		}
 		b = binary.LittleEndian.AppendUint32(b, w.host.ID)
-		b = append(b, byte(w.hop), small(w.n*grain), small(w.bad*grain), small(w.pace/max(0.01, w.n)*paceGrain))
+		b = append(b, byte(w.hops), toByte(w.attempts*countScale), toByte(w.failures*countScale), toByte(w.slowdown/max(0.01, w.attempts)*slowdownScale))
 	}
 	return b
 }
 
-// unpack reads a digest; what is not one to the last byte is none at all. Hosts that are not listed are
+// decodeSummary reads a digest; what is not one to the last byte is none at all. Hosts that are not listed are
 // left out.
-func (r *Router) unpack(b []byte) (d digest, ok bool) {
-	if len(b) < headBytes || b[0] != kindDigest || int(b[1]) != len(r.cats) ||
-		len(b) < headBytes+rushBytes*len(r.cats) || (len(b)-headBytes-rushBytes*len(r.cats))%wordBytes != 0 {
+func (r *Router) decodeSummary(b []byte) (d gossipSummary, ok bool) {
+	if len(b) < summaryHeaderBytes || b[0] != messageSummary || int(b[1]) != len(r.classes) ||
+		len(b) < summaryHeaderBytes+classStatsBytes*len(r.classes) || (len(b)-summaryHeaderBytes-classStatsBytes*len(r.classes))%hostReportBytes != 0 {
 		return d, false
 	}
-	d.stands = r.named(binary.LittleEndian.Uint32(b[2:]))
-	d.way = repute{at: r.now, n: float64(b[6]) / grain, bad: min(float64(b[6]), float64(b[7])) / grain}
-	b = b[headBytes:]
-	for range r.cats {
-		d.rushes = append(d.rushes, rush{r.now, float64(b[0]), float64(binary.LittleEndian.Uint16(b[1:])) * spell,
-			float64(binary.LittleEndian.Uint16(b[3:])) * spell})
-		b = b[rushBytes:]
+	d.nearbyHost = r.hostByID(binary.LittleEndian.Uint32(b[2:]))
+	d.remotePath = healthStats{at: r.now, attempts: float64(b[6]) / countScale, failures: min(float64(b[6]), float64(b[7])) / countScale}
+	b = b[summaryHeaderBytes:]
+	for range r.classes {
+		d.classes = append(d.classes, admissionStats{r.now, float64(b[0]), float64(binary.LittleEndian.Uint16(b[1:])) * latencyScale,
+			float64(binary.LittleEndian.Uint16(b[3:])) * latencyScale})
+		b = b[classStatsBytes:]
 	}
-	for ; len(b) > 0; b = b[wordBytes:] {
-		h, n := r.named(binary.LittleEndian.Uint32(b)), float64(b[5])/grain
+	for ; len(b) > 0; b = b[hostReportBytes:] {
+		h, n := r.hostByID(binary.LittleEndian.Uint32(b)), float64(b[5])/countScale
 		if h == nil || b[4] > 1 {
 			continue
 		}
-		d.words = append(d.words, saying{h, int(b[4]),
-			repute{r.now, n, min(n, float64(b[6])/grain), n * float64(b[7]) / paceGrain}})
+		d.hosts = append(d.hosts, hostReport{h, int(b[4]),
+			healthStats{r.now, n, min(n, float64(b[6])/countScale), n * float64(b[7]) / slowdownScale}})
 	}
 	return d, true
 }
 
-// named is the listed host of an id, or nil.
-func (r *Router) named(id uint32) *Host {
+// hostByID is the listed host of an id, or nil.
+func (r *Router) hostByID(id uint32) *Host {
 	at, ok := slices.BinarySearchFunc(r.hosts, id, func(h *Host, id uint32) int { return int(h.ID) - int(id) })
 	if !ok {
 		return nil
@@ -147,98 +147,98 @@
 	return r.hosts[at]
 }
 
-func packBlame(build, n int) []byte {
-	return append(binary.LittleEndian.AppendUint16([]byte{kindBlame}, uint16(build)), byte(min(255, n)))
+func encodeComplaints(build, n int) []byte {
+	return append(binary.LittleEndian.AppendUint16([]byte{messageComplaints}, uint16(build)), byte(min(255, n)))
 }
 
-func unpackBlame(b []byte) (build, n int, ok bool) {
-	if len(b) != 4 || b[0] != kindBlame {
+func decodeComplaints(b []byte) (build, n int, ok bool) {
+	if len(b) != 4 || b[0] != messageComplaints {
 		return 0, 0, false
 	}
 	return int(binary.LittleEndian.Uint16(b[1:])), int(b[3]), true
 }
 
-// rumour is what peers tell of a host, each word weighed.
-func (h *Host) rumour(now Time, first, second float64) repute {
-	a, b := h.words[1].as(now), h.words[2].as(now)
-	return repute{now, first*a.n + second*b.n, first*a.bad + second*b.bad, first*a.pace + second*b.pace}
+// peerHealth is what peers tell of a host, each word weighed.
+func (h *Host) peerHealth(now Time, first, second float64) healthStats {
+	a, b := h.healthByHops[1].decayedTo(now), h.healthByHops[2].decayedTo(now)
+	return healthStats{now, first*a.attempts + second*b.attempts, first*a.failures + second*b.failures, first*a.slowdown + second*b.slowdown}
 }
 
-// lore is what this router has to tell: of its categories, its way, and of hosts of which more than least
+// summarize is what this router has to tell: of its categories, its way, and of hosts of which more than least
 // is known.
-func (r *Router) lore(least float64) digest {
-	d := digest{way: r.ways[far].as(r.now)}
-	r.waits()
-	for _, c := range r.cats {
-		x := c.seen.as(r.now)
-		x.out = float64(c.out)
-		d.rushes = append(d.rushes, x)
+func (r *Router) summarize(least float64) gossipSummary {
+	d := gossipSummary{remotePath: r.paths[remoteZones].decayedTo(r.now)}
+	r.countInFlight()
+	for _, c := range r.classes {
+		x := c.ownStats.decayedTo(r.now)
+		x.inFlight = float64(c.inFlight)
+		d.classes = append(d.classes, x)
 	}
 	for _, h := range r.hosts {
-		if d.stands == nil && r.side(h) == near {
-			d.stands = h
+		if d.nearbyHost == nil && r.localityOf(h) == localZone {
+			d.nearbyHost = h
 		}
 		for hop := range 2 {
-			w := h.words[hop].as(r.now)
+			w := h.healthByHops[hop].decayedTo(r.now)
 			if hop == 0 {
-				n := float64(h.stuck(r.now, tardy))
-				w.n, w.bad = w.n+n, w.bad+n
+				n := float64(h.stuckAttempts(r.now, stuckFactor))
+				w.attempts, w.failures = w.attempts+n, w.failures+n
 			}
-			if w.n > least {
-				d.words = append(d.words, saying{h, hop, w})
+			if w.attempts > least {
+				d.hosts = append(d.hosts, hostReport{h, hop, w})
 			}
 		}
 	}
 	return d
 }
 
-// unsaidBlames are messages on complaints that no peer has been told, each once.
-func (r *Router) unsaidBlames() (all [][]byte) {
-	for _, b := range r.books {
-		if n := r.unsaid[b.build]; n > 0 {
-			all = append(all, packBlame(b.build, n))
-			delete(r.unsaid, b.build)
+// unsentComplaintMessages are messages on complaints that no peer has been told, each once.
+func (r *Router) unsentComplaintMessages() (all [][]byte) {
+	for _, b := range r.windows {
+		if n := r.unsentComplaints[b.build]; n > 0 {
+			all = append(all, encodeComplaints(b.build, n))
+			delete(r.unsentComplaints, b.build)
 		}
 	}
 	return all
 }
 
-// crowdTold adds up what a peer tells of its categories.
-func (r *Router) crowdTold(d digest) {
-	r.voices, r.heardAt = 1+r.voices*fade(r.now-r.heardAt), r.now
-	for i, c := range r.cats {
-		c.told.add(d.rushes[i])
+// mergeClassStats adds up what a peer tells of its categories.
+func (r *Router) mergeClassStats(d gossipSummary) {
+	r.activePeers, r.lastGossipAt = 1+r.activePeers*decayFactor(r.now-r.lastGossipAt), r.now
+	for i, c := range r.classes {
+		c.peerStats.add(d.classes[i])
 	}
 }
 
-// nearTold adds up what a peer nearby tells of its way and of hosts.
-func (r *Router) nearTold(d digest) {
-	r.toldWay.add(d.way)
-	for _, w := range d.words {
-		w.host.words[w.hop+1].add(w.repute)
+// mergeLocalReport adds up what a peer nearby tells of its way and of hosts.
+func (r *Router) mergeLocalReport(d gossipSummary) {
+	r.peerRemotePath.add(d.remotePath)
+	for _, w := range d.hosts {
+		w.host.healthByHops[w.hops+1].add(w.healthStats)
 	}
 }
 
-// waits counts the sends of each category that are out at hosts that do well, over ways that do: a cut is
+// countInFlight counts the sends of each category that are out at hosts that do well, over ways that do: a cut is
 // no jam.
-func (r *Router) waits() {
-	for _, c := range r.cats {
-		c.out = 0
+func (r *Router) countInFlight() {
+	for _, c := range r.classes {
+		c.inFlight = 0
 	}
-	both := r.together()
+	both := r.mergesZones()
 	for _, h := range r.hosts {
-		if h.health != fit || !both && r.side(h) == far {
+		if h.health != healthy || !both && r.localityOf(h) == remoteZones {
 			continue
 		}
-		for _, s := range h.open {
-			s.Request.Class.out++
+		for _, s := range h.inFlight {
+			s.Request.Class.inFlight++
 		}
 	}
 }
 
-// way is what is known of the way to the rest, own sends and what those nearby told of theirs.
-func (r *Router) way() repute {
-	w := r.toldWay
-	w.add(r.ways[far].as(r.now))
+// remotePathStats is what is known of the way to the rest, own sends and what those nearby told of theirs.
+func (r *Router) remotePathStats() healthStats {
+	w := r.peerRemotePath
+	w.add(r.paths[remoteZones].decayedTo(r.now))
 	return w
 }
--- a/policy/types.go
+++ b/policy/types.go
@@ -35,21 +35,21 @@
 	PriorityWeight   float64
 	LateValueShare   float64 // share of the earnings left after the promised time
 
-	took []Time    // what finished sends took lately
-	work []float64 // the same, less what the host's other tasks added
-	mid  Time      // what it usually takes at a host that holds nothing else
-	odds float64   // that the build on trial fails it
-	calm Time      // mid when the build on trial was first told
-	out  int       // sends out where they may be told, as waits counted last
-	seen rush      // what became of own sends lately
-	told rush      // and of peers', as they told
+	latencies       []Time         // what finished sends took lately
+	serviceTimes    []float64      // the same, less what the host's other tasks added
+	usualLatency    Time           // what it usually takes at a host that holds nothing else
+	failureOdds     float64        // that the build on trial fails it
+	baselineLatency Time           // mid when the build on trial was first told
+	inFlight        int            // sends out where they may be told, as waits counted last
+	ownStats        admissionStats // what became of own sends lately
+	peerStats       admissionStats // and of peers', as they told
 }
 
 // Tenant is whoever pays for a task.
 type Tenant struct {
 	QuotaPerSecond float64 // tasks a second, over all routers, that earn in full
 
-	taken []moment
+	arrivals []trafficEvent
 }
 
 // Zone is where hosts and routers stand. It is told by its address alone, so it must not be of size zero.
@@ -74,18 +74,18 @@
 	Weight    float64
 	StartedAt Time // when its process last started; 0 is long ago
 
-	listed bool
-	health health
-	until  Time // when its health is looked at anew
-	left   Time // when it was told to drain or to be gone
-	open   []*Attempt
-	sent   []moment
-	past   []sample
-	load   *LoadReport
-	loadAt Time
-	linkAt Time      // when a send over a link to it last ended
-	words  [3]repute // own, told by who met the host, and passed on once
-	part   float64   // of the tasks of its side, as a plan has it; in a unit that all share
+	listed       bool
+	health       hostHealth
+	backoffUntil Time // when its health is looked at anew
+	leftAt       Time // when it was told to drain or to be gone
+	inFlight     []*Attempt
+	attempts     []trafficEvent
+	samples      []attemptSample
+	load         *LoadReport
+	loadAt       Time
+	connectedAt  Time           // when a send over a link to it last ended
+	healthByHops [3]healthStats // own, told by who met the host, and passed on once
+	planWeight   float64        // of the tasks of its side, as a plan has it; in a unit that all share
 }
 
 // EndpointUpdate is what the host list says of one host; whoever calls turns lists into changes.
@@ -120,31 +120,31 @@
 
 	Attempts []*Attempt
 
-	at    Time
-	state taskState
-	risky *Attempt // the first send that may have run
+	arrivedAt      Time
+	state          requestState
+	firstAmbiguous *Attempt // the first send that may have run
 }
 
 // Answered tells whether the task has had its final answer.
-func (t *Request) Answered() bool { return t.state == over }
+func (t *Request) Answered() bool { return t.state == finished }
 
 // Attempt is one try of a task at a host.
 type Attempt struct {
 	Request *Request
 	Host    *Host
 
-	outcome Outcome
-	at      Time
-	build   int
-	up      Time
-	fair    Time // what a lone copy would be given
-	held    float64
-	role    role
-	began   bool
+	outcome         Outcome
+	sentAt          Time
+	build           int
+	hostStartedAt   Time
+	shadowTimeout   Time // what a lone copy would be given
+	hostLoad        float64
+	role            attemptRole
+	responseStarted bool
 }
 
 // IsShadow tells a send that was made to judge the build on trial: beside its original, or before it.
-func (s *Attempt) IsShadow() bool { return s.role == copied || s.role == lone }
+func (s *Attempt) IsShadow() bool { return s.role == shadowAttempt || s.role == shadowFirstAttempt }
 
 // Outcome is how a send ended.
 type Outcome int
@@ -201,10 +201,10 @@
 
 	Window Time // the span that was counted
 
-	at    Time
-	hosts int     // that ran the build when the count came
-	warm  float64 // share of them that were warm when its span began
-	cold  float64 // log of how much longer they take for the cold, at the most
+	receivedAt Time
+	hosts      int     // that ran the build when the count came
+	warmShare  float64 // share of them that were warm when its span began
+	warmUpBias float64 // log of how much longer they take for the cold, at the most
 }
 
 // VoteChoice is what a vote says.
@@ -287,7 +287,7 @@
 // Timer is a call that the router asked for.
 type Timer struct {
 	attempt *Attempt
-	list    bool
+	polls   bool
 }
 
 // Config is all that a router is told when it starts.
@@ -301,241 +301,241 @@
 	Release ReleaseConfig
 }
 
-// sample is one ended send, kept for the figures made of it.
-type sample struct {
-	at, took, age Time
-	host          *Host
-	cat           *Class
-	fate          Outcome
-	hasty         bool // its client waited less than the promised time
-	held, strain  float64
-	pace          float64 // strain, less what the host's other tasks added
+// attemptSample is one ended send, kept for the figures made of it.
+type attemptSample struct {
+	at, latency, hostAge Time
+	host                 *Host
+	class                *Class
+	outcome              Outcome
+	impatient            bool // its client waited less than the promised time
+	hostLoad, slowdown   float64
+	unqueuedSlowdown     float64 // strain, less what the host's other tasks added
 }
 
-// book keeps the last samples of one build.
-type book struct {
-	build   int
-	samples []sample
-	wrong   []sample
+// buildWindow keeps the last samples of one build.
+type buildWindow struct {
+	build      int
+	samples    []attemptSample
+	complaints []attemptSample
 }
 
-type moment struct {
-	at         Time
-	cat        *Class
-	side       int
-	fate       Outcome
-	late       bool // beyond the promised time
-	took, work Time // how long a send was out, and its usual time where it was answered
+type trafficEvent struct {
+	at                    Time
+	class                 *Class
+	locality              int
+	outcome               Outcome
+	late                  bool // beyond the promised time
+	latency, usualLatency Time // how long a send was out, and its usual time where it was answered
 }
 
-type ballot struct {
-	state ballotState
-	voice VoteChoice
-	at    Time
+type voteRecord struct {
+	state  voteState
+	choice VoteChoice
+	castAt Time
 }
 
 // Router is one instance's mind; it shares nothing with others.
 type Router struct {
-	effects  Effects
-	seed     uint64
-	drawn    uint64
-	now      Time
-	born     Time
-	routers  int
-	rank     int
-	location *Zone
-	cats     []*Class
-	limits   Limits
-	desk     ReleaseConfig
-	hosts    []*Host
-	news     ReleaseStatus
-	heard    bool
-	work     [2]struct { // near and far: work answered lately, as of a moment
+	effects       Effects
+	seed          uint64
+	draws         uint64
+	now           Time
+	startedAt     Time
+	routers       int
+	rank          int
+	zone          *Zone
+	classes       []*Class
+	limits        Limits
+	releaseConfig ReleaseConfig
+	hosts         []*Host
+	releaseStatus ReleaseStatus
+	releaseKnown  bool
+	completedWork [2]struct { // near and far: work answered lately, as of a moment
 		at, span     Time
 		done, strain float64
-		last         tally
+		last         responseCounter
 	}
-	usual struct { // sends that a host gets from this router, as of a moment
+	baselineRate struct { // sends that a host gets from this router, as of a moment
 		at   Time
 		rate float64
 	}
-	crowd   float64  // what each task that a host holds adds to the time of the next, as a share
-	recent  []sample // finished sends at earlier builds
-	live    int      // the newest build known to be released, and since when
-	liveAt  Time
-	dropped int   // the newest build known to go back, or to have gone
-	offered Time  // when the newest build was first told
-	staged  Time  // when the present stage was first told
-	swell   swell // how the fleet has slowed during the trial, and since when
-	surged  Time
-	quickAt Time      // when the fleet was last about as quick as before the trial
-	reports []float64 // what hosts last reported to hold
-	taken   []moment
-	tried   []moment
-	flow    []moment
-	done    []moment
-	begun   int // number of the first of done among all that ever were
-	extra   []moment
-	kept    map[string]int
-	books   []*book
-	counts  []BuildStats
-	ballot  ballot
-	lost    int  // list calls that failed in a row
-	asked   Time // when the list was asked for last
-	course  WeightPlan
-	muster  muster
-	here    []*Host // scratch for choices among hosts, so that these take no memory
-	there   []*Host
-	known   []*Host
-	weights []float64 // scratch for shares, and for parts of a plan
-	planned []float64
-	laden   float64   // what a host holds, as the desk counted last
-	ways    [2]repute // own sends of the sides lately
-	shut    bool      // the way to the far side is poor
-	toldWay repute    // of the far side, told by those nearby
-	fellows []int     // peers nearby that were heard last
-	voices  float64   // peers heard lately, faded
-	heardAt Time
-	blames  map[int]int // complaints by build, of all routers
-	unsaid  map[int]int // and own ones that no peer has been told
+	concurrencyCost  float64         // what each task that a host holds adds to the time of the next, as a share
+	recentBaseline   []attemptSample // finished sends at earlier builds
+	releasedBuild    int             // the newest build known to be released, and since when
+	releasedAt       Time
+	rolledBackBuild  int        // the newest build known to go back, or to have gone
+	offeredAt        Time       // when the newest build was first told
+	stageStartedAt   Time       // when the present stage was first told
+	surge            surgeState // how the fleet has slowed during the trial, and since when
+	surgeSince       Time
+	lastUnslowedAt   Time      // when the fleet was last about as quick as before the trial
+	reportedLoads    []float64 // what hosts last reported to hold
+	arrivals         []trafficEvent
+	canaryAttempts   []trafficEvent
+	baselineAttempts []trafficEvent
+	ended            []trafficEvent
+	endedBase        int // number of the first of done among all that ever were
+	retries          []trafficEvent
+	stickyBuilds     map[string]int
+	windows          []*buildWindow
+	stats            []BuildStats
+	vote             voteRecord
+	failedPolls      int  // list calls that failed in a row
+	lastPollAt       Time // when the list was asked for last
+	plan             WeightPlan
+	fleet            fleetSnapshot
+	localHosts       []*Host // scratch for choices among hosts, so that these take no memory
+	remoteHosts      []*Host
+	connectedHosts   []*Host
+	weights          []float64 // scratch for shares, and for parts of a plan
+	planWeights      []float64
+	countedLoad      float64        // what a host holds, as the desk counted last
+	paths            [2]healthStats // own sends of the sides lately
+	remoteDegraded   bool           // the way to the far side is poor
+	peerRemotePath   healthStats    // of the far side, told by those nearby
+	localPeers       []int          // peers nearby that were heard last
+	activePeers      float64        // peers heard lately, faded
+	lastGossipAt     Time
+	complaints       map[int]int // complaints by build, of all routers
+	unsentComplaints map[int]int // and own ones that no peer has been told
 }
 
-// muster is what hosts add up to, kept as sends come and go and counted anew once hosts or news have changed.
-type muster struct {
-	counted bool
-	well    [2]int // hosts of a side that are fit and whose build is not on trial
-	out     [2]int // sends out at these
-	sick    int
-	all     int // whose build is not on trial; newest is the newest of these builds, which latest of them run
-	newest  int
-	latest  int
-	able    float64 // what hosts whose build is not on trial can do, as of a moment
-	ableAt  Time
+// fleetSnapshot is what hosts add up to, kept as sends come and go and counted anew once hosts or news have changed.
+type fleetSnapshot struct {
+	valid               bool
+	healthy             [2]int // hosts of a side that are fit and whose build is not on trial
+	inFlight            [2]int // sends out at these
+	ejected             int
+	baselineHosts       int // whose build is not on trial; newest is the newest of these builds, which latest of them run
+	newestBaseline      int
+	newestBaselineHosts int
+	baselineCapacity    float64 // what hosts whose build is not on trial can do, as of a moment
+	capacityAt          Time
 }
 
-// tally is one side's last answers, with running sums of those in a window: whole numbers, so that their order is no
+// responseCounter is one side's last answers, with running sums of those in a window: whole numbers, so that their order is no
 // matter.
-type tally struct {
-	all        []answer
-	first      int // of all that lies in the window
-	work, took Time
+type responseCounter struct {
+	responses             []countedResponse
+	windowStart           int // of all that lies in the window
+	usualLatency, latency Time
 }
 
-// answer is one finished send, by its number among all that ended.
-type answer struct {
-	number         int
-	at, work, took Time
+// countedResponse is one finished send, by its number among all that ended.
+type countedResponse struct {
+	sequence                  int
+	at, usualLatency, latency Time
 }
 
 type (
-	taskState   int
-	taskInput   int
-	role        int
-	health      int
-	healthInput int
-	swell       int
-	swellInput  int
-	ballotState int
-	ballotInput int
+	requestState int
+	requestEvent int
+	attemptRole  int
+	hostHealth   int
+	healthEvent  int
+	surgeState   int
+	surgeEvent   int
+	voteState    int
+	voteEvent    int
 )
 
 const (
-	near = iota
-	far
+	localZone = iota
+	remoteZones
 )
 
 const (
-	clean taskState = iota // nothing sent may have run
-	risky                  // something sent may have run
-	over
+	notExecuted     requestState = iota // nothing sent may have run
+	mayHaveExecuted                     // something sent may have run
+	finished
 )
 
 const (
-	arrives taskInput = iota
-	neverRan
-	mayHaveRun
-	lingers // still out, longer than usual
-	ends    // answered, or the client has gone
+	requestArrived requestEvent = iota
+	attemptNotExecuted
+	attemptMayHaveExecuted
+	attemptSlow  // still out, longer than usual
+	requestEnded // answered, or the client has gone
 )
 
 const (
-	original role = iota
-	copied        // beside its original
-	lone          // before its original, where two at once are forbidden or the category has an effect
-	further
+	primaryAttempt     attemptRole = iota
+	shadowAttempt                  // beside its original
+	shadowFirstAttempt             // before its original, where two at once are forbidden or the category has an effect
+	retryAttempt
 )
 
 const (
-	fit health = iota
-	sick
-	shunned
+	healthy hostHealth = iota
+	ejected
+	backingOff
 )
 
 const (
-	fails healthInput = iota
-	works
-	refuses
-	steady
+	hostFailing healthEvent = iota
+	hostRecovered
+	hostRefused
+	hostUnchanged
 )
 
 const (
-	level swell = iota
-	paused
-	watched
-	proven
+	surgeNone surgeState = iota
+	surgePaused
+	surgeObserved
+	surgeProven
 )
 
 const (
-	swelling swellInput = iota
-	ebbing
-	lasting
+	surgeRose surgeEvent = iota
+	surgeSubsided
+	surgeTimedOut
 )
 
 const (
-	quiet ballotState = iota
-	asked
-	stands
+	voteIdle voteState = iota
+	votePending
+	voteStanding
 )
 
 const (
-	wants  ballotInput = iota // the verdict differs from what stands, or that will soon run out
-	silent                    // no answer in time
-	counts
-	drops // refused, moot or unclear
+	voteWanted   voteEvent = iota // the verdict differs from what stands, or that will soon run out
+	voteTimedOut                  // no answer in time
+	voteCounted
+	voteDropped // refused, moot or unclear
 )
 
 // Rows of the tables by which decisions are read: state, input, next state, effect.
 type (
-	taskRow struct {
-		state taskState
-		input taskInput
-		next  taskState
-		do    func(*Router, *Request)
+	requestTransition struct {
+		state  requestState
+		event  requestEvent
+		next   requestState
+		action func(*Router, *Request)
 	}
-	healthRow struct {
-		state health
-		input healthInput
-		next  health
-		rest  Time
+	healthTransition struct {
+		state   hostHealth
+		event   healthEvent
+		next    hostHealth
+		backoff Time
 	}
-	swellRow struct {
-		state swell
-		input swellInput
-		next  swell
+	surgeTransition struct {
+		state surgeState
+		event surgeEvent
+		next  surgeState
 	}
-	ballotRow struct {
-		state ballotState
-		input ballotInput
-		next  ballotState
-		cast  bool
+	voteTransition struct {
+		state     voteState
+		event     voteEvent
+		next      voteState
+		castsVote bool
 	}
 )
 
-// word is what one host's samples say of its build.
-type word struct {
-	host         *Host
-	n, bad, slow float64 // slow sums up logs of paces
+// hostSummary is what one host's samples say of its build.
+type hostSummary struct {
+	host                            *Host
+	attempts, failures, logSlowdown float64 // slow sums up logs of paces
 }
 
-// part is how many tries of a kind went bad, and the share of them that usually does.
-type part struct{ bad, n, usual float64 }
+// stratum is how many tries of a kind went bad, and the share of them that usually does.
+type stratum struct{ failures, attempts, expectedRate float64 }
