--- a/policy/host_test.go
+++ b/policy/host_test.go
@@ -26,14 +26,14 @@
 	timersDue             []Time
 }
 
-func (f *fakeFleet) Send(s *Attempt, within Time) {
-	f.attempts = append(f.attempts, s)
-	f.timeouts[s] = within
+func (f *fakeFleet) Send(attempt *Attempt, within Time) {
+	f.attempts = append(f.attempts, attempt)
+	f.timeouts[attempt] = within
 }
-func (f *fakeFleet) Reject(t *Request, s Time) {
-	f.rejected, f.retryAfters = append(f.rejected, t), append(f.retryAfters, s)
+func (f *fakeFleet) Reject(request *Request, s Time) {
+	f.rejected, f.retryAfters = append(f.rejected, request), append(f.retryAfters, s)
 }
-func (f *fakeFleet) Fail(t *Request) { f.failed = append(f.failed, t) }
+func (f *fakeFleet) Fail(request *Request) { f.failed = append(f.failed, request) }
 func (f *fakeFleet) SetTimer(in Time, a *Timer) {
 	f.timers, f.timersDue = append(f.timers, a), append(f.timersDue, f.now+in)
 }
@@ -43,8 +43,8 @@
 	f.gossip = append(f.gossip, b)
 	f.gossipTo = append(f.gossipTo, peer)
 }
-func (f *fakeFleet) CheckHealth(h *Host) { f.healthChecked = append(f.healthChecked, h) }
-func (f *fakeFleet) Log(string)          {}
+func (f *fakeFleet) CheckHealth(host *Host) { f.healthChecked = append(f.healthChecked, host) }
+func (f *fakeFleet) Log(string)             {}
 func (f *fakeFleet) host(id uint32, build int) EndpointUpdate {
 	return f.hostAt(id, build, f.localZone)
 }
@@ -92,23 +92,23 @@
 	}
 }
 
-func (f *fakeFleet) arrive(c *Class) *Request {
-	t := &Request{Class: c, Timeout: 3 * Second}
-	f.router.RequestArrived(f.now, t)
-	return t
+func (f *fakeFleet) arrive(class *Class) *Request {
+	request := &Request{Class: class, Timeout: 3 * Second}
+	f.router.RequestArrived(f.now, request)
+	return request
 }
 
-func (f *fakeFleet) end(s *Attempt, fate Outcome, took Time) {
-	f.router.AttemptEnded(f.now, s, fate, took, s.Request.Answered(), nil)
+func (f *fakeFleet) end(attempt *Attempt, outcome Outcome, latency Time) {
+	f.router.AttemptEnded(f.now, attempt, outcome, latency, attempt.Request.Answered(), nil)
 }
 
 // serve takes so many tasks and ends each send as the story says.
-func (f *fakeFleet) serve(n int, c *Class, fate func(*Attempt) Outcome) {
+func (f *fakeFleet) serve(n int, class *Class, fate func(*Attempt) Outcome) {
 	for range n {
-		t := f.arrive(c)
+		request := f.arrive(class)
 		f.advance(Second / 20)
-		for i := 0; i < len(t.Attempts); i++ {
-			f.end(t.Attempts[i], fate(t.Attempts[i]), Second/20)
+		for i := 0; i < len(request.Attempts); i++ {
+			f.end(request.Attempts[i], fate(request.Attempts[i]), Second/20)
 		}
 	}
 }
@@ -124,8 +124,8 @@
 }
 
 func (f *fakeFleet) attemptsAtBuild(b int) (n int) {
-	for _, s := range f.attempts {
-		if s.build == b {
+	for _, attempt := range f.attempts {
+		if attempt.build == b {
 			n++
 		}
 	}
--- a/policy/logic.go
+++ b/policy/logic.go
@@ -16,8 +16,8 @@
 	r := &Router{effects: hands, seed: p.Seed, now: now, startedAt: now, routers: max(1, p.Routers), rank: p.Rank,
 		zone: p.Zone, classes: p.Classes, limits: p.Limits, releaseConfig: p.Release, stickyBuilds: map[string]int{},
 		complaints: map[int]int{}, unsentComplaints: map[int]int{}, concurrencyCost: 0.3} // a fleet neither idle nor full, until known
-	for _, c := range r.classes {
-		c.usualLatency = max(1, c.LatencyObjective/5) // until something is known
+	for _, class := range r.classes {
+		class.usualLatency = max(1, class.LatencyObjective/5) // until something is known
 	}
 	if hands.SetTimer(reviewInterval, &Timer{}); !p.Limits.PushedDiscovery { // many that start at once don't ask as one
 		hands.SetTimer(Time(r.randomN(int(min(2*Second, Time(r.routers-1)*Second/10))+1)), &Timer{polls: true})
@@ -69,37 +69,37 @@
 // withinExposure tells whether one more send of the category at a build on trial keeps the rule on exposure. Sends are
 // counted over a little more than the window and tasks over a little less. What an earlier life of this
 // router sent is unknown after a start, so nothing goes there until one window has passed.
-func (r *Router) withinExposure(build int, c *Class) bool {
+func (r *Router) withinExposure(build int, class *Class) bool {
 	const edge = Second / 20 // several ticks of any clock
 	on, stage, share := r.exposureOf(build)
 	if !on {
 		return true
 	}
-	if share <= 0 || r.now-r.startedAt < r.releaseConfig.ExposureWindow+edge || c.Idempotency != Idempotent && stage < r.releaseConfig.GuardedStages {
+	if share <= 0 || r.now-r.startedAt < r.releaseConfig.ExposureWindow+edge || class.Idempotency != Idempotent && stage < r.releaseConfig.GuardedStages {
 		return false
 	}
 	if !r.releaseConfig.ExposurePerClass {
-		c = nil
+		class = nil
 	}
-	tried, taken := countSince(r.canaryAttempts, r.now-r.releaseConfig.ExposureWindow-edge, c), countSince(r.arrivals, r.now-r.releaseConfig.ExposureWindow+edge, c)
+	tried, taken := countSince(r.canaryAttempts, r.now-r.releaseConfig.ExposureWindow-edge, class), countSince(r.arrivals, r.now-r.releaseConfig.ExposureWindow+edge, class)
 	return tried+1 <= r.releaseConfig.ExposureAllowance+share*taken
 }
 
 // withinWarmUpBudget keeps a cold host from being pushed over by all routers together: each sends its part of what the
 // rule allows, by what hosts get now. Where that is below one send, tasks go by chance, so often that all
 // routers' sums keep to it however uneven they are: turns by rank left the work of one router in a hundred.
-func (r *Router) withinWarmUpBudget(h *Host) bool {
+func (r *Router) withinWarmUpBudget(host *Host) bool {
 	const part = 0.5            // of the budget; the rest is for uneven routers, heavy tasks and bursts
 	const flowOver = 4 * Second // long enough to even out bursts
-	if r.isWarm(h) {
+	if r.isWarm(host) {
 		return true
 	}
-	budget := part * r.limits.ColdOverloadFactor * r.capacityFactor(h) * float64(r.limits.ColdOverloadWindow) * r.baselineAttemptRate(flowOver)
-	if countSince(h.attempts, r.now-r.limits.ColdOverloadWindow, nil)+1 > max(1, budget) {
+	budget := part * r.limits.ColdOverloadFactor * r.capacityFactor(host) * float64(r.limits.ColdOverloadWindow) * r.baselineAttemptRate(flowOver)
+	if countSince(host.attempts, r.now-r.limits.ColdOverloadWindow, nil)+1 > max(1, budget) {
 		return false
 	}
 	due := countSince(r.arrivals, r.now-flowOver, nil) * float64(r.limits.ColdOverloadWindow) / float64(flowOver) *
-		r.capacity(h) / max(r.capacity(h), r.baselineCapacity()) // on trial too, where shares are those of earlier hosts
+		r.capacity(host) / max(r.capacity(host), r.baselineCapacity()) // on trial too, where shares are those of earlier hosts
 	return due <= budget || float64(r.randomN(1000)) < 1000*budget/due
 }
 
@@ -108,9 +108,9 @@
 // hostLoad is how many tasks a host seems to have in hand: what it reported, with what was sent since, which
 // fades into what hosts hold on average; else this router's own open sends as a share of everyone's. A
 // reported rate is no help: it calls all routers at once.
-func (r *Router) hostLoad(h *Host) float64 {
+func (r *Router) hostLoad(host *Host) float64 {
 	const fades = Second // about what it takes a queue to become another
-	own := float64(len(h.inFlight))
+	own := float64(len(host.inFlight))
 	if len(r.reportedLoads) == 0 && r.statsOutweighOwn() {
 		return r.countedLoad + own // a router's own few, times their number, would be a host's load now and nothing then
 	}
@@ -118,9 +118,9 @@
 		return own * float64(r.routers)
 	}
 	usual := recentMean(r.reportedLoads) + own
-	if l := h.load; l != nil && l.ActiveRequests >= 0 {
-		fresh := math.Exp(-float64(r.now-h.loadAt) / float64(fades))
-		return max(own, usual+(l.ActiveRequests+countSince(h.attempts, h.loadAt-1, nil)-usual)*fresh)
+	if l := host.load; l != nil && l.ActiveRequests >= 0 {
+		fresh := math.Exp(-float64(r.now-host.loadAt) / float64(fades))
+		return max(own, usual+(l.ActiveRequests+countSince(host.attempts, host.loadAt-1, nil)-usual)*fresh)
 	}
 	return usual
 }
@@ -130,24 +130,24 @@
 // miss costs windows, classes and tails beyond its earnings. Most of a large fleet was heard of long ago, so
 // some that reported just now, to this router alone, are drawn too. While many hosts take no connections, as
 // after deaths that no list tells or where these are scarce, only links that work are used.
-func (r *Router) pickHost(t *Request, fits func(*Host) bool) (best *Host) {
+func (r *Router) pickHost(request *Request, fits func(*Host) bool) (best *Host) {
 	const doubt, old = 8, 10 * Second // few sends prove little, and hosts change
 	const lately, more = Second, 3    // as long as a report says much; few, lest one host draws all
 	const barred, last = 0.2, 20      // of the last sends: more than a few hosts refuse
-	here, there := r.splitByLocality(func(h *Host) bool { return fits(h) && r.isEligible(t, h) })
+	here, there := r.splitByLocality(func(host *Host) bool { return fits(host) && r.isEligible(request, host) })
 	if r.mergesZones() {
 		here, there = append(here, there...), nil
 		r.localHosts = here // so that what it grew to is kept
 	}
-	busy := func(h *Host) float64 { return r.hostSlowdown(h, doubt, old) * (1 + r.hostLoad(h)) }
+	busy := func(host *Host) float64 { return r.hostSlowdown(host, doubt, old) * (1 + r.hostLoad(host)) }
 	scarce := r.endedShare(last, func(x trafficEvent) bool { return x.outcome == ConnectFailed }) > barred
 	draw := func(from []*Host) (best *Host) {
 		known := r.recentlyConnected(from, r.now-lately)
 		try := func(n int, from []*Host) {
 			w := r.drawWeights(from)
 			for range min(n, len(from)) {
-				if h := r.drawHost(from, w, best == nil); best == nil || busy(h) < busy(best) {
-					best = h
+				if host := r.drawHost(from, w, best == nil); best == nil || busy(host) < busy(best) {
+					best = host
 				}
 			}
 		}
@@ -164,10 +164,10 @@
 		return a // the way is poor: what may be lost there costs more than a wait
 	}
 	price := r.limits.CrossZonePrice * float64(25+r.randomN(50)) / 100 // in a band, lest all cross at once
-	if a != nil && b != nil && r.planCrosses() && r.missProbability(t, remoteZones)-r.missProbability(t, localZone) <= price {
+	if a != nil && b != nil && r.planCrosses() && r.missProbability(request, remoteZones)-r.missProbability(request, localZone) <= price {
 		return b // as planned, as it is not much worse
 	}
-	if a == nil || b != nil && r.missProbability(t, localZone)-r.missProbability(t, remoteZones) > price {
+	if a == nil || b != nil && r.missProbability(request, localZone)-r.missProbability(request, remoteZones) > price {
 		return b
 	}
 	return a
@@ -197,7 +197,7 @@
 // drawHost draws a host by the shares that are due, or the first of a draw by the parts of a plan that holds. The
 // other stays drawn so, that a plan that has become wrong is corrected by how busy the two are.
 func (r *Router) drawHost(from []*Host, due []float64, first bool) *Host {
-	if first && r.now < r.plan.Until && slices.ContainsFunc(from, func(h *Host) bool { return h.planWeight > 0 }) {
+	if first && r.now < r.plan.Until && slices.ContainsFunc(from, func(host *Host) bool { return host.planWeight > 0 }) {
 		due = r.hostPlanWeights(from)
 	}
 	return r.drawWeighted(from, due)
@@ -209,9 +209,9 @@
 func (r *Router) drawWeights(from []*Host) []float64 {
 	const doubt = 4 // usual sends
 	r.weights = r.weights[:0]
-	for _, h := range from {
-		w := h.peerHealth(r.now, firstHandWeight, secondHandWeight)
-		r.weights = append(r.weights, r.capacity(h)/max(1, (doubt+w.slowdown)/(doubt+w.attempts)))
+	for _, host := range from {
+		w := host.peerHealth(r.now, firstHandWeight, secondHandWeight)
+		r.weights = append(r.weights, r.capacity(host)/max(1, (doubt+w.slowdown)/(doubt+w.attempts)))
 	}
 	return r.weights
 }
@@ -222,40 +222,40 @@
 }
 
 // isEligible keeps repeats among the hosts that drop them, and off hosts that the task has already tried.
-func (r *Router) isEligible(t *Request, h *Host) bool {
+func (r *Router) isEligible(request *Request, host *Host) bool {
 	const edge = Second / 20 // of a group's memory: the way to the host counts too
-	if slices.ContainsFunc(t.Attempts, func(s *Attempt) bool { return s.Host == h }) || !r.withinWarmUpBudget(h) ||
-		h.health == backingOff && r.now < h.backoffUntil {
+	if slices.ContainsFunc(request.Attempts, func(attempt *Attempt) bool { return attempt.Host == host }) || !r.withinWarmUpBudget(host) ||
+		host.health == backingOff && r.now < host.backoffUntil {
 		return false
 	}
-	x, c := t.firstAmbiguous, t.Class
+	x, class := request.firstAmbiguous, request.Class
 	switch {
-	case x == nil || c.Idempotency == Idempotent:
+	case x == nil || class.Idempotency == Idempotent:
 		return true
-	case c.Idempotency == NonIdempotent || r.now-x.sentAt > c.DedupWindow-edge:
+	case class.Idempotency == NonIdempotent || r.now-x.sentAt > class.DedupWindow-edge:
 		return false
 	}
-	here := h.Zone == x.Host.Zone && (c.DedupScope == ZoneScope || h.Cell == x.Host.Cell)
-	return here || c.DedupScope == FleetScope
+	here := host.Zone == x.Host.Zone && (class.DedupScope == ZoneScope || host.Cell == x.Host.Cell)
+	return here || class.DedupScope == FleetScope
 }
 
 // pickBaseline picks a host for the ordinary way: of the newest build that is not on trial, else of an older one,
 // else whatever the rule on exposure allows. Keys stay with the build that answered them where that is told.
-func (r *Router) pickBaseline(t *Request) *Host {
+func (r *Router) pickBaseline(request *Request) *Host {
 	sticks, m := 0, r.snapshot()
-	if t.Key != "" && r.releaseConfig.StickyKeys && (r.releaseStatus.Phase == Canary || r.releaseStatus.Phase == Released) {
-		sticks = r.stickyBuilds[t.Key]
+	if request.Key != "" && r.releaseConfig.StickyKeys && (r.releaseStatus.Phase == Canary || r.releaseStatus.Phase == Released) {
+		sticks = r.stickyBuilds[request.Key]
 	}
 	level, newest := 0, m.newestBaseline
 	if 3*m.newestBaselineHosts < m.baselineHosts {
 		level = 1 // too few to carry all, as when a list that is down has not told of the rest
 	}
 	for ; level < 3; level++ {
-		if h := r.pickHost(t, func(h *Host) bool {
-			return h.Build >= sticks && (level == 2 && r.withinExposure(h.Build, t.Class) ||
-				level < 2 && r.isBaseline(h) && h.health != ejected && (level == 1 || h.Build == newest))
-		}); h != nil {
-			return h
+		if host := r.pickHost(request, func(host *Host) bool {
+			return host.Build >= sticks && (level == 2 && r.withinExposure(host.Build, request.Class) ||
+				level < 2 && r.isBaseline(host) && host.health != ejected && (level == 1 || host.Build == newest))
+		}); host != nil {
+			return host
 		}
 	}
 	return nil
@@ -263,7 +263,7 @@
 
 // pickEjected picks a sick host whose turn for a trickle has come; only repeatable tasks go there. Where peers
 // tell what they meet, the trickle is that of all routers, or hundreds of them would keep a sick host busy.
-func (r *Router) pickEjected(t *Request) *Host {
+func (r *Router) pickEjected(request *Request) *Host {
 	const wait, all = Second, 4.0 // slow enough to cost little, fast enough to find a recovery; of all, in it
 	few := all * float64(r.snapshot().ejected) / float64(r.routers)
 	if r.snapshot().ejected == 0 || r.limits.MaxGossipBytes > 0 &&
@@ -271,9 +271,9 @@
 		r.draws++ // as pick does for whatever it finds
 		return nil
 	}
-	return r.pickHost(t, func(h *Host) bool {
-		return h.health == ejected && t.Class.Idempotency == Idempotent && r.isBaseline(h) &&
-			len(h.inFlight) == 0 && countSince(h.attempts, r.now-wait, nil) == 0
+	return r.pickHost(request, func(host *Host) bool {
+		return host.health == ejected && request.Class.Idempotency == Idempotent && r.isBaseline(host) &&
+			len(host.inFlight) == 0 && countSince(host.attempts, r.now-wait, nil) == 0
 	})
 }
 
@@ -282,28 +282,28 @@
 // release, and what a good build serves early is worth its delay. Categories with an effect follow after
 // the first stages, a few until they have been judged, and then all whose likely harm costs less than the
 // delay of the rest.
-func (r *Router) pickCanary(t *Request) *Host {
+func (r *Router) pickCanary(request *Request) *Host {
 	const taste = 0.25                          // of what earlier hosts get, effects not yet judged
 	const cleared, guilty, fails = 0.1, 10, 0.3 // odds; what a bad build fails of a category, more or less
 	const lately, least, all = 2 * Second, 2, 8 // a while, copies in it of each router at the least, and of all
-	n, c := r.releaseStatus, t.Class
+	n, class := r.releaseStatus, request.Class
 	alone := r.vote.choice == Rollback && r.releaseConfig.RollbackQuorum <= 1 // others may not agree, and more copies change a mind
-	if !r.releaseKnown || n.Phase != Canary || alone || r.shadowsPaused() || !r.withinExposure(n.Build, c) {
+	if !r.releaseKnown || n.Phase != Canary || alone || r.shadowsPaused() || !r.withinExposure(n.Build, class) {
 		return nil
 	}
 	both := r.mergesZones()
-	by := func(h *Host) bool { return both || r.localityOf(h) == localZone }
-	here := func(h *Host) bool { return r.runsNewestBuild(h) && by(h) }
+	by := func(host *Host) bool { return both || r.localityOf(host) == localZone }
+	here := func(host *Host) bool { return r.runsNewestBuild(host) && by(host) }
 	on := here
-	if well := func(h *Host) bool { return here(h) && h.health != ejected }; r.statsOutweighOwn() && r.countHosts(well) > 0 {
+	if well := func(host *Host) bool { return here(host) && host.health != ejected }; r.statsOutweighOwn() && r.countHosts(well) > 0 {
 		on = well // the desk tells no host from a build: a sick one's failures would be the build's
 	}
 	// Where others cross, those nearby alone say little of what a host gets.
-	peer := func(h *Host) bool { return r.isBaseline(h) && (by(h) || r.crossesCheaply()) }
+	peer := func(host *Host) bool { return r.isBaseline(host) && (by(host) || r.crossesCheaply()) }
 	each := countSince(r.arrivals, r.now-lately, nil) / max(1, r.totalCapacity(peer))
 	due := max(min(least, all/float64(r.routers)), each*r.totalCapacity(on))
-	if c.Idempotency != Idempotent && r.releaseConfig.HarmPrice*fails*c.failureOdds >= r.releaseConfig.DelayPrice {
-		if c.failureOdds < cleared || c.failureOdds > guilty || float64(r.randomN(1000)) >= 1000*taste {
+	if class.Idempotency != Idempotent && r.releaseConfig.HarmPrice*fails*class.failureOdds >= r.releaseConfig.DelayPrice {
+		if class.failureOdds < cleared || class.failureOdds > guilty || float64(r.randomN(1000)) >= 1000*taste {
 			return nil
 		}
 	}
@@ -312,13 +312,13 @@
 	} else { // less than a router can count: by chance, lest all of them send at once
 		due = due/max(1, countSince(r.arrivals, r.now-lately, nil)) - float64(r.randomN(1000))/1000
 	}
-	if due < 0 || c.Idempotency != Idempotent && n.Stage == 0 {
+	if due < 0 || class.Idempotency != Idempotent && n.Stage == 0 {
 		return nil
 	}
-	most := r.typicalLoad() + 1               // tasks: a line that copies make is no build's fault
-	return r.pickHost(t, func(h *Host) bool { // a sick one is judged too, but not at the cost of an effect
-		return on(h) && (h.health != ejected || c.Idempotency == Idempotent) && r.hostLoad(h) <= most &&
-			countSince(h.attempts, r.now-lately, nil) < max(1, each*r.capacity(h)) // not what others are too cold for
+	most := r.typicalLoad() + 1                        // tasks: a line that copies make is no build's fault
+	return r.pickHost(request, func(host *Host) bool { // a sick one is judged too, but not at the cost of an effect
+		return on(host) && (host.health != ejected || class.Idempotency == Idempotent) && r.hostLoad(host) <= most &&
+			countSince(host.attempts, r.now-lately, nil) < max(1, each*r.capacity(host)) // not what others are too cold for
 	})
 }
 
@@ -338,27 +338,27 @@
 }
 
 // dispatch sends a new task on its ordinary way: to the earlier build, with a copy or a lone copy on trial.
-func (r *Router) dispatch(t *Request) {
-	h := r.pickCanary(t)
-	if h != nil && t.Class.Idempotency == Idempotent && r.limits.AllowHedging {
-		if first := r.pickBaseline(t); first != nil && r.isBaseline(first) { // else both would go to the build on trial
-			r.send(t, first, primaryAttempt)
+func (r *Router) dispatch(request *Request) {
+	host := r.pickCanary(request)
+	if host != nil && request.Class.Idempotency == Idempotent && r.limits.AllowHedging {
+		if first := r.pickBaseline(request); first != nil && r.isBaseline(first) { // else both would go to the build on trial
+			r.send(request, first, primaryAttempt)
 		}
-		r.send(t, h, shadowAttempt)
+		r.send(request, host, shadowAttempt)
 		return
 	}
-	if h == nil {
-		h = r.pickEjected(t)
+	if host == nil {
+		host = r.pickEjected(request)
 	}
-	if h != nil {
-		r.send(t, h, shadowFirstAttempt)
+	if host != nil {
+		r.send(request, host, shadowFirstAttempt)
 		return
 	}
-	if h = r.pickBaseline(t); h == nil || r.shedsLoad(t, h) {
-		r.giveUp(t)
+	if host = r.pickBaseline(request); host == nil || r.shedsLoad(request, host) {
+		r.giveUp(request)
 		return
 	}
-	r.send(t, h, primaryAttempt)
+	r.send(request, host, primaryAttempt)
 }
 
 // expectedSlowdown is how often longer than usual the hosts nearby or the rest take to answer: what is out at those that
@@ -384,150 +384,150 @@
 
 // shedsLoad turns a task back early when the hosts around the one chosen would answer it too late. The less a
 // task earns for its time, the sooner, and sooner yet beyond its customer's share.
-func (r *Router) shedsLoad(t *Request, h *Host) bool {
+func (r *Router) shedsLoad(request *Request, host *Host) bool {
 	const high, low, beyond = 1.0, 0.8, 0.5 // of the promised time: the tail is longer than the mean
 	const last, firm, least = 30, 1.0, 0.4  // of the last answers: as many as come late, the sooner
 	const begin, end = 0.4, 0.8             // of the limit: what all know alike not all must do at once
 	limit, better := high, 0
-	for _, c := range r.classes {
-		if c.PriorityWeight*float64(t.Class.usualLatency) > t.Class.PriorityWeight*float64(c.usualLatency) {
+	for _, class := range r.classes {
+		if class.PriorityWeight*float64(request.Class.usualLatency) > request.Class.PriorityWeight*float64(class.usualLatency) {
 			better++
 		}
 	}
 	if 2*better >= len(r.classes) {
 		limit = low
 	}
-	if c := t.Tenant; c != nil && countSince(c.arrivals, r.now-2*Second, nil) > 2.4*c.QuotaPerSecond/float64(r.routers) {
+	if c := request.Tenant; c != nil && countSince(c.arrivals, r.now-2*Second, nil) > 2.4*c.QuotaPerSecond/float64(r.routers) {
 		limit *= beyond
 	}
-	limit *= max(least, 1-firm*r.lateShare(t.Class, last))
-	limit *= float64(min(t.Class.LatencyObjective, t.Timeout))
+	limit *= max(least, 1-firm*r.lateShare(request.Class, last))
+	limit *= float64(min(request.Class.LatencyObjective, request.Timeout))
 	if r.limits.MaxGossipBytes == 0 {
-		return r.expectedSlowdown(r.localityOf(h))*float64(t.Class.usualLatency) > limit
+		return r.expectedSlowdown(r.localityOf(host))*float64(request.Class.usualLatency) > limit
 	}
-	took := r.expectedClassSlowdown(t.Class) * float64(t.Class.usualLatency)
+	took := r.expectedClassSlowdown(request.Class) * float64(request.Class.usualLatency)
 	return float64(r.randomN(1000)) < 1000*(took/limit-begin)/(end-begin)
 }
 
 // expectedClassSlowdown is the jam of one category, as this router and its peers see it together: one alone of hundreds
 // holds a send or none, and a category that waits by itself at all hosts is no jam of the others.
-func (r *Router) expectedClassSlowdown(c *Class) float64 {
+func (r *Router) expectedClassSlowdown(class *Class) float64 {
 	const few, luck, lag = 10, 0.5, 3.0 // usual answers to lean on; as in a jam seen alone
 	out, hosts := 0.0, float64(r.snapshot().healthy[localZone]+r.snapshot().healthy[remoteZones])
 	r.countInFlight()
-	for _, x := range r.classes {
-		out += float64(x.inFlight) + x.peerStats.decayedTo(r.now).inFlight
+	for _, other := range r.classes {
+		out += float64(other.inFlight) + other.peerStats.decayedTo(r.now).inFlight
 	}
 	if out*float64(r.routers)/(1+r.activePeers*decayFactor(r.now-r.lastGossipAt)) <= hosts {
 		return 0
 	}
-	own, told, lean := c.ownStats.decayedTo(r.now), c.peerStats.decayedTo(r.now), few*float64(c.usualLatency)
+	own, told, lean := class.ownStats.decayedTo(r.now), class.peerStats.decayedTo(r.now), few*float64(class.usualLatency)
 	work, took := own.usualLatency+told.usualLatency+lean, own.latency+told.latency+lean
-	out = float64(c.inFlight) + told.inFlight
+	out = float64(class.inFlight) + told.inFlight
 	out = max(0, out-luck*math.Sqrt(out))
 	return min((out*float64(decayTime)+lean)/work, lag*took/work)
 }
 
-func (r *Router) send(t *Request, h *Host, how attemptRole) {
-	s := r.startAttempt(t, h, how)
-	within, slowest := t.arrivedAt+t.Timeout-r.now, t.Class.LatencyObjective/2
-	if len(t.Class.latencies) >= 40 { // fewer show no tail
-		slowest = upperQuantile(t.Class.latencies, 0.05)
+func (r *Router) send(request *Request, host *Host, role attemptRole) {
+	attempt := r.startAttempt(request, host, role)
+	within, slowest := request.arrivedAt+request.Timeout-r.now, request.Class.LatencyObjective/2
+	if len(request.Class.latencies) >= 40 { // fewer show no tail
+		slowest = upperQuantile(request.Class.latencies, 0.05)
 	}
-	lingersAt := max(slowest*3/2, t.Class.usualLatency*2) // beyond 19 in 20, with some slack
-	s.shadowTimeout = min(within, Time(float64(max(lingersAt, t.Class.LatencyObjective/3))/r.capacityFactor(h)))
+	lingersAt := max(slowest*3/2, request.Class.usualLatency*2) // beyond 19 in 20, with some slack
+	attempt.shadowTimeout = min(within, Time(float64(max(lingersAt, request.Class.LatencyObjective/3))/r.capacityFactor(host)))
 	switch {
-	case !t.Class.repeatsSafely():
-	case r.limits.AllowHedging && how != shadowAttempt:
-		r.effects.SetTimer(lingersAt, &Timer{attempt: s})
-	case r.limits.AllowHedging || len(t.Attempts) >= r.limits.MaxAttempts:
-	case how == shadowFirstAttempt: // it leaves its original the time to answer; a cold host is slow
-		within = s.shadowTimeout
-	case t.arrivedAt+t.Class.LatencyObjective-r.now-t.Class.usualLatency > lingersAt && r.retryBudgetAllows(t.Class):
+	case !request.Class.repeatsSafely():
+	case r.limits.AllowHedging && role != shadowAttempt:
+		r.effects.SetTimer(lingersAt, &Timer{attempt: attempt})
+	case r.limits.AllowHedging || len(request.Attempts) >= r.limits.MaxAttempts:
+	case role == shadowFirstAttempt: // it leaves its original the time to answer; a cold host is slow
+		within = attempt.shadowTimeout
+	case request.arrivedAt+request.Class.LatencyObjective-r.now-request.Class.usualLatency > lingersAt && r.retryBudgetAllows(request.Class):
 		within = min(within, lingersAt)
 	}
-	r.effects.Send(s, within)
+	r.effects.Send(attempt, within)
 }
 
 // retryBudgetAllows tells whether the budget has room for a further send, so that a slow fleet is not given more work.
 // The few beyond the share are for a fleet of few routers: each of hundreds would add them.
-func (r *Router) retryBudgetAllows(c *Class) bool {
+func (r *Router) retryBudgetAllows(class *Class) bool {
 	const over, few, oneIn = 5 * Second, 4, 8 // one for every eight tasks taken lately, and a few
 	const alone = 4.0                         // routers that each may have them
 	const full = 3                            // times longer than usual: for want of hosts, not by bad luck
 	owed := few*min(1, alone/float64(r.routers)) + countSince(r.arrivals, r.now-over, nil)/oneIn
-	return r.leastExpectedSlowdown(c) < full && countSince(r.retries, r.now-over, nil) < owed
+	return r.leastExpectedSlowdown(class) < full && countSince(r.retries, r.now-over, nil) < owed
 }
 
 // retry sends a task once more where that is allowed, affordable and can still be in time. What follows a lone
 // copy, or a send that this router cut short, no budget holds back: it was asked when that one was sent.
-func (r *Router) retry(t *Request) bool {
-	left := t.arrivedAt + t.Timeout - r.now
-	last := t.Attempts[len(t.Attempts)-1]
+func (r *Router) retry(request *Request) bool {
+	left := request.arrivedAt + request.Timeout - r.now
+	last := request.Attempts[len(request.Attempts)-1]
 	first := last.role == shadowFirstAttempt || last.outcome == TimedOut && !r.limits.AllowHedging // this router cut it short
-	if len(t.Attempts) >= r.limits.MaxAttempts || left <= t.Class.usualLatency/2 || !first && !r.retryBudgetAllows(t.Class) {
+	if len(request.Attempts) >= r.limits.MaxAttempts || left <= request.Class.usualLatency/2 || !first && !r.retryBudgetAllows(request.Class) {
 		return false
 	}
-	h := r.pickBaseline(t)
-	if h == nil {
+	host := r.pickBaseline(request)
+	if host == nil {
 		return false
 	}
 	if last.role != shadowFirstAttempt {
-		r.retries = appendBounded(r.retries, trafficEvent{at: r.now, class: t.Class}, 2048)
+		r.retries = appendBounded(r.retries, trafficEvent{at: r.now, class: request.Class}, 2048)
 	}
-	r.send(t, h, retryAttempt)
+	r.send(request, host, retryAttempt)
 	return true
 }
 
 // continueAfterFailure answers a failed send: with a further one, with waiting for one still out, or with the final answer.
-func (r *Router) continueAfterFailure(t *Request) {
-	out := func(s *Attempt) bool { return s.outcome == Pending }
-	main := func(s *Attempt) bool { return s.outcome == Pending && s.role != shadowAttempt }
-	if !slices.ContainsFunc(t.Attempts, main) && !r.retry(t) && !slices.ContainsFunc(t.Attempts, out) {
-		r.giveUp(t)
+func (r *Router) continueAfterFailure(request *Request) {
+	out := func(attempt *Attempt) bool { return attempt.outcome == Pending }
+	main := func(attempt *Attempt) bool { return attempt.outcome == Pending && attempt.role != shadowAttempt }
+	if !slices.ContainsFunc(request.Attempts, main) && !r.retry(request) && !slices.ContainsFunc(request.Attempts, out) {
+		r.giveUp(request)
 	}
 }
 
 // hedge sends a second copy of a task that takes unusually long.
-func (r *Router) hedge(t *Request) {
-	if t.firstAmbiguous == nil {
-		t.firstAmbiguous = t.Attempts[0] // still out, it may have run
+func (r *Router) hedge(request *Request) {
+	if request.firstAmbiguous == nil {
+		request.firstAmbiguous = request.Attempts[0] // still out, it may have run
 	}
-	r.retry(t)
+	r.retry(request)
 }
 
 func (r *Router) ignoreEvent(*Request) {} // the answer is given; copies still out are only evidence
 
 // giveUp gives the final answer, at once: turned back where trying again is known to be harmless.
-func (r *Router) giveUp(t *Request) {
-	t.state = finished
-	if t.firstAmbiguous != nil && !t.Class.repeatsSafely() {
-		r.effects.Fail(t)
+func (r *Router) giveUp(request *Request) {
+	request.state = finished
+	if request.firstAmbiguous != nil && !request.Class.repeatsSafely() {
+		r.effects.Fail(request)
 		return
 	}
-	r.effects.Reject(t, min(r.limits.MaxRetryAfter, Second/2)) // a short jam is over by then
+	r.effects.Reject(request, min(r.limits.MaxRetryAfter, Second/2)) // a short jam is over by then
 }
 
 // AttemptEnded says how a send ended, how long it took, whether its task is over, and what the host reported.
-func (r *Router) AttemptEnded(now Time, s *Attempt, fate Outcome, took Time, done bool, load *LoadReport) {
-	t := s.Request
+func (r *Router) AttemptEnded(now Time, attempt *Attempt, outcome Outcome, latency Time, done bool, load *LoadReport) {
+	request := attempt.Request
 	r.now = now
-	r.finishAttempt(s, fate, load)
-	r.recordOutcome(s, took)
-	in := attemptMayHaveExecuted
+	r.finishAttempt(attempt, outcome, load)
+	r.recordOutcome(attempt, latency)
+	event := attemptMayHaveExecuted
 	switch {
-	case done || fate == Succeeded:
-		in = requestEnded
-	case fate == Rejected || fate == ConnectFailed || fate == NotSent:
-		in = attemptNotExecuted
-	case t.firstAmbiguous == nil || s.sentAt < t.firstAmbiguous.sentAt:
-		t.firstAmbiguous = s
+	case done || outcome == Succeeded:
+		event = requestEnded
+	case outcome == Rejected || outcome == ConnectFailed || outcome == NotSent:
+		event = attemptNotExecuted
+	case request.firstAmbiguous == nil || attempt.sentAt < request.firstAmbiguous.sentAt:
+		request.firstAmbiguous = attempt
 	}
 	both := r.releaseStatus.Phase == Canary || r.snapshot().newestBaselineHosts < r.snapshot().baselineHosts // builds a key could go between
-	if fate == Succeeded && r.releaseConfig.StickyKeys && t.Key != "" && s.build >= r.releaseStatus.Build && both {
-		r.stickyBuilds[t.Key] = s.build
+	if outcome == Succeeded && r.releaseConfig.StickyKeys && request.Key != "" && attempt.build >= r.releaseStatus.Build && both {
+		r.stickyBuilds[request.Key] = attempt.build
 	}
-	r.handleRequestEvent(t, in)
+	r.handleRequestEvent(request, event)
 }
 
 // ---- Health ----
@@ -543,37 +543,37 @@
 }
 
 // recordOutcome keeps what a send showed, of its host, its category and its build, and reviews the host's health.
-func (r *Router) recordOutcome(s *Attempt, took Time) {
-	h, c := s.Host, s.Request.Class
-	if s.outcome == NotSent || s.outcome == Canceled || s.hostStartedAt != h.StartedAt || s.build != h.Build {
+func (r *Router) recordOutcome(attempt *Attempt, latency Time) {
+	host, class := attempt.Host, attempt.Request.Class
+	if attempt.outcome == NotSent || attempt.outcome == Canceled || attempt.hostStartedAt != host.StartedAt || attempt.build != host.Build {
 		return
 	}
-	x := r.newSample(s, took)
-	r.learnUsualLatency(c, s, x)
-	if h.samples = append(h.samples, x); len(h.samples) > 8 { // enough to tell a slow host, few to forget one
-		h.samples = h.samples[1:]
+	x := r.newSample(attempt, latency)
+	r.learnUsualLatency(class, attempt, x)
+	if host.samples = append(host.samples, x); len(host.samples) > 8 { // enough to tell a slow host, few to forget one
+		host.samples = host.samples[1:]
 	}
-	in := hostUnchanged
+	event := hostUnchanged
 	switch {
-	case s.outcome == Rejected || s.outcome == ConnectFailed:
-		in = hostRefused
-	case h.health == ejected: // two good answers in a row, whatever came before
-		if n := len(h.samples); x.ok() && n > 1 && h.samples[n-2].ok() {
-			in = hostRecovered
+	case attempt.outcome == Rejected || attempt.outcome == ConnectFailed:
+		event = hostRefused
+	case host.health == ejected: // two good answers in a row, whatever came before
+		if n := len(host.samples); x.ok() && n > 1 && host.samples[n-2].ok() {
+			event = hostRecovered
 		}
-	case r.isFailing(h):
-		in = hostFailing
+	case r.isFailing(host):
+		event = hostFailing
 	case x.ok():
-		in = hostRecovered
+		event = hostRecovered
 	}
-	if on, _, _ := r.exposureOf(s.build); in != hostRefused && (s.IsShadow() || !on) { // who had nowhere else is no copy
-		if !s.IsShadow() && !r.limits.AllowHedging && c.repeatsSafely() && took > s.shadowTimeout { // a copy would have been cut
+	if on, _, _ := r.exposureOf(attempt.build); event != hostRefused && (attempt.IsShadow() || !on) { // who had nowhere else is no copy
+		if !attempt.IsShadow() && !r.limits.AllowHedging && class.repeatsSafely() && latency > attempt.shadowTimeout { // a copy would have been cut
 			x.outcome = TimedOut
 		}
-		b := r.window(s.build)
+		b := r.window(attempt.build)
 		b.samples = appendBounded(b.samples, x, 1500) // a trial's worth, or some ten seconds of a busy router's sends
 	}
-	r.transitionHealth(h, in)
+	r.transitionHealth(host, event)
 }
 
 const stuckFactor = 4 // usual times of a host that holds as much, after which a send seems stuck
@@ -585,18 +585,18 @@
 func (r *Router) reviewHealth() {
 	const few, trace = 3, 0.3 // sends; of a bad send
 	const told = 6 * Second   // as the platform has it: what a list would have told counts by then
-	hung := func(h *Host) bool { return h.health == healthy && h.stuckAttempts(r.now, stuckFactor) >= few }
-	blame := 2*r.countHosts(hung) < r.countHosts(func(h *Host) bool { return h.health == healthy })
+	hung := func(host *Host) bool { return host.health == healthy && host.stuckAttempts(r.now, stuckFactor) >= few }
+	blame := 2*r.countHosts(hung) < r.countHosts(func(host *Host) bool { return host.health == healthy })
 	lost := r.failedPolls > 0 && r.now-r.releasedAt > told // where no later host is known there is none to send to
-	for _, h := range r.hosts {
+	for _, host := range r.hosts {
 		switch {
-		case lost && h.Build < r.releasedBuild && h.State == Serving:
-			h.State, h.leftAt, r.fleet.valid = Draining, r.now, false
-		case blame && hung(h):
-			r.transitionHealth(h, hostFailing)
-		case h.health == ejected && r.limits.MaxGossipBytes > 0 &&
-			h.healthByHops[0].decayedTo(r.now).failures+h.peerHealth(r.now, firstHandWeight, secondHandWeight).failures < trace:
-			r.transitionHealth(h, hostRecovered)
+		case lost && host.Build < r.releasedBuild && host.State == Serving:
+			host.State, host.leftAt, r.fleet.valid = Draining, r.now, false
+		case blame && hung(host):
+			r.transitionHealth(host, hostFailing)
+		case host.health == ejected && r.limits.MaxGossipBytes > 0 &&
+			host.healthByHops[0].decayedTo(r.now).failures+host.peerHealth(r.now, firstHandWeight, secondHandWeight).failures < trace:
+			r.transitionHealth(host, hostRecovered)
 		}
 	}
 }
@@ -606,13 +606,13 @@
 
 // isFailing compares a host's last sends with its peers of the same build: it must fail or drag far more than
 // they do, so that neither a bad build nor a slow fleet empties the list.
-func (r *Router) isFailing(h *Host) bool {
+func (r *Router) isFailing(host *Host) bool {
 	const gap, drag, least = 0.35, 3.0, 6 // about three of the last eight; three times as slow as its peers
-	share, strain := r.faultScore(h, least)
+	share, strain := r.faultScore(host, least)
 	if share <= gap && strain <= drag { // whatever its peers do
 		return false
 	}
-	shares, strains := r.peerFaultScores(h, least)
+	shares, strains := r.peerFaultScores(host, least)
 	return len(shares) > 1 && (share > gap+2*upperQuantile(shares, 0.5) || strain > drag*max(1, upperQuantile(strains, 0.5)))
 }
 
@@ -761,7 +761,7 @@
 // evidence is the evidence that the newest build is bad, in odds; 1 is none. Copies are judged against the
 // sends at the build before it: failures over all and by category, the desk's counts, slowness, complaints.
 // The mean is what a vote back needs; what may still be wrong, test by test, is what a release needs to know.
-func (r *Router) evidence() (mean float64, doubts []float64) {
+func (r *Router) evidence() (mean float64, testOdds []float64) {
 	const floor, worst, stray = 0.01, 0.25, 1                  // least usual failures; hosts left out
 	const while, kin = 2 * Second, 5.0                         // one time; originals that the rest weigh
 	const twice, lasting, begins = 0.4, 8 * Second, 5 * Second // log of it; so long, so soon after a release
@@ -782,18 +782,18 @@
 	counts := r.comparableStats(now.build, before.build)
 	sum, shares := 0.0, 0.0
 	add := func(share, guilt, doubt float64) {
-		sum, shares, doubts = sum+share*guilt, shares+share, append(doubts, doubt)
+		sum, shares, testOdds = sum+share*guilt, shares+share, append(testOdds, doubt)
 	}
-	test := func(share float64, cats []*Class, gaps ...float64) (doubt float64) {
+	test := func(share float64, classes []*Class, gaps ...float64) (doubt float64) {
 		weigh := func(but float64) float64 {
 			var parts []stratum
 			most := 0
-			for _, c := range cats { // each against its own originals: the mix may change
-				is := func(s attemptSample) bool { return s.class == c && fair(s) }
+			for _, class := range classes { // each against its own originals: the mix may change
+				is := func(s attemptSample) bool { return s.class == class && fair(s) }
 				some, hosts := strataByTime(fresh, peers, is, but, stray, while, kin)
 				if r.judgesByStats() { // which does not tell hosts apart: this router's own copies do
-					some, hosts = strataByPeriod(counts[0], counts[1], c, kin), hosts+1
-					some = withRateFloor(some, r.pretrialFailureRate(before, c, floor, kin)) // a trial leaves earlier hosts idle
+					some, hosts = strataByPeriod(counts[0], counts[1], class, kin), hosts+1
+					some = withRateFloor(some, r.pretrialFailureRate(before, class, floor, kin)) // a trial leaves earlier hosts idle
 				}
 				parts, most = append(parts, some...), max(most, hosts)
 			}
@@ -808,10 +808,10 @@
 		small, large, whole, apart = 0.3, 0.5, 0.5, 0.16 // and a jam after the release is not the build's
 	}
 	test(1, r.classes, small, large, 0.6)
-	for _, c := range r.classes {
-		c.failureOdds = test(1/float64(len(r.classes)), []*Class{c}, whole, 0.7)
-		if r.releaseConfig.SampledShare > 0 && !r.judgesByStats() && c.Idempotency != Idempotent { // not told by host: far beyond one sick one
-			o := r.countedFailureEvidence(c, now.build, before.build, 4, 0.1, 0.25, 0.6)
+	for _, class := range r.classes {
+		class.failureOdds = test(1/float64(len(r.classes)), []*Class{class}, whole, 0.7)
+		if r.releaseConfig.SampledShare > 0 && !r.judgesByStats() && class.Idempotency != Idempotent { // not told by host: far beyond one sick one
+			o := r.countedFailureEvidence(class, now.build, before.build, 4, 0.1, 0.25, 0.6)
 			add(1/float64(len(r.classes)), o, o)
 		}
 	}
@@ -847,7 +847,7 @@
 		o := failureEvidence(withRateFloor([]stratum{x}, 0.003), 0.01, 0.04) // now and then a client errs
 		add(1, o, o)
 	}
-	return sum / shares, doubts
+	return sum / shares, testOdds
 }
 
 // ---- Votes ----
@@ -867,14 +867,14 @@
 
 // verdict turns the weight of the evidence into a vote. A move that exposes little needs no proof, as sends
 // at the build stay few; the release does, and as waiting has its price, the demand falls as time goes on.
-func (r *Router) verdict() (voice VoteChoice, w float64, doubts []float64) {
+func (r *Router) verdict() (choice VoteChoice, w float64, testOdds []float64) {
 	const alarm, loud, several = 8.0, 30.0, 2.5 // one good build in so many goes back by chance; one host's odds
 	const doubt, sure = 4.0, 0.3                // on in a stage unless in doubt; release when fairly sure
 	const softer, bear, most = 0.02, 0.5, 8.0   // a second's wait of that, of the worst; while copies go on
 	if !r.releaseKnown || r.releaseStatus.Build == 0 || r.releaseStatus.Phase == RollingBack || r.releaseStatus.Phase == RolledBack {
-		return Abstain, w, doubts
+		return Abstain, w, testOdds
 	}
-	w, doubts = r.evidence()
+	w, testOdds = r.evidence()
 	limit, worst := doubt, math.Inf(1)
 	final := r.releaseStatus.Stage+1 >= len(r.releaseConfig.ExposureCaps)
 	if final {
@@ -888,14 +888,14 @@
 	}
 	switch {
 	case w > max(several, math.Pow(limitBack, evidenceShare(r.releaseConfig.RollbackQuorum))):
-		return Rollback, w, doubts
+		return Rollback, w, testOdds
 	case r.releaseStatus.Phase == Canary && r.releaseConfig.Mode == Timed && w > doubt:
-		return Hold, w, doubts
-	case r.releaseStatus.Phase == Released || r.releaseConfig.Mode == Timed || len(doubts) == 0 || final && r.isUnreadyForRelease():
-	case w < limit && slices.Max(doubts) <= worst:
-		return Promote, w, doubts
+		return Hold, w, testOdds
+	case r.releaseStatus.Phase == Released || r.releaseConfig.Mode == Timed || len(testOdds) == 0 || final && r.isUnreadyForRelease():
+	case w < limit && slices.Max(testOdds) <= worst:
+		return Promote, w, testOdds
 	}
-	return Abstain, w, doubts
+	return Abstain, w, testOdds
 }
 
 // mayVote tells whether it is this router's turn to vote. Where one vote decides, a few at a time do, by rank
@@ -907,16 +907,16 @@
 }
 
 func (r *Router) updateVote() {
-	voice, w, doubts := r.verdict()
+	choice, w, testOdds := r.verdict()
 	if r.vote.state == votePending && r.now-r.vote.castAt > r.releaseConfig.VoteTimeout+Second/2 {
 		r.transitionVote(voteTimedOut, 0, 0, nil)
 	}
-	if !r.mayVote() && (r.vote.state != voteStanding || r.vote.choice != Promote || voice == Promote) {
+	if !r.mayVote() && (r.vote.state != voteStanding || r.vote.choice != Promote || choice == Promote) {
 		return // but what stands is taken back at any time: it would move the build on, whoever's turn it is
 	}
 	const pause = Second // before a vote that did not count is cast again: the desk is not flooded
-	if voice != r.vote.choice && (voice != Abstain || r.vote.state == voteStanding) || voice != Abstain &&
+	if choice != r.vote.choice && (choice != Abstain || r.vote.state == voteStanding) || choice != Abstain &&
 		(r.vote.state == voteIdle && r.now-r.vote.castAt > pause || r.now-r.vote.castAt > r.releaseConfig.VoteTTL*7/10) {
-		r.transitionVote(voteWanted, voice, w, doubts)
+		r.transitionVote(voteWanted, choice, w, testOdds)
 	}
 }
--- a/policy/logic_test.go
+++ b/policy/logic_test.go
@@ -9,11 +9,11 @@
 
 func TestEveryTaskGetsOneAnswerAndNothingAfterIt(t *testing.T) {
 	f, _ := newFakeFleet(t, nil)
-	task := f.arrive(f.quote)
-	f.end(task.Attempts[0], Succeeded, Second/20)
+	request := f.arrive(f.quote)
+	f.end(request.Attempts[0], Succeeded, Second/20)
 	sends := len(f.attempts)
 	f.advance(5 * Second)
-	require.True(t, task.Answered())
+	require.True(t, request.Answered())
 	require.Len(t, f.attempts, sends)
 	require.Empty(t, f.rejected)
 }
@@ -24,27 +24,27 @@
 		list[i].State = Removed
 	}
 	f.router.EndpointsChanged(f.now, list, true)
-	task := f.arrive(f.payment)
-	require.Equal(t, []*Request{task}, f.rejected)
+	request := f.arrive(f.payment)
+	require.Equal(t, []*Request{request}, f.rejected)
 	require.Empty(t, f.attempts)
 }
 
 func TestBindingTaskThatMayHaveRunIsNeitherSentAgainNorTurnedBack(t *testing.T) {
 	f, _ := newFakeFleet(t, nil)
-	task := f.arrive(f.payment)
+	request := f.arrive(f.payment)
 	f.advance(2 * Second) // it lingers, and is not copied either
-	require.Len(t, task.Attempts, 1)
-	f.end(task.Attempts[0], ConnectionLost, 2*Second)
-	require.Equal(t, []*Request{task}, f.failed)
-	require.Len(t, task.Attempts, 1)
+	require.Len(t, request.Attempts, 1)
+	f.end(request.Attempts[0], ConnectionLost, 2*Second)
+	require.Equal(t, []*Request{request}, f.failed)
+	require.Len(t, request.Attempts, 1)
 }
 
 func TestBindingTaskThatNeverRanIsSentAgain(t *testing.T) {
 	f, _ := newFakeFleet(t, nil)
-	task := f.arrive(f.payment)
-	f.end(task.Attempts[0], ConnectFailed, Second/40)
-	require.Len(t, task.Attempts, 2)
-	require.NotSame(t, task.Attempts[0].Host, task.Attempts[1].Host)
+	request := f.arrive(f.payment)
+	f.end(request.Attempts[0], ConnectFailed, Second/40)
+	require.Len(t, request.Attempts, 2)
+	require.NotSame(t, request.Attempts[0].Host, request.Attempts[1].Host)
 }
 
 func TestFingerprintedTaskStaysInItsGroupAndMemory(t *testing.T) {
@@ -53,13 +53,13 @@
 	list[5].Zone = f.remoteZone
 	f.router.EndpointsChanged(f.now, list, true)
 	for range 20 {
-		task := f.arrive(f.order)
-		f.end(task.Attempts[0], Failed, Second/40)
-		for _, s := range task.Attempts[1:] {
-			require.Same(t, task.Attempts[0].Host.Zone, s.Host.Zone)
+		request := f.arrive(f.order)
+		f.end(request.Attempts[0], Failed, Second/40)
+		for _, attempt := range request.Attempts[1:] {
+			require.Same(t, request.Attempts[0].Host.Zone, attempt.Host.Zone)
 		}
 		f.advance(Second)
-		f.router.ClientGone(f.now, task)
+		f.router.ClientGone(f.now, request)
 	}
 	late := f.arrive(f.order)
 	late.Timeout = 9 * Second
@@ -73,16 +73,16 @@
 	f, _ := newFakeFleet(t, func(p *Config) { p.Limits.AllowHedging = false })
 	f.startCanary(1, 0.5)
 	for range 40 {
-		task := f.arrive(f.quote)
-		require.LessOrEqual(t, len(task.Attempts), 1)
-		if s := task.Attempts[0]; s.build == 2 { // a lone copy, with the time left for its original
-			require.Less(t, f.timeouts[s], task.Timeout/2)
-			f.end(s, TimedOut, f.timeouts[s])
-			require.Len(t, task.Attempts, 2)
-			require.Equal(t, 1, task.Attempts[1].build)
+		request := f.arrive(f.quote)
+		require.LessOrEqual(t, len(request.Attempts), 1)
+		if attempt := request.Attempts[0]; attempt.build == 2 { // a lone copy, with the time left for its original
+			require.Less(t, f.timeouts[attempt], request.Timeout/2)
+			f.end(attempt, TimedOut, f.timeouts[attempt])
+			require.Len(t, request.Attempts, 2)
+			require.Equal(t, 1, request.Attempts[1].build)
 		}
 		f.advance(Second / 20)
-		f.end(task.Attempts[len(task.Attempts)-1], Succeeded, Second/20)
+		f.end(request.Attempts[len(request.Attempts)-1], Succeeded, Second/20)
 	}
 	require.Positive(t, f.attemptsAtBuild(2))
 }
@@ -92,8 +92,8 @@
 	list[0].State, list[1].State = Draining, Removed
 	f.router.EndpointsChanged(f.now, list, true)
 	f.serve(100, f.quote, succeeds)
-	for _, s := range f.attempts {
-		require.Equal(t, Serving, s.Host.State)
+	for _, attempt := range f.attempts {
+		require.Equal(t, Serving, attempt.Host.State)
 	}
 }
 
@@ -179,7 +179,7 @@
 	f.router.EndpointsChanged(f.now, append(list, fresh), true)
 	n := 0
 	for range 100 { // a hundred a second, six times what one host had
-		if task := f.arrive(f.quote); len(task.Attempts) > 0 && task.Attempts[0].Host == fresh.Host {
+		if request := f.arrive(f.quote); len(request.Attempts) > 0 && request.Attempts[0].Host == fresh.Host {
 			n++
 		}
 		f.advance(Second / 100)
@@ -199,8 +199,8 @@
 		for range 20 { // two windows of the rule
 			f.serve(2, f.quote, succeeds)
 		}
-		for _, s := range f.attempts {
-			if s.Host == list[0].Host {
+		for _, attempt := range f.attempts {
+			if attempt.Host == list[0].Host {
 				n++
 			}
 		}
@@ -218,8 +218,8 @@
 		require.LessOrEqual(t, countSince(f.router.canaryAttempts, f.now-4*Second, nil), 1+0.1*countSince(f.router.arrivals, f.now-4*Second, nil))
 	}
 	require.Positive(t, f.attemptsAtBuild(2))
-	for _, s := range f.attempts {
-		require.False(t, s.build == 2 && s.Request.Class != f.quote)
+	for _, attempt := range f.attempts {
+		require.False(t, attempt.build == 2 && attempt.Request.Class != f.quote)
 	}
 	f.router.ReleaseChanged(f.now, ReleaseStatus{Build: 2, Phase: RollingBack})
 	n := f.attemptsAtBuild(2)
@@ -240,10 +240,10 @@
 	f, _ := newFakeFleet(t, func(p *Config) { p.Release.StickyKeys = true })
 	f.startCanary(1, 0.5)
 	f.router.stickyBuilds["pen"] = 2
-	task := &Request{Class: f.quote, Timeout: Second, Key: "pen"}
-	f.router.RequestArrived(f.now, task)
-	for _, s := range task.Attempts {
-		require.Equal(t, 2, s.build)
+	request := &Request{Class: f.quote, Timeout: Second, Key: "pen"}
+	f.router.RequestArrived(f.now, request)
+	for _, attempt := range request.Attempts {
+		require.Equal(t, 2, attempt.build)
 	}
 }
 
@@ -256,9 +256,9 @@
 		f.router.EndpointsChanged(f.now, list, true)
 		f.startCanary(2, 1)
 		for range 100 {
-			for _, c := range []*Class{f.quote, f.order, f.payment} {
-				f.serve(1, c, func(s *Attempt) Outcome {
-					if s.build == 2 && bad(s) {
+			for _, class := range []*Class{f.quote, f.order, f.payment} {
+				f.serve(1, class, func(attempt *Attempt) Outcome {
+					if attempt.build == 2 && bad(attempt) {
 						return Failed
 					}
 					return Succeeded
@@ -271,8 +271,8 @@
 	require.NotContains(t, story(func(*Attempt) bool { return false }), Rollback)
 	n := 0
 	require.Contains(t, story(func(*Attempt) bool { n++; return n%3 == 0 }), Rollback)
-	require.NotContains(t, story(func(s *Attempt) bool { return s.Host.ID == 9 }), Rollback) // one sick host
-	require.NotContains(t, story(func(s *Attempt) bool { return s.Request.Class.Idempotency == NonIdempotent }), Promote)
+	require.NotContains(t, story(func(attempt *Attempt) bool { return attempt.Host.ID == 9 }), Rollback) // one sick host
+	require.NotContains(t, story(func(attempt *Attempt) bool { return attempt.Request.Class.Idempotency == NonIdempotent }), Promote)
 }
 
 func TestNoWaitBearsADoubtThatStoppedItsCategorysCopies(t *testing.T) {
@@ -281,8 +281,8 @@
 	f.startCanary(2, 1)
 	for range 300 {
 		f.serve(3, f.quote, succeeds)
-		f.serve(1, f.order, func(s *Attempt) Outcome {
-			if s.build == 2 {
+		f.serve(1, f.order, func(attempt *Attempt) Outcome {
+			if attempt.build == 2 {
 				return Failed
 			}
 			return Succeeded
@@ -301,20 +301,20 @@
 
 func TestManyRoutersJudgeByTheDesksCountsAndAFewOfThemVote(t *testing.T) {
 	votes := map[VoteChoice]int{}
-	story := func(rank, bad int, took Time) {
+	story := func(rank, bad int, latency Time) {
 		f, list := newFakeFleet(t, func(p *Config) { p.Routers, p.Rank, p.Release.SampledShare = 40, rank, 0.2 })
 		f.router.EndpointsChanged(f.now, append(list, f.host(10, 2), f.host(11, 2), f.host(12, 2)), true)
 		f.startCanary(2, 1)
 		for range 4 { // seconds; this router's own copies all fail, the desk's counts say what the story says
-			f.serve(20, f.quote, func(s *Attempt) Outcome {
-				if s.build == 2 && len(s.Host.samples) < 3 {
+			f.serve(20, f.quote, func(attempt *Attempt) Outcome {
+				if attempt.build == 2 && len(attempt.Host.samples) < 3 {
 					return Failed
 				}
 				return Succeeded
 			})
-			for _, c := range []*Class{f.quote, f.order, f.payment} {
-				f.router.StatsReported(f.now, BuildStats{Build: 1, Class: c, Failures: 1, Samples: 60, MeanLatency: Second / 20})
-				f.router.StatsReported(f.now, BuildStats{Build: 2, Class: c, Failures: bad, Samples: 60, MeanLatency: took})
+			for _, class := range []*Class{f.quote, f.order, f.payment} {
+				f.router.StatsReported(f.now, BuildStats{Build: 1, Class: class, Failures: 1, Samples: 60, MeanLatency: Second / 20})
+				f.router.StatsReported(f.now, BuildStats{Build: 2, Class: class, Failures: bad, Samples: 60, MeanLatency: latency})
 			}
 		}
 		for _, v := range f.votes {
@@ -346,8 +346,8 @@
 	f.attempts = nil
 	f.serve(40, f.quote, succeeds) // two seconds
 	n := map[*Host]int{}
-	for _, s := range f.attempts {
-		n[s.Host]++
+	for _, attempt := range f.attempts {
+		n[attempt.Host]++
 	}
 	require.Positive(t, n[list[6].Host])
 	require.LessOrEqual(t, n[list[6].Host], 40/6+2) // what an earlier host gets, and a little
@@ -360,11 +360,11 @@
 	trial := list[6].Host
 	most := 0
 	for range 60 { // it pauses while the others answer
-		t := f.arrive(f.quote)
+		request := f.arrive(f.quote)
 		f.advance(Second / 20)
-		for _, s := range t.Attempts {
-			if s.Host != trial {
-				f.end(s, Succeeded, Second/20)
+		for _, attempt := range request.Attempts {
+			if attempt.Host != trial {
+				f.end(attempt, Succeeded, Second/20)
 			}
 		}
 		most = max(most, len(trial.inFlight))
@@ -387,8 +387,8 @@
 	require.Positive(t, f.attemptsAtBuild(2))
 	require.NotContains(t, f.votes, Rollback)
 	copies := 0
-	for _, s := range f.attempts {
-		if s.IsShadow() {
+	for _, attempt := range f.attempts {
+		if attempt.IsShadow() {
 			copies++
 		}
 	}
@@ -405,18 +405,18 @@
 	f.votes = nil
 	n := map[int]int{}
 	for range 800 { // one send in 22 takes long, at either build
-		t := f.arrive(f.quote)
+		request := f.arrive(f.quote)
 		f.advance(Second / 20)
-		for i := 0; i < len(t.Attempts); i++ {
-			s := t.Attempts[i]
-			took := Time(Second / 20)
-			if n[s.build]++; n[s.build]%22 == 0 {
-				took = Second * 8 / 10
+		for i := 0; i < len(request.Attempts); i++ {
+			attempt := request.Attempts[i]
+			latency := Time(Second / 20)
+			if n[attempt.build]++; n[attempt.build]%22 == 0 {
+				latency = Second * 8 / 10
 			}
-			if took > f.timeouts[s] {
-				f.end(s, TimedOut, f.timeouts[s])
+			if latency > f.timeouts[attempt] {
+				f.end(attempt, TimedOut, f.timeouts[attempt])
 			} else {
-				f.end(s, Succeeded, took)
+				f.end(attempt, Succeeded, latency)
 			}
 		}
 	}
@@ -428,8 +428,8 @@
 	f, _ := newFakeFleet(t, nil)
 	f.startCanary(1, 0.5)
 	f.router.surge, f.router.surgeSince = surgeProven, f.now
-	w, doubts := f.router.evidence()
-	require.Contains(t, doubts, 20.0)
+	w, testOdds := f.router.evidence()
+	require.Contains(t, testOdds, 20.0)
 	require.Less(t, w, 8.0)
 	f.advance(16 * Second)
 	require.Equal(t, surgeNone, f.router.surge)
@@ -440,13 +440,13 @@
 	f.serve(120, f.quote, succeeds)
 	cut := 0
 	for range 200 { // all hosts are slower than before
-		t := f.arrive(f.quote)
+		request := f.arrive(f.quote)
 		f.advance(Second / 40)
-		if s := t.Attempts[0]; f.timeouts[s] < t.Timeout {
+		if attempt := request.Attempts[0]; f.timeouts[attempt] < request.Timeout {
 			cut++
-			f.end(s, TimedOut, f.timeouts[s])
+			f.end(attempt, TimedOut, f.timeouts[attempt])
 		}
-		f.end(t.Attempts[len(t.Attempts)-1], Succeeded, Second/20)
+		f.end(request.Attempts[len(request.Attempts)-1], Succeeded, Second/20)
 	}
 	require.Positive(t, cut)
 	require.Less(t, cut, 60) // one for every eight tasks of the last five seconds, and a few
@@ -477,14 +477,14 @@
 	f.router.EndpointsChanged(f.now, append(list, f.host(10, 2), f.host(11, 2), f.host(12, 2), f.host(13, 2)), true)
 	f.startCanary(2, 1)
 	story := func(bad func(*Attempt) bool) {
-		f.serve(200, f.quote, func(s *Attempt) Outcome {
-			if s.build == 2 && bad(s) {
+		f.serve(200, f.quote, func(attempt *Attempt) Outcome {
+			if attempt.build == 2 && bad(attempt) {
 				return Failed
 			}
 			return Succeeded
 		})
 	}
-	story(func(s *Attempt) bool { return s.Host.ID == 9 })
+	story(func(attempt *Attempt) bool { return attempt.Host.ID == 9 })
 	require.NotContains(t, f.votes, Rollback)
 	story(func(*Attempt) bool { return true })
 	require.Contains(t, f.votes, Rollback)
@@ -496,11 +496,11 @@
 func TestAHungHostIsNoJamWhereAnswersComeInTime(t *testing.T) {
 	f, list := newFakeFleet(t, func(p *Config) { p.Routers = 50 })
 	for range 300 {
-		task := f.arrive(f.quote)
+		request := f.arrive(f.quote)
 		f.advance(Second / 10)
-		for _, s := range task.Attempts {
-			if s.Host != list[0].Host && s.Host != list[1].Host {
-				f.end(s, Succeeded, Second/20)
+		for _, attempt := range request.Attempts {
+			if attempt.Host != list[0].Host && attempt.Host != list[1].Host {
+				f.end(attempt, Succeeded, Second/20)
 			}
 		}
 	}
@@ -518,9 +518,9 @@
 	clear, _ := f.router.evidence()
 	for range 3 {
 		f.router.ComplaintReceived(f.now, f.attempts[len(f.attempts)-1].Host, f.quote, Second/2)
-		for _, h := range f.router.hosts {
-			if h.Build == 2 {
-				f.router.ComplaintReceived(f.now, h, f.quote, Second/2)
+		for _, host := range f.router.hosts {
+			if host.Build == 2 {
+				f.router.ComplaintReceived(f.now, host, f.quote, Second/2)
 			}
 		}
 	}
@@ -533,8 +533,8 @@
 	f.startCanary(1, 0.5)
 	list[6].StartedAt = f.now
 	f.router.EndpointsChanged(f.now, list, true)
-	f.serve(60, f.quote, func(s *Attempt) Outcome {
-		if s.build == 2 {
+	f.serve(60, f.quote, func(attempt *Attempt) Outcome {
+		if attempt.build == 2 {
 			return TimedOut
 		}
 		return Succeeded
@@ -548,15 +548,15 @@
 	f.router.EndpointsChanged(f.now, append(list, f.host(10, 2), f.host(11, 2), f.host(12, 2)), true)
 	f.startCanary(2, 1)
 	for range 60 {
-		task := &Request{Class: f.quote, Timeout: Second / 4}
-		f.router.RequestArrived(f.now, task)
+		request := &Request{Class: f.quote, Timeout: Second / 4}
+		f.router.RequestArrived(f.now, request)
 		f.advance(Second / 20)
-		for _, s := range task.Attempts {
-			fate := Succeeded
-			if s.build == 2 {
-				fate = TimedOut
+		for _, attempt := range request.Attempts {
+			outcome := Succeeded
+			if attempt.build == 2 {
+				outcome = TimedOut
 			}
-			f.end(s, fate, Second/4)
+			f.end(attempt, outcome, Second/4)
 		}
 	}
 	require.NotContains(t, f.votes, Rollback)
@@ -579,8 +579,8 @@
 func TestASickHostGetsATrickleAndComesBack(t *testing.T) {
 	f, list := newFakeFleet(t, nil)
 	ill := true
-	fate := func(s *Attempt) Outcome {
-		if s.Host.ID == 1 && ill {
+	fate := func(attempt *Attempt) Outcome {
+		if attempt.Host.ID == 1 && ill {
 			return Failed
 		}
 		return Succeeded
@@ -589,8 +589,8 @@
 	require.Equal(t, ejected, list[0].Host.health)
 	f.attempts = nil
 	f.serve(100, f.payment, fate)
-	for _, s := range f.attempts {
-		require.NotEqual(t, uint32(1), s.Host.ID)
+	for _, attempt := range f.attempts {
+		require.NotEqual(t, uint32(1), attempt.Host.ID)
 	}
 	ill = false
 	f.serve(100, f.quote, fate)
@@ -613,9 +613,9 @@
 		f.advance(Second / 100)
 	}
 	require.NotEmpty(t, f.rejected)
-	for _, s := range f.attempts {
-		if s.outcome == Pending {
-			f.end(s, TimedOut, 3*Second)
+	for _, attempt := range f.attempts {
+		if attempt.outcome == Pending {
+			f.end(attempt, TimedOut, 3*Second)
 		}
 	}
 	f.advance(Second)
@@ -639,9 +639,9 @@
 			f.arrive(f.payment)
 		}
 		f.advance(Second / 20)
-		for _, s := range f.attempts[n:] {
-			if s.Host.ID != 1 {
-				f.end(s, Succeeded, Second/20)
+		for _, attempt := range f.attempts[n:] {
+			if attempt.Host.ID != 1 {
+				f.end(attempt, Succeeded, Second/20)
 			}
 		}
 	}
@@ -656,17 +656,17 @@
 	}
 	f.router.EndpointsChanged(f.now, list, true)
 	f.serve(100, f.quote, succeeds)
-	for _, s := range f.attempts {
-		require.Same(t, f.localZone, s.Host.Zone) // it is quiet: nothing is worth the price
+	for _, attempt := range f.attempts {
+		require.Same(t, f.localZone, attempt.Host.Zone) // it is quiet: nothing is worth the price
 	}
 	var crossed bool
 	for range 60 { // the hosts here answer no more, those there do
-		task := f.arrive(f.quote)
+		request := f.arrive(f.quote)
 		f.advance(Second / 50)
-		for _, s := range task.Attempts {
-			if s.Host.Zone == f.remoteZone {
+		for _, attempt := range request.Attempts {
+			if attempt.Host.Zone == f.remoteZone {
 				crossed = true
-				f.end(s, Succeeded, Second/20)
+				f.end(attempt, Succeeded, Second/20)
 			}
 		}
 	}
@@ -683,10 +683,10 @@
 	}
 	f.router.EndpointsChanged(f.now, list, true)
 	for range 250 {
-		task := f.arrive(f.quote)
+		request := f.arrive(f.quote)
 		f.advance(Second / 10)
-		for _, s := range task.Attempts {
-			f.end(s, Succeeded, Second/8) // more than twice as long as before the trial
+		for _, attempt := range request.Attempts {
+			f.end(attempt, Succeeded, Second/8) // more than twice as long as before the trial
 		}
 	}
 	require.Contains(t, f.votes, Rollback)
@@ -716,14 +716,14 @@
 	f.router.EndpointsChanged(f.now, list, true)
 	n := 0
 	for range 200 { // one host in three holds nothing, the others hold four
-		task := f.arrive(f.quote)
+		request := f.arrive(f.quote)
 		f.advance(Second / 20)
-		for _, s := range task.Attempts {
+		for _, attempt := range request.Attempts {
 			load := &LoadReport{ActiveRequests: 4}
-			if s.Host.ID%3 == 0 {
+			if attempt.Host.ID%3 == 0 {
 				n, load = n+1, &LoadReport{}
 			}
-			f.router.AttemptEnded(f.now, s, Succeeded, Second/20, true, load)
+			f.router.AttemptEnded(f.now, attempt, Succeeded, Second/20, true, load)
 		}
 	}
 	require.Greater(t, n, 120) // two random ones would give some seventy
@@ -732,8 +732,8 @@
 func TestWhileLinksAreScarceThoseThatWorkAreUsed(t *testing.T) {
 	f, list := newFakeFleet(t, nil)
 	refused := 0
-	fate := func(s *Attempt) Outcome {
-		if s.Host != list[2].Host && s.Host != list[3].Host {
+	fate := func(attempt *Attempt) Outcome {
+		if attempt.Host != list[2].Host && attempt.Host != list[3].Host {
 			refused++
 			return ConnectFailed
 		}
@@ -767,8 +767,8 @@
 		to := func() (old, all int) {
 			before := len(f.attempts)
 			f.serve(60, f.quote, succeeds)
-			for _, s := range f.attempts[before:] {
-				if all++; s.Host.Build == 1 {
+			for _, attempt := range f.attempts[before:] {
+				if all++; attempt.Host.Build == 1 {
 					old++
 				}
 			}
@@ -817,10 +817,10 @@
 	f, list := newFakeFleet(t, func(p *Config) { p.Release.StickyKeys = true })
 	keyed := func(n int) {
 		for i := range n {
-			x := &Request{Class: f.quote, Timeout: 3 * Second, Key: string(rune('a' + i))}
-			f.router.RequestArrived(f.now, x)
-			for _, s := range x.Attempts {
-				f.end(s, Succeeded, Second/20)
+			request := &Request{Class: f.quote, Timeout: 3 * Second, Key: string(rune('a' + i))}
+			f.router.RequestArrived(f.now, request)
+			for _, attempt := range request.Attempts {
+				f.end(attempt, Succeeded, Second/20)
 			}
 			f.advance(Second / 20)
 		}
--- a/policy/orders_test.go
+++ b/policy/orders_test.go
@@ -29,28 +29,28 @@
 func (l *invariants) check() {
 	f := l.f
 	for ; l.checkedAttempts < len(f.attempts); l.checkedAttempts++ {
-		s := f.attempts[l.checkedAttempts]
-		t, now := s.Request, f.now
-		if l.clientGone[t] || l.answers[t] > 0 {
+		attempt := f.attempts[l.checkedAttempts]
+		request, now := attempt.Request, f.now
+		if l.clientGone[request] || l.answers[request] > 0 {
 			l.Fatalf("at %d: a send for a request that is over", now)
 		}
-		if f.timeouts[s] <= 0 || now+f.timeouts[s] > l.deadlines[t] {
-			l.Fatalf("at %d: a send may take %d, the client waits until %d", now, f.timeouts[s], l.deadlines[t])
+		if f.timeouts[attempt] <= 0 || now+f.timeouts[attempt] > l.deadlines[request] {
+			l.Fatalf("at %d: a send may take %d, the client waits until %d", now, f.timeouts[attempt], l.deadlines[request])
 		}
-		if at, ok := l.drainingSince[s.Host]; ok && now-at > f.router.limits.DrainGrace {
+		if at, ok := l.drainingSince[attempt.Host]; ok && now-at > f.router.limits.DrainGrace {
 			l.Fatalf("at %d: a send to a host that was told to drain at %d", now, at)
 		}
-		for _, before := range t.Attempts[:slices.Index(t.Attempts, s)] {
+		for _, before := range request.Attempts[:slices.Index(request.Attempts, attempt)] {
 			sure := before.outcome == Rejected || before.outcome == ConnectFailed || before.outcome == NotSent
-			if t.Class.Idempotency == NonIdempotent && !sure {
+			if request.Class.Idempotency == NonIdempotent && !sure {
 				l.Fatalf("at %d: an unsafe request again, after an attempt that ended as %d", now, before.outcome)
 			}
 			if !f.router.limits.AllowHedging && before.outcome == Pending {
 				l.Fatalf("at %d: two attempts at once", now)
 			}
 		}
-		if on, stage, cap := f.router.exposureOf(s.build); on {
-			if stage < f.router.releaseConfig.GuardedStages && t.Class.Idempotency != Idempotent {
+		if on, stage, cap := f.router.exposureOf(attempt.build); on {
+			if stage < f.router.releaseConfig.GuardedStages && request.Class.Idempotency != Idempotent {
 				l.Fatalf("at %d: an effect in a guarded stage", now)
 			}
 			l.canaryAttempts = append(l.canaryAttempts, trafficEvent{at: now})
@@ -68,20 +68,20 @@
 		}
 	}
 	for ; l.checkedRejects < len(f.rejected); l.checkedRejects++ {
-		t := f.rejected[l.checkedRejects]
-		l.answers[t]++
-		if slices.ContainsFunc(t.Attempts, func(s *Attempt) bool {
-			return s.outcome != Rejected && s.outcome != ConnectFailed && s.outcome != NotSent
-		}) && t.Class.Idempotency == NonIdempotent {
+		request := f.rejected[l.checkedRejects]
+		l.answers[request]++
+		if slices.ContainsFunc(request.Attempts, func(attempt *Attempt) bool {
+			return attempt.outcome != Rejected && attempt.outcome != ConnectFailed && attempt.outcome != NotSent
+		}) && request.Class.Idempotency == NonIdempotent {
 			l.Fatalf("at %d: refused, though it may have run", f.now)
 		}
 	}
 	for ; l.checkedFailures < len(f.failed); l.checkedFailures++ {
 		l.answers[f.failed[l.checkedFailures]]++
 	}
-	for t, n := range l.answers {
+	for request, n := range l.answers {
 		if n > 1 {
-			l.Fatalf("%d final answers to one request %p", n, t)
+			l.Fatalf("%d final answers to one request %p", n, request)
 		}
 	}
 }
@@ -97,47 +97,47 @@
 			p.Seed = rapid.Uint64().Draw(d, "seed")
 		})
 		l := &invariants{T: d, f: f, deadlines: map[*Request]Time{}, answers: map[*Request]int{}, clientGone: map[*Request]bool{}, drainingSince: map[*Host]Time{}}
-		cats := []*Class{f.quote, f.order, f.payment}
+		classes := []*Class{f.quote, f.order, f.payment}
 		pass := func(span Time) { // the edge's part: a send whose time is up has ended
 			for end := f.now + span; f.now < end; {
 				f.advance(Second / 100)
 				l.check()
-				for _, s := range f.attempts {
-					if s.outcome == Pending && f.now >= s.sentAt+f.timeouts[s] {
-						f.end(s, TimedOut, f.now-s.sentAt)
+				for _, attempt := range f.attempts {
+					if attempt.outcome == Pending && f.now >= attempt.sentAt+f.timeouts[attempt] {
+						f.end(attempt, TimedOut, f.now-attempt.sentAt)
 						l.check()
 					}
 				}
 			}
 		}
-		end := func(s *Attempt, fate Outcome) {
-			if fate == Succeeded && l.answers[s.Request] == 0 && !l.clientGone[s.Request] {
-				l.answers[s.Request]++ // the edge passes it on before the router hears of it
+		end := func(attempt *Attempt, outcome Outcome) {
+			if outcome == Succeeded && l.answers[attempt.Request] == 0 && !l.clientGone[attempt.Request] {
+				l.answers[attempt.Request]++ // the edge passes it on before the router hears of it
 			}
-			f.router.AttemptEnded(f.now, s, fate, f.now-s.sentAt, l.answers[s.Request] > 0 || l.clientGone[s.Request], nil)
+			f.router.AttemptEnded(f.now, attempt, outcome, f.now-attempt.sentAt, l.answers[attempt.Request] > 0 || l.clientGone[attempt.Request], nil)
 		}
 		steps := map[string]func(){
 			"take": func() {
 				for range rapid.IntRange(1, 6).Draw(d, "requests") {
-					c := cats[rapid.IntRange(0, 2).Draw(d, "class")]
-					x := &Request{Class: c, Timeout: Time(rapid.IntRange(100, 30_000).Draw(d, "patience"))}
-					l.requests, l.deadlines[x] = append(l.requests, x), f.now+x.Timeout
+					class := classes[rapid.IntRange(0, 2).Draw(d, "class")]
+					request := &Request{Class: class, Timeout: Time(rapid.IntRange(100, 30_000).Draw(d, "patience"))}
+					l.requests, l.deadlines[request] = append(l.requests, request), f.now+request.Timeout
 					l.arrivals = append(l.arrivals, trafficEvent{at: f.now})
-					f.router.RequestArrived(f.now, x)
+					f.router.RequestArrived(f.now, request)
 					l.check()
 				}
 			},
 			"end": func() {
 				var out []*Attempt
-				for _, s := range f.attempts {
-					if s.outcome == Pending {
-						out = append(out, s)
+				for _, attempt := range f.attempts {
+					if attempt.outcome == Pending {
+						out = append(out, attempt)
 					}
 				}
 				for range min(len(out), rapid.IntRange(1, 5).Draw(d, "ends")) {
-					s := out[rapid.IntRange(0, len(out)-1).Draw(d, "which")]
-					if s.outcome == Pending {
-						end(s, rapid.SampledFrom([]Outcome{Succeeded, Succeeded, Succeeded, Failed, Rejected, TimedOut, ConnectFailed, ConnectionLost,
+					attempt := out[rapid.IntRange(0, len(out)-1).Draw(d, "which")]
+					if attempt.outcome == Pending {
+						end(attempt, rapid.SampledFrom([]Outcome{Succeeded, Succeeded, Succeeded, Failed, Rejected, TimedOut, ConnectFailed, ConnectionLost,
 							NotSent}).Draw(d, "fate"))
 						l.check()
 					}
@@ -145,13 +145,13 @@
 			},
 			"leave": func() {
 				if len(l.requests) > 0 {
-					x := l.requests[rapid.IntRange(max(0, len(l.requests)-5), len(l.requests)-1).Draw(d, "who")]
-					if l.answers[x] == 0 && !l.clientGone[x] {
-						l.clientGone[x] = true
-						f.router.ClientGone(f.now, x)
-						for _, s := range x.Attempts { // what had not left is withheld, what had goes on to its end
-							if s.outcome == Pending && rapid.Bool().Draw(d, "withheld") {
-								end(s, NotSent)
+					request := l.requests[rapid.IntRange(max(0, len(l.requests)-5), len(l.requests)-1).Draw(d, "who")]
+					if l.answers[request] == 0 && !l.clientGone[request] {
+						l.clientGone[request] = true
+						f.router.ClientGone(f.now, request)
+						for _, attempt := range request.Attempts { // what had not left is withheld, what had goes on to its end
+							if attempt.outcome == Pending && rapid.Bool().Draw(d, "withheld") {
+								end(attempt, NotSent)
 							}
 						}
 						l.check()
@@ -161,10 +161,10 @@
 			"list": func() {
 				i := rapid.IntRange(0, len(list)-1).Draw(d, "host")
 				list[i].State = rapid.SampledFrom([]EndpointState{Serving, Serving, Draining, Removed}).Draw(d, "standing")
-				if h := list[i].Host; list[i].State == Serving {
-					delete(l.drainingSince, h)
-				} else if _, ok := l.drainingSince[h]; !ok {
-					l.drainingSince[h] = f.now
+				if host := list[i].Host; list[i].State == Serving {
+					delete(l.drainingSince, host)
+				} else if _, ok := l.drainingSince[host]; !ok {
+					l.drainingSince[host] = f.now
 				}
 				if rapid.Bool().Draw(d, "started") {
 					list[i].StartedAt = f.now
@@ -189,8 +189,8 @@
 			steps[name]()
 		}
 		pass(4 * Second) // beyond the longest patience
-		for _, x := range l.requests {
-			require.Equal(d, map[bool]int{true: 0, false: 1}[l.clientGone[x]], l.answers[x], "a request's final answers")
+		for _, request := range l.requests {
+			require.Equal(d, map[bool]int{true: 0, false: 1}[l.clientGone[request]], l.answers[request], "a request's final answers")
 		}
 	})
 }
--- a/policy/peers.go
+++ b/policy/peers.go
@@ -128,11 +128,11 @@
 		b = b[classStatsBytes:]
 	}
 	for ; len(b) > 0; b = b[hostReportBytes:] {
-		h, n := r.hostByID(binary.LittleEndian.Uint32(b)), float64(b[5])/countScale
-		if h == nil || b[4] > 1 {
+		host, n := r.hostByID(binary.LittleEndian.Uint32(b)), float64(b[5])/countScale
+		if host == nil || b[4] > 1 {
 			continue
 		}
-		d.hosts = append(d.hosts, hostReport{h, int(b[4]),
+		d.hosts = append(d.hosts, hostReport{host, int(b[4]),
 			healthStats{r.now, n, min(n, float64(b[6])/countScale), n * float64(b[7]) / slowdownScale}})
 	}
 	return d, true
@@ -140,7 +140,7 @@
 
 // hostByID is the listed host of an id, or nil.
 func (r *Router) hostByID(id uint32) *Host {
-	at, ok := slices.BinarySearchFunc(r.hosts, id, func(h *Host, id uint32) int { return int(h.ID) - int(id) })
+	at, ok := slices.BinarySearchFunc(r.hosts, id, func(host *Host, id uint32) int { return int(host.ID) - int(id) })
 	if !ok {
 		return nil
 	}
@@ -169,23 +169,23 @@
 func (r *Router) summarize(least float64) gossipSummary {
 	d := gossipSummary{remotePath: r.paths[remoteZones].decayedTo(r.now)}
 	r.countInFlight()
-	for _, c := range r.classes {
-		x := c.ownStats.decayedTo(r.now)
-		x.inFlight = float64(c.inFlight)
+	for _, class := range r.classes {
+		x := class.ownStats.decayedTo(r.now)
+		x.inFlight = float64(class.inFlight)
 		d.classes = append(d.classes, x)
 	}
-	for _, h := range r.hosts {
-		if d.nearbyHost == nil && r.localityOf(h) == localZone {
-			d.nearbyHost = h
+	for _, host := range r.hosts {
+		if d.nearbyHost == nil && r.localityOf(host) == localZone {
+			d.nearbyHost = host
 		}
 		for hop := range 2 {
-			w := h.healthByHops[hop].decayedTo(r.now)
+			w := host.healthByHops[hop].decayedTo(r.now)
 			if hop == 0 {
-				n := float64(h.stuckAttempts(r.now, stuckFactor))
+				n := float64(host.stuckAttempts(r.now, stuckFactor))
 				w.attempts, w.failures = w.attempts+n, w.failures+n
 			}
 			if w.attempts > least {
-				d.hosts = append(d.hosts, hostReport{h, hop, w})
+				d.hosts = append(d.hosts, hostReport{host, hop, w})
 			}
 		}
 	}
@@ -206,8 +206,8 @@
 // mergeClassStats adds up what a peer tells of its categories.
 func (r *Router) mergeClassStats(d gossipSummary) {
 	r.activePeers, r.lastGossipAt = 1+r.activePeers*decayFactor(r.now-r.lastGossipAt), r.now
-	for i, c := range r.classes {
-		c.peerStats.add(d.classes[i])
+	for i, class := range r.classes {
+		class.peerStats.add(d.classes[i])
 	}
 }
 
@@ -222,16 +222,16 @@
 // countInFlight counts the sends of each category that are out at hosts that do well, over ways that do: a cut is
 // no jam.
 func (r *Router) countInFlight() {
-	for _, c := range r.classes {
-		c.inFlight = 0
+	for _, class := range r.classes {
+		class.inFlight = 0
 	}
 	both := r.mergesZones()
-	for _, h := range r.hosts {
-		if h.health != healthy || !both && r.localityOf(h) == remoteZones {
+	for _, host := range r.hosts {
+		if host.health != healthy || !both && r.localityOf(host) == remoteZones {
 			continue
 		}
-		for _, s := range h.inFlight {
-			s.Request.Class.inFlight++
+		for _, attempt := range host.inFlight {
+			attempt.Request.Class.inFlight++
 		}
 	}
 }
--- a/policy/peers_test.go
+++ b/policy/peers_test.go
@@ -19,8 +19,8 @@
 }
 
 // hostSummary is a digest of a peer nearby: so many sends at a host, so many of them bad.
-func (f *fakeFleet) hostSummary(h *Host, n, bad float64) []byte {
-	d := gossipSummary{nearbyHost: h, classes: make([]admissionStats, 3), hosts: []hostReport{{h, 0, healthStats{f.now, n, bad, n}}}}
+func (f *fakeFleet) hostSummary(host *Host, n, bad float64) []byte {
+	d := gossipSummary{nearbyHost: host, classes: make([]admissionStats, 3), hosts: []hostReport{{host, 0, healthStats{f.now, n, bad, n}}}}
 	return d.encode(256)
 }
 
@@ -39,18 +39,18 @@
 
 func TestWordsAreToldOncePassedOnOnceAndNeverAsOwn(t *testing.T) {
 	f, list := newGossipingFleet(t, nil)
-	h := list[0].Host
-	f.router.GossipReceived(f.now, 3, f.hostSummary(h, 8, 8))
-	require.Zero(t, h.healthByHops[0].attempts, "no own sends")
-	require.InDelta(t, 8, h.healthByHops[1].attempts, 0.1)
+	host := list[0].Host
+	f.router.GossipReceived(f.now, 3, f.hostSummary(host, 8, 8))
+	require.Zero(t, host.healthByHops[0].attempts, "no own sends")
+	require.InDelta(t, 8, host.healthByHops[1].attempts, 0.1)
 	d := f.router.summarize(0.3)
 	require.Len(t, d.hosts, 1)
 	require.Equal(t, 1, d.hosts[0].hops, "told at second hand")
 	back, ok := f.router.decodeSummary(d.encode(256))
 	require.True(t, ok)
 	f.router.mergeLocalReport(back)
-	require.InDelta(t, 8, h.healthByHops[1].attempts, 0.1)
-	require.InDelta(t, 8, h.healthByHops[2].attempts, 0.1)
+	require.InDelta(t, 8, host.healthByHops[1].attempts, 0.1)
+	require.InDelta(t, 8, host.healthByHops[2].attempts, 0.1)
 	require.Len(t, f.router.summarize(0.3).hosts, 1, "what came at second hand goes no further")
 }
 
@@ -129,8 +129,8 @@
 	story := func(blames int) []VoteChoice {
 		f, _ := newGossipingFleet(t, func(p *Config) { p.Routers, p.Rank, p.Release.Mode = 300, 0, Quorum })
 		count := func(build, n int) {
-			for _, c := range []*Class{f.quote, f.order, f.payment} {
-				f.router.StatsReported(f.now, BuildStats{Build: build, Class: c, Samples: n, MeanLatency: Second / 20, Window: 2 * Second})
+			for _, class := range []*Class{f.quote, f.order, f.payment} {
+				f.router.StatsReported(f.now, BuildStats{Build: build, Class: class, Samples: n, MeanLatency: Second / 20, Window: 2 * Second})
 			}
 		}
 		count(1, 400)
@@ -175,8 +175,8 @@
 	far := []EndpointUpdate{f.hostAt(30, 1, f.remoteZone), f.hostAt(31, 1, f.remoteZone), f.hostAt(32, 1, f.remoteZone)}
 	f.router.EndpointsChanged(f.now, far, true)
 	crossed := func(from int) (n int) {
-		for _, s := range f.attempts[from:] {
-			if s.Host.Zone == f.remoteZone {
+		for _, attempt := range f.attempts[from:] {
+			if attempt.Host.Zone == f.remoteZone {
 				n++
 			}
 		}
@@ -184,8 +184,8 @@
 	}
 	f.serve(60, f.quote, succeeds)
 	require.Positive(t, crossed(0))
-	cut := func(s *Attempt) Outcome {
-		if s.Host.Zone == f.remoteZone {
+	cut := func(attempt *Attempt) Outcome {
+		if attempt.Host.Zone == f.remoteZone {
 			return ConnectFailed
 		}
 		return Succeeded
@@ -196,10 +196,10 @@
 	for range 40 {
 		f.healthChecked = nil
 		f.serve(10, f.quote, cut)
-		for _, h := range f.healthChecked {
+		for _, host := range f.healthChecked {
 			probes++
-			require.Equal(t, f.remoteZone, h.Zone)
-			f.router.HealthChecked(f.now, h, TimedOut, Second/4, nil)
+			require.Equal(t, f.remoteZone, host.Zone)
+			f.router.HealthChecked(f.now, host, TimedOut, Second/4, nil)
 		}
 	}
 	require.Less(t, crossed(at), 4) // a trickle to hosts that seem sick
@@ -214,20 +214,20 @@
 func TestACategoryThatWaitsEverywhereIsAloneInIt(t *testing.T) {
 	f, list := newGossipingFleet(t, nil)
 	for range 6 {
-		for _, c := range []*Class{f.quote, f.order, f.payment} {
-			f.router.StatsReported(f.now, BuildStats{Build: 1, Class: c, Samples: 60, MeanLatency: Second / 20, Window: 2 * Second})
+		for _, class := range []*Class{f.quote, f.order, f.payment} {
+			f.router.StatsReported(f.now, BuildStats{Build: 1, Class: class, Samples: 60, MeanLatency: Second / 20, Window: 2 * Second})
 		}
 	}
 	usual := f.order.usualLatency
 	for range 60 {
 		slow, quick := f.arrive(f.order), f.arrive(f.quote)
 		f.advance(Second / 20)
-		for _, s := range quick.Attempts {
-			f.end(s, Succeeded, Second/20)
+		for _, attempt := range quick.Attempts {
+			f.end(attempt, Succeeded, Second/20)
 		}
 		f.advance(Second / 2)
-		for _, s := range slow.Attempts {
-			f.end(s, Succeeded, Second*11/20)
+		for _, attempt := range slow.Attempts {
+			f.end(attempt, Succeeded, Second*11/20)
 		}
 	}
 	for range 3 {
@@ -237,8 +237,8 @@
 	for _, l := range list {
 		require.NotEqual(t, ejected, l.Host.health)
 	}
-	for _, task := range f.rejected {
-		require.Equal(t, f.order, task.Class)
+	for _, request := range f.rejected {
+		require.Equal(t, f.order, request.Class)
 	}
 }
 
@@ -259,8 +259,8 @@
 	at := len(f.attempts)
 	f.serve(200, f.quote, succeeds)
 	n := map[*Host]int{}
-	for _, s := range f.attempts[at:] {
-		n[s.Host]++
+	for _, attempt := range f.attempts[at:] {
+		n[attempt.Host]++
 	}
 	require.Less(t, n[list[6].Host], 60, "the warm one gets about what one of six earlier ones gets")
 	for _, l := range young {
@@ -277,8 +277,8 @@
 	f.router.EndpointsChanged(f.now, list, true)
 	f.serve(400, f.quote, succeeds)
 	n := [2]int{}
-	for _, s := range f.attempts {
-		n[(s.Host.ID+1)%2]++
+	for _, attempt := range f.attempts {
+		n[(attempt.Host.ID+1)%2]++
 	}
 	require.Greater(t, n[1], 2*n[0])
 }
@@ -287,13 +287,13 @@
 	f, _ := newFakeFleet(t, nil)
 	f.advance(Second / 100)
 	asks := f.polls
-	task := f.arrive(f.payment)
+	request := f.arrive(f.payment)
 	l, d := f.router.limits, f.router.releaseConfig
 	l.MaxGossipBytes, l.PushedDiscovery, l.AllowHedging = 256, true, false
 	f.router.ConfigChanged(f.now, 300, 4, l, d)
 	require.Len(t, f.attempts, 1, "nothing is sent anew")
-	f.end(task.Attempts[0], Succeeded, Second/20)
-	require.True(t, task.Answered())
+	f.end(request.Attempts[0], Succeeded, Second/20)
+	require.True(t, request.Answered())
 	f.serve(30, f.quote, succeeds)
 	f.advance(5 * Second)
 	require.NotEmpty(t, f.gossip)
@@ -311,8 +311,8 @@
 		f, _ = newGossipingFleet(t, func(p *Config) { p.Release.Mode, p.Limits.AllowHedging = Quorum, false })
 		count := func(mean Time) {
 			for _, b := range []int{1, 2} {
-				for _, c := range []*Class{f.quote, f.order, f.payment} {
-					f.router.StatsReported(f.now, BuildStats{Build: b, Class: c, Samples: 100, MeanLatency: mean, Window: 2 * Second})
+				for _, class := range []*Class{f.quote, f.order, f.payment} {
+					f.router.StatsReported(f.now, BuildStats{Build: b, Class: class, Samples: 100, MeanLatency: mean, Window: 2 * Second})
 				}
 			}
 		}
@@ -344,15 +344,15 @@
 		list[i].State = Removed
 	}
 	f.router.EndpointsChanged(f.now, list, true)
-	task := f.arrive(f.quote)
-	require.Equal(t, []*Request{task}, f.rejected, "before the call returns")
+	request := f.arrive(f.quote)
+	require.Equal(t, []*Request{request}, f.rejected, "before the call returns")
 	require.Positive(t, f.retryAfters[0])
 	require.LessOrEqual(t, f.retryAfters[0], 2*Second)
 
 	f, _ = newGossipingFleet(t, func(p *Config) { p.Limits.MaxAttempts = 1 })
-	task = f.arrive(f.payment)
-	f.end(task.Attempts[0], ConnectionLost, Second/20)
-	require.Equal(t, []*Request{task}, f.failed, "it may have run, and nothing is held back")
+	request = f.arrive(f.payment)
+	f.end(request.Attempts[0], ConnectionLost, Second/20)
+	require.Equal(t, []*Request{request}, f.failed, "it may have run, and nothing is held back")
 }
 
 // Probe answers that are late, doubled or of a host that has gone move no rule's bound.
@@ -361,15 +361,15 @@
 	gone := list[0]
 	gone.State = Removed
 	f.router.EndpointsChanged(f.now, []EndpointUpdate{gone}, true)
-	for _, fate := range []Outcome{Succeeded, TimedOut, ConnectFailed, Failed} {
+	for _, outcome := range []Outcome{Succeeded, TimedOut, ConnectFailed, Failed} {
 		for range 3 {
-			f.router.HealthChecked(f.now, gone.Host, fate, 10*Second, nil)
-			f.router.HealthChecked(f.now, list[1].Host, fate, 10*Second, &LoadReport{ActiveRequests: -1})
+			f.router.HealthChecked(f.now, gone.Host, outcome, 10*Second, nil)
+			f.router.HealthChecked(f.now, list[1].Host, outcome, 10*Second, &LoadReport{ActiveRequests: -1})
 		}
 	}
 	f.serve(30, f.quote, succeeds)
 	require.Empty(t, f.failed)
-	for _, s := range f.attempts {
-		require.NotEqual(t, gone.Host, s.Host)
+	for _, attempt := range f.attempts {
+		require.NotEqual(t, gone.Host, attempt.Host)
 	}
 }
--- a/policy/samples.go
+++ b/policy/samples.go
@@ -34,9 +34,9 @@
 }
 
 // countSince counts the moments after from; a category narrows the count.
-func countSince(all []trafficEvent, from Time, c *Class) (n float64) {
+func countSince(all []trafficEvent, from Time, class *Class) (n float64) {
 	for i := len(all) - 1; i >= 0 && all[i].at > from; i-- {
-		if c == nil || all[i].class == c {
+		if class == nil || all[i].class == class {
 			n++
 		}
 	}
@@ -82,43 +82,43 @@
 
 // applyEndpoint takes a change to the host list into the hosts, which stand in an order that is the same everywhere.
 func (r *Router) applyEndpoint(l EndpointUpdate) {
-	h := l.Host
+	host := l.Host
 	r.fleet.valid = false
-	if !h.listed {
-		h.listed = true
-		at, _ := slices.BinarySearchFunc(r.hosts, h, func(a, b *Host) int { return int(a.ID) - int(b.ID) })
-		r.hosts = slices.Insert(r.hosts, at, h)
+	if !host.listed {
+		host.listed = true
+		at, _ := slices.BinarySearchFunc(r.hosts, host, func(a, b *Host) int { return int(a.ID) - int(b.ID) })
+		r.hosts = slices.Insert(r.hosts, at, host)
 	}
-	if h.StartedAt != l.StartedAt || h.Build != l.Build { // another process: what the last one did says nothing of it
-		h.samples, h.health, h.load, h.healthByHops = nil, healthy, nil, [3]healthStats{}
+	if host.StartedAt != l.StartedAt || host.Build != l.Build { // another process: what the last one did says nothing of it
+		host.samples, host.health, host.load, host.healthByHops = nil, healthy, nil, [3]healthStats{}
 	}
-	if h.State == Serving && l.State != Serving {
-		h.leftAt = r.now
+	if host.State == Serving && l.State != Serving {
+		host.leftAt = r.now
 	}
-	h.Zone, h.Cell, h.State, h.Build, h.Weight, h.StartedAt = l.Zone, l.Cell, l.State, l.Build, l.Weight, l.StartedAt
+	host.Zone, host.Cell, host.State, host.Build, host.Weight, host.StartedAt = l.Zone, l.Cell, l.State, l.Build, l.Weight, l.StartedAt
 }
 
 // PlanOffered tells shares worked out ahead; hosts that they don't name have none.
 func (r *Router) PlanOffered(now Time, c WeightPlan) {
 	r.now = now
 	r.plan = c
-	for _, h := range r.hosts {
-		h.planWeight = c.Weights[h]
+	for _, host := range r.hosts {
+		host.planWeight = c.Weights[host]
 	}
 }
 
 // Forget drops a host that has long been gone and to which no send is out.
-func (r *Router) Forget(h *Host) {
-	if h.State == Removed && len(h.inFlight) == 0 {
-		h.listed, r.fleet.valid = false, false
-		r.hosts = slices.DeleteFunc(r.hosts, func(x *Host) bool { return x == h })
+func (r *Router) Forget(host *Host) {
+	if host.State == Removed && len(host.inFlight) == 0 {
+		host.listed, r.fleet.valid = false, false
+		r.hosts = slices.DeleteFunc(r.hosts, func(x *Host) bool { return x == host })
 	}
 }
 
 // countHosts is how many hosts there are of a kind.
 func (r *Router) countHosts(is func(*Host) bool) (n float64) {
-	for _, h := range r.hosts {
-		if is(h) {
+	for _, host := range r.hosts {
+		if is(host) {
 			n++
 		}
 	}
@@ -126,53 +126,53 @@
 }
 
 // startAttempt notes a new send.
-func (r *Router) startAttempt(t *Request, h *Host, how attemptRole) *Attempt {
-	s := &Attempt{Request: t, Host: h, sentAt: r.now, build: h.Build, hostStartedAt: h.StartedAt, hostLoad: r.hostLoad(h), role: how}
-	t.Attempts, h.inFlight = append(t.Attempts, s), append(h.inFlight, s)
-	if h.health == healthy && r.isBaseline(h) {
-		r.fleet.inFlight[r.localityOf(h)]++
-	}
-	h.attempts = appendBounded(h.attempts, trafficEvent{at: r.now, class: t.Class}, 256)
-	if r.isBaseline(h) {
-		r.baselineAttempts = appendBounded(r.baselineAttempts, trafficEvent{at: r.now, class: t.Class}, 8192)
+func (r *Router) startAttempt(request *Request, host *Host, role attemptRole) *Attempt {
+	attempt := &Attempt{Request: request, Host: host, sentAt: r.now, build: host.Build, hostStartedAt: host.StartedAt, hostLoad: r.hostLoad(host), role: role}
+	request.Attempts, host.inFlight = append(request.Attempts, attempt), append(host.inFlight, attempt)
+	if host.health == healthy && r.isBaseline(host) {
+		r.fleet.inFlight[r.localityOf(host)]++
+	}
+	host.attempts = appendBounded(host.attempts, trafficEvent{at: r.now, class: request.Class}, 256)
+	if r.isBaseline(host) {
+		r.baselineAttempts = appendBounded(r.baselineAttempts, trafficEvent{at: r.now, class: request.Class}, 8192)
 	} else {
-		r.canaryAttempts = appendBounded(r.canaryAttempts, trafficEvent{at: r.now, class: t.Class}, 8192)
+		r.canaryAttempts = appendBounded(r.canaryAttempts, trafficEvent{at: r.now, class: request.Class}, 8192)
 	}
-	return s
+	return attempt
 }
 
 // finishAttempt notes the end of a send.
-func (r *Router) finishAttempt(s *Attempt, fate Outcome, load *LoadReport) {
-	s.outcome = fate
-	c := s.Request.Class
-	if fate == Succeeded {
-		c.ownStats.add(admissionStats{at: r.now, usualLatency: float64(c.usualLatency), latency: float64(r.now - s.sentAt)})
+func (r *Router) finishAttempt(attempt *Attempt, outcome Outcome, load *LoadReport) {
+	attempt.outcome = outcome
+	class := attempt.Request.Class
+	if outcome == Succeeded {
+		class.ownStats.add(admissionStats{at: r.now, usualLatency: float64(class.usualLatency), latency: float64(r.now - attempt.sentAt)})
 	}
-	was := len(s.Host.inFlight)
-	s.Host.inFlight = slices.DeleteFunc(s.Host.inFlight, func(x *Attempt) bool { return x == s })
-	if s.Host.health == healthy && r.isBaseline(s.Host) {
-		r.fleet.inFlight[r.localityOf(s.Host)] -= was - len(s.Host.inFlight)
+	was := len(attempt.Host.inFlight)
+	attempt.Host.inFlight = slices.DeleteFunc(attempt.Host.inFlight, func(x *Attempt) bool { return x == attempt })
+	if attempt.Host.health == healthy && r.isBaseline(attempt.Host) {
+		r.fleet.inFlight[r.localityOf(attempt.Host)] -= was - len(attempt.Host.inFlight)
 	}
 	if load != nil {
-		if s.Host.load, s.Host.loadAt = load, r.now; load.ActiveRequests >= 0 {
+		if attempt.Host.load, attempt.Host.loadAt = load, r.now; load.ActiveRequests >= 0 {
 			r.reportedLoads = appendBounded(r.reportedLoads, load.ActiveRequests, 64)
 		}
 	}
-	if s.Host.connectedAt = r.now; fate == ConnectFailed {
-		s.Host.connectedAt = 0
+	if attempt.Host.connectedAt = r.now; outcome == ConnectFailed {
+		attempt.Host.connectedAt = 0
 	}
-	x := trafficEvent{at: r.now, class: s.Request.Class, locality: r.localityOf(s.Host), outcome: fate,
-		late: r.now-s.Request.arrivedAt > s.Request.Class.LatencyObjective}
+	x := trafficEvent{at: r.now, class: attempt.Request.Class, locality: r.localityOf(attempt.Host), outcome: outcome,
+		late: r.now-attempt.Request.arrivedAt > attempt.Request.Class.LatencyObjective}
 	way := healthStats{at: r.now, attempts: 1}
-	if x.late || fate == TimedOut || fate == ConnectFailed || fate == ConnectionLost {
+	if x.late || outcome == TimedOut || outcome == ConnectFailed || outcome == ConnectionLost {
 		way.failures = 1
 	}
 	r.paths[x.locality].add(way)
-	if fate == Succeeded {
+	if outcome == Succeeded {
 		x.usualLatency = x.class.usualLatency
 	}
-	if s.Host.health == healthy && r.isBaseline(s.Host) {
-		x.latency = r.now - s.sentAt
+	if attempt.Host.health == healthy && r.isBaseline(attempt.Host) {
+		x.latency = r.now - attempt.sentAt
 	}
 	before := len(r.ended)
 	r.ended = appendBounded(r.ended, x, 4096)
@@ -209,20 +209,20 @@
 }
 
 // newSample is what an ended send showed.
-func (r *Router) newSample(s *Attempt, took Time) attemptSample {
-	x := attemptSample{at: r.now, latency: took, hostAge: s.sentAt - s.hostStartedAt, host: s.Host, class: s.Request.Class, outcome: s.outcome,
-		impatient: s.outcome == TimedOut && s.Request.Timeout < s.Request.Class.LatencyObjective, hostLoad: s.hostLoad,
-		slowdown: float64(took) / float64(s.Request.Class.usualLatency)}
+func (r *Router) newSample(attempt *Attempt, latency Time) attemptSample {
+	x := attemptSample{at: r.now, latency: latency, hostAge: attempt.sentAt - attempt.hostStartedAt, host: attempt.Host, class: attempt.Request.Class, outcome: attempt.outcome,
+		impatient: attempt.outcome == TimedOut && attempt.Request.Timeout < attempt.Request.Class.LatencyObjective, hostLoad: attempt.hostLoad,
+		slowdown: float64(latency) / float64(attempt.Request.Class.usualLatency)}
 	if r.limits.MaxGossipBytes > 0 { // where a category waits everywhere no host is to blame
-		x.slowdown /= r.classSlowdown(s.Request.Class)
+		x.slowdown /= r.classSlowdown(attempt.Request.Class)
 	}
-	x.unqueuedSlowdown = x.slowdown / (1 + r.concurrencyCost*s.hostLoad)
+	x.unqueuedSlowdown = x.slowdown / (1 + r.concurrencyCost*attempt.hostLoad)
 	w := healthStats{at: r.now, attempts: 1, slowdown: min(x.slowdown, 8)} // one very long send says little
-	if s.outcome != Succeeded {
+	if attempt.outcome != Succeeded {
 		w.failures = 1
 	}
-	s.Host.healthByHops[0].add(w)
-	if s.hostStartedAt == 0 {
+	attempt.Host.healthByHops[0].add(w)
+	if attempt.hostStartedAt == 0 {
 		x.hostAge = math.MaxInt32
 	}
 	return x
@@ -230,15 +230,15 @@
 
 // faultScore is a host's share of failed sends and its mean strain, as if over least sends or more, with what peers
 // tell of it and sends that seem stuck.
-func (r *Router) faultScore(h *Host, least int) (share, strain float64) {
-	for _, p := range h.samples {
+func (r *Router) faultScore(host *Host, least int) (share, strain float64) {
+	for _, p := range host.samples {
 		if p.outcome != Succeeded {
 			share++
 		}
 		strain += p.slowdown
 	}
-	w := h.peerHealth(r.now, firstHandWeight, secondHandWeight)
-	n := max(float64(len(h.samples))+w.attempts, float64(least))
+	w := host.peerHealth(r.now, firstHandWeight, secondHandWeight)
+	n := max(float64(len(host.samples))+w.attempts, float64(least))
 	return (share + w.failures) / n, (strain + w.slowdown) / n
 }
 
@@ -274,9 +274,9 @@
 }
 
 // sumStats adds up what the desk counted of a category.
-func sumStats(all []BuildStats, c *Class) (bad, n float64, hosts int) {
+func sumStats(all []BuildStats, class *Class) (bad, n float64, hosts int) {
 	for _, x := range all {
-		if x.Class == c {
+		if x.Class == class {
 			bad, n, hosts = bad+float64(x.Failures), n+float64(x.Samples), x.hosts
 		}
 	}
@@ -298,9 +298,9 @@
 
 // logLatencyGapToPast is the log of how much longer the sends at a build take now than those at another before the newest
 // was offered, less so much, as the desk counted them, and the number of the former; a category narrows it.
-func logLatencyGapToPast(all []BuildStats, c *Class, was, is int, offered, now Time, less float64) (gap, n float64) {
+func logLatencyGapToPast(all []BuildStats, class *Class, was, is int, offered, now Time, less float64) (gap, n float64) {
 	for _, x := range all {
-		if x.Build != is || x.MeanLatency <= 0 || x.receivedAt <= now || c != nil && x.Class != c {
+		if x.Build != is || x.MeanLatency <= 0 || x.receivedAt <= now || class != nil && x.Class != class {
 			continue
 		}
 		took, sum := 0.0, 0.0
@@ -340,8 +340,8 @@
 		if n < enough {
 			w.span = min(long, r.now-r.startedAt)
 		}
-		for _, c := range r.classes {
-			w.done = max(w.done, float64(c.usualLatency))
+		for _, class := range r.classes {
+			w.done = max(w.done, float64(class.usualLatency))
 		}
 	}
 	return w.done, w.span, w.strain
@@ -363,22 +363,22 @@
 		return m
 	}
 	*m = fleetSnapshot{valid: true}
-	for _, h := range r.hosts {
-		if h.health == ejected {
+	for _, host := range r.hosts {
+		if host.health == ejected {
 			m.ejected++
 		}
-		if !r.isBaseline(h) {
+		if !r.isBaseline(host) {
 			continue
 		}
-		if m.baselineHosts++; h.Build > m.newestBaseline {
-			m.newestBaseline, m.newestBaselineHosts = h.Build, 0
+		if m.baselineHosts++; host.Build > m.newestBaseline {
+			m.newestBaseline, m.newestBaselineHosts = host.Build, 0
 		}
-		if h.Build == m.newestBaseline {
+		if host.Build == m.newestBaseline {
 			m.newestBaselineHosts++
 		}
-		if h.health == healthy {
-			m.healthy[r.localityOf(h)]++
-			m.inFlight[r.localityOf(h)] += len(h.inFlight)
+		if host.health == healthy {
+			m.healthy[r.localityOf(host)]++
+			m.inFlight[r.localityOf(host)] += len(host.inFlight)
 		}
 	}
 	return m
@@ -391,13 +391,13 @@
 		return float64(m.inFlight[side]), float64(m.healthy[side])
 	}
 	part := func(t Time) float64 { return float64(max(0, min(t, over))) / float64(max(1, over)) }
-	for _, h := range r.hosts {
-		if h.health != healthy || !r.isBaseline(h) || r.localityOf(h) != side {
+	for _, host := range r.hosts {
+		if host.health != healthy || !r.isBaseline(host) || r.localityOf(host) != side {
 			continue
 		}
 		hosts++
-		for _, s := range h.inFlight {
-			out += part(r.now - s.sentAt)
+		for _, attempt := range host.inFlight {
+			out += part(r.now - attempt.sentAt)
 		}
 	}
 	for i := len(r.ended) - 1; i >= 0 && r.ended[i].at > r.now-over; i-- {
@@ -439,7 +439,7 @@
 
 // strataByTime parts sends of a kind by the time when they were made, each with the share of the originals of that
 // time that went bad; kin is how many of these all the others weigh as much as. Hosts are spared as told.
-func strataByTime(fresh, peers []attemptSample, is func(attemptSample) bool, but, stray float64, while Time, kin float64) (
+func strataByTime(fresh, peers []attemptSample, is func(attemptSample) bool, but, stray float64, slotLength Time, priorWeight float64) (
 	parts []stratum, hosts int) {
 	flat := func(attemptSample) float64 { return 0 }
 	some, hosts := excludeWorstHosts(summarizeByHost(fresh, is, flat), but, stray)
@@ -447,10 +447,10 @@
 	was, all := map[Time]stratum{}, stratum{0.5, 1, 0}
 	for _, s := range peers {
 		if is(s) && same[s.host] {
-			w := was[s.timeSlot(while)]
+			w := was[s.timeSlot(slotLength)]
 			w.add(s)
 			all.add(s)
-			was[s.timeSlot(while)] = w
+			was[s.timeSlot(slotLength)] = w
 		}
 	}
 	where := map[Time]int{}
@@ -458,9 +458,9 @@
 		if !is(s) || !some[s.host] {
 			continue
 		}
-		t := s.timeSlot(while)
+		t := s.timeSlot(slotLength)
 		if _, ok := where[t]; !ok {
-			where[t], parts = len(parts), append(parts, stratum{expectedRate: was[t].failureRate(all, kin)})
+			where[t], parts = len(parts), append(parts, stratum{expectedRate: was[t].failureRate(all, priorWeight)})
 		}
 		parts[where[t]].add(s)
 	}
@@ -468,16 +468,16 @@
 }
 
 // strataByPeriod does the same with the desk's counts, period by period.
-func strataByPeriod(now, before []BuildStats, c *Class, kin float64) (parts []stratum) {
-	bad, n, _ := sumStats(before, c)
+func strataByPeriod(now, before []BuildStats, class *Class, priorWeight float64) (parts []stratum) {
+	bad, n, _ := sumStats(before, class)
 	all := stratum{0.5 + bad, 1 + n, 0}
 	of := func(x BuildStats) stratum {
 		return stratum{failures: float64(x.Failures), attempts: float64(x.Samples)}
 	}
 	for _, x := range now {
-		if x.Class == c {
+		if x.Class == class {
 			p := of(x)
-			p.expectedRate = of(samePeriod(x, before)).failureRate(all, kin)
+			p.expectedRate = of(samePeriod(x, before)).failureRate(all, priorWeight)
 			parts = append(parts, p)
 		}
 	}
@@ -501,8 +501,8 @@
 }
 
 // failureRate is how many went bad, leaning on all others as if these were kin.
-func (p stratum) failureRate(all stratum, kin float64) float64 {
-	return (p.failures + kin*all.failures/all.attempts) / (p.attempts + kin)
+func (p stratum) failureRate(all stratum, priorWeight float64) float64 {
+	return (p.failures + priorWeight*all.failures/all.attempts) / (p.attempts + priorWeight)
 }
 
 // withRateFloor has no part whose usual share is below a floor.
@@ -514,24 +514,24 @@
 }
 
 // logSlowdownByTime tells how slow, as a log, sends of a kind were on average at the time of a sample, likewise.
-func logSlowdownByTime(all []attemptSample, is func(attemptSample) bool, while Time, kin float64) func(attemptSample) float64 {
+func logSlowdownByTime(all []attemptSample, is func(attemptSample) bool, slotLength Time, priorWeight float64) func(attemptSample) float64 {
 	type sum struct{ slow, n float64 }
 	of, whole := map[Time]sum{}, sum{0, 0.01}
 	for _, s := range all {
 		if is(s) {
-			t := of[s.timeSlot(while)]
-			of[s.timeSlot(while)] = sum{t.slow + s.logSlowdown(), t.n + 1}
+			t := of[s.timeSlot(slotLength)]
+			of[s.timeSlot(slotLength)] = sum{t.slow + s.logSlowdown(), t.n + 1}
 			whole = sum{whole.slow + s.logSlowdown(), whole.n + 1}
 		}
 	}
 	return func(s attemptSample) float64 {
-		t := of[s.timeSlot(while)]
-		return (t.slow + kin*whole.slow/whole.n) / (t.n + kin)
+		t := of[s.timeSlot(slotLength)]
+		return (t.slow + priorWeight*whole.slow/whole.n) / (t.n + priorWeight)
 	}
 }
 
 // timeSlot is the span of the clock that a sample was sent in.
-func (x attemptSample) timeSlot(while Time) Time { return (x.at - x.latency) / while }
+func (x attemptSample) timeSlot(slotLength Time) Time { return (x.at - x.latency) / slotLength }
 
 // logSlowdown is the log of a sample's pace.
 func (x attemptSample) logSlowdown() float64 { return math.Log(max(0.01, x.unqueuedSlowdown)) }
@@ -551,9 +551,9 @@
 }
 
 // peerFaultScores is how the other hosts of a host's build do.
-func (r *Router) peerFaultScores(h *Host, least int) (shares, strains []float64) {
+func (r *Router) peerFaultScores(host *Host, least int) (shares, strains []float64) {
 	for _, p := range r.hosts {
-		if p != h && p.Build == h.Build && p.State == Serving &&
+		if p != host && p.Build == host.Build && p.State == Serving &&
 			float64(len(p.samples))+p.peerHealth(r.now, firstHandWeight, secondHandWeight).attempts > 2 {
 			s, d := r.faultScore(p, least)
 			shares, strains = append(shares, s), append(strains, d)
@@ -567,10 +567,10 @@
 func (r *Router) baselineAttemptRate(over Time) float64 {
 	if r.baselineRate.at != r.now {
 		of, most := map[int]float64{}, 1.0
-		for _, h := range r.hosts {
-			if h.State == Serving || r.now-h.leftAt < over {
-				of[h.Build]++
-				most = max(most, of[h.Build])
+		for _, host := range r.hosts {
+			if host.State == Serving || r.now-host.leftAt < over {
+				of[host.Build]++
+				most = max(most, of[host.Build])
 			}
 		}
 		r.baselineRate.at, r.baselineRate.rate = r.now, countSince(r.baselineAttempts, r.now-over, nil)/float64(over)/most
@@ -581,13 +581,13 @@
 // splitByLocality are the hosts nearby and the rest, as far as they fit; until it is asked for again.
 func (r *Router) splitByLocality(fits func(*Host) bool) (here, there []*Host) {
 	here, there = r.localHosts[:0], r.remoteHosts[:0]
-	for _, h := range r.hosts {
+	for _, host := range r.hosts {
 		switch {
-		case h.State != Serving || !fits(h):
-		case r.localityOf(h) == localZone:
-			here = append(here, h)
+		case host.State != Serving || !fits(host):
+		case r.localityOf(host) == localZone:
+			here = append(here, host)
 		default:
-			there = append(there, h)
+			there = append(there, host)
 		}
 	}
 	r.localHosts, r.remoteHosts = here, there
@@ -622,36 +622,38 @@
 }
 
 // ClientGone says that a client has gone.
-func (r *Router) ClientGone(now Time, t *Request) {
+func (r *Router) ClientGone(now Time, request *Request) {
 	r.now = now
-	r.handleRequestEvent(t, requestEnded)
+	r.handleRequestEvent(request, requestEnded)
 }
 
 // HealthChecked takes in what a probe found: of the way, and what the host reports.
-func (r *Router) HealthChecked(now Time, h *Host, fate Outcome, _ Time, load *LoadReport) {
+func (r *Router) HealthChecked(now Time, host *Host, outcome Outcome, _ Time, load *LoadReport) {
 	r.now = now
 	way := healthStats{at: now, attempts: 1}
-	if fate != Succeeded {
+	if outcome != Succeeded {
 		way.failures = 1
 	}
-	r.paths[r.localityOf(h)].add(way)
+	r.paths[r.localityOf(host)].add(way)
 	if load != nil {
-		h.load, h.loadAt = load, now
+		host.load, host.loadAt = load, now
 	}
 }
 
 // ResponseStarted says that a send's answer has started to stream.
-func (r *Router) ResponseStarted(now Time, s *Attempt) { r.now, s.responseStarted = now, true }
+func (r *Router) ResponseStarted(now Time, attempt *Attempt) {
+	r.now, attempt.responseStarted = now, true
+}
 
 // StatsReported takes in what the desk counted, with how many hosts ran the build and how many were warm by then.
 func (r *Router) StatsReported(now Time, c BuildStats) {
 	cold := 0.0
 	r.now, c.receivedAt = now, now
-	for _, h := range r.hosts {
-		if h.Build == c.Build && h.State == Serving {
+	for _, host := range r.hosts {
+		if host.Build == c.Build && host.State == Serving {
 			c.hosts++
-			cold += r.capacityFactorAt(h, now-c.Age-c.Window/2)
-			if now-c.Age-c.Window-h.StartedAt > r.limits.WarmUp {
+			cold += r.capacityFactorAt(host, now-c.Age-c.Window/2)
+			if now-c.Age-c.Window-host.StartedAt > r.limits.WarmUp {
 				c.warmShare++
 			}
 		}
@@ -662,7 +664,7 @@
 		r.countedLoad = 0 // what hosts hold: how much comes by how long it takes
 	}
 	if r.releaseConfig.SampledShare > 0 && c.Window > 0 {
-		serve := r.countHosts(func(h *Host) bool { return h.State == Serving })
+		serve := r.countHosts(func(host *Host) bool { return host.State == Serving })
 		r.countedLoad += float64(c.Samples) / r.releaseConfig.SampledShare / float64(c.Window) * float64(c.MeanLatency) / max(1, serve)
 	}
 	r.stats = appendBounded(r.stats, c, 240)
@@ -674,35 +676,35 @@
 // learnUsualLatencyFromStats sets what a category usually takes by the calmest of the desk's periods kept: hundreds of routers
 // have too few sends of their own to tell, and were apart by ten times; and a category that waits long is
 // not usual.
-func (r *Router) learnUsualLatencyFromStats(c *Class) {
+func (r *Router) learnUsualLatencyFromStats(class *Class) {
 	const few, calm = 10, 0.85
 	var means []Time
 	for _, x := range r.stats {
-		if on, _, _ := r.exposureOf(x.Build); !on && x.Class == c && x.Samples-x.Failures >= few {
+		if on, _, _ := r.exposureOf(x.Build); !on && x.Class == class && x.Samples-x.Failures >= few {
 			means = append(means, x.MeanLatency)
 		}
 	}
 	if len(means) > 0 {
-		c.usualLatency = max(1, upperQuantile(means, calm))
+		class.usualLatency = max(1, upperQuantile(means, calm))
 	}
 }
 
 // classSlowdown is how much longer than usual a category's answers take everywhere, by own ones and what peers told.
-func (r *Router) classSlowdown(c *Class) float64 {
-	lean := 5 * float64(c.usualLatency)
-	own, told := c.ownStats.decayedTo(r.now), c.peerStats.decayedTo(r.now)
+func (r *Router) classSlowdown(class *Class) float64 {
+	lean := 5 * float64(class.usualLatency)
+	own, told := class.ownStats.decayedTo(r.now), class.peerStats.decayedTo(r.now)
 	return max(1, (own.latency+told.latency+lean)/(own.usualLatency+told.usualLatency+lean))
 }
 
 // lateShare is how many of the last ended sends of a category were late; where hundreds of routers see few,
 // those of others are taken to be in time.
-func (r *Router) lateShare(c *Class, last int) float64 {
+func (r *Router) lateShare(class *Class, last int) float64 {
 	if r.limits.MaxGossipBytes == 0 {
 		return r.endedShare(last, func(x trafficEvent) bool { return x.late })
 	}
 	late, n := 0.0, float64(last)/3
 	for _, x := range r.ended[max(0, len(r.ended)-last):] {
-		if x.class == c {
+		if x.class == class {
 			if n++; x.late {
 				late++
 			}
@@ -722,21 +724,21 @@
 }
 
 // ComplaintReceived takes in that a client found an answer wrong.
-func (r *Router) ComplaintReceived(now Time, h *Host, c *Class, age Time) {
+func (r *Router) ComplaintReceived(now Time, host *Host, class *Class, age Time) {
 	r.now = now
-	if b := r.window(h.Build); h.StartedAt <= now-age {
+	if b := r.window(host.Build); host.StartedAt <= now-age {
 		r.complaints[b.build]++
 		r.unsentComplaints[b.build]++
-		b.complaints = appendBounded(b.complaints, attemptSample{at: now, host: h, class: c}, 240)
+		b.complaints = appendBounded(b.complaints, attemptSample{at: now, host: host, class: class}, 240)
 	}
 }
 
 // handleRequestEvent reads the table of tasks.
-func (r *Router) handleRequestEvent(t *Request, in requestEvent) {
+func (r *Router) handleRequestEvent(request *Request, event requestEvent) {
 	for _, row := range requestTransitions {
-		if row.state == t.state && row.event == in {
-			t.state = row.next
-			row.action(r, t)
+		if row.state == request.state && row.event == event {
+			request.state = row.next
+			row.action(r, request)
 			return
 		}
 	}
@@ -748,8 +750,8 @@
 		r.stageStartedAt, r.vote = r.now-n.Age, voteRecord{}
 	}
 	if n.Build != r.releaseStatus.Build {
-		for _, c := range r.classes {
-			c.baselineLatency = c.usualLatency
+		for _, class := range r.classes {
+			class.baselineLatency = class.usualLatency
 		}
 		r.offeredAt, r.surge, r.surgeSince = r.now, surgeNone, r.now
 		clear(r.stickyBuilds) // no key stays with the build before, which serves them all or has gone back
@@ -773,8 +775,8 @@
 }
 
 // localityOf tells hosts nearby from the rest.
-func (r *Router) localityOf(h *Host) int {
-	if h.Zone == r.zone {
+func (r *Router) localityOf(host *Host) int {
+	if host.Zone == r.zone {
 		return localZone
 	}
 	return remoteZones
@@ -811,9 +813,9 @@
 }
 
 // isBaseline tells hosts that serve with a build that is not on trial.
-func (r *Router) isBaseline(h *Host) bool {
-	on, _, _ := r.exposureOf(h.Build)
-	return !on && h.State == Serving
+func (r *Router) isBaseline(host *Host) bool {
+	on, _, _ := r.exposureOf(host.Build)
+	return !on && host.State == Serving
 }
 
 // repeatsSafely tells whether a second run of the task does no harm anywhere.
@@ -824,9 +826,9 @@
 // stuckAttempts counts a host's sends that have been out for longer than so many usual times with no answer since
 // from it.
 func (h *Host) stuckAttempts(now Time, times float64) (n int) {
-	for _, s := range h.inFlight {
-		late := float64(now-s.sentAt) > times*float64(s.Request.Class.usualLatency)*(1+s.hostLoad)
-		if late && (len(h.samples) == 0 || h.samples[len(h.samples)-1].at < s.sentAt) {
+	for _, attempt := range h.inFlight {
+		late := float64(now-attempt.sentAt) > times*float64(attempt.Request.Class.usualLatency)*(1+attempt.hostLoad)
+		if late && (len(h.samples) == 0 || h.samples[len(h.samples)-1].at < attempt.sentAt) {
 			n++
 		}
 	}
@@ -834,33 +836,33 @@
 }
 
 // RequestArrived accepts a task; from here on it is owed one final answer. More tasks are kept than any window holds.
-func (r *Router) RequestArrived(now Time, t *Request) {
-	r.now, t.arrivedAt = now, now
-	r.arrivals = appendBounded(r.arrivals, trafficEvent{at: now, class: t.Class}, 8192)
-	if c := t.Tenant; c != nil {
-		c.arrivals = appendBounded(c.arrivals, trafficEvent{at: now, class: t.Class}, 4096)
+func (r *Router) RequestArrived(now Time, request *Request) {
+	r.now, request.arrivedAt = now, now
+	r.arrivals = appendBounded(r.arrivals, trafficEvent{at: now, class: request.Class}, 8192)
+	if c := request.Tenant; c != nil {
+		c.arrivals = appendBounded(c.arrivals, trafficEvent{at: now, class: request.Class}, 4096)
 	}
-	r.handleRequestEvent(t, requestArrived)
+	r.handleRequestEvent(request, requestArrived)
 }
 
 // runsNewestBuild tells hosts that serve with the newest build told.
-func (r *Router) runsNewestBuild(h *Host) bool {
-	return h.Build == r.releaseStatus.Build && h.State == Serving
+func (r *Router) runsNewestBuild(host *Host) bool {
+	return host.Build == r.releaseStatus.Build && host.State == Serving
 }
 
 // missProbability is the chance that a task breaks its promised time on a side, as if answers took exponential times.
-func (r *Router) missProbability(t *Request, side int) float64 {
-	return math.Exp(-float64(t.Class.LatencyObjective) / max(1, r.expectedSlowdown(side)*float64(t.Class.usualLatency)))
+func (r *Router) missProbability(request *Request, side int) float64 {
+	return math.Exp(-float64(request.Class.LatencyObjective) / max(1, r.expectedSlowdown(side)*float64(request.Class.usualLatency)))
 }
 
 // transitionHealth reads the table of healths.
-func (r *Router) transitionHealth(h *Host, in healthEvent) {
+func (r *Router) transitionHealth(host *Host, event healthEvent) {
 	for _, row := range healthTransitions {
-		if row.state == h.health && row.event == in {
-			if h.health == ejected {
-				h.samples = h.samples[max(0, len(h.samples)-1):] // none, where peers alone told of it
+		if row.state == host.health && row.event == event {
+			if host.health == ejected {
+				host.samples = host.samples[max(0, len(host.samples)-1):] // none, where peers alone told of it
 			}
-			h.health, h.backoffUntil = row.next, r.now+row.backoff
+			host.health, host.backoffUntil = row.next, r.now+row.backoff
 			r.fleet.valid = false
 			return
 		}
@@ -868,17 +870,17 @@
 }
 
 // transitionVote reads the table of ballots.
-func (r *Router) transitionVote(in voteEvent, voice VoteChoice, w float64, doubts []float64) {
+func (r *Router) transitionVote(event voteEvent, choice VoteChoice, w float64, testOdds []float64) {
 	for _, row := range voteTransitions {
-		if row.state != r.vote.state || row.event != in {
+		if row.state != r.vote.state || row.event != event {
 			continue
 		}
 		r.vote.state = row.next
 		if row.castsVote {
-			r.vote.choice, r.vote.castAt = voice, r.now
-			r.effects.Vote(r.releaseStatus.Build, r.releaseStatus.Stage, voice)
+			r.vote.choice, r.vote.castAt = choice, r.now
+			r.effects.Vote(r.releaseStatus.Build, r.releaseStatus.Stage, choice)
 			r.effects.Log(fmt.Sprintf("votes %d on build %d in stage %d: odds of bad %.2g, mean of %.2g",
-				voice, r.releaseStatus.Build, r.releaseStatus.Stage, w, doubts))
+				choice, r.releaseStatus.Build, r.releaseStatus.Stage, w, testOdds))
 		}
 		return
 	}
@@ -912,16 +914,16 @@
 
 // hostSlowdown is how slow a host's last sends were against what is usual, given what it held; sends still out count
 // with their age. Few sends prove little: so many usual ones are assumed as doubt says, old ones forgotten.
-func (r *Router) hostSlowdown(h *Host, doubt float64, old Time) float64 {
+func (r *Router) hostSlowdown(host *Host, doubt float64, old Time) float64 {
 	pace, n := doubt, doubt
-	for _, p := range h.samples {
+	for _, p := range host.samples {
 		if r.now-p.at < old {
 			pace, n = pace+p.unqueuedSlowdown, n+1
 		}
 	}
-	for _, s := range h.inFlight {
-		usual := float64(s.Request.Class.usualLatency) * (1 + r.concurrencyCost*s.hostLoad)
-		if x := float64(r.now-s.sentAt) / usual; x > 2 {
+	for _, attempt := range host.inFlight {
+		usual := float64(attempt.Request.Class.usualLatency) * (1 + r.concurrencyCost*attempt.hostLoad)
+		if x := float64(r.now-attempt.sentAt) / usual; x > 2 {
 			pace, n = pace+x, n+1
 		}
 	}
@@ -936,27 +938,27 @@
 
 // totalCapacityFactor is how many warm hosts the hosts of a kind are worth.
 func (r *Router) totalCapacityFactor(is func(*Host) bool) (sum float64) {
-	for _, h := range r.hosts {
-		if is(h) {
-			sum += r.capacityFactor(h)
+	for _, host := range r.hosts {
+		if is(host) {
+			sum += r.capacityFactor(host)
 		}
 	}
 	return sum
 }
 
 // capacity is what a host can do against others: its size, as far as the list hints at it, and as it warms.
-func (r *Router) capacity(h *Host) float64 {
-	if h.Weight <= 0 {
-		return r.capacityFactor(h)
+func (r *Router) capacity(host *Host) float64 {
+	if host.Weight <= 0 {
+		return r.capacityFactor(host)
 	}
-	return h.Weight * r.capacityFactor(h)
+	return host.Weight * r.capacityFactor(host)
 }
 
 // totalCapacity adds up what the hosts of a kind that serve can do.
 func (r *Router) totalCapacity(is func(*Host) bool) (sum float64) {
-	for _, h := range r.hosts {
-		if h.State == Serving && is(h) {
-			sum += r.capacity(h)
+	for _, host := range r.hosts {
+		if host.State == Serving && is(host) {
+			sum += r.capacity(host)
 		}
 	}
 	return sum
@@ -972,30 +974,30 @@
 }
 
 // isWarm tells hosts that have been up for long enough to do all they can.
-func (r *Router) isWarm(h *Host) bool { return r.isWarmAt(h, r.now) }
+func (r *Router) isWarm(host *Host) bool { return r.isWarmAt(host, r.now) }
 
-func (r *Router) isWarmAt(h *Host, at Time) bool {
-	return h.StartedAt == 0 || at-h.StartedAt >= r.limits.WarmUp
+func (r *Router) isWarmAt(host *Host, at Time) bool {
+	return host.StartedAt == 0 || at-host.StartedAt >= r.limits.WarmUp
 }
 
 // capacityFactor is the share of its capacity that a host has at the least, as it warms.
-func (r *Router) capacityFactor(h *Host) float64 {
-	return r.capacityFactorAt(h, r.now)
+func (r *Router) capacityFactor(host *Host) float64 {
+	return r.capacityFactorAt(host, r.now)
 }
 
-func (r *Router) capacityFactorAt(h *Host, at Time) float64 {
-	if r.isWarmAt(h, at) {
+func (r *Router) capacityFactorAt(host *Host, at Time) float64 {
+	if r.isWarmAt(host, at) {
 		return 1
 	}
-	return r.limits.ColdCapacity + (1-r.limits.ColdCapacity)*float64(max(0, at-h.StartedAt))/float64(r.limits.WarmUp)
+	return r.limits.ColdCapacity + (1-r.limits.ColdCapacity)*float64(max(0, at-host.StartedAt))/float64(r.limits.WarmUp)
 }
 
 // recentlyConnected are the hosts that have answered since, so that a link to them is up; until it is asked for again.
 func (r *Router) recentlyConnected(all []*Host, from Time) []*Host {
 	some := r.connectedHosts[:0]
-	for _, h := range all {
-		if h.connectedAt > from {
-			some = append(some, h)
+	for _, host := range all {
+		if host.connectedAt > from {
+			some = append(some, host)
 		}
 	}
 	r.connectedHosts = some
@@ -1039,10 +1041,10 @@
 
 // countedFailureEvidence weighs what the desk counted of a category while so many hosts or more ran the build: by how much
 // more than a least share and the usual one it failed.
-func (r *Router) countedFailureEvidence(c *Class, now, before, few int, floor float64, gaps ...float64) float64 {
+func (r *Router) countedFailureEvidence(class *Class, now, before, few int, floor float64, gaps ...float64) float64 {
 	wide := func(x BuildStats) bool { return x.Build == now && x.hosts >= few }
-	bad, n, hosts := sumStats(filterStats(r.stats, wide), c)
-	was, of, _ := sumStats(filterStats(r.stats, func(x BuildStats) bool { return x.Build == before }), c)
+	bad, n, hosts := sumStats(filterStats(r.stats, wide), class)
+	was, of, _ := sumStats(filterStats(r.stats, func(x BuildStats) bool { return x.Build == before }), class)
 	return boundByHosts(failureEvidence([]stratum{{bad, n, max(floor, (was+0.5)/(of+1))}}, gaps...), hosts)
 }
 
@@ -1057,25 +1059,25 @@
 }
 
 // learnUsualLatency learns from an answer of the earlier build what a category takes.
-func (r *Router) learnUsualLatency(c *Class, s *Attempt, x attemptSample) {
-	if s.outcome != Succeeded || !r.isBaseline(s.Host) {
+func (r *Router) learnUsualLatency(class *Class, attempt *Attempt, x attemptSample) {
+	if attempt.outcome != Succeeded || !r.isBaseline(attempt.Host) {
 		return
 	}
-	c.latencies = appendBounded(c.latencies, x.latency, 64)
-	c.serviceTimes = appendBounded(c.serviceTimes, float64(x.latency)/(1+r.concurrencyCost*s.hostLoad), 64)
+	class.latencies = appendBounded(class.latencies, x.latency, 64)
+	class.serviceTimes = appendBounded(class.serviceTimes, float64(x.latency)/(1+r.concurrencyCost*attempt.hostLoad), 64)
 	if !r.statsOutweighOwn() || len(r.stats) == 0 { // the middle and more, for the tail: slow hosts weigh little
-		c.usualLatency = max(1, Time(upperQuantile(c.serviceTimes, 0.5)*4/3))
+		class.usualLatency = max(1, Time(upperQuantile(class.serviceTimes, 0.5)*4/3))
 	}
 	r.recentBaseline = appendBounded(r.recentBaseline, x, 200)
 }
 
 // pretrialFailureRate is what share of a category the desk counted to go wrong at a build before the trial, when all
 // load was its own; as if leaning on so many sends of a usual share.
-func (r *Router) pretrialFailureRate(before *buildWindow, c *Class, usual, kin float64) float64 {
+func (r *Router) pretrialFailureRate(before *buildWindow, class *Class, usual, priorWeight float64) float64 {
 	bad, n, _ := sumStats(filterStats(r.stats, func(x BuildStats) bool {
 		return x.Build == before.build && x.receivedAt <= r.offeredAt
-	}), c)
-	return stratum{failures: bad, attempts: n}.failureRate(stratum{0.5, 0.5 / usual, 0}, kin)
+	}), class)
+	return stratum{failures: bad, attempts: n}.failureRate(stratum{0.5, 0.5 / usual, 0}, priorWeight)
 }
 
 // complaintStratum is how many answers of a build all routers heard complaints of, among the sends that the desk
@@ -1086,9 +1088,9 @@
 }
 
 // leastExpectedSlowdown is how jammed the side is that is the less so, of those that have hosts.
-func (r *Router) leastExpectedSlowdown(c *Class) float64 {
+func (r *Router) leastExpectedSlowdown(class *Class) float64 {
 	if r.limits.MaxGossipBytes > 0 {
-		return r.expectedClassSlowdown(c)
+		return r.expectedClassSlowdown(class)
 	}
 	m := r.snapshot()
 	switch {
@@ -1103,8 +1105,8 @@
 // hostPlanWeights are those of the plan, until it is asked for again.
 func (r *Router) hostPlanWeights(from []*Host) []float64 {
 	r.planWeights = r.planWeights[:0]
-	for _, h := range from {
-		r.planWeights = append(r.planWeights, h.planWeight)
+	for _, host := range from {
+		r.planWeights = append(r.planWeights, host.planWeight)
 	}
 	return r.planWeights
 }
@@ -1126,9 +1128,9 @@
 }
 
 // transitionSurge reads the table of swells.
-func (r *Router) transitionSurge(in surgeEvent) {
+func (r *Router) transitionSurge(event surgeEvent) {
 	for _, row := range surgeTransitions {
-		if row.state == r.surge && row.event == in {
+		if row.state == r.surge && row.event == event {
 			r.surge, r.surgeSince = row.next, r.now
 			return
 		}
@@ -1143,9 +1145,9 @@
 		return stat.Mean(logs, nil), float64(len(logs))
 	}
 	gap = math.Inf(1)
-	for _, c := range r.classes {
-		g, k := logLatencyGapToPast(r.stats, c, before.build, before.build, r.offeredAt, from, 0)
-		h, l := logLatencyGapToPast(r.stats, c, before.build, r.releaseStatus.Build, r.offeredAt, from, 0) // in the end it has most of the sends
+	for _, class := range r.classes {
+		g, k := logLatencyGapToPast(r.stats, class, before.build, before.build, r.offeredAt, from, 0)
+		h, l := logLatencyGapToPast(r.stats, class, before.build, r.releaseStatus.Build, r.offeredAt, from, 0) // in the end it has most of the sends
 		if k+l > 0 {
 			gap, n = min(gap, (g*k+h*l)/(k+l)), n+k+l
 		}
--- a/policy/types.go
+++ b/policy/types.go
@@ -270,15 +270,15 @@
 
 // Effects carry out what a Router decides.
 type Effects interface {
-	Send(s *Attempt, within Time)
-	Reject(t *Request, stay Time)
-	Fail(t *Request)
+	Send(attempt *Attempt, within Time)
+	Reject(request *Request, stay Time)
+	Fail(request *Request)
 	SetTimer(in Time, what *Timer)
 	WatchEndpoints()
-	Vote(build, stage int, voice VoteChoice)
+	Vote(build, stage int, choice VoteChoice)
 	Log(text string)
 	Gossip(peer int, body []byte) // peer is a rank, or Everyone
-	CheckHealth(h *Host)
+	CheckHealth(host *Host)
 }
 
 // Broadcast stands for the ranks of all peers.
