--- a/internal/downstream/front.go
+++ b/internal/downstream/front.go
@@ -131,7 +131,7 @@
 
 // Close ends idle connections and turns back what still comes on others; Drained tells when that is over.
 func (d *Server) Close() {
-	d.Drain(d.until)
+	d.StartDraining(d.until)
 	d.closing = true
 	d.shed()
 }
@@ -151,12 +151,12 @@
 	return len(d.guests) == 0
 }
 
-// ReadyBy sets what tells whether the router is ready.
-func (d *Server) ReadyBy(ready func() bool) { d.ready = ready }
+// SetReady sets what tells whether the router is ready.
+func (d *Server) SetReady(ready func() bool) { d.ready = ready }
 
-// Drain goes on as before, but each answer ends its connection, so that clients move elsewhere. Requests that come from
+// StartDraining goes on as before, but each answer ends its connection, so that clients move elsewhere. Requests that come from
 // now on are answered before until, as the process ends then; 0 for no such bound.
-func (d *Server) Drain(until policy.Time) {
+func (d *Server) StartDraining(until policy.Time) {
 	d.bowing, d.until = true, until
 	for g := range d.guests {
 		if n := len(g.slots); n > 0 {
--- /dev/null
+++ b/internal/proxy/attempt.go
@@ -0,0 +1,127 @@
+package proxy
+
+import (
+	"context"
+	"log/slog"
+	"net/http"
+	"strconv"
+	"strings"
+
+	"dapplefront/internal/downstream"
+	"dapplefront/internal/eventloop"
+	"dapplefront/internal/http1"
+	"dapplefront/internal/upstream"
+	"dapplefront/policy"
+	"dapplefront/router"
+)
+
+const (
+	headCapacity        = 512 // bytes reserved for the common head of a request's attempts
+	attemptHeadCapacity = 96  // and for what each attempt adds to it
+)
+
+// sendAttempt sends a request to a host.
+func (p *Proxy) sendAttempt(r *request, a router.Action) {
+	m := r.downstream.Message
+	if r.commonHead == nil {
+		r.commonHead = p.requestHead(m, r.downstream)
+	}
+	head := append(make([]byte, 0, len(r.commonHead)+attemptHeadCapacity), r.commonHead...)
+	if name := p.protocol.Attempt; name != "" {
+		head = append(append(head, name...), ": "...)
+		head = append(strconv.AppendInt(head, int64(a.Attempt), 10), "\r\n"...)
+	}
+	r.outstanding++
+	p.counts.Attempts++
+	if a.IsShadow {
+		p.counts.ShadowAttempts++
+	} else {
+		r.host = a.Host
+	}
+	number, host := a.Attempt, a.Host
+	r.attempts = append(r.attempts, p.pool.Send(host, head, m.Body, m.Method == http.MethodHead, a.Duration,
+		func(result upstream.Result) { p.attemptEnded(r, number, host, result) }))
+}
+
+// attemptEnded reports the end of an attempt to the router. The first that succeeds gives the client its response.
+func (p *Proxy) attemptEnded(r *request, number int, host uint32, result upstream.Result) {
+	r.outstanding--
+	r.timedOut = result.Outcome == policy.TimedOut
+	if result.Reason != "" && p.log.Enabled(context.Background(), slog.LevelDebug) {
+		p.log.Debug("attempt ended", "request", r.id, "attempt", number, "host", host, "outcome", int(result.Outcome), "reason", result.Reason)
+	}
+	if result.Outcome == policy.Succeeded && r.responseDue {
+		r.responseDue = false
+		p.counts.Succeeded++
+		r.host = host
+		p.countOutcome(reportedSucceeded, r)
+		if p.faults == nil || !p.faults.Silent(r.id) {
+			r.downstream.Respond(result.Response, host)
+		}
+		r.cancelAttempts()
+	}
+	if result.Response != nil {
+		result.Response.Drop()
+	}
+	p.handleEvent(router.AttemptEnded{RequestID: r.id, Attempt: number, Outcome: result.Outcome, Latency: result.Latency,
+		Done: !r.responseDue, Load: result.Load})
+	p.forget(r)
+}
+
+// requestHead is what the heads of a request's attempts have in common: all but the attempt's number and its timeout.
+func (p *Proxy) requestHead(m *http1.Message, d *downstream.Request) []byte {
+	b := make([]byte, 0, headCapacity)
+	b = append(b, m.Method...)
+	b = append(b, ' ')
+	b = append(b, m.Target...)
+	b = append(b, " HTTP/1.1\r\n"...)
+	if m.Minor == 0 && m.Get("Host") == "" {
+		b = http1.AppendField(b, "Host", p.address.String())
+	}
+	b = m.AppendFields(b, p.isOwnHeader)
+	if p.protocol.ForwardedHeaders {
+		b = http1.AppendField(b, "Via", "1.1 "+p.config.Name)
+	}
+	if p.protocol.Router != "" {
+		b = http1.AppendField(b, p.protocol.Router, p.config.Name)
+	}
+	if p.protocol.Class != "" {
+		b = http1.AppendField(b, p.protocol.Class, d.Class)
+	}
+	if p.protocol.ForwardedHeaders && d.From.IsValid() {
+		b = http1.AppendField(b, "X-Forwarded-For", d.From.String())
+	}
+	if len(m.Body) > 0 || m.Method == http.MethodPost || m.Method == http.MethodPut || m.Method == http.MethodPatch {
+		b = append(b, "Content-Length: "...)
+		b = strconv.AppendInt(b, int64(len(m.Body)), 10)
+		b = append(b, '\r', '\n')
+	}
+	return b
+}
+
+// isOwnHeader reports whether a router sets a header itself on its way to a host, whatever the client sent.
+func (p *Proxy) isOwnHeader(name string) bool {
+	for _, own := range [...]string{p.protocol.Timeout, p.protocol.Attempt, p.protocol.Router, p.protocol.Class} {
+		if len(name) == len(own) && strings.EqualFold(name, own) {
+			return true
+		}
+	}
+	return false
+}
+
+// checkHealth sends a health check to a host, where the configuration names a path for it. The result counts for no
+// request.
+func (p *Proxy) checkHealth(host uint32) {
+	check := p.config.HealthCheck
+	if check.Path == "" {
+		return
+	}
+	head := http1.AppendField([]byte("GET "+check.Path+" HTTP/1.1\r\n"), "Host", p.address.String())
+	head = http1.AppendField(head, upstream.RouterHeader, p.config.Name)
+	p.pool.Send(host, head, nil, false, eventloop.FromDuration(check.Timeout), func(result upstream.Result) {
+		if result.Response != nil {
+			result.Response.Drop()
+		}
+		p.handleEvent(router.HealthChecked{Host: host, Outcome: result.Outcome, Latency: result.Latency, Load: result.Load})
+	})
+}
--- a/internal/proxy/peer_test.go
+++ b/internal/proxy/benchmark_test.go
@@ -109,7 +109,7 @@
 	address string
 }
 
-func run(b *testing.B, env ...string) *child {
+func startChild(b *testing.B, env ...string) *child {
 	c := exec.Command(os.Args[0])
 	c.Env = append(os.Environ(), env...)
 	c.Stderr = os.Stderr
@@ -123,8 +123,8 @@
 	return &child{c, strings.TrimSpace(line)}
 }
 
-// cpu is the processor time that all its threads have used.
-func (c *child) cpu(b *testing.B) time.Duration {
+// cpuTime is the processor time that all its threads have used.
+func (c *child) cpuTime(b *testing.B) time.Duration {
 	all, err := os.ReadDir(fmt.Sprintf("/proc/%d/task", c.cmd.Process.Pid))
 	require.NoError(b, err)
 	var sum time.Duration
@@ -138,8 +138,8 @@
 	return sum
 }
 
-// memory is its resident size in bytes.
-func (c *child) memory(b *testing.B) int64 {
+// residentBytes is its resident size in bytes.
+func (c *child) residentBytes(b *testing.B) int64 {
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", c.cmd.Process.Pid))
 	require.NoError(b, err)
 	for line := range strings.Lines(string(text)) {
@@ -151,8 +151,8 @@
 	return 0
 }
 
-// quick starts hosts that answer at once, or after a while.
-func quick(b *testing.B, n int, after time.Duration) (hosts []string) {
+// startFastHosts starts hosts that answer at once, or after a while.
+func startFastHosts(b *testing.B, n int, after time.Duration) (hosts []string) {
 	for range n {
 		l, err := net.Listen("tcp", "127.0.0.1:0")
 		require.NoError(b, err)
@@ -168,8 +168,8 @@
 	return hosts
 }
 
-// routed starts a router for the hosts.
-func routed(b *testing.B, hosts []string, patience string) *child {
+// startRouter starts a router for the hosts.
+func startRouter(b *testing.B, hosts []string, patience string) *child {
 	register, err := testbed.StartRegister("127.0.0.1:0", "shop", nil)
 	require.NoError(b, err)
 	b.Cleanup(register.Stop)
@@ -181,7 +181,7 @@
 		register.Set(testbed.Entry{Host: testbed.Elsewhere(h, testbed.Machine{ID: uint32(i + 1), Location: "here", Cores: 1,
 			Speed: 1}, 1), Standing: policy.Serving})
 	}
-	c := run(b, "DAPPLEFRONT_BENCH=router", "DAPPLEFRONT_CHARTER="+fmt.Sprintf(`
+	c := startChild(b, "DAPPLEFRONT_BENCH=router", "DAPPLEFRONT_CHARTER="+fmt.Sprintf(`
 [router]
 name = r
 location = here
@@ -203,8 +203,8 @@
 	return c
 }
 
-// paced asks for n tasks over some connections at a rate, and returns the times of the answers.
-func paced(b *testing.B, address string, n, conns int, rate float64) []time.Duration {
+// runLoad asks for n tasks over some connections at a rate, and returns the times of the answers.
+func runLoad(b *testing.B, address string, n, conns int, rate float64) []time.Duration {
 	began := time.Now()
 	var next atomic.Int64
 	times := make([]time.Duration, n)
@@ -260,15 +260,15 @@
 		rate         float64
 	}{{4, 64, 1000}, {24, 64, 1000}, {300, 64, 1000}, {24, 64, 4000}} {
 		b.Run(fmt.Sprintf("hosts=%d/rate=%.0f", size.hosts, size.rate), func(b *testing.B) {
-			hosts := quick(b, size.hosts, 0)
-			ours := routed(b, hosts, "2s")
-			peer := run(b, "DAPPLEFRONT_BENCH=peer", "DAPPLEFRONT_HOSTS="+strings.Join(hosts, ","))
+			hosts := startFastHosts(b, size.hosts, 0)
+			ours := startRouter(b, hosts, "2s")
+			peer := startChild(b, "DAPPLEFRONT_BENCH=peer", "DAPPLEFRONT_HOSTS="+strings.Join(hosts, ","))
 			measure := func(c *child) (cpu time.Duration, times []time.Duration) {
-				paced(b, c.address, max(500, b.N/10), size.conns, size.rate) // warm links
-				was := c.cpu(b)
-				times = paced(b, c.address, b.N, size.conns, size.rate)
+				runLoad(b, c.address, max(500, b.N/10), size.conns, size.rate) // warm links
+				was := c.cpuTime(b)
+				times = runLoad(b, c.address, b.N, size.conns, size.rate)
 				slices.Sort(times)
-				return c.cpu(b) - was, times
+				return c.cpuTime(b) - was, times
 			}
 			b.ResetTimer()
 			a, at := measure(ours)
@@ -290,10 +290,10 @@
 	const conns, open = 10_000, 8_000
 	var hosts []string
 	for range 8 {
-		hosts = append(hosts, run(b, "DAPPLEFRONT_BENCH=hosts").address)
+		hosts = append(hosts, startChild(b, "DAPPLEFRONT_BENCH=hosts").address)
 	}
-	ours := routed(b, hosts, "60s")
-	base := ours.memory(b)
+	ours := startRouter(b, hosts, "60s")
+	base := ours.residentBytes(b)
 	var all []net.Conn
 	for range conns {
 		c, err := net.Dial("tcp", ours.address)
@@ -301,13 +301,13 @@
 		all = append(all, c)
 	}
 	time.Sleep(500 * time.Millisecond)
-	idle := ours.memory(b)
+	idle := ours.residentBytes(b)
 	for _, c := range all[:open] {
 		_, _ = io.WriteString(c, "GET /quote HTTP/1.1\r\nHost: r\r\n\r\n")
 		time.Sleep(100 * time.Microsecond)
 	}
 	time.Sleep(time.Second)
-	busy := ours.memory(b)
+	busy := ours.residentBytes(b)
 	var answers atomic.Int64
 	var wait sync.WaitGroup
 	for _, c := range all {
--- a/internal/proxy/settle_test.go
+++ b/internal/proxy/config_test.go
@@ -18,9 +18,9 @@
 	"dapplefront/router"
 )
 
-// other is the rig's charter with changes to its text.
-func (r *rig) other(extra string, change ...string) *routerconfig.Config {
-	text := fmt.Sprintf(rules, r.charter.EndpointCache, r.register.Address(), r.desk.URL(), extra)
+// changedConfig is the rig's charter with changes to its text.
+func (r *testbench) changedConfig(extra string, change ...string) *routerconfig.Config {
+	text := fmt.Sprintf(configTemplate, r.config.EndpointCache, r.discovery.Address(), r.controller.URL(), extra)
 	text = strings.NewReplacer(change...).Replace(text)
 	s := inifile.Parse("other", text)
 	c := routerconfig.From(s)
@@ -30,28 +30,28 @@
 
 func TestSettingsChangeUnderLoadWithBindingTasksInFlightAndBack(t *testing.T) {
 	var ran atomic.Int64
-	h := host(t, 1, 1, func(x exchange) bool {
+	h := startHost(t, 1, 1, func(x exchange) bool {
 		if x.URL.Path == "/transfer" {
 			ran.Add(1)
 			time.Sleep(5 * time.Millisecond)
 		}
-		return right(x)
+		return respondOK(x)
 	})
-	r := newRig(t, "", h)
-	first := r.charter
+	r := newTestbench(t, "", h)
+	first := r.config
 	port, err := net.ListenPacket("udp", "127.0.0.1:0")
 	require.NoError(t, err)
 	own := port.LocalAddr().String()
 	_ = port.Close()
-	there := r.other("two-at-once = off\n[probes]\npath = /probe\n[peers]\naddresses = "+own+"\n", "promised = 300ms", "promised = 350ms")
+	there := r.changedConfig("two-at-once = off\n[probes]\npath = /probe\n[peers]\naddresses = "+own+"\n", "promised = 300ms", "promised = 350ms")
 	const clients, each = 6, 60
 	outcomes := make(chan string, clients*each)
 	var moved atomic.Int64 // binding tasks that finished
 	for range clients {
 		go func() {
-			c := r.client()
+			c := r.dial()
 			for n := range each {
-				c.ask([]string{"/transfer", "/quote"}[n%2], "")
+				c.post([]string{"/transfer", "/quote"}[n%2], "")
 				got, err := http.ReadResponse(c.in, nil)
 				if err != nil {
 					outcomes <- err.Error()
@@ -74,22 +74,22 @@
 	for range clients * each {
 		require.Contains(t, []string{"finished", "turned-back"}, <-outcomes) // each has one answer
 	}
-	r.idle()
+	r.waitIdle()
 	require.EqualValues(t, moved.Load(), ran.Load(), "each binding task that finished ran once, others never")
 	require.Positive(t, moved.Load())
 	require.NoError(t, r.router.UpdateConfig(there))
 	r.router.loop.Do(func() {
-		require.NotNil(t, r.router.peers)
-		require.False(t, r.router.charter.Router.Limits.AllowHedging)
+		require.NotNil(t, r.router.gossip)
+		require.False(t, r.router.config.Router.Limits.AllowHedging)
 	})
 	require.NoError(t, r.router.UpdateConfig(first))
-	r.router.loop.Do(func() { require.Nil(t, r.router.peers) })
+	r.router.loop.Do(func() { require.Nil(t, r.router.gossip) })
 }
 
 func TestWhatARunningRouterCantChangeIsNamedAndChangesNothing(t *testing.T) {
-	r := newRig(t, "", host(t, 1, 1, right))
-	first := r.charter
-	err := r.router.UpdateConfig(r.other("two-at-once = off", "location = here", "location = there",
+	r := newTestbench(t, "", startHost(t, 1, 1, respondOK))
+	first := r.config
+	err := r.router.UpdateConfig(r.changedConfig("two-at-once = off", "location = here", "location = there",
 		"repeat = binding", "repeat = retriable", "connect = 250ms", "connect = 300ms"))
 	for _, what := range []string{"location", "category transfer", "[hosts]"} {
 		require.ErrorContains(t, err, what)
@@ -97,27 +97,27 @@
 	taken, err := net.ListenPacket("udp", "127.0.0.1:0") // an address that another has
 	require.NoError(t, err)
 	defer taken.Close()
-	err = r.router.UpdateConfig(r.other("[peers]\naddresses = " + taken.LocalAddr().String()))
+	err = r.router.UpdateConfig(r.changedConfig("[peers]\naddresses = " + taken.LocalAddr().String()))
 	require.ErrorContains(t, err, "peers")
-	require.Same(t, first, r.router.charter)
-	r.router.loop.Do(func() { require.Nil(t, r.router.peers) })
-	c := r.client()
-	c.ask("/quote", "")
-	_, outcome, _ := c.read()
+	require.Same(t, first, r.router.config)
+	r.router.loop.Do(func() { require.Nil(t, r.router.gossip) })
+	c := r.dial()
+	c.post("/quote", "")
+	_, outcome, _ := c.response()
 	require.Equal(t, "finished", outcome)
 }
 
 func TestPeersAndProbesAreCarriedAndStrangersAreNot(t *testing.T) {
 	probed := make(chan string, 8)
-	h := host(t, 1, 1, func(x exchange) bool {
+	h := startHost(t, 1, 1, func(x exchange) bool {
 		if x.Method == "GET" {
 			probed <- x.URL.Path
-			x.answer(200, "", `Endpoint-Load-Metrics: TEXT named_metrics.active=3`)
+			x.respond(200, "", `Endpoint-Load-Metrics: TEXT named_metrics.active=3`)
 			return true
 		}
-		return right(x)
+		return respondOK(x)
 	})
-	r := newRig(t, "", h)
+	r := newTestbench(t, "", h)
 	a, err := net.ListenPacket("udp", "127.0.0.1:0")
 	require.NoError(t, err)
 	own := a.LocalAddr().String()
@@ -125,10 +125,10 @@
 	peer, err := net.ListenPacket("udp", "127.0.0.1:0")
 	require.NoError(t, err)
 	defer peer.Close()
-	require.NoError(t, r.router.UpdateConfig(r.other("[probes]\npath = /probe\n[peers]\naddresses = "+own+", "+peer.LocalAddr().String(),
+	require.NoError(t, r.router.UpdateConfig(r.changedConfig("[probes]\npath = /probe\n[peers]\naddresses = "+own+", "+peer.LocalAddr().String(),
 		"name = r\n", "name = r\nrouters = 2\n")))
 	r.router.loop.Do(func() {
-		r.router.act([]router.Action{{Kind: router.CheckHealth, Host: 1}, {Kind: router.SendGossip, Peer: policy.Broadcast, Body: "word"}})
+		r.router.execute([]router.Action{{Kind: router.CheckHealth, Host: 1}, {Kind: router.SendGossip, Peer: policy.Broadcast, Body: "word"}})
 	})
 	require.Equal(t, "/probe", <-probed)
 	b := make([]byte, 300)
@@ -143,14 +143,14 @@
 		_, err = peer.WriteTo([]byte(body), to)
 		require.NoError(t, err)
 	}
-	c := r.client()
-	c.ask("/quote", "")
-	_, outcome, _ := c.read()
+	c := r.dial()
+	c.post("/quote", "")
+	_, outcome, _ := c.response()
 	require.Equal(t, "finished", outcome, "words that can't be read bring no fault")
 }
 
 func TestMistakesInTheNewSectionsAreNamed(t *testing.T) {
-	s := inifile.Parse("f", fmt.Sprintf(rules, "l", "127.0.0.1:1", "http://127.0.0.1:2", `
+	s := inifile.Parse("f", fmt.Sprintf(configTemplate, "l", "127.0.0.1:1", "http://127.0.0.1:2", `
 [probes]
 path = probe
 [peers]
--- /dev/null
+++ b/internal/proxy/endpoints.go
@@ -0,0 +1,75 @@
+package proxy
+
+import (
+	"dapplefront/internal/eds"
+	"dapplefront/policy"
+	"dapplefront/router"
+)
+
+// endpointsChanged takes over an endpoint list, or changes to it where it is not complete.
+func (p *Proxy) endpointsChanged(complete bool, hosts []eds.Host) {
+	list := make([]router.Host, len(hosts))
+	listed := make(map[uint32]bool, len(hosts))
+	for n, h := range hosts {
+		list[n], listed[h.ID] = h.Host, true
+		if h.State == policy.Removed {
+			p.pool.Remove(h.ID)
+		} else {
+			p.pool.SetAddress(h.ID, h.Address)
+		}
+		p.endpoints[h.ID] = h
+	}
+	for id, h := range p.endpoints {
+		if complete && !listed[id] && h.State != policy.Removed {
+			h.State = policy.Removed
+			p.endpoints[id] = h
+			p.pool.Remove(id)
+		}
+	}
+	p.handleEvent(router.EndpointsChanged{Complete: complete, Hosts: list})
+	var current []eds.Host
+	for id, h := range p.endpoints {
+		if h.State != policy.Removed {
+			current = append(current, h)
+		} else if p.faults == nil { // a fault injector may send to removed hosts
+			delete(p.endpoints, id)
+		}
+	}
+	p.cacheEndpoints(current)
+}
+
+// loadEndpointCache starts from the endpoint list that an earlier process cached, if there is one.
+func (p *Proxy) loadEndpointCache() {
+	if p.config.EndpointCache == "" {
+		return
+	}
+	hosts, err := eds.LoadCache(p.config.EndpointCache)
+	if err != nil {
+		p.log.Warn("starting without cached endpoints", "error", err)
+	} else if len(hosts) > 0 {
+		p.log.Info("starting with cached endpoints", "hosts", len(hosts))
+		p.endpointsChanged(true, hosts)
+	}
+}
+
+// cacheEndpoints hands a list to the cache's writer, in place of an older one that still waits.
+func (p *Proxy) cacheEndpoints(hosts []eds.Host) {
+	if p.config.EndpointCache == "" {
+		return
+	}
+	select {
+	case <-p.cacheUpdates:
+	default:
+	}
+	p.cacheUpdates <- hosts
+}
+
+// writeEndpointCache writes lists to the cache file, outside the loop, until cacheUpdates is closed.
+func (p *Proxy) writeEndpointCache(file string) {
+	defer close(p.cacheWriterDone)
+	for hosts := range p.cacheUpdates {
+		if err := eds.SaveCache(file, hosts); err != nil {
+			p.log.Warn("endpoints are not cached", "error", err)
+		}
+	}
+}
--- /dev/null
+++ b/internal/proxy/events.go
@@ -0,0 +1,94 @@
+package proxy
+
+import (
+	"errors"
+
+	"dapplefront/internal/api"
+	"dapplefront/policy"
+	"dapplefront/router"
+)
+
+// postEvent queues an event from outside the loop.
+func (p *Proxy) postEvent(e router.Event) { p.loop.Post(func() { p.handleEvent(e) }) }
+
+// handleEvent handles an event whose error has no one to go to; handle has logged it.
+func (p *Proxy) handleEvent(e router.Event) { _ = p.handle(e) }
+
+// handle hands events to the router one after the other, also those that their actions bring about, and carries out
+// the actions. It returns the router's errors, which are logged already. An event that comes while another one is
+// handled is queued, and handle returns nil.
+func (p *Proxy) handle(e router.Event) (err error) {
+	p.events = append(p.events, e)
+	if p.handling {
+		return nil
+	}
+	p.handling = true
+	for len(p.events) > 0 {
+		e := p.events[0]
+		p.events = p.events[1:]
+		now := p.loop.Now()
+		actions, eventErr := p.router.Handle(now, e, p.actionBuffer[:0])
+		if eventErr != nil {
+			p.log.Warn("invalid event", "error", eventErr)
+			err = errors.Join(err, eventErr)
+		}
+		p.actionBuffer = actions
+		if p.records != nil {
+			p.logRecordError(p.records.WriteEvent(now, e, actions))
+		}
+		if p.faults != nil {
+			actions = p.faults.Actions(now, e, actions, p.endpoints)
+		}
+		p.execute(actions)
+	}
+	p.events, p.handling = nil, false
+	return err
+}
+
+// logRecordError logs that an event could not be recorded; nil for no error.
+func (p *Proxy) logRecordError(err error) {
+	if err != nil {
+		p.log.Error("an event is not recorded", "error", err)
+	}
+}
+
+// execute carries out actions in order. Those of a request that is forgotten already are dropped.
+func (p *Proxy) execute(actions []router.Action) {
+	for _, a := range actions {
+		switch a.Kind {
+		case router.SendAttempt:
+			if r := p.requests[a.RequestID]; r != nil {
+				p.sendAttempt(r, a)
+			}
+		case router.Reject, router.Fail:
+			if r := p.requests[a.RequestID]; r != nil && r.responseDue {
+				p.respondFinal(r, a)
+			}
+		case router.SetTimer:
+			timer := a.Timer
+			p.loop.After(a.Duration, func() { p.handleEvent(router.TimerFired{Timer: timer}) })
+		case router.WatchEndpoints:
+			p.discovery.Ask()
+		case router.CastVote:
+			p.castVote(a)
+		case router.SendGossip:
+			if p.gossip != nil {
+				p.gossip.Send(a.Peer, a.Body)
+			}
+		case router.CheckHealth:
+			p.checkHealth(a.Host)
+		case router.AcknowledgePlan:
+			if a.Text != "" {
+				p.log.Warn("plan rejected", "version", a.PlanVersion, "reason", a.Text)
+			}
+			p.releases.AcknowledgePlan(a.PlanVersion, a.Text)
+		case router.Log:
+			p.log.Info("note", "text", a.Text)
+		}
+	}
+}
+
+func (p *Proxy) castVote(a router.Action) {
+	p.log.Info("vote", "build", a.Build, "stage", a.Stage, "choice", api.VoteChoices[a.Choice])
+	p.releases.Vote(a.Build, a.Stage, a.Choice, func(s policy.ReleaseStatus) { p.postEvent(router.ReleaseChanged{Status: s}) })
+}
--- a/internal/proxy/hard_test.go
+++ b/internal/proxy/faults_test.go
@@ -16,61 +16,61 @@
 )
 
 func TestAHostThatAnswersAfterTheRouterGaveUpIsNotHeard(t *testing.T) {
-	r := newRig(t, "", host(t, 1, 1, func(x exchange) bool {
-		if x.n == 1 {
+	r := newTestbench(t, "", startHost(t, 1, 1, func(x exchange) bool {
+		if x.requestNumber == 1 {
 			time.Sleep(800 * time.Millisecond)
 		}
-		return right(x)
+		return respondOK(x)
 	}))
-	c := r.client()
-	c.ask("/transfer", "")
-	status, outcome, _ := c.read()
+	c := r.dial()
+	c.post("/transfer", "")
+	status, outcome, _ := c.response()
 	require.Equal(t, 504, status)
 	require.Equal(t, "scrapped", outcome)
-	c.nothing(600 * time.Millisecond)
-	c.ask("/transfer", "")
-	_, outcome, body := c.read()
+	c.requireSilence(600 * time.Millisecond)
+	c.post("/transfer", "")
+	_, outcome, body := c.response()
 	require.Equal(t, "finished right", outcome+" "+body)
-	r.idle()
+	r.waitIdle()
 }
 
 func TestABindingTaskCutAfterItsLastByteIsScrappedAndNotSentAgain(t *testing.T) {
 	cut := func(x exchange) bool { return false }
-	a, b := host(t, 1, 1, cut), host(t, 2, 1, cut)
-	r := newRig(t, "", a, b)
-	c := r.client()
-	c.ask("/transfer", "")
-	status, outcome, _ := c.read()
+	a, b := startHost(t, 1, 1, cut), startHost(t, 2, 1, cut)
+	r := newTestbench(t, "", a, b)
+	c := r.dial()
+	c.post("/transfer", "")
+	status, outcome, _ := c.response()
 	require.Equal(t, 502, status)
 	require.Equal(t, "scrapped", outcome)
-	r.idle()
+	r.waitIdle()
 	require.EqualValues(t, 1, a.requests.Load()+b.requests.Load())
 }
 
 func TestARetriableTaskThatIsCutGoesToAnotherHost(t *testing.T) {
 	var first atomic.Bool
-	serve := func(x exchange) bool { return !first.CompareAndSwap(false, true) && right(x) }
-	r := newRig(t, "", host(t, 1, 1, serve), host(t, 2, 1, serve))
-	c := r.client()
-	c.ask("/quote", "")
-	_, outcome, _ := c.read()
+	serve := func(x exchange) bool { return !first.CompareAndSwap(false, true) && respondOK(x) }
+	r := newTestbench(t, "", startHost(t, 1, 1, serve), startHost(t, 2, 1, serve))
+	c := r.dial()
+	c.post("/quote", "")
+	_, outcome, _ := c.response()
 	require.Equal(t, "finished", outcome)
 }
 
 func TestAHostThatClosesIdleConnectionsNeverRunsABindingTaskTwice(t *testing.T) {
 	var ran, finished, scrapped atomic.Int64
-	h := host(t, 1, 1, func(x exchange) bool {
+	h := startHost(t, 1, 1, func(x exchange) bool {
 		ran.Add(1)
-		right(x)
-		time.Sleep(time.Duration(x.n%4) * 300 * time.Microsecond) // closes at about when the next task is written
+		respondOK(x)
+		time.Sleep(time.Duration(x.requestNumber%4) * 300 * time.Microsecond) // closes at about when the next task is written
 		return false
 	})
-	r := newRig(t, "", h)
-	c := r.client()
+	r := newTestbench(t, "", h)
+	c := r.dial()
 	const tasks = 200
 	for range tasks {
-		c.ask("/transfer", "")
-		switch _, outcome, _ := c.read(); outcome {
+		c.post("/transfer", "")
+		switch _, outcome, _ := c.response(); outcome {
 		case "finished":
 			finished.Add(1)
 		case "scrapped": // the host's end came after the kernel had taken the task: it may have run
@@ -79,37 +79,37 @@
 			t.Fatalf("outcome %q", outcome)
 		}
 	}
-	r.idle()
+	r.waitIdle()
 	require.EqualValues(t, finished.Load(), ran.Load(), "each that ran was answered, and ran once")
 	require.Greater(t, finished.Load(), int64(tasks/2), "most ends are seen before the write")
 }
 
 func TestADrainToldWhileASendIsBeingWrittenLetsItEndAndNothingNewFollows(t *testing.T) {
 	arriving, told := make(chan bool, 1), make(chan bool)
-	slow := host(t, 1, 1, func(x exchange) bool {
-		if x.n == 1 {
+	slow := startHost(t, 1, 1, func(x exchange) bool {
+		if x.requestNumber == 1 {
 			arriving <- true
 			<-told
 		}
-		return right(x)
+		return respondOK(x)
 	})
-	r := newRig(t, "", slow)
-	c := r.client()
+	r := newTestbench(t, "", slow)
+	c := r.dial()
 	c.write("POST /quote HTTP/1.1\r\nHost: r\r\nDapplefront-Patience: 1s\r\nContent-Length: 60000\r\n\r\n" + strings.Repeat("x", 60000))
 	<-arriving
-	r.list(slow, policy.Draining)
+	r.setEndpoint(slow, policy.Draining)
 	r.eventually(func() bool {
 		s := policy.Serving
-		r.router.loop.Do(func() { s = r.router.hosts[1].State })
+		r.router.loop.Do(func() { s = r.router.endpoints[1].State })
 		return s == policy.Draining
 	})
 	close(told)
-	_, outcome, _ := c.read()
+	_, outcome, _ := c.response()
 	require.Equal(t, "finished", outcome)
 	time.Sleep(300 * time.Millisecond)
 	before := slow.requests.Load()
-	c.ask("/quote", "")
-	status, outcome, _ := c.read()
+	c.post("/quote", "")
+	status, outcome, _ := c.response()
 	require.Equal(t, 503, status)
 	require.Equal(t, "turned-back", outcome)
 	require.Equal(t, before, slow.requests.Load())
@@ -117,21 +117,21 @@
 
 func TestAReleaseWithdrawnWithBindingTasksInFlightAnswersEachOnce(t *testing.T) {
 	held := make(chan bool, 8)
-	r := newRig(t, "", host(t, 1, 1, right), host(t, 2, 2, func(x exchange) bool {
+	r := newTestbench(t, "", startHost(t, 1, 1, respondOK), startHost(t, 2, 2, func(x exchange) bool {
 		held <- true
 		time.Sleep(200 * time.Millisecond)
-		return right(x)
+		return respondOK(x)
 	}))
 	for _, in := range []release.Input{release.Offer{Build: 2}, release.HostsReady{Build: 2}, release.Vote{Router: "r", Build: 2, Stage: 0, Choice: policy.Promote}} {
-		_, err := r.desk.Handle(in)
+		_, err := r.controller.Handle(in)
 		require.NoError(t, err)
 	}
-	require.Equal(t, policy.Released, r.desk.Status().Phase)
+	require.Equal(t, policy.Released, r.controller.Status().Phase)
 	time.Sleep(200 * time.Millisecond)
 	var clients []*client
 	for range 2 { // as many as there are hosts: no jam
-		c := r.client()
-		c.ask("/transfer", "")
+		c := r.dial()
+		c.post("/transfer", "")
 		clients = append(clients, c)
 	}
 	select {
@@ -139,41 +139,41 @@
 	case <-time.After(5 * time.Second):
 		t.Fatal("no task went to the released build")
 	}
-	_, err := r.desk.Handle(release.RollBack{Build: 2})
+	_, err := r.controller.Handle(release.RollBack{Build: 2})
 	require.NoError(t, err)
 	for _, c := range clients {
-		_, outcome, _ := c.read()
+		_, outcome, _ := c.response()
 		require.Equal(t, "finished", outcome)
-		c.nothing(50 * time.Millisecond)
+		c.requireSilence(50 * time.Millisecond)
 	}
 	time.Sleep(400 * time.Millisecond) // the grace
 	before := r.hosts[1].requests.Load()
 	for range 5 {
-		clients[0].ask("/transfer", "")
-		_, outcome, _ := clients[0].read()
+		clients[0].post("/transfer", "")
+		_, outcome, _ := clients[0].response()
 		require.Equal(t, "finished", outcome)
 	}
 	require.Equal(t, before, r.hosts[1].requests.Load(), "nothing goes to a build that is going back")
 }
 
 func TestARouterKilledWithTasksHeldComesBackWithItsLastList(t *testing.T) {
-	h := host(t, 1, 1, func(x exchange) bool {
-		if x.n == 1 {
+	h := startHost(t, 1, 1, func(x exchange) bool {
+		if x.requestNumber == 1 {
 			time.Sleep(300 * time.Millisecond)
 		}
-		return right(x)
+		return respondOK(x)
 	})
-	r := newRig(t, "", h)
-	c := r.client()
-	c.ask("/quote", "")
+	r := newTestbench(t, "", h)
+	c := r.dial()
+	c.post("/quote", "")
 	r.eventually(func() bool { return h.requests.Load() == 1 })
 	r.router.Kill()
-	c.ended()
-	r.register.Down(true)
+	c.requireClosed()
+	r.discovery.Down(true)
 	r.start()
-	c = r.client()
-	c.ask("/quote", "")
-	_, outcome, _ := c.read()
+	c = r.dial()
+	c.post("/quote", "")
+	_, outcome, _ := c.response()
 	require.Equal(t, "finished", outcome)
 }
 
@@ -181,94 +181,94 @@
 	var sent atomic.Int64
 	both := func(x exchange) bool {
 		if sent.Add(1) > 1 {
-			x.answer(200, "second")
+			x.respond(200, "second")
 			return true
 		}
 		time.Sleep(700 * time.Millisecond) // long enough for a copy, and in time
-		x.answer(200, "first")
+		x.respond(200, "first")
 		return true
 	}
-	r := newRig(t, "", host(t, 1, 1, both), host(t, 2, 1, both))
-	c := r.client()
-	c.ask("/quote", "")
-	_, outcome, body := c.read()
+	r := newTestbench(t, "", startHost(t, 1, 1, both), startHost(t, 2, 1, both))
+	c := r.dial()
+	c.post("/quote", "")
+	_, outcome, body := c.response()
 	require.Equal(t, "finished second", outcome+" "+body)
-	c.nothing(700 * time.Millisecond)
-	r.idle()
+	c.requireSilence(700 * time.Millisecond)
+	r.waitIdle()
 	require.EqualValues(t, 2, sent.Load())
 }
 
 func TestAClientThatLeavesWhileItsTaskRunsLeavesNothingBehind(t *testing.T) {
 	answered := make(chan bool, 4)
-	h := host(t, 1, 1, func(x exchange) bool {
-		if x.n == 1 {
+	h := startHost(t, 1, 1, func(x exchange) bool {
+		if x.requestNumber == 1 {
 			time.Sleep(300 * time.Millisecond)
 		}
-		right(x)
+		respondOK(x)
 		answered <- true
 		return true
 	})
-	r := newRig(t, "", h)
-	c := r.client()
-	c.ask("/quote", "")
+	r := newTestbench(t, "", h)
+	c := r.dial()
+	c.post("/quote", "")
 	r.eventually(func() bool { return h.requests.Load() == 1 })
 	_ = c.Close()
 	r.eventually(func() bool { return r.router.Counts().ClientsGone == 1 })
 	<-answered
-	r.idle()
+	r.waitIdle()
 	time.Sleep(50 * time.Millisecond) // a link rests a little before it is used again
-	c = r.client()
-	c.ask("/quote", "")
-	_, outcome, _ := c.read()
+	c = r.dial()
+	c.post("/quote", "")
+	_, outcome, _ := c.response()
 	require.Equal(t, "finished", outcome)
 	require.EqualValues(t, 1, h.conns.Load(), "the link is used on")
 }
 
 func TestAListThatEmptiesTurnsTasksBackAtOnce(t *testing.T) {
-	r := newRig(t, "", host(t, 1, 1, right))
-	r.register.Clear()
+	r := newTestbench(t, "", startHost(t, 1, 1, respondOK))
+	r.discovery.Clear()
 	r.eventually(func() bool {
 		n := 1
-		r.router.loop.Do(func() { n = len(r.router.hosts) })
+		r.router.loop.Do(func() { n = len(r.router.endpoints) })
 		return n == 0
 	})
 	time.Sleep(350 * time.Millisecond) // the grace
-	c := r.client()
+	c := r.dial()
 	began := time.Now()
-	c.ask("/transfer", "")
-	status, outcome, _ := c.read()
+	c.post("/transfer", "")
+	status, outcome, _ := c.response()
 	require.Equal(t, 503, status)
 	require.Equal(t, "turned-back", outcome)
 	require.Less(t, time.Since(began), 400*time.Millisecond)
 }
 
 func TestAHeaderThatLiesAboutPatience(t *testing.T) {
-	r := newRig(t, "", host(t, 1, 1, func(exchange) bool { time.Sleep(3 * time.Second); return false }))
-	c := r.client()
+	r := newTestbench(t, "", startHost(t, 1, 1, func(exchange) bool { time.Sleep(3 * time.Second); return false }))
+	c := r.dial()
 	began := time.Now()
-	c.ask("/transfer", "Dapplefront-Patience: 8000h\r\n")
-	status, _, _ := c.read()
+	c.post("/transfer", "Dapplefront-Patience: 8000h\r\n")
+	status, _, _ := c.response()
 	require.Equal(t, 504, status)
 	require.Less(t, time.Since(began), 2*time.Second, "no more than its category's patience is believed")
 	for _, lie := range []string{"-1s", "0", "0s", "soon", "1e9h", "99999999999999999999"} {
-		c.ask("/transfer", "Dapplefront-Patience: "+lie+"\r\n")
-		status, outcome, body := c.read()
+		c.post("/transfer", "Dapplefront-Patience: "+lie+"\r\n")
+		status, outcome, body := c.response()
 		require.Equal(t, "400 ", fmt.Sprint(status, " ", outcome), lie)
 		require.Contains(t, body, "Dapplefront-Patience")
 	}
 }
 
 func TestARequestOf100MBIsRefusedAndNothingIsSent(t *testing.T) {
-	h := host(t, 1, 1, right)
-	r := newRig(t, "", h)
-	c := r.client()
+	h := startHost(t, 1, 1, respondOK)
+	r := newTestbench(t, "", h)
+	c := r.dial()
 	c.write("POST /quote HTTP/1.1\r\nHost: r\r\nContent-Length: 104857600\r\n\r\n")
 	go func() { _, _ = io.CopyN(c.Conn, zeros{}, 100<<20) }()
-	status, outcome, body := c.read()
+	status, outcome, body := c.response()
 	require.Equal(t, 413, status)
 	require.Empty(t, outcome)
 	require.Contains(t, body, "65536 bytes")
-	r.idle()
+	r.waitIdle()
 	require.Zero(t, h.requests.Load())
 }
 
@@ -277,33 +277,33 @@
 func (zeros) Read(p []byte) (int, error) { clear(p); return len(p), nil }
 
 func TestPipelinedRequestsAreAnsweredInTheirOrder(t *testing.T) {
-	r := newRig(t, "", host(t, 1, 1, func(x exchange) bool {
+	r := newTestbench(t, "", startHost(t, 1, 1, func(x exchange) bool {
 		if x.URL.Path == "/quote/0" {
 			time.Sleep(100 * time.Millisecond)
 		}
-		x.answer(200, x.URL.Path)
+		x.respond(200, x.URL.Path)
 		return true
 	}))
-	c := r.client()
+	c := r.dial()
 	all := ""
 	for i := range 6 {
 		all += fmt.Sprintf("GET /quote/%d HTTP/1.1\r\nHost: r\r\n\r\n", i)
 	}
 	c.write(all)
 	for i := range 6 {
-		_, _, body := c.read()
+		_, _, body := c.response()
 		require.Equal(t, fmt.Sprintf("/quote/%d", i), body)
 	}
-	r.idle()
+	r.waitIdle()
 }
 
 func TestMorePipelinedRequestsThanAllowedAreTurnedBack(t *testing.T) {
-	r := newRig(t, "", host(t, 1, 1, func(x exchange) bool { time.Sleep(50 * time.Millisecond); return right(x) }))
-	c := r.client()
+	r := newTestbench(t, "", startHost(t, 1, 1, func(x exchange) bool { time.Sleep(50 * time.Millisecond); return respondOK(x) }))
+	c := r.dial()
 	c.write(strings.Repeat("GET /quote HTTP/1.1\r\nHost: r\r\n\r\n", 20))
 	seen := map[string]int{}
 	for range 20 {
-		_, outcome, _ := c.read()
+		_, outcome, _ := c.response()
 		seen[outcome]++
 	}
 	require.Equal(t, 20, seen["finished"]+seen["turned-back"])
@@ -312,9 +312,9 @@
 }
 
 func TestAChunkedBodyThatNeverEnds(t *testing.T) {
-	h := host(t, 1, 1, right)
-	r := newRig(t, "", h)
-	fast, slow := r.client(), r.client()
+	h := startHost(t, 1, 1, respondOK)
+	r := newTestbench(t, "", h)
+	fast, slow := r.dial(), r.dial()
 	head := "POST /quote HTTP/1.1\r\nHost: r\r\nTransfer-Encoding: chunked\r\n\r\n"
 	slow.write(head + "1\r\nx\r\n")
 	fast.write(head)
@@ -325,17 +325,17 @@
 			}
 		}
 	}()
-	status, _, _ := fast.read()
+	status, _, _ := fast.response()
 	require.Equal(t, 413, status, "too much of it")
-	status, _, _ = slow.read()
+	status, _, _ = slow.response()
 	require.Equal(t, 408, status, "too slow")
-	r.idle()
+	r.waitIdle()
 	require.Zero(t, h.requests.Load())
 }
 
 func TestMalformedRequestsAreAnsweredAndEndTheConnection(t *testing.T) {
-	h := host(t, 1, 1, right)
-	r := newRig(t, "", h)
+	h := startHost(t, 1, 1, respondOK)
+	r := newTestbench(t, "", h)
 	for text, status := range map[string]int{
 		"NONSENSE\r\n\r\n":                                                                           400,
 		"GET /quote HTTP/2.0\r\nHost: r\r\n\r\n":                                                     505,
@@ -353,38 +353,38 @@
 		"GET /quote HTTP/1.1\r\nHost: r\r\nA: " + strings.Repeat("x", 20<<10) + "\r\n\r\n":           431,
 		"\x16\x03\x01\x02\x00\x01\x00\x01\xfc\x03\x03":                                               400,
 	} {
-		c := r.client()
+		c := r.dial()
 		c.write(text)
-		got, _, _ := c.read()
+		got, _, _ := c.response()
 		require.Equal(t, status, got, "%q", text)
 		if status == 505 {
-			c.ended()
+			c.requireClosed()
 		}
 	}
-	c := r.client()
+	c := r.dial()
 	c.write("GET /elsewhere HTTP/1.1\r\nHost: r\r\n\r\nPOST /order HTTP/1.1\r\nHost: r\r\nContent-Length: 0\r\n\r\n")
-	got, _, _ := c.read()
+	got, _, _ := c.response()
 	require.Equal(t, 404, got)
-	got, _, body := c.read()
+	got, _, body := c.response()
 	require.Equal(t, 400, got, "a fingerprinted task needs its mark")
 	require.Contains(t, body, "Idempotency-Key")
 	require.Zero(t, h.requests.Load())
-	r.idle()
+	r.waitIdle()
 }
 
 func TestAHostThatTurnsBackUnseenOrRefusesNeverRan(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
-	dead := host(t, 1, 1, right)
+	dead := startHost(t, 1, 1, respondOK)
 	_ = dead.listener.Close() // no one listens there any more
 	_ = l.Close()
-	full := host(t, 2, 1, func(x exchange) bool { x.answer(503, "full", "Dapplefront-Unseen: 1"); return true })
-	well := host(t, 3, 1, right)
-	r := newRig(t, "", dead, full, well)
-	c := r.client()
+	full := startHost(t, 2, 1, func(x exchange) bool { x.respond(503, "full", "Dapplefront-Unseen: 1"); return true })
+	well := startHost(t, 3, 1, respondOK)
+	r := newTestbench(t, "", dead, full, well)
+	c := r.dial()
 	for range 20 {
-		c.ask("/transfer", "")
-		_, outcome, _ := c.read()
+		c.post("/transfer", "")
+		_, outcome, _ := c.response()
 		require.Equal(t, "finished", outcome, "a binding task goes on while it surely never ran")
 	}
 }
@@ -392,36 +392,36 @@
 func TestAnAnswerThatIsNoHTTPOrTooLargeScrapsABindingTask(t *testing.T) {
 	answers := []string{"rubbish\r\n\r\n", "HTTP/1.1 200 OK\r\nContent-Length: 99999999\r\n\r\n",
 		"HTTP/1.1 200 OK\r\nContent-Length: 5\r\nTransfer-Encoding: chunked\r\n\r\n"}
-	r := newRig(t, "", host(t, 1, 1, func(x exchange) bool {
-		_, _ = io.WriteString(x.conn, answers[(x.n-1)%3])
+	r := newTestbench(t, "", startHost(t, 1, 1, func(x exchange) bool {
+		_, _ = io.WriteString(x.conn, answers[(x.requestNumber-1)%3])
 		return true
 	}))
-	c := r.client()
+	c := r.dial()
 	for range answers {
-		c.ask("/transfer", "")
-		status, outcome, _ := c.read()
+		c.post("/transfer", "")
+		status, outcome, _ := c.response()
 		require.Equal(t, "502 scrapped", fmt.Sprint(status, " ", outcome))
 	}
-	r.idle()
+	r.waitIdle()
 }
 
 func TestAnAnswerThatItsConnectionEndsIsWhole(t *testing.T) {
-	r := newRig(t, "", host(t, 1, 1, func(x exchange) bool {
+	r := newTestbench(t, "", startHost(t, 1, 1, func(x exchange) bool {
 		_, _ = io.WriteString(x.conn, "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 200 \r\n\r\nto the end")
 		return false
 	}))
-	c := r.client()
+	c := r.dial()
 	for range 3 {
-		c.ask("/transfer", "")
-		_, outcome, body := c.read()
+		c.post("/transfer", "")
+		_, outcome, body := c.response()
 		require.Equal(t, "finished to the end", outcome+" "+body)
 	}
 }
 
 func TestAClientThatAsksAndDoesNotReadIsCutOff(t *testing.T) {
 	big := strings.Repeat("x", 1<<20-1)
-	r := newRig(t, "", host(t, 1, 1, func(x exchange) bool { x.answer(200, big); return true }))
-	c := r.client()
+	r := newTestbench(t, "", startHost(t, 1, 1, func(x exchange) bool { x.respond(200, big); return true }))
+	c := r.dial()
 	_ = c.Conn.(*net.TCPConn).SetReadBuffer(4096)
 	gone := false
 	for range 400 {
@@ -432,21 +432,21 @@
 		time.Sleep(10 * time.Millisecond)
 	}
 	require.True(t, gone, "answers that no one reads are not piled up")
-	r.idle()
+	r.waitIdle()
 }
 
 func TestDrainAnswersWhatIsHeldAndTakesNoMore(t *testing.T) {
-	h := host(t, 1, 1, func(x exchange) bool { time.Sleep(200 * time.Millisecond); return right(x) })
-	r := newRig(t, "", h)
-	c, idle := r.client(), r.client()
-	c.ask("/quote", "")
+	h := startHost(t, 1, 1, func(x exchange) bool { time.Sleep(200 * time.Millisecond); return respondOK(x) })
+	r := newTestbench(t, "", h)
+	c, idle := r.dial(), r.dial()
+	c.post("/quote", "")
 	r.eventually(func() bool { return h.requests.Load() == 1 })
 	done := make(chan int)
 	go func() { done <- r.router.Drain(5*time.Second, nil) }()
-	_, outcome, _ := c.read()
+	_, outcome, _ := c.response()
 	require.Equal(t, "finished", outcome)
-	c.ended()
-	idle.ended()
+	c.requireClosed()
+	idle.requireClosed()
 	require.Zero(t, <-done)
 	r.router = nil
 	_, err := net.Dial("tcp", r.hosts[0].listener.Addr().String())
@@ -454,10 +454,10 @@
 }
 
 func TestASecondSignalCutsOffAndCounts(t *testing.T) {
-	h := host(t, 1, 1, func(x exchange) bool { time.Sleep(3 * time.Second); return false })
-	r := newRig(t, "", h)
-	c := r.client()
-	c.ask("/quote", "")
+	h := startHost(t, 1, 1, func(x exchange) bool { time.Sleep(3 * time.Second); return false })
+	r := newTestbench(t, "", h)
+	c := r.dial()
+	c.post("/quote", "")
 	r.eventually(func() bool { return h.requests.Load() >= 1 })
 	cut := make(chan struct{})
 	close(cut)
--- /dev/null
+++ b/internal/proxy/protocols.go
@@ -0,0 +1,60 @@
+package proxy
+
+import (
+	"crypto/tls"
+
+	"dapplefront/internal/certs"
+	"dapplefront/internal/controlclient"
+	"dapplefront/internal/eds"
+	"dapplefront/internal/eventloop"
+	"dapplefront/internal/routerconfig"
+	"dapplefront/policy"
+)
+
+// Discovery is a watch of the endpoint list.
+type Discovery interface {
+	Ask() // starts the watch, or resumes it after a failure; does nothing while it runs
+	Close()
+}
+
+// ReleaseClient is the connection to the release controllers.
+type ReleaseClient interface {
+	// Vote casts a vote; done is called with the answer.
+	Vote(build, stage int, choice policy.VoteChoice, done func(policy.ReleaseStatus))
+	// Report tells how many requests of a build had each outcome since the last report.
+	Report(build int, outcomes map[string]int)
+	// AcknowledgePlan tells that a version of a plan is followed, or rejected for a reason.
+	AcknowledgePlan(version uint64, reason string)
+	Close()
+}
+
+// Protocols open the connections to endpoint discovery and the release controllers.
+type Protocols struct {
+	// Discovery opens the watch; known are endpoints that are known before its first answer.
+	Discovery func(eds.Handler) (_ Discovery, known []eds.Host, _ error)
+	Release   func(controlclient.Handler) (ReleaseClient, error)
+	// Ready reports whether the readiness path answers 200; nil for always.
+	Ready func() bool
+}
+
+// defaultProtocols are this project's own protocols.
+func defaultProtocols(c *routerconfig.Config) Protocols {
+	return Protocols{
+		Discovery: func(handler eds.Handler) (Discovery, []eds.Host, error) {
+			w, err := eds.New(c.Discovery.Address, c.Name, c.Discovery.Resources, c.Discovery.Incremental, handler)
+			return w, nil, err
+		},
+		Release: func(handler controlclient.Handler) (ReleaseClient, error) {
+			var tlsConfig *tls.Config
+			if c.ControlPlane.Certificates != (certs.Files{}) {
+				keyring, err := certs.Open(c.ControlPlane.Certificates)
+				if err != nil {
+					return nil, err
+				}
+				tlsConfig = keyring.Client()
+			}
+			return controlclient.Open(c.ControlPlane.URLs, c.Name, c.Router.Zone, tlsConfig,
+				eventloop.Duration(c.Router.Release.VoteTimeout), handler), nil
+		},
+	}
+}
--- /dev/null
+++ b/internal/proxy/shutdown.go
@@ -0,0 +1,68 @@
+package proxy
+
+import (
+	"time"
+
+	"dapplefront/internal/eventloop"
+)
+
+// drainPollInterval is how often Drain looks whether all requests have been responded to.
+const drainPollInterval = 10 * time.Millisecond
+
+// Bow is the first step of a graceful shutdown: the router goes on serving, but reports that it is not ready, each
+// response closes its connection, and requests that come from now on are responded to within the time given.
+func (p *Proxy) Bow(within time.Duration) {
+	p.loop.Do(func() { p.server.StartDraining(p.loop.Now() + eventloop.FromDuration(within)) })
+}
+
+// Drain is the second step of a graceful shutdown: it takes no new connections, rejects new requests, waits until those
+// in flight have had their response and their clients have read it, at most for the time given or until abort is
+// closed, and closes the router. It returns how many requests were left without a response.
+func (p *Proxy) Drain(within time.Duration, abort <-chan struct{}) (left int) {
+	p.engine.CloseListeners()
+	timeout := time.After(within)
+	p.loop.Do(p.server.Close)
+	for aborted := false; !aborted; {
+		drained := false
+		if ok := p.loop.Do(func() { left, drained = p.server.Open(), p.server.Drained() }); !ok || drained {
+			break
+		}
+		select {
+		case <-abort:
+			aborted = true
+		case <-timeout:
+			aborted = true
+		case <-time.After(drainPollInterval):
+		}
+	}
+	c := p.Counts()
+	p.Kill()
+	p.log.Info("closed", "cut_off", left, "received", c.Received, "succeeded", c.Succeeded, "rejected", c.Rejected,
+		"failed", c.Failed, "clients_gone", c.ClientsGone)
+	return left
+}
+
+// Kill closes the router at once and waits for its goroutines; requests in flight get no response.
+func (p *Proxy) Kill() {
+	p.loop.Close()
+	p.engine.Stop()
+	p.discovery.Close()
+	p.releases.Close()
+	p.configMu.Lock()
+	if p.gossip != nil {
+		p.gossip.Close()
+		p.gossip = nil
+	}
+	p.configMu.Unlock()
+	close(p.cacheUpdates)
+	<-p.cacheWriterDone
+	if p.records != nil {
+		if n := p.records.Dropped(); n > 0 {
+			p.log.Warn("records were dropped", "entries", n)
+		}
+		p.logRecordError(p.records.Close())
+	}
+}
+
+// Stall blocks the event loop for a time, as if the process were not scheduled. It is for tests.
+func (p *Proxy) Stall(d time.Duration) { go p.loop.Post(func() { time.Sleep(d) }) }
--- a/internal/proxy/rig_test.go
+++ b/internal/proxy/testbench_test.go
@@ -24,18 +24,18 @@
 	"dapplefront/release"
 )
 
-// rig is one real router with a real register and desk, and hosts that a test scripts byte by byte.
-type rig struct {
+// testbench is one real router with a real register and desk, and hosts that a test scripts byte by byte.
+type testbench struct {
 	*testing.T
-	charter  *routerconfig.Config
-	router   *Proxy
-	register *testbed.Register
-	desk     *controller.Standalone
-	hosts    []*scripted
+	config     *routerconfig.Config
+	router     *Proxy
+	discovery  *testbed.Register
+	controller *controller.Standalone
+	hosts      []*scriptedHost
 }
 
-// scripted is a host whose connections a test serves itself. Its serve is told each request and the connection.
-type scripted struct {
+// scriptedHost is a host whose connections a test serves itself. Its serve is told each request and the connection.
+type scriptedHost struct {
 	listener net.Listener
 	entry    *testbed.Host
 	requests atomic.Int64
@@ -44,13 +44,13 @@
 
 type exchange struct {
 	*http.Request
-	body []byte
-	conn net.Conn
-	n    int64 // of this host's requests, from 1
-	of   int64 // of its connections, from 1
+	body             []byte
+	conn             net.Conn
+	requestNumber    int64 // of this host's requests, from 1
+	connectionNumber int64 // of its connections, from 1
 }
 
-func (x exchange) answer(status int, body string, fields ...string) {
+func (x exchange) respond(status int, body string, fields ...string) {
 	extra := ""
 	for _, f := range fields {
 		extra += f + "\r\n"
@@ -58,11 +58,11 @@
 	fmt.Fprintf(x.conn, "HTTP/1.1 %d Told\r\n%sContent-Length: %d\r\n\r\n%s", status, extra, len(body), body)
 }
 
-// host starts a scripted host. serve returns false to close the connection.
-func host(t *testing.T, id uint32, build int, serve func(exchange) bool) *scripted {
+// startHost starts a scripted host. serve returns false to close the connection.
+func startHost(t *testing.T, id uint32, build int, serve func(exchange) bool) *scriptedHost {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
-	h := &scripted{listener: l, entry: testbed.Elsewhere(l.Addr().String(),
+	h := &scriptedHost{listener: l, entry: testbed.Elsewhere(l.Addr().String(),
 		testbed.Machine{ID: id, Location: "here", Cores: 1, Speed: 1}, build)}
 	go func() {
 		for {
@@ -91,9 +91,9 @@
 	return h
 }
 
-func right(x exchange) bool { x.answer(200, "right"); return true }
+func respondOK(x exchange) bool { x.respond(200, "right"); return true }
 
-const rules = `
+const configTemplate = `
 [router]
 name = r
 location = here
@@ -134,23 +134,23 @@
 patience = 500ms
 `
 
-// newRig starts a router that knows the hosts, all long up, and that their build is released.
-func newRig(t *testing.T, extra string, hosts ...*scripted) *rig {
-	r := &rig{T: t, hosts: hosts}
+// newTestbench starts a router that knows the hosts, all long up, and that their build is released.
+func newTestbench(t *testing.T, extra string, hosts ...*scriptedHost) *testbench {
+	r := &testbench{T: t, hosts: hosts}
 	var err error
-	r.register, err = testbed.StartRegister("127.0.0.1:0", "shop", nil)
+	r.discovery, err = testbed.StartRegister("127.0.0.1:0", "shop", nil)
 	require.NoError(t, err)
-	t.Cleanup(r.register.Stop)
-	r.desk, err = controller.StartStandalone(controller.NodeConfig{Name: "c", Dir: t.TempDir(), Listen: "127.0.0.1:0", Quick: true, Build: 1,
+	t.Cleanup(r.discovery.Stop)
+	r.controller, err = controller.StartStandalone(controller.NodeConfig{Name: "c", Dir: t.TempDir(), Listen: "127.0.0.1:0", Quick: true, Build: 1,
 		Control: control.Config{Rules: release.Rules{Mode: policy.Quorum, Stages: []release.Stage{{HostShare: 1, ExposureCap: 1}}, PromoteQuorum: 1,
 			RollbackQuorum: 1, VoteTTL: 5 * policy.Second}}}, controller.ServerConfig{Listen: "127.0.0.1:0"}, slog.New(slog.DiscardHandler))
 	require.NoError(t, err)
-	t.Cleanup(func() { _ = r.desk.Stop() })
+	t.Cleanup(func() { _ = r.controller.Stop() })
 	for _, h := range hosts {
-		r.list(h, policy.Serving)
+		r.setEndpoint(h, policy.Serving)
 	}
-	s := inifile.Parse("rig", fmt.Sprintf(rules, filepath.Join(t.TempDir(), "list"), r.register.Address(), r.desk.URL(), extra))
-	r.charter = routerconfig.From(s)
+	s := inifile.Parse("rig", fmt.Sprintf(configTemplate, filepath.Join(t.TempDir(), "list"), r.discovery.Address(), r.controller.URL(), extra))
+	r.config = routerconfig.From(s)
 	require.NoError(t, s.Done())
 	r.start()
 	t.Cleanup(func() {
@@ -161,47 +161,47 @@
 	return r
 }
 
-func (r *rig) list(h *scripted, s policy.EndpointState) {
-	r.register.Set(testbed.Entry{Host: h.entry, Standing: s})
+func (r *testbench) setEndpoint(h *scriptedHost, s policy.EndpointState) {
+	r.discovery.Set(testbed.Entry{Host: h.entry, Standing: s})
 }
 
 // start starts the router and waits until it knows its hosts and has heard the desk.
-func (r *rig) start() {
+func (r *testbench) start() {
 	var err error
-	r.router, err = Start(r.charter, slog.New(slog.DiscardHandler), nil)
+	r.router, err = Start(r.config, slog.New(slog.DiscardHandler), nil)
 	require.NoError(r, err)
 	r.eventually(func() bool {
 		n := 0
-		r.router.loop.Do(func() { n = len(r.router.hosts) })
+		r.router.loop.Do(func() { n = len(r.router.endpoints) })
 		return n == len(r.hosts)
 	})
 	time.Sleep(50 * time.Millisecond) // the desk's first news
 }
 
-func (r *rig) eventually(is func() bool) {
+func (r *testbench) eventually(is func() bool) {
 	r.Helper()
 	require.Eventually(r, is, 10*time.Second, 5*time.Millisecond)
 }
 
-// idle waits until the router holds nothing any more.
-func (r *rig) idle() {
+// waitIdle waits until the router holds nothing any more.
+func (r *testbench) waitIdle() {
 	r.Helper()
 	r.eventually(func() bool {
 		tasks, _, _, bytes := r.router.InFlight()
 		left := 0
-		r.router.loop.Do(func() { left = len(r.router.tasks) + r.router.mind.InFlight() })
+		r.router.loop.Do(func() { left = len(r.router.requests) + r.router.router.InFlight() })
 		return tasks == 0 && bytes == 0 && left == 0
 	})
 }
 
 // client is a raw connection to the router.
 type client struct {
-	*rig
+	*testbench
 	net.Conn
 	in *bufio.Reader
 }
 
-func (r *rig) client() *client {
+func (r *testbench) dial() *client {
 	c, err := net.Dial("tcp", r.router.Address().String())
 	require.NoError(r, err)
 	r.Cleanup(func() { _ = c.Close() })
@@ -211,12 +211,12 @@
 
 func (c *client) write(text string) { _, _ = io.WriteString(c, text) }
 
-func (c *client) ask(path, fields string) {
+func (c *client) post(path, fields string) {
 	c.write("POST " + path + " HTTP/1.1\r\nHost: r\r\nContent-Length: 2\r\n" + fields + "\r\nhi")
 }
 
-// read reads one answer: status, outcome, body.
-func (c *client) read() (int, string, string) {
+// response reads one answer: status, outcome, body.
+func (c *client) response() (int, string, string) {
 	c.Helper()
 	got, err := http.ReadResponse(c.in, nil)
 	require.NoError(c, err)
@@ -225,8 +225,8 @@
 	return got.StatusCode, got.Header.Get("Dapplefront-Outcome"), strings.TrimSpace(string(body))
 }
 
-// nothing checks that nothing more comes for a while.
-func (c *client) nothing(d time.Duration) {
+// requireSilence checks that nothing more comes for a while.
+func (c *client) requireSilence(d time.Duration) {
 	c.Helper()
 	_ = c.SetReadDeadline(time.Now().Add(d))
 	_, err := c.in.Peek(1)
@@ -235,8 +235,8 @@
 	_ = c.SetReadDeadline(time.Now().Add(20 * time.Second))
 }
 
-// ended checks that the router closes the connection.
-func (c *client) ended() {
+// requireClosed checks that the router closes the connection.
+func (c *client) requireClosed() {
 	c.Helper()
 	_, err := io.Copy(io.Discard, c.in)
 	ne, timeout := err.(net.Error)
--- a/internal/transport/sock.go
+++ b/internal/transport/sock.go
@@ -335,8 +335,8 @@
 	}()
 }
 
-// Deaf closes the listeners; connections go on.
-func (e *Engine) Deaf() {
+// CloseListeners closes the listeners; connections go on.
+func (e *Engine) CloseListeners() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	for _, l := range e.listeners {
@@ -348,7 +348,7 @@
 // Stop closes everything at once and waits for the sessions' ends.
 func (e *Engine) Stop() {
 	e.closed.Store(true)
-	e.Deaf()
+	e.CloseListeners()
 	e.mu.Lock()
 	for c := range e.conns {
 		c.Close()
--- a/internal/upstream/back.go
+++ b/internal/upstream/back.go
@@ -31,8 +31,11 @@
 	"dapplefront/policy"
 )
 
-// NotStartedHeader is the field by which a host says that it has not looked at the task it turns back.
-const NotStartedHeader = "Dapplefront-Unseen"
+// Headers of this project's own protocol that are used beside the protocol table.
+const (
+	NotStartedHeader = "Dapplefront-Unseen" // 1 in a response says that the host has not started the request it rejects
+	RouterHeader     = "Dapplefront-Router" // of a request: the router's name
+)
 
 // Config is what a pool is told of links.
 type Config struct {
@@ -65,7 +68,7 @@
 }
 
 // DefaultProtocol is this project's own way.
-var DefaultProtocol = &Protocol{Timeout: "Dapplefront-Within", TimeoutUnit: "ms", Attempt: "Dapplefront-Send", Router: "Dapplefront-Router",
+var DefaultProtocol = &Protocol{Timeout: "Dapplefront-Within", TimeoutUnit: "ms", Attempt: "Dapplefront-Send", Router: RouterHeader,
 	Class: "Dapplefront-Category", ForwardedHeaders: true, NotStarted: NotStartedHeader, NotStartedStatuses: []int{503}, Load: orcaLoad}
 
 func orcaLoad(m *http1.Message) (*policy.LoadReport, error) {
