--- a/internal/eventloop/loop_test.go
+++ b/internal/eventloop/loop_test.go
@@ -10,7 +10,7 @@
 	"dapplefront/policy"
 )
 
-func TestWorkIsDoneOneAtATimeAndInOrder(t *testing.T) {
+func TestLoop_RunsWorkOneAtATimeInOrder(t *testing.T) {
 	l := New()
 	defer l.Close()
 	inside, order := 0, map[int][]int{}
@@ -40,7 +40,7 @@
 	})
 }
 
-func TestAlarmsRingInTheirOrderUnlessTakenBack(t *testing.T) {
+func TestLoop_FiresTimersInOrderUnlessStopped(t *testing.T) {
 	l := New()
 	defer l.Close()
 	rung := make(chan string, 4)
@@ -62,7 +62,7 @@
 	}
 }
 
-func TestWorkPostedByWorkComesAfterIt(t *testing.T) {
+func TestLoop_RunsWorkPostedByWorkAfterIt(t *testing.T) {
 	l := New()
 	var order []string
 	l.Post(func() {
@@ -76,7 +76,7 @@
 	require.Len(t, order, 2)
 }
 
-func TestSpansAndDurations(t *testing.T) {
+func TestLoop_ConvertsDurations(t *testing.T) {
 	require.Equal(t, policy.Second, FromDuration(time.Second))
 	require.Equal(t, 1500*time.Millisecond, Duration(15_000))
 }
--- a/internal/http1/reader_test.go
+++ b/internal/http1/reader_test.go
@@ -37,7 +37,7 @@
 	return all, nil
 }
 
-func TestMessagesAreTheSameHoweverTheyArrive(t *testing.T) {
+func TestReader_ReadsSameMessagesInAnyPieces(t *testing.T) {
 	text := "\r\nPOST /a HTTP/1.1\r\nHost: h\r\nContent-Length: 5\r\n\r\nhello" +
 		"POST /b HTTP/1.1\r\nhost: h\r\nTransfer-Encoding: chunked\r\n\r\n3;x=y\r\nabc\r\n0A\r\n0123456789\r\n0\r\nTrailer: t\r\n\r\n" +
 		"GET /c HTTP/1.0\r\nConnection: keep-alive\r\nEmpty:\r\n\r\n"
@@ -53,7 +53,7 @@
 	}
 }
 
-func TestResponsesEndAsTheirKindDoes(t *testing.T) {
+func TestReader_FindsEndOfResponseByKind(t *testing.T) {
 	read := func(text string, head bool) (*Message, *Reader) {
 		r := NewReader(bounds, nil, true)
 		r.Expect(head)
@@ -79,7 +79,7 @@
 	require.False(t, r.Ended(), "a cut answer is no answer")
 }
 
-func TestTheBudgetHoldsAndIsGivenBack(t *testing.T) {
+func TestReader_ReservesAndReleasesBudget(t *testing.T) {
 	b := NewBudget(6000)
 	ask := "POST / HTTP/1.1\r\nHost: h\r\nContent-Length: 4000\r\n\r\n" + strings.Repeat("x", 4000)
 	one, err := readAll(NewReader(bounds, b, false), []byte(ask), 100)
@@ -95,7 +95,7 @@
 	require.Zero(t, b.Used())
 }
 
-func TestFieldsOfOneConnectionDoNotTravel(t *testing.T) {
+func TestMessage_AppendFieldsLeavesOutHopByHopFields(t *testing.T) {
 	all, err := readAll(NewReader(bounds, nil, false), []byte("GET / HTTP/1.1\r\nHost: h\r\nConnection: close, X-Mine\r\nx-mine: 1\r\n"+
 		"Keep-Alive: 5\r\nTE: trailers\r\nUpgrade: h2c\r\nExpect: 100-continue\r\nX-Yours: 2\r\n\r\n"), 1000)
 	require.NoError(t, err)
@@ -104,7 +104,7 @@
 }
 
 // What net/http writes, this reads alike, in any pieces.
-func TestRequestsOfNetHTTPAreReadAlike(t *testing.T) {
+func TestReader_ReadsRequestsOfNetHTTP(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		body := rapid.SliceOfN(rapid.Byte(), 0, 2000).Draw(t, "body")
 		req, err := http.NewRequest("POST", "http://h/"+rapid.StringMatching(`[a-z0-9/]{0,20}`).Draw(t, "path"), bytes.NewReader(body))
--- a/internal/proxy/benchmark_test.go
+++ b/internal/proxy/benchmark_test.go
@@ -31,8 +31,8 @@
 	"dapplefront/policy"
 )
 
-// The benchmarks run the router, and its peer, in a process of their own, so that what the hosts and the load cost
-// is not counted. Each is told by the environment what to run.
+// TestMain also runs the router, and the peer that it is compared with, as processes of their own, so that what the
+// hosts and the load cost is not counted. The environment names what to run.
 func TestMain(m *testing.M) {
 	switch os.Getenv("DAPPLEFRONT_BENCH") {
 	case "router":
@@ -110,6 +110,7 @@
 }
 
 func startChild(b *testing.B, env ...string) *child {
+	b.Helper()
 	c := exec.Command(os.Args[0])
 	c.Env = append(os.Environ(), env...)
 	c.Stderr = os.Stderr
@@ -125,6 +126,7 @@
 
 // cpuTime is the processor time that all its threads have used.
 func (c *child) cpuTime(b *testing.B) time.Duration {
+	b.Helper()
 	all, err := os.ReadDir(fmt.Sprintf("/proc/%d/task", c.cmd.Process.Pid))
 	require.NoError(b, err)
 	var sum time.Duration
@@ -140,6 +142,7 @@
 
 // residentBytes is its resident size in bytes.
 func (c *child) residentBytes(b *testing.B) int64 {
+	b.Helper()
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", c.cmd.Process.Pid))
 	require.NoError(b, err)
 	for line := range strings.Lines(string(text)) {
@@ -153,6 +156,7 @@
 
 // startFastHosts starts hosts that answer at once, or after a while.
 func startFastHosts(b *testing.B, n int, after time.Duration) (hosts []string) {
+	b.Helper()
 	for range n {
 		l, err := net.Listen("tcp", "127.0.0.1:0")
 		require.NoError(b, err)
@@ -169,16 +173,17 @@
 }
 
 // startRouter starts a router for the hosts.
-func startRouter(b *testing.B, hosts []string, patience string) *child {
-	register, err := testbed.StartRegister("127.0.0.1:0", "shop", nil)
+func startRouter(b *testing.B, hosts []string, timeout string) *child {
+	b.Helper()
+	discovery, err := testbed.StartRegister("127.0.0.1:0", "shop", nil)
 	require.NoError(b, err)
-	b.Cleanup(register.Stop)
-	desk, err := controller.StartStandalone(controller.NodeConfig{Name: "c", Dir: b.TempDir(), Listen: "127.0.0.1:0", Quick: true, Build: 1},
+	b.Cleanup(discovery.Stop)
+	release, err := controller.StartStandalone(controller.NodeConfig{Name: "c", Dir: b.TempDir(), Listen: "127.0.0.1:0", Quick: true, Build: 1},
 		controller.ServerConfig{Listen: "127.0.0.1:0"}, slog.New(slog.DiscardHandler))
 	require.NoError(b, err)
-	b.Cleanup(func() { _ = desk.Stop() })
+	b.Cleanup(func() { _ = release.Stop() })
 	for i, h := range hosts {
-		register.Set(testbed.Entry{Host: testbed.Elsewhere(h, testbed.Machine{ID: uint32(i + 1), Location: "here", Cores: 1,
+		discovery.Set(testbed.Entry{Host: testbed.Elsewhere(h, testbed.Machine{ID: uint32(i + 1), Location: "here", Cores: 1,
 			Speed: 1}, 1), Standing: policy.Serving})
 	}
 	c := startChild(b, "DAPPLEFRONT_BENCH=router", "DAPPLEFRONT_CHARTER="+fmt.Sprintf(`
@@ -198,13 +203,14 @@
 paths = /
 promised = %s
 patience = %s
-`, register.Address(), desk.URL(), patience, patience))
+`, discovery.Address(), release.URL(), timeout, timeout))
 	time.Sleep(300 * time.Millisecond)
 	return c
 }
 
-// runLoad asks for n tasks over some connections at a rate, and returns the times of the answers.
+// runLoad sends n requests over some connections at a rate, and returns the latencies of the responses.
 func runLoad(b *testing.B, address string, n, conns int, rate float64) []time.Duration {
+	b.Helper()
 	began := time.Now()
 	var next atomic.Int64
 	times := make([]time.Duration, n)
@@ -219,7 +225,7 @@
 				bad.Add(1)
 				return
 			}
-			defer c.Close()
+			defer func() { _ = c.Close() }()
 			in := bufio.NewReader(c)
 			for {
 				i := int(next.Add(1)) - 1
@@ -238,7 +244,8 @@
 					return
 				}
 				_, _ = io.Copy(io.Discard, got.Body)
-				if got.StatusCode != 200 {
+				_ = got.Body.Close()
+				if got.StatusCode != http.StatusOK {
 					bad.Add(1)
 				}
 				times[i] = time.Since(due) // from when it was due: a late start counts
@@ -247,13 +254,13 @@
 	}
 	wait.Wait()
 	if n := bad.Load(); n > 0 {
-		b.Logf("%d of %d tasks were not answered with 200", n, len(times))
+		b.Logf("%d of %d requests had no response with 200", n, len(times))
 	}
 	return times
 }
 
 // BenchmarkPeer compares the router with net/http's reverse proxy and two random choices: the same hosts, load and
-// run. It reports processor time for a task and its share of the peer's. -benchtime 6000x asks for 6000 tasks each.
+// run. It reports the processor time of a request and its share of the peer's. -benchtime 6000x sends 6000 requests each.
 func BenchmarkPeer(b *testing.B) {
 	for _, size := range []struct {
 		hosts, conns int
@@ -264,7 +271,7 @@
 			ours := startRouter(b, hosts, "2s")
 			peer := startChild(b, "DAPPLEFRONT_BENCH=peer", "DAPPLEFRONT_HOSTS="+strings.Join(hosts, ","))
 			measure := func(c *child) (cpu time.Duration, times []time.Duration) {
-				runLoad(b, c.address, max(500, b.N/10), size.conns, size.rate) // warm links
+				runLoad(b, c.address, max(500, b.N/10), size.conns, size.rate) // opens connections
 				was := c.cpuTime(b)
 				times = runLoad(b, c.address, b.N, size.conns, size.rate)
 				slices.Sort(times)
@@ -284,8 +291,8 @@
 	}
 }
 
-// BenchmarkMemory tells what 10,000 idle connections, then as many open tasks as are taken of 8,000, cost in resident memory: an open
-// task also holds a link to a host here. The hosts are a process of their own, as one may open 20,000 files.
+// BenchmarkMemory measures the resident memory of 10,000 idle connections, then of as many requests in flight as are
+// admitted of 8,000, each with a connection to a host. The hosts are processes of their own, as one may open 20,000 files.
 func BenchmarkMemory(b *testing.B) {
 	const conns, open = 10_000, 8_000
 	var hosts []string
@@ -308,24 +315,27 @@
 	}
 	time.Sleep(time.Second)
 	busy := ours.residentBytes(b)
-	var answers atomic.Int64
+	var responses atomic.Int64
 	var wait sync.WaitGroup
 	for _, c := range all {
 		wait.Add(1)
 		go func() {
 			defer wait.Done()
 			_ = c.SetReadDeadline(time.Now().Add(6 * time.Second))
-			if got, err := http.ReadResponse(bufio.NewReader(c), nil); err == nil && got.StatusCode == 200 {
-				answers.Add(1)
+			if got, err := http.ReadResponse(bufio.NewReader(c), nil); err == nil {
+				if got.StatusCode == http.StatusOK {
+					responses.Add(1)
+				}
+				_ = got.Body.Close()
 			}
 			_ = c.Close()
 		}()
 	}
 	wait.Wait()
 	b.ReportMetric(float64(idle-base)/conns, "B/idle-conn")
-	// The module turns back what it holds to be too much for eight hosts; the rest was open when it was measured.
-	b.ReportMetric(float64(busy-idle)/float64(max(1, answers.Load())), "B/open-task")
-	b.ReportMetric(float64(answers.Load()), "open-tasks")
+	// The router rejects what it takes to be too much for eight hosts; the rest was in flight when it was measured.
+	b.ReportMetric(float64(busy-idle)/float64(max(1, responses.Load())), "B/open-task")
+	b.ReportMetric(float64(responses.Load()), "open-tasks")
 	for range b.N { // one measurement, whatever is asked for
 	}
 }
--- a/internal/proxy/config_test.go
+++ b/internal/proxy/config_test.go
@@ -18,7 +18,7 @@
 	"dapplefront/router"
 )
 
-// changedConfig is the rig's charter with changes to its text.
+// changedConfig is the testbench's configuration with changes to its text: extra settings, and pairs of old and new.
 func (r *testbench) changedConfig(extra string, change ...string) *routerconfig.Config {
 	text := fmt.Sprintf(configTemplate, r.config.EndpointCache, r.discovery.Address(), r.controller.URL(), extra)
 	text = strings.NewReplacer(change...).Replace(text)
@@ -28,7 +28,7 @@
 	return c
 }
 
-func TestSettingsChangeUnderLoadWithBindingTasksInFlightAndBack(t *testing.T) {
+func TestProxy_UpdatesConfigUnderLoad(t *testing.T) {
 	var ran atomic.Int64
 	h := startHost(t, 1, 1, func(x exchange) bool {
 		if x.URL.Path == "/transfer" {
@@ -37,16 +37,16 @@
 		}
 		return respondOK(x)
 	})
-	r := newTestbench(t, "", h)
-	first := r.config
+	r := newTestbench(t, h)
+	original := r.config
 	port, err := net.ListenPacket("udp", "127.0.0.1:0")
 	require.NoError(t, err)
 	own := port.LocalAddr().String()
 	_ = port.Close()
-	there := r.changedConfig("two-at-once = off\n[probes]\npath = /probe\n[peers]\naddresses = "+own+"\n", "promised = 300ms", "promised = 350ms")
+	changed := r.changedConfig("two-at-once = off\n[probes]\npath = /probe\n[peers]\naddresses = "+own+"\n", "promised = 300ms", "promised = 350ms")
 	const clients, each = 6, 60
 	outcomes := make(chan string, clients*each)
-	var moved atomic.Int64 // binding tasks that finished
+	var succeeded atomic.Int64 // non-idempotent requests
 	for range clients {
 		go func() {
 			c := r.dial()
@@ -58,48 +58,49 @@
 					continue
 				}
 				_, _ = io.Copy(io.Discard, got.Body)
+				_ = got.Body.Close()
 				if got.Header.Get("Dapplefront-Outcome") == "finished" && n%2 == 0 {
-					moved.Add(1)
+					succeeded.Add(1)
 				}
 				outcomes <- got.Header.Get("Dapplefront-Outcome")
 			}
 		}()
 	}
 	for range 10 {
-		require.NoError(t, r.router.UpdateConfig(there))
+		require.NoError(t, r.router.UpdateConfig(changed))
 		time.Sleep(5 * time.Millisecond)
-		require.NoError(t, r.router.UpdateConfig(first))
+		require.NoError(t, r.router.UpdateConfig(original))
 		time.Sleep(5 * time.Millisecond)
 	}
 	for range clients * each {
-		require.Contains(t, []string{"finished", "turned-back"}, <-outcomes) // each has one answer
+		require.Contains(t, []string{"finished", "turned-back"}, <-outcomes) // each has one response
 	}
 	r.waitIdle()
-	require.EqualValues(t, moved.Load(), ran.Load(), "each binding task that finished ran once, others never")
-	require.Positive(t, moved.Load())
-	require.NoError(t, r.router.UpdateConfig(there))
+	require.Equal(t, succeeded.Load(), ran.Load(), "each non-idempotent request that succeeded ran once, others never")
+	require.Positive(t, succeeded.Load())
+	require.NoError(t, r.router.UpdateConfig(changed))
 	r.router.loop.Do(func() {
 		require.NotNil(t, r.router.gossip)
 		require.False(t, r.router.config.Router.Limits.AllowHedging)
 	})
-	require.NoError(t, r.router.UpdateConfig(first))
+	require.NoError(t, r.router.UpdateConfig(original))
 	r.router.loop.Do(func() { require.Nil(t, r.router.gossip) })
 }
 
-func TestWhatARunningRouterCantChangeIsNamedAndChangesNothing(t *testing.T) {
-	r := newTestbench(t, "", startHost(t, 1, 1, respondOK))
-	first := r.config
+func TestProxy_RefusesConfigThatRunningRouterCannotTake(t *testing.T) {
+	r := newTestbench(t, startHost(t, 1, 1, respondOK))
+	original := r.config
 	err := r.router.UpdateConfig(r.changedConfig("two-at-once = off", "location = here", "location = there",
 		"repeat = binding", "repeat = retriable", "connect = 250ms", "connect = 300ms"))
 	for _, what := range []string{"location", "category transfer", "[hosts]"} {
 		require.ErrorContains(t, err, what)
 	}
-	taken, err := net.ListenPacket("udp", "127.0.0.1:0") // an address that another has
+	taken, err := net.ListenPacket("udp", "127.0.0.1:0") // an address that is in use
 	require.NoError(t, err)
-	defer taken.Close()
+	defer func() { _ = taken.Close() }()
 	err = r.router.UpdateConfig(r.changedConfig("[peers]\naddresses = " + taken.LocalAddr().String()))
 	require.ErrorContains(t, err, "peers")
-	require.Same(t, first, r.router.config)
+	require.Same(t, original, r.router.config)
 	r.router.loop.Do(func() { require.Nil(t, r.router.gossip) })
 	c := r.dial()
 	c.post("/quote", "")
@@ -107,24 +108,24 @@
 	require.Equal(t, "finished", outcome)
 }
 
-func TestPeersAndProbesAreCarriedAndStrangersAreNot(t *testing.T) {
+func TestProxy_CarriesGossipAndHealthChecks(t *testing.T) {
 	probed := make(chan string, 8)
 	h := startHost(t, 1, 1, func(x exchange) bool {
-		if x.Method == "GET" {
+		if x.Method == http.MethodGet {
 			probed <- x.URL.Path
 			x.respond(200, "", `Endpoint-Load-Metrics: TEXT named_metrics.active=3`)
 			return true
 		}
 		return respondOK(x)
 	})
-	r := newTestbench(t, "", h)
+	r := newTestbench(t, h)
 	a, err := net.ListenPacket("udp", "127.0.0.1:0")
 	require.NoError(t, err)
 	own := a.LocalAddr().String()
 	_ = a.Close()
 	peer, err := net.ListenPacket("udp", "127.0.0.1:0")
 	require.NoError(t, err)
-	defer peer.Close()
+	defer func() { _ = peer.Close() }()
 	require.NoError(t, r.router.UpdateConfig(r.changedConfig("[probes]\npath = /probe\n[peers]\naddresses = "+own+", "+peer.LocalAddr().String(),
 		"name = r\n", "name = r\nrouters = 2\n")))
 	r.router.loop.Do(func() {
@@ -133,7 +134,7 @@
 	require.Equal(t, "/probe", <-probed)
 	b := make([]byte, 300)
 	_ = peer.SetReadDeadline(time.Now().Add(10 * time.Second))
-	for string(b[:4]) != "word" { // the module's own messages may come first
+	for string(b[:4]) != "word" { // the router's own messages may come first
 		_, _, err = peer.ReadFrom(b)
 		require.NoError(t, err)
 	}
@@ -146,10 +147,10 @@
 	c := r.dial()
 	c.post("/quote", "")
 	_, outcome, _ := c.response()
-	require.Equal(t, "finished", outcome, "words that can't be read bring no fault")
+	require.Equal(t, "finished", outcome, "gossip that can't be read does no harm")
 }
 
-func TestMistakesInTheNewSectionsAreNamed(t *testing.T) {
+func TestConfig_NamesMistakesInHealthCheckAndGossipSections(t *testing.T) {
 	s := inifile.Parse("f", fmt.Sprintf(configTemplate, "l", "127.0.0.1:1", "http://127.0.0.1:2", `
 [probes]
 path = probe
--- a/internal/proxy/faults_test.go
+++ b/internal/proxy/faults_test.go
@@ -15,8 +15,8 @@
 	"dapplefront/release"
 )
 
-func TestAHostThatAnswersAfterTheRouterGaveUpIsNotHeard(t *testing.T) {
-	r := newTestbench(t, "", startHost(t, 1, 1, func(x exchange) bool {
+func TestProxy_IgnoresResponseAfterTimeout(t *testing.T) {
+	r := newTestbench(t, startHost(t, 1, 1, func(x exchange) bool {
 		if x.requestNumber == 1 {
 			time.Sleep(800 * time.Millisecond)
 		}
@@ -34,10 +34,10 @@
 	r.waitIdle()
 }
 
-func TestABindingTaskCutAfterItsLastByteIsScrappedAndNotSentAgain(t *testing.T) {
+func TestProxy_FailsNonIdempotentRequestWhenConnectionIsLost(t *testing.T) {
 	cut := func(x exchange) bool { return false }
 	a, b := startHost(t, 1, 1, cut), startHost(t, 2, 1, cut)
-	r := newTestbench(t, "", a, b)
+	r := newTestbench(t, a, b)
 	c := r.dial()
 	c.post("/transfer", "")
 	status, outcome, _ := c.response()
@@ -47,53 +47,53 @@
 	require.EqualValues(t, 1, a.requests.Load()+b.requests.Load())
 }
 
-func TestARetriableTaskThatIsCutGoesToAnotherHost(t *testing.T) {
+func TestProxy_RetriesIdempotentRequestOnAnotherHost(t *testing.T) {
 	var first atomic.Bool
 	serve := func(x exchange) bool { return !first.CompareAndSwap(false, true) && respondOK(x) }
-	r := newTestbench(t, "", startHost(t, 1, 1, serve), startHost(t, 2, 1, serve))
+	r := newTestbench(t, startHost(t, 1, 1, serve), startHost(t, 2, 1, serve))
 	c := r.dial()
 	c.post("/quote", "")
 	_, outcome, _ := c.response()
 	require.Equal(t, "finished", outcome)
 }
 
-func TestAHostThatClosesIdleConnectionsNeverRunsABindingTaskTwice(t *testing.T) {
-	var ran, finished, scrapped atomic.Int64
+func TestProxy_RunsNonIdempotentRequestOnceWhenHostsCloseIdleConnections(t *testing.T) {
+	var ran, succeeded, failed atomic.Int64
 	h := startHost(t, 1, 1, func(x exchange) bool {
 		ran.Add(1)
 		respondOK(x)
-		time.Sleep(time.Duration(x.requestNumber%4) * 300 * time.Microsecond) // closes at about when the next task is written
+		time.Sleep(time.Duration(x.requestNumber%4) * 300 * time.Microsecond) // closes at about when the next request is written
 		return false
 	})
-	r := newTestbench(t, "", h)
+	r := newTestbench(t, h)
 	c := r.dial()
-	const tasks = 200
-	for range tasks {
+	const requests = 200
+	for range requests {
 		c.post("/transfer", "")
 		switch _, outcome, _ := c.response(); outcome {
 		case "finished":
-			finished.Add(1)
-		case "scrapped": // the host's end came after the kernel had taken the task: it may have run
-			scrapped.Add(1)
+			succeeded.Add(1)
+		case "scrapped": // the host closed after the kernel had taken the request: it may have run
+			failed.Add(1)
 		default:
 			t.Fatalf("outcome %q", outcome)
 		}
 	}
 	r.waitIdle()
-	require.EqualValues(t, finished.Load(), ran.Load(), "each that ran was answered, and ran once")
-	require.Greater(t, finished.Load(), int64(tasks/2), "most ends are seen before the write")
+	require.Equal(t, succeeded.Load(), ran.Load(), "each that ran was responded to, and ran once")
+	require.Greater(t, succeeded.Load(), int64(requests/2), "most closes are seen before the write")
 }
 
-func TestADrainToldWhileASendIsBeingWrittenLetsItEndAndNothingNewFollows(t *testing.T) {
-	arriving, told := make(chan bool, 1), make(chan bool)
+func TestProxy_FinishesAttemptAndSendsNoMoreWhenHostStartsDraining(t *testing.T) {
+	arriving, drainKnown := make(chan bool, 1), make(chan bool)
 	slow := startHost(t, 1, 1, func(x exchange) bool {
 		if x.requestNumber == 1 {
 			arriving <- true
-			<-told
+			<-drainKnown
 		}
 		return respondOK(x)
 	})
-	r := newTestbench(t, "", slow)
+	r := newTestbench(t, slow)
 	c := r.dial()
 	c.write("POST /quote HTTP/1.1\r\nHost: r\r\nDapplefront-Patience: 1s\r\nContent-Length: 60000\r\n\r\n" + strings.Repeat("x", 60000))
 	<-arriving
@@ -103,7 +103,7 @@
 		r.router.loop.Do(func() { s = r.router.endpoints[1].State })
 		return s == policy.Draining
 	})
-	close(told)
+	close(drainKnown)
 	_, outcome, _ := c.response()
 	require.Equal(t, "finished", outcome)
 	time.Sleep(300 * time.Millisecond)
@@ -115,9 +115,9 @@
 	require.Equal(t, before, slow.requests.Load())
 }
 
-func TestAReleaseWithdrawnWithBindingTasksInFlightAnswersEachOnce(t *testing.T) {
+func TestProxy_RespondsOnceToRequestsInFlightDuringRollback(t *testing.T) {
 	held := make(chan bool, 8)
-	r := newTestbench(t, "", startHost(t, 1, 1, respondOK), startHost(t, 2, 2, func(x exchange) bool {
+	r := newTestbench(t, startHost(t, 1, 1, respondOK), startHost(t, 2, 2, func(x exchange) bool {
 		held <- true
 		time.Sleep(200 * time.Millisecond)
 		return respondOK(x)
@@ -129,7 +129,7 @@
 	require.Equal(t, policy.Released, r.controller.Status().Phase)
 	time.Sleep(200 * time.Millisecond)
 	var clients []*client
-	for range 2 { // as many as there are hosts: no jam
+	for range 2 { // as many as there are hosts: no overload
 		c := r.dial()
 		c.post("/transfer", "")
 		clients = append(clients, c)
@@ -137,7 +137,7 @@
 	select {
 	case <-held:
 	case <-time.After(5 * time.Second):
-		t.Fatal("no task went to the released build")
+		t.Fatal("no request went to the released build")
 	}
 	_, err := r.controller.Handle(release.RollBack{Build: 2})
 	require.NoError(t, err)
@@ -146,24 +146,24 @@
 		require.Equal(t, "finished", outcome)
 		c.requireSilence(50 * time.Millisecond)
 	}
-	time.Sleep(400 * time.Millisecond) // the grace
+	time.Sleep(400 * time.Millisecond) // the grace period
 	before := r.hosts[1].requests.Load()
 	for range 5 {
 		clients[0].post("/transfer", "")
 		_, outcome, _ := clients[0].response()
 		require.Equal(t, "finished", outcome)
 	}
-	require.Equal(t, before, r.hosts[1].requests.Load(), "nothing goes to a build that is going back")
+	require.Equal(t, before, r.hosts[1].requests.Load(), "nothing goes to a build that is rolling back")
 }
 
-func TestARouterKilledWithTasksHeldComesBackWithItsLastList(t *testing.T) {
+func TestProxy_RestartsFromCachedEndpointsAfterKill(t *testing.T) {
 	h := startHost(t, 1, 1, func(x exchange) bool {
 		if x.requestNumber == 1 {
 			time.Sleep(300 * time.Millisecond)
 		}
 		return respondOK(x)
 	})
-	r := newTestbench(t, "", h)
+	r := newTestbench(t, h)
 	c := r.dial()
 	c.post("/quote", "")
 	r.eventually(func() bool { return h.requests.Load() == 1 })
@@ -177,18 +177,18 @@
 	require.Equal(t, "finished", outcome)
 }
 
-func TestTwoCopiesThatBothAnswerGiveOneAnswer(t *testing.T) {
+func TestProxy_RespondsOnceWhenBothHedgedAttemptsSucceed(t *testing.T) {
 	var sent atomic.Int64
 	both := func(x exchange) bool {
 		if sent.Add(1) > 1 {
 			x.respond(200, "second")
 			return true
 		}
-		time.Sleep(700 * time.Millisecond) // long enough for a copy, and in time
+		time.Sleep(700 * time.Millisecond) // long enough for a hedged attempt, and in time
 		x.respond(200, "first")
 		return true
 	}
-	r := newTestbench(t, "", startHost(t, 1, 1, both), startHost(t, 2, 1, both))
+	r := newTestbench(t, startHost(t, 1, 1, both), startHost(t, 2, 1, both))
 	c := r.dial()
 	c.post("/quote", "")
 	_, outcome, body := c.response()
@@ -198,7 +198,7 @@
 	require.EqualValues(t, 2, sent.Load())
 }
 
-func TestAClientThatLeavesWhileItsTaskRunsLeavesNothingBehind(t *testing.T) {
+func TestProxy_ReleasesEverythingWhenClientGoes(t *testing.T) {
 	answered := make(chan bool, 4)
 	h := startHost(t, 1, 1, func(x exchange) bool {
 		if x.requestNumber == 1 {
@@ -208,7 +208,7 @@
 		answered <- true
 		return true
 	})
-	r := newTestbench(t, "", h)
+	r := newTestbench(t, h)
 	c := r.dial()
 	c.post("/quote", "")
 	r.eventually(func() bool { return h.requests.Load() == 1 })
@@ -216,23 +216,23 @@
 	r.eventually(func() bool { return r.router.Counts().ClientsGone == 1 })
 	<-answered
 	r.waitIdle()
-	time.Sleep(50 * time.Millisecond) // a link rests a little before it is used again
+	time.Sleep(50 * time.Millisecond) // a connection is left unused for a little after a response
 	c = r.dial()
 	c.post("/quote", "")
 	_, outcome, _ := c.response()
 	require.Equal(t, "finished", outcome)
-	require.EqualValues(t, 1, h.conns.Load(), "the link is used on")
+	require.EqualValues(t, 1, h.conns.Load(), "the connection is used again")
 }
 
-func TestAListThatEmptiesTurnsTasksBackAtOnce(t *testing.T) {
-	r := newTestbench(t, "", startHost(t, 1, 1, respondOK))
+func TestProxy_RejectsAtOnceWhenEndpointListEmpties(t *testing.T) {
+	r := newTestbench(t, startHost(t, 1, 1, respondOK))
 	r.discovery.Clear()
 	r.eventually(func() bool {
 		n := 1
 		r.router.loop.Do(func() { n = len(r.router.endpoints) })
 		return n == 0
 	})
-	time.Sleep(350 * time.Millisecond) // the grace
+	time.Sleep(350 * time.Millisecond) // the grace period
 	c := r.dial()
 	began := time.Now()
 	c.post("/transfer", "")
@@ -242,25 +242,25 @@
 	require.Less(t, time.Since(began), 400*time.Millisecond)
 }
 
-func TestAHeaderThatLiesAboutPatience(t *testing.T) {
-	r := newTestbench(t, "", startHost(t, 1, 1, func(exchange) bool { time.Sleep(3 * time.Second); return false }))
+func TestProxy_BoundsTimeoutHeader(t *testing.T) {
+	r := newTestbench(t, startHost(t, 1, 1, func(exchange) bool { time.Sleep(3 * time.Second); return false }))
 	c := r.dial()
 	began := time.Now()
 	c.post("/transfer", "Dapplefront-Patience: 8000h\r\n")
 	status, _, _ := c.response()
 	require.Equal(t, 504, status)
-	require.Less(t, time.Since(began), 2*time.Second, "no more than its category's patience is believed")
-	for _, lie := range []string{"-1s", "0", "0s", "soon", "1e9h", "99999999999999999999"} {
-		c.post("/transfer", "Dapplefront-Patience: "+lie+"\r\n")
+	require.Less(t, time.Since(began), 2*time.Second, "at most the timeout of its class")
+	for _, value := range []string{"-1s", "0", "0s", "soon", "1e9h", "99999999999999999999"} {
+		c.post("/transfer", "Dapplefront-Patience: "+value+"\r\n")
 		status, outcome, body := c.response()
-		require.Equal(t, "400 ", fmt.Sprint(status, " ", outcome), lie)
+		require.Equal(t, "400 ", fmt.Sprint(status, " ", outcome), value)
 		require.Contains(t, body, "Dapplefront-Patience")
 	}
 }
 
-func TestARequestOf100MBIsRefusedAndNothingIsSent(t *testing.T) {
+func TestProxy_RefusesBodyOf100MBAndSendsNothing(t *testing.T) {
 	h := startHost(t, 1, 1, respondOK)
-	r := newTestbench(t, "", h)
+	r := newTestbench(t, h)
 	c := r.dial()
 	c.write("POST /quote HTTP/1.1\r\nHost: r\r\nContent-Length: 104857600\r\n\r\n")
 	go func() { _, _ = io.CopyN(c.Conn, zeros{}, 100<<20) }()
@@ -276,8 +276,8 @@
 
 func (zeros) Read(p []byte) (int, error) { clear(p); return len(p), nil }
 
-func TestPipelinedRequestsAreAnsweredInTheirOrder(t *testing.T) {
-	r := newTestbench(t, "", startHost(t, 1, 1, func(x exchange) bool {
+func TestProxy_RespondsToPipelinedRequestsInOrder(t *testing.T) {
+	r := newTestbench(t, startHost(t, 1, 1, func(x exchange) bool {
 		if x.URL.Path == "/quote/0" {
 			time.Sleep(100 * time.Millisecond)
 		}
@@ -297,8 +297,8 @@
 	r.waitIdle()
 }
 
-func TestMorePipelinedRequestsThanAllowedAreTurnedBack(t *testing.T) {
-	r := newTestbench(t, "", startHost(t, 1, 1, func(x exchange) bool { time.Sleep(50 * time.Millisecond); return respondOK(x) }))
+func TestProxy_RejectsPipelinedRequestsAboveLimit(t *testing.T) {
+	r := newTestbench(t, startHost(t, 1, 1, func(x exchange) bool { time.Sleep(50 * time.Millisecond); return respondOK(x) }))
 	c := r.dial()
 	c.write(strings.Repeat("GET /quote HTTP/1.1\r\nHost: r\r\n\r\n", 20))
 	seen := map[string]int{}
@@ -311,9 +311,9 @@
 	require.Positive(t, seen["finished"])
 }
 
-func TestAChunkedBodyThatNeverEnds(t *testing.T) {
+func TestProxy_RefusesChunkedBodyThatNeverEnds(t *testing.T) {
 	h := startHost(t, 1, 1, respondOK)
-	r := newTestbench(t, "", h)
+	r := newTestbench(t, h)
 	fast, slow := r.dial(), r.dial()
 	head := "POST /quote HTTP/1.1\r\nHost: r\r\nTransfer-Encoding: chunked\r\n\r\n"
 	slow.write(head + "1\r\nx\r\n")
@@ -333,9 +333,9 @@
 	require.Zero(t, h.requests.Load())
 }
 
-func TestMalformedRequestsAreAnsweredAndEndTheConnection(t *testing.T) {
+func TestProxy_RefusesMalformedRequests(t *testing.T) {
 	h := startHost(t, 1, 1, respondOK)
-	r := newTestbench(t, "", h)
+	r := newTestbench(t, h)
 	for text, status := range map[string]int{
 		"NONSENSE\r\n\r\n":                                                                           400,
 		"GET /quote HTTP/2.0\r\nHost: r\r\n\r\n":                                                     505,
@@ -366,13 +366,13 @@
 	got, _, _ := c.response()
 	require.Equal(t, 404, got)
 	got, _, body := c.response()
-	require.Equal(t, 400, got, "a fingerprinted task needs its mark")
+	require.Equal(t, 400, got, "a request that is idempotent with key needs its key")
 	require.Contains(t, body, "Idempotency-Key")
 	require.Zero(t, h.requests.Load())
 	r.waitIdle()
 }
 
-func TestAHostThatTurnsBackUnseenOrRefusesNeverRan(t *testing.T) {
+func TestProxy_RetriesNonIdempotentRequestThatNeverStarted(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	dead := startHost(t, 1, 1, respondOK)
@@ -380,19 +380,19 @@
 	_ = l.Close()
 	full := startHost(t, 2, 1, func(x exchange) bool { x.respond(503, "full", "Dapplefront-Unseen: 1"); return true })
 	well := startHost(t, 3, 1, respondOK)
-	r := newTestbench(t, "", dead, full, well)
+	r := newTestbench(t, dead, full, well)
 	c := r.dial()
 	for range 20 {
 		c.post("/transfer", "")
 		_, outcome, _ := c.response()
-		require.Equal(t, "finished", outcome, "a binding task goes on while it surely never ran")
+		require.Equal(t, "finished", outcome, "a non-idempotent request is retried while it surely never ran")
 	}
 }
 
-func TestAnAnswerThatIsNoHTTPOrTooLargeScrapsABindingTask(t *testing.T) {
+func TestProxy_FailsNonIdempotentRequestOnUnreadableResponse(t *testing.T) {
 	answers := []string{"rubbish\r\n\r\n", "HTTP/1.1 200 OK\r\nContent-Length: 99999999\r\n\r\n",
 		"HTTP/1.1 200 OK\r\nContent-Length: 5\r\nTransfer-Encoding: chunked\r\n\r\n"}
-	r := newTestbench(t, "", startHost(t, 1, 1, func(x exchange) bool {
+	r := newTestbench(t, startHost(t, 1, 1, func(x exchange) bool {
 		_, _ = io.WriteString(x.conn, answers[(x.requestNumber-1)%3])
 		return true
 	}))
@@ -405,8 +405,8 @@
 	r.waitIdle()
 }
 
-func TestAnAnswerThatItsConnectionEndsIsWhole(t *testing.T) {
-	r := newTestbench(t, "", startHost(t, 1, 1, func(x exchange) bool {
+func TestProxy_AcceptsResponseThatEndsWithItsConnection(t *testing.T) {
+	r := newTestbench(t, startHost(t, 1, 1, func(x exchange) bool {
 		_, _ = io.WriteString(x.conn, "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 200 \r\n\r\nto the end")
 		return false
 	}))
@@ -418,9 +418,9 @@
 	}
 }
 
-func TestAClientThatAsksAndDoesNotReadIsCutOff(t *testing.T) {
+func TestProxy_DisconnectsClientThatDoesNotRead(t *testing.T) {
 	big := strings.Repeat("x", 1<<20-1)
-	r := newTestbench(t, "", startHost(t, 1, 1, func(x exchange) bool { x.respond(200, big); return true }))
+	r := newTestbench(t, startHost(t, 1, 1, func(x exchange) bool { x.respond(200, big); return true }))
 	c := r.dial()
 	_ = c.Conn.(*net.TCPConn).SetReadBuffer(4096)
 	gone := false
@@ -431,13 +431,13 @@
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
-	require.True(t, gone, "answers that no one reads are not piled up")
+	require.True(t, gone, "responses that no one reads are not piled up")
 	r.waitIdle()
 }
 
-func TestDrainAnswersWhatIsHeldAndTakesNoMore(t *testing.T) {
+func TestProxy_DrainRespondsToRequestsInFlightAndAcceptsNoMore(t *testing.T) {
 	h := startHost(t, 1, 1, func(x exchange) bool { time.Sleep(200 * time.Millisecond); return respondOK(x) })
-	r := newTestbench(t, "", h)
+	r := newTestbench(t, h)
 	c, idle := r.dial(), r.dial()
 	c.post("/quote", "")
 	r.eventually(func() bool { return h.requests.Load() == 1 })
@@ -453,9 +453,9 @@
 	require.NoError(t, err)
 }
 
-func TestASecondSignalCutsOffAndCounts(t *testing.T) {
+func TestProxy_DrainCountsRequestsLeftWhenAborted(t *testing.T) {
 	h := startHost(t, 1, 1, func(x exchange) bool { time.Sleep(3 * time.Second); return false })
-	r := newTestbench(t, "", h)
+	r := newTestbench(t, h)
 	c := r.dial()
 	c.post("/quote", "")
 	r.eventually(func() bool { return h.requests.Load() >= 1 })
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -2,7 +2,7 @@
 // at the clients, the hosts, endpoint discovery and the release controllers becomes an event; the actions that the
 // router answers with are carried out here.
 //
-// Everything that a Proxy holds is read and changed from the work of its event loop only, but for what the field
+// The state of a Proxy is read and changed from the work of its event loop only, but for what the field
 // comments say otherwise. One event is handled at a time, and its actions are carried out in order before the next.
 package proxy
 
@@ -34,7 +34,7 @@
 // FaultInjector changes what a router does, so that tests can show that their checks find a faulty router. A daemon
 // has none.
 type FaultInjector interface {
-	// Actions may change the actions that follow an event; hosts are those that the router was ever told of.
+	// Actions may change the actions that follow an event; hosts are all that were ever listed.
 	Actions(now policy.Time, e router.Event, actions []router.Action, hosts map[uint32]eds.Host) []router.Action
 	// Silent reports whether the final response to a request is withheld from its client.
 	Silent(requestID string) bool
@@ -95,7 +95,7 @@
 }
 
 // StartBy starts a router that reaches discovery and the controllers by the protocols given; it listens when StartBy
-// returns. After an error nothing stays open.
+// returns. Errors name the router.
 func StartBy(protocols Protocols, c *routerconfig.Config, log *slog.Logger, faults FaultInjector) (_ *Proxy, err error) {
 	p := &Proxy{config: c, log: log.With("router", c.Name), loop: eventloop.New(), faults: faults, requests: map[string]*request{},
 		endpoints: map[uint32]eds.Host{}, outcomes: map[int]map[string]int{}, budget: http1.NewBudget(int64(c.MaxBodyBytes)),
@@ -163,7 +163,7 @@
 	}
 }
 
-// startRouter makes the router and tells it the endpoints that are known from before.
+// startRouter makes the router and gives it the endpoints that are known from before.
 func (p *Proxy) startRouter() {
 	c := p.config
 	p.pool = upstream.NewPool(p.loop, p.engine, c.Upstream, p.budget)
--- a/internal/proxy/testbench_test.go
+++ b/internal/proxy/testbench_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"bufio"
+	"errors"
 	"fmt"
 	"io"
 	"log/slog"
@@ -24,7 +25,7 @@
 	"dapplefront/release"
 )
 
-// testbench is one real router with a real register and desk, and hosts that a test scripts byte by byte.
+// testbench is one real router with real discovery and a real controller, and hosts that a test scripts byte by byte.
 type testbench struct {
 	*testing.T
 	config     *routerconfig.Config
@@ -34,7 +35,7 @@
 	hosts      []*scriptedHost
 }
 
-// scriptedHost is a host whose connections a test serves itself. Its serve is told each request and the connection.
+// scriptedHost is a host whose connections a test serves itself, request by request.
 type scriptedHost struct {
 	listener net.Listener
 	entry    *testbed.Host
@@ -42,6 +43,7 @@
 	conns    atomic.Int64
 }
 
+// exchange is a request that a scripted host has received, and the connection to respond on.
 type exchange struct {
 	*http.Request
 	body             []byte
@@ -55,11 +57,12 @@
 	for _, f := range fields {
 		extra += f + "\r\n"
 	}
-	fmt.Fprintf(x.conn, "HTTP/1.1 %d Told\r\n%sContent-Length: %d\r\n\r\n%s", status, extra, len(body), body)
+	_, _ = fmt.Fprintf(x.conn, "HTTP/1.1 %d Told\r\n%sContent-Length: %d\r\n\r\n%s", status, extra, len(body), body)
 }
 
 // startHost starts a scripted host. serve returns false to close the connection.
 func startHost(t *testing.T, id uint32, build int, serve func(exchange) bool) *scriptedHost {
+	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	h := &scriptedHost{listener: l, entry: testbed.Elsewhere(l.Addr().String(),
@@ -70,9 +73,9 @@
 			if err != nil {
 				return
 			}
-			of := h.conns.Add(1)
+			number := h.conns.Add(1)
 			go func() {
-				defer c.Close()
+				defer func() { _ = c.Close() }()
 				in := bufio.NewReader(c)
 				for {
 					r, err := http.ReadRequest(in)
@@ -80,7 +83,7 @@
 						return
 					}
 					body, err := io.ReadAll(r.Body)
-					if err != nil || !serve(exchange{r, body, c, h.requests.Add(1), of}) {
+					if err != nil || !serve(exchange{r, body, c, h.requests.Add(1), number}) {
 						return
 					}
 				}
@@ -134,8 +137,9 @@
 patience = 500ms
 `
 
-// newTestbench starts a router that knows the hosts, all long up, and that their build is released.
-func newTestbench(t *testing.T, extra string, hosts ...*scriptedHost) *testbench {
+// newTestbench starts a router that knows the hosts, none of them warming up, and that their build is released.
+func newTestbench(t *testing.T, hosts ...*scriptedHost) *testbench {
+	t.Helper()
 	r := &testbench{T: t, hosts: hosts}
 	var err error
 	r.discovery, err = testbed.StartRegister("127.0.0.1:0", "shop", nil)
@@ -149,7 +153,7 @@
 	for _, h := range hosts {
 		r.setEndpoint(h, policy.Serving)
 	}
-	s := inifile.Parse("rig", fmt.Sprintf(configTemplate, filepath.Join(t.TempDir(), "list"), r.discovery.Address(), r.controller.URL(), extra))
+	s := inifile.Parse("testbench", fmt.Sprintf(configTemplate, filepath.Join(t.TempDir(), "list"), r.discovery.Address(), r.controller.URL(), ""))
 	r.config = routerconfig.From(s)
 	require.NoError(t, s.Done())
 	r.start()
@@ -165,7 +169,7 @@
 	r.discovery.Set(testbed.Entry{Host: h.entry, Standing: s})
 }
 
-// start starts the router and waits until it knows its hosts and has heard the desk.
+// start starts the router and waits until it knows its hosts and has had the first release status.
 func (r *testbench) start() {
 	var err error
 	r.router, err = Start(r.config, slog.New(slog.DiscardHandler), nil)
@@ -175,22 +179,22 @@
 		r.router.loop.Do(func() { n = len(r.router.endpoints) })
 		return n == len(r.hosts)
 	})
-	time.Sleep(50 * time.Millisecond) // the desk's first news
+	time.Sleep(50 * time.Millisecond) // for the first release status
 }
 
-func (r *testbench) eventually(is func() bool) {
+func (r *testbench) eventually(condition func() bool) {
 	r.Helper()
-	require.Eventually(r, is, 10*time.Second, 5*time.Millisecond)
+	require.Eventually(r, condition, 10*time.Second, 5*time.Millisecond)
 }
 
-// waitIdle waits until the router holds nothing any more.
+// waitIdle waits until the router holds no request and no bytes.
 func (r *testbench) waitIdle() {
 	r.Helper()
 	r.eventually(func() bool {
-		tasks, _, _, bytes := r.router.InFlight()
+		requests, _, _, bytes := r.router.InFlight()
 		left := 0
 		r.router.loop.Do(func() { left = len(r.router.requests) + r.router.router.InFlight() })
-		return tasks == 0 && bytes == 0 && left == 0
+		return requests == 0 && bytes == 0 && left == 0
 	})
 }
 
@@ -202,6 +206,7 @@
 }
 
 func (r *testbench) dial() *client {
+	r.Helper()
 	c, err := net.Dial("tcp", r.router.Address().String())
 	require.NoError(r, err)
 	r.Cleanup(func() { _ = c.Close() })
@@ -215,11 +220,12 @@
 	c.write("POST " + path + " HTTP/1.1\r\nHost: r\r\nContent-Length: 2\r\n" + fields + "\r\nhi")
 }
 
-// response reads one answer: status, outcome, body.
+// response reads one response: status, outcome, body.
 func (c *client) response() (int, string, string) {
 	c.Helper()
 	got, err := http.ReadResponse(c.in, nil)
 	require.NoError(c, err)
+	defer func() { _ = got.Body.Close() }()
 	body, err := io.ReadAll(got.Body)
 	require.NoError(c, err)
 	return got.StatusCode, got.Header.Get("Dapplefront-Outcome"), strings.TrimSpace(string(body))
@@ -230,8 +236,8 @@
 	c.Helper()
 	_ = c.SetReadDeadline(time.Now().Add(d))
 	_, err := c.in.Peek(1)
-	ne, ok := err.(net.Error)
-	require.True(c, ok && ne.Timeout(), "nothing more may come, got %v", err)
+	var netErr net.Error
+	require.True(c, errors.As(err, &netErr) && netErr.Timeout(), "nothing more may come, got %v", err)
 	_ = c.SetReadDeadline(time.Now().Add(20 * time.Second))
 }
 
@@ -239,6 +245,6 @@
 func (c *client) requireClosed() {
 	c.Helper()
 	_, err := io.Copy(io.Discard, c.in)
-	ne, timeout := err.(net.Error)
-	require.False(c, timeout && ne.Timeout(), "the connection should have ended")
+	var netErr net.Error
+	require.False(c, errors.As(err, &netErr) && netErr.Timeout(), "the connection should have ended")
 }
--- a/internal/upstream/pool_test.go
+++ b/internal/upstream/pool_test.go
@@ -89,7 +89,7 @@
 }
 
 // A second copy of an answer that comes when the next request is on its way is nobody's answer.
-func TestALateSecondAnswerIsNotTheNextRequestsAnswer(t *testing.T) {
+func TestPool_IgnoresLateDuplicateResponse(t *testing.T) {
 	r := newRig(t)
 	got := make(chan string, 4)
 	r.loop.Do(func() {
@@ -110,7 +110,7 @@
 }
 
 // A copy that came later than a link rests makes links rest longer from then on.
-func TestLinksRestTwiceAsLongAsALateCopyTook(t *testing.T) {
+func TestPool_LengthensQuietPeriodAfterLateDuplicate(t *testing.T) {
 	r := newRig(t)
 	got := make(chan string, 4)
 	r.loop.Do(func() { r.send("first", 10*policy.Second, got, nil) })
@@ -128,7 +128,7 @@
 	}, 10*time.Second, time.Millisecond)
 }
 
-func TestALinkThatHasRestedIsUsedOn(t *testing.T) {
+func TestPool_ReusesConnectionAfterQuietPeriod(t *testing.T) {
 	r := newRig(t)
 	got := make(chan string, 4)
 	for n := range 3 {
@@ -145,7 +145,7 @@
 }
 
 // The time that a host is told is what is left when the bytes leave, however long the connection took to come up.
-func TestTheTimeToldIsWhatIsLeftAsTheBytesLeave(t *testing.T) {
+func TestPool_SendsTimeLeftWhenBytesLeave(t *testing.T) {
 	r := newRig(t)
 	got := make(chan string, 1)
 	const within, late = 10 * policy.Second, 120 * policy.Second / 1000
@@ -169,7 +169,7 @@
 }
 
 // A connection that comes up when its host has left, or is told at another address, carries nothing.
-func TestAConnectionThatComesUpTooLateCarriesNothing(t *testing.T) {
+func TestPool_SendsNothingOnConnectionThatOpensTooLate(t *testing.T) {
 	for name, change := range map[string]func(*rig){
 		"left":    func(r *rig) { r.pool.Remove(1) },
 		"moved":   func(r *rig) { r.pool.SetAddress(1, "127.0.0.1:1") },
@@ -191,7 +191,7 @@
 }
 
 // A connection whose send is withheld while it opens rests for the next one, and is counted once.
-func TestAConnectionGivenUpWhileOpeningRestsForTheNext(t *testing.T) {
+func TestPool_KeepsConnectionWhoseAttemptWasCanceled(t *testing.T) {
 	r := newRig(t)
 	got := make(chan string, 2)
 	r.loop.Do(func() { r.send("x", 10*policy.Second, got, nil).Cancel() })
--- a/router/planned_test.go
+++ b/router/planned_test.go
@@ -40,7 +40,7 @@
 	return actions[0].Text
 }
 
-func TestAPlanIsAHintThatRulesAndDrainsGoBefore(t *testing.T) {
+func TestRouter_FollowsPlanWithinRulesAndDrains(t *testing.T) {
 	now := 1000 * policy.Second
 	r, _ := router.New(now, router.Config{Seed: 1, Routers: 1, Zone: "north", Classes: []router.Class{{Name: "quote", LatencyObjective: 4000, PriorityWeight: 1}},
 		Limits: policy.Limits{DrainGrace: policy.Second, WarmUp: 4 * policy.Second, ColdCapacity: .3, ColdOverloadFactor: 3, ColdOverloadWindow: 2 * policy.Second, PollInterval: 1000 * policy.Second,
