--- a/internal/jsonstream/stream.go
+++ b/internal/jsonstream/stream.go
@@ -26,14 +26,14 @@
 
 // Timeouts are how long a stream may be silent.
 type Timeouts struct {
-	First   time.Duration // until its first value, the connection's making included
-	Silence time.Duration // from then on, between two bytes of any kind
+	FirstValue time.Duration // until its first value, the connection's making included
+	Idle       time.Duration // from then on, between two bytes of any kind
 }
 
-const longest = 4 << 20 // bytes of a value: some 20,000 entries of a list
+const maxValueBytes = 4 << 20 // bytes of a value: some 20,000 entries of a list
 
-// Client is an HTTP client that uses each connection for one call alone, so that what became of a call is exact.
-func Client() *http.Client {
+// NewHTTPClient is an HTTP client that uses each connection for one call alone, so that what became of a call is exact.
+func NewHTTPClient() *http.Client {
 	return &http.Client{Transport: &http.Transport{DisableKeepAlives: true, DisableCompression: true, ReadBufferSize: 4 << 10,
 		WriteBufferSize: 2 << 10, MaxResponseHeaderBytes: 16 << 10, DialContext: (&net.Dialer{Timeout: time.Second}).DialContext},
 		CheckRedirect: func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse }}
@@ -45,25 +45,25 @@
 	timeouts Timeouts
 	client   *http.Client
 
-	mu      sync.Mutex // never held while the handler is called
-	address string
-	runs    []*run // the newest last
-	closed  bool
-	wait    sync.WaitGroup
+	mu          sync.Mutex // never held while the handler is called
+	address     string
+	connections []*connection // the newest last
+	closed      bool
+	wg          sync.WaitGroup
 
-	telling sync.Mutex
-	tried   atomic.Bool
+	handling  sync.Mutex
+	attempted atomic.Bool
 }
 
-type run struct {
-	address string
-	stop    context.CancelFunc
-	spoke   atomic.Bool
+type connection struct {
+	address  string
+	cancel   context.CancelFunc
+	gotValue atomic.Bool
 }
 
 // New prepares a stream; Open starts it.
 func New(address string, t Timeouts, h Handler) *Stream {
-	return &Stream{handler: h, timeouts: t, client: Client(), address: address}
+	return &Stream{handler: h, timeouts: t, client: NewHTTPClient(), address: address}
 }
 
 // Address is the one that is followed, or would be.
@@ -73,29 +73,29 @@
 	return s.address
 }
 
-// Tried tells whether a first attempt has been made, whatever came of it: its first value was handled, or it has ended.
-func (s *Stream) Tried() bool { return s.tried.Load() }
+// Attempted tells whether a first attempt has been made, whatever came of it: its first value was handled, or it has ended.
+func (s *Stream) Attempted() bool { return s.attempted.Load() }
 
 // Open starts following, unless the present address is followed already.
 func (s *Stream) Open() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if n := len(s.runs); s.closed || n > 0 && s.runs[n-1].address == s.address {
+	if n := len(s.connections); s.closed || n > 0 && s.connections[n-1].address == s.address {
 		return
 	}
 	ctx, stop := context.WithCancel(context.Background())
-	r := &run{address: s.address, stop: stop}
-	s.runs = append(s.runs, r)
-	s.wait.Add(1)
+	r := &connection{address: s.address, cancel: stop}
+	s.connections = append(s.connections, r)
+	s.wg.Add(1)
 	go func() {
-		defer s.wait.Done()
+		defer s.wg.Done()
 		defer stop()
-		s.ended(r, s.follow(ctx, r))
+		s.connectionEnded(r, s.follow(ctx, r))
 	}()
 }
 
-// Move follows another address from now on.
-func (s *Stream) Move(address string) {
+// SetAddress follows another address from now on.
+func (s *Stream) SetAddress(address string) {
 	s.mu.Lock()
 	s.address = address
 	s.mu.Unlock()
@@ -106,19 +106,19 @@
 func (s *Stream) Close() {
 	s.mu.Lock()
 	s.closed = true
-	for _, r := range s.runs {
-		r.stop()
+	for _, r := range s.connections {
+		r.cancel()
 	}
 	s.mu.Unlock()
-	s.wait.Wait()
+	s.wg.Wait()
 }
 
-func (s *Stream) ended(r *run, err error) {
+func (s *Stream) connectionEnded(r *connection, err error) {
 	s.mu.Lock()
-	newest := s.runs[len(s.runs)-1] == r
-	for i, x := range s.runs {
+	newest := s.connections[len(s.connections)-1] == r
+	for i, x := range s.connections {
 		if x == r {
-			s.runs = append(s.runs[:i:i], s.runs[i+1:]...)
+			s.connections = append(s.connections[:i:i], s.connections[i+1:]...)
 			break
 		}
 	}
@@ -126,22 +126,22 @@
 	told := newest && !s.closed && r.address == s.address
 	s.mu.Unlock()
 	if told {
-		s.telling.Lock()
-		defer s.telling.Unlock()
+		s.handling.Lock()
+		defer s.handling.Unlock()
 		s.handler.Ended(err)
 	}
-	s.tried.Store(true)
+	s.attempted.Store(true)
 }
 
 // follow reads one stream to its end.
-func (s *Stream) follow(ctx context.Context, r *run) error {
+func (s *Stream) follow(ctx context.Context, r *connection) error {
 	ctx, stop := context.WithCancelCause(ctx)
 	defer stop(nil)
-	silent := time.AfterFunc(s.timeouts.First, func() { stop(errors.New("it is silent")) })
+	silent := time.AfterFunc(s.timeouts.FirstValue, func() { stop(errors.New("it is silent")) })
 	defer silent.Stop()
-	s.telling.Lock()
+	s.handling.Lock()
 	path, value := s.handler.Open()
-	s.telling.Unlock()
+	s.handling.Unlock()
 	why := func(err error) error {
 		if ctx.Err() != nil {
 			return fmt.Errorf("%s: %w", r.address, context.Cause(ctx))
@@ -160,9 +160,9 @@
 	if got.StatusCode != http.StatusOK {
 		return why(fmt.Errorf("status %s", got.Status))
 	}
-	in := &body{Reader: got.Body, left: longest, heard: func() {
-		if r.spoke.Load() {
-			silent.Reset(s.timeouts.Silence)
+	in := &boundedBody{Reader: got.Body, remaining: maxValueBytes, onRead: func() {
+		if r.gotValue.Load() {
+			silent.Reset(s.timeouts.Idle)
 		}
 	}}
 	for values := json.NewDecoder(in); ; {
@@ -170,42 +170,42 @@
 		if err := values.Decode(&v); err != nil { // half a value at the end is dropped
 			return why(err)
 		}
-		in.left = longest
-		if err := s.tell(r, v, value); err != nil {
+		in.remaining = maxValueBytes
+		if err := s.deliver(r, v, value); err != nil {
 			return why(err)
 		}
-		silent.Reset(s.timeouts.Silence)
+		silent.Reset(s.timeouts.Idle)
 	}
 }
 
-// body is an answer's body whose every byte is a sign of life, and whose values are bounded.
-type body struct {
+// boundedBody is an answer's body whose every byte is a sign of life, and whose values are bounded.
+type boundedBody struct {
 	io.Reader
-	heard func()
-	left  int // bytes that may still come until a value is whole
+	onRead    func()
+	remaining int // bytes that may still come until a value is whole
 }
 
-func (b *body) Read(to []byte) (int, error) {
-	if b.left == 0 {
-		return 0, fmt.Errorf("a value is longer than %d bytes", longest)
+func (b *boundedBody) Read(to []byte) (int, error) {
+	if b.remaining == 0 {
+		return 0, fmt.Errorf("a value is longer than %d bytes", maxValueBytes)
 	}
-	n, err := b.Reader.Read(to[:min(len(to), b.left)])
-	if b.left -= n; n > 0 {
-		b.heard()
+	n, err := b.Reader.Read(to[:min(len(to), b.remaining)])
+	if b.remaining -= n; n > 0 {
+		b.onRead()
 	}
 	return n, err
 }
 
-// tell hands a value on, unless a newer stream has spoken; the first of a stream ends all older ones.
-func (s *Stream) tell(r *run, v json.RawMessage, value func(json.RawMessage) error) error {
-	s.telling.Lock()
-	defer s.telling.Unlock()
+// deliver hands a value on, unless a newer stream has spoken; the first of a stream ends all older ones.
+func (s *Stream) deliver(r *connection, v json.RawMessage, value func(json.RawMessage) error) error {
+	s.handling.Lock()
+	defer s.handling.Unlock()
 	s.mu.Lock()
 	at := -1
-	for i, x := range s.runs {
+	for i, x := range s.connections {
 		if x == r {
 			at = i
-		} else if at >= 0 && x.spoke.Load() {
+		} else if at >= 0 && x.gotValue.Load() {
 			s.mu.Unlock()
 			return errors.New("a newer stream has taken its place")
 		}
@@ -214,17 +214,17 @@
 	if err := value(v); err != nil {
 		return err
 	}
-	s.tried.Store(true)
-	if r.spoke.Swap(true) {
+	s.attempted.Store(true)
+	if r.gotValue.Swap(true) {
 		return nil
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for _, x := range s.runs {
+	for _, x := range s.connections {
 		if x == r {
 			break
 		}
-		x.stop()
+		x.cancel()
 	}
 	return nil
 }
--- a/internal/jsonstream/stream_test.go
+++ b/internal/jsonstream/stream_test.go
@@ -11,14 +11,14 @@
 	"github.com/stretchr/testify/require"
 )
 
-// service says what a test has it say, to one caller at a time.
-type service struct {
+// fakeServer says what a test has it say, to one caller at a time.
+type fakeServer struct {
 	*httptest.Server
 	values chan string
 }
 
-func newService(t *testing.T) *service {
-	s := &service{values: make(chan string)}
+func newFakeServer(t *testing.T) *fakeServer {
+	s := &fakeServer{values: make(chan string)}
 	s.Server = httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		for {
 			select {
@@ -37,24 +37,24 @@
 	return s
 }
 
-func (s *service) address() string { return s.Listener.Addr().String() }
+func (s *fakeServer) address() string { return s.Listener.Addr().String() }
 
 // The end of a stream at an address that was left tells nothing, even where the newer one has failed meanwhile: that was
 // told already, and a second word would start a second chain of new tries.
 func TestTheEndOfAnOlderStreamStartsNoSecondChainOfTries(t *testing.T) {
-	old, next := newService(t), newService(t)
+	old, next := newFakeServer(t), newFakeServer(t)
 	heard, ended := make(chan string, 10), make(chan error, 10)
-	s := New(old.address(), Timeouts{First: time.Minute, Silence: time.Minute}, Handler{
+	s := New(old.address(), Timeouts{FirstValue: time.Minute, Idle: time.Minute}, Handler{
 		Open: func() (string, func(json.RawMessage) error) {
 			return "/", func(v json.RawMessage) error { heard <- string(v); return nil }
 		},
 		Ended: func(err error) { ended <- err }})
 	t.Cleanup(s.Close)
-	runs := func() int { s.mu.Lock(); defer s.mu.Unlock(); return len(s.runs) }
+	runs := func() int { s.mu.Lock(); defer s.mu.Unlock(); return len(s.connections) }
 	s.Open()
 	old.values <- "{}"
 	require.Equal(t, "{}", <-heard)
-	s.Move(next.address())
+	s.SetAddress(next.address())
 	next.values <- "end"
 	require.Error(t, <-ended)
 	old.values <- `{"still":"here"}`
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -32,8 +32,8 @@
 	"dapplefront/policy"
 )
 
-// Config is the platform's configuration file.
-type Config struct {
+// File is the platform's configuration file.
+type File struct {
 	Name      string `json:"name"`
 	Listen    string `json:"listen"`
 	Discovery string `json:"discovery"`
@@ -44,25 +44,25 @@
 		Sockets  int     `json:"sockets"`
 	} `json:"limits"`
 	Platform struct {
-		Address string        `json:"address"`
-		News    platform.News `json:"news"`
+		Address string                 `json:"address"`
+		News    platform.ReleaseStatus `json:"news"`
 	} `json:"platform"`
-	Known    discovery.List  `json:"known"`
-	Settings json.RawMessage `json:"settings"`
+	Known    discovery.EndpointList `json:"known"`
+	Settings json.RawMessage        `json:"settings"`
 }
 
-// Setup is a configuration that has been read whole and checked, and what follows from it.
-type Setup struct {
-	Config
-	Charter *routerconfig.Config
-	News    policy.ReleaseStatus
-	terms   platformsettings.Settings
-	pairs   platformsettings.Values
+// Config is a configuration that has been read whole and checked, and what follows from it.
+type Config struct {
+	File
+	Router   *routerconfig.Config
+	Release  policy.ReleaseStatus
+	settings platformsettings.Settings
+	values   platformsettings.Values
 }
 
 // Read reads the file that EDGE_CONFIG names; what it leaves out of name, listen and discovery is taken from EDGE_NAME,
 // EDGE_LISTEN and EDGE_DISCOVERY. An error names the file and what is wrong in it.
-func Read(file string) (*Setup, error) {
+func Read(file string) (*Config, error) {
 	text, err := os.ReadFile(file)
 	if err != nil {
 		return nil, err
@@ -74,9 +74,9 @@
 	return p, nil
 }
 
-func parse(text []byte) (*Setup, error) {
-	p := &Setup{}
-	if err := json.Unmarshal(text, &p.Config); err != nil {
+func parse(text []byte) (*Config, error) {
+	p := &Config{}
+	if err := json.Unmarshal(text, &p.File); err != nil {
 		var at *json.SyntaxError
 		if errors.As(err, &at) {
 			return nil, fmt.Errorf("byte %d: %w", at.Offset, err)
@@ -105,7 +105,7 @@
 	if l := p.Limits; l.Cores <= 0 || l.MemoryMB < leastMemory || l.Sockets < leastSockets {
 		return nil, fmt.Errorf("limits: cores above 0, memory_mb from %d and sockets from %d expected", leastMemory, leastSockets)
 	}
-	if p.News, err = p.Platform.News.Read(); err != nil {
+	if p.Release, err = p.Platform.News.Status(); err != nil {
 		return nil, fmt.Errorf("platform.news: %w", err)
 	}
 	if err := p.Known.Check(); err != nil {
@@ -118,20 +118,20 @@
 	if err := platformsettings.Check(pairs); err != nil {
 		return nil, fmt.Errorf("settings.%s", strings.ReplaceAll(err.Error(), "\n", "; settings."))
 	}
-	p.pairs, p.terms = pairs, platformsettings.Read(pairs, seed)
+	p.values, p.settings = pairs, platformsettings.Read(pairs, seed)
 	// Whatever the settings allow: the platform's protocol has no messages between routers, no probes and no counts, and
 	// the module must not wait for what never comes.
-	p.terms.Router.Limits.MaxGossipBytes, p.terms.Router.Limits.HealthChecks, p.terms.Router.Release.SampledShare = 0, false, 0
-	p.Charter = p.charter(pairs)
+	p.settings.Router.Limits.MaxGossipBytes, p.settings.Router.Limits.HealthChecks, p.settings.Router.Release.SampledShare = 0, false, 0
+	p.Router = p.routerConfig(pairs)
 	return p, nil
 }
 
-// fixed are the settings that a running router can't change, by the ends of their paths.
-var fixed = []string{"MyZone", ".count", ".Name", ".Semantics", ".DedupScope", ".WindowUs", ".DeadlineUs", "Report.Fields",
+// fixedSettings are the settings that a running router can't change, by the ends of their paths.
+var fixedSettings = []string{"MyZone", ".count", ".Name", ".Semantics", ".DedupScope", ".WindowUs", ".DeadlineUs", "Report.Fields",
 	"Permissions.ConnIdleUs", "Permissions.ConnectTimeoutUs", "Extra.CallTimeoutUs"}
 
-// changes tells by name what of another configuration a running router can't go over to.
-func (p *Setup) changes(to *Setup) error {
+// checkChange tells by name what of another configuration a running router can't go over to.
+func (p *Config) checkChange(to *Config) error {
 	var all []string
 	if p.Name != to.Name {
 		all = append(all, "name")
@@ -142,10 +142,10 @@
 	if p.Limits != to.Limits {
 		all = append(all, "limits")
 	}
-	paths := maps.Clone(p.pairs)
-	maps.Copy(paths, to.pairs)
+	paths := maps.Clone(p.values)
+	maps.Copy(paths, to.values)
 	for _, path := range slices.Sorted(maps.Keys(paths)) {
-		if p.pairs[path] != to.pairs[path] && slices.ContainsFunc(fixed, func(end string) bool { return strings.HasSuffix(path, end) }) {
+		if p.values[path] != to.values[path] && slices.ContainsFunc(fixedSettings, func(end string) bool { return strings.HasSuffix(path, end) }) {
 			all = append(all, "settings."+path)
 		}
 	}
@@ -155,12 +155,12 @@
 	return nil
 }
 
-var wording = &downstream.Protocol{Class: "Request-Class", Tenant: "Tenant", Timeout: "Request-Timeout-Ms",
+var downstreamProtocol = &downstream.Protocol{Class: "Request-Class", Tenant: "Tenant", Timeout: "Request-Timeout-Ms",
 	IdempotencyKey: "Idempotency-Key", Key: "Affinity-Key", ExpectedWork: "Work-Hint", ClientRetry: "Client-Retry", ID: "Request-Id", Strict: true,
 	WorkUnitsPerTick: 100, DecimalRetryAfter: true, ReadinessPath: "/ready"}
 
-// charter is what an instance is told.
-func (p *Setup) charter(pairs platformsettings.Values) *routerconfig.Config {
+// routerConfig is what an instance is told.
+func (p *Config) routerConfig(pairs platformsettings.Values) *routerconfig.Config {
 	const (
 		head, body = 16 << 10, 64 << 10
 		answer     = 1 << 20         // answers of over 64 KiB were seen: 8 in 100 on one day
@@ -174,13 +174,13 @@
 	)
 	span := func(path string) time.Duration { return time.Duration(pairs.Int(path)) * time.Microsecond }
 	room := p.Limits.Sockets - fixed
-	c := &routerconfig.Config{Name: p.Name, Listen: p.Listen, DrainTimeout: drain, MaxBodyBytes: p.Limits.MemoryMB << 20 / 6, Router: p.terms.Router}
+	c := &routerconfig.Config{Name: p.Name, Listen: p.Listen, DrainTimeout: drain, MaxBodyBytes: p.Limits.MemoryMB << 20 / 6, Router: p.settings.Router}
 	c.Upstream = upstream.Config{ConnectTimeout: max(span("Permissions.ConnectTimeoutUs"), 50*time.Millisecond),
 		IdleTimeout:           max(span("Permissions.ConnIdleUs")-edge, span("Permissions.ConnIdleUs")/2, time.Second),
-		MaxConnectionsPerHost: room, MaxConnections: room * 9 / 20, Limits: http1.Limits{Head: head, Body: answer, Framed: true}, Protocol: p.signs()}
+		MaxConnectionsPerHost: room, MaxConnections: room * 9 / 20, Limits: http1.Limits{Head: head, Body: answer, Framed: true}, Protocol: p.upstreamProtocol()}
 	c.Downstream = downstream.Config{RouterName: p.Name, TransferTimeout: 2 * time.Second, IdleTimeout: 2100 * time.Millisecond, FirstRequestTimeout: 2300 * time.Millisecond,
 		ReclaimIdleAfter: spare, MaxConnections: room - c.Upstream.MaxConnections, MaxPipelined: 1, Limits: http1.Limits{Head: head, Body: body},
-		Protocol: wording}
+		Protocol: downstreamProtocol}
 	for i, x := range c.Router.Classes {
 		k := downstream.Class{Name: x.Name, Timeout: eventloop.FromDuration(span(fmt.Sprintf("Categories.%d.DeadlineUs", i))), Method: "POST"}
 		switch x.Idempotency {
@@ -200,30 +200,30 @@
 	return c
 }
 
-// signs is how hosts are spoken to. Its load report is read by the fields that the settings name.
-func (p *Setup) signs() *upstream.Protocol {
+// upstreamProtocol is how hosts are spoken to. Its load report is read by the fields that the settings name.
+func (p *Config) upstreamProtocol() *upstream.Protocol {
 	return &upstream.Protocol{Timeout: "Request-Timeout-Ms", NotStarted: "Not-Started", NotStartedStatuses: []int{503, 504}, OnlyStatusOK: true, StartsWhenComplete: true,
 		Load: func(m *http1.Message) (*policy.LoadReport, error) {
 			text, ok := m.Lookup("Server-Load")
 			if !ok {
 				return nil, nil
 			}
-			return p.terms.Report.Named(text)
+			return p.settings.Report.Named(text)
 		}}
 }
 
 // Node is a router that serves on the platform.
 type Node struct {
-	setup    *Setup
+	config   *Config
 	log      *slog.Logger
 	instance *proxy.Proxy
 	watch    *discovery.Watch
-	link     *platform.Client
+	platform *platform.Client
 }
 
 // Start starts a router; it listens when Start returns.
-func Start(p *Setup, log *slog.Logger) (*Node, error) {
-	n := &Node{setup: p, log: log}
+func Start(p *Config, log *slog.Logger) (*Node, error) {
+	n := &Node{config: p, log: log}
 	var err error
 	n.instance, err = proxy.StartBy(proxy.Protocols{
 		Discovery: func(hear eds.Handler) (proxy.Discovery, []eds.Host, error) {
@@ -232,30 +232,30 @@
 			return n.watch, known, nil
 		},
 		Release: func(hear controlclient.Handler) (proxy.ReleaseClient, error) {
-			hear.Release(p.News)
-			n.link = platform.Open(p.Platform.Address, eventloop.Duration(p.Charter.Router.Release.VoteTimeout), n.watch.Number, hear)
-			return n.link, nil
+			hear.Release(p.Release)
+			n.platform = platform.Open(p.Platform.Address, eventloop.Duration(p.Router.Router.Release.VoteTimeout), n.watch.HostID, hear)
+			return n.platform, nil
 		},
-		Ready: func() bool { return n.watch.Tried() && n.link.Tried() }}, p.Charter, log, nil)
+		Ready: func() bool { return n.watch.Attempted() && n.platform.Attempted() }}, p.Router, log, nil)
 	return n, err
 }
 
 // Reload goes over to another configuration: its addresses at once, its settings from one event to the next. What tells
 // of the past in it - seed, list, news - is of a start alone. With an error nothing has changed.
-func (n *Node) Reload(p *Setup) error {
-	if err := n.setup.changes(p); err != nil {
+func (n *Node) Reload(p *Config) error {
+	if err := n.config.checkChange(p); err != nil {
 		return err
 	}
-	p.Charter.Router.Seed = n.setup.Charter.Router.Seed
-	p.Charter.Upstream.Protocol = n.setup.Charter.Upstream.Protocol // reads the same fields, as changes makes sure
-	if !reflect.DeepEqual(p.Charter, n.setup.Charter) {
-		if err := n.instance.UpdateConfig(p.Charter); err != nil {
+	p.Router.Router.Seed = n.config.Router.Router.Seed
+	p.Router.Upstream.Protocol = n.config.Router.Upstream.Protocol // reads the same fields, as changes makes sure
+	if !reflect.DeepEqual(p.Router, n.config.Router) {
+		if err := n.instance.UpdateConfig(p.Router); err != nil {
 			return err
 		}
 	}
-	n.watch.Move(p.Discovery)
-	n.link.Move(p.Platform.Address)
-	n.setup = p
+	n.watch.SetAddress(p.Discovery)
+	n.platform.SetAddress(p.Platform.Address)
+	n.config = p
 	n.log.Info("configuration anew", "discovery", p.Discovery, "platform", p.Platform.Address)
 	return nil
 }
@@ -265,7 +265,7 @@
 func (n *Node) Shutdown(cut <-chan struct{}) int {
 	const still, early = 750 * time.Millisecond, 200 * time.Millisecond // what arrives in the first 0.7 s is served
 	const read = 100 * time.Millisecond                                 // for the last answers to be read
-	within := n.setup.Charter.DrainTimeout - early
+	within := n.config.Router.DrainTimeout - early
 	n.instance.Bow(still + within - read)
 	select {
 	case <-time.After(still):
@@ -277,9 +277,9 @@
 // Close ends the router at once.
 func (n *Node) Close() { n.instance.Kill() }
 
-// Keep holds the process to its limits: one core's worth of work at a time for a share of a core, and the collector
+// ApplyLimits holds the process to its limits: one core's worth of work at a time for a share of a core, and the collector
 // within memory, of which the kernel's and the binary's part is left out.
-func (p *Setup) Keep() {
+func (p *Config) ApplyLimits() {
 	runtime.GOMAXPROCS(max(1, int(p.Limits.Cores)))
 	debug.SetMemoryLimit(int64(p.Limits.MemoryMB) << 20 * 6 / 10)
 	debug.SetGCPercent(200)
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -21,35 +21,35 @@
 )
 
 func TestATaskPassesOnUnchangedAndItsAnswerComesBack(t *testing.T) {
-	m := newMachine(t, "a", func(c net.Conn, r *http.Request, b []byte) bool {
+	m := newFakeHost(t, "a", func(c net.Conn, r *http.Request, b []byte) bool {
 		n, _ := strconv.Atoi(r.Header.Get("Work-Hint"))
-		say(c, 200, "for "+r.Header.Get("Request-Id")+strings.Repeat("x", n))
+		respond(c, 200, "for "+r.Header.Get("Request-Id")+strings.Repeat("x", n))
 		return true
 	})
-	r := start(t, m)
-	for len(m.seen) > 0 {
-		<-m.seen
+	r := startNode(t, m)
+	for len(m.received) > 0 {
+		<-m.received
 	}
-	got, id := r.ask("POST", "order", "Idempotency-Key: k1")
+	got, id := r.request("POST", "order", "Idempotency-Key: k1")
 	require.Equal(t, 200, got.status)
 	require.Equal(t, "for "+id, got.body)
-	q := <-m.seen
+	q := <-m.received
 	require.Equal(t, "/api?x=1", q.URL.String())
 	require.Equal(t, "POST", q.Method)
 	require.Equal(t, "k1", q.Header.Get("Idempotency-Key"))
 	require.Equal(t, id, q.Header.Get("Request-Id"))
 	require.Regexp(t, `^[1-9][0-9]{0,2}$`, q.Header.Get("Request-Timeout-Ms"))
 	require.Equal(t, "service", q.Host)
-	got, id = r.ask("GET", "quote", "Work-Hint: 300000")
+	got, id = r.request("GET", "quote", "Work-Hint: 300000")
 	require.Equal(t, 200, got.status)
 	require.Equal(t, "for "+id+strings.Repeat("x", 300000), got.body, "an answer may be larger than any request")
-	require.Equal(t, 200, r.ready())
+	require.Equal(t, 200, r.readiness())
 }
 
 // What can't be taken as a task gets an error or a close, and no host hears of it.
 func TestBadClientsGetAnErrorOrACloseAndHostsHearNothing(t *testing.T) {
-	m := newMachine(t, "a", right)
-	r := start(t, m)
+	m := newFakeHost(t, "a", respondOK)
+	r := startNode(t, m)
 	usual := "Request-Id: x1\r\nRequest-Class: quote\r\nRequest-Timeout-Ms: 900\r\n"
 	get, pay := "GET /api HTTP/1.1\r\nHost: s\r\n", "POST /api HTTP/1.1\r\nHost: s\r\n"
 	bad := map[string]string{
@@ -83,7 +83,7 @@
 		"half a head":              get + "Request-",
 		"nothing":                  "",
 	}
-	before := m.tasks.Load()
+	before := m.requests.Load()
 	var all sync.WaitGroup
 	for name, text := range bad {
 		c := r.client()
@@ -99,20 +99,20 @@
 			}
 		}()
 	}
-	got, _ := r.ask("GET", "quote", "")
+	got, _ := r.request("GET", "quote", "")
 	require.Equal(t, 200, got.status, "usual clients go on")
 	all.Wait()
-	require.Equal(t, before+1, m.tasks.Load(), "nothing else came to a host")
+	require.Equal(t, before+1, m.requests.Load(), "nothing else came to a host")
 }
 
 func TestTheIdOfAnOpenTaskIsTurnedDownAndTheTaskGoesOn(t *testing.T) {
 	goOn := make(chan bool)
-	m := newMachine(t, "a", waiting(goOn))
-	r := start(t, m)
+	m := newFakeHost(t, "a", respondWhenReleased(goOn))
+	r := startNode(t, m)
 	c, d := r.client(), r.client()
-	text, id := request("POST", "pay")
+	text, id := requestText("POST", "pay")
 	_, _ = io.WriteString(c, text)
-	r.until(func() bool { tasks, _, _, _ := r.node.instance.InFlight(); return tasks == 1 })
+	r.eventually(func() bool { tasks, _, _, _ := r.node.instance.InFlight(); return tasks == 1 })
 	_, _ = io.WriteString(d, text)
 	require.Equal(t, 400, d.read().status)
 	goOn <- true
@@ -125,13 +125,13 @@
 }
 
 func TestSilentConnectionsMakeRoomForThoseThatAsk(t *testing.T) {
-	r := start(t, newMachine(t, "a", right))
-	for range 2 * r.node.setup.Charter.Downstream.MaxConnections {
+	r := startNode(t, newFakeHost(t, "a", respondOK))
+	for range 2 * r.node.config.Router.Downstream.MaxConnections {
 		r.client()
 	}
-	r.until(func() bool { got, _ := r.ask("GET", "quote", ""); return got.status == 200 })
+	r.eventually(func() bool { got, _ := r.request("GET", "quote", ""); return got.status == 200 })
 	_, guests, _, _ := r.node.instance.InFlight()
-	require.LessOrEqual(t, guests, r.node.setup.Charter.Downstream.MaxConnections)
+	require.LessOrEqual(t, guests, r.node.config.Router.Downstream.MaxConnections)
 }
 
 // What a host's answer means for a task that must not run twice: only what surely never ran goes to another host.
@@ -142,11 +142,11 @@
 		status int // of the answer; 200 is the other host's, or this one's where it is right
 		again  bool
 	}{
-		"turned away by 503": {func(c net.Conn, _ *http.Request) bool { say(c, 503, "", "Not-Started: 1"); return true }, 200, true},
-		"turned away by 504": {func(c net.Conn, _ *http.Request) bool { say(c, 504, "", "Not-Started: 1"); return true }, 200, true},
-		"503 alone":          {func(c net.Conn, _ *http.Request) bool { say(c, 503, ""); return true }, 502, false},
-		"500 that claims so": {func(c net.Conn, _ *http.Request) bool { say(c, 500, "", "Not-Started: 1"); return true }, 502, false},
-		"404":                {func(c net.Conn, _ *http.Request) bool { say(c, 404, "x"); return true }, 502, false},
+		"turned away by 503": {func(c net.Conn, _ *http.Request) bool { respond(c, 503, "", "Not-Started: 1"); return true }, 200, true},
+		"turned away by 504": {func(c net.Conn, _ *http.Request) bool { respond(c, 504, "", "Not-Started: 1"); return true }, 200, true},
+		"503 alone":          {func(c net.Conn, _ *http.Request) bool { respond(c, 503, ""); return true }, 502, false},
+		"500 that claims so": {func(c net.Conn, _ *http.Request) bool { respond(c, 500, "", "Not-Started: 1"); return true }, 502, false},
+		"404":                {func(c net.Conn, _ *http.Request) bool { respond(c, 404, "x"); return true }, 502, false},
 		"cut":                {func(net.Conn, *http.Request) bool { return false }, 502, false},
 		"cut in the answer": {func(c net.Conn, _ *http.Request) bool {
 			fmt.Fprint(c, "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf")
@@ -166,12 +166,15 @@
 		"silence": {func(net.Conn, *http.Request) bool { return true }, 504, false},
 		"1xx in front": {func(c net.Conn, r *http.Request) bool {
 			fmt.Fprint(c, "HTTP/1.1 103 Early\r\nLink: x\r\n\r\n")
-			say(c, 200, id(r))
+			respond(c, 200, id(r))
 			return true
 		}, 200, false},
-		"an odd load report":   {func(c net.Conn, r *http.Request) bool { say(c, 200, id(r), "Server-Load: active=lots,,"); return true }, 200, false},
-		"more than its answer": {func(c net.Conn, r *http.Request) bool { say(c, 200, id(r)); say(c, 200, "again"); return true }, 200, false},
-		"noise behind":         {func(c net.Conn, r *http.Request) bool { say(c, 200, id(r)); fmt.Fprint(c, "zzz"); return true }, 200, false},
+		"an odd load report": {func(c net.Conn, r *http.Request) bool {
+			respond(c, 200, id(r), "Server-Load: active=lots,,")
+			return true
+		}, 200, false},
+		"more than its answer": {func(c net.Conn, r *http.Request) bool { respond(c, 200, id(r)); respond(c, 200, "again"); return true }, 200, false},
+		"noise behind":         {func(c net.Conn, r *http.Request) bool { respond(c, 200, id(r)); fmt.Fprint(c, "zzz"); return true }, 200, false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -179,28 +182,28 @@
 			first := make(chan string, 1)
 			serve := func(c net.Conn, q *http.Request, b []byte) bool {
 				if q.Method != "POST" {
-					return right(c, q, b)
+					return respondOK(c, q, b)
 				}
 				strange := false
 				once.Do(func() { strange = true; first <- q.Header.Get("Request-Id") })
 				if strange {
 					return x.serve(c, q)
 				}
-				return right(c, q, b)
+				return respondOK(c, q, b)
 			}
-			a, b := newMachine(t, "a", serve), newMachine(t, "b", serve)
-			r := start(t, a, b)
-			before := a.tasks.Load() + b.tasks.Load()
-			got, id := r.ask("POST", "pay", "")
+			a, b := newFakeHost(t, "a", serve), newFakeHost(t, "b", serve)
+			r := startNode(t, a, b)
+			before := a.requests.Load() + b.requests.Load()
+			got, id := r.request("POST", "pay", "")
 			require.Equal(t, id, <-first)
 			require.Equal(t, x.status, got.status)
 			if got.status == 200 {
 				require.Equal(t, "for "+id, got.body)
 			}
-			sends := a.tasks.Load() + b.tasks.Load() - before
+			sends := a.requests.Load() + b.requests.Load() - before
 			require.Equal(t, map[bool]int64{false: 1, true: 2}[x.again], sends)
 			for range 4 { // whatever came behind is nobody's answer
-				got, id := r.ask("GET", "quote", "")
+				got, id := r.request("GET", "quote", "")
 				require.Equal(t, 200, got.status)
 				require.Equal(t, "for "+id, got.body)
 			}
@@ -230,11 +233,11 @@
 			}
 			silent, silentTask = nil, ""
 		}
-		return right(c, q, b)
+		return respondOK(c, q, b)
 	}
-	r := start(t, newMachine(t, "a", serve), newMachine(t, "b", serve))
+	r := startNode(t, newFakeHost(t, "a", serve), newFakeHost(t, "b", serve))
 	for range 5 {
-		got, id := r.ask("GET", "quote", "Work-Hint: 1")
+		got, id := r.request("GET", "quote", "Work-Hint: 1")
 		require.Equal(t, 200, got.status)
 		require.Equal(t, "for "+id, got.body)
 	}
@@ -246,7 +249,7 @@
 	at, sends := 0, 0
 	serve := func(c net.Conn, q *http.Request, b []byte) bool {
 		if q.Method == "GET" {
-			return right(c, q, b)
+			return respondOK(c, q, b)
 		}
 		text := "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nbody"
 		mu.Lock()
@@ -255,16 +258,16 @@
 		_, _ = io.WriteString(c, text[:min(at, len(text))])
 		return at >= len(text)
 	}
-	r := start(t, newMachine(t, "a", serve))
+	r := startNode(t, newFakeHost(t, "a", serve))
 	for at < 42 {
-		got, _ := r.ask("POST", "pay", "")
+		got, _ := r.request("POST", "pay", "")
 		require.Equal(t, 502, got.status, "cut at byte %d", at)
 		mu.Lock()
 		at++
 		require.Equal(t, at, sends, "a binding task that may have run is not sent again")
 		mu.Unlock()
 	}
-	got, _ := r.ask("POST", "pay", "")
+	got, _ := r.request("POST", "pay", "")
 	require.Equal(t, 200, got.status)
 	require.Equal(t, "body", got.body)
 }
@@ -272,31 +275,31 @@
 func TestWhatTheFileLeavesOutIsTakenFromTheEnvironment(t *testing.T) {
 	t.Setenv("EDGE_NAME", "n7")
 	t.Setenv("EDGE_LISTEN", "127.0.0.1:9001")
-	b := config("127.0.0.1:1", "127.0.0.1:2")
+	b := configJSON("127.0.0.1:1", "127.0.0.1:2")
 	delete(b, "name")
-	p := setup(t, b)
-	require.Equal(t, "n7", p.Charter.Name)
-	require.Equal(t, "127.0.0.1:0", p.Charter.Listen, "the file goes first")
+	p := parseConfig(t, b)
+	require.Equal(t, "n7", p.Router.Name)
+	require.Equal(t, "127.0.0.1:0", p.Router.Listen, "the file goes first")
 }
 
 func TestATurnBackNamesATimeToComeBack(t *testing.T) {
-	m := newMachine(t, "a", func(c net.Conn, r *http.Request, b []byte) bool {
+	m := newFakeHost(t, "a", func(c net.Conn, r *http.Request, b []byte) bool {
 		if r.Method == "POST" {
-			say(c, 503, "", "Not-Started: 1")
+			respond(c, 503, "", "Not-Started: 1")
 			return true
 		}
-		return right(c, r, b)
+		return respondOK(c, r, b)
 	})
-	r := start(t, m)
-	got, _ := r.ask("POST", "pay", "")
+	r := startNode(t, m)
+	got, _ := r.request("POST", "pay", "")
 	require.Equal(t, 503, got.status)
 	require.Regexp(t, `^\d+\.\d+$`, got.Get("Retry-After"))
 }
 
 func TestOtherAddressesAreGoneOverToWithoutATaskLost(t *testing.T) {
-	m := newMachine(t, "a", right)
-	r := start(t, m)
-	next := newPlace(t, m.entry())
+	m := newFakeHost(t, "a", respondOK)
+	r := startNode(t, m)
+	next := newFakePlatform(t, m.entry())
 	stop, done := make(chan bool), make(chan int)
 	go func() {
 		n := 0
@@ -307,42 +310,42 @@
 				return
 			default:
 			}
-			if got, _ := r.ask("GET", "quote", ""); got.status != 200 {
+			if got, _ := r.request("GET", "quote", ""); got.status != 200 {
 				t.Errorf("answered with %d", got.status)
 			}
 			n++
 		}
 	}()
-	b := config(next.address(), next.address())
+	b := configJSON(next.address(), next.address())
 	b["seed"] = "1"
-	require.NoError(t, r.node.Reload(setup(t, b)))
-	r.until(func() bool { return next.asked.Load() == 2 })
-	r.place.CloseClientConnections()
-	next.said <- `{"revision":3,"complete":false,"members":[` + strings.Replace(m.entry(), `"a"`, `"b"`, 1) + `]}`
-	r.until(func() bool { _, known := r.node.watch.Number("b", time.Now()); return known })
+	require.NoError(t, r.node.Reload(parseConfig(t, b)))
+	r.eventually(func() bool { return next.streams.Load() == 2 })
+	r.platform.CloseClientConnections()
+	next.changes <- `{"revision":3,"complete":false,"members":[` + strings.Replace(m.entry(), `"a"`, `"b"`, 1) + `]}`
+	r.eventually(func() bool { _, known := r.node.watch.HostID("b", time.Now()); return known })
 	close(stop)
 	require.Positive(t, <-done)
-	other := config(next.address(), next.address())
+	other := configJSON(next.address(), next.address())
 	other["name"] = "n9"
-	require.Error(t, r.node.Reload(setup(t, other)))
-	other = config(next.address(), next.address())
+	require.Error(t, r.node.Reload(parseConfig(t, other)))
+	other = configJSON(next.address(), next.address())
 	other["settings"].(map[string]any)["MyZone"] = "elsewhere"
-	require.ErrorContains(t, r.node.Reload(setup(t, other)), "settings.MyZone")
+	require.ErrorContains(t, r.node.Reload(parseConfig(t, other)), "settings.MyZone")
 }
 
 func TestAPlannedEndServesWhatStillComesAndAnswersAllItHolds(t *testing.T) {
 	goOn := make(chan bool)
-	m := newMachine(t, "a", waiting(goOn))
-	r := start(t, m)
+	m := newFakeHost(t, "a", respondWhenReleased(goOn))
+	r := startNode(t, m)
 	held, kept := r.client(), r.client()
-	text, _ := request("POST", "order", "Idempotency-Key: k")
+	text, _ := requestText("POST", "order", "Idempotency-Key: k")
 	_, _ = io.WriteString(held, text)
-	r.until(func() bool { tasks, _, _, _ := r.node.instance.InFlight(); return tasks == 1 })
+	r.eventually(func() bool { tasks, _, _, _ := r.node.instance.InFlight(); return tasks == 1 })
 	ended := make(chan int)
 	n := r.node
 	r.node = nil
 	n.instance.Bow(time.Minute)
-	text, _ = request("GET", "quote")
+	text, _ = requestText("GET", "quote")
 	_, _ = io.WriteString(kept, text)
 	got := kept.read()
 	require.Equal(t, 200, got.status, "a connection that was there before is served")
@@ -380,26 +383,26 @@
 		"settings.MyZone":     func(b map[string]any) { delete(b["settings"].(map[string]any), "MyZone") },
 		"settings.Rank":       func(b map[string]any) { b["settings"].(map[string]any)["Rank"] = 7 },
 	} {
-		b := config("127.0.0.1:1", "127.0.0.1:2")
+		b := configJSON("127.0.0.1:1", "127.0.0.1:2")
 		change(b)
 		require.ErrorContains(t, read(encode(t, b)), where)
 	}
-	p := setup(t, config("127.0.0.1:1", "127.0.0.1:2"))
-	p.Charter.Listen = "127.0.0.1:99999"
+	p := parseConfig(t, configJSON("127.0.0.1:1", "127.0.0.1:2"))
+	p.Router.Listen = "127.0.0.1:99999"
 	_, err := Start(p, slog.New(slog.DiscardHandler))
 	require.Error(t, err)
 }
 
-// gate is a service that accepts connections and says nothing until it is told to go on.
-type gate struct {
+// gatedServer is a service that accepts connections and says nothing until it is told to go on.
+type gatedServer struct {
 	net.Listener
-	goOn chan string // what to do with the connection that came next
+	responses chan string // what to do with the connection that came next
 }
 
-func newGate(t *testing.T) *gate {
+func newGatedServer(t *testing.T) *gatedServer {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
-	g := &gate{l, make(chan string)}
+	g := &gatedServer{l, make(chan string)}
 	t.Cleanup(func() { _ = l.Close() })
 	go func() {
 		for {
@@ -412,7 +415,7 @@
 				if _, err := http.ReadRequest(bufio.NewReader(c)); err != nil {
 					return
 				}
-				if text := <-g.goOn; text == "" {
+				if text := <-g.responses; text == "" {
 					_ = c.Close()
 				} else {
 					_, _ = io.WriteString(c, text)
@@ -427,30 +430,30 @@
 func TestReadyAfterTheFirstAttemptAtListAndFeed(t *testing.T) {
 	const head = "HTTP/1.1 200 OK\r\n\r\n"
 	for name, say := range map[string][2]string{
-		"both tell":  {head + `{"revision":2,"complete":true,"members":[]}`, head + `{"type":"stage","object":` + news + "}"},
+		"both tell":  {head + `{"revision":2,"complete":true,"members":[]}`, head + `{"type":"stage","object":` + releaseStatus + "}"},
 		"both fail":  {"", ""},
 		"list is up": {head + `{"revision":2,"complete":true,"members":[]}`, ""},
 	} {
 		t.Run(name, func(t *testing.T) {
-			list, feed := newGate(t), newGate(t)
-			n, err := Start(setup(t, config(list.Addr().String(), feed.Addr().String())), slog.New(slog.DiscardHandler))
+			list, feed := newGatedServer(t), newGatedServer(t)
+			n, err := Start(parseConfig(t, configJSON(list.Addr().String(), feed.Addr().String())), slog.New(slog.DiscardHandler))
 			require.NoError(t, err)
-			r := &rig{T: t, node: n}
+			r := &fixture{T: t, node: n}
 			t.Cleanup(n.Close)
-			require.Equal(t, 503, r.ready(), "neither has been heard of")
-			list.goOn <- say[0]
-			r.until(func() bool { return n.watch.Tried() })
-			require.Equal(t, 503, r.ready(), "nothing of the feed")
-			feed.goOn <- say[1]
-			r.until(func() bool { return r.ready() == 200 })
+			require.Equal(t, 503, r.readiness(), "neither has been heard of")
+			list.responses <- say[0]
+			r.eventually(func() bool { return n.watch.Attempted() })
+			require.Equal(t, 503, r.readiness(), "nothing of the feed")
+			feed.responses <- say[1]
+			r.eventually(func() bool { return r.readiness() == 200 })
 			n.instance.Bow(time.Minute)
-			require.Equal(t, 503, r.ready(), "no more once it ends")
+			require.Equal(t, 503, r.readiness(), "no more once it ends")
 		})
 	}
 }
 
-// settings is a part of a configuration's settings, by its path.
-func settings(b map[string]any, path ...string) map[string]any {
+// settingsAt is a part of a configuration's settings, by its path.
+func settingsAt(b map[string]any, path ...string) map[string]any {
 	at := b["settings"].(map[string]any)
 	for _, p := range path {
 		at = at[p].(map[string]any)
@@ -458,40 +461,40 @@
 	return at
 }
 
-func class(b map[string]any, n int) map[string]any {
-	return settings(b)["Categories"].([]any)[n].(map[string]any)
+func classSettings(b map[string]any, n int) map[string]any {
+	return settingsAt(b)["Categories"].([]any)[n].(map[string]any)
 }
 
 func TestSettingsThatCanNotBeAreRefusedByName(t *testing.T) {
 	for where, change := range map[string]func(map[string]any){
-		"settings.Obligations.DrainGraceUs: a number":      func(b map[string]any) { settings(b, "Obligations")["DrainGraceUs"] = -1 },
-		"settings.Obligations.DrainGraceUs: missing":       func(b map[string]any) { delete(settings(b, "Obligations"), "DrainGraceUs") },
-		"settings.Obligations.StartCapacity":               func(b map[string]any) { settings(b, "Obligations")["StartCapacity"] = 1.5 },
-		"settings.Obligations.AskWithinUs":                 func(b map[string]any) { settings(b, "Obligations")["AskWithinUs"] = "soon" },
-		"settings.Permissions.MaxAttempts":                 func(b map[string]any) { settings(b, "Permissions")["MaxAttempts"] = 0 },
-		"settings.Permissions.ConnIdleUs":                  func(b map[string]any) { settings(b, "Permissions")["ConnIdleUs"] = 1e13 },
-		"settings.Permissions.RetryAfter":                  func(b map[string]any) { settings(b, "Permissions")["RetryAfter"] = "perhaps" },
-		"settings.RegistryMode":                            func(b map[string]any) { settings(b)["RegistryMode"] = "guessed" },
-		"settings.Balancers":                               func(b map[string]any) { settings(b)["Balancers"] = 2.5 },
-		"settings.Extra.StageCap.1":                        func(b map[string]any) { settings(b, "Extra")["StageCap"] = []float64{0.1, 2} },
-		"settings.Extra.Control":                           func(b map[string]any) { settings(b, "Extra")["Control"] = "whim" },
-		"settings.Categories.1.Semantics":                  func(b map[string]any) { class(b, 1)["Semantics"] = "sometimes" },
-		"settings.Categories.1.DedupScope":                 func(b map[string]any) { delete(class(b, 1), "DedupScope") },
-		"settings.Categories.1.WindowUs: missing":          func(b map[string]any) { delete(class(b, 1), "WindowUs") },
-		"settings.Categories.2.DeadlineUs":                 func(b map[string]any) { class(b, 2)["DeadlineUs"] = 0 },
-		"settings.Categories.0.AimUs: missing":             func(b map[string]any) { delete(class(b, 0), "AimUs") },
-		`settings.Categories.2.Name: "quote" stands twice`: func(b map[string]any) { class(b, 2)["Name"] = "quote" },
+		"settings.Obligations.DrainGraceUs: a number":      func(b map[string]any) { settingsAt(b, "Obligations")["DrainGraceUs"] = -1 },
+		"settings.Obligations.DrainGraceUs: missing":       func(b map[string]any) { delete(settingsAt(b, "Obligations"), "DrainGraceUs") },
+		"settings.Obligations.StartCapacity":               func(b map[string]any) { settingsAt(b, "Obligations")["StartCapacity"] = 1.5 },
+		"settings.Obligations.AskWithinUs":                 func(b map[string]any) { settingsAt(b, "Obligations")["AskWithinUs"] = "soon" },
+		"settings.Permissions.MaxAttempts":                 func(b map[string]any) { settingsAt(b, "Permissions")["MaxAttempts"] = 0 },
+		"settings.Permissions.ConnIdleUs":                  func(b map[string]any) { settingsAt(b, "Permissions")["ConnIdleUs"] = 1e13 },
+		"settings.Permissions.RetryAfter":                  func(b map[string]any) { settingsAt(b, "Permissions")["RetryAfter"] = "perhaps" },
+		"settings.RegistryMode":                            func(b map[string]any) { settingsAt(b)["RegistryMode"] = "guessed" },
+		"settings.Balancers":                               func(b map[string]any) { settingsAt(b)["Balancers"] = 2.5 },
+		"settings.Extra.StageCap.1":                        func(b map[string]any) { settingsAt(b, "Extra")["StageCap"] = []float64{0.1, 2} },
+		"settings.Extra.Control":                           func(b map[string]any) { settingsAt(b, "Extra")["Control"] = "whim" },
+		"settings.Categories.1.Semantics":                  func(b map[string]any) { classSettings(b, 1)["Semantics"] = "sometimes" },
+		"settings.Categories.1.DedupScope":                 func(b map[string]any) { delete(classSettings(b, 1), "DedupScope") },
+		"settings.Categories.1.WindowUs: missing":          func(b map[string]any) { delete(classSettings(b, 1), "WindowUs") },
+		"settings.Categories.2.DeadlineUs":                 func(b map[string]any) { classSettings(b, 2)["DeadlineUs"] = 0 },
+		"settings.Categories.0.AimUs: missing":             func(b map[string]any) { delete(classSettings(b, 0), "AimUs") },
+		`settings.Categories.2.Name: "quote" stands twice`: func(b map[string]any) { classSettings(b, 2)["Name"] = "quote" },
 		"settings.Parties.0.QuotaPerS": func(b map[string]any) {
-			settings(b)["Parties"] = []any{map[string]any{"Name": "a", "QuotaPerS": -3}}
+			settingsAt(b)["Parties"] = []any{map[string]any{"Name": "a", "QuotaPerS": -3}}
 		},
 	} {
-		b := config("127.0.0.1:1", "127.0.0.1:2")
+		b := configJSON("127.0.0.1:1", "127.0.0.1:2")
 		change(b)
 		_, err := parse([]byte(encode(t, b)))
 		require.ErrorContains(t, err, where)
 	}
-	b := config("127.0.0.1:1", "127.0.0.1:2")
-	class(b, 0)["AimUs"], class(b, 1)["AimUs"] = -1, "x"
+	b := configJSON("127.0.0.1:1", "127.0.0.1:2")
+	classSettings(b, 0)["AimUs"], classSettings(b, 1)["AimUs"] = -1, "x"
 	_, err := parse([]byte(encode(t, b)))
 	require.ErrorContains(t, err, "settings.Categories.0.AimUs")
 	require.ErrorContains(t, err, "settings.Categories.1.AimUs", "all at once")
@@ -500,82 +503,82 @@
 // Other customers: one class or a dozen, tenants, lists that are pushed, and things allowed that this protocol has not.
 func TestSettingsOfOtherCustomersAreServedBy(t *testing.T) {
 	for name, change := range map[string]func(map[string]any){
-		"one class": func(b map[string]any) { settings(b)["Categories"] = settings(b)["Categories"].([]any)[:1] },
+		"one class": func(b map[string]any) { settingsAt(b)["Categories"] = settingsAt(b)["Categories"].([]any)[:1] },
 		"a dozen": func(b map[string]any) {
-			all := settings(b)["Categories"].([]any)
+			all := settingsAt(b)["Categories"].([]any)
 			for n := range 9 {
 				c := maps.Clone(all[n%3].(map[string]any))
 				c["Name"] = fmt.Sprint("more-", n)
 				all = append(all, c)
 			}
-			settings(b)["Categories"] = all
+			settingsAt(b)["Categories"] = all
 		},
 		"tenants": func(b map[string]any) {
-			settings(b)["Parties"] = []any{map[string]any{"Name": "a", "QuotaPerS": 5}, map[string]any{"Name": "b", "QuotaPerS": 7.5}}
+			settingsAt(b)["Parties"] = []any{map[string]any{"Name": "a", "QuotaPerS": 5}, map[string]any{"Name": "b", "QuotaPerS": 7.5}}
 		},
-		"pushed": func(b map[string]any) { settings(b)["RegistryMode"] = "pushed" },
+		"pushed": func(b map[string]any) { settingsAt(b)["RegistryMode"] = "pushed" },
 		"peers and probes": func(b map[string]any) {
-			settings(b, "Permissions")["Peers"], settings(b, "Permissions")["Probes"] = true, true
+			settingsAt(b, "Permissions")["Peers"], settingsAt(b, "Permissions")["Probes"] = true, true
 		},
 		"counts": func(b map[string]any) {
-			settings(b, "Extra")["MetricsPeriodUs"], settings(b, "Extra")["SampledShare"] = 1000000, 0.5
+			settingsAt(b, "Extra")["MetricsPeriodUs"], settingsAt(b, "Extra")["SampledShare"] = 1000000, 0.5
 		},
-		"no load report":      func(b map[string]any) { settings(b)["Report"] = map[string]any{"Fields": []string{}, "How": "off"} },
-		"second copies":       func(b map[string]any) { settings(b, "Permissions")["SecondCopies"] = true },
+		"no load report":      func(b map[string]any) { settingsAt(b)["Report"] = map[string]any{"Fields": []string{}, "How": "off"} },
+		"second copies":       func(b map[string]any) { settingsAt(b, "Permissions")["SecondCopies"] = true },
 		"small limits":        func(b map[string]any) { b["limits"] = map[string]any{"cores": 0.1, "memory_mb": 24, "sockets": 64} },
-		"no releases by vote": func(b map[string]any) { settings(b)["Extra"] = map[string]any{} },
+		"no releases by vote": func(b map[string]any) { settingsAt(b)["Extra"] = map[string]any{} },
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			m := newMachine(t, "a", right)
-			at := newPlace(t, m.entry())
-			b := config(at.address(), at.address())
+			m := newFakeHost(t, "a", respondOK)
+			at := newFakePlatform(t, m.entry())
+			b := configJSON(at.address(), at.address())
 			change(b)
-			p := setup(t, b)
-			require.False(t, p.Charter.Router.Limits.HealthChecks || p.Charter.Router.Limits.MaxGossipBytes > 0 || p.Charter.Router.Release.SampledShare > 0,
+			p := parseConfig(t, b)
+			require.False(t, p.Router.Router.Limits.HealthChecks || p.Router.Router.Limits.MaxGossipBytes > 0 || p.Router.Router.Release.SampledShare > 0,
 				"no wait for what the protocol has not")
 			n, err := Start(p, slog.New(slog.DiscardHandler))
 			require.NoError(t, err)
 			t.Cleanup(n.Close)
-			r := &rig{T: t, node: n, place: at}
-			r.until(func() bool { got, _ := r.ask("GET", "quote", ""); return got.status == 200 })
+			r := &fixture{T: t, node: n, platform: at}
+			r.eventually(func() bool { got, _ := r.request("GET", "quote", ""); return got.status == 200 })
 		})
 	}
 }
 
 // A change that a running router can't make is refused whole, by name, and the addresses of that file are not gone over to.
 func TestAChangeThatCanNotBeIsRefusedWhole(t *testing.T) {
-	r := start(t, newMachine(t, "a", right))
-	next := newPlace(t)
+	r := startNode(t, newFakeHost(t, "a", respondOK))
+	next := newFakePlatform(t)
 	for where, change := range map[string]func(map[string]any){
-		"settings.Report.Fields":           func(b map[string]any) { settings(b, "Report")["Fields"] = []string{"cpu"} },
-		"settings.Categories.1.DeadlineUs": func(b map[string]any) { class(b, 1)["DeadlineUs"] = 2000000 },
-		"settings.Categories.2.Name":       func(b map[string]any) { class(b, 2)["Name"] = "settle" },
-		"settings.Categories.count":        func(b map[string]any) { settings(b)["Categories"] = settings(b)["Categories"].([]any)[:2] },
+		"settings.Report.Fields":           func(b map[string]any) { settingsAt(b, "Report")["Fields"] = []string{"cpu"} },
+		"settings.Categories.1.DeadlineUs": func(b map[string]any) { classSettings(b, 1)["DeadlineUs"] = 2000000 },
+		"settings.Categories.2.Name":       func(b map[string]any) { classSettings(b, 2)["Name"] = "settle" },
+		"settings.Categories.count":        func(b map[string]any) { settingsAt(b)["Categories"] = settingsAt(b)["Categories"].([]any)[:2] },
 		"limits":                           func(b map[string]any) { b["limits"].(map[string]any)["sockets"] = 300 },
-		"settings.Permissions.ConnIdleUs":  func(b map[string]any) { settings(b, "Permissions")["ConnIdleUs"] = 9000000 },
+		"settings.Permissions.ConnIdleUs":  func(b map[string]any) { settingsAt(b, "Permissions")["ConnIdleUs"] = 9000000 },
 	} {
-		b := config(next.address(), next.address())
+		b := configJSON(next.address(), next.address())
 		change(b)
-		require.ErrorContains(t, r.node.Reload(setup(t, b)), where)
+		require.ErrorContains(t, r.node.Reload(parseConfig(t, b)), where)
 	}
-	require.Equal(t, r.place.address(), r.node.watch.Address())
-	require.Zero(t, next.asked.Load())
-	b := config(r.place.address(), r.place.address()) // what may change does
-	settings(b, "Obligations")["DrainGraceUs"], class(b, 0)["AimUs"] = 500000, 200000
-	require.NoError(t, r.node.Reload(setup(t, b)))
-	got, _ := r.ask("GET", "quote", "")
+	require.Equal(t, r.platform.address(), r.node.watch.Address())
+	require.Zero(t, next.streams.Load())
+	b := configJSON(r.platform.address(), r.platform.address()) // what may change does
+	settingsAt(b, "Obligations")["DrainGraceUs"], classSettings(b, 0)["AimUs"] = 500000, 200000
+	require.NoError(t, r.node.Reload(parseConfig(t, b)))
+	got, _ := r.request("GET", "quote", "")
 	require.Equal(t, 200, got.status)
 }
 
 // A router that is told to end twice, or to read its file anew meanwhile, answers what it holds all the same.
 func TestSignalsWhileTheRouterEndsCutNothingOff(t *testing.T) {
 	goOn := make(chan bool)
-	m := newMachine(t, "a", waiting(goOn))
-	at := newPlace(t, m.entry())
+	m := newFakeHost(t, "a", respondWhenReleased(goOn))
+	at := newFakePlatform(t, m.entry())
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
-	b := config(at.address(), at.address())
+	b := configJSON(at.address(), at.address())
 	b["listen"] = l.Addr().String()
 	_ = l.Close()
 	file := filepath.Join(t.TempDir(), "config.json")
@@ -602,16 +605,16 @@
 		if c == nil {
 			return false
 		}
-		text, _ := request("GET", "quote")
+		text, _ := requestText("GET", "quote")
 		_, _ = io.WriteString(c, text)
 		return (&client{c, bufio.NewReader(c)}).read().status == 200
 	}, 20*time.Second, time.Millisecond)
 	require.NoError(t, os.WriteFile(file, []byte("half a fi"), 0o600))
 	reload <- syscall.SIGHUP // changes nothing
 	held := dial()
-	text, id := request("POST", "order", "Idempotency-Key: k")
+	text, id := requestText("POST", "order", "Idempotency-Key: k")
 	_, _ = io.WriteString(held, text)
-	for q := range m.seen {
+	for q := range m.received {
 		if q.Header.Get("Request-Id") == id {
 			break
 		}
--- a/internal/node/rig_test.go
+++ b/internal/node/rig_test.go
@@ -18,29 +18,29 @@
 	"github.com/stretchr/testify/require"
 )
 
-// place is the platform's services at one address: list, feed and votes.
-type place struct {
+// fakePlatform is the platform's services at one address: list, feed and votes.
+type fakePlatform struct {
 	*httptest.Server
-	mu      sync.Mutex
-	members []string
-	votes   atomic.Int64
-	asked   atomic.Int64 // watches and feeds
-	said    chan string  // lines of the watch, beside its first
+	mu        sync.Mutex
+	endpoints []string
+	votes     atomic.Int64
+	streams   atomic.Int64 // watches and feeds
+	changes   chan string  // lines of the watch, beside its first
 }
 
-func newPlace(t *testing.T, members ...string) *place {
-	p := &place{members: members, said: make(chan string, 10)}
+func newFakePlatform(t *testing.T, members ...string) *fakePlatform {
+	p := &fakePlatform{endpoints: members, changes: make(chan string, 10)}
 	p.Server = httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		say := func(text string) { fmt.Fprint(w, text+"\n"); w.(http.Flusher).Flush() }
 		switch r.URL.Path {
 		case "/v1/endpoints":
-			p.asked.Add(1)
+			p.streams.Add(1)
 			p.mu.Lock()
-			say(`{"revision":2,"complete":true,"members":[` + strings.Join(p.members, ",") + `]}`)
+			say(`{"revision":2,"complete":true,"members":[` + strings.Join(p.endpoints, ",") + `]}`)
 			p.mu.Unlock()
 			for {
 				select {
-				case text := <-p.said:
+				case text := <-p.changes:
 					say(text)
 				case <-time.After(500 * time.Millisecond):
 					say("")
@@ -49,39 +49,39 @@
 				}
 			}
 		case "/apis/fleet/feed":
-			p.asked.Add(1)
-			say(`{"type":"stage","object":` + news + `}`)
+			p.streams.Add(1)
+			say(`{"type":"stage","object":` + releaseStatus + `}`)
 			for r.Context().Err() == nil {
 				say("{}")
 				time.Sleep(100 * time.Millisecond)
 			}
 		default:
 			p.votes.Add(1)
-			fmt.Fprint(w, news)
+			fmt.Fprint(w, releaseStatus)
 		}
 	}))
 	t.Cleanup(func() { p.CloseClientConnections(); p.Close() })
 	return p
 }
 
-func (p *place) address() string { return p.Listener.Addr().String() }
+func (p *fakePlatform) address() string { return p.Listener.Addr().String() }
 
-const news = `{"release":1,"tranche":0,"mode":"live","exposure":1,"old_ms":9000}`
+const releaseStatus = `{"release":1,"tranche":0,"mode":"live","exposure":1,"old_ms":9000}`
 
-// machine is a host whose answers a test writes itself.
-type machine struct {
+// fakeHost is a host whose answers a test writes itself.
+type fakeHost struct {
 	net.Listener
-	id    string
-	tasks atomic.Int64
-	links atomic.Int64
-	seen  chan *http.Request
+	id          string
+	requests    atomic.Int64
+	connections atomic.Int64
+	received    chan *http.Request
 }
 
-// newMachine serves whole requests; serve returns false to end the connection.
-func newMachine(t *testing.T, id string, serve func(c net.Conn, r *http.Request, body []byte) bool) *machine {
+// newFakeHost serves whole requests; serve returns false to end the connection.
+func newFakeHost(t *testing.T, id string, serve func(c net.Conn, r *http.Request, body []byte) bool) *fakeHost {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
-	m := &machine{Listener: l, id: id, seen: make(chan *http.Request, 1000)}
+	m := &fakeHost{Listener: l, id: id, received: make(chan *http.Request, 1000)}
 	t.Cleanup(func() { _ = l.Close() })
 	go func() {
 		for {
@@ -89,7 +89,7 @@
 			if err != nil {
 				return
 			}
-			m.links.Add(1)
+			m.connections.Add(1)
 			go func() {
 				defer c.Close()
 				in := bufio.NewReader(c)
@@ -102,9 +102,9 @@
 					if err != nil {
 						return
 					}
-					m.tasks.Add(1)
+					m.requests.Add(1)
 					select {
-					case m.seen <- r:
+					case m.received <- r:
 					default:
 					}
 					if !serve(c, r, body) {
@@ -117,11 +117,11 @@
 	return m
 }
 
-func (m *machine) entry() string {
+func (m *fakeHost) entry() string {
 	return fmt.Sprintf(`{"id":%q,"host_port":%q,"locality":"here","cell":0,"phase":"up","size":1,"up_since_ms":0,"revision_no":1}`, m.id, m.Addr())
 }
 
-func say(c net.Conn, status int, body string, fields ...string) {
+func respond(c net.Conn, status int, body string, fields ...string) {
 	head := ""
 	for _, f := range fields {
 		head += f + "\r\n"
@@ -129,30 +129,30 @@
 	fmt.Fprintf(c, "HTTP/1.1 %d Told\r\n%sContent-Length: %d\r\n\r\n%s", status, head, len(body), body)
 }
 
-// right answers with the task's own id.
-func right(c net.Conn, r *http.Request, _ []byte) bool {
-	say(c, 200, "for "+r.Header.Get("Request-Id"), "Server-Load: active=1,rps=2,avg_ms=3")
+// respondOK answers with the task's own id.
+func respondOK(c net.Conn, r *http.Request, _ []byte) bool {
+	respond(c, 200, "for "+r.Header.Get("Request-Id"), "Server-Load: active=1,rps=2,avg_ms=3")
 	return true
 }
 
-// waiting answers what is posted only once it is told to go on.
-func waiting(goOn chan bool) func(net.Conn, *http.Request, []byte) bool {
+// respondWhenReleased answers what is posted only once it is told to go on.
+func respondWhenReleased(goOn chan bool) func(net.Conn, *http.Request, []byte) bool {
 	return func(c net.Conn, r *http.Request, b []byte) bool {
 		if r.Method == "POST" {
 			<-goOn
 		}
-		return right(c, r, b)
+		return respondOK(c, r, b)
 	}
 }
 
-// config is a configuration for a router with these services.
-func config(list, desk string) map[string]any {
+// configJSON is a configuration for a router with these services.
+func configJSON(list, desk string) map[string]any {
 	kind := func(name, repeat string, deadline int) map[string]any {
 		return map[string]any{"Name": name, "Semantics": repeat, "AimUs": 300000, "DeadlineUs": deadline, "Importance": 1,
 			"LateValue": 0, "DedupScope": "all", "WindowUs": 5000000}
 	}
 	var first any
-	_ = json.Unmarshal([]byte(news), &first)
+	_ = json.Unmarshal([]byte(releaseStatus), &first)
 	return map[string]any{"name": "n0", "listen": "127.0.0.1:0", "discovery": list, "seed": "8c1f30d27a5be964",
 		"limits":   map[string]any{"cores": 0.5, "memory_mb": 64, "sockets": 256},
 		"platform": map[string]any{"address": desk, "news": first},
@@ -168,43 +168,43 @@
 				"CallTimeoutUs": 500000, "ExposureWindowUs": 1000000, "VoteStandsUs": 5000000, "VoteAllowance": 5}}}
 }
 
-func setup(t *testing.T, b map[string]any) *Setup {
+func parseConfig(t *testing.T, b map[string]any) *Config {
 	p, err := parse([]byte(encode(t, b)))
 	require.NoError(t, err)
 	return p
 }
 
-// rig is one router on a platform of stand-ins.
-type rig struct {
+// fixture is one router on a platform of stand-ins.
+type fixture struct {
 	*testing.T
-	node   *Node
-	place  *place
-	config map[string]any
+	node     *Node
+	platform *fakePlatform
+	config   map[string]any
 }
 
-func start(t *testing.T, machines ...*machine) *rig {
+func startNode(t *testing.T, machines ...*fakeHost) *fixture {
 	var members []string
 	for _, m := range machines {
 		members = append(members, m.entry())
 	}
-	r := &rig{T: t, place: newPlace(t, members...)}
-	r.config = config(r.place.address(), r.place.address())
+	r := &fixture{T: t, platform: newFakePlatform(t, members...)}
+	r.config = configJSON(r.platform.address(), r.platform.address())
 	var err error
-	r.node, err = Start(setup(t, r.config), slog.New(slog.DiscardHandler))
+	r.node, err = Start(parseConfig(t, r.config), slog.New(slog.DiscardHandler))
 	require.NoError(t, err)
 	t.Cleanup(func() {
 		if r.node != nil {
 			r.node.Close()
 		}
 	})
-	require.Eventually(t, func() bool { return r.place.asked.Load() == 2 }, 10*time.Second, time.Millisecond)
+	require.Eventually(t, func() bool { return r.platform.streams.Load() == 2 }, 10*time.Second, time.Millisecond)
 	for _, m := range machines { // the list has come once each of them has answered
-		r.until(func() bool { r.ask("GET", "quote", ""); return m.tasks.Load() > 0 })
+		r.eventually(func() bool { r.request("GET", "quote", ""); return m.requests.Load() > 0 })
 	}
 	return r
 }
 
-func (r *rig) until(is func() bool) {
+func (r *fixture) eventually(is func() bool) {
 	r.Helper()
 	require.Eventually(r, is, 20*time.Second, time.Millisecond)
 }
@@ -215,7 +215,7 @@
 	in *bufio.Reader
 }
 
-func (r *rig) client() *client {
+func (r *fixture) client() *client {
 	r.Helper()
 	c, err := net.Dial("tcp", r.node.instance.Address().String())
 	require.NoError(r, err)
@@ -224,31 +224,31 @@
 	return &client{c, bufio.NewReader(c)}
 }
 
-// answer is what a client got: status 0 for a connection that ended before one.
-type answer struct {
+// response is what a client got: status 0 for a connection that ended before one.
+type response struct {
 	status int
 	body   string
 	closes bool
 	http.Header
 }
 
-func (c *client) read() answer {
+func (c *client) read() response {
 	got, err := http.ReadResponse(c.in, nil)
 	if err != nil {
-		return answer{}
+		return response{}
 	}
 	body, err := io.ReadAll(got.Body)
 	if err != nil {
-		return answer{}
+		return response{}
 	}
-	return answer{got.StatusCode, string(body), got.Close, got.Header}
+	return response{got.StatusCode, string(body), got.Close, got.Header}
 }
 
-var ids atomic.Int64
+var lastRequestID atomic.Int64
 
-// request is one that a usual client sends, under an id of its own.
-func request(method, category string, fields ...string) (text, id string) {
-	id = fmt.Sprintf("id%d", ids.Add(1))
+// requestText is one that a usual client sends, under an id of its own.
+func requestText(method, category string, fields ...string) (text, id string) {
+	id = fmt.Sprintf("id%d", lastRequestID.Add(1))
 	text = method + " /api?x=1 HTTP/1.1\r\nHost: service\r\nRequest-Id: " + id + "\r\nRequest-Class: " + category +
 		"\r\nRequest-Timeout-Ms: 900\r\n"
 	for _, f := range fields {
@@ -262,17 +262,17 @@
 	return text + "\r\n", id
 }
 
-func (r *rig) ask(method, category, field string) (answer, string) {
+func (r *fixture) request(method, category, field string) (response, string) {
 	r.Helper()
 	c := r.client()
 	defer c.Close()
-	text, id := request(method, category, field)
+	text, id := requestText(method, category, field)
 	_, _ = io.WriteString(c, text)
 	return c.read(), id
 }
 
-// ready is the status of the router's readiness.
-func (r *rig) ready() int {
+// readiness is the status of the router's readiness.
+func (r *fixture) readiness() int {
 	r.Helper()
 	c := r.client()
 	defer c.Close()
--- a/internal/node/run.go
+++ b/internal/node/run.go
@@ -13,7 +13,7 @@
 	if err != nil {
 		return 0, err
 	}
-	p.Keep()
+	p.ApplyLimits()
 	n, err := Start(p, log)
 	if err != nil {
 		return 0, err
--- a/internal/platform/platform.go
+++ b/internal/platform/platform.go
@@ -20,85 +20,85 @@
 	"dapplefront/policy"
 )
 
-// News is where the newest build stands, as the platform tells it.
-type News struct {
-	Release  *int     `json:"release"`
-	Tranche  *int     `json:"tranche"`
-	Mode     string   `json:"mode"`
-	Exposure *float64 `json:"exposure"`
-	OldMs    *float64 `json:"old_ms"`
+// ReleaseStatus is where the newest build stands, as the platform tells it.
+type ReleaseStatus struct {
+	Release     *int     `json:"release"`
+	Stage       *int     `json:"tranche"`
+	Phase       string   `json:"mode"`
+	ExposureCap *float64 `json:"exposure"`
+	AgeMs       *float64 `json:"old_ms"`
 }
 
 var (
-	modes = map[string]policy.Phase{"testing": policy.Canary, "recalling": policy.RollingBack, "live": policy.Released,
+	phases = map[string]policy.Phase{"testing": policy.Canary, "recalling": policy.RollingBack, "live": policy.Released,
 		"recalled": policy.RolledBack}
-	rulings = map[policy.VoteChoice]string{policy.Abstain: "blank", policy.Promote: "go", policy.Hold: "stay", policy.Rollback: "stop"}
-	refused = map[int]struct {
+	voteWords  = map[policy.VoteChoice]string{policy.Abstain: "blank", policy.Promote: "go", policy.Hold: "stay", policy.Rollback: "stop"}
+	voteErrors = map[int]struct {
 		word string
 		as   policy.VoteResult
 	}{429: {"too_many_calls", policy.VoteRejected}, 409: {"out_of_date", policy.VoteStale}, 500: {"unavailable", policy.VoteRejected},
 		400: {"bad_request", policy.VoteRejected}}
 )
 
-// Read is the module's word for news; an error where it can't be.
-func (n News) Read() (policy.ReleaseStatus, error) {
-	phase, ok := modes[n.Mode]
+// Status is the module's word for news; an error where it can't be.
+func (n ReleaseStatus) Status() (policy.ReleaseStatus, error) {
+	phase, ok := phases[n.Phase]
 	switch {
-	case n.Release == nil || n.Tranche == nil || n.Exposure == nil || n.OldMs == nil:
+	case n.Release == nil || n.Stage == nil || n.ExposureCap == nil || n.AgeMs == nil:
 		return policy.ReleaseStatus{}, errors.New("news without release, tranche, exposure or old_ms")
 	case !ok:
-		return policy.ReleaseStatus{}, fmt.Errorf("news of the mode %q, which is none known", n.Mode)
-	case *n.Release < 0 || *n.Tranche < 0 || *n.OldMs < 0 || !(*n.Exposure >= 0 && *n.Exposure <= 1):
+		return policy.ReleaseStatus{}, fmt.Errorf("news of the mode %q, which is none known", n.Phase)
+	case *n.Release < 0 || *n.Stage < 0 || *n.AgeMs < 0 || !(*n.ExposureCap >= 0 && *n.ExposureCap <= 1):
 		return policy.ReleaseStatus{}, errors.New("news with a figure that can't be")
 	}
-	return policy.ReleaseStatus{Build: *n.Release, Stage: *n.Tranche, Phase: phase, ExposureCap: *n.Exposure,
-		Age: policy.Time(*n.OldMs * 10)}, nil
+	return policy.ReleaseStatus{Build: *n.Release, Stage: *n.Stage, Phase: phase, ExposureCap: *n.ExposureCap,
+		Age: policy.Time(*n.AgeMs * 10)}, nil
 }
 
 // Client is one router's link.
 type Client struct {
-	hear   controlclient.Handler
-	number func(unit string, at time.Time) (uint32, bool)
-	within time.Duration
-	feed   *jsonstream.Stream
-	client *http.Client
-	fails  atomic.Int64 // of the feed, in a row
-	stop   context.CancelFunc
-	over   context.Context
+	handler      controlclient.Handler
+	hostID       func(unit string, at time.Time) (uint32, bool)
+	voteTimeout  time.Duration
+	feed         *jsonstream.Stream
+	http         *http.Client
+	feedFailures atomic.Int64 // of the feed, in a row
+	cancel       context.CancelFunc
+	ctx          context.Context
 }
 
-// Within are a feed's times: it gives a sign of life every second.
-var Within = jsonstream.Timeouts{First: 2 * time.Second, Silence: 3500 * time.Millisecond}
+// FeedTimeouts are a feed's times: it gives a sign of life every second.
+var FeedTimeouts = jsonstream.Timeouts{FirstValue: 2 * time.Second, Idle: 3500 * time.Millisecond}
 
 // Open starts the feed. number tells which host a unit was at a time; within is how long a vote waits for its reply.
 func Open(address string, within time.Duration, number func(string, time.Time) (uint32, bool), hear controlclient.Handler) *Client {
-	l := &Client{hear: hear, number: number, within: within, client: jsonstream.Client()}
-	l.over, l.stop = context.WithCancel(context.Background())
-	l.feed = jsonstream.New(address, Within, jsonstream.Handler{Ended: l.ended,
-		Open: func() (string, func(json.RawMessage) error) { return "/apis/fleet/feed", l.value }})
+	l := &Client{handler: hear, hostID: number, voteTimeout: within, http: jsonstream.NewHTTPClient()}
+	l.ctx, l.cancel = context.WithCancel(context.Background())
+	l.feed = jsonstream.New(address, FeedTimeouts, jsonstream.Handler{Ended: l.feedEnded,
+		Open: func() (string, func(json.RawMessage) error) { return "/apis/fleet/feed", l.handleFeedValue }})
 	l.feed.Open()
 	return l
 }
 
-// Move goes over to another address at once; the old feed is heard until the new one speaks.
-func (l *Client) Move(address string) { l.feed.Move(address) }
+// SetAddress goes over to another address at once; the old feed is heard until the new one speaks.
+func (l *Client) SetAddress(address string) { l.feed.SetAddress(address) }
 
 // Address is the one that is spoken to.
 func (l *Client) Address() string { return l.feed.Address() }
 
-// Tried tells whether the feed has been asked for once, and has spoken or failed to.
-func (l *Client) Tried() bool { return l.feed.Tried() }
+// Attempted tells whether the feed has been asked for once, and has spoken or failed to.
+func (l *Client) Attempted() bool { return l.feed.Attempted() }
 
 // Close ends the link; votes under way end as unclear.
 func (l *Client) Close() {
-	l.stop()
+	l.cancel()
 	l.feed.Close()
 }
 
-// ended takes the feed up again, at once the first time and then with a growing wait.
-func (l *Client) ended(err error) {
-	l.hear.Failed(err)
-	n := l.fails.Add(1)
+// feedEnded takes the feed up again, at once the first time and then with a growing wait.
+func (l *Client) feedEnded(err error) {
+	l.handler.Failed(err)
+	n := l.feedFailures.Add(1)
 	if n == 1 {
 		l.feed.Open()
 		return
@@ -107,7 +107,7 @@
 	time.AfterFunc(min(last, first<<min(n-2, 10)), l.feed.Open)
 }
 
-func (l *Client) value(text json.RawMessage) error {
+func (l *Client) handleFeedValue(text json.RawMessage) error {
 	var m struct {
 		Type   string          `json:"type"`
 		Object json.RawMessage `json:"object"`
@@ -117,15 +117,15 @@
 	}
 	switch m.Type {
 	case "stage":
-		var n News
+		var n ReleaseStatus
 		if err := json.Unmarshal(m.Object, &n); err != nil {
 			return err
 		}
-		news, err := n.Read()
+		news, err := n.Status()
 		if err != nil {
 			return err
 		}
-		l.hear.Release(news)
+		l.handler.Release(news)
 	case "flag":
 		var f struct {
 			Unit    string   `json:"unit"`
@@ -138,30 +138,30 @@
 		if f.Unit == "" || f.OldMs == nil || *f.OldMs < 0 {
 			return errors.New("a flag without unit or old_ms")
 		}
-		if n, ok := l.number(f.Unit, time.Now().Add(-time.Duration(*f.OldMs*float64(time.Millisecond)))); ok {
-			l.hear.Complaint(api.Complaint{Host: n, Class: f.Product, AgeMs: int64(*f.OldMs)})
+		if n, ok := l.hostID(f.Unit, time.Now().Add(-time.Duration(*f.OldMs*float64(time.Millisecond)))); ok {
+			l.handler.Complaint(api.Complaint{Host: n, Class: f.Product, AgeMs: int64(*f.OldMs)})
 		}
 	} // others are signs of life, or of newer platforms
-	l.fails.Store(0)
+	l.feedFailures.Store(0)
 	return nil
 }
 
 // Vote casts a vote in the background and calls done once with what became of it.
 func (l *Client) Vote(build, stage int, voice policy.VoteChoice, done func(policy.ReleaseStatus)) {
-	l.hear.VoteResult(build, func() (policy.ReleaseStatus, error) { return l.vote(build, stage, voice) }, done)
+	l.handler.VoteResult(build, func() (policy.ReleaseStatus, error) { return l.vote(build, stage, voice) }, done)
 }
 
 func (l *Client) vote(build, stage int, voice policy.VoteChoice) (policy.ReleaseStatus, error) {
 	became := func(a policy.VoteResult, err error) (policy.ReleaseStatus, error) {
 		return policy.ReleaseStatus{Build: build, Stage: stage, VoteResult: a}, err
 	}
-	ctx, cancel := context.WithTimeout(l.over, l.within)
+	ctx, cancel := context.WithTimeout(l.ctx, l.voteTimeout)
 	defer cancel()
 	var whole atomic.Bool // all of it was written, so that it may count
 	ctx = httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{WroteRequest: func(w httptrace.WroteRequestInfo) {
 		whole.Store(w.Err == nil)
 	}})
-	body, err := json.Marshal(map[string]any{"release": build, "tranche": stage, "ruling": rulings[voice]})
+	body, err := json.Marshal(map[string]any{"release": build, "tranche": stage, "ruling": voteWords[voice]})
 	if err != nil {
 		return became(policy.VoteRejected, err)
 	}
@@ -170,7 +170,7 @@
 		return became(policy.VoteRejected, err)
 	}
 	ask.Header.Set("Content-Type", "application/json")
-	got, err := l.client.Do(ask)
+	got, err := l.http.Do(ask)
 	if err != nil {
 		if whole.Load() {
 			return became(policy.VoteUnknown, err)
@@ -184,21 +184,21 @@
 		return became(policy.VoteUnknown, err)
 	}
 	var answer struct {
-		News
+		ReleaseStatus
 		Error string `json:"error"`
 	}
 	if err := json.Unmarshal(text, &answer); err != nil {
 		return became(policy.VoteUnknown, err)
 	}
 	if got.StatusCode == http.StatusOK {
-		n, err := answer.Read()
+		n, err := answer.Status()
 		if err != nil {
 			return became(policy.VoteUnknown, err)
 		}
 		n.VoteResult = policy.VoteAccepted
 		return n, nil
 	}
-	if r, ok := refused[got.StatusCode]; ok && r.word == answer.Error {
+	if r, ok := voteErrors[got.StatusCode]; ok && r.word == answer.Error {
 		return became(r.as, fmt.Errorf("status %s, %s", got.Status, answer.Error))
 	}
 	return became(policy.VoteUnknown, fmt.Errorf("status %s, %.100s", got.Status, text))
