--- a/internal/controlclient/desk.go
+++ b/internal/controlclient/client.go
@@ -33,24 +33,24 @@
 
 // Client is one router's link.
 type Client struct {
-	urls   []string
-	at     atomic.Int64 // the one of urls that is asked
-	name   string
-	place  string
-	within time.Duration
-	hear   Handler
-	http   *http.Client
-	stop   context.CancelFunc
-	done   chan struct{}
+	urls    []string
+	current atomic.Int64 // the one of urls that is asked
+	name    string
+	zone    string
+	timeout time.Duration
+	handler Handler
+	http    *http.Client
+	cancel  context.CancelFunc
+	done    chan struct{}
 }
 
-const largest = 64 << 10 // bytes of a reply to a vote
+const maxReplyBytes = 64 << 10 // bytes of a reply to a vote
 
 // Open starts the watch for a router that stands at a place. bases are the URLs of the controllers: where one is out of
 // reach the next is asked. within is how long a vote waits for its reply; secure is nil for plain HTTP.
 func Open(bases []string, name, place string, secure *tls.Config, within time.Duration, hear Handler) *Client {
 	ctx, stop := context.WithCancel(context.Background())
-	l := &Client{name: name, place: place, within: within, hear: hear, stop: stop,
+	l := &Client{name: name, zone: place, timeout: within, handler: hear, cancel: stop,
 		done: make(chan struct{}),
 		http: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 4, TLSClientConfig: secure, DialContext: (&net.Dialer{
 			Timeout: within}).DialContext}}}
@@ -61,24 +61,24 @@
 	return l
 }
 
-func (l *Client) url() string { return l.urls[int(l.at.Load())%len(l.urls)] }
+func (l *Client) baseURL() string { return l.urls[int(l.current.Load())%len(l.urls)] }
 
 // Close ends the link and waits for the watch to end. Votes under way end by themselves.
 func (l *Client) Close() {
-	l.stop()
+	l.cancel()
 	<-l.done
 	l.http.CloseIdleConnections()
 }
 
 func (l *Client) watch(ctx context.Context) {
 	defer close(l.done)
-	sse.FollowAny(ctx, l.http, func() string { return l.url() + "/v1/watch?router=" + url.QueryEscape(l.name) }, l.tell, func(err error) {
-		l.at.Add(1)
-		l.hear.Failed(err)
+	sse.FollowAny(ctx, l.http, func() string { return l.baseURL() + "/v1/watch?router=" + url.QueryEscape(l.name) }, l.handleEvent, func(err error) {
+		l.current.Add(1)
+		l.handler.Failed(err)
 	})
 }
 
-func (l *Client) tell(event string, data []byte) error {
+func (l *Client) handleEvent(event string, data []byte) error {
 	switch event {
 	case api.EventRelease:
 		var r api.Release
@@ -89,7 +89,7 @@
 		if err != nil {
 			return err
 		}
-		l.hear.Release(n)
+		l.handler.Release(n)
 	case api.EventCounts:
 		var c api.Counts
 		if err := json.Unmarshal(data, &c); err != nil {
@@ -98,7 +98,7 @@
 		if c.Failures < 0 || c.Samples < c.Failures || c.MeanMs < 0 || c.AgeMs < 0 {
 			return fmt.Errorf("counts that make no sense: %s", data)
 		}
-		l.hear.Counts(c)
+		l.handler.Counts(c)
 	case api.EventComplaint:
 		var c api.Complaint
 		if err := json.Unmarshal(data, &c); err != nil {
@@ -107,28 +107,28 @@
 		if c.AgeMs < 0 {
 			return fmt.Errorf("a complaint that makes no sense: %s", data)
 		}
-		l.hear.Complaint(c)
+		l.handler.Complaint(c)
 	case api.EventPlan:
 		var n api.PlanNotice
 		if err := json.Unmarshal(data, &n); err != nil {
 			return fmt.Errorf("event %s: %w", event, err)
 		}
-		p, err := l.plan(n.Version)
+		p, err := l.fetchPlan(n.Version)
 		if err != nil {
 			return fmt.Errorf("plan %d: %w", n.Version, err)
 		}
-		l.hear.Plan(p)
+		l.handler.Plan(p)
 	}
 	return nil // others are of newer desks
 }
 
-const largestPlan = 16 << 20 // some 500,000 hosts
+const maxPlanBytes = 16 << 20 // some 500,000 hosts
 
-// plan reads a version for the router's place.
-func (l *Client) plan(version uint64) (p api.Plan, err error) {
-	ctx, cancel := context.WithTimeout(context.Background(), l.within)
+// fetchPlan reads a version for the router's place.
+func (l *Client) fetchPlan(version uint64) (p api.Plan, err error) {
+	ctx, cancel := context.WithTimeout(context.Background(), l.timeout)
 	defer cancel()
-	ask, err := http.NewRequestWithContext(ctx, "GET", fmt.Sprintf("%s/v1/plans/%d/for/%s", l.url(), version, url.PathEscape(l.place)), nil)
+	ask, err := http.NewRequestWithContext(ctx, "GET", fmt.Sprintf("%s/v1/plans/%d/for/%s", l.baseURL(), version, url.PathEscape(l.zone)), nil)
 	if err != nil {
 		return p, err
 	}
@@ -140,7 +140,7 @@
 	if got.StatusCode != http.StatusOK {
 		return p, fmt.Errorf("status %s", got.Status)
 	}
-	return p, json.NewDecoder(io.LimitReader(got.Body, largestPlan)).Decode(&p)
+	return p, json.NewDecoder(io.LimitReader(got.Body, maxPlanBytes)).Decode(&p)
 }
 
 // Report adds what became of tasks at a build, in the background. It is sent again, elsewhere, as long as it surely did not
@@ -151,24 +151,24 @@
 		body, err := json.Marshal(api.BuildReport{Tasks: tasks})
 		for n := 0; err == nil && n < tries; n++ {
 			var again bool
-			if again, err = l.report(build, body); !again {
+			if again, err = l.sendReport(build, body); !again {
 				break
 			}
 			err = nil
 			time.Sleep(pause)
 		}
 		if err != nil {
-			l.hear.Failed(fmt.Errorf("the report on build %d: %w", build, err))
+			l.handler.Failed(fmt.Errorf("the report on build %d: %w", build, err))
 		}
 	}()
 }
 
-// report sends one; again tells that it surely did not count and may be sent once more.
-func (l *Client) report(build int, body []byte) (again bool, err error) {
-	ctx, cancel := context.WithTimeout(context.Background(), l.within)
+// sendReport sends one; again tells that it surely did not count and may be sent once more.
+func (l *Client) sendReport(build int, body []byte) (again bool, err error) {
+	ctx, cancel := context.WithTimeout(context.Background(), l.timeout)
 	defer cancel()
-	at := l.at.Load()
-	ask, err := http.NewRequestWithContext(ctx, "POST", fmt.Sprintf("%s/v1/releases/%d/reports", l.url(), build), bytes.NewReader(body))
+	at := l.current.Load()
+	ask, err := http.NewRequestWithContext(ctx, "POST", fmt.Sprintf("%s/v1/releases/%d/reports", l.baseURL(), build), bytes.NewReader(body))
 	if err != nil {
 		return false, err
 	}
@@ -176,7 +176,7 @@
 	got, err := l.http.Do(ask)
 	var op *net.OpError
 	if errors.As(err, &op) && op.Op == "dial" {
-		l.at.CompareAndSwap(at, at+1)
+		l.current.CompareAndSwap(at, at+1)
 		return true, err
 	} else if err != nil {
 		return false, err
@@ -191,23 +191,23 @@
 // AcknowledgePlan tells in the background whether a version is followed; with a reason it is not.
 func (l *Client) AcknowledgePlan(version uint64, reason string) {
 	go func() {
-		ctx, cancel := context.WithTimeout(context.Background(), l.within)
+		ctx, cancel := context.WithTimeout(context.Background(), l.timeout)
 		defer cancel()
 		body, err := json.Marshal(api.PlanAck{Followed: reason == "", Reason: reason})
 		if err != nil {
-			l.hear.Failed(err)
+			l.handler.Failed(err)
 			return
 		}
-		ask, err := http.NewRequestWithContext(ctx, "PUT", fmt.Sprintf("%s/v1/plans/%d/routers/%s", l.url(), version,
+		ask, err := http.NewRequestWithContext(ctx, "PUT", fmt.Sprintf("%s/v1/plans/%d/routers/%s", l.baseURL(), version,
 			url.PathEscape(l.name)), bytes.NewReader(body))
 		if err != nil {
-			l.hear.Failed(err)
+			l.handler.Failed(err)
 			return
 		}
 		ask.Header.Set("Content-Type", "application/json")
 		got, err := l.http.Do(ask)
 		if err != nil {
-			l.hear.Failed(fmt.Errorf("the word on plan %d: %w", version, err)) // the next version is told again
+			l.handler.Failed(fmt.Errorf("the word on plan %d: %w", version, err)) // the next version is told again
 			return
 		}
 		_ = got.Body.Close()
@@ -228,20 +228,20 @@
 
 // Vote casts a vote in the background and calls done once with what became of it.
 func (l *Client) Vote(build, stage int, voice policy.VoteChoice, done func(policy.ReleaseStatus)) {
-	l.hear.VoteResult(build, func() (policy.ReleaseStatus, error) { return l.vote(build, stage, voice) }, done)
+	l.handler.VoteResult(build, func() (policy.ReleaseStatus, error) { return l.vote(build, stage, voice) }, done)
 }
 
 func (l *Client) vote(build, stage int, voice policy.VoteChoice) (policy.ReleaseStatus, error) {
 	moot := func(a policy.VoteResult, err error) (policy.ReleaseStatus, error) {
 		return policy.ReleaseStatus{Build: build, Stage: stage, VoteResult: a}, err
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), l.within)
+	ctx, cancel := context.WithTimeout(context.Background(), l.timeout)
 	defer cancel()
 	body, err := json.Marshal(api.Vote{Stage: stage, Choice: api.VoteChoices[voice]})
 	if err != nil {
 		return moot(policy.VoteRejected, err)
 	}
-	ask, err := http.NewRequestWithContext(ctx, "PUT", fmt.Sprintf("%s/v1/releases/%d/votes/%s", l.url(), build,
+	ask, err := http.NewRequestWithContext(ctx, "PUT", fmt.Sprintf("%s/v1/releases/%d/votes/%s", l.baseURL(), build,
 		url.PathEscape(l.name)), bytes.NewReader(body))
 	if err != nil {
 		return moot(policy.VoteRejected, err)
@@ -265,7 +265,7 @@
 		return moot(policy.VoteRejected, fmt.Errorf("status %s", got.Status))
 	}
 	var r api.Release
-	if err := json.NewDecoder(io.LimitReader(got.Body, largest)).Decode(&r); err != nil {
+	if err := json.NewDecoder(io.LimitReader(got.Body, maxReplyBytes)).Decode(&r); err != nil {
 		return moot(policy.VoteUnknown, err) // accepted, by its status; but where the release stands is not known
 	}
 	n, err := r.Status()
--- a/internal/eds/last.go
+++ b/internal/eds/cache.go
@@ -11,8 +11,8 @@
 	"dapplefront/router"
 )
 
-// kept is the file of a last list.
-type kept struct {
+// cacheFile is the file of a last list.
+type cacheFile struct {
 	Format int          `json:"format"`
 	Hosts  []storedHost `json:"hosts"`
 }
@@ -46,7 +46,7 @@
 	}
 }
 
-const format = 1
+const cacheFormat = 1
 
 // SaveCache writes the last list to a file, whole or not at all.
 func SaveCache(file string, hosts []Host) error {
@@ -54,7 +54,7 @@
 	for _, h := range hosts {
 		stored = append(stored, toStoredHost(h))
 	}
-	text, err := json.MarshalIndent(kept{format, stored}, "", " ")
+	text, err := json.MarshalIndent(cacheFile{cacheFormat, stored}, "", " ")
 	if err != nil {
 		return err
 	}
@@ -70,27 +70,27 @@
 	if err != nil {
 		return nil, fmt.Errorf("last list %s: %w", file, err)
 	}
-	hosts, err := decode(text)
+	hosts, err := decodeCache(text)
 	if err != nil {
 		return nil, fmt.Errorf("last list %s: %w", file, err)
 	}
 	return hosts, nil
 }
 
-// decode reads a file's text. A format or a field that this version doesn't know is an error.
-func decode(text []byte) ([]Host, error) {
+// decodeCache reads a file's text. A format or a field that this version doesn't know is an error.
+func decodeCache(text []byte) ([]Host, error) {
 	var version struct {
 		Format int `json:"format"`
 	}
 	if err := json.Unmarshal(text, &version); err != nil {
 		return nil, err
 	}
-	if version.Format != format {
-		return nil, fmt.Errorf("format %d expected, not %d", format, version.Format)
+	if version.Format != cacheFormat {
+		return nil, fmt.Errorf("format %d expected, not %d", cacheFormat, version.Format)
 	}
 	decoder := json.NewDecoder(bytes.NewReader(text))
 	decoder.DisallowUnknownFields()
-	var stored kept
+	var stored cacheFile
 	if err := decoder.Decode(&stored); err != nil {
 		return nil, err
 	}
--- a/internal/eds/register_test.go
+++ b/internal/eds/eds_test.go
@@ -15,7 +15,7 @@
 	"dapplefront/router"
 )
 
-func endpoint(ip string, port uint32, fields map[string]any) *endpointv3.LbEndpoint {
+func lbEndpoint(ip string, port uint32, fields map[string]any) *endpointv3.LbEndpoint {
 	meta, _ := structpb.NewStruct(fields)
 	return &endpointv3.LbEndpoint{Metadata: &corev3.Metadata{FilterMetadata: map[string]*structpb.Struct{Metadata: meta}},
 		HostIdentifier: &endpointv3.LbEndpoint_Endpoint{Endpoint: &endpointv3.Endpoint{Address: &corev3.Address{
@@ -25,39 +25,39 @@
 
 func TestAnEndpointThatMakesNoSenseIsNamed(t *testing.T) {
 	for want, e := range map[string]*endpointv3.LbEndpoint{
-		"socket_address":   endpoint("here", 1, map[string]any{"build": 1}),
-		"an IP address":    endpoint("127.0.0.1", 0, map[string]any{"build": 1}),
-		"build is missing": endpoint("127.0.0.1", 1, nil),
-		"build: a whole":   endpoint("127.0.0.1", 1, map[string]any{"build": 1.5}),
-		"up: a whole":      endpoint("127.0.0.1", 1, map[string]any{"build": 1, "up": "soon"}),
-		"id: a whole":      endpoint("127.0.0.1", 1, map[string]any{"build": 1, "id": -1}),
+		"socket_address":   lbEndpoint("here", 1, map[string]any{"build": 1}),
+		"an IP address":    lbEndpoint("127.0.0.1", 0, map[string]any{"build": 1}),
+		"build is missing": lbEndpoint("127.0.0.1", 1, nil),
+		"build: a whole":   lbEndpoint("127.0.0.1", 1, map[string]any{"build": 1.5}),
+		"up: a whole":      lbEndpoint("127.0.0.1", 1, map[string]any{"build": 1, "up": "soon"}),
+		"id: a whole":      lbEndpoint("127.0.0.1", 1, map[string]any{"build": 1, "id": -1}),
 	} {
 		a := &endpointv3.ClusterLoadAssignment{ClusterName: "shop/here", Endpoints: []*endpointv3.LocalityLbEndpoints{
-			{Locality: &corev3.Locality{Zone: "here"}, LbEndpoints: []*endpointv3.LbEndpoint{endpoint("127.0.0.1", 9,
+			{Locality: &corev3.Locality{Zone: "here"}, LbEndpoints: []*endpointv3.LbEndpoint{lbEndpoint("127.0.0.1", 9,
 				map[string]any{"build": 1}), e}}}}
-		_, err := read(a)
+		_, err := hostsOf(a)
 		require.ErrorContains(t, err, "shop/here: endpoints[0].lb_endpoints[1]")
 		require.ErrorContains(t, err, want)
 	}
-	_, err := read(&endpointv3.ClusterLoadAssignment{Endpoints: []*endpointv3.LocalityLbEndpoints{{}}})
+	_, err := hostsOf(&endpointv3.ClusterLoadAssignment{Endpoints: []*endpointv3.LocalityLbEndpoints{{}}})
 	require.ErrorContains(t, err, "locality.zone is missing")
 }
 
-func at(id uint32, address string) Host {
+func hostAt(id uint32, address string) Host {
 	return Host{Host: router.Host{ID: id, Zone: "here", Build: 1, Weight: 1}, Address: address}
 }
 
 func TestAListIsTakenInWholeOrNotAtAll(t *testing.T) {
-	l := newList()
-	changes, err := l.put(map[string]resource{"a": {"1", []Host{at(1, "x:1"), at(2, "x:2")}}, "b": {"1", []Host{at(3, "x:3")}}}, nil)
+	l := newEndpointList()
+	changes, err := l.put(map[string]resource{"a": {"1", []Host{hostAt(1, "x:1"), hostAt(2, "x:2")}}, "b": {"1", []Host{hostAt(3, "x:3")}}}, nil)
 	require.NoError(t, err)
 	require.Len(t, changes, 3)
-	_, err = l.put(map[string]resource{"a": {"2", nil}, "b": {"2", []Host{at(4, "x:4"), at(4, "x:5")}}}, nil)
+	_, err = l.put(map[string]resource{"a": {"2", nil}, "b": {"2", []Host{hostAt(4, "x:4"), hostAt(4, "x:5")}}}, nil)
 	require.ErrorContains(t, err, "host 4 stands twice")
-	_, err = l.put(map[string]resource{"b": {"2", []Host{at(4, "x:1")}}}, nil)
+	_, err = l.put(map[string]resource{"b": {"2", []Host{hostAt(4, "x:1")}}}, nil)
 	require.ErrorContains(t, err, "x:1 is the address of two hosts")
 	require.Len(t, l.all(), 3, "the last good list stays")
-	changes, err = l.put(map[string]resource{"a": {"3", []Host{at(1, "x:1"), at(5, "x:2")}}}, []string{"b"})
+	changes, err = l.put(map[string]resource{"a": {"3", []Host{hostAt(1, "x:1"), hostAt(5, "x:2")}}}, []string{"b"})
 	require.NoError(t, err)
 	gone := map[uint32]policy.EndpointState{}
 	for _, h := range changes {
@@ -71,10 +71,10 @@
 	hosts, err := LoadCache(file)
 	require.NoError(t, err)
 	require.Empty(t, hosts)
-	require.NoError(t, SaveCache(file, []Host{at(1, "x:1")}))
+	require.NoError(t, SaveCache(file, []Host{hostAt(1, "x:1")}))
 	hosts, err = LoadCache(file)
 	require.NoError(t, err)
-	require.Equal(t, []Host{at(1, "x:1")}, hosts)
+	require.Equal(t, []Host{hostAt(1, "x:1")}, hosts)
 	text, _ := os.ReadFile(file)
 	require.NoError(t, os.WriteFile(file, text[:len(text)/2], 0o600))
 	_, err = LoadCache(file)
@@ -85,14 +85,14 @@
 }
 
 func TestAPlansWeightStandsBesideWhatTheHostCanDo(t *testing.T) {
-	e := endpoint("127.0.0.1", 9, map[string]any{"build": 1, "size": 2500})
+	e := lbEndpoint("127.0.0.1", 9, map[string]any{"build": 1, "size": 2500})
 	e.LoadBalancingWeight = wrapperspb.UInt32(700)
-	h, err := readHost(e)
+	h, err := hostOf(e)
 	require.NoError(t, err)
 	require.Equal(t, 2.5, h.Weight)
-	e = endpoint("127.0.0.1", 9, map[string]any{"build": 1})
+	e = lbEndpoint("127.0.0.1", 9, map[string]any{"build": 1})
 	e.LoadBalancingWeight = wrapperspb.UInt32(700)
-	h, err = readHost(e)
+	h, err = hostOf(e)
 	require.NoError(t, err)
 	require.Equal(t, 0.7, h.Weight)
 }
--- a/internal/eds/list.go
+++ b/internal/eds/endpoints.go
@@ -28,8 +28,8 @@
 	Address string
 }
 
-// read turns one resource into hosts; an error names the endpoint and what is wrong with it.
-func read(a *endpointv3.ClusterLoadAssignment) ([]Host, error) {
+// hostsOf turns one resource into hosts; an error names the endpoint and what is wrong with it.
+func hostsOf(a *endpointv3.ClusterLoadAssignment) ([]Host, error) {
 	var hosts []Host
 	for i, l := range a.GetEndpoints() {
 		location := l.GetLocality().GetZone()
@@ -37,7 +37,7 @@
 			return nil, fmt.Errorf("%s: endpoints[%d]: locality.zone is missing", a.GetClusterName(), i)
 		}
 		for j, e := range l.GetLbEndpoints() {
-			h, err := readHost(e)
+			h, err := hostOf(e)
 			if err != nil {
 				return nil, fmt.Errorf("%s: endpoints[%d].lb_endpoints[%d]: %w", a.GetClusterName(), i, j, err)
 			}
@@ -48,7 +48,7 @@
 	return hosts, nil
 }
 
-func readHost(e *endpointv3.LbEndpoint) (h Host, err error) {
+func hostOf(e *endpointv3.LbEndpoint) (h Host, err error) {
 	s := e.GetEndpoint().GetAddress().GetSocketAddress()
 	ip, err := netip.ParseAddr(s.GetAddress())
 	if err != nil || s.GetPortValue() == 0 || s.GetPortValue() > 65535 {
@@ -100,8 +100,8 @@
 	return h, err
 }
 
-// list is the host list as last accepted, by resource.
-type list struct {
+// endpointList is the host list as last accepted, by resource.
+type endpointList struct {
 	resources map[string]resource
 	hosts     map[uint32]Host
 }
@@ -111,11 +111,13 @@
 	hosts   []Host
 }
 
-func newList() *list { return &list{resources: map[string]resource{}, hosts: map[uint32]Host{}} }
+func newEndpointList() *endpointList {
+	return &endpointList{resources: map[string]resource{}, hosts: map[uint32]Host{}}
+}
 
 // put takes in changed and removed resources as a whole or, with an error, not at all. It returns the hosts that
 // changed, those that left as gone.
-func (l *list) put(changed map[string]resource, removed []string) ([]Host, error) {
+func (l *endpointList) put(changed map[string]resource, removed []string) ([]Host, error) {
 	next := make(map[string]resource, len(l.resources)+len(changed))
 	for name, r := range l.resources {
 		next[name] = r
@@ -151,20 +153,20 @@
 		}
 	}
 	l.resources, l.hosts = next, hosts
-	sorted(out)
+	sortByID(out)
 	return out, nil
 }
 
 // all is the whole list, in the order of ids.
-func (l *list) all() []Host {
+func (l *endpointList) all() []Host {
 	out := make([]Host, 0, len(l.hosts))
 	for _, h := range l.hosts {
 		out = append(out, h)
 	}
-	sorted(out)
+	sortByID(out)
 	return out
 }
 
-func sorted(hosts []Host) {
+func sortByID(hosts []Host) {
 	slices.SortFunc(hosts, func(a, b Host) int { return cmp.Compare(a.ID, b.ID) })
 }
--- a/internal/eds/watch.go
+++ b/internal/eds/watch.go
@@ -33,17 +33,17 @@
 
 // Watch follows one register for one router. Its functions are called one at a time, from goroutines of its own.
 type Watch struct {
-	address string
-	node    string
-	names   []string
-	changes bool
-	hear    Handler
+	address       string
+	nodeID        string
+	resourceNames []string
+	incremental   bool
+	handler       Handler
 
 	mu     sync.Mutex
 	conn   *grpc.ClientConn
 	cancel context.CancelFunc // of the stream that stands
 	done   chan struct{}
-	list   *list
+	list   *endpointList
 	closed bool
 }
 
@@ -53,8 +53,8 @@
 	if err != nil {
 		return nil, fmt.Errorf("register at %s: %w", address, err)
 	}
-	return &Watch{address: address, node: node, names: names, changes: changes, hear: hear, conn: conn,
-		list: newList()}, nil
+	return &Watch{address: address, nodeID: node, resourceNames: names, incremental: changes, handler: hear, conn: conn,
+		list: newEndpointList()}, nil
 }
 
 // Ask starts or resumes the watch. While one stands it does nothing.
@@ -71,10 +71,10 @@
 	go func() {
 		defer close(done)
 		var err error
-		if w.changes {
-			err = w.followChanges(ctx)
+		if w.incremental {
+			err = w.deltaEndpoints(ctx)
 		} else {
-			err = w.followWhole(ctx)
+			err = w.streamEndpoints(ctx)
 		}
 		w.mu.Lock()
 		w.cancel = nil
@@ -82,7 +82,7 @@
 		w.mu.Unlock()
 		cancel()
 		if !closed {
-			w.hear.Failed(err)
+			w.handler.Failed(err)
 		}
 	}()
 }
@@ -102,20 +102,20 @@
 	}
 }
 
-func (w *Watch) id() *corev3.Node { return &corev3.Node{Id: w.node, UserAgentName: "dapplefront"} }
+func (w *Watch) node() *corev3.Node { return &corev3.Node{Id: w.nodeID, UserAgentName: "dapplefront"} }
 
-func reason(err error) *rpcstatus.Status {
+func errorDetail(err error) *rpcstatus.Status {
 	return &rpcstatus.Status{Code: int32(codes.InvalidArgument), Message: err.Error()}
 }
 
-// followWhole speaks the state-of-the-world protocol.
-func (w *Watch) followWhole(ctx context.Context) error {
+// streamEndpoints speaks the state-of-the-world protocol.
+func (w *Watch) streamEndpoints(ctx context.Context) error {
 	stream, err := edsv3.NewEndpointDiscoveryServiceClient(w.conn).StreamEndpoints(ctx)
 	if err != nil {
 		return err
 	}
 	held := "" // the version of the last list accepted on this stream
-	ask := &discoveryv3.DiscoveryRequest{Node: w.id(), ResourceNames: w.names, TypeUrl: TypeURL}
+	ask := &discoveryv3.DiscoveryRequest{Node: w.node(), ResourceNames: w.resourceNames, TypeUrl: TypeURL}
 	for {
 		if err := stream.Send(ask); err != nil && !errors.Is(err, context.Canceled) {
 			_, err = stream.Recv() // which tells why
@@ -125,7 +125,7 @@
 		if err != nil {
 			return err
 		}
-		ask = &discoveryv3.DiscoveryRequest{ResourceNames: w.names, TypeUrl: TypeURL, ResponseNonce: got.GetNonce()}
+		ask = &discoveryv3.DiscoveryRequest{ResourceNames: w.resourceNames, TypeUrl: TypeURL, ResponseNonce: got.GetNonce()}
 		changed := map[string]resource{}
 		for i, raw := range got.GetResources() {
 			name, r, err2 := unpack(raw, got.GetVersionInfo())
@@ -139,18 +139,18 @@
 			_, err = w.list.put(changed, nil)
 		}
 		if err != nil {
-			ask.ErrorDetail = reason(err)
-			w.hear.Rejected(fmt.Errorf("version %q: %w", got.GetVersionInfo(), err))
+			ask.ErrorDetail = errorDetail(err)
+			w.handler.Rejected(fmt.Errorf("version %q: %w", got.GetVersionInfo(), err))
 		} else {
 			held = got.GetVersionInfo()
-			w.hear.Listed(true, w.list.all())
+			w.handler.Listed(true, w.list.all())
 		}
 		ask.VersionInfo = held
 	}
 }
 
-// followChanges speaks the incremental protocol.
-func (w *Watch) followChanges(ctx context.Context) error {
+// deltaEndpoints speaks the incremental protocol.
+func (w *Watch) deltaEndpoints(ctx context.Context) error {
 	stream, err := edsv3.NewEndpointDiscoveryServiceClient(w.conn).DeltaEndpoints(ctx)
 	if err != nil {
 		return err
@@ -159,7 +159,7 @@
 	for name, r := range w.list.resources {
 		held[name] = r.version
 	}
-	ask := &discoveryv3.DeltaDiscoveryRequest{Node: w.id(), TypeUrl: TypeURL, ResourceNamesSubscribe: w.names,
+	ask := &discoveryv3.DeltaDiscoveryRequest{Node: w.node(), TypeUrl: TypeURL, ResourceNamesSubscribe: w.resourceNames,
 		InitialResourceVersions: held}
 	first := true
 	for {
@@ -189,14 +189,14 @@
 			hosts, err = w.list.put(changed, got.GetRemovedResources())
 		}
 		if err != nil {
-			ask.ErrorDetail = reason(err)
-			w.hear.Rejected(fmt.Errorf("version %q: %w", got.GetSystemVersionInfo(), err))
+			ask.ErrorDetail = errorDetail(err)
+			w.handler.Rejected(fmt.Errorf("version %q: %w", got.GetSystemVersionInfo(), err))
 			continue
 		}
 		if first {
 			hosts = w.list.all() // whoever resumes must not miss what left meanwhile
 		}
-		w.hear.Listed(first, hosts)
+		w.handler.Listed(first, hosts)
 		first = false
 	}
 }
@@ -209,6 +209,6 @@
 	if err := raw.UnmarshalTo(a); err != nil {
 		return "", resource{}, err
 	}
-	hosts, err := read(a)
+	hosts, err := hostsOf(a)
 	return a.GetClusterName(), resource{version, hosts}, err
 }
--- a/internal/gossip/peers_test.go
+++ b/internal/gossip/socket_test.go
@@ -9,7 +9,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-func free(t *testing.T) string {
+func freeAddress(t *testing.T) string {
 	c, err := net.ListenPacket("udp", "127.0.0.1:0")
 	require.NoError(t, err)
 	defer c.Close()
@@ -17,7 +17,7 @@
 }
 
 func TestListedRoutersAreHeardAndStrangersAndLongMessagesDropped(t *testing.T) {
-	addresses := []string{free(t), free(t), free(t)}
+	addresses := []string{freeAddress(t), freeAddress(t), freeAddress(t)}
 	heard := make(chan string, 10)
 	a, err := Open(Config{Rank: 0, MaxBytes: 16, Addresses: addresses}, func(rank int, body string) {
 		heard <- string(rune('0'+rank)) + body
--- a/internal/inifile/sheet.go
+++ b/internal/inifile/file.go
@@ -33,12 +33,12 @@
 
 // File is one file.
 type File struct {
-	file     string
-	ini      *ini.File
-	lines    map[[2]string]int
-	asked    map[[2]string]bool
-	sections []string
-	mistakes []SyntaxError
+	name      string
+	ini       *ini.File
+	lines     map[[2]string]int
+	requested map[[2]string]bool
+	sections  []string
+	errs      []SyntaxError
 }
 
 // Read reads a file. What is wrong with it is told by Done.
@@ -46,14 +46,14 @@
 	text, err := os.ReadFile(file)
 	s := Parse(file, string(text))
 	if err != nil {
-		s.mistakes = []SyntaxError{{file, 0, "can't be read: " + err.Error()}}
+		s.errs = []SyntaxError{{file, 0, "can't be read: " + err.Error()}}
 	}
 	return s
 }
 
 // Parse reads text that came from file.
 func Parse(file, text string) *File {
-	s := &File{file: file, lines: map[[2]string]int{}, asked: map[[2]string]bool{}}
+	s := &File{name: file, lines: map[[2]string]int{}, requested: map[[2]string]bool{}}
 	section := ""
 	var kept []string // what ini is given: lines known to be well formed
 	for i, line := range strings.Split(text, "\n") {
@@ -67,12 +67,12 @@
 		at := [2]string{section, ""}
 		if line[0] == '[' {
 			if !strings.HasSuffix(line, "]") {
-				s.wrong(i+1, "[section] expected, not %q", line)
+				s.addError(i+1, "[section] expected, not %q", line)
 				continue
 			}
 			section = strings.Join(strings.Fields(line[1:len(line)-1]), " ")
 			if at = [2]string{section, ""}; s.lines[at] > 0 {
-				s.wrong(i+1, "section [%s] stands on line %d already", section, s.lines[at])
+				s.addError(i+1, "section [%s] stands on line %d already", section, s.lines[at])
 			} else {
 				s.sections = append(s.sections, section)
 			}
@@ -82,11 +82,11 @@
 		}
 		key, value, ok := strings.Cut(line, "=")
 		if key = strings.TrimSpace(key); !ok || key == "" {
-			s.wrong(i+1, "name = value expected, not %q", line)
+			s.addError(i+1, "name = value expected, not %q", line)
 			continue
 		}
 		if at[1] = key; s.lines[at] > 0 {
-			s.wrong(i+1, "%s stands on line %d already", key, s.lines[at])
+			s.addError(i+1, "%s stands on line %d already", key, s.lines[at])
 			continue
 		}
 		s.lines[at] = i + 1
@@ -96,43 +96,43 @@
 	s.ini, err = ini.LoadSources(ini.LoadOptions{IgnoreInlineComment: true, IgnoreContinuation: true,
 		PreserveSurroundedQuote: true, UnescapeValueCommentSymbols: false}, []byte(strings.Join(kept, "\n")))
 	if err != nil {
-		s.wrong(1, "%v", err)
+		s.addError(1, "%v", err)
 		s.ini = ini.Empty()
 	}
 	return s
 }
 
-func (s *File) wrong(line int, format string, values ...any) {
-	s.mistakes = append(s.mistakes, SyntaxError{s.file, line, fmt.Sprintf(format, values...)})
+func (s *File) addError(line int, format string, values ...any) {
+	s.errs = append(s.errs, SyntaxError{s.name, line, fmt.Sprintf(format, values...)})
 }
 
 // Done tells all mistakes, in order of their lines; nil if there are none.
 func (s *File) Done() error {
 	for at, line := range s.lines {
-		if at[1] != "" && !s.asked[at] {
-			s.wrong(line, "no one knows %q in [%s]", at[1], at[0])
-		} else if at[1] == "" && !s.asked[at] {
-			s.wrong(line, "no one knows the section [%s]", at[0])
+		if at[1] != "" && !s.requested[at] {
+			s.addError(line, "no one knows %q in [%s]", at[1], at[0])
+		} else if at[1] == "" && !s.requested[at] {
+			s.addError(line, "no one knows the section [%s]", at[0])
 		}
 	}
-	slices.SortStableFunc(s.mistakes, func(a, b SyntaxError) int { return cmp.Compare(a.Line, b.Line) })
+	slices.SortStableFunc(s.errs, func(a, b SyntaxError) int { return cmp.Compare(a.Line, b.Line) })
 	var all []error
-	for _, m := range s.mistakes {
+	for _, m := range s.errs {
 		all = append(all, m)
 	}
-	s.mistakes = nil
+	s.errs = nil
 	return errors.Join(all...)
 }
 
 // Section is one section.
 type Section struct {
-	sheet *File
-	name  string
+	file *File
+	name string
 }
 
 // Section is the section of that name; one that is absent has only default values.
 func (s *File) Section(name string) Section {
-	s.asked[[2]string{name, ""}] = true
+	s.requested[[2]string{name, ""}] = true
 	return Section{s, name}
 }
 
@@ -147,40 +147,40 @@
 }
 
 // Has tells whether the section stands in the file.
-func (p Section) Has() bool { return p.sheet.lines[[2]string{p.name, ""}] > 0 }
+func (p Section) Has() bool { return p.file.lines[[2]string{p.name, ""}] > 0 }
 
 // Line is where the section starts.
-func (p Section) Line() int { return p.sheet.lines[[2]string{p.name, ""}] }
+func (p Section) Line() int { return p.file.lines[[2]string{p.name, ""}] }
 
 // AddError tells a mistake of a key, or of the section where the key is empty or absent.
 func (p Section) AddError(key, format string, values ...any) {
-	line := p.sheet.lines[[2]string{p.name, key}]
+	line := p.file.lines[[2]string{p.name, key}]
 	if line == 0 {
 		line = max(1, p.Line())
 	}
-	p.sheet.wrong(line, "[%s] "+format, append([]any{p.name}, values...)...)
+	p.file.addError(line, "[%s] "+format, append([]any{p.name}, values...)...)
 }
 
 // Text is the value of a key, or without; a key with no default ("!") must stand in the file.
 func (p Section) Text(key, without string) string {
 	at := [2]string{p.name, key}
-	p.sheet.asked[at] = true
-	if p.sheet.lines[at] == 0 {
+	p.file.requested[at] = true
+	if p.file.lines[at] == 0 {
 		if without == "!" {
 			p.AddError("", "%s is missing", key)
 			return ""
 		}
 		return without
 	}
-	v := p.sheet.ini.Section(p.name).Key(key).String()
+	v := p.file.ini.Section(p.name).Key(key).String()
 	if v == "" {
 		p.AddError(key, "%s has no value", key)
 	}
 	return v
 }
 
-// read reads a value, and tells what was expected where it is another one.
-func read[T any](p Section, key, without, expected string, of func(string) (T, error)) (v T) {
+// parseValue reads a value, and tells what was expected where it is another one.
+func parseValue[T any](p Section, key, without, expected string, of func(string) (T, error)) (v T) {
 	text := p.Text(key, without)
 	if text == "" {
 		return v
@@ -192,14 +192,14 @@
 	return v
 }
 
-var errOther = errors.New("other")
+var errUnexpected = errors.New("other")
 
 // Duration is a time with a unit, 0 or more.
 func (p Section) Duration(key, without string) time.Duration {
-	return read(p, key, without, "a time with a unit, such as 250ms or 2s,", func(s string) (time.Duration, error) {
+	return parseValue(p, key, without, "a time with a unit, such as 250ms or 2s,", func(s string) (time.Duration, error) {
 		d, err := time.ParseDuration(s)
 		if s == "0" || d < 0 || err != nil {
-			return 0, errOther
+			return 0, errUnexpected
 		}
 		return d, nil
 	})
@@ -207,14 +207,14 @@
 
 // Share is a percentage from 0% to 100%, as a number from 0 to 1.
 func (p Section) Share(key, without string) float64 {
-	return read(p, key, without, "a share from 0% to 100%", readShare)
+	return parseValue(p, key, without, "a share from 0% to 100%", parseShare)
 }
 
 // Shares are several of them.
 func (p Section) Shares(key, without string) []float64 {
-	return read(p, key, without, "shares from 0% to 100%, with commas between them,", func(s string) (all []float64, err error) {
+	return parseValue(p, key, without, "shares from 0% to 100%, with commas between them,", func(s string) (all []float64, err error) {
 		for part := range strings.SplitSeq(s, ",") {
-			v, err := readShare(strings.TrimSpace(part))
+			v, err := parseShare(strings.TrimSpace(part))
 			if err != nil {
 				return nil, err
 			}
@@ -224,21 +224,21 @@
 	})
 }
 
-func readShare(s string) (float64, error) {
+func parseShare(s string) (float64, error) {
 	digits, ok := strings.CutSuffix(s, "%")
 	v, err := strconv.ParseFloat(strings.TrimSpace(digits), 64)
 	if !ok || err != nil || !(v >= 0 && v <= 100) {
-		return 0, errOther
+		return 0, errUnexpected
 	}
 	return v / 100, nil
 }
 
 // Float is a number from low to high.
 func (p Section) Float(key, without string, low, high float64) float64 {
-	return read(p, key, without, fmt.Sprintf("a number from %g to %g", low, high), func(s string) (float64, error) {
+	return parseValue(p, key, without, fmt.Sprintf("a number from %g to %g", low, high), func(s string) (float64, error) {
 		v, err := strconv.ParseFloat(s, 64)
 		if err != nil || !(v >= low && v <= high) || math.IsInf(v, 0) {
-			return 0, errOther
+			return 0, errUnexpected
 		}
 		return v, nil
 	})
@@ -246,10 +246,10 @@
 
 // Int is a whole number from low to high.
 func (p Section) Int(key, without string, low, high int) int {
-	return read(p, key, without, fmt.Sprintf("a whole number from %d to %d", low, high), func(s string) (int, error) {
+	return parseValue(p, key, without, fmt.Sprintf("a whole number from %d to %d", low, high), func(s string) (int, error) {
 		v, err := strconv.Atoi(s)
 		if err != nil || v < low || v > high {
-			return 0, errOther
+			return 0, errUnexpected
 		}
 		return v, nil
 	})
@@ -257,7 +257,7 @@
 
 // Seed is a whole number from 0 on.
 func (p Section) Seed(key, without string) uint64 {
-	return read(p, key, without, "a whole number", func(s string) (uint64, error) { return strconv.ParseUint(s, 10, 64) })
+	return parseValue(p, key, without, "a whole number", func(s string) (uint64, error) { return strconv.ParseUint(s, 10, 64) })
 }
 
 // Bool is on or off.
@@ -267,9 +267,9 @@
 
 // OneOf is one of some words.
 func (p Section) OneOf(key, without string, words ...string) string {
-	return read(p, key, without, strings.Join(words, " or "), func(s string) (string, error) {
+	return parseValue(p, key, without, strings.Join(words, " or "), func(s string) (string, error) {
 		if !slices.Contains(words, s) {
-			return "", errOther
+			return "", errUnexpected
 		}
 		return s, nil
 	})
@@ -277,7 +277,7 @@
 
 // Bytes is a size with a unit: B, KiB, MiB or GiB.
 func (p Section) Bytes(key, without string) int {
-	return read(p, key, without, "a size with a unit, such as 64KiB or 1MiB,", func(s string) (int, error) {
+	return parseValue(p, key, without, "a size with a unit, such as 64KiB or 1MiB,", func(s string) (int, error) {
 		for _, unit := range []struct {
 			name string
 			size int
@@ -285,12 +285,12 @@
 			if digits, ok := strings.CutSuffix(s, unit.name); ok {
 				n, err := strconv.Atoi(strings.TrimSpace(digits))
 				if err != nil || n < 1 || n > (1<<40)/unit.size {
-					return 0, errOther
+					return 0, errUnexpected
 				}
 				return n * unit.size, nil
 			}
 		}
-		return 0, errOther
+		return 0, errUnexpected
 	})
 }
 
@@ -306,11 +306,11 @@
 
 // Address is HOST:PORT.
 func (p Section) Address(key, without string) string {
-	return read(p, key, without, "an address such as 127.0.0.1:8080", func(s string) (string, error) {
+	return parseValue(p, key, without, "an address such as 127.0.0.1:8080", func(s string) (string, error) {
 		host, port, err := net.SplitHostPort(s)
 		n, numeric := strconv.Atoi(port)
 		if err != nil || numeric != nil || n < 0 || n > 65535 || host == "" {
-			return "", errOther
+			return "", errUnexpected
 		}
 		return s, nil
 	})
@@ -318,11 +318,11 @@
 
 // Networks are address ranges such as 10.0.0.0/8, with commas between them.
 func (p Section) Networks(key, without string) []netip.Prefix {
-	return read(p, key, without, "networks such as 10.1.0.0/16, with commas between them,", func(s string) (all []netip.Prefix, err error) {
+	return parseValue(p, key, without, "networks such as 10.1.0.0/16, with commas between them,", func(s string) (all []netip.Prefix, err error) {
 		for part := range strings.SplitSeq(s, ",") {
 			n, err := netip.ParsePrefix(strings.TrimSpace(part))
 			if err != nil || n != n.Masked() {
-				return nil, errOther
+				return nil, errUnexpected
 			}
 			all = append(all, n)
 		}
--- a/internal/node/node.go
+++ b/internal/node/config.go
@@ -208,7 +208,7 @@
 			if !ok {
 				return nil, nil
 			}
-			return p.settings.Report.Named(text)
+			return p.settings.Report.Parse(text)
 		}}
 }
 
--- a/internal/orca/orca.go
+++ b/internal/orca/orca.go
@@ -27,12 +27,12 @@
 	Service = "service_ms" // recent time of a task without waiting, in milliseconds
 )
 
-const most = 4096 // bytes of a report: a few dozen named metrics
+const maxReportBytes = 4096 // bytes of a report: a few dozen named metrics
 
 // Parse reads the value of the header Header. An error says which part is wrong; nothing of such a report counts.
 func Parse(value string) (*orcav3.OrcaLoadReport, error) {
-	if len(value) > most {
-		return nil, fmt.Errorf("load report: longer than %d bytes", most)
+	if len(value) > maxReportBytes {
+		return nil, fmt.Errorf("load report: longer than %d bytes", maxReportBytes)
 	}
 	form, rest, _ := strings.Cut(strings.TrimSpace(value), " ")
 	switch form {
@@ -43,7 +43,7 @@
 		if err := (protojson.UnmarshalOptions{DiscardUnknown: true}).Unmarshal([]byte(rest), r); err != nil {
 			return nil, fmt.Errorf("load report: %w", err)
 		}
-		return r, checked(r)
+		return r, validate(r)
 	case "BIN":
 		return ParseBin(rest)
 	}
@@ -63,7 +63,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("load report: %w", err)
 	}
-	return r, checked(r)
+	return r, validate(r)
 }
 
 func parseText(text string) (*orcav3.OrcaLoadReport, error) {
@@ -96,11 +96,11 @@
 			r.NamedMetrics[strings.TrimPrefix(name, "named_metrics.")] = figure
 		}
 	}
-	return r, checked(r)
+	return r, validate(r)
 }
 
-// checked turns away figures that no host can mean.
-func checked(r *orcav3.OrcaLoadReport) error {
+// validate turns away figures that no host can mean.
+func validate(r *orcav3.OrcaLoadReport) error {
 	wrong := func(name string, v float64) error {
 		if math.IsNaN(v) || math.IsInf(v, 0) || v < 0 {
 			return fmt.Errorf("load report: %s is %v, a number from 0 expected", name, v)
--- a/internal/platformsettings/check.go
+++ b/internal/platformsettings/check.go
@@ -7,33 +7,35 @@
 	"strconv"
 )
 
-// figure is what a number in the settings may be.
-type figure struct {
-	path        string
-	least, most float64
-	needed      bool
-	whole       bool
+// numberRule is what a number in the settings may be.
+type numberRule struct {
+	path     string
+	min, max float64
+	required bool
+	integer  bool
 }
 
 const (
-	longest = 1e12 // microseconds: eleven days, beyond any time that a router acts by
-	many    = 1e9  // of anything counted
+	maxMicroseconds = 1e12 // microseconds: eleven days, beyond any time that a router acts by
+	maxCount        = 1e9  // of anything counted
 )
 
 // span is a time in microseconds.
-func span(path string, needed bool) figure { return figure{path, 0, longest, needed, true} }
+func span(path string, needed bool) numberRule {
+	return numberRule{path, 0, maxMicroseconds, needed, true}
+}
 
-func share(path string, needed bool) figure { return figure{path, 0, 1, needed, false} }
+func share(path string, needed bool) numberRule { return numberRule{path, 0, 1, needed, false} }
 
-func count(path string, least float64, needed bool) figure {
-	return figure{path, least, many, needed, true}
+func count(path string, least float64, needed bool) numberRule {
+	return numberRule{path, least, maxCount, needed, true}
 }
 
-func amount(path string) figure { return figure{path, 0, many, false, false} }
+func amount(path string) numberRule { return numberRule{path, 0, maxCount, false, false} }
 
-// figures are those of the settings that stand by themselves. One that is needed has no value that would do in its
+// numberRules are those of the settings that stand by themselves. One that is needed has no value that would do in its
 // place; the others may be left out, and mean then that there is no such thing.
-var figures = []figure{
+var numberRules = []numberRule{
 	count("Balancers", 1, true), count("Rank", 0, true), amount("OverShareWorth"),
 	span("Obligations.DrainGraceUs", true), span("Obligations.ColdUs", false), share("Obligations.StartCapacity", false),
 	amount("Obligations.TipMultiple"), span("Obligations.OverloadForUs", false), span("Obligations.AskWithinUs", false),
@@ -47,8 +49,8 @@
 	span("Extra.BakeUs", false), span("Extra.StageTimeUs", false),
 }
 
-// words are the settings that have one of some values; the first tells whether it may be left out.
-var words = map[string][]string{
+// choices are the settings that have one of some values; the first tells whether it may be left out.
+var choices = map[string][]string{
 	"RegistryMode":  {"pushed", "on_request"},
 	"Extra.Control": {"", "any", "share", "timer"},
 	"Extra.Counts":  {"", "all", "class"},
@@ -60,15 +62,15 @@
 	at := func(path, text string, more ...any) {
 		wrong = append(wrong, fmt.Errorf("%s: %s", path, fmt.Sprintf(text, more...)))
 	}
-	number := func(f figure) {
+	number := func(f numberRule) {
 		text, ok := p[f.path]
 		v, err := strconv.ParseFloat(text, 64)
 		switch {
-		case !ok && f.needed:
+		case !ok && f.required:
 			at(f.path, "missing")
 		case !ok:
-		case err != nil || !(v >= f.least && v <= f.most) || f.whole && v != float64(int64(v)):
-			at(f.path, "a number from %v to %v expected, not %q", f.least, f.most, text)
+		case err != nil || !(v >= f.min && v <= f.max) || f.integer && v != float64(int64(v)):
+			at(f.path, "a number from %v to %v expected, not %q", f.min, f.max, text)
 		}
 	}
 	word := func(path string, of []string) {
@@ -86,11 +88,11 @@
 			seen[n] = true
 		}
 	}
-	for _, f := range figures {
+	for _, f := range numberRules {
 		number(f)
 	}
 	for _, path := range []string{"RegistryMode", "Extra.Control", "Extra.Counts"} {
-		word(path, words[path])
+		word(path, choices[path])
 	}
 	for _, path := range []string{"SecondCopies", "Peers", "Probes", "RetryAfter", "Cancel"} {
 		word("Permissions."+path, []string{"", "true", "false", "0", "1"})
@@ -116,7 +118,7 @@
 		name("Categories", i, seen)
 		word(of+"Semantics", []string{"repeatable", "by_key", "once"})
 		for _, path := range []string{"AimUs", "DeadlineUs"} {
-			number(figure{of + path, 1, longest, true, true})
+			number(numberRule{of + path, 1, maxMicroseconds, true, true})
 		}
 		number(amount(of + "Importance"))
 		number(amount(of + "LateValue"))
--- a/internal/platformsettings/terms.go
+++ b/internal/platformsettings/settings.go
@@ -44,7 +44,7 @@
 	return strings.Split(p[path], ",")
 }
 
-func (p Values) span(path string) policy.Time { return FromMicroseconds(p.Int(path)) }
+func (p Values) time(path string) policy.Time { return FromMicroseconds(p.Int(path)) }
 
 // Flatten reads a JSON object as pairs.
 func Flatten(text []byte) (Values, error) {
@@ -111,8 +111,8 @@
 	place := router.Config{Seed: seed, Routers: int(p.Int("Balancers")), Rank: int(p.Int("Rank")), Zone: p["MyZone"]}
 	for i := range int(p.Int("Categories.count")) {
 		at := fmt.Sprintf("Categories.%d.", i)
-		c := router.Class{Name: p[at+"Name"], LatencyObjective: p.span(at + "AimUs"), PriorityWeight: p.Float(at + "Importance"),
-			LateValueShare: p.Float(at + "LateValue"), DedupWindow: p.span(at + "WindowUs")}
+		c := router.Class{Name: p[at+"Name"], LatencyObjective: p.time(at + "AimUs"), PriorityWeight: p.Float(at + "Importance"),
+			LateValueShare: p.Float(at + "LateValue"), DedupWindow: p.time(at + "WindowUs")}
 		c.Idempotency = map[string]policy.Idempotency{"repeatable": policy.Idempotent, "by_key": policy.IdempotentWithKey,
 			"once": policy.NonIdempotent}[p[at+"Semantics"]]
 		c.DedupScope = map[string]policy.DedupScope{"zone": policy.ZoneScope, "cell": policy.CellScope}[p[at+"DedupScope"]]
@@ -123,10 +123,10 @@
 		place.Tenants = append(place.Tenants,
 			router.Tenant{Name: p[at+"Name"], QuotaPerSecond: p.Float(at + "QuotaPerS")})
 	}
-	place.Limits = policy.Limits{DrainGrace: p.span("Obligations.DrainGraceUs"),
-		WarmUp: p.span("Obligations.ColdUs"), ColdCapacity: p.Float("Obligations.StartCapacity"),
-		ColdOverloadFactor: p.Float("Obligations.TipMultiple"), ColdOverloadWindow: p.span("Obligations.OverloadForUs"),
-		PollInterval: p.span("Obligations.AskWithinUs"), MaxAttempts: int(p.Int("Permissions.MaxAttempts")),
+	place.Limits = policy.Limits{DrainGrace: p.time("Obligations.DrainGraceUs"),
+		WarmUp: p.time("Obligations.ColdUs"), ColdCapacity: p.Float("Obligations.StartCapacity"),
+		ColdOverloadFactor: p.Float("Obligations.TipMultiple"), ColdOverloadWindow: p.time("Obligations.OverloadForUs"),
+		PollInterval: p.time("Obligations.AskWithinUs"), MaxAttempts: int(p.Int("Permissions.MaxAttempts")),
 		MaxOpen: int(p.Int("Permissions.MaxOpen")), AllowHedging: p.Bool("Permissions.SecondCopies"),
 		PushedDiscovery: p["RegistryMode"] == "pushed", CrossZonePrice: p.Float("Prices.CrossZone"),
 		WastePrice: p.Float("Prices.Waste"), OverQuotaValueShare: p.Float("OverShareWorth")}
@@ -136,20 +136,20 @@
 	}
 	place.Limits.HealthChecks = p.Bool("Permissions.Probes")
 	if p.Bool("Permissions.RetryAfter") {
-		place.Limits.MaxRetryAfter = p.span("Permissions.MaxRetryAfterUs")
+		place.Limits.MaxRetryAfter = p.time("Permissions.MaxRetryAfterUs")
 	}
 	place.Release = policy.ReleaseConfig{
 		Mode:          map[string]policy.PromotionMode{"share": policy.Quorum, "timer": policy.Timed}[p["Extra.Control"]],
 		PromoteQuorum: int(p.Int("Extra.AyesNeeded")), RollbackQuorum: int(p.Int("Extra.ToAbort")),
-		VoteTTL: p.span("Extra.VoteStandsUs"), VoteTimeout: p.span("Extra.CallTimeoutUs"),
-		MaxVotesPerSecond: p.Float("Extra.VoteAllowance"), ExposureWindow: p.span("Extra.ExposureWindowUs"),
+		VoteTTL: p.time("Extra.VoteStandsUs"), VoteTimeout: p.time("Extra.CallTimeoutUs"),
+		MaxVotesPerSecond: p.Float("Extra.VoteAllowance"), ExposureWindow: p.time("Extra.ExposureWindowUs"),
 		ExposureAllowance: p.Float("Extra.Free"), ExposurePerClass: p["Extra.Counts"] == "class",
 		GuardedStages: int(p.Int("Extra.GuardedStages")), StickyKeys: p.Bool("Extra.KeysStay"),
 		DelayPrice: p.Float("Extra.LagFee"), HarmPrice: p.Float("Extra.HarmFee"),
-		ComplaintShare: p.Float("Extra.ComplaintShare"), MinStageTime: p.span("Extra.BakeUs"),
-		StageTime: p.span("Extra.StageTimeUs")}
+		ComplaintShare: p.Float("Extra.ComplaintShare"), MinStageTime: p.time("Extra.BakeUs"),
+		StageTime: p.time("Extra.StageTimeUs")}
 	if p.Int("Extra.MetricsPeriodUs") > 0 {
-		place.Release.SampledShare, t.StatsWindow = p.Float("Extra.SampledShare"), p.span("Extra.MetricsPeriodUs")
+		place.Release.SampledShare, t.StatsWindow = p.Float("Extra.SampledShare"), p.time("Extra.MetricsPeriodUs")
 	}
 	for _, share := range p.List("Extra.StageCap") {
 		place.Release.ExposureCaps = append(place.Release.ExposureCaps, Values{"": share}.Float(""))
@@ -161,37 +161,37 @@
 // ReportFields is the fields of a load report, in their order.
 type ReportFields []string
 
-// Load reads a report's figures in the fields' order; what is not reported is negative.
-func (r ReportFields) Load(figures []float64) *policy.LoadReport {
+// FromValues reads a report's figures in the fields' order; what is not reported is negative.
+func (r ReportFields) FromValues(figures []float64) *policy.LoadReport {
 	if figures == nil {
 		return nil
 	}
-	l := blank()
+	l := unreported()
 	for i := range min(len(r), len(figures)) {
-		enter(l, r[i], figures[i])
+		setField(l, r[i], figures[i])
 	}
 	return l
 }
 
-// Named reads a report of names with their figures, such as "active=7,rps=2.5". One that can't be read whole is none.
-func (r ReportFields) Named(text string) (*policy.LoadReport, error) {
-	l := blank()
+// Parse reads a report of names with their figures, such as "active=7,rps=2.5". One that can't be read whole is none.
+func (r ReportFields) Parse(text string) (*policy.LoadReport, error) {
+	l := unreported()
 	for pair := range strings.SplitSeq(text, ",") {
 		name, figure, ok := strings.Cut(strings.TrimSpace(pair), "=")
 		v, err := strconv.ParseFloat(figure, 64)
 		if !ok || err != nil || math.IsNaN(v) || math.IsInf(v, 0) || v < 0 {
 			return nil, fmt.Errorf("the load report %q can't be read", text[:min(len(text), 100)])
 		}
-		enter(l, name, v)
+		setField(l, name, v)
 	}
 	return l, nil
 }
 
-func blank() *policy.LoadReport {
+func unreported() *policy.LoadReport {
 	return &policy.LoadReport{ActiveRequests: -1, QueuedRequests: -1, CPUUtilization: -1, MeanLatency: -1, RequestsPerSecond: -1}
 }
 
-func enter(l *policy.LoadReport, field string, v float64) {
+func setField(l *policy.LoadReport, field string, v float64) {
 	switch field {
 	case "active":
 		l.ActiveRequests = v
--- a/internal/platformsettings/terms_test.go
+++ b/internal/platformsettings/settings_test.go
@@ -8,14 +8,14 @@
 	"dapplefront/policy"
 )
 
-const nested = `{"Balancers":3,"Rank":1,"MyZone":"here","Categories":[
+const nestedSettings = `{"Balancers":3,"Rank":1,"MyZone":"here","Categories":[
 	{"Name":"quote","AimUs":380000,"Importance":1.0,"LateValue":0.2,"Semantics":"repeatable","DedupScope":"all","WindowUs":5000000},
 	{"Name":"pay","AimUs":250000,"Importance":3,"Semantics":"once","DedupScope":"cell","Stream":false,"WindowUs":0}],
 	"Parties":[],"Permissions":{"MaxAttempts":6,"RetryAfter":true,"MaxRetryAfterUs":2000000},"RegistryMode":"on_request",
 	"Obligations":{"DrainGraceUs":2000000,"StartCapacity":0.33},"Report":{"Fields":["rps","avg_ms","active"],"How":"inline"},
 	"Extra":{"Control":"share","StageCap":[0.096,0.48,1.0],"AyesNeeded":2,"MetricsPeriodUs":1500000,"SampledShare":0.5}}`
 
-var paired = Values{"Balancers": "3", "Rank": "1", "MyZone": "here", "Categories.count": "2", "Categories.0.Name": "quote",
+var flattenedSettings = Values{"Balancers": "3", "Rank": "1", "MyZone": "here", "Categories.count": "2", "Categories.0.Name": "quote",
 	"Categories.0.AimUs": "380000", "Categories.0.Importance": "1", "Categories.0.LateValue": "0.2",
 	"Categories.0.Semantics": "repeatable", "Categories.0.DedupScope": "all", "Categories.0.WindowUs": "5000000",
 	"Categories.1.Name": "pay", "Categories.1.AimUs": "250000", "Categories.1.Importance": "3", "Categories.1.Semantics": "once",
@@ -26,9 +26,9 @@
 	"Extra.SampledShare": "0.5"}
 
 func TestBothFormsOfOneTextMakeOnePlace(t *testing.T) {
-	p, err := Flatten([]byte(nested))
+	p, err := Flatten([]byte(nestedSettings))
 	require.NoError(t, err)
-	got, want := Read(p, 7), Read(paired, 7)
+	got, want := Read(p, 7), Read(flattenedSettings, 7)
 	require.Equal(t, want, got)
 	require.Equal(t, 3, got.Router.Routers)
 	require.Equal(t, policy.Time(3800), got.Router.Classes[0].LatencyObjective)
@@ -50,13 +50,13 @@
 
 func TestReportsAreReadWholeOrNotAtAll(t *testing.T) {
 	r := ReportFields{"rps", "avg_ms", "active"}
-	got, err := r.Named("active=7, rps=2.5,avg_ms=40")
+	got, err := r.Parse("active=7, rps=2.5,avg_ms=40")
 	require.NoError(t, err)
-	require.Equal(t, r.Load([]float64{2.5, 40, 7}), got)
+	require.Equal(t, r.FromValues([]float64{2.5, 40, 7}), got)
 	require.Equal(t, &policy.LoadReport{ActiveRequests: 7, QueuedRequests: -1, CPUUtilization: -1, MeanLatency: 400, RequestsPerSecond: 2.5}, got)
 	for _, text := range []string{"", "active", "active=", "active=x", "active=NaN", "active=-1", "active=1,,", "active=+Inf", "\x00"} {
-		_, err := r.Named(text)
+		_, err := r.Parse(text)
 		require.Error(t, err, text)
 	}
-	require.Nil(t, r.Load(nil))
+	require.Nil(t, r.FromValues(nil))
 }
--- a/internal/routerconfig/charter.go
+++ b/internal/routerconfig/config.go
@@ -141,12 +141,12 @@
 			p.AddError("most", "most: at least twice size expected")
 		}
 	}
-	c.desk(s.Section("desk"))
-	c.kinds(s)
+	c.readControlPlane(s.Section("desk"))
+	c.readClasses(s)
 	return c
 }
 
-func (c *Config) desk(p inifile.Section) {
+func (c *Config) readControlPlane(p inifile.Section) {
 	c.ControlPlane.URLs = p.List("url", "!")
 	for _, u := range c.ControlPlane.URLs {
 		if !strings.HasPrefix(u, "http://") && !strings.HasPrefix(u, "https://") {
@@ -176,7 +176,7 @@
 	c.Router.Release = d
 }
 
-func (c *Config) kinds(s *inifile.File) {
+func (c *Config) readClasses(s *inifile.File) {
 	parts, names := s.Sections("category")
 	for i, p := range parts {
 		repeat := p.OneOf("repeat", "!", "retriable", "fingerprinted", "binding")
--- a/internal/simwire/wire.go
+++ b/internal/simwire/reader.go
@@ -100,46 +100,46 @@
 type Reader struct {
 	in    *bufio.Reader
 	line  int
-	books [16][]Entry
+	lists [16][]Entry
 }
 
 // NewReader reads batches from in.
 func NewReader(in io.Reader) *Reader { return &Reader{in: bufio.NewReaderSize(in, 1<<20)} }
 
-// next returns the next line that is not blank, cut at single spaces.
-func (r *Reader) next() (fields, error) {
+// nextLine returns the next line that is not blank, cut at single spaces.
+func (r *Reader) nextLine() (lineParser, error) {
 	for {
 		text, err := r.in.ReadString('\n')
 		if text == "" && err != nil {
-			return fields{}, err
+			return lineParser{}, err
 		}
 		if err != nil && !errors.Is(err, io.EOF) {
-			return fields{}, err
+			return lineParser{}, err
 		}
 		r.line++
 		text = strings.TrimRight(text, "\r\n")
 		if text != "" {
-			return fields{line: r.line, text: text, rest: text}, nil
+			return lineParser{line: r.line, text: text, rest: text}, nil
 		}
 	}
 }
 
 // Batch reads one batch; io.EOF says that input ended between batches.
 func (r *Reader) Batch() (Batch, error) {
-	f, err := r.next()
+	f, err := r.nextLine()
 	if err != nil {
 		return Batch{}, err
 	}
 	if name := f.word(); name != "BEGIN_BATCH" {
-		return Batch{}, f.wrong("BEGIN_BATCH")
+		return Batch{}, f.expected("BEGIN_BATCH")
 	}
-	b := Batch{Now: f.whole("the clock"), Number: f.whole("the batch's number")}
+	b := Batch{Now: f.integer("the clock"), Number: f.integer("the batch's number")}
 	if f.err != nil {
 		return b, f.err
 	}
 	instance, chosen := 0, false
 	for {
-		f, err := r.next()
+		f, err := r.nextLine()
 		if errors.Is(err, io.EOF) {
 			return b, fmt.Errorf("line %d: input ended inside a batch: EOF_BATCH expected", r.line+1)
 		}
@@ -150,16 +150,16 @@
 		case "EOF_BATCH":
 			return b, f.err
 		case "SELECT":
-			instance, chosen = int(f.whole("an instance")), true
+			instance, chosen = int(f.integer("an instance")), true
 		case "LEDGER":
-			if err := r.ledger(&f); err != nil {
+			if err := r.readList(&f); err != nil {
 				return b, err
 			}
 		default:
 			if !chosen {
-				return b, f.wrong("SELECT before the first event")
+				return b, f.expected("SELECT before the first event")
 			}
-			body := r.body(name, &f)
+			body := r.readBody(name, &f)
 			if f.err == nil {
 				b.Events = append(b.Events, Event{Instance: instance, Body: body})
 			}
@@ -170,73 +170,73 @@
 	}
 }
 
-func (r *Reader) ledger(f *fields) error {
-	ref, n := f.whole("a list number"), f.whole("the number of entries")
+func (r *Reader) readList(f *lineParser) error {
+	ref, n := f.integer("a list number"), f.integer("the number of entries")
 	if f.err != nil {
 		return f.err
 	}
-	if ref < 0 || ref >= int64(len(r.books)) || n < 0 {
-		return f.wrong("a list number from 0 to 15 and a number of entries")
+	if ref < 0 || ref >= int64(len(r.lists)) || n < 0 {
+		return f.expected("a list number from 0 to 15 and a number of entries")
 	}
 	var entries []Entry
 	for range n {
-		m, err := r.next()
+		m, err := r.nextLine()
 		if err != nil {
 			return fmt.Errorf("line %d: input ended inside a list: M expected", r.line+1)
 		}
 		if m.word() != "M" {
-			return m.wrong("M, an entry of the list")
+			return m.expected("M, an entry of the list")
 		}
-		e := Entry{Host: m.host(), Site: m.word(), FamilyType: m.word(), Cell: m.whole("a cell")}
+		e := Entry{Host: m.host(), Site: m.word(), FamilyType: m.word(), Cell: m.integer("a cell")}
 		e.Mode = m.oneOf("a mode", "in_service", "terminating", "terminated")
-		e.Release, e.PowerHint = int(m.number("a build")), m.number("a size")
-		e.UpSinceUs = m.whole("a start time")
+		e.Release, e.PowerHint = int(m.float("a build")), m.float("a size")
+		e.UpSinceUs = m.integer("a start time")
 		if m.err != nil {
 			return m.err
 		}
 		entries = append(entries, e)
 	}
-	r.books[ref] = entries
+	r.lists[ref] = entries
 	return nil
 }
 
-func (r *Reader) body(name string, f *fields) any {
+func (r *Reader) readBody(name string, f *lineParser) any {
 	switch name {
 	case "INCOMING":
-		return Incoming{f.must("a request id"), f.must("a class"), f.word(), f.word(),
-			f.whole("the patience left"), f.whole("a work hint"), f.whole("marks")}
+		return Incoming{f.required("a request id"), f.required("a class"), f.word(), f.word(),
+			f.integer("the patience left"), f.integer("a work hint"), f.integer("marks")}
 	case "ENDED":
-		return Ended{f.must("a request id"), int(f.whole("an attempt")), f.host(),
+		return Ended{f.required("a request id"), int(f.integer("an attempt")), f.host(),
 			f.oneOf("an outcome", "served", "server_error", "turned_away", "no_answer", "no_connection",
 				"connection_lost", "called_off", "not_sent"),
-			f.whole("a time"), f.flag(), f.numbers()}
+			f.integer("a time"), f.bool(), f.numbers()}
 	case "DUE":
-		return Due{f.whole("a mark")}
+		return Due{f.integer("a mark")}
 	case "TIMED_OUT_CLIENT":
-		return TimedOutClient{f.must("a request id")}
+		return TimedOutClient{f.required("a request id")}
 	case "VIEW":
 		v := View{How: f.oneOf("a kind of list", "D", "F", "C", "X")}
-		f.whole("a version")
-		ref := f.whole("a list number")
+		f.integer("a version")
+		ref := f.integer("a list number")
 		if v.How != "X" && f.err == nil {
-			if ref < 0 || ref >= int64(len(r.books)) {
+			if ref < 0 || ref >= int64(len(r.lists)) {
 				f.fail("a list number from 0 to 15")
 				return nil
 			}
-			v.Entries = r.books[ref]
+			v.Entries = r.lists[ref]
 		}
 		return v
 	case "PHASE_TOLD":
-		return PhaseTold{int(f.whole("a build")), int(f.whole("a stage")), int(f.whole("a phase")), f.flag(),
+		return PhaseTold{int(f.integer("a build")), int(f.integer("a stage")), int(f.integer("a phase")), f.bool(),
 			f.oneOf("an answer", "served", "not_sent", "turned_away", "server_error", "no_answer"),
-			f.number("a cap"), f.whole("an age")}
+			f.float("a cap"), f.integer("an age")}
 	case "COUNTS_BY_BUILD":
-		return CountsByBuild{int(f.whole("a build")), int(f.whole("a count")), int(f.whole("a count")),
-			f.whole("a time"), f.must("a class"), f.whole("an age")}
+		return CountsByBuild{int(f.integer("a build")), int(f.integer("a count")), int(f.integer("a count")),
+			f.integer("a time"), f.required("a class"), f.integer("an age")}
 	case "BAD_ANSWER":
-		return BadAnswer{f.host(), f.must("a class"), f.whole("an age")}
+		return BadAnswer{f.host(), f.required("a class"), f.integer("an age")}
 	case "ACK_FIRST":
-		return AckFirst{f.must("a request id"), int(f.whole("an attempt"))}
+		return AckFirst{f.required("a request id"), int(f.integer("an attempt"))}
 	case "KILL":
 		return Kill{}
 	case "LAUNCH":
@@ -255,14 +255,14 @@
 		f.rest = ""
 		return Launch{seed, p}
 	case "FROM_PEER":
-		e := FromPeer{Author: int(f.whole("a peer"))}
+		e := FromPeer{Author: int(f.integer("a peer"))}
 		var err error
 		if e.Body, err = base64.StdEncoding.DecodeString(f.word()); err != nil {
 			f.fail("a body in base64")
 		}
 		return e
 	case "HEALTH_RESULT":
-		return HealthResult{f.whole("a time"),
+		return HealthResult{f.integer("a time"),
 			f.oneOf("an outcome", "served", "server_error", "turned_away", "no_answer", "no_connection",
 				"connection_lost", "called_off", "not_sent"), f.host(), f.numbers()}
 	}
@@ -270,14 +270,14 @@
 	return nil
 }
 
-// fields walks over the parts of one line and keeps the first thing wrong with it.
-type fields struct {
+// lineParser walks over the parts of one line and keeps the first thing wrong with it.
+type lineParser struct {
 	line       int
 	text, rest string
 	err        error
 }
 
-func (f *fields) wrong(want string) error {
+func (f *lineParser) expected(want string) error {
 	text := f.text
 	if len(text) > 120 {
 		text = text[:120] + "..."
@@ -285,14 +285,14 @@
 	return fmt.Errorf("line %d: %s expected in %q", f.line, want, text)
 }
 
-func (f *fields) fail(want string) {
+func (f *lineParser) fail(want string) {
 	if f.err == nil {
-		f.err = f.wrong(want)
+		f.err = f.expected(want)
 	}
 }
 
 // word takes the next part; an absent one is empty.
-func (f *fields) word() string {
+func (f *lineParser) word() string {
 	w, rest, _ := strings.Cut(f.rest, " ")
 	f.rest = rest
 	if w == "-" {
@@ -301,7 +301,7 @@
 	return w
 }
 
-func (f *fields) must(what string) string {
+func (f *lineParser) required(what string) string {
 	w := f.word()
 	if w == "" {
 		f.fail(what)
@@ -309,7 +309,7 @@
 	return w
 }
 
-func (f *fields) whole(what string) int64 {
+func (f *lineParser) integer(what string) int64 {
 	w := f.word()
 	if w == "" {
 		return 0
@@ -321,7 +321,7 @@
 	return n
 }
 
-func (f *fields) number(what string) float64 {
+func (f *lineParser) float(what string) float64 {
 	w := f.word()
 	if w == "" {
 		return 0
@@ -333,7 +333,7 @@
 	return n
 }
 
-func (f *fields) host() uint32 {
+func (f *lineParser) host() uint32 {
 	n, err := strconv.ParseUint(f.word(), 10, 32)
 	if err != nil {
 		f.fail("a host's number")
@@ -341,9 +341,9 @@
 	return uint32(n)
 }
 
-func (f *fields) flag() bool { return f.oneOf("1 or 0", "", "0", "1") == "1" }
+func (f *lineParser) bool() bool { return f.oneOf("1 or 0", "", "0", "1") == "1" }
 
-func (f *fields) oneOf(what string, words ...string) string {
+func (f *lineParser) oneOf(what string, words ...string) string {
 	w := f.word()
 	for _, known := range words {
 		if w == known {
@@ -354,7 +354,7 @@
 	return w
 }
 
-func (f *fields) numbers() []float64 {
+func (f *lineParser) numbers() []float64 {
 	w := f.word()
 	if w == "" {
 		return nil
@@ -375,17 +375,19 @@
 
 // Writer prints replies.
 type Writer struct {
-	out *bufio.Writer
-	at  int
+	out      *bufio.Writer
+	instance int
 }
 
 // NewWriter prints replies to out.
-func NewWriter(out io.Writer) *Writer { return &Writer{out: bufio.NewWriterSize(out, 1<<20), at: -1} }
+func NewWriter(out io.Writer) *Writer {
+	return &Writer{out: bufio.NewWriterSize(out, 1<<20), instance: -1}
+}
 
 // Act prints one action of an instance: its name and its values.
 func (w *Writer) Act(instance int, name string, values ...any) {
-	if instance != w.at {
-		w.at = instance
+	if instance != w.instance {
+		w.instance = instance
 		fmt.Fprintf(w.out, "AT %d\n", instance)
 	}
 	w.out.WriteString(name)
@@ -405,7 +407,7 @@
 
 // End closes the reply to a batch and sends it off.
 func (w *Writer) End(batch int64) error {
-	w.at = -1
+	w.instance = -1
 	fmt.Fprintf(w.out, "EOR %d\n", batch)
 	return w.out.Flush()
 }
--- a/internal/sse/sse.go
+++ b/internal/sse/sse.go
@@ -16,10 +16,10 @@
 )
 
 const (
-	soonest = 100 * time.Millisecond // before a broken stream is taken up again, then twice as long each time
-	latest  = 3 * time.Second        // a server that is back is heard of within this
-	silence = 20 * time.Second       // several times what servers repeat themselves in
-	largest = 1 << 20                // bytes of an event; the largest is a release with a long trace
+	minBackoff    = 100 * time.Millisecond // before a broken stream is taken up again, then twice as long each time
+	maxBackoff    = 3 * time.Second        // a server that is back is heard of within this
+	idleTimeout   = 20 * time.Second       // several times what servers repeat themselves in
+	maxEventBytes = 1 << 20                // bytes of an event; the largest is a release with a long trace
 )
 
 // Follow reads a stream until ctx ends, and takes it up again when it breaks, by Last-Event-ID and not all clients at
@@ -36,27 +36,27 @@
 // FollowAny is Follow of a stream that several servers have, with the same ids: where names the one to ask next.
 func FollowAny(ctx context.Context, client *http.Client, where func() string, tell func(event string, data []byte) error,
 	trouble func(error)) {
-	wait, last := soonest, ""
+	wait, last := minBackoff, ""
 	for ctx.Err() == nil {
 		began, url := time.Now(), where()
-		err := follow(ctx, client, url, &last, tell, trouble)
+		err := readStream(ctx, client, url, &last, tell, trouble)
 		if ctx.Err() != nil {
 			return
 		}
 		trouble(fmt.Errorf("the watch of %s ended: %w", url, err))
-		if time.Since(began) > latest {
-			wait = soonest
+		if time.Since(began) > maxBackoff {
+			wait = minBackoff
 		}
 		select {
 		case <-ctx.Done():
 		case <-time.After(wait/2 + rand.N(wait)):
 		}
-		wait = min(2*wait, latest)
+		wait = min(2*wait, maxBackoff)
 	}
 }
 
-// follow reads one stream to its end.
-func follow(ctx context.Context, client *http.Client, url string, last *string, tell func(string, []byte) error,
+// readStream reads one stream to its end.
+func readStream(ctx context.Context, client *http.Client, url string, last *string, tell func(string, []byte) error,
 	trouble func(error)) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -68,7 +68,7 @@
 	if *last != "" {
 		ask.Header.Set("Last-Event-ID", *last)
 	}
-	quiet := time.AfterFunc(silence, cancel)
+	quiet := time.AfterFunc(idleTimeout, cancel)
 	defer quiet.Stop()
 	got, err := client.Do(ask)
 	if err != nil {
@@ -85,11 +85,11 @@
 		return fmt.Errorf("status %s", got.Status)
 	}
 	lines := bufio.NewScanner(got.Body)
-	lines.Buffer(make([]byte, 4096), largest)
+	lines.Buffer(make([]byte, 4096), maxEventBytes)
 	var event, id string
 	var data bytes.Buffer
 	for lines.Scan() {
-		quiet.Reset(silence)
+		quiet.Reset(idleTimeout)
 		name, value, _ := strings.Cut(lines.Text(), ":")
 		value = strings.TrimPrefix(value, " ")
 		switch {
@@ -109,7 +109,7 @@
 		case name == "id":
 			id = value
 		case name == "data":
-			if data.Len()+len(value) > largest {
+			if data.Len()+len(value) > maxEventBytes {
 				return errors.New("an event is too large")
 			}
 			data.WriteString(value)
