--- /dev/null
+++ b/internal/node/router_config.go
@@ -0,0 +1,107 @@
+package node
+
+import (
+	"fmt"
+	"net/http"
+	"time"
+
+	"dapplefront/internal/downstream"
+	"dapplefront/internal/eventloop"
+	"dapplefront/internal/http1"
+	"dapplefront/internal/routerconfig"
+	"dapplefront/internal/upstream"
+	"dapplefront/policy"
+)
+
+// Sizes and times of the router on the platform that its settings don't give.
+const (
+	maxHeadBytes        = 16 << 10
+	maxRequestBodyBytes = 64 << 10
+	maxResponseBytes    = 1 << 20 // some hosts answer with more than the protocol's 64 KiB
+
+	// reservedSockets are descriptors beside client and host connections: the poller, standard streams, the listener,
+	// two watches of discovery, two feeds, votes.
+	reservedSockets = 28
+
+	minDrainTimeout   = 3 * time.Second // the longest request timeout counts where it is longer
+	minConnectTimeout = 50 * time.Millisecond
+
+	// idleMargin is subtracted from the time that a host keeps an idle connection, as it may close it a little early.
+	idleMargin             = 2 * time.Second
+	minUpstreamIdleTimeout = time.Second
+
+	transferTimeout     = 2 * time.Second
+	clientIdleTimeout   = 2100 * time.Millisecond
+	firstRequestTimeout = 2300 * time.Millisecond
+
+	// reclaimIdleAfter is how long a client connection has to be idle before it is closed to make room once all
+	// connections are taken. A client whose idle connection ends opens another, while a rejected connection is a
+	// rejected request.
+	reclaimIdleAfter = 200 * time.Millisecond
+
+	defaultRequestTimeout = time.Minute // of a class without a deadline
+)
+
+// downstreamProtocol names the headers of "Clients to routers" in the operators' protocol page.
+var downstreamProtocol = &downstream.Protocol{Class: "Request-Class", Tenant: "Tenant", Timeout: "Request-Timeout-Ms",
+	IdempotencyKey: "Idempotency-Key", Key: "Affinity-Key", ExpectedWork: "Work-Hint", ClientRetry: "Client-Retry", ID: "Request-Id", Strict: true,
+	WorkUnitsPerTick: 100, DecimalRetryAfter: true, ReadinessPath: "/ready"}
+
+// routerConfig derives the router's configuration from the file's limits and settings.
+func (c *Config) routerConfig() *routerconfig.Config {
+	sockets := c.Limits.Sockets - reservedSockets
+	maxUpstream := sockets * 9 / 20
+	idle := c.duration("Permissions.ConnIdleUs")
+	r := &routerconfig.Config{Name: c.Name, Listen: c.Listen, DrainTimeout: minDrainTimeout, MaxBodyBytes: c.Limits.MemoryMB << 20 / 6,
+		Router: c.settings.Router}
+	r.Upstream = upstream.Config{ConnectTimeout: max(c.duration("Permissions.ConnectTimeoutUs"), minConnectTimeout),
+		IdleTimeout:           max(idle-idleMargin, idle/2, minUpstreamIdleTimeout),
+		MaxConnectionsPerHost: sockets, MaxConnections: maxUpstream,
+		Limits: http1.Limits{Head: maxHeadBytes, Body: maxResponseBytes, Framed: true}, Protocol: c.upstreamProtocol()}
+	r.Downstream = downstream.Config{RouterName: c.Name, TransferTimeout: transferTimeout, IdleTimeout: clientIdleTimeout,
+		FirstRequestTimeout: firstRequestTimeout, ReclaimIdleAfter: reclaimIdleAfter, MaxConnections: sockets - maxUpstream, MaxPipelined: 1,
+		Limits: http1.Limits{Head: maxHeadBytes, Body: maxRequestBodyBytes}, Protocol: downstreamProtocol}
+	for i, class := range r.Router.Classes {
+		d := downstreamClass(class.Name, class.Idempotency, c.duration(fmt.Sprintf("Categories.%d.DeadlineUs", i)))
+		r.DrainTimeout = max(r.DrainTimeout, eventloop.Duration(d.Timeout))
+		r.Downstream.Classes = append(r.Downstream.Classes, d)
+	}
+	return r
+}
+
+// duration is the setting at path, which is given in microseconds.
+func (c *Config) duration(path string) time.Duration {
+	return time.Duration(c.values.Int(path)) * time.Microsecond
+}
+
+// downstreamClass applies the rule of the protocol page that the class determines the method and whether an idempotency
+// key is required or forbidden.
+func downstreamClass(name string, idempotency policy.Idempotency, timeout time.Duration) downstream.Class {
+	d := downstream.Class{Name: name, Timeout: eventloop.FromDuration(timeout), Method: http.MethodPost}
+	switch idempotency {
+	case policy.Idempotent:
+		d.Method = http.MethodGet
+	case policy.IdempotentWithKey:
+		d.RequiresIdempotencyKey = true
+	case policy.NonIdempotent:
+		d.ForbidsIdempotencyKey = true
+	}
+	if d.Timeout <= 0 {
+		d.Timeout = eventloop.FromDuration(defaultRequestTimeout)
+	}
+	return d
+}
+
+// upstreamProtocol names the headers of "Routers to hosts" in the operators' protocol page. The load report is read by
+// the fields that the settings name.
+func (c *Config) upstreamProtocol() *upstream.Protocol {
+	return &upstream.Protocol{Timeout: "Request-Timeout-Ms", NotStarted: "Not-Started",
+		NotStartedStatuses: []int{http.StatusServiceUnavailable, http.StatusGatewayTimeout}, OnlyStatusOK: true, StartsWhenComplete: true,
+		Load: func(m *http1.Message) (*policy.LoadReport, error) {
+			text, ok := m.Lookup("Server-Load")
+			if !ok {
+				return nil, nil
+			}
+			return c.settings.Report.Parse(text)
+		}}
+}
--- a/internal/node/run.go
+++ b/internal/node/run.go
@@ -3,50 +3,76 @@
 import (
 	"log/slog"
 	"os"
+	"runtime"
+	"runtime/debug"
+	"sync"
 )
 
-// Run serves by the configuration in file until a signal to end comes, and returns how many requests were cut off. One on
-// reload reads the file anew; a mistake in it changes nothing. Once the router ends, further signals change nothing but an
-// interrupt, which cuts off what is still held: whoever ends routers may say so twice.
-func Run(file string, log *slog.Logger, end, reload <-chan os.Signal) (left int, err error) {
-	p, err := Read(file)
+// Run serves by the configuration in file until a signal comes on terminate, and returns how many requests were canceled
+// by the end. A signal on reload reads the file again; a file with a mistake changes nothing and is logged.
+//
+// While the router shuts down, further signals are ignored except an interrupt, which cancels the requests in flight: the
+// platform may send SIGTERM more than once.
+func Run(file string, log *slog.Logger, terminate, reload <-chan os.Signal) (canceled int, err error) {
+	c, err := Read(file)
 	if err != nil {
 		return 0, err
 	}
-	p.ApplyLimits()
-	n, err := Start(p, log)
+	c.ApplyLimits()
+	n, err := Start(c, log)
 	if err != nil {
 		return 0, err
 	}
 	for {
 		select {
 		case <-reload:
-			next, err := Read(file)
-			if err == nil {
-				err = n.Reload(next)
-			}
-			if err != nil {
+			if err := n.reloadFile(file); err != nil {
 				log.Error("the configuration is not changed", "file", file, "error", err)
 			}
-		case sign := <-end:
-			log.Info("retiring", "signal", sign.String())
-			cut, ended := make(chan struct{}), make(chan struct{})
-			go func() {
-				for {
-					select {
-					case again := <-end:
-						if again == os.Interrupt {
-							close(cut)
-							return
-						}
-					case <-reload:
-					case <-ended:
-						return
-					}
-				}
-			}()
-			defer close(ended)
-			return n.Shutdown(cut), nil
+		case sign := <-terminate:
+			log.Info("shutting down", "signal", sign.String())
+			return n.shutdownIgnoring(terminate, reload), nil
 		}
 	}
 }
+
+func (n *Node) reloadFile(file string) error {
+	next, err := Read(file)
+	if err != nil {
+		return err
+	}
+	return n.Reload(next)
+}
+
+// shutdownIgnoring shuts down while it receives signals, so that none of them blocks its sender or takes effect, except
+// an interrupt, which aborts the shutdown.
+func (n *Node) shutdownIgnoring(terminate, reload <-chan os.Signal) (canceled int) {
+	abort, done := make(chan struct{}), make(chan struct{})
+	var receiver sync.WaitGroup
+	receiver.Go(func() {
+		for {
+			select {
+			case sign := <-terminate:
+				if sign == os.Interrupt {
+					close(abort)
+					return
+				}
+			case <-reload:
+			case <-done:
+				return
+			}
+		}
+	})
+	defer receiver.Wait()
+	defer close(done)
+	return n.Shutdown(abort)
+}
+
+// ApplyLimits holds the process to the limits of its configuration: as many threads of Go code as whole cores, at least
+// one, and a soft limit for the heap of 60% of the memory, the rest being left to the kernel's buffers and the binary.
+func (c *Config) ApplyLimits() {
+	const collectAtPercent = 200
+	runtime.GOMAXPROCS(max(1, int(c.Limits.Cores)))
+	debug.SetMemoryLimit(int64(c.Limits.MemoryMB) << 20 * 6 / 10)
+	debug.SetGCPercent(collectAtPercent)
+}
