--- a/record/replay.go
+++ b/record/replay.go
@@ -2,7 +2,6 @@
 
 import (
 	"fmt"
-	"io"
 	"os"
 	"slices"
 	"strings"
@@ -10,14 +9,14 @@
 	"dapplefront/router"
 )
 
-// Report is what a replay found.
+// Report is the result of a replay.
 type Report struct {
-	Entries, Actions int
-	Starts           int // starts of routers
-	Differences      int
-	First            *Difference
-	Skipped          int // entries after a gap, up to the next start
-	Gaps             []string
+	Entries, Actions int         // compared
+	Starts           int         // of routers
+	Differences      int         // entries whose actions differ
+	First            *Difference // nil for none
+	Skipped          int         // entries after a gap, up to the next start
+	Gaps             []string    // why entries could not be compared
 }
 
 // Difference is the first entry whose actions differ.
@@ -25,166 +24,101 @@
 	Entry    Entry
 	Recorded []router.Action
 	Replayed []router.Action
-	Before   []Entry // the last entries that led to it
+	Before   []Entry // the last entries before it, the oldest first
 }
 
+// String describes the difference on several lines.
 func (d *Difference) String() string {
 	var b strings.Builder
-	fmt.Fprintf(&b, "entry %d at %.4f s: %s\n", d.Entry.Number, float64(d.Entry.At)/10_000, EventText(d.Entry.Event))
+	fmt.Fprintf(&b, "entry %d at %.4f s: %s\n", d.Entry.Number, seconds(d.Entry.At), EventText(d.Entry.Event))
 	for _, a := range d.Recorded {
-		fmt.Fprintf(&b, "  recorded: %s\n", deed(a))
+		fmt.Fprintf(&b, "  recorded: %s\n", describeAction(a))
 	}
 	for _, a := range d.Replayed {
-		fmt.Fprintf(&b, "  replayed: %s\n", deed(a))
+		fmt.Fprintf(&b, "  replayed: %s\n", describeAction(a))
 	}
 	fmt.Fprintf(&b, "before it:\n")
 	for _, e := range d.Before {
-		fmt.Fprintf(&b, "  %d at %.4f s: %s\n", e.Number, float64(e.At)/10_000, EventText(e.Event))
+		fmt.Fprintf(&b, "  %d at %.4f s: %s\n", e.Number, seconds(e.At), EventText(e.Event))
 	}
 	return b.String()
 }
 
-// Replay runs recorded events through the library and compares what it does with what was done, action by action. Files
-// are one router's, in order. After a gap or damage nothing can be compared until a router starts anew. explain, if not
-// nil, is told every entry that was compared.
+// Replay runs recorded events through the router library and compares the actions that it returns with those recorded.
+// The files are one router's, in order. After a gap or damage nothing can be compared until the next start of a router.
+// explain, if not nil, is called with every entry that was compared. An error is a file that can't be opened.
 func Replay(files []string, explain func(Entry)) (*Report, error) {
-	r := &Report{}
-	p := player{report: r, explain: explain}
+	r := replayer{report: &Report{}, explain: explain}
 	for _, name := range files {
 		f, err := os.Open(name)
 		if err != nil {
-			return r, err
+			return r.report, err
 		}
-		err = Read(f, p.entry)
-		_ = f.Close()
+		err = Read(f, r.replay)
+		_ = f.Close() // it was only read
 		if err != nil {
-			p.gap(fmt.Sprintf("%s: %v", name, err))
+			r.gap(fmt.Sprintf("%s: %v", name, err))
 		}
 	}
-	return r, nil
+	return r.report, nil
 }
 
-type player struct {
+// replayer compares entries one after the other.
+type replayer struct {
 	report  *Report
 	explain func(Entry)
-	mind    *router.Router
-	next    uint64
-	last    []Entry
-	actions []router.Action
+	router  *router.Router // nil where a start is missing
+	next    uint64         // the number that the next entry should have; 0 before the first
+	before  []Entry
+	actions []router.Action // a buffer
 }
 
-const remembered = 12 // entries before a difference that are shown
+const entriesBefore = 12 // entries before a difference that are shown
 
-func (p *player) gap(why string) {
-	p.mind = nil
-	p.report.Gaps = append(p.report.Gaps, why)
+// gap ends the comparison until the next start of a router.
+func (r *replayer) gap(reason string) {
+	r.router = nil
+	r.report.Gaps = append(r.report.Gaps, reason)
 }
 
-func (p *player) entry(e Entry) error {
-	r := p.report
-	if p.next != 0 && e.Number != p.next && e.Config == nil {
-		p.gap(fmt.Sprintf("entries %d to %d were dropped", p.next, e.Number-1))
+func (r *replayer) replay(e Entry) error {
+	if r.next != 0 && e.Number != r.next && e.Config == nil {
+		r.gap(fmt.Sprintf("entries %d to %d were dropped", r.next, e.Number-1))
 	}
-	p.next = e.Number + 1
+	r.next = e.Number + 1
 	var got []router.Action
 	switch {
 	case e.Config != nil:
-		r.Starts++
-		p.mind, got = router.New(e.At, *e.Config)
-	case p.mind == nil:
-		r.Skipped++
+		r.report.Starts++
+		r.router, got = router.New(e.At, *e.Config)
+	case r.router == nil:
+		r.report.Skipped++
 		return nil
 	default:
 		var err error
-		p.actions, err = p.mind.Handle(e.At, e.Event, p.actions[:0])
-		if got = p.actions; err != nil {
-			got = nil // the daemon went on, with no action
+		r.actions, err = r.router.Handle(e.At, e.Event, r.actions[:0])
+		if got = r.actions; err != nil {
+			got = nil // the router's program went on as well, with no action
 		}
 	}
-	r.Entries++
-	r.Actions += len(e.Actions)
-	if !slices.Equal(got, e.Actions) {
-		if r.Differences++; r.First == nil {
-			r.First = &Difference{Entry: e, Recorded: e.Actions, Replayed: slices.Clone(got), Before: slices.Clone(p.last)}
-		}
-	}
-	if p.explain != nil {
-		p.explain(e)
+	r.compare(e, got)
+	if r.explain != nil {
+		r.explain(e)
 	}
-	if p.last = append(p.last, e); len(p.last) > remembered {
-		p.last = slices.Delete(p.last, 0, 1)
+	if r.before = append(r.before, e); len(r.before) > entriesBefore {
+		r.before = slices.Delete(r.before, 0, 1)
 	}
 	return nil
 }
 
-// EventText say an event for people.
-func EventText(e router.Event) string {
-	switch e := e.(type) {
-	case router.RequestArrived:
-		return fmt.Sprintf("task %s taken: %s, patience %.1f ms", e.RequestID, e.Class, float64(e.Timeout)/10)
-	case router.AttemptEnded:
-		fates := []string{"out", "finished", "failed", "turned back", "no answer", "no link", "cut", "called off", "never sent"}
-		return fmt.Sprintf("send %d of task %s: %s after %.1f ms", e.Attempt, e.RequestID, fates[min(max(0, int(e.Outcome)), len(fates)-1)], float64(e.Latency)/10)
-	case router.ClientGone:
-		return fmt.Sprintf("the client of task %s has gone", e.RequestID)
-	case router.EndpointsChanged:
-		return fmt.Sprintf("%d hosts listed", len(e.Hosts))
-	case router.EndpointsUnavailable:
-		return "the list is out of reach"
-	case router.ReleaseChanged:
-		return fmt.Sprintf("told of build %d, stage %d, phase %d, cap %.3g", e.Status.Build, e.Status.Stage, e.Status.Phase, e.Status.ExposureCap)
-	case router.TimerFired:
-		return fmt.Sprintf("alarm %d", e.Timer)
-	case nil:
-		return "start"
-	}
-	return fmt.Sprintf("%T %+v", e, e)
-}
-
-func deed(a router.Action) string {
-	switch a.Kind {
-	case router.SendAttempt:
-		kind := ""
-		if a.IsShadow {
-			kind = ", a copy"
-		}
-		return fmt.Sprintf("send %d of task %s to host %d, waiting %.1f ms%s", a.Attempt, a.RequestID, a.Host, float64(a.Duration)/10, kind)
-	case router.Reject:
-		return fmt.Sprintf("turn task %s back", a.RequestID)
-	case router.Fail:
-		return fmt.Sprintf("scrap task %s", a.RequestID)
-	case router.SetTimer:
-		return fmt.Sprintf("alarm %d in %.1f ms", a.Timer, float64(a.Duration)/10)
-	case router.CastVote:
-		return fmt.Sprintf("vote %d on build %d, stage %d", a.Choice, a.Build, a.Stage)
+// compare counts an entry and keeps the first whose actions differ.
+func (r *replayer) compare(e Entry, got []router.Action) {
+	r.report.Entries++
+	r.report.Actions += len(e.Actions)
+	if slices.Equal(got, e.Actions) {
+		return
 	}
-	return fmt.Sprintf("%+v", a)
-}
-
-// TraceRequest tells a task's story out of a stream of entries: when it came, which sends it got and what became of them.
-func TraceRequest(task string, to io.Writer) func(Entry) {
-	return func(e Entry) {
-		about := false
-		switch x := e.Event.(type) {
-		case router.RequestArrived:
-			about = x.RequestID == task
-		case router.AttemptEnded:
-			about = x.RequestID == task
-		case router.ClientGone:
-			about = x.RequestID == task
-		}
-		said := false
-		for _, a := range e.Actions {
-			if a.RequestID == task {
-				if !said {
-					fmt.Fprintf(to, "%.4f s: %s\n", float64(e.At)/10_000, EventText(e.Event))
-					said = true
-				}
-				fmt.Fprintf(to, "    %s\n", deed(a))
-			}
-		}
-		if about && !said {
-			fmt.Fprintf(to, "%.4f s: %s\n", float64(e.At)/10_000, EventText(e.Event))
-		}
+	if r.report.Differences++; r.report.First == nil {
+		r.report.First = &Difference{Entry: e, Recorded: e.Actions, Replayed: slices.Clone(got), Before: slices.Clone(r.before)}
 	}
 }
--- a/record/stored_config.go
+++ b/record/stored_config.go
@@ -12,77 +12,77 @@
 )
 
 // The types below are the stored form of a router's configuration. Their JSON names are those of the first version of
-// the format and never change, whatever the fields of router.Place are called.
+// the format and never change, whatever the fields are called.
 
-// storedConfig is a router.Place.
+// storedConfig is a router.Config.
 type storedConfig struct {
-	Seed       uint64         `json:"Seed"`
-	Routers    int            `json:"Routers"`
-	Rank       int            `json:"Rank"`
-	Location   string         `json:"Location"`
-	Categories []storedClass  `json:"Categories"`
-	Customers  []storedTenant `json:"Customers"`
-	Limits     storedLimits   `json:"Limits"`
-	Desk       storedRelease  `json:"Desk"`
+	Seed    uint64         `json:"Seed"`
+	Routers int            `json:"Routers"`
+	Rank    int            `json:"Rank"`
+	Zone    string         `json:"Location"`
+	Classes []storedClass  `json:"Categories"`
+	Tenants []storedTenant `json:"Customers"`
+	Limits  storedLimits   `json:"Limits"`
+	Release storedRelease  `json:"Desk"`
 }
 
-// storedClass is a router.Category.
+// storedClass is a router.Class.
 type storedClass struct {
-	Name      string             `json:"Name"`
-	Repeat    policy.Idempotency `json:"Repeat"`
-	Group     policy.DedupScope  `json:"Group"`
-	Memory    policy.Time        `json:"Memory"`
-	Promised  policy.Time        `json:"Promised"`
-	Earnings  float64            `json:"Earnings"`
-	LateShare float64            `json:"LateShare"`
+	Name             string             `json:"Name"`
+	Idempotency      policy.Idempotency `json:"Repeat"`
+	DedupScope       policy.DedupScope  `json:"Group"`
+	DedupWindow      policy.Time        `json:"Memory"`
+	LatencyObjective policy.Time        `json:"Promised"`
+	PriorityWeight   float64            `json:"Earnings"`
+	LateValueShare   float64            `json:"LateShare"`
 }
 
-// storedTenant is a router.Customer.
+// storedTenant is a router.Tenant.
 type storedTenant struct {
-	Name      string  `json:"Name"`
-	PerSecond float64 `json:"PerSecond"`
+	Name           string  `json:"Name"`
+	QuotaPerSecond float64 `json:"PerSecond"`
 }
 
-// storedLimits is a logic.Limits.
+// storedLimits is a policy.Limits.
 type storedLimits struct {
-	Grace       policy.Time `json:"Grace"`
-	Cold        policy.Time `json:"Cold"`
-	ColdShare   float64     `json:"ColdShare"`
-	Tip         float64     `json:"Tip"`
-	TipFor      policy.Time `json:"TipFor"`
-	AskWithin   policy.Time `json:"AskWithin"`
-	MaxSends    int         `json:"MaxSends"`
-	MaxOpen     int         `json:"MaxOpen"`
-	TwoAtOnce   bool        `json:"TwoAtOnce"`
-	LongestStay policy.Time `json:"LongestStay"`
-	Pushed      bool        `json:"Pushed"`
-	Peers       int         `json:"Peers"`
-	Probes      bool        `json:"Probes"`
-	CrossPrice  float64     `json:"CrossPrice"`
-	WastePrice  float64     `json:"WastePrice"`
-	OverShare   float64     `json:"OverShare"`
-}
-
-// storedRelease is a logic.Desk.
+	DrainGrace          policy.Time `json:"Grace"`
+	WarmUp              policy.Time `json:"Cold"`
+	ColdCapacity        float64     `json:"ColdShare"`
+	ColdOverloadFactor  float64     `json:"Tip"`
+	ColdOverloadWindow  policy.Time `json:"TipFor"`
+	PollInterval        policy.Time `json:"AskWithin"`
+	MaxAttempts         int         `json:"MaxSends"`
+	MaxOpen             int         `json:"MaxOpen"`
+	AllowHedging        bool        `json:"TwoAtOnce"`
+	MaxRetryAfter       policy.Time `json:"LongestStay"`
+	PushedDiscovery     bool        `json:"Pushed"`
+	MaxGossipBytes      int         `json:"Peers"`
+	HealthChecks        bool        `json:"Probes"`
+	CrossZonePrice      float64     `json:"CrossPrice"`
+	WastePrice          float64     `json:"WastePrice"`
+	OverQuotaValueShare float64     `json:"OverShare"`
+}
+
+// storedRelease is a policy.ReleaseConfig.
 type storedRelease struct {
-	Control      policy.PromotionMode `json:"Control"`
-	Caps         []float64            `json:"Caps"`
-	LeastTime    policy.Time          `json:"LeastTime"`
-	ClockTime    policy.Time          `json:"ClockTime"`
-	ToMoveOn     int                  `json:"ToMoveOn"`
-	ToAbort      int                  `json:"ToAbort"`
-	VoteLife     policy.Time          `json:"VoteLife"`
-	VoteTimeout  policy.Time          `json:"VoteTimeout"`
-	VotesASecond float64              `json:"VotesASecond"`
-	Window       policy.Time          `json:"Window"`
-	Free         float64              `json:"Free"`
-	ByCategory   bool                 `json:"ByCategory"`
-	Guarded      int                  `json:"Guarded"`
-	KeysStay     bool                 `json:"KeysStay"`
-	DelayPrice   float64              `json:"DelayPrice"`
-	HarmPrice    float64              `json:"HarmPrice"`
-	Complaints   float64              `json:"Complaints"`
-	Counted      float64              `json:"Counted"`
+	Mode              policy.PromotionMode `json:"Control"`
+	ExposureCaps      []float64            `json:"Caps"`
+	MinStageTime      policy.Time          `json:"LeastTime"`
+	StageTime         policy.Time          `json:"ClockTime"`
+	PromoteQuorum     int                  `json:"ToMoveOn"`
+	RollbackQuorum    int                  `json:"ToAbort"`
+	VoteTTL           policy.Time          `json:"VoteLife"`
+	VoteTimeout       policy.Time          `json:"VoteTimeout"`
+	MaxVotesPerSecond float64              `json:"VotesASecond"`
+	ExposureWindow    policy.Time          `json:"Window"`
+	ExposureAllowance float64              `json:"Free"`
+	ExposurePerClass  bool                 `json:"ByCategory"`
+	GuardedStages     int                  `json:"Guarded"`
+	StickyKeys        bool                 `json:"KeysStay"`
+	DelayPrice        float64              `json:"DelayPrice"`
+	HarmPrice         float64              `json:"HarmPrice"`
+	ComplaintShare    float64              `json:"Complaints"`
+	SampledShare      float64              `json:"Counted"`
 }
 
 // marshalConfig returns the stored form of a configuration.
@@ -106,27 +106,27 @@
 
 func toStored(p router.Config) storedConfig {
 	stored := storedConfig{
-		Seed: p.Seed, Routers: p.Routers, Rank: p.Rank, Location: p.Zone,
-		Limits: toStoredLimits(p.Limits), Desk: toStoredRelease(p.Release),
+		Seed: p.Seed, Routers: p.Routers, Rank: p.Rank, Zone: p.Zone,
+		Limits: toStoredLimits(p.Limits), Release: toStoredRelease(p.Release),
 	}
 	for _, c := range p.Classes {
-		stored.Categories = append(stored.Categories, toStoredClass(c))
+		stored.Classes = append(stored.Classes, toStoredClass(c))
 	}
 	for _, c := range p.Tenants {
-		stored.Customers = append(stored.Customers, toStoredTenant(c))
+		stored.Tenants = append(stored.Tenants, toStoredTenant(c))
 	}
 	return stored
 }
 
 func (s storedConfig) config() router.Config {
 	p := router.Config{
-		Seed: s.Seed, Routers: s.Routers, Rank: s.Rank, Zone: s.Location,
-		Limits: s.Limits.limits(), Release: s.Desk.release(),
+		Seed: s.Seed, Routers: s.Routers, Rank: s.Rank, Zone: s.Zone,
+		Limits: s.Limits.limits(), Release: s.Release.release(),
 	}
-	for _, c := range s.Categories {
+	for _, c := range s.Classes {
 		p.Classes = append(p.Classes, c.class())
 	}
-	for _, c := range s.Customers {
+	for _, c := range s.Tenants {
 		p.Tenants = append(p.Tenants, c.tenant())
 	}
 	return p
@@ -134,62 +134,62 @@
 
 func toStoredClass(c router.Class) storedClass {
 	return storedClass{
-		Name: c.Name, Repeat: c.Idempotency, Group: c.DedupScope, Memory: c.DedupWindow, Promised: c.LatencyObjective,
-		Earnings: c.PriorityWeight, LateShare: c.LateValueShare,
+		Name: c.Name, Idempotency: c.Idempotency, DedupScope: c.DedupScope, DedupWindow: c.DedupWindow, LatencyObjective: c.LatencyObjective,
+		PriorityWeight: c.PriorityWeight, LateValueShare: c.LateValueShare,
 	}
 }
 
 func (s storedClass) class() router.Class {
 	return router.Class{
-		Name: s.Name, Idempotency: s.Repeat, DedupScope: s.Group, DedupWindow: s.Memory, LatencyObjective: s.Promised,
-		PriorityWeight: s.Earnings, LateValueShare: s.LateShare,
+		Name: s.Name, Idempotency: s.Idempotency, DedupScope: s.DedupScope, DedupWindow: s.DedupWindow, LatencyObjective: s.LatencyObjective,
+		PriorityWeight: s.PriorityWeight, LateValueShare: s.LateValueShare,
 	}
 }
 
 func toStoredTenant(c router.Tenant) storedTenant {
 	return storedTenant{
-		Name: c.Name, PerSecond: c.QuotaPerSecond,
+		Name: c.Name, QuotaPerSecond: c.QuotaPerSecond,
 	}
 }
 
 func (s storedTenant) tenant() router.Tenant {
 	return router.Tenant{
-		Name: s.Name, QuotaPerSecond: s.PerSecond,
+		Name: s.Name, QuotaPerSecond: s.QuotaPerSecond,
 	}
 }
 
 func toStoredLimits(l policy.Limits) storedLimits {
 	return storedLimits{
-		Grace: l.DrainGrace, Cold: l.WarmUp, ColdShare: l.ColdCapacity, Tip: l.ColdOverloadFactor, TipFor: l.ColdOverloadWindow, AskWithin: l.PollInterval,
-		MaxSends: l.MaxAttempts, MaxOpen: l.MaxOpen, TwoAtOnce: l.AllowHedging, LongestStay: l.MaxRetryAfter,
-		Pushed: l.PushedDiscovery, Peers: l.MaxGossipBytes, Probes: l.HealthChecks, CrossPrice: l.CrossZonePrice, WastePrice: l.WastePrice,
-		OverShare: l.OverQuotaValueShare,
+		DrainGrace: l.DrainGrace, WarmUp: l.WarmUp, ColdCapacity: l.ColdCapacity, ColdOverloadFactor: l.ColdOverloadFactor, ColdOverloadWindow: l.ColdOverloadWindow, PollInterval: l.PollInterval,
+		MaxAttempts: l.MaxAttempts, MaxOpen: l.MaxOpen, AllowHedging: l.AllowHedging, MaxRetryAfter: l.MaxRetryAfter,
+		PushedDiscovery: l.PushedDiscovery, MaxGossipBytes: l.MaxGossipBytes, HealthChecks: l.HealthChecks, CrossZonePrice: l.CrossZonePrice, WastePrice: l.WastePrice,
+		OverQuotaValueShare: l.OverQuotaValueShare,
 	}
 }
 
 func (s storedLimits) limits() policy.Limits {
 	return policy.Limits{
-		DrainGrace: s.Grace, WarmUp: s.Cold, ColdCapacity: s.ColdShare, ColdOverloadFactor: s.Tip, ColdOverloadWindow: s.TipFor, PollInterval: s.AskWithin,
-		MaxAttempts: s.MaxSends, MaxOpen: s.MaxOpen, AllowHedging: s.TwoAtOnce, MaxRetryAfter: s.LongestStay,
-		PushedDiscovery: s.Pushed, MaxGossipBytes: s.Peers, HealthChecks: s.Probes, CrossZonePrice: s.CrossPrice, WastePrice: s.WastePrice,
-		OverQuotaValueShare: s.OverShare,
+		DrainGrace: s.DrainGrace, WarmUp: s.WarmUp, ColdCapacity: s.ColdCapacity, ColdOverloadFactor: s.ColdOverloadFactor, ColdOverloadWindow: s.ColdOverloadWindow, PollInterval: s.PollInterval,
+		MaxAttempts: s.MaxAttempts, MaxOpen: s.MaxOpen, AllowHedging: s.AllowHedging, MaxRetryAfter: s.MaxRetryAfter,
+		PushedDiscovery: s.PushedDiscovery, MaxGossipBytes: s.MaxGossipBytes, HealthChecks: s.HealthChecks, CrossZonePrice: s.CrossZonePrice, WastePrice: s.WastePrice,
+		OverQuotaValueShare: s.OverQuotaValueShare,
 	}
 }
 
 func toStoredRelease(d policy.ReleaseConfig) storedRelease {
 	return storedRelease{
-		Control: d.Mode, Caps: d.ExposureCaps, LeastTime: d.MinStageTime, ClockTime: d.StageTime, ToMoveOn: d.PromoteQuorum,
-		ToAbort: d.RollbackQuorum, VoteLife: d.VoteTTL, VoteTimeout: d.VoteTimeout, VotesASecond: d.MaxVotesPerSecond,
-		Window: d.ExposureWindow, Free: d.ExposureAllowance, ByCategory: d.ExposurePerClass, Guarded: d.GuardedStages, KeysStay: d.StickyKeys,
-		DelayPrice: d.DelayPrice, HarmPrice: d.HarmPrice, Complaints: d.ComplaintShare, Counted: d.SampledShare,
+		Mode: d.Mode, ExposureCaps: d.ExposureCaps, MinStageTime: d.MinStageTime, StageTime: d.StageTime, PromoteQuorum: d.PromoteQuorum,
+		RollbackQuorum: d.RollbackQuorum, VoteTTL: d.VoteTTL, VoteTimeout: d.VoteTimeout, MaxVotesPerSecond: d.MaxVotesPerSecond,
+		ExposureWindow: d.ExposureWindow, ExposureAllowance: d.ExposureAllowance, ExposurePerClass: d.ExposurePerClass, GuardedStages: d.GuardedStages, StickyKeys: d.StickyKeys,
+		DelayPrice: d.DelayPrice, HarmPrice: d.HarmPrice, ComplaintShare: d.ComplaintShare, SampledShare: d.SampledShare,
 	}
 }
 
 func (s storedRelease) release() policy.ReleaseConfig {
 	return policy.ReleaseConfig{
-		Mode: s.Control, ExposureCaps: s.Caps, MinStageTime: s.LeastTime, StageTime: s.ClockTime, PromoteQuorum: s.ToMoveOn,
-		RollbackQuorum: s.ToAbort, VoteTTL: s.VoteLife, VoteTimeout: s.VoteTimeout, MaxVotesPerSecond: s.VotesASecond,
-		ExposureWindow: s.Window, ExposureAllowance: s.Free, ExposurePerClass: s.ByCategory, GuardedStages: s.Guarded, StickyKeys: s.KeysStay,
-		DelayPrice: s.DelayPrice, HarmPrice: s.HarmPrice, ComplaintShare: s.Complaints, SampledShare: s.Counted,
+		Mode: s.Mode, ExposureCaps: s.ExposureCaps, MinStageTime: s.MinStageTime, StageTime: s.StageTime, PromoteQuorum: s.PromoteQuorum,
+		RollbackQuorum: s.RollbackQuorum, VoteTTL: s.VoteTTL, VoteTimeout: s.VoteTimeout, MaxVotesPerSecond: s.MaxVotesPerSecond,
+		ExposureWindow: s.ExposureWindow, ExposureAllowance: s.ExposureAllowance, ExposurePerClass: s.ExposurePerClass, GuardedStages: s.GuardedStages, StickyKeys: s.StickyKeys,
+		DelayPrice: s.DelayPrice, HarmPrice: s.HarmPrice, ComplaintShare: s.ComplaintShare, SampledShare: s.SampledShare,
 	}
 }
--- a/record/writer.go
+++ b/record/writer.go
@@ -4,34 +4,29 @@
 	"crypto/hmac"
 	"crypto/rand"
 	"crypto/sha256"
-	"encoding/binary"
 	"encoding/hex"
-	"errors"
 	"fmt"
-	"hash/crc32"
 	"os"
 	"path/filepath"
 	"slices"
-	"strings"
 	"sync/atomic"
 	"time"
 
-	"github.com/klauspost/compress/zstd"
 	"google.golang.org/protobuf/encoding/protowire"
 
 	"dapplefront/policy"
 	"dapplefront/router"
 )
 
-// Config is where records go and how much of them.
+// Config says where a router's records are written and how much of them is kept.
 type Config struct {
 	Dir          string
-	Name         string        // of the router; files are NAME-TIME.rec
-	MaxFileBytes int64         // of a file before the next is begun; 0 for 64 MiB
-	MaxFileAge   time.Duration // likewise; 0 for an hour
-	MaxBytes     int64         // bytes of all files of this name; the oldest go; 0 for 1 GiB
-	Secret       []byte        // hashes keys and customers; nil for one that is made up and forgotten
-	OpenSink     func(*os.File) Sink
+	Name         string              // of the router; files are called NAME-TIME-COUNT.rec
+	MaxFileBytes int64               // of a file before the next is begun; 0 for 64 MiB
+	MaxFileAge   time.Duration       // of a file before the next is begun; 0 for an hour
+	MaxBytes     int64               // of all files of this name, beyond which the oldest are removed; 0 for 1 GiB
+	Secret       []byte              // keys the hashes of idempotency keys and tenants; nil for a random one that isn't kept
+	OpenSink     func(*os.File) Sink // wraps a new file; nil for the file itself
 }
 
 // Sink is what blocks are written to.
@@ -41,226 +36,150 @@
 }
 
 const (
-	magic    = "dapplefront records 1\n"
-	blockOf  = 64 << 10    // bytes of entries: some 600, which compress well and are lost together
-	oldest   = time.Second // of a block that is not full
-	waiting  = 32          // blocks between the router and the disk: 2 MiB
-	headerOf = 4 + 4 + 4 + 8 + 8
+	defaultMaxFileBytes = 64 << 20
+	defaultMaxFileAge   = time.Hour
+	defaultMaxBytes     = 1 << 30
+
+	blockBytes    = 64 << 10    // of entries in a full block: some 600, which compress well and are lost together
+	maxBlockAge   = time.Second // after which a block is handed on though it isn't full
+	blockQueue    = 32          // blocks between the router and the disk: 2 MiB
+	maxHashes     = 10_000      // names whose hashes are cached: those of some seconds
+	hashBytes     = 12          // of a hash that are stored
+	secretBytes   = 32
+	fileTimestamp = "20060102T150405.000000" // in file names, UTC, so that names sort by time
 )
 
-var castagnoli = crc32.MakeTable(crc32.Castagnoli)
-
-// block is a run of entries on its way to the disk.
-type block struct {
-	first uint64 // the number of its first entry
-	lost  uint64 // entries dropped before it since the writer began
-	text  []byte
-}
-
-// Writer writes one router's records. Its methods are for one goroutine; none of them waits for the disk.
+// Writer writes one router's records. Its methods are for one goroutine; none but Close waits for the disk.
 type Writer struct {
-	shelf  Config
-	now    block
-	since  time.Time
-	number uint64
-	lost   uint64
-	blocks chan block
-	spare  chan []byte
-	done   chan error
-	failed atomic.Pointer[error]
-	bytes  atomic.Int64
-	hide   hidden
-	known  map[string]string // hashes of names seen lately
+	config  Config
+	current block
+	begun   time.Time // when the current block got its first entry
+	number  uint64    // of the last entry
+	dropped uint64
+	blocks  chan block  // to the goroutine that writes files
+	buffers chan []byte // written blocks' buffers, to be used again
+	done    chan error  // what the goroutine that writes files ended with
+	bytes   atomic.Int64
+	hash    hashFunc
+	hashes  map[string]string // of names seen lately
 }
 
-// Create starts a writer; its files come when there is something to write.
-func Create(s Config) (*Writer, error) {
-	if s.MaxFileBytes == 0 {
-		s.MaxFileBytes = 64 << 20
+// Create starts a writer and the goroutine that writes its files, which Close ends. The first file is created once there
+// is a block to write.
+func Create(c Config) (*Writer, error) {
+	if c.MaxFileBytes == 0 {
+		c.MaxFileBytes = defaultMaxFileBytes
 	}
-	if s.MaxFileAge == 0 {
-		s.MaxFileAge = time.Hour
+	if c.MaxFileAge == 0 {
+		c.MaxFileAge = defaultMaxFileAge
 	}
-	if s.MaxBytes == 0 {
-		s.MaxBytes = 1 << 30
+	if c.MaxBytes == 0 {
+		c.MaxBytes = defaultMaxBytes
 	}
-	if s.OpenSink == nil {
-		s.OpenSink = func(f *os.File) Sink { return f }
+	if c.OpenSink == nil {
+		c.OpenSink = func(f *os.File) Sink { return f }
 	}
-	if s.Secret == nil {
-		s.Secret = make([]byte, 32)
-		if _, err := rand.Read(s.Secret); err != nil {
+	if c.Secret == nil {
+		c.Secret = make([]byte, secretBytes)
+		if _, err := rand.Read(c.Secret); err != nil {
 			return nil, err
 		}
 	}
-	if err := os.MkdirAll(s.Dir, 0o700); err != nil {
+	if err := os.MkdirAll(c.Dir, 0o700); err != nil {
 		return nil, fmt.Errorf("records: %w", err)
 	}
-	w := &Writer{shelf: s, blocks: make(chan block, waiting), spare: make(chan []byte, waiting), done: make(chan error, 1), known: map[string]string{}}
-	w.hide = w.hash
-	go w.write()
+	w := &Writer{
+		config: c, blocks: make(chan block, blockQueue), buffers: make(chan []byte, blockQueue), done: make(chan error, 1),
+		hashes: map[string]string{},
+	}
+	w.hash = w.keyedHash
+	go func() { w.done <- w.writeFiles() }()
 	return w, nil
 }
 
-// hash stands for a key or a customer: nobody without the secret can tell which, but the same one is the same.
-func (w *Writer) hash(name string) string {
+// keyedHash returns a hash that is the same for the same name and can't be traced to it without the secret.
+func (w *Writer) keyedHash(name string) string {
 	if name == "" {
 		return ""
 	}
-	if h, ok := w.known[name]; ok {
+	if h, ok := w.hashes[name]; ok {
 		return h
 	}
-	if len(w.known) > 10_000 { // as many as are told apart in some seconds
-		clear(w.known)
+	if len(w.hashes) > maxHashes {
+		clear(w.hashes)
 	}
-	m := hmac.New(sha256.New, w.shelf.Secret)
+	m := hmac.New(sha256.New, w.config.Secret)
 	m.Write([]byte(name))
-	h := hex.EncodeToString(m.Sum(nil)[:12])
-	w.known[name] = h
+	h := hex.EncodeToString(m.Sum(nil)[:hashBytes])
+	w.hashes[name] = h
 	return h
 }
 
-// WriteStart notes a router's start: all that it was told, and its first actions.
-func (w *Writer) WriteStart(now policy.Time, p router.Config, actions []router.Action) error {
-	return w.add(&Entry{At: now, Config: &p, Actions: actions})
+// WriteStart records a router's start: its configuration and its first actions.
+func (w *Writer) WriteStart(now policy.Time, c router.Config, actions []router.Action) error {
+	return w.write(&Entry{At: now, Config: &c, Actions: actions})
 }
 
-// WriteEvent notes an event and the actions that followed.
+// WriteEvent records an event and the actions that followed. It fails for an event of a type that records don't know.
 func (w *Writer) WriteEvent(now policy.Time, e router.Event, actions []router.Action) error {
-	return w.add(&Entry{At: now, Event: e, Actions: actions})
+	return w.write(&Entry{At: now, Event: e, Actions: actions})
 }
 
-func (w *Writer) add(e *Entry) error {
+func (w *Writer) write(e *Entry) error {
 	w.number++
 	e.Number = w.number
-	if len(w.now.text) == 0 {
-		w.now.first, w.since = e.Number, time.Now()
+	if len(w.current.entries) == 0 {
+		w.current.first, w.begun = e.Number, time.Now()
 	}
-	b := out(w.now.text)
-	var err error
-	var entry out
-	if entry, err = appendEntry(entry, e, w.hide); err != nil {
+	message, err := encodeEntry(e, w.hash)
+	if err != nil {
 		return err
 	}
-	b = protowire.AppendBytes(b, entry)
-	if w.now.text = b; len(b) >= blockOf || time.Since(w.since) > oldest {
+	w.current.entries = protowire.AppendBytes(w.current.entries, message)
+	if len(w.current.entries) >= blockBytes || time.Since(w.begun) > maxBlockAge {
 		w.Flush()
 	}
 	return nil
 }
 
-// Flush hands the present block on, or drops it where the disk is too far behind.
+// Flush hands the current block to the goroutine that writes files, or drops it where that one's queue is full.
 func (w *Writer) Flush() {
-	if len(w.now.text) == 0 {
+	if len(w.current.entries) == 0 {
 		return
 	}
-	w.now.lost = w.lost
+	w.current.dropped = w.dropped
 	select {
-	case w.blocks <- w.now:
-		w.now = block{}
+	case w.blocks <- w.current:
+		w.current = block{}
 		select {
-		case old := <-w.spare:
-			w.now.text = old[:0]
+		case buffer := <-w.buffers:
+			w.current.entries = buffer[:0]
 		default:
 		}
 	default:
-		w.lost += w.number - w.now.first + 1
-		w.now.text = w.now.text[:0]
+		w.dropped += w.number - w.current.first + 1
+		w.current.entries = w.current.entries[:0]
 	}
 }
 
-// Dropped is how many entries were dropped.
-func (w *Writer) Dropped() uint64 { return w.lost }
+// Dropped is the number of entries that were dropped since the writer began.
+func (w *Writer) Dropped() uint64 { return w.dropped }
 
-// Written is how many bytes went to the disk.
+// Written is the number of bytes of blocks that were written to files. It is safe for concurrent use.
 func (w *Writer) Written() int64 { return w.bytes.Load() }
 
-// Close writes what is left and ends.
+// Close writes what is left and ends the writer. It returns all errors of writing since Create.
 func (w *Writer) Close() error {
-	if len(w.now.text) > 0 {
-		w.now.lost = w.lost
-		w.blocks <- w.now
-		w.now = block{}
+	if len(w.current.entries) > 0 {
+		w.current.dropped = w.dropped
+		w.blocks <- w.current
+		w.current = block{}
 	}
 	close(w.blocks)
 	return <-w.done
 }
 
-// write is the disk's side.
-func (w *Writer) write() {
-	pack, err := zstd.NewWriter(nil, zstd.WithEncoderConcurrency(1), zstd.WithEncoderLevel(zstd.SpeedFastest))
-	if err != nil {
-		w.done <- err
-		return
-	}
-	var file Sink
-	var size int64
-	var begun time.Time
-	var all []error
-	count := 0
-	for b := range w.blocks {
-		if file != nil && (size >= w.shelf.MaxFileBytes || time.Since(begun) >= w.shelf.MaxFileAge) {
-			all = append(all, file.Close())
-			file = nil
-		}
-		if file == nil {
-			count++
-			name := fmt.Sprintf("%s-%s-%06d.rec", w.shelf.Name, time.Now().UTC().Format("20060102T150405.000000"), count)
-			f, err := os.OpenFile(filepath.Join(w.shelf.Dir, name), os.O_CREATE|os.O_EXCL|os.O_WRONLY, 0o600)
-			if err != nil {
-				all = append(all, err)
-				continue
-			}
-			file, size, begun = w.shelf.OpenSink(f), 0, time.Now()
-			if _, err := file.Write([]byte(magic)); err != nil {
-				all = append(all, err)
-			}
-			w.tidy(name)
-		}
-		packed := pack.EncodeAll(b.text, nil)
-		head := make([]byte, headerOf, headerOf+len(packed))
-		binary.BigEndian.PutUint32(head, uint32(len(packed)))
-		binary.BigEndian.PutUint32(head[4:], uint32(len(b.text)))
-		binary.BigEndian.PutUint64(head[12:], b.first)
-		binary.BigEndian.PutUint64(head[20:], b.lost)
-		whole := append(head, packed...)
-		binary.BigEndian.PutUint32(whole[8:], crc32.Checksum(whole[12:], castagnoli))
-		n, err := file.Write(whole)
-		if err != nil {
-			all = append(all, err)
-		}
-		size += int64(n)
-		w.bytes.Add(int64(n))
-		select {
-		case w.spare <- b.text:
-		default:
-		}
-	}
-	if file != nil {
-		all = append(all, file.Close())
-	}
-	w.done <- errors.Join(all...)
-}
-
-// tidy removes the oldest files of this name beyond what is kept.
-func (w *Writer) tidy(newest string) {
-	files, err := Files(w.shelf.Dir, w.shelf.Name)
-	if err != nil {
-		return
-	}
-	var sum int64
-	for _, f := range slices.Backward(files) {
-		s, err := os.Stat(f)
-		if err != nil {
-			continue
-		}
-		if sum += s.Size(); sum > w.shelf.MaxBytes-w.shelf.MaxFileBytes && !strings.HasSuffix(f, newest) {
-			_ = os.Remove(f)
-		}
-	}
-}
-
-// Files are a router's records in a directory, the oldest first.
+// Files returns a router's record files in a directory, the oldest first.
 func Files(dir, name string) ([]string, error) {
 	files, err := filepath.Glob(filepath.Join(dir, name+"-*.rec"))
 	slices.Sort(files)
--- /dev/null
+++ b/record/writer_test.go
@@ -0,0 +1,94 @@
+package record
+
+import (
+	"fmt"
+	"os"
+	"strings"
+	"testing"
+	"time"
+
+	"github.com/stretchr/testify/require"
+
+	"dapplefront/router"
+)
+
+func TestRecordsHoldNeitherKeysNorTenants(t *testing.T) {
+	_, files := recordRun(t, 300, Config{})
+	f, err := os.Open(files[0])
+	require.NoError(t, err)
+	t.Cleanup(func() { require.NoError(t, f.Close()) })
+	keys := map[string]bool{}
+	require.NoError(t, Read(f, func(e Entry) error {
+		text := fmt.Sprintf("%+v %+v", e.Config, e.Event)
+		require.NotContains(t, text, "Ada")
+		require.NotContains(t, text, "account-")
+		if x, ok := e.Event.(router.RequestArrived); ok && x.Key != "" {
+			keys[x.Key] = true
+		}
+		return nil
+	}))
+	require.Len(t, keys, 20, "the same key is the same, others are others")
+}
+
+// stalledFile blocks every write until a channel is closed.
+type stalledFile struct {
+	*os.File
+	resume chan struct{}
+}
+
+func (s stalledFile) Write(b []byte) (int, error) { <-s.resume; return s.File.Write(b) }
+
+func TestAStalledDiskNeverBlocksTheRouter(t *testing.T) {
+	resume := make(chan struct{})
+	dir := t.TempDir()
+	w, err := Create(Config{Dir: dir, Name: "r1", OpenSink: func(f *os.File) Sink { return stalledFile{f, resume} }})
+	require.NoError(t, err)
+	runRouter(t, w, 3, 40_000) // more than the queue of blocks takes
+	require.Positive(t, w.Dropped(), "whole blocks were dropped")
+	close(resume)
+	require.Eventually(t, func() bool { return len(w.blocks) == 0 }, 10*time.Second, time.Millisecond)
+	runRouter(t, w, 4, 500) // the router starts again
+	require.NoError(t, w.Close())
+	files, err := Files(dir, "r1")
+	require.NoError(t, err)
+	r, err := Replay(files, nil)
+	require.NoError(t, err)
+	require.Zero(t, r.Differences)
+	require.NotEmpty(t, r.Gaps)
+	require.Contains(t, r.Gaps[0], "were dropped")
+	require.Equal(t, 2, r.Starts)
+}
+
+func TestFilesRotateAndTheOldestAreRemoved(t *testing.T) {
+	dir, files := recordRun(t, 20_000, Config{MaxFileBytes: 100 << 10, MaxBytes: 400 << 10})
+	require.Greater(t, len(files), 1)
+	var sum int64
+	for _, f := range files {
+		s, err := os.Stat(f)
+		require.NoError(t, err)
+		sum += s.Size()
+	}
+	require.LessOrEqual(t, sum, int64(600<<10))
+	r, err := Replay(files, nil)
+	require.NoError(t, err)
+	require.Zero(t, r.Differences)
+	require.True(t, r.Starts == 1 || r.Skipped > 0, "the start is there, or nothing is compared")
+	require.True(t, strings.HasPrefix(files[0], dir))
+}
+
+func BenchmarkWriteEvent(b *testing.B) {
+	w, err := Create(Config{Dir: b.TempDir(), Name: "r"})
+	require.NoError(b, err)
+	e := router.RequestArrived{RequestID: "1x", Class: "quote", Key: "account-1", Timeout: 10_000}
+	actions := []router.Action{{Kind: router.SendAttempt, RequestID: "1x", Host: 7, Duration: 4000}, {Kind: router.SetTimer, Timer: 99, Duration: 800}}
+	b.ReportAllocs()
+	for b.Loop() {
+		if err := w.WriteEvent(5, e, actions); err != nil {
+			b.Fatal(err)
+		}
+	}
+	b.StopTimer()
+	require.NoError(b, w.Close())
+	b.ReportMetric(float64(w.Written())/float64(b.N), "B/entry")
+	b.ReportMetric(float64(w.Dropped())/float64(b.N), "lost/entry")
+}
