--- a/build/build_test.go
+++ b/build/build_test.go
@@ -16,29 +16,29 @@
 
 func sample() *Manifest {
 	m := &Manifest{Format: 1, Name: "shop", Group: "tacoma", Version: 7, Start: []string{"bin/server", "--port", "{port}"},
-		Files: []File{{Path: "bin/server", Size: 5, SHA256: Digest([]byte("hello")), Run: true}, {Path: "data/a", SHA256: Digest(nil)}}}
-	m.Ready.Path, m.Ready.Within, m.Drain.Within = "/ready", Span(5*time.Second), Span(time.Second)
+		Files: []File{{Path: "bin/server", Size: 5, SHA256: Digest([]byte("hello")), Executable: true}, {Path: "data/a", SHA256: Digest(nil)}}}
+	m.Ready.Path, m.Ready.Within, m.Drain.Within = "/ready", Duration(5*time.Second), Duration(time.Second)
 	return m
 }
 
 // people are three signers, and a ring that wants two of them.
-func people(t *testing.T) (*Ring, []minisign.PrivateKey) {
-	r := &Ring{Format: 1, Version: 1, Threshold: 2, Group: "tacoma", Floor: 5}
+func people(t *testing.T) (*KeyRing, []minisign.PrivateKey) {
+	r := &KeyRing{Format: 1, Version: 1, Threshold: 2, Group: "tacoma", MinVersion: 5}
 	var private []minisign.PrivateKey
 	for _, name := range []string{"ada", "ben", "cyd"} {
 		p, s, err := minisign.GenerateKey(rand.Reader)
 		require.NoError(t, err)
 		text, err := p.MarshalText()
 		require.NoError(t, err)
-		r.Keys = append(r.Keys, Key{Name: name, Public: string(text), From: now.Add(-time.Hour), To: now.Add(time.Hour)})
+		r.Keys = append(r.Keys, Key{Name: name, PublicKey: string(text), NotBefore: now.Add(-time.Hour), NotAfter: now.Add(time.Hour)})
 		private = append(private, s)
 	}
-	require.NoError(t, r.Check())
+	require.NoError(t, r.Validate())
 	return r, private
 }
 
 func why(err error) Reason {
-	var r *Refused
+	var r *RefusedError
 	if errors.As(err, &r) {
 		return r.Reason
 	}
@@ -65,17 +65,17 @@
 		_, _, err := r.Verify(raw, signatures, at, false)
 		require.Equal(t, want, why(err), "%v", err)
 	}
-	check(TooFew, sign(1), now)
-	check(TooFew, sign(1, 1), now)
-	check(TooFew, nil, now)
-	check(Expired, sign(0, 1), now.Add(2*time.Hour))
-	check(Expired, sign(0, 1), now.Add(-2*time.Hour))
-	check(BadSign, [][]byte{sign(0)[0], minisign.Sign(keys[1], append(raw, ' '))}, now)
-	check(BadSign, [][]byte{[]byte("rubbish")}, now)
+	check(TooFewSignatures, sign(1), now)
+	check(TooFewSignatures, sign(1, 1), now)
+	check(TooFewSignatures, nil, now)
+	check(KeyNotValid, sign(0, 1), now.Add(2*time.Hour))
+	check(KeyNotValid, sign(0, 1), now.Add(-2*time.Hour))
+	check(BadSignature, [][]byte{sign(0)[0], minisign.Sign(keys[1], append(raw, ' '))}, now)
+	check(BadSignature, [][]byte{[]byte("rubbish")}, now)
 	_, stranger, _ := minisign.GenerateKey(rand.Reader)
-	check(Unknown, [][]byte{sign(0)[0], minisign.Sign(stranger, raw)}, now)
+	check(UnknownKey, [][]byte{sign(0)[0], minisign.Sign(stranger, raw)}, now)
 	r.Keys[1].Revoked = true
-	check(RevokedKey, sign(0, 1), now)
+	check(KeyRevoked, sign(0, 1), now)
 	m, _, err = r.Verify(raw, sign(0, 1, 2), now, false)
 	require.NoError(t, err, "two good ones are enough beside a revoked one")
 	require.NotNil(t, m)
@@ -91,8 +91,8 @@
 		_, _, err = r.Verify(raw, [][]byte{minisign.Sign(keys[0], raw), minisign.Sign(keys[1], raw)}, now, takeBack)
 		return err
 	}
-	require.Equal(t, OtherGroup, why(verify(func(m *Manifest) { m.Group = "muscat" }, false)))
-	require.Equal(t, BelowFloor, why(verify(func(m *Manifest) { m.Version = 4 }, false)))
+	require.Equal(t, WrongGroup, why(verify(func(m *Manifest) { m.Group = "muscat" }, false)))
+	require.Equal(t, BelowMinVersion, why(verify(func(m *Manifest) { m.Version = 4 }, false)))
 	require.NoError(t, verify(func(m *Manifest) { m.Version = 4 }, true), "a take-back may order it")
 }
 
@@ -107,17 +107,17 @@
 	require.NoError(t, err)
 	require.Equal(t, 2, got.Version)
 	_, err = r.Next(raw, [][]byte{minisign.Sign(keys[0], raw)}, now)
-	require.Equal(t, TooFew, why(err))
+	require.Equal(t, TooFewSignatures, why(err))
 	_, err = got.Next(raw, [][]byte{minisign.Sign(keys[0], raw), minisign.Sign(keys[1], raw)}, now)
-	require.Equal(t, Unknown, why(err), "a key that was taken out has no word any more")
+	require.Equal(t, UnknownKey, why(err), "a key that was taken out has no word any more")
 	back := *r
 	raw, _ = json.Marshal(back)
 	_, err = r.Next(raw, [][]byte{minisign.Sign(keys[0], raw), minisign.Sign(keys[1], raw)}, now)
-	require.Equal(t, OldRing, why(err))
-	back.Version, back.Floor = 3, 1
+	require.Equal(t, StaleKeyRing, why(err))
+	back.Version, back.MinVersion = 3, 1
 	raw, _ = json.Marshal(back)
 	_, err = r.Next(raw, [][]byte{minisign.Sign(keys[0], raw), minisign.Sign(keys[1], raw)}, now)
-	require.Equal(t, BelowFloor, why(err))
+	require.Equal(t, BelowMinVersion, why(err))
 }
 
 func TestManifestsThatMakeNoSense(t *testing.T) {
@@ -143,7 +143,7 @@
 		"format: 1 expected":  strings.Replace(string(raw), `"format": 1`, `"format": 2`, 1),
 		"group: letters":      strings.Replace(string(raw), `"tacoma"`, `"../x"`, 1),
 	} {
-		_, err := Read([]byte(bad))
+		_, err := ReadManifest([]byte(bad))
 		require.ErrorContains(t, err, want)
 	}
 }
@@ -153,7 +153,7 @@
 	f.Add(raw)
 	f.Add([]byte(`{"format":1,"files":[{"path":"../x"}]}`))
 	f.Fuzz(func(t *testing.T, raw []byte) {
-		m, err := Read(raw)
+		m, err := ReadManifest(raw)
 		if err != nil {
 			return
 		}
@@ -161,7 +161,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if _, err := Read(again); err != nil {
+		if _, err := ReadManifest(again); err != nil {
 			t.Fatalf("what was read is not to be read again: %v", err)
 		}
 		for _, file := range m.Files {
--- a/build/manifest.go
+++ b/build/manifest.go
@@ -22,25 +22,25 @@
 
 // Bounds of a manifest; builds of real services stay far below.
 const (
-	MostBytes = 1 << 20 // of the manifest itself
-	MostFiles = 10_000
-	MostPath  = 400
-	MostSize  = 64 << 30 // bytes of all files
+	MaxManifestBytes = 1 << 20 // of the manifest itself
+	MaxFiles         = 10_000
+	MaxPathBytes     = 400
+	MaxTotalBytes    = 64 << 30 // bytes of all files
 )
 
 // File is one file of a build.
 type File struct {
-	Path   string `json:"path"` // relative, with slashes
-	Size   int64  `json:"size"` // bytes
-	SHA256 string `json:"sha256"`
-	Run    bool   `json:"run,omitempty"` // it may be started
+	Path       string `json:"path"` // relative, with slashes
+	Size       int64  `json:"size"` // bytes
+	SHA256     string `json:"sha256"`
+	Executable bool   `json:"run,omitempty"` // it may be started
 }
 
-// Span is a time with a unit in JSON, such as "5s".
-type Span time.Duration
+// Duration is a time with a unit in JSON, such as "5s".
+type Duration time.Duration
 
 // UnmarshalJSON reads a time above 0 and up to an hour.
-func (s *Span) UnmarshalJSON(b []byte) error {
+func (s *Duration) UnmarshalJSON(b []byte) error {
 	var text string
 	if err := json.Unmarshal(b, &text); err != nil {
 		return err
@@ -49,12 +49,12 @@
 	if err != nil || d <= 0 || d > time.Hour {
 		return fmt.Errorf("a time with a unit, up to 1h, expected, not %q", text)
 	}
-	*s = Span(d)
+	*s = Duration(d)
 	return nil
 }
 
 // MarshalJSON writes a time with a unit.
-func (s Span) MarshalJSON() ([]byte, error) { return json.Marshal(time.Duration(s).String()) }
+func (s Duration) MarshalJSON() ([]byte, error) { return json.Marshal(time.Duration(s).String()) }
 
 // Manifest is a build. Of the arguments of Start, the first is the path of a file that may run; {port} stands for the
 // port that the process is to listen on.
@@ -66,11 +66,11 @@
 	Files   []File   `json:"files"`
 	Start   []string `json:"start"`
 	Ready   struct {
-		Path   string `json:"path"`   // of an HTTP probe that answers 200 once the build is ready
-		Within Span   `json:"within"` // of its start
+		Path   string   `json:"path"`   // of an HTTP probe that answers 200 once the build is ready
+		Within Duration `json:"within"` // of its start
 	} `json:"ready"`
 	Drain struct {
-		Within Span `json:"within"` // of the signal to end; then it is killed
+		Within Duration `json:"within"` // of the signal to end; then it is killed
 	} `json:"drain"`
 }
 
@@ -80,11 +80,11 @@
 	return hex.EncodeToString(sum[:])
 }
 
-// Read reads a manifest. It takes nothing that two readers could understand differently: no unknown or repeated field,
+// ReadManifest reads a manifest. It takes nothing that two readers could understand differently: no unknown or repeated field,
 // nothing after the end. The error names the field.
-func Read(raw []byte) (*Manifest, error) {
-	if len(raw) > MostBytes {
-		return nil, fmt.Errorf("manifest: %d bytes, at most %d expected", len(raw), MostBytes)
+func ReadManifest(raw []byte) (*Manifest, error) {
+	if len(raw) > MaxManifestBytes {
+		return nil, fmt.Errorf("manifest: %d bytes, at most %d expected", len(raw), MaxManifestBytes)
 	}
 	if !utf8.Valid(raw) {
 		return nil, errors.New("manifest: it is not UTF-8")
@@ -98,7 +98,7 @@
 	if err := d.Decode(&m); err != nil {
 		return nil, fmt.Errorf("manifest: %w", err)
 	}
-	if err := m.Check(); err != nil {
+	if err := m.Validate(); err != nil {
 		return nil, err
 	}
 	return &m, nil
@@ -164,8 +164,8 @@
 	}
 }
 
-// Check tells the first thing that makes no sense.
-func (m *Manifest) Check() error {
+// Validate tells the first thing that makes no sense.
+func (m *Manifest) Validate() error {
 	wrong := func(field, format string, values ...any) error {
 		return fmt.Errorf("manifest: %s: %s", field, fmt.Sprintf(format, values...))
 	}
@@ -178,8 +178,8 @@
 		return wrong("group", "letters, digits, dots and dashes expected, not %q", m.Group)
 	case m.Version < 1 || m.Version > 65535:
 		return wrong("version", "1 to 65535 expected, not %d", m.Version)
-	case len(m.Files) == 0 || len(m.Files) > MostFiles:
-		return wrong("files", "1 to %d expected, not %d", MostFiles, len(m.Files))
+	case len(m.Files) == 0 || len(m.Files) > MaxFiles:
+		return wrong("files", "1 to %d expected, not %d", MaxFiles, len(m.Files))
 	case len(m.Start) == 0 || len(m.Start) > 100:
 		return wrong("start", "1 to 100 words expected, not %d", len(m.Start))
 	case m.Ready.Within <= 0:
@@ -209,13 +209,13 @@
 		if raw, err := hex.DecodeString(f.SHA256); err != nil || len(raw) != sha256.Size || f.SHA256 != strings.ToLower(f.SHA256) {
 			return wrong(at+".sha256", "64 small hexadecimal digits expected")
 		}
-		if f.Size < 0 || f.Size > MostSize {
-			return wrong(at+".size", "0 to %d expected, not %d", int64(MostSize), f.Size)
+		if f.Size < 0 || f.Size > MaxTotalBytes {
+			return wrong(at+".size", "0 to %d expected, not %d", int64(MaxTotalBytes), f.Size)
 		}
-		if total += f.Size; total > MostSize {
-			return wrong("files", "more than %d bytes in all", int64(MostSize))
+		if total += f.Size; total > MaxTotalBytes {
+			return wrong("files", "more than %d bytes in all", int64(MaxTotalBytes))
 		}
-		starts = starts || f.Run && f.Path == m.Start[0]
+		starts = starts || f.Executable && f.Path == m.Start[0]
 	}
 	if !starts {
 		return wrong("start", "%q is no file of the build that may run", m.Start[0])
@@ -243,8 +243,8 @@
 // checkPath takes plain paths below the build's folder only.
 func checkPath(p string) error {
 	switch {
-	case p == "" || len(p) > MostPath:
-		return fmt.Errorf("1 to %d bytes expected", MostPath)
+	case p == "" || len(p) > MaxPathBytes:
+		return fmt.Errorf("1 to %d bytes expected", MaxPathBytes)
 	case strings.ContainsAny(p, "\\\x00:") || strings.IndexFunc(p, func(c rune) bool { return c < ' ' || c == 0x7f }) >= 0:
 		return fmt.Errorf("%q holds a character that may not stand in a path", p)
 	case path.Clean(p) != p || p[0] == '/' || p == ".." || p == "." || strings.HasPrefix(p, "../"):
@@ -255,7 +255,7 @@
 
 // Bytes is the manifest as it is signed.
 func (m *Manifest) Bytes() ([]byte, error) {
-	if err := m.Check(); err != nil {
+	if err := m.Validate(); err != nil {
 		return nil, err
 	}
 	raw, err := json.MarshalIndent(m, "", "  ")
--- a/build/ring.go
+++ b/build/ring.go
@@ -14,21 +14,21 @@
 
 // Key is one signer.
 type Key struct {
-	Name    string    `json:"name"`
-	Public  string    `json:"public"` // minisign's text form
-	From    time.Time `json:"from"`
-	To      time.Time `json:"to"`
-	Revoked bool      `json:"revoked,omitempty"`
+	Name      string    `json:"name"`
+	PublicKey string    `json:"public"` // minisign's text form
+	NotBefore time.Time `json:"from"`
+	NotAfter  time.Time `json:"to"`
+	Revoked   bool      `json:"revoked,omitempty"`
 }
 
-// Ring is who is trusted. A later Ring takes its place only when the keys of the present one have signed it.
-type Ring struct {
-	Format    int    `json:"format"`  // 1
-	Version   int    `json:"version"` // from 1; a lower one never takes the place of a higher
-	Threshold int    `json:"threshold"`
-	Keys      []Key  `json:"keys"`
-	Group     string `json:"group"`
-	Floor     int    `json:"floor"` // builds below it are refused, unless a take-back orders them
+// KeyRing is who is trusted. A later Ring takes its place only when the keys of the present one have signed it.
+type KeyRing struct {
+	Format     int    `json:"format"`  // 1
+	Version    int    `json:"version"` // from 1; a lower one never takes the place of a higher
+	Threshold  int    `json:"threshold"`
+	Keys       []Key  `json:"keys"`
+	Group      string `json:"group"`
+	MinVersion int    `json:"floor"` // builds below it are refused, unless a take-back orders them
 }
 
 // Reason is why something was refused.
@@ -36,24 +36,24 @@
 
 // Reasons, as they are reported.
 const (
-	TooFew     Reason = "too few signatures"
-	BadSign    Reason = "a signature is wrong"
-	Unknown    Reason = "no key of the ring signed it"
-	Expired    Reason = "a key is not valid at this time"
-	RevokedKey Reason = "a key is revoked"
-	OtherGroup Reason = "it is for another host group"
-	BelowFloor Reason = "it is older than the floor"
-	OldRing    Reason = "the ring is not newer than the present one"
-	Malformed  Reason = "it is malformed"
+	TooFewSignatures Reason = "too few signatures"
+	BadSignature     Reason = "a signature is wrong"
+	UnknownKey       Reason = "no key of the ring signed it"
+	KeyNotValid      Reason = "a key is not valid at this time"
+	KeyRevoked       Reason = "a key is revoked"
+	WrongGroup       Reason = "it is for another host group"
+	BelowMinVersion  Reason = "it is older than the floor"
+	StaleKeyRing     Reason = "the ring is not newer than the present one"
+	Malformed        Reason = "it is malformed"
 )
 
-// Refused is the error of a check that failed.
-type Refused struct {
+// RefusedError is the error of a check that failed.
+type RefusedError struct {
 	Reason Reason
 	Detail string
 }
 
-func (r *Refused) Error() string {
+func (r *RefusedError) Error() string {
 	if r.Detail == "" {
 		return string(r.Reason)
 	}
@@ -61,12 +61,12 @@
 }
 
 func refused(r Reason, format string, values ...any) error {
-	return &Refused{r, fmt.Sprintf(format, values...)}
+	return &RefusedError{r, fmt.Sprintf(format, values...)}
 }
 
-// ReadRing reads a ring and checks that it makes sense.
-func ReadRing(raw []byte) (*Ring, error) {
-	if len(raw) > MostBytes {
+// ReadKeyRing reads a ring and checks that it makes sense.
+func ReadKeyRing(raw []byte) (*KeyRing, error) {
+	if len(raw) > MaxManifestBytes {
 		return nil, refused(Malformed, "ring: %d bytes", len(raw))
 	}
 	if err := once(raw); err != nil {
@@ -74,15 +74,15 @@
 	}
 	d := json.NewDecoder(bytes.NewReader(raw))
 	d.DisallowUnknownFields()
-	var r Ring
+	var r KeyRing
 	if err := d.Decode(&r); err != nil {
 		return nil, refused(Malformed, "ring: %v", err)
 	}
-	return &r, r.Check()
+	return &r, r.Validate()
 }
 
-// Check tells the first thing that makes no sense.
-func (r *Ring) Check() error {
+// Validate tells the first thing that makes no sense.
+func (r *KeyRing) Validate() error {
 	switch {
 	case r.Format != 1:
 		return refused(Malformed, "ring: format: 1 expected, not %d", r.Format)
@@ -92,19 +92,19 @@
 		return refused(Malformed, "ring: threshold: 1 to the number of keys (%d) expected, not %d", len(r.Keys), r.Threshold)
 	case !word(r.Group):
 		return refused(Malformed, "ring: group: letters, digits, dots and dashes expected, not %q", r.Group)
-	case r.Floor < 0:
+	case r.MinVersion < 0:
 		return refused(Malformed, "ring: floor: 0 or more expected")
 	}
 	names, ids := map[string]bool{}, map[uint64]bool{}
 	for i, k := range r.Keys {
 		var p minisign.PublicKey
-		if err := p.UnmarshalText([]byte(k.Public)); err != nil {
+		if err := p.UnmarshalText([]byte(k.PublicKey)); err != nil {
 			return refused(Malformed, "ring: keys[%d].public: %v", i, err)
 		}
 		if !word(k.Name) || names[k.Name] || ids[p.ID()] {
 			return refused(Malformed, "ring: keys[%d]: a name and a key of its own expected", i)
 		}
-		if !k.From.Before(k.To) {
+		if !k.NotBefore.Before(k.NotAfter) {
 			return refused(Malformed, "ring: keys[%d]: from before to expected", i)
 		}
 		names[k.Name], ids[p.ID()] = true, true
@@ -113,7 +113,7 @@
 }
 
 // signers checks signatures over a message. Each must be good and of a key that is valid now; each key counts once.
-func (r *Ring) signers(message []byte, signatures [][]byte, now time.Time) (names []string, err error) {
+func (r *KeyRing) signers(message []byte, signatures [][]byte, now time.Time) (names []string, err error) {
 	if len(signatures) > 100 {
 		return nil, refused(Malformed, "%d signatures", len(signatures))
 	}
@@ -126,27 +126,27 @@
 	for _, text := range signatures {
 		var s minisign.Signature
 		if err := s.UnmarshalText(text); err != nil {
-			note(refused(BadSign, "%v", err))
+			note(refused(BadSignature, "%v", err))
 			continue
 		}
 		i := slices.IndexFunc(r.Keys, func(k Key) bool {
 			var p minisign.PublicKey
-			return p.UnmarshalText([]byte(k.Public)) == nil && p.ID() == s.KeyID
+			return p.UnmarshalText([]byte(k.PublicKey)) == nil && p.ID() == s.KeyID
 		})
 		if i < 0 {
-			note(refused(Unknown, "key %X", s.KeyID))
+			note(refused(UnknownKey, "key %X", s.KeyID))
 			continue
 		}
 		k := r.Keys[i]
 		var p minisign.PublicKey
-		_ = p.UnmarshalText([]byte(k.Public))
+		_ = p.UnmarshalText([]byte(k.PublicKey))
 		switch {
 		case k.Revoked:
-			note(refused(RevokedKey, "%s", k.Name))
-		case now.Before(k.From) || !now.Before(k.To):
-			note(refused(Expired, "%s is valid from %s to %s", k.Name, k.From.Format(time.RFC3339), k.To.Format(time.RFC3339)))
+			note(refused(KeyRevoked, "%s", k.Name))
+		case now.Before(k.NotBefore) || !now.Before(k.NotAfter):
+			note(refused(KeyNotValid, "%s is valid from %s to %s", k.Name, k.NotBefore.Format(time.RFC3339), k.NotAfter.Format(time.RFC3339)))
 		case !minisign.Verify(p, message, text):
-			note(refused(BadSign, "of %s", k.Name))
+			note(refused(BadSignature, "of %s", k.Name))
 		case !slices.Contains(names, k.Name):
 			names = append(names, k.Name)
 		}
@@ -154,48 +154,48 @@
 	if len(names) >= r.Threshold {
 		return names, nil
 	}
-	var why *Refused
+	var why *RefusedError
 	if errors.As(first, &why) {
-		return names, &Refused{why.Reason, strings.TrimPrefix(fmt.Sprintf("%s (%d of %d signatures count)", why.Detail, len(names),
+		return names, &RefusedError{why.Reason, strings.TrimPrefix(fmt.Sprintf("%s (%d of %d signatures count)", why.Detail, len(names),
 			r.Threshold), " ")}
 	}
-	return names, refused(TooFew, "%d of %d", len(names), r.Threshold)
+	return names, refused(TooFewSignatures, "%d of %d", len(names), r.Threshold)
 }
 
 // Verify checks a manifest's bytes: enough good signatures, for this ring's host group, not below the floor unless
 // takeBack orders it. Only then is it read as a build.
-func (r *Ring) Verify(raw []byte, signatures [][]byte, now time.Time, takeBack bool) (*Manifest, []string, error) {
+func (r *KeyRing) Verify(raw []byte, signatures [][]byte, now time.Time, takeBack bool) (*Manifest, []string, error) {
 	names, err := r.signers(raw, signatures, now)
 	if err != nil {
 		return nil, names, err
 	}
-	m, err := Read(raw)
+	m, err := ReadManifest(raw)
 	switch {
 	case err != nil:
 		return nil, names, refused(Malformed, "%v", err)
 	case m.Group != r.Group:
-		return nil, names, refused(OtherGroup, "%s, not %s", m.Group, r.Group)
-	case m.Version < r.Floor && !takeBack:
-		return nil, names, refused(BelowFloor, "build %d, floor %d", m.Version, r.Floor)
+		return nil, names, refused(WrongGroup, "%s, not %s", m.Group, r.Group)
+	case m.Version < r.MinVersion && !takeBack:
+		return nil, names, refused(BelowMinVersion, "build %d, floor %d", m.Version, r.MinVersion)
 	}
 	return m, names, nil
 }
 
 // Next checks a later ring, signed by the keys of this one, and returns it.
-func (r *Ring) Next(raw []byte, signatures [][]byte, now time.Time) (*Ring, error) {
+func (r *KeyRing) Next(raw []byte, signatures [][]byte, now time.Time) (*KeyRing, error) {
 	if _, err := r.signers(raw, signatures, now); err != nil {
 		return nil, err
 	}
-	next, err := ReadRing(raw)
+	next, err := ReadKeyRing(raw)
 	switch {
 	case err != nil:
 		return nil, err
 	case next.Version <= r.Version:
-		return nil, refused(OldRing, "version %d, %d is held", next.Version, r.Version)
+		return nil, refused(StaleKeyRing, "version %d, %d is held", next.Version, r.Version)
 	case next.Group != r.Group:
-		return nil, refused(OtherGroup, "%s, not %s", next.Group, r.Group)
-	case next.Floor < r.Floor:
-		return nil, refused(BelowFloor, "floor %d, %d is held: a floor never falls", next.Floor, r.Floor)
+		return nil, refused(WrongGroup, "%s, not %s", next.Group, r.Group)
+	case next.MinVersion < r.MinVersion:
+		return nil, refused(BelowMinVersion, "floor %d, %d is held: a floor never falls", next.MinVersion, r.MinVersion)
 	}
 	return next, nil
 }
--- a/cmd/dapplefront/agent.go
+++ b/cmd/dapplefront/agent.go
@@ -48,25 +48,25 @@
 }
 
 // readPost reads an agent's settings; mistakes are kept by the sheet.
-func readPost(s *inifile.File) agentd.Post {
+func readPost(s *inifile.File) agentd.Config {
 	a := s.Section("agent")
-	p := agentd.Post{Name: a.Text("name", "!"), Dir: a.Text("folder", "!"), Controller: a.Text("controller", "!"),
-		Disk: int64(a.Bytes("disk", "8GiB")), Log: int64(a.Bytes("output", "1MiB")), Cold: a.Duration("cold", "5s"),
-		Drain: a.Duration("drain", "5s"),
-		Rules: agent.Rules{Crashes: a.Int("crashes", "5", 0, 1000), Pause: a.Duration("pause", "200ms"),
-			Longest: a.Duration("longest-pause", "10s"), Steady: a.Duration("steady", "60s")}}
+	p := agentd.Config{Name: a.Text("name", "!"), Dir: a.Text("folder", "!"), Controller: a.Text("controller", "!"),
+		MaxArtifactBytes: int64(a.Bytes("disk", "8GiB")), MaxOutputBytes: int64(a.Bytes("output", "1MiB")), WarmUp: a.Duration("cold", "5s"),
+		DrainDelay: a.Duration("drain", "5s"),
+		Limits: agent.Limits{MaxCrashes: a.Int("crashes", "5", 0, 1000), CrashBackoff: a.Duration("pause", "200ms"),
+			MaxCrashBackoff: a.Duration("longest-pause", "10s"), CrashResetAfter: a.Duration("steady", "60s")}}
 	f := s.Section("fetch")
-	p.Source = artifact.Source{Mirrors: f.List("mirrors", "!"), Tries: f.Int("tries", "8", 1, 1000), Pause: f.Duration("pause", "200ms"),
-		Silence: f.Duration("silence", "10s")}
+	p.Source = artifact.Source{Mirrors: f.List("mirrors", "!"), MaxAttempts: f.Int("tries", "8", 1, 1000), Backoff: f.Duration("pause", "200ms"),
+		IdleTimeout: f.Duration("silence", "10s")}
 	if text := f.Text("rate", "none"); text != "none" {
-		p.Source.Rate = f.Bytes("rate", "1MiB")
+		p.Source.MaxBytesPerSecond = f.Bytes("rate", "1MiB")
 	}
 	if c := s.Section("tls"); c.Has() {
 		ring, err := certs.Open(certs.Files{Certificate: c.Text("certificate", "!"), Key: c.Text("key", "!"), Authority: c.Text("authority", "!")})
 		if err != nil {
 			c.AddError("certificate", "%v", err)
 		} else {
-			p.Secure = ring.Client()
+			p.TLS = ring.Client()
 		}
 	}
 	t := s.Section("trust")
@@ -74,7 +74,7 @@
 	if file != "" {
 		raw, err := os.ReadFile(file)
 		if err == nil {
-			p.Ring, err = build.ReadRing(raw)
+			p.KeyRing, err = build.ReadKeyRing(raw)
 		}
 		if err != nil {
 			t.AddError("ring", "%v", err)
@@ -97,7 +97,7 @@
 	c := &cobra.Command{Use: "pack FOLDER", Short: "Make a build of a folder: files by digest, and a manifest to sign", Args: cobra.ExactArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
 			m := &build.Manifest{Format: 1, Name: name, Group: group, Version: version, Start: start}
-			m.Ready.Path, m.Ready.Within, m.Drain.Within = ready, build.Span(within), build.Span(drain)
+			m.Ready.Path, m.Ready.Within, m.Drain.Within = ready, build.Duration(within), build.Duration(drain)
 			digest, err := artifact.Pack(args[0], out, m)
 			if err != nil {
 				return err
@@ -138,12 +138,12 @@
 			if err != nil {
 				return err
 			}
-			r, err := build.ReadRing(raw)
+			r, err := build.ReadKeyRing(raw)
 			if err != nil {
 				return err
 			}
 			m, names, err := artifact.Verify(out, args[0], r, time.Now())
-			var refused *build.Refused
+			var refused *build.RefusedError
 			if errors.As(err, &refused) {
 				fmt.Fprintln(c.ErrOrStderr(), "refused:", refused)
 				return exit(1)
@@ -167,7 +167,7 @@
 		Long: "Make a key pair for each name (NAME.key, encrypted with the password in DAPPLEFRONT_KEY_PASSWORD if that is set) and\n" +
 			"ring.json, which trusts them. Nothing that exists is written over.",
 		RunE: func(c *cobra.Command, args []string) error {
-			r, err := artifact.Keys(".", args, os.Getenv("DAPPLEFRONT_KEY_PASSWORD"), build.Ring{Format: 1, Version: 1, Threshold: threshold, Group: group},
+			r, err := artifact.GenerateKeys(".", args, os.Getenv("DAPPLEFRONT_KEY_PASSWORD"), build.KeyRing{Format: 1, Version: 1, Threshold: threshold, Group: group},
 				time.Now(), time.Now().AddDate(0, 0, days))
 			if err != nil {
 				return err
--- a/internal/agentd/agentd.go
+++ b/internal/agentd/agentd.go
@@ -32,32 +32,32 @@
 	"dapplefront/internal/sse"
 )
 
-// Post is what an agent is told at start.
-type Post struct {
-	Name       string      // of the host, to the controller
-	Dir        string      // for files, state and output
-	Controller string      // URL, or several with commas between them: where one is out of reach the next is asked
-	Secure     *tls.Config // towards controllers; nil for plain HTTP
-	Source     artifact.Source
-	Disk       int64 // bytes of builds' files held
-	Log        int64 // bytes of output kept of each build
-	Ring       *build.Ring
-	Rules      agent.Rules
-	Cold       time.Duration // how long a host that has started is cold
-	Drain      time.Duration // after which a host listed as draining surely gets nothing new
-	Env        []string      // for its builds, beside its own
+// Config is what an agent is told at start.
+type Config struct {
+	Name             string      // of the host, to the controller
+	Dir              string      // for files, state and output
+	Controller       string      // URL, or several with commas between them: where one is out of reach the next is asked
+	TLS              *tls.Config // towards controllers; nil for plain HTTP
+	Source           artifact.Source
+	MaxArtifactBytes int64 // bytes of builds' files held
+	MaxOutputBytes   int64 // bytes of output kept of each build
+	KeyRing          *build.KeyRing
+	Limits           agent.Limits
+	WarmUp           time.Duration // how long a host that has started is cold
+	DrainDelay       time.Duration // after which a host listed as draining surely gets nothing new
+	Env              []string      // for its builds, beside its own
 	// For tests: called after each state is on disk; makes a write fail; finds a free port.
-	Wrote  func(n int)         `json:"-"`
-	Refuse func(n int) error   `json:"-"`
-	Ports  func() (int, error) `json:"-"`
+	AfterSave  func(n int)         `json:"-"`
+	BeforeSave func(n int) error   `json:"-"`
+	FreePort   func() (int, error) `json:"-"`
 }
 
 // Agent is one running agent.
 type Agent struct {
 	asked   atomic.Int64 // the one of the controllers that is asked
-	post    Post
+	post    Config
 	log     *slog.Logger
-	depot   *artifact.Depot
+	depot   *artifact.Store
 	fetcher *artifact.Fetcher
 	journal *journal.Journal
 	runner  process.Runner
@@ -75,12 +75,12 @@
 	outbox  []api.AgentReport
 	sent    chan struct{}
 	number  uint64
-	ring    *build.Ring // the present one
+	ring    *build.KeyRing // the present one
 }
 
 // Start starts an agent where the last one in its folder left off.
-func Start(p Post, log *slog.Logger) (*Agent, error) {
-	d, err := artifact.Open(p.Dir, p.Disk)
+func Start(p Config, log *slog.Logger) (*Agent, error) {
+	d, err := artifact.Open(p.Dir, p.MaxArtifactBytes)
 	if err != nil {
 		return nil, err
 	}
@@ -89,9 +89,9 @@
 		_ = d.Close()
 		return nil, err
 	}
-	j.Wrote, j.Refuse = p.Wrote, p.Refuse
-	if p.Ports == nil {
-		p.Ports = freePort
+	j.AfterSave, j.BeforeSave = p.AfterSave, p.BeforeSave
+	if p.FreePort == nil {
+		p.FreePort = freePort
 	}
 	was, err := j.Load()
 	if err == nil {
@@ -111,13 +111,13 @@
 		dir = p.Dir
 	}
 	a := &Agent{post: p, log: log.With("agent", p.Name), depot: d, journal: j, fetcher: d.NewFetcher(p.Source),
-		runner: process.Runner{Owner: dir, Dir: filepath.Join(dir, "output"), Log: p.Log, Env: p.Env}, wake: make(chan struct{}, 1),
-		sent: make(chan struct{}, 1), cancels: map[string]context.CancelFunc{}, http: &http.Client{Transport: &http.Transport{TLSClientConfig: p.Secure}},
-		number: was.Number, outbox: was.Reports}
+		runner: process.Runner{Owner: dir, OutputDir: filepath.Join(dir, "output"), MaxOutputBytes: p.MaxOutputBytes, Env: p.Env}, wake: make(chan struct{}, 1),
+		sent: make(chan struct{}, 1), cancels: map[string]context.CancelFunc{}, http: &http.Client{Transport: &http.Transport{TLSClientConfig: p.TLS}},
+		number: was.LastReport, outbox: was.Reports}
 	a.ring = a.lastRing()
 	a.ctx, a.stop = context.WithCancel(context.Background())
 	var effects []agent.Effect
-	a.machine, effects = agent.Resume(time.Now(), p.Rules, was.State, a.alive)
+	a.machine, effects = agent.Resume(time.Now(), p.Limits, was.State, a.alive)
 	a.note(effects)
 	if err := j.Save(a.entry()); err != nil {
 		a.Close()
@@ -151,7 +151,7 @@
 func (a *Agent) Stop() {
 	a.stop()
 	a.wait.Wait()
-	for _, r := range a.machine.State.Runs() {
+	for _, r := range a.machine.State.Instances() {
 		_ = a.runner.Stop(r.Digest, time.Second)
 	}
 	_ = a.journal.Close()
@@ -164,12 +164,12 @@
 }
 
 // alive finds a run's process: the one that was written down, or one that a dead agent had no time to write down.
-func (a *Agent) alive(r agent.Run) (agent.Process, bool) {
+func (a *Agent) alive(r agent.Instance) (agent.Process, bool) {
 	if process.Alive(r.Process) {
 		return r.Process, true
 	}
 	if all := a.runner.Find(r.Digest); len(all) > 0 && all[0].Port > 0 {
-		all[0].Up = time.Now()
+		all[0].StartedAt = time.Now()
 		return all[0], true
 	}
 	return agent.Process{}, false
@@ -215,7 +215,7 @@
 	was, err := json.Marshal(a.entry())
 	for err == nil {
 		a.mu.Lock()
-		effects := a.machine.Hear(time.Now(), in)
+		effects := a.machine.Handle(time.Now(), in)
 		a.mu.Unlock()
 		a.note(effects)
 		if err = a.journal.Save(a.entry()); err == nil {
@@ -231,7 +231,7 @@
 			break
 		}
 		a.mu.Lock()
-		a.machine.State, a.outbox, a.number = back.State, back.Reports, back.Number
+		a.machine.State, a.outbox, a.number = back.State, back.Reports, back.LastReport
 		a.mu.Unlock()
 		select {
 		case <-a.ctx.Done():
@@ -247,7 +247,7 @@
 func (a *Agent) entry() journal.Entry {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	return journal.Entry{State: a.machine.State, Reports: append([]api.AgentReport(nil), a.outbox...), Number: a.number}
+	return journal.Entry{State: a.machine.State, Reports: append([]api.AgentReport(nil), a.outbox...), LastReport: a.number}
 }
 
 // note puts the reports among effects into the outbox, so that they are written down with the state.
@@ -257,13 +257,13 @@
 	for _, e := range effects {
 		var r api.AgentReport
 		switch e := e.(type) {
-		case agent.List:
-			r = api.AgentReport{Digest: e.Digest, Listing: string(e.Standing), AtMs: time.Now().UnixMilli()}
-			if run := a.machine.State.Run(e.Digest); run != nil {
-				r.Build, r.UpMs = run.Build, run.Process.Up.UnixMilli()
+		case agent.PublishEndpoint:
+			r = api.AgentReport{Digest: e.Digest, Listing: string(e.State), AtMs: time.Now().UnixMilli()}
+			if run := a.machine.State.Instance(e.Digest); run != nil {
+				r.Build, r.UpMs = run.Build, run.Process.StartedAt.UnixMilli()
 				r.Address = net.JoinHostPort("127.0.0.1", strconv.Itoa(run.Process.Port))
 			}
-		case agent.Report:
+		case agent.ReportTransition:
 			a.log.Info("build", "build", e.Build, "digest", e.Digest[:min(12, len(e.Digest))], "from", e.From, "to", e.To,
 				"cause", e.Cause)
 			r = api.AgentReport{Build: e.Build, Digest: e.Digest, From: string(e.From), To: string(e.To), Cause: e.Cause,
@@ -307,7 +307,7 @@
 	if goal == 0 || !plain(o.Digest) || o.To != "" && !plain(o.To) {
 		return fmt.Errorf("an order that makes no sense: %s", data)
 	}
-	a.hear(agent.Order{Number: o.Number, Digest: o.Digest, Build: o.Build, Goal: goal, Old: o.Old, To: o.To, ToNum: o.ToNum})
+	a.hear(agent.Order{Number: o.Number, Digest: o.Digest, Build: o.Build, Goal: goal, AllowBelowFloor: o.Old, RollbackTo: o.To, RollbackToBuild: o.ToNum})
 	return nil
 }
 
@@ -323,12 +323,12 @@
 	switch e := e.(type) {
 	case agent.Fetch:
 		a.under(e.Digest, func(ctx context.Context) { a.fetch(ctx, e) })
-	case agent.Check:
+	case agent.Verify:
 		a.under(e.Digest, func(ctx context.Context) { a.check(ctx, e) })
 	case agent.Start:
 		a.under(e.Digest, func(ctx context.Context) { a.start(ctx, e.Digest) })
 	case agent.Watch:
-		r := a.machine.State.Run(e.Digest)
+		r := a.machine.State.Instance(e.Digest)
 		p, starting := r.Process, r.Phase == agent.Starting
 		a.under(e.Digest, func(ctx context.Context) { a.adopt(ctx, e.Digest, p, starting) })
 	case agent.Cancel:
@@ -336,17 +336,17 @@
 	case agent.Stop:
 		a.cancel(e.Digest)
 		a.spawn(func() { a.halt(e.Digest) })
-	case agent.AskWarm:
+	case agent.AwaitWarmUp:
 		up := time.Now()
-		if run := a.machine.State.Run(e.Digest); run != nil {
-			up = run.Process.Up
+		if run := a.machine.State.Instance(e.Digest); run != nil {
+			up = run.Process.StartedAt
 		}
-		a.later(time.Until(up.Add(a.post.Cold)), agent.Warm{Digest: e.Digest})
-	case agent.AskDrain:
-		a.later(a.post.Drain, agent.Drained{Digest: e.Digest})
-	case agent.Pause:
-		a.later(e.For, agent.Retry{Digest: e.Digest})
-	case agent.Collect:
+		a.later(time.Until(up.Add(a.post.WarmUp)), agent.WarmedUp{Digest: e.Digest})
+	case agent.AwaitDrain:
+		a.later(a.post.DrainDelay, agent.Drained{Digest: e.Digest})
+	case agent.Backoff:
+		a.later(e.Delay, agent.BackoffElapsed{Digest: e.Digest})
+	case agent.CollectGarbage:
 		a.collect()
 	} // List and Report are in the outbox
 }
@@ -399,13 +399,13 @@
 	err := a.manifest(ctx, e.Digest)
 	var m *build.Manifest
 	if err == nil {
-		m, err = a.verified(e.Digest, e.Old)
+		m, err = a.verified(e.Digest, e.AllowBelowFloor)
 	}
 	if err == nil {
 		err = a.fetcher.Fetch(ctx, m)
 	}
 	if err != nil {
-		a.done(ctx, agent.Trouble{Digest: e.Digest, Reason: err.Error()})
+		a.done(ctx, agent.OperationFailed{Digest: e.Digest, Reason: err.Error()})
 		return
 	}
 	a.done(ctx, agent.Fetched{Digest: e.Digest})
@@ -417,7 +417,7 @@
 		return nil
 	}
 	var last error
-	for try := range max(1, a.post.Source.Tries) {
+	for try := range max(1, a.post.Source.MaxAttempts) {
 		for _, mirror := range a.post.Source.Mirrors {
 			raw, err := a.get(ctx, mirror, "/manifest/"+digest)
 			var signatures []byte
@@ -441,14 +441,14 @@
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
-		case <-time.After(a.post.Source.Pause << min(try, 6)):
+		case <-time.After(a.post.Source.Backoff << min(try, 6)):
 		}
 	}
 	return last
 }
 
 func (a *Agent) get(ctx context.Context, mirror, path string) ([]byte, error) {
-	ctx, cancel := context.WithTimeout(ctx, max(a.post.Source.Silence, time.Second))
+	ctx, cancel := context.WithTimeout(ctx, max(a.post.Source.IdleTimeout, time.Second))
 	defer cancel()
 	ask, err := http.NewRequestWithContext(ctx, "GET", strings.TrimSuffix(mirror, "/")+path, nil)
 	if err != nil {
@@ -462,7 +462,7 @@
 	if got.StatusCode != 200 {
 		return nil, fmt.Errorf("status %s", got.Status)
 	}
-	return io.ReadAll(io.LimitReader(got.Body, build.MostBytes+1))
+	return io.ReadAll(io.LimitReader(got.Body, build.MaxManifestBytes+1))
 }
 
 // verified reads a manifest that is here and checks who signed it.
@@ -494,15 +494,15 @@
 }
 
 // lastRing is the ring that was told at start, or a later one that took its place.
-func (a *Agent) lastRing() *build.Ring {
+func (a *Agent) lastRing() *build.KeyRing {
 	raw, err := os.ReadFile(filepath.Join(a.post.Dir, "ring.json"))
 	if err == nil {
-		r, err := build.ReadRing(raw)
-		if err == nil && r.Version > a.post.Ring.Version && r.Group == a.post.Ring.Group {
+		r, err := build.ReadKeyRing(raw)
+		if err == nil && r.Version > a.post.KeyRing.Version && r.Group == a.post.KeyRing.Group {
 			return r
 		}
 	}
-	return a.post.Ring
+	return a.post.KeyRing
 }
 
 // nextRings looks for later rings, one version after the other, each signed by the keys of the one before. A mirror that
@@ -528,7 +528,7 @@
 			for _, s := range texts {
 				all = append(all, []byte(s))
 			}
-			var next *build.Ring
+			var next *build.KeyRing
 			if err == nil {
 				next, err = ring.Next(raw, all, time.Now())
 			}
@@ -539,7 +539,7 @@
 				a.log.Warn("a ring is not taken", "version", ring.Version+1, "error", err)
 				continue
 			}
-			a.log.Info("a new ring", "version", next.Version, "keys", len(next.Keys), "floor", next.Floor)
+			a.log.Info("a new ring", "version", next.Version, "keys", len(next.Keys), "floor", next.MinVersion)
 			a.mu.Lock()
 			a.ring = next
 			a.mu.Unlock()
@@ -553,21 +553,21 @@
 }
 
 // check reads everything again, signatures and files, and lays the build out.
-func (a *Agent) check(ctx context.Context, e agent.Check) {
-	m, err := a.verified(e.Digest, e.Old)
+func (a *Agent) check(ctx context.Context, e agent.Verify) {
+	m, err := a.verified(e.Digest, e.AllowBelowFloor)
 	if err == nil {
-		err = a.depot.Check(m)
+		err = a.depot.Verify(m)
 	}
 	if err == nil {
-		_, err = a.depot.Lay(e.Digest, m)
+		_, err = a.depot.Install(e.Digest, m)
 	}
 	if err != nil {
 		_ = os.Remove(a.file(e.Digest, ".sigs")) // fetched anew the next time
 		_ = os.Remove(a.file(e.Digest, ".json"))
-		a.done(ctx, agent.Trouble{Digest: e.Digest, Reason: err.Error()})
+		a.done(ctx, agent.OperationFailed{Digest: e.Digest, Reason: err.Error()})
 		return
 	}
-	a.done(ctx, agent.Checked{Digest: e.Digest})
+	a.done(ctx, agent.Verified{Digest: e.Digest})
 }
 
 // here is the manifest of a build that has been checked.
@@ -576,24 +576,24 @@
 	if err != nil {
 		return nil, err
 	}
-	return build.Read(raw)
+	return build.ReadManifest(raw)
 }
 
 func (a *Agent) start(ctx context.Context, digest string) {
 	m, err := a.here(digest)
 	var dir string
 	if err == nil {
-		dir, err = a.depot.Lay(digest, m)
+		dir, err = a.depot.Install(digest, m)
 	}
 	if err == nil {
 		err = a.runner.Stop(digest, 0) // what an earlier try has left behind
 	}
 	var port int
 	if err == nil {
-		port, err = a.post.Ports()
+		port, err = a.post.FreePort()
 	}
 	if err != nil {
-		a.done(ctx, agent.Trouble{Digest: digest, Reason: err.Error()})
+		a.done(ctx, agent.OperationFailed{Digest: digest, Reason: err.Error()})
 		return
 	}
 	words := make([]string, len(m.Start))
@@ -605,7 +605,7 @@
 	}
 	p, ended, err := a.runner.Start(digest, dir, words, port)
 	if err != nil {
-		a.done(ctx, agent.Trouble{Digest: digest, Reason: err.Error()})
+		a.done(ctx, agent.OperationFailed{Digest: digest, Reason: err.Error()})
 		return
 	}
 	a.done(ctx, agent.Started{Digest: digest, Process: p})
@@ -635,7 +635,7 @@
 	}
 	m, err := a.here(digest)
 	if err != nil {
-		a.done(ctx, agent.Trouble{Digest: digest, Reason: err.Error()})
+		a.done(ctx, agent.OperationFailed{Digest: digest, Reason: err.Error()})
 		return
 	}
 	a.done(ctx, agent.Started{Digest: digest, Process: p})
@@ -659,7 +659,7 @@
 		if time.Since(began) > time.Duration(m.Ready.Within) {
 			if a.cancel(digest); ctx.Err() != nil && a.ctx.Err() == nil { // its end is no news any more
 				_ = a.runner.Stop(digest, 0)
-				a.hear(agent.Trouble{Digest: digest, Reason: "it was not ready in time"})
+				a.hear(agent.OperationFailed{Digest: digest, Reason: "it was not ready in time"})
 			}
 			return
 		}
@@ -688,7 +688,7 @@
 	}
 	if err := a.runner.Stop(digest, within); err != nil {
 		a.log.Error("a build does not end", "digest", digest, "error", err)
-		a.hear(agent.Trouble{Digest: digest, Reason: err.Error()})
+		a.hear(agent.OperationFailed{Digest: digest, Reason: err.Error()})
 		return
 	}
 	a.hear(agent.Exited{Digest: digest, Reason: "as told"})
@@ -697,7 +697,7 @@
 // collect removes the files of builds that the state does not name.
 func (a *Agent) collect() {
 	keep := map[string]*build.Manifest{}
-	for _, r := range a.machine.State.Runs() {
+	for _, r := range a.machine.State.Instances() {
 		keep[r.Digest] = &build.Manifest{}
 		if m, err := a.here(r.Digest); err == nil {
 			keep[r.Digest] = m
@@ -705,7 +705,7 @@
 			return // its files are not known yet
 		}
 	}
-	if err := a.depot.Collect(keep); err != nil {
+	if err := a.depot.CollectGarbage(keep); err != nil {
 		a.log.Warn("old builds are not removed", "error", err)
 	}
 }
@@ -719,8 +719,8 @@
 		case <-time.After(time.Second):
 		}
 		s := a.State()
-		for _, r := range s.Runs() {
-			if err := a.runner.Trim(r.Digest); err != nil {
+		for _, r := range s.Instances() {
+			if err := a.runner.TrimOutput(r.Digest); err != nil {
 				a.log.Warn("output is not trimmed", "error", err)
 			}
 		}
--- a/internal/agentd/agentd_test.go
+++ b/internal/agentd/agentd_test.go
@@ -62,8 +62,8 @@
 		c.SysProcAttr = &syscall.SysProcAttr{Setsid: true} // out of the group
 		_ = c.Start()
 	}
-	_ = os.WriteFile(os.Getenv(process.Ready), []byte("ready"), 0o600)
-	_ = http.ListenAndServe("127.0.0.1:"+os.Getenv(process.Port), http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+	_ = os.WriteFile(os.Getenv(process.ReadyVariable), []byte("ready"), 0o600)
+	_ = http.ListenAndServe("127.0.0.1:"+os.Getenv(process.PortVariable), http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		_, _ = io.WriteString(w, name)
 	}))
 }
@@ -73,7 +73,7 @@
 	*testing.T
 	controller *testbed.Controller
 	mirrors    [2]*testbed.Mirror
-	ring       *build.Ring
+	ring       *build.KeyRing
 	keys       []minisign.PrivateKey
 	dir        string
 	witness    net.Listener
@@ -97,15 +97,15 @@
 		require.NoError(t, err)
 		t.Cleanup(w.mirrors[i].Stop)
 	}
-	w.ring = &build.Ring{Format: 1, Version: 1, Threshold: 2, Group: "tacoma", Floor: 1}
+	w.ring = &build.KeyRing{Format: 1, Version: 1, Threshold: 2, Group: "tacoma", MinVersion: 1}
 	for _, name := range []string{"ada", "ben", "cyd", "old", "out"} {
 		p, s, err := minisign.GenerateKey(rand.Reader)
 		require.NoError(t, err)
 		text, _ := p.MarshalText()
-		k := build.Key{Name: name, Public: string(text), From: time.Now().Add(-time.Hour), To: time.Now().Add(time.Hour)}
+		k := build.Key{Name: name, PublicKey: string(text), NotBefore: time.Now().Add(-time.Hour), NotAfter: time.Now().Add(time.Hour)}
 		switch name {
 		case "old":
-			k.To = time.Now().Add(-time.Minute)
+			k.NotAfter = time.Now().Add(-time.Minute)
 		case "out":
 			k.Revoked = true
 		}
@@ -138,9 +138,9 @@
 	data := []byte(strings.Repeat("shared by all builds ", 5000))
 	files := map[string][]byte{build.Digest(run): run, build.Digest(data): data}
 	m := &build.Manifest{Format: 1, Name: "shop", Group: "tacoma", Version: version, Start: []string{"run.sh", "{port}"},
-		Files: []build.File{{Path: "run.sh", Size: int64(len(run)), SHA256: build.Digest(run), Run: true},
+		Files: []build.File{{Path: "run.sh", Size: int64(len(run)), SHA256: build.Digest(run), Executable: true},
 			{Path: "data/shared", Size: int64(len(data)), SHA256: build.Digest(data)}}}
-	m.Ready.Path, m.Ready.Within, m.Drain.Within = "/", build.Span(3*time.Second), build.Span(300*time.Millisecond)
+	m.Ready.Path, m.Ready.Within, m.Drain.Within = "/", build.Duration(3*time.Second), build.Duration(300*time.Millisecond)
 	return m, files
 }
 
@@ -176,12 +176,12 @@
 	return w.publish(raw, files, 0, 1)
 }
 
-func (w *world) post() Post {
-	return Post{Name: "h1", Dir: w.dir, Controller: w.controller.URL(), Disk: 64 << 20, Log: 64 << 10, Ring: w.ring,
-		Source: artifact.Source{Mirrors: []string{w.mirrors[0].URL(), w.mirrors[1].URL()}, Tries: 4, Pause: time.Millisecond,
-			Silence: 500 * time.Millisecond},
-		Rules: agent.Rules{Crashes: 2, Pause: 10 * time.Millisecond, Longest: 100 * time.Millisecond, Steady: 10 * time.Second},
-		Cold:  50 * time.Millisecond, Drain: 50 * time.Millisecond}
+func (w *world) post() Config {
+	return Config{Name: "h1", Dir: w.dir, Controller: w.controller.URL(), MaxArtifactBytes: 64 << 20, MaxOutputBytes: 64 << 10, KeyRing: w.ring,
+		Source: artifact.Source{Mirrors: []string{w.mirrors[0].URL(), w.mirrors[1].URL()}, MaxAttempts: 4, Backoff: time.Millisecond,
+			IdleTimeout: 500 * time.Millisecond},
+		Limits: agent.Limits{MaxCrashes: 2, CrashBackoff: 10 * time.Millisecond, MaxCrashBackoff: 100 * time.Millisecond, CrashResetAfter: 10 * time.Second},
+		WarmUp: 50 * time.Millisecond, DrainDelay: 50 * time.Millisecond}
 }
 
 func (w *world) start() *Agent {
@@ -202,7 +202,7 @@
 // answers is what a build answers at its port.
 func answers(a *Agent, digest string) string {
 	s := a.State()
-	r := s.Run(digest)
+	r := s.Instance(digest)
 	if r == nil {
 		return ""
 	}
@@ -231,11 +231,11 @@
 	require.Equal(t, "1", answers(a, one), "the earlier build stays until the newer one is released")
 	require.Equal(t, "2", answers(a, two))
 	w.order(two, "take-back")
-	w.await(two, agent.TakenBack)
+	w.await(two, agent.RolledBack)
 	require.Equal(t, "1", answers(a, one))
 	require.Empty(t, a.runner.Find(two))
 	w.order(two, "release")
-	w.await(one, agent.TakenBack)
+	w.await(one, agent.RolledBack)
 	require.Equal(t, "2", answers(a, two))
 	require.Empty(t, a.runner.Find(one))
 	var asked int
@@ -270,20 +270,20 @@
 	w.await(crash, agent.Failed)
 	require.Len(t, w.seen("2"), 3, "once, and twice again")
 	silent, files := w.make(3, "silent")
-	silent.Ready.Within = build.Span(200 * time.Millisecond)
+	silent.Ready.Within = build.Duration(200 * time.Millisecond)
 	raw, _ := silent.Bytes()
 	never := w.publish(raw, files, 0, 2)
 	w.order(never, "release")
 	w.await(never, agent.Failed)
 	s := a.State()
-	require.Contains(t, s.Run(never).Reason, "not ready in time")
+	require.Contains(t, s.Instance(never).Reason, "not ready in time")
 	for i, how := range []string{"stubborn", "fork"} {
 		d := w.good(4+i, how)
 		w.order(d, "serve")
 		w.await(d, agent.Serving)
 		require.NotEmpty(t, a.runner.Find(d))
 		w.order(d, "take-back")
-		w.await(d, agent.TakenBack)
+		w.await(d, agent.RolledBack)
 		require.Empty(t, a.runner.Find(d), "%s: nothing of it runs any more", how)
 	}
 	require.Equal(t, "1", answers(a, one))
@@ -314,7 +314,7 @@
 	a = w.start()
 	defer a.Stop()
 	w.await(d, agent.Staged)
-	again := a.fetcher.Fetched() - 2<<20 // two of three were left
+	again := a.fetcher.FetchedBytes() - 2<<20 // two of three were left
 	for _, body := range files {
 		if len(body) < 1<<20 {
 			again -= int64(len(body))
@@ -347,7 +347,7 @@
 func TestAFullDiskLeavesTheRunningBuildUntouched(t *testing.T) {
 	w := newWorld(t)
 	p := w.post()
-	p.Disk = 150_000 // one build and not much more
+	p.MaxArtifactBytes = 150_000 // one build and not much more
 	a, err := Start(p, slog.New(slog.DiscardHandler))
 	require.NoError(t, err)
 	defer a.Stop()
@@ -361,7 +361,7 @@
 	w.order(two, "release")
 	w.await(two, agent.Failed)
 	s := a.State()
-	require.Contains(t, s.Run(two).Reason, "limit on bytes held")
+	require.Contains(t, s.Instance(two).Reason, "limit on bytes held")
 	require.Equal(t, "1", answers(a, one))
 	require.NoFileExists(t, filepath.Join(w.dir, "part", build.Digest(big)))
 }
@@ -371,7 +371,7 @@
 	a := w.start()
 	defer a.Stop()
 	_, err := Start(w.post(), slog.New(slog.DiscardHandler))
-	require.ErrorIs(t, err, artifact.ErrHeld)
+	require.ErrorIs(t, err, artifact.ErrLocked)
 }
 
 func TestWithoutAControllerTheAgentGoesOnServing(t *testing.T) {
@@ -386,7 +386,7 @@
 	require.Equal(t, "1", answers(a, one))
 	require.Len(t, w.seen("1"), 1, "it was adopted, not started again")
 	s := a.State()
-	require.NoError(t, syscall.Kill(-s.Earlier.Process.Pid, syscall.SIGKILL))
+	require.NoError(t, syscall.Kill(-s.Stable.Process.Pid, syscall.SIGKILL))
 	require.Eventually(t, func() bool { return answers(a, one) == "1" && len(w.seen("1")) == 2 }, 10*time.Second, 10*time.Millisecond)
 	w.controller.Down(false)
 	w.await(one, agent.Starting) // what happened meanwhile is reported
@@ -401,7 +401,7 @@
 	w.order(starting, "serve")
 	require.Eventually(t, func() bool { return len(w.seen("2")) == 1 }, 10*time.Second, time.Millisecond)
 	w.order(starting, "take-back")
-	w.await(starting, agent.TakenBack)
+	w.await(starting, agent.RolledBack)
 	require.Empty(t, a.runner.Find(starting))
 	for _, m := range w.mirrors {
 		m.Fail(func(string, []byte) testbed.Fault { return testbed.Fault{Cut: 1, Stall: true} })
@@ -410,7 +410,7 @@
 	w.order(fetching, "serve")
 	w.await(fetching, agent.Fetching)
 	w.order(fetching, "take-back")
-	w.await(fetching, agent.TakenBack)
+	w.await(fetching, agent.RolledBack)
 	require.Empty(t, w.seen("3"))
 	require.Equal(t, "1", answers(a, one))
 }
@@ -421,7 +421,7 @@
 	require.NoError(t, err)
 	defer taken.Close()
 	p, n := w.post(), 0
-	p.Ports = func() (int, error) {
+	p.FreePort = func() (int, error) {
 		if n++; n == 1 {
 			return taken.Addr().(*net.TCPAddr).Port, nil
 		}
@@ -439,7 +439,7 @@
 	for at := range 12 {
 		w := newWorld(t)
 		p, refused := w.post(), 0
-		p.Refuse = func(n int) error {
+		p.BeforeSave = func(n int) error {
 			if n == at+1 && refused < 2 {
 				refused++
 				return syscall.ENOSPC
@@ -452,7 +452,7 @@
 		w.order(one, "release")
 		w.await(one, agent.Serving)
 		w.order(two, "release")
-		w.await(one, agent.TakenBack)
+		w.await(one, agent.RolledBack)
 		require.Equal(t, "2", answers(a, two))
 		require.Len(t, w.seen("1"), 1, "full at write %d", at+1)
 		require.Len(t, w.seen("2"), 1, "full at write %d", at+1)
@@ -472,7 +472,7 @@
 	two := w.publish(raw, files, 0, 1)
 	needed := m.Size() + int64(len("#"))
 	for limit := needed / 3; limit < needed; limit += needed / 7 {
-		p.Disk = limit + 1<<10
+		p.MaxArtifactBytes = limit + 1<<10
 		p.Dir = t.TempDir()
 		a, err := Start(p, slog.New(slog.DiscardHandler))
 		require.NoError(t, err)
@@ -529,7 +529,7 @@
 	}
 	w := newWorld(t)
 	p := w.post()
-	p.Source.Tries, p.Source.Pause, p.Source.Silence = 2, 0, 100*time.Millisecond
+	p.Source.MaxAttempts, p.Source.Backoff, p.Source.IdleTimeout = 2, 0, 100*time.Millisecond
 	a, err := Start(p, slog.New(slog.DiscardHandler))
 	require.NoError(t, err)
 	defer a.Stop()
@@ -580,7 +580,7 @@
 			target, broken = "/signatures/", testbed.Fault{Body: []byte(`["rubbish","` + strings.Repeat("x", r.IntN(300)) + `"]`)}
 		case 12:
 			broken = testbed.Fault{Cut: 1 + r.IntN(len(files[body])-1)}
-			w.ring.Floor = 0
+			w.ring.MinVersion = 0
 		default:
 			target, broken = "/manifest/", testbed.Fault{Body: []byte(`{"format":1}`)}
 		}
@@ -625,7 +625,7 @@
 
 // runAgent is an agent in a process of its own, which kills itself at one of its writes.
 func runAgent() {
-	var p Post
+	var p Config
 	raw, err := os.ReadFile(os.Getenv("DAPPLEFRONT_TEST_AGENT"))
 	if err == nil {
 		err = json.Unmarshal(raw, &p)
@@ -636,7 +636,7 @@
 	}
 	at := 0
 	_, _ = fmt.Sscan(os.Getenv("DAPPLEFRONT_TEST_KILL"), &at)
-	p.Wrote = func(n int) {
+	p.AfterSave = func(n int) {
 		if n == at {
 			_ = syscall.Kill(os.Getpid(), syscall.SIGKILL)
 			time.Sleep(time.Minute)
@@ -676,7 +676,7 @@
 			w.order(two, "release")
 		}()
 		done := make(chan bool, 1)
-		go func() { done <- w.controller.Await("h1", one, string(agent.TakenBack), 10*time.Second) }()
+		go func() { done <- w.controller.Await("h1", one, string(agent.RolledBack), 10*time.Second) }()
 		killed := false
 		select {
 		case <-died:
@@ -691,7 +691,7 @@
 		require.True(t, <-ordered, "killed at write %d: %+v", at, w.controller.Reports("h1"))
 		require.Eventually(t, func() bool {
 			s := a.State()
-			return s.Earlier != nil && s.Earlier.Digest == two && s.Earlier.Phase == agent.Serving && len(s.Leaving) == 0 && s.Newer == nil
+			return s.Stable != nil && s.Stable.Digest == two && s.Stable.Phase == agent.Serving && len(s.Retiring) == 0 && s.Candidate == nil
 		}, 15*time.Second, 5*time.Millisecond, "killed at write %d: %+v", at, w.controller.Reports("h1"))
 		require.Equal(t, "2", answers(a, two))
 		require.Len(t, a.runner.Find(two), 1, "killed at write %d", at)
--- a/internal/artifact/depot.go
+++ b/internal/artifact/depot.go
@@ -16,8 +16,8 @@
 	"dapplefront/build"
 )
 
-// Depot is one folder. Only one process may hold it.
-type Depot struct {
+// Store is one folder. Only one process may hold it.
+type Store struct {
 	dir   string
 	limit int64
 	lock  *os.File
@@ -25,13 +25,13 @@
 
 // ErrHeld says that another process holds the folder; ErrFull that a file would pass the limit on bytes held.
 var (
-	ErrHeld = errors.New("another agent holds this folder")
-	ErrFull = errors.New("the limit on bytes held is reached")
+	ErrLocked = errors.New("another agent holds this folder")
+	ErrFull   = errors.New("the limit on bytes held is reached")
 )
 
 // Open takes a folder, which is made if it is missing. limit bounds the bytes of all files in it, those being fetched
 // included.
-func Open(dir string, limit int64) (*Depot, error) {
+func Open(dir string, limit int64) (*Store, error) {
 	for _, sub := range []string{"sha256", "part", "builds"} {
 		if err := os.MkdirAll(filepath.Join(dir, sub), 0o755); err != nil {
 			return nil, fmt.Errorf("depot: %w", err)
@@ -43,25 +43,25 @@
 	}
 	if err := syscall.Flock(int(lock.Fd()), syscall.LOCK_EX|syscall.LOCK_NB); err != nil {
 		_ = lock.Close()
-		return nil, fmt.Errorf("depot %s: %w", dir, ErrHeld)
+		return nil, fmt.Errorf("depot %s: %w", dir, ErrLocked)
 	}
-	return &Depot{dir: dir, limit: limit, lock: lock}, nil
+	return &Store{dir: dir, limit: limit, lock: lock}, nil
 }
 
 // Close lets go of the folder.
-func (d *Depot) Close() error { return d.lock.Close() }
+func (d *Store) Close() error { return d.lock.Close() }
 
-func (d *Depot) blob(digest string) string { return filepath.Join(d.dir, "sha256", digest) }
-func (d *Depot) part(digest string) string { return filepath.Join(d.dir, "part", digest) }
+func (d *Store) blob(digest string) string { return filepath.Join(d.dir, "sha256", digest) }
+func (d *Store) part(digest string) string { return filepath.Join(d.dir, "part", digest) }
 
 // Has tells whether a file is there, whole and checked.
-func (d *Depot) Has(f build.File) bool {
+func (d *Store) Has(f build.File) bool {
 	s, err := os.Stat(d.blob(f.SHA256))
 	return err == nil && s.Mode().IsRegular() && s.Size() == f.Size
 }
 
-// Used is how many bytes are held.
-func (d *Depot) Used() (n int64, err error) {
+// UsedBytes is how many bytes are held.
+func (d *Store) UsedBytes() (n int64, err error) {
 	for _, sub := range []string{"sha256", "part"} {
 		all, err := os.ReadDir(filepath.Join(d.dir, sub))
 		if err != nil {
@@ -77,8 +77,8 @@
 }
 
 // room tells whether a file fits beside what is held.
-func (d *Depot) room(f build.File, have int64) error {
-	used, err := d.Used()
+func (d *Store) room(f build.File, have int64) error {
+	used, err := d.UsedBytes()
 	if err != nil {
 		return err
 	}
@@ -89,7 +89,7 @@
 }
 
 // settle checks a fetched part and puts it in its place. A part that is not what it should be is removed.
-func (d *Depot) settle(f build.File) error {
+func (d *Store) settle(f build.File) error {
 	part := d.part(f.SHA256)
 	if err := same(part, f); err != nil {
 		_ = os.Remove(part)
@@ -104,10 +104,10 @@
 	return syncDir(filepath.Join(d.dir, "sha256"))
 }
 
-// WrongBytes says that a file is not what its digest says.
-type WrongBytes struct{ Path, Want, Got string }
+// DigestMismatchError says that a file is not what its digest says.
+type DigestMismatchError struct{ Path, Want, Got string }
 
-func (w *WrongBytes) Error() string {
+func (w *DigestMismatchError) Error() string {
 	return fmt.Sprintf("%s: wrong bytes: %.12s expected, not %.12s", w.Path, w.Want, w.Got)
 }
 
@@ -124,7 +124,7 @@
 		return err
 	}
 	if got := hex.EncodeToString(sum.Sum(nil)); n != f.Size || got != f.SHA256 {
-		return &WrongBytes{f.Path, f.SHA256, got}
+		return &DigestMismatchError{f.Path, f.SHA256, got}
 	}
 	return file.Sync()
 }
@@ -138,11 +138,11 @@
 	return f.Sync()
 }
 
-// Check reads all files of a build again: what stood on disk for a while may have changed.
-func (d *Depot) Check(m *build.Manifest) error {
+// Verify reads all files of a build again: what stood on disk for a while may have changed.
+func (d *Store) Verify(m *build.Manifest) error {
 	for _, f := range m.Files {
 		if err := same(d.blob(f.SHA256), f); err != nil {
-			var wrong *WrongBytes
+			var wrong *DigestMismatchError
 			if errors.As(err, &wrong) {
 				_ = os.Remove(d.blob(f.SHA256)) // it is fetched anew
 			}
@@ -152,8 +152,8 @@
 	return nil
 }
 
-// Lay lays out a checked build as a folder and returns its path. It is there whole or not at all.
-func (d *Depot) Lay(digest string, m *build.Manifest) (string, error) {
+// Install lays out a checked build as a folder and returns its path. It is there whole or not at all.
+func (d *Store) Install(digest string, m *build.Manifest) (string, error) {
 	dir := filepath.Join(d.dir, "builds", digest)
 	if _, err := os.Stat(dir); err == nil {
 		return dir, nil
@@ -177,8 +177,8 @@
 	return dir, syncDir(filepath.Join(d.dir, "builds"))
 }
 
-// Collect removes all but some builds, by their digests: folders, and files that none of them needs.
-func (d *Depot) Collect(keep map[string]*build.Manifest) error {
+// CollectGarbage removes all but some builds, by their digests: folders, and files that none of them needs.
+func (d *Store) CollectGarbage(keep map[string]*build.Manifest) error {
 	needed := map[string]bool{}
 	for _, m := range keep {
 		for _, f := range m.Files {
--- a/internal/artifact/depot_test.go
+++ b/internal/artifact/depot_test.go
@@ -18,7 +18,7 @@
 	"dapplefront/internal/testbed"
 )
 
-func served(t testing.TB, sizes ...int) (*artifact.Depot, *testbed.Mirror, *build.Manifest) {
+func served(t testing.TB, sizes ...int) (*artifact.Store, *testbed.Mirror, *build.Manifest) {
 	d, err := artifact.Open(t.TempDir(), 1<<30)
 	require.NoError(t, err)
 	t.Cleanup(func() { _ = d.Close() })
@@ -41,7 +41,7 @@
 	bad, err := testbed.StartMirror()
 	require.NoError(t, err)
 	defer bad.Stop()
-	f := d.NewFetcher(artifact.Source{Mirrors: []string{bad.URL(), good.URL()}, Tries: 2, Silence: time.Second})
+	f := d.NewFetcher(artifact.Source{Mirrors: []string{bad.URL(), good.URL()}, MaxAttempts: 2, IdleTimeout: time.Second})
 	require.NoError(t, f.Fetch(context.Background(), b))
 	require.Len(t, bad.Asked(), 1)
 	require.Len(t, good.Asked(), 4)
@@ -49,7 +49,7 @@
 
 func TestTheRateIsKept(t *testing.T) {
 	d, m, b := served(t, 400<<10)
-	f := d.NewFetcher(artifact.Source{Mirrors: []string{m.URL()}, Tries: 1, Rate: 200 << 10, Silence: 100 * time.Millisecond})
+	f := d.NewFetcher(artifact.Source{Mirrors: []string{m.URL()}, MaxAttempts: 1, MaxBytesPerSecond: 200 << 10, IdleTimeout: 100 * time.Millisecond})
 	began := time.Now()
 	require.NoError(t, f.Fetch(context.Background(), b))
 	require.Greater(t, time.Since(began), 800*time.Millisecond, "the first second's worth comes at once")
@@ -57,47 +57,47 @@
 
 func TestOldBuildsAreCollectedAndSharedFilesStay(t *testing.T) {
 	d, m, b := served(t, 10, 20, 30)
-	f := d.NewFetcher(artifact.Source{Mirrors: []string{m.URL()}, Tries: 1, Silence: time.Second})
+	f := d.NewFetcher(artifact.Source{Mirrors: []string{m.URL()}, MaxAttempts: 1, IdleTimeout: time.Second})
 	require.NoError(t, f.Fetch(context.Background(), b))
 	old, kept := &build.Manifest{Files: b.Files[:2]}, &build.Manifest{Files: b.Files[1:]}
-	_, err := d.Lay("old", old)
+	_, err := d.Install("old", old)
 	require.NoError(t, err)
-	dir, err := d.Lay("kept", kept)
+	dir, err := d.Install("kept", kept)
 	require.NoError(t, err)
-	require.NoError(t, d.Collect(map[string]*build.Manifest{"kept": kept}))
+	require.NoError(t, d.CollectGarbage(map[string]*build.Manifest{"kept": kept}))
 	require.False(t, d.Has(b.Files[0]))
 	require.True(t, d.Has(b.Files[1]))
 	require.FileExists(t, filepath.Join(dir, "f2"))
-	used, err := d.Used()
+	used, err := d.UsedBytes()
 	require.NoError(t, err)
 	require.EqualValues(t, 50, used)
 }
 
 func TestWhatRotsOnDiskIsFoundAndFetchedAnew(t *testing.T) {
 	d, m, b := served(t, 5000)
-	f := d.NewFetcher(artifact.Source{Mirrors: []string{m.URL()}, Tries: 1, Silence: time.Second})
+	f := d.NewFetcher(artifact.Source{Mirrors: []string{m.URL()}, MaxAttempts: 1, IdleTimeout: time.Second})
 	require.NoError(t, f.Fetch(context.Background(), b))
-	dir, err := d.Lay("b", b)
+	dir, err := d.Install("b", b)
 	require.NoError(t, err)
 	file := filepath.Join(dir, "f0")
 	require.NoError(t, os.Chmod(file, 0o755))
 	raw, _ := os.ReadFile(file)
 	raw[7] ^= 1
 	require.NoError(t, os.WriteFile(file, raw, 0o755))
-	var wrong *artifact.WrongBytes
-	require.ErrorAs(t, d.Check(b), &wrong)
+	var wrong *artifact.DigestMismatchError
+	require.ErrorAs(t, d.Verify(b), &wrong)
 	require.False(t, d.Has(b.Files[0]))
 	require.NoError(t, f.Fetch(context.Background(), b))
-	require.NoError(t, d.Check(b))
+	require.NoError(t, d.Verify(b))
 }
 
 // BenchmarkFetch fetches a file of 64 MiB, checks and syncs it; BenchmarkCopy copies it with io.Copy and syncs it.
 func BenchmarkFetch(b *testing.B) {
 	d, m, man := served(b, 64<<20)
-	f := d.NewFetcher(artifact.Source{Mirrors: []string{m.URL()}, Tries: 1, Silence: 10 * time.Second})
+	f := d.NewFetcher(artifact.Source{Mirrors: []string{m.URL()}, MaxAttempts: 1, IdleTimeout: 10 * time.Second})
 	b.SetBytes(64 << 20)
 	for b.Loop() {
-		require.NoError(b, d.Collect(nil))
+		require.NoError(b, d.CollectGarbage(nil))
 		require.NoError(b, f.Fetch(context.Background(), man))
 	}
 }
--- a/internal/artifact/fetch.go
+++ b/internal/artifact/fetch.go
@@ -21,17 +21,17 @@
 
 // Source is where files come from: mirrors that serve each file at /sha256/DIGEST.
 type Source struct {
-	Mirrors []string // base URLs
-	Rate    int      // bytes a second over all files; 0 for no limit
-	Tries   int      // of one file, over all mirrors; what brought new bytes doesn't count
-	Pause   time.Duration
-	Silence time.Duration // without a byte, after which a mirror has failed
-	Client  *http.Client  `json:"-"`
+	Mirrors           []string // base URLs
+	MaxBytesPerSecond int      // bytes a second over all files; 0 for no limit
+	MaxAttempts       int      // of one file, over all mirrors; what brought new bytes doesn't count
+	Backoff           time.Duration
+	IdleTimeout       time.Duration // without a byte, after which a mirror has failed
+	Client            *http.Client  `json:"-"`
 }
 
 // Fetcher brings files into a depot.
 type Fetcher struct {
-	depot  *Depot
+	depot  *Store
 	source Source
 	rate   *rate.Limiter
 
@@ -48,19 +48,19 @@
 func trimMark(name string) string { return strings.TrimSuffix(name, marked) }
 
 // NewFetcher fetches from a source.
-func (d *Depot) NewFetcher(s Source) *Fetcher {
+func (d *Store) NewFetcher(s Source) *Fetcher {
 	if s.Client == nil {
 		s.Client = &http.Client{}
 	}
 	f := &Fetcher{depot: d, source: s, mirrors: slices.Clone(s.Mirrors)}
-	if s.Rate > 0 {
-		f.rate = rate.NewLimiter(rate.Limit(s.Rate), max(s.Rate, chunk))
+	if s.MaxBytesPerSecond > 0 {
+		f.rate = rate.NewLimiter(rate.Limit(s.MaxBytesPerSecond), max(s.MaxBytesPerSecond, chunk))
 	}
 	return f
 }
 
-// Fetched is how many bytes came so far.
-func (f *Fetcher) Fetched() int64 { f.mu.Lock(); defer f.mu.Unlock(); return f.fetched }
+// FetchedBytes is how many bytes came so far.
+func (f *Fetcher) FetchedBytes() int64 { f.mu.Lock(); defer f.mu.Unlock(); return f.fetched }
 
 // Fetch brings all files of a build that are not there yet. What is half there is gone on with. An error says which
 // file and why; parts stay for the next time, unless they are wrong or the disk is full.
@@ -79,7 +79,7 @@
 // one brings one file, from one mirror after the other.
 func (f *Fetcher) one(ctx context.Context, file build.File) error {
 	var last error
-	for try := 0; try < max(1, f.source.Tries); {
+	for try := 0; try < max(1, f.source.MaxAttempts); {
 		mirror := f.first()
 		before := f.size(file)
 		err := f.from(ctx, mirror, file)
@@ -101,7 +101,7 @@
 		if f.size(file) <= before {
 			try++
 		}
-		if err := pause(ctx, f.source.Pause, try); err != nil {
+		if err := pause(ctx, f.source.Backoff, try); err != nil {
 			return err
 		}
 	}
@@ -174,7 +174,7 @@
 			ask.Header.Set("If-Range", tag)
 		}
 	}
-	quiet := time.AfterFunc(max(f.source.Silence, time.Millisecond), cancel)
+	quiet := time.AfterFunc(max(f.source.IdleTimeout, time.Millisecond), cancel)
 	defer quiet.Stop()
 	got, err := f.source.Client.Do(ask)
 	if err != nil {
@@ -221,7 +221,7 @@
 	for {
 		n, err := in.Read(buf)
 		if n > 0 {
-			quiet.Reset(max(f.source.Silence, time.Millisecond))
+			quiet.Reset(max(f.source.IdleTimeout, time.Millisecond))
 			if left -= int64(n); left < 0 {
 				return errors.New("more bytes came than the file has")
 			}
@@ -236,7 +236,7 @@
 				if err := f.rate.WaitN(ctx, n); err != nil {
 					return err
 				}
-				quiet.Reset(max(f.source.Silence, time.Millisecond))
+				quiet.Reset(max(f.source.IdleTimeout, time.Millisecond))
 			}
 		}
 		switch {
--- a/internal/artifact/pack.go
+++ b/internal/artifact/pack.go
@@ -46,7 +46,7 @@
 		if err != nil {
 			return err
 		}
-		f := build.File{Path: filepath.ToSlash(rel), Size: int64(len(raw)), SHA256: build.Digest(raw), Run: s.Mode()&0o111 != 0}
+		f := build.File{Path: filepath.ToSlash(rel), Size: int64(len(raw)), SHA256: build.Digest(raw), Executable: s.Mode()&0o111 != 0}
 		m.Files = append(m.Files, f)
 		return atomicfile.Write(filepath.Join(out, "sha256", f.SHA256), raw, 0o644)
 	})
@@ -78,7 +78,7 @@
 	if err != nil {
 		return err
 	}
-	if _, err := build.Read(raw); err != nil || build.Digest(raw) != digest {
+	if _, err := build.ReadManifest(raw); err != nil || build.Digest(raw) != digest {
 		return errors.Join(fmt.Errorf("%s is no manifest of that digest", digest), err)
 	}
 	text, err := os.ReadFile(key)
@@ -112,17 +112,17 @@
 }
 
 // Verify checks a packed build as an agent would, files and all. A *build.Refused tells why it is refused.
-func Verify(out, digest string, r *build.Ring, now time.Time) (*build.Manifest, []string, error) {
+func Verify(out, digest string, r *build.KeyRing, now time.Time) (*build.Manifest, []string, error) {
 	raw, err := os.ReadFile(filepath.Join(out, "manifest", digest))
 	if err != nil {
 		return nil, nil, err
 	}
 	if build.Digest(raw) != digest {
-		return nil, nil, &build.Refused{Reason: build.Malformed, Detail: "the manifest has another digest"}
+		return nil, nil, &build.RefusedError{Reason: build.Malformed, Detail: "the manifest has another digest"}
 	}
 	texts, err := signatures(out, digest)
 	if err != nil {
-		return nil, nil, &build.Refused{Reason: build.BadSign, Detail: err.Error()}
+		return nil, nil, &build.RefusedError{Reason: build.BadSignature, Detail: err.Error()}
 	}
 	var all [][]byte
 	for _, s := range texts {
@@ -134,14 +134,14 @@
 	}
 	for _, f := range m.Files {
 		if err := same(filepath.Join(out, "sha256", f.SHA256), f); err != nil {
-			return nil, names, &build.Refused{Reason: build.Malformed, Detail: err.Error()}
+			return nil, names, &build.RefusedError{Reason: build.Malformed, Detail: err.Error()}
 		}
 	}
 	return m, names, nil
 }
 
-// Keys makes a key pair for each name in a folder, and ring.json, which trusts them. Nothing is written over.
-func Keys(dir string, names []string, password string, r build.Ring, from, to time.Time) (*build.Ring, error) {
+// GenerateKeys makes a key pair for each name in a folder, and ring.json, which trusts them. Nothing is written over.
+func GenerateKeys(dir string, names []string, password string, r build.KeyRing, from, to time.Time) (*build.KeyRing, error) {
 	files := []string{filepath.Join(dir, "ring.json")}
 	texts := [][]byte{nil}
 	for _, name := range names {
@@ -162,11 +162,11 @@
 		if err != nil {
 			return nil, err
 		}
-		r.Keys = append(r.Keys, build.Key{Name: name, Public: string(shown), From: from.UTC().Truncate(time.Second),
-			To: to.UTC().Truncate(time.Second)})
+		r.Keys = append(r.Keys, build.Key{Name: name, PublicKey: string(shown), NotBefore: from.UTC().Truncate(time.Second),
+			NotAfter: to.UTC().Truncate(time.Second)})
 		files, texts = append(files, filepath.Join(dir, name+".key")), append(texts, text)
 	}
-	if err := r.Check(); err != nil {
+	if err := r.Validate(); err != nil {
 		return nil, err
 	}
 	var err error
--- a/internal/journal/journal.go
+++ b/internal/journal/journal.go
@@ -16,19 +16,19 @@
 
 // Entry is what is kept.
 type Entry struct {
-	State   agent.State       `json:"state"`
-	Reports []api.AgentReport `json:"reports,omitempty"` // those taken last may be among them; their numbers tell
-	Number  uint64            `json:"number"`            // of the last report
+	State      agent.State       `json:"state"`
+	Reports    []api.AgentReport `json:"reports,omitempty"` // those taken last may be among them; their numbers tell
+	LastReport uint64            `json:"number"`            // of the last report
 }
 
 // Journal is one file. Only one process may hold it.
 type Journal struct {
 	db *bbolt.DB
-	// Wrote is called after each state is on disk, with how many have been written; tests end the process there.
-	Wrote func(n int)
-	// Refuse may make a write fail, by how many have been written; tests let the disk be full there.
-	Refuse func(n int) error
-	n      int
+	// AfterSave is called after each state is on disk, with how many have been written; tests end the process there.
+	AfterSave func(n int)
+	// BeforeSave may make a write fail, by how many have been written; tests let the disk be full there.
+	BeforeSave func(n int) error
+	n          int
 }
 
 const schema = 1
@@ -39,8 +39,8 @@
 	formKey  = []byte("schema")
 )
 
-// ErrNewer says that the file was written by a later program.
-var ErrNewer = errors.New("the journal is of a newer program")
+// ErrNewerSchema says that the file was written by a later program.
+var ErrNewerSchema = errors.New("the journal is of a newer program")
 
 // Open opens or makes a journal. It waits a second for another process to let go of the file.
 func Open(file string) (*Journal, error) {
@@ -58,7 +58,7 @@
 		case form == nil:
 			return b.Put(formKey, []byte{schema})
 		case len(form) != 1 || form[0] > schema:
-			return ErrNewer
+			return ErrNewerSchema
 		}
 		return nil
 	})
@@ -87,8 +87,8 @@
 // Save puts an entry on disk, in place of the last.
 func (j *Journal) Save(e Entry) error {
 	raw, err := json.Marshal(e)
-	if err == nil && j.Refuse != nil {
-		err = j.Refuse(j.n)
+	if err == nil && j.BeforeSave != nil {
+		err = j.BeforeSave(j.n)
 	}
 	if err == nil {
 		err = j.db.Update(func(tx *bbolt.Tx) error { return tx.Bucket(bucket).Put(entryKey, raw) })
@@ -96,8 +96,8 @@
 	if err != nil {
 		return fmt.Errorf("journal: %w", err)
 	}
-	if j.n++; j.Wrote != nil {
-		j.Wrote(j.n)
+	if j.n++; j.AfterSave != nil {
+		j.AfterSave(j.n)
 	}
 	return nil
 }
--- a/internal/process/proc.go
+++ b/internal/process/proc.go
@@ -18,36 +18,36 @@
 	"dapplefront/agent"
 )
 
-// Mark is the environment variable that tells whose a process is.
-const Mark = "DAPPLEFRONT_BUILD"
+// OwnerVariable is the environment variable that tells whose a process is.
+const OwnerVariable = "DAPPLEFRONT_BUILD"
 
 // Port and Ready are the variables that tell a process where to listen and which file to make once it is ready.
 const (
-	Port  = "DAPPLEFRONT_PORT"
-	Ready = "DAPPLEFRONT_READY"
+	PortVariable  = "DAPPLEFRONT_PORT"
+	ReadyVariable = "DAPPLEFRONT_READY"
 )
 
 // Runner keeps the processes of one agent.
 type Runner struct {
-	Owner string // tells this agent's processes from others'
-	Dir   string // for output and ready files
-	Env   []string
-	Log   int64 // bytes of output kept of each build; twice that at the most
+	Owner          string // tells this agent's processes from others'
+	OutputDir      string // for output and ready files
+	Env            []string
+	MaxOutputBytes int64 // bytes of output kept of each build; twice that at the most
 }
 
 func (r Runner) mark(digest string) string { return r.Owner + "/" + digest }
 
 // ReadyFile is the file by which a build says that it is ready.
-func (r Runner) ReadyFile(digest string) string { return filepath.Join(r.Dir, digest+".ready") }
+func (r Runner) ReadyFile(digest string) string { return filepath.Join(r.OutputDir, digest+".ready") }
 
-// Output is the file that its output goes to.
-func (r Runner) Output(digest string) string { return filepath.Join(r.Dir, digest+".log") }
+// OutputFile is the file that its output goes to.
+func (r Runner) OutputFile(digest string) string { return filepath.Join(r.OutputDir, digest+".log") }
 
 // Start starts a build: words are its command, of which {port} has been filled in. It returns the process and a channel
 // that tells its end.
 func (r Runner) Start(digest, dir string, words []string, port int) (agent.Process, <-chan error, error) {
 	_ = os.Remove(r.ReadyFile(digest))
-	out, err := os.OpenFile(r.Output(digest), os.O_CREATE|os.O_WRONLY|os.O_APPEND, 0o600)
+	out, err := os.OpenFile(r.OutputFile(digest), os.O_CREATE|os.O_WRONLY|os.O_APPEND, 0o600)
 	if err != nil {
 		return agent.Process{}, nil, err
 	}
@@ -55,7 +55,7 @@
 	c := exec.Command(filepath.Join(dir, filepath.FromSlash(words[0])), words[1:]...)
 	c.Dir = dir
 	c.Stdout, c.Stderr = out, out
-	c.Env = append(append(os.Environ(), r.Env...), Mark+"="+r.mark(digest), Port+"="+strconv.Itoa(port), Ready+"="+r.ReadyFile(digest))
+	c.Env = append(append(os.Environ(), r.Env...), OwnerVariable+"="+r.mark(digest), PortVariable+"="+strconv.Itoa(port), ReadyVariable+"="+r.ReadyFile(digest))
 	c.SysProcAttr = &syscall.SysProcAttr{Setpgid: true}
 	if err := c.Start(); err != nil {
 		return agent.Process{}, nil, err
@@ -69,13 +69,13 @@
 		}
 		ended <- err
 	}()
-	return agent.Process{Pid: c.Process.Pid, Since: since, Port: port, Up: time.Now()}, ended, nil
+	return agent.Process{Pid: c.Process.Pid, StartTicks: since, Port: port, StartedAt: time.Now()}, ended, nil
 }
 
 // Alive tells whether a process still runs: the same, not a later one with its pid.
 func Alive(p agent.Process) bool {
 	since, err := startOf(p.Pid)
-	return err == nil && p.Pid > 0 && since == p.Since
+	return err == nil && p.Pid > 0 && since == p.StartTicks
 }
 
 // startOf is when a process started, in ticks since the system's start (proc(5), stat, field 22). A zombie has ended.
@@ -99,7 +99,7 @@
 	if err != nil {
 		return nil
 	}
-	want := []byte(Mark + "=" + r.mark(digest))
+	want := []byte(OwnerVariable + "=" + r.mark(digest))
 	for _, e := range entries {
 		pid, err := strconv.Atoi(e.Name())
 		if err != nil || pid == os.Getpid() {
@@ -110,9 +110,9 @@
 			continue
 		}
 		if since, err := startOf(pid); err == nil {
-			p := agent.Process{Pid: pid, Since: since, Port: portOf(env)}
+			p := agent.Process{Pid: pid, StartTicks: since, Port: portOf(env)}
 			at := len(all)
-			for at > 0 && all[at-1].Since > since {
+			for at > 0 && all[at-1].StartTicks > since {
 				at--
 			}
 			all = append(all[:at], append([]agent.Process{p}, all[at:]...)...)
@@ -123,7 +123,7 @@
 
 func portOf(env []byte) int {
 	for v := range bytes.SplitSeq(env, []byte{0}) {
-		if text, ok := bytes.CutPrefix(v, []byte(Port+"=")); ok {
+		if text, ok := bytes.CutPrefix(v, []byte(PortVariable+"=")); ok {
 			n, _ := strconv.Atoi(string(text))
 			return n
 		}
@@ -159,11 +159,11 @@
 	return errors.New("processes of the build are still there after SIGKILL")
 }
 
-// Trim keeps a build's output within bounds: what is beyond them is let go, the latest half stays.
-func (r Runner) Trim(digest string) error {
-	file := r.Output(digest)
+// TrimOutput keeps a build's output within bounds: what is beyond them is let go, the latest half stays.
+func (r Runner) TrimOutput(digest string) error {
+	file := r.OutputFile(digest)
 	s, err := os.Stat(file)
-	if err != nil || s.Size() <= 2*r.Log {
+	if err != nil || s.Size() <= 2*r.MaxOutputBytes {
 		return nil
 	}
 	f, err := os.OpenFile(file, os.O_RDWR, 0o600)
@@ -171,8 +171,8 @@
 		return err
 	}
 	defer f.Close()
-	tail := make([]byte, r.Log)
-	n, err := f.ReadAt(tail, s.Size()-r.Log)
+	tail := make([]byte, r.MaxOutputBytes)
+	n, err := f.ReadAt(tail, s.Size()-r.MaxOutputBytes)
 	if err != nil && n == 0 {
 		return err
 	}
--- a/internal/scenario/agents.go
+++ b/internal/scenario/agents.go
@@ -72,7 +72,7 @@
 			switch {
 			case r.To == string(agent.Fetching):
 				ordered[r.Digest] = r.AtMs
-			case r.To == string(agent.Warming) && r.Build > 1:
+			case r.To == string(agent.WarmingUp) && r.Build > 1:
 				t.Serving = append(t.Serving, time.Duration(r.AtMs-ordered[r.Digest])*time.Millisecond)
 			}
 		}
@@ -109,7 +109,7 @@
 	}
 	s.desk.SetFleet(c)
 	go c.show()
-	ring := &build.Ring{Format: 1, Version: 1, Threshold: 2, Group: "day"}
+	ring := &build.KeyRing{Format: 1, Version: 1, Threshold: 2, Group: "day"}
 	for _, name := range []string{"ada", "ben", "cyd"} {
 		public, private, err := minisign.GenerateKey(rand.Reader)
 		if err != nil {
@@ -120,8 +120,8 @@
 			return c, err
 		}
 		c.keys = append(c.keys, private)
-		ring.Keys = append(ring.Keys, build.Key{Name: name, Public: string(text), From: time.Now().Add(-time.Hour),
-			To: time.Now().Add(24 * time.Hour)})
+		ring.Keys = append(ring.Keys, build.Key{Name: name, PublicKey: string(text), NotBefore: time.Now().Add(-time.Hour),
+			NotAfter: time.Now().Add(24 * time.Hour)})
 	}
 	if err := c.pack(testbed.Build{Number: 1}, "good"); err != nil {
 		return c, err
@@ -139,11 +139,11 @@
 		if err != nil {
 			return c, err
 		}
-		a, err := agentd.Start(agentd.Post{Name: name, Secure: secure, Dir: filepath.Join(s.dir, name), Controller: s.desk.URL(),
-			Source: artifact.Source{Mirrors: []string{c.mirror.URL()}, Tries: 3, Pause: 50 * time.Millisecond, Silence: 2 * time.Second},
-			Disk:   64 << 20, Log: 64 << 10, Ring: ring, Cold: s.figures.cold, Drain: s.figures.drains,
-			Env:   []string{testbed.PlaceVariable + "=" + string(place)},
-			Rules: agent.Rules{Crashes: 3, Pause: 200 * time.Millisecond, Longest: 2 * time.Second, Steady: 10 * time.Second}}, c.log)
+		a, err := agentd.Start(agentd.Config{Name: name, TLS: secure, Dir: filepath.Join(s.dir, name), Controller: s.desk.URL(),
+			Source:           artifact.Source{Mirrors: []string{c.mirror.URL()}, MaxAttempts: 3, Backoff: 50 * time.Millisecond, IdleTimeout: 2 * time.Second},
+			MaxArtifactBytes: 64 << 20, MaxOutputBytes: 64 << 10, KeyRing: ring, WarmUp: s.figures.cold, DrainDelay: s.figures.drains,
+			Env:    []string{testbed.PlaceVariable + "=" + string(place)},
+			Limits: agent.Limits{MaxCrashes: 3, CrashBackoff: 200 * time.Millisecond, MaxCrashBackoff: 2 * time.Second, CrashResetAfter: 10 * time.Second}}, c.log)
 		if err != nil {
 			return c, err
 		}
@@ -168,7 +168,7 @@
 		return err
 	}
 	m := &build.Manifest{Format: 1, Name: "stand-in", Group: "day", Version: b.Number, Start: []string{"run.sh"}}
-	m.Ready.Path, m.Ready.Within, m.Drain.Within = "/ready", build.Span(10*time.Second), build.Span(2*time.Second)
+	m.Ready.Path, m.Ready.Within, m.Drain.Within = "/ready", build.Duration(10*time.Second), build.Duration(2*time.Second)
 	out := filepath.Join(c.stage.dir, "mirror")
 	digest, err := artifact.Pack(folder, out, m)
 	if err != nil {
@@ -224,7 +224,7 @@
 			c.hosts[id] = h
 		}
 		c.mu.Unlock()
-		standing := map[string]policy.EndpointState{string(agent.Drains): policy.Draining, string(agent.Unlisted): policy.Removed}[r.Listing]
+		standing := map[string]policy.EndpointState{string(agent.EndpointDraining): policy.Draining, string(agent.EndpointRemoved): policy.Removed}[r.Listing]
 		c.listings <- listing{time.Now().Add(c.stage.figures.listLate), testbed.Entry{Host: h, Standing: standing}}
 	}
 	if r.To == string(agent.Failed) {
@@ -284,12 +284,12 @@
 		name := c.names[place]
 		mark := c.ledger.mark(name)
 		c.ledger.order(name, api.Order{Digest: digest, Build: number, Goal: goal})
-		words := []string{string(agent.Failed), string(agent.TakenBack)}
+		words := []string{string(agent.Failed), string(agent.RolledBack)}
 		for _, p := range phases {
 			words = append(words, string(p))
 		}
 		got := c.ledger.await(name, mark, digest, patient, words...)
-		return got != "" && got != string(agent.Failed) && got != string(agent.TakenBack)
+		return got != "" && got != string(agent.Failed) && got != string(agent.RolledBack)
 	}
 	var failed atomic.Bool
 	each := func(places []int, do func(int) bool) {
@@ -318,7 +318,7 @@
 			defer wait.Done()
 			atOnce := max(1, len(c.places)/len(byLocation)/3)
 			for from := 0; from < len(places) && !failed.Load(); from += atOnce {
-				each(places[from:min(len(places), from+atOnce)], func(place int) bool { return order(place, "serve", agent.Warming) })
+				each(places[from:min(len(places), from+atOnce)], func(place int) bool { return order(place, "serve", agent.WarmingUp) })
 			}
 		}()
 	}
@@ -358,7 +358,7 @@
 			name := c.names[place]
 			mark := c.ledger.mark(name)
 			c.ledger.order(name, o)
-			c.ledger.await(name, mark, digest, patient, string(agent.TakenBack))
+			c.ledger.await(name, mark, digest, patient, string(agent.RolledBack))
 		}()
 	}
 	wait.Wait()
@@ -372,7 +372,7 @@
 			return
 		}
 		s := a.State()
-		if r := s.Earlier; r != nil && r.Process.Pid > 0 {
+		if r := s.Stable; r != nil && r.Process.Pid > 0 {
 			_ = syscall.Kill(-r.Process.Pid, syscall.SIGKILL)
 		}
 	}
--- a/internal/scenario/report.go
+++ b/internal/scenario/report.go
@@ -53,7 +53,7 @@
 	}
 	if a := r.Agents; a != nil {
 		fmt.Fprintf(w, "\n%-10s %6s %8s %8s\n", "agents", "times", "p50", "p99")
-		for _, p := range []agent.Phase{agent.Fetching, agent.Checking, agent.Staged, agent.Starting, agent.Warming, agent.Draining, agent.Stopping} {
+		for _, p := range []agent.Phase{agent.Fetching, agent.Verifying, agent.Staged, agent.Starting, agent.WarmingUp, agent.Draining, agent.Stopping} {
 			if t := a.Phases[string(p)]; len(t) > 0 {
 				slices.Sort(t)
 				fmt.Fprintf(w, "%-10s %6d %8s %8s\n", p, len(t), at(t, .5), at(t, .99))
--- a/internal/testbed/process.go
+++ b/internal/testbed/process.go
@@ -52,7 +52,7 @@
 	if err := json.Unmarshal([]byte(os.Getenv(PlaceVariable)), &m); err != nil {
 		return fmt.Errorf("%s: %w", PlaceVariable, err)
 	}
-	address := "127.0.0.1:" + os.Getenv(process.Port)
+	address := "127.0.0.1:" + os.Getenv(process.PortVariable)
 	nest, err := reach(says.Witness, hello{Address: address, Build: says.Build.Number, Machine: m, Up: time.Now()})
 	if err != nil {
 		return err
@@ -61,7 +61,7 @@
 	if err != nil {
 		return err
 	}
-	if err := os.WriteFile(os.Getenv(process.Ready), []byte("ready"), 0o600); err != nil {
+	if err := os.WriteFile(os.Getenv(process.ReadyVariable), []byte("ready"), 0o600); err != nil {
 		return err
 	}
 	signals := make(chan os.Signal, 1)
