--- a/cmd/dapplefront/agent_config.go
+++ b/cmd/dapplefront/agent_config.go
@@ -13,38 +13,38 @@
 )
 
 // readAgentConfig reads an agent's settings; mistakes are kept by the file.
-func readAgentConfig(file *inifile.File) agentd.Post {
+func readAgentConfig(file *inifile.File) agentd.Config {
 	s := file.Section("agent")
-	config := agentd.Post{
-		Name:       s.Text("name", "!"),
-		Dir:        s.Text("folder", "!"),
-		Controller: s.Text("controller", "!"),
-		Disk:       int64(s.Bytes("disk", "8GiB")),
-		Log:        int64(s.Bytes("output", "1MiB")),
-		Cold:       s.Duration("cold", "5s"),
-		Drain:      s.Duration("drain", "5s"),
-		Rules: agent.Rules{
-			Crashes: s.Int("crashes", "5", 0, 1000),
-			Pause:   s.Duration("pause", "200ms"),
-			Longest: s.Duration("longest-pause", "10s"),
-			Steady:  s.Duration("steady", "60s"),
+	config := agentd.Config{
+		Name:             s.Text("name", "!"),
+		Dir:              s.Text("folder", "!"),
+		Controller:       s.Text("controller", "!"),
+		MaxArtifactBytes: int64(s.Bytes("disk", "8GiB")),
+		MaxOutputBytes:   int64(s.Bytes("output", "1MiB")),
+		WarmUp:           s.Duration("cold", "5s"),
+		DrainDelay:       s.Duration("drain", "5s"),
+		Limits: agent.Limits{
+			MaxCrashes:      s.Int("crashes", "5", 0, 1000),
+			CrashBackoff:    s.Duration("pause", "200ms"),
+			MaxCrashBackoff: s.Duration("longest-pause", "10s"),
+			CrashResetAfter: s.Duration("steady", "60s"),
 		},
 	}
 	config.Source = readArtifactSource(file.Section("fetch"))
-	config.Secure = readAgentCertificates(file.Section("tls"))
-	config.Ring = readKeyRing(file.Section("trust"))
+	config.TLS = readAgentCertificates(file.Section("tls"))
+	config.KeyRing = readKeyRing(file.Section("trust"))
 	return config
 }
 
 func readArtifactSource(s inifile.Section) artifact.Source {
 	source := artifact.Source{
-		Mirrors: s.List("mirrors", "!"),
-		Tries:   s.Int("tries", "8", 1, 1000),
-		Pause:   s.Duration("pause", "200ms"),
-		Silence: s.Duration("silence", "10s"),
+		Mirrors:     s.List("mirrors", "!"),
+		MaxAttempts: s.Int("tries", "8", 1, 1000),
+		Backoff:     s.Duration("pause", "200ms"),
+		IdleTimeout: s.Duration("silence", "10s"),
 	}
 	if s.Text("rate", "none") != "none" {
-		source.Rate = s.Bytes("rate", "1MiB")
+		source.MaxBytesPerSecond = s.Bytes("rate", "1MiB")
 	}
 	return source
 }
@@ -67,7 +67,7 @@
 }
 
 // readKeyRing reads the keys that builds must be signed with.
-func readKeyRing(s inifile.Section) *build.Ring {
+func readKeyRing(s inifile.Section) *build.KeyRing {
 	name := s.Text("ring", "!")
 	if name == "" {
 		return nil
@@ -77,7 +77,7 @@
 		s.AddError("ring", "%v", err)
 		return nil
 	}
-	ring, err := build.ReadRing(raw)
+	ring, err := build.ReadKeyRing(raw)
 	if err != nil {
 		s.AddError("ring", "%v", err)
 		return nil
--- a/cmd/dapplefront/build.go
+++ b/cmd/dapplefront/build.go
@@ -31,7 +31,7 @@
 		Args:  cobra.ExactArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
 			m := &build.Manifest{Format: 1, Name: name, Group: group, Version: version, Start: start}
-			m.Ready.Path, m.Ready.Within, m.Drain.Within = ready, build.Span(readyTimeout), build.Span(drainTimeout)
+			m.Ready.Path, m.Ready.Within, m.Drain.Within = ready, build.Duration(readyTimeout), build.Duration(drainTimeout)
 			digest, err := artifact.Pack(args[0], out, m)
 			if err != nil {
 				return err
@@ -80,12 +80,12 @@
 			if err != nil {
 				return err
 			}
-			trusted, err := build.ReadRing(raw)
+			trusted, err := build.ReadKeyRing(raw)
 			if err != nil {
 				return err
 			}
 			m, names, err := artifact.Verify(out, args[0], trusted, time.Now())
-			var refused *build.Refused
+			var refused *build.RefusedError
 			if errors.As(err, &refused) {
 				c.PrintErrln("refused:", refused)
 				return exitCode(exitFailed)
@@ -113,8 +113,8 @@
 			"ring.json, which trusts them. Nothing that exists is written over.",
 		RunE: func(c *cobra.Command, args []string) error {
 			now := time.Now()
-			wanted := build.Ring{Format: 1, Version: 1, Threshold: threshold, Group: group}
-			ring, err := artifact.Keys(".", args, os.Getenv(passwordVariable), wanted, now, now.AddDate(0, 0, days))
+			wanted := build.KeyRing{Format: 1, Version: 1, Threshold: threshold, Group: group}
+			ring, err := artifact.GenerateKeys(".", args, os.Getenv(passwordVariable), wanted, now, now.AddDate(0, 0, days))
 			if err != nil {
 				return err
 			}
