--- a/internal/audit/judge.go
+++ b/internal/audit/judge.go
@@ -15,19 +15,19 @@
 
 // Finding is a moment at which a rule was broken, or seems so.
 type Finding struct {
-	Rule     string
-	At       time.Duration
-	Text     string
-	Doubtful bool // a stall of the machine may explain it
+	Rule     string        `json:"Rule"`
+	At       time.Duration `json:"At"`
+	Text     string        `json:"Text"`
+	Doubtful bool          `json:"Doubtful"` // a stall of the machine may explain it
 }
 
 // Verdict is what became of one rule.
 type Verdict struct {
-	Rule     string
-	Checked  int // moments at which it could have been broken
-	Broken   []Finding
-	Doubtful []Finding
-	Most     float64 // of cold: the largest share of a budget that was used
+	Rule     string    `json:"Rule"`
+	Checked  int       `json:"Checked"` // moments at which it could have been broken
+	Broken   []Finding `json:"Broken"`
+	Doubtful []Finding `json:"Doubtful"`
+	Most     float64   `json:"Most"` // of cold: the largest share of a budget that was used
 }
 
 // Kept tells whether the rule was surely kept.
--- a/internal/scenario/agents.go
+++ b/internal/scenario/agents.go
@@ -51,9 +51,9 @@
 
 // AgentTimes is what agents' reports tell of how long things took.
 type AgentTimes struct {
-	Phases  map[string][]time.Duration // spent in each phase, over all agents and builds
-	Serving []time.Duration            // from order to ready, over all but the first build
-	Retired map[int]time.Duration      // from a build's taking off being ordered to the last task that reached it
+	Phases  map[string][]time.Duration `json:"Phases"`  // spent in each phase, over all agents and builds
+	Serving []time.Duration            `json:"Serving"` // from order to ready, over all but the first build
+	Retired map[int]time.Duration      `json:"Retired"` // from a build's taking off being ordered to the last task that reached it
 }
 
 // times works them out of the reports.
--- a/internal/scenario/controllers.go
+++ b/internal/scenario/controllers.go
@@ -31,10 +31,10 @@
 
 // Move is one step of a release, for the report.
 type Move struct {
-	At    time.Duration
-	Build int
-	Stage int
-	Phase policy.Phase
+	At    time.Duration `json:"At"`
+	Build int           `json:"Build"`
+	Stage int           `json:"Stage"`
+	Phase policy.Phase  `json:"Phase"`
 }
 
 // controllers are the day's release controllers: one, three or five instances of the real one, on loopback.
--- a/internal/scenario/day.go
+++ b/internal/scenario/day.go
@@ -88,8 +88,9 @@
 
 // StageScore is what became of the tasks that were asked while a release stood at one point, second by second.
 type StageScore struct {
-	Build, Stage int
-	Phase        policy.Phase
+	Build int          `json:"Build"`
+	Stage int          `json:"Stage"`
+	Phase policy.Phase `json:"Phase"`
 	testbed.Score
 }
 
--- a/internal/scenario/plan.go
+++ b/internal/scenario/plan.go
@@ -14,36 +14,36 @@
 
 // Trouble is one thing that goes wrong for a while.
 type Trouble struct {
-	Kind  string
-	At    time.Duration // from the day's start
-	For   time.Duration
-	Share float64 // of hosts or routers; what it means depends on the kind
-	Size  float64 // times slower, times the rate, share of tasks
+	Kind  string        `json:"Kind"`
+	At    time.Duration `json:"At"` // from the day's start
+	For   time.Duration `json:"For"`
+	Share float64       `json:"Share"` // of hosts or routers; what it means depends on the kind
+	Size  float64       `json:"Size"`  // times slower, times the rate, share of tasks
 }
 
 // Offer is a build that is offered.
 type Offer struct {
-	At   time.Duration
-	Kind string // good, or what is bad about it
+	At   time.Duration `json:"At"`
+	Kind string        `json:"Kind"` // good, or what is bad about it
 }
 
 // Plan is a day before it is played.
 type Plan struct {
-	Name        string
-	Seed        uint64
-	Length      time.Duration
-	Locations   int
-	Routers     int
-	Hosts       int
-	Rate        float64 // tasks a second for each router
-	Offers      []Offer
-	Troubles    []Trouble
-	Agents      bool   // hosts are processes that build agents fetch, check, start and take back
-	Controllers int    // of releases: 1, 3 or 5; of several, one is ended at every stage, twice the one that leads
-	Secure      bool   // controllers, routers, agents and clients speak TLS among themselves, with roles
-	Shares      string // none, plan, stale or absurd: what routers are told of shares worked out ahead
-	Records     string // a folder for the routers' decision records; empty for none
-	Breach      string // answer, effect, drain, cold or exposure: routers built wrong on purpose
+	Name        string        `json:"Name"`
+	Seed        uint64        `json:"Seed"`
+	Length      time.Duration `json:"Length"`
+	Locations   int           `json:"Locations"`
+	Routers     int           `json:"Routers"`
+	Hosts       int           `json:"Hosts"`
+	Rate        float64       `json:"Rate"` // tasks a second for each router
+	Offers      []Offer       `json:"Offers"`
+	Troubles    []Trouble     `json:"Troubles"`
+	Agents      bool          `json:"Agents"`      // hosts are processes that build agents fetch, check, start and take back
+	Controllers int           `json:"Controllers"` // of releases: 1, 3 or 5; of several, one is ended at every stage, twice the one that leads
+	Secure      bool          `json:"Secure"`      // controllers, routers, agents and clients speak TLS among themselves, with roles
+	Shares      string        `json:"Shares"`      // none, plan, stale or absurd: what routers are told of shares worked out ahead
+	Records     string        `json:"Records"`     // a folder for the routers' decision records; empty for none
+	Breach      string        `json:"Breach"`      // answer, effect, drain, cold or exposure: routers built wrong on purpose
 }
 
 // kinds of trouble, with what they are for people and how one is drawn.
--- a/internal/scenario/report.go
+++ b/internal/scenario/report.go
@@ -156,21 +156,22 @@
 func (r *Result) WriteJSON(w io.Writer) error {
 	type figure struct {
 		testbed.Score
-		P50Ms, P99Ms float64
+		P50Ms float64 `json:"P50Ms"`
+		P99Ms float64 `json:"P99Ms"`
 	}
 	out := struct {
-		Plan       Plan
-		TookMs     int64
-		Categories map[string]figure
-		Moves      []Move
-		Stages     []StageScore
-		Agents     *AgentTimes `json:",omitempty"`
-		Routers    any
-		Rules      []audit.Verdict
-		Crossed    float64
-		Cold       float64
-		Planned    *PlanTimes `json:",omitempty"`
-		Last       string
+		Plan       Plan              `json:"Plan"`
+		TookMs     int64             `json:"TookMs"`
+		Categories map[string]figure `json:"Categories"`
+		Moves      []Move            `json:"Moves"`
+		Stages     []StageScore      `json:"Stages"`
+		Agents     *AgentTimes       `json:"Agents,omitempty"`
+		Routers    any               `json:"Routers"`
+		Rules      []audit.Verdict   `json:"Rules"`
+		Crossed    float64           `json:"Crossed"`
+		Cold       float64           `json:"Cold"`
+		Planned    *PlanTimes        `json:"Planned,omitempty"`
+		Last       string            `json:"Last"`
 	}{r.Plan, r.Took.Milliseconds(), map[string]figure{}, r.Moves, r.Stages, r.Agents, r.Counts, r.Verdicts, r.Crossed, r.cold(), r.Planned, r.Last()}
 	for name, s := range r.Scores {
 		t := slices.Clone(r.Times[name])
--- /dev/null
+++ b/internal/scenario/report_test.go
@@ -0,0 +1,62 @@
+package scenario
+
+import (
+	"bytes"
+	"os"
+	"reflect"
+	"strconv"
+	"testing"
+
+	"github.com/stretchr/testify/require"
+)
+
+// testdata/report.json was written by the program at commit d72f78e from a result with every field set.
+func TestTheJSONReportKeepsItsForm(t *testing.T) {
+	var r Result
+	count := 0
+	setFields(reflect.ValueOf(&r).Elem(), &count)
+	var got bytes.Buffer
+	require.NoError(t, r.WriteJSON(&got))
+	want, err := os.ReadFile("testdata/report.json")
+	require.NoError(t, err)
+	require.Equal(t, string(want), got.String())
+}
+
+// setFields sets every exported field of a value, and of all that it holds, to a value of its own.
+func setFields(v reflect.Value, count *int) {
+	*count++
+	switch v.Kind() {
+	case reflect.Struct:
+		for i := range v.NumField() {
+			if v.Type().Field(i).IsExported() {
+				setFields(v.Field(i), count)
+			}
+		}
+	case reflect.Pointer:
+		v.Set(reflect.New(v.Type().Elem()))
+		setFields(v.Elem(), count)
+	case reflect.Slice:
+		v.Set(reflect.MakeSlice(v.Type(), 1, 1))
+		setFields(v.Index(0), count)
+	case reflect.Array:
+		for i := range v.Len() {
+			setFields(v.Index(i), count)
+		}
+	case reflect.Map:
+		v.Set(reflect.MakeMap(v.Type()))
+		key, value := reflect.New(v.Type().Key()).Elem(), reflect.New(v.Type().Elem()).Elem()
+		setFields(key, count)
+		setFields(value, count)
+		v.SetMapIndex(key, value)
+	case reflect.String:
+		v.SetString("text" + strconv.Itoa(*count))
+	case reflect.Bool:
+		v.SetBool(true)
+	case reflect.Int, reflect.Int8, reflect.Int16, reflect.Int32, reflect.Int64:
+		v.SetInt(int64(*count))
+	case reflect.Uint, reflect.Uint8, reflect.Uint16, reflect.Uint32, reflect.Uint64:
+		v.SetUint(uint64(*count))
+	case reflect.Float64:
+		v.SetFloat(float64(*count) / 8)
+	}
+}
--- a/internal/scenario/shares.go
+++ b/internal/scenario/shares.go
@@ -13,9 +13,12 @@
 
 // PlanTimes is what became of plans.
 type PlanTimes struct {
-	Versions, Changed, Whole int
-	Followed, TurnedDown     int
-	Reason                   string // of the last version that was turned down
+	Versions   int    `json:"Versions"`
+	Changed    int    `json:"Changed"`
+	Whole      int    `json:"Whole"`
+	Followed   int    `json:"Followed"`
+	TurnedDown int    `json:"TurnedDown"`
+	Reason     string `json:"Reason"` // of the last version that was turned down
 }
 
 func (p *PlanTimes) heard(all map[uint64]map[string]api.PlanAck) {
--- a/internal/testbed/clients.go
+++ b/internal/testbed/clients.go
@@ -50,7 +50,15 @@
 
 // Score is what became of tasks; tries of one task count as one.
 type Score struct {
-	Asked, InTime, Late, TurnedBack, Scrapped, Refused, Lost, Left, Wrong int
+	Asked      int `json:"Asked"`
+	InTime     int `json:"InTime"`
+	Late       int `json:"Late"`
+	TurnedBack int `json:"TurnedBack"`
+	Scrapped   int `json:"Scrapped"`
+	Refused    int `json:"Refused"`
+	Lost       int `json:"Lost"`
+	Left       int `json:"Left"`
+	Wrong      int `json:"Wrong"`
 }
 
 // Add adds another score.
