--- a/cmd/dapplefront/backend.go
+++ b/cmd/dapplefront/backend.go
@@ -26,16 +26,16 @@
 			if err != nil {
 				return err
 			}
-			world := testbed.World{Kinds: map[string]testbed.Kind{}, Marks: &testbed.Marks{}}
+			world := testbed.Environment{Classes: map[string]testbed.Class{}, Keys: &testbed.KeyStore{}}
 			for _, text := range kinds {
 				kind, err := parseKind(text)
 				if err != nil {
 					return err
 				}
-				world.Kinds[kind.Name] = kind
+				world.Classes[kind.Name] = kind
 			}
-			machine := testbed.Machine{ID: 1, Location: "here", Cores: cores, Speed: speed, ColdShare: 1}
-			backend, err := testbed.StartHost(machine, testbed.Build{Number: build}, false, world)
+			machine := testbed.Machine{ID: 1, Zone: "here", Cores: cores, Speed: speed, ColdCapacity: 1}
+			backend, err := testbed.StartBackend(machine, testbed.Build{Number: build}, false, world)
 			if err != nil {
 				return err
 			}
@@ -53,11 +53,11 @@
 }
 
 // parseKind reads a class of requests with its mean work, such as quote=30ms.
-func parseKind(text string) (testbed.Kind, error) {
+func parseKind(text string) (testbed.Class, error) {
 	name, work, ok := strings.Cut(text, "=")
 	d, err := time.ParseDuration(work)
 	if !ok || err != nil {
-		return testbed.Kind{}, fmt.Errorf("--kind %s: NAME=TIME expected, such as quote=30ms", text)
+		return testbed.Class{}, fmt.Errorf("--kind %s: NAME=TIME expected, such as quote=30ms", text)
 	}
-	return testbed.Kind{Name: name, Work: d}, nil
+	return testbed.Class{Name: name, Work: d}, nil
 }
--- a/cmd/dapplefront/endpoints.go
+++ b/cmd/dapplefront/endpoints.go
@@ -24,7 +24,7 @@
 			if err != nil {
 				return err
 			}
-			discovery, err := testbed.StartRegister(address, group, nil)
+			discovery, err := testbed.StartDiscovery(address, group, nil)
 			if err != nil {
 				return err
 			}
@@ -34,12 +34,12 @@
 				if err != nil {
 					return err
 				}
-				discovery.Set(testbed.Entry{Host: host, Standing: policy.Serving})
+				discovery.Set(testbed.Endpoint{Backend: host, State: policy.Serving})
 				if !slices.Contains(zones, zone) {
 					zones = append(zones, zone)
 				}
 			}
-			log.Info("register", "address", discovery.Address(), "names", strings.Join(discovery.Names(zones), ", "))
+			log.Info("register", "address", discovery.Address(), "names", strings.Join(discovery.Resources(zones), ", "))
 			awaitTermination()
 			discovery.Stop()
 			return nil
@@ -51,7 +51,7 @@
 }
 
 // parseEndpoint reads ADDRESS=ZONE=BUILD as the host with this id.
-func parseEndpoint(text string, id uint32) (h *testbed.Host, zone string, err error) {
+func parseEndpoint(text string, id uint32) (h *testbed.Backend, zone string, err error) {
 	parts := strings.Split(text, "=")
 	if len(parts) != 3 {
 		return nil, "", fmt.Errorf("%s: ADDRESS=ZONE=BUILD expected", text)
@@ -61,5 +61,5 @@
 	if _, _, addressErr := net.SplitHostPort(address); err != nil || addressErr != nil {
 		return nil, "", fmt.Errorf("%s: ADDRESS=ZONE=BUILD expected", text)
 	}
-	return testbed.Elsewhere(address, testbed.Machine{ID: id, Location: zone, Cores: 1, Speed: 1}, build), zone, nil
+	return testbed.RemoteBackend(address, testbed.Machine{ID: id, Zone: zone, Cores: 1, Speed: 1}, build), zone, nil
 }
--- a/cmd/dapplefront/loadgen.go
+++ b/cmd/dapplefront/loadgen.go
@@ -42,11 +42,11 @@
 }
 
 func (o *loadOptions) run(c *cobra.Command, address string) error {
-	book := audit.Open()
+	book := audit.NewRecorder()
 	defer book.Close()
-	wish := testbed.Wish{Kind: testbed.Kind{Name: o.class}, Path: o.path, Share: 1, Promised: o.objective, Patience: o.timeout}
-	door := testbed.Door{Name: "router", Address: address, Rate: o.rate}
-	clients := testbed.NewClients([]testbed.Wish{wish}, []testbed.Door{door}, testbed.Habits{Rush: 1}, book, "", nil,
+	wish := testbed.RequestClass{Class: testbed.Class{Name: o.class}, Path: o.path, Share: 1, LatencyObjective: o.objective, Timeout: o.timeout}
+	door := testbed.Target{Name: "router", Address: address, Rate: o.rate}
+	clients := testbed.NewClients([]testbed.RequestClass{wish}, []testbed.Target{door}, testbed.Behavior{RateFactor: 1}, book, "", nil,
 		uint64(time.Now().UnixNano()))
 	ctx, stop := interruptContext()
 	defer stop()
@@ -57,7 +57,7 @@
 	s, latencies := scores[o.class], times[o.class]
 	slices.Sort(latencies)
 	c.Printf("asked %d, in time %d, late %d, turned back %d, scrapped %d, refused %d, lost %d\n",
-		s.Asked, s.InTime, s.Late, s.TurnedBack, s.Scrapped, s.Refused, s.Lost+s.Left)
+		s.Asked, s.InTime, s.Late, s.Rejected, s.Failed, s.Refused, s.Lost+s.TimedOut)
 	c.Printf("p50 %v, p90 %v, p99 %v, longest %v\n",
 		quantile(latencies, .5), quantile(latencies, .9), quantile(latencies, .99), quantile(latencies, 1))
 	return nil
--- a/cmd/dapplefront/main.go
+++ b/cmd/dapplefront/main.go
@@ -27,7 +27,7 @@
 func (e exitCode) Error() string { return fmt.Sprintf("exit %d", int(e)) }
 
 func main() {
-	testbed.HostProcess() // does not return in a process that a scenario with agents started as a host
+	testbed.RunIfBackendProcess() // does not return in a process that a scenario with agents started as a host
 	err := rootCommand().Execute()
 	var code exitCode
 	switch {
--- a/internal/agentd/agentd_test.go
+++ b/internal/agentd/agentd_test.go
@@ -240,7 +240,7 @@
 	require.Empty(t, a.runner.Find(one))
 	var asked int
 	for _, m := range w.mirrors {
-		for _, path := range m.Asked() {
+		for _, path := range m.Requests() {
 			if strings.HasPrefix(path, "/sha256/"+build.Digest([]byte(strings.Repeat("shared by all builds ", 5000)))) {
 				asked++
 			}
@@ -298,19 +298,19 @@
 	m.Files = append(m.Files, build.File{Path: "big", Size: int64(len(big)), SHA256: build.Digest(big)})
 	raw, _ := m.Bytes()
 	d := w.publish(raw, files, 0, 1)
-	w.mirrors[1].Fail(func(string, []byte) testbed.Fault { return testbed.Fault{Status: 500} })
-	w.mirrors[0].Fail(func(path string, _ []byte) testbed.Fault {
+	w.mirrors[1].SetFault(func(string, []byte) testbed.ReplyFault { return testbed.ReplyFault{Status: 500} })
+	w.mirrors[0].SetFault(func(path string, _ []byte) testbed.ReplyFault {
 		if path == "/sha256/"+build.Digest(big) {
-			return testbed.Fault{Cut: 1 << 20, Stall: true}
+			return testbed.ReplyFault{CutAfter: 1 << 20, Stall: true}
 		}
-		return testbed.Fault{}
+		return testbed.ReplyFault{}
 	})
 	a := w.start()
 	w.order(d, "stage")
 	part := filepath.Join(w.dir, "part", build.Digest(big))
 	require.Eventually(t, func() bool { s, err := os.Stat(part); return err == nil && s.Size() >= 1<<20 }, 10*time.Second, time.Millisecond)
 	a.Close()
-	w.mirrors[0].Fail(func(path string, _ []byte) testbed.Fault { return testbed.Fault{Cut: 1 << 20} })
+	w.mirrors[0].SetFault(func(path string, _ []byte) testbed.ReplyFault { return testbed.ReplyFault{CutAfter: 1 << 20} })
 	a = w.start()
 	defer a.Stop()
 	w.await(d, agent.Staged)
@@ -327,17 +327,17 @@
 	w := newWorld(t)
 	d := w.good(1, "well")
 	n := 0
-	wrong := func(path string, body []byte) testbed.Fault {
+	wrong := func(path string, body []byte) testbed.ReplyFault {
 		if !strings.HasPrefix(path, "/sha256/") {
-			return testbed.Fault{}
+			return testbed.ReplyFault{}
 		}
 		if n++; n == 1 {
-			return testbed.Fault{Body: []byte(strings.Repeat("x", len(body))), Cut: len(body) / 2, Tag: `"old"`}
+			return testbed.ReplyFault{Body: []byte(strings.Repeat("x", len(body))), CutAfter: len(body) / 2, ETag: `"old"`}
 		}
-		return testbed.Fault{}
+		return testbed.ReplyFault{}
 	}
-	w.mirrors[0].Fail(wrong)
-	w.mirrors[1].Fail(func(string, []byte) testbed.Fault { return testbed.Fault{Status: 503} })
+	w.mirrors[0].SetFault(wrong)
+	w.mirrors[1].SetFault(func(string, []byte) testbed.ReplyFault { return testbed.ReplyFault{Status: 503} })
 	a := w.start()
 	defer a.Stop()
 	w.order(d, "release")
@@ -379,7 +379,7 @@
 	a := w.start()
 	defer func() { a.Stop() }()
 	one := w.released()
-	w.controller.Down(true)
+	w.controller.SetDown(true)
 	a.Close() // and is restarted meanwhile
 	a = w.start()
 	time.Sleep(100 * time.Millisecond)
@@ -388,7 +388,7 @@
 	s := a.State()
 	require.NoError(t, syscall.Kill(-s.Stable.Process.Pid, syscall.SIGKILL))
 	require.Eventually(t, func() bool { return answers(a, one) == "1" && len(w.seen("1")) == 2 }, 10*time.Second, 10*time.Millisecond)
-	w.controller.Down(false)
+	w.controller.SetDown(false)
 	w.await(one, agent.Starting) // what happened meanwhile is reported
 }
 
@@ -404,7 +404,7 @@
 	w.await(starting, agent.RolledBack)
 	require.Empty(t, a.runner.Find(starting))
 	for _, m := range w.mirrors {
-		m.Fail(func(string, []byte) testbed.Fault { return testbed.Fault{Cut: 1, Stall: true} })
+		m.SetFault(func(string, []byte) testbed.ReplyFault { return testbed.ReplyFault{CutAfter: 1, Stall: true} })
 	}
 	fetching := w.good(3, "well")
 	w.order(fetching, "serve")
@@ -476,7 +476,7 @@
 		p.Dir = t.TempDir()
 		a, err := Start(p, slog.New(slog.DiscardHandler))
 		require.NoError(t, err)
-		mark := w.controller.Mark("h1")
+		mark := w.controller.ReportCount("h1")
 		w.order(one, "release")
 		require.NotEmpty(t, w.controller.AwaitAfter("h1", mark, one, 10*time.Second, string(agent.Serving), string(agent.Failed)))
 		before := answers(a, one)
@@ -538,7 +538,7 @@
 	for n := range builds {
 		m, files := w.make(2+n, "well")
 		keys, body := []int{0, 1}, m.Files[0].SHA256
-		var broken testbed.Fault
+		var broken testbed.ReplyFault
 		target := "/sha256/" + body
 		change := func(how func([]byte) []byte) {
 			broken.Body = how(append([]byte(nil), files[body]...))
@@ -577,12 +577,12 @@
 			raw = []byte(strings.Replace(string(raw), `"data/shared"`, `"../../../shared"`, 1))
 			mirrorsManifest = raw
 		case 11:
-			target, broken = "/signatures/", testbed.Fault{Body: []byte(`["rubbish","` + strings.Repeat("x", r.IntN(300)) + `"]`)}
+			target, broken = "/signatures/", testbed.ReplyFault{Body: []byte(`["rubbish","` + strings.Repeat("x", r.IntN(300)) + `"]`)}
 		case 12:
-			broken = testbed.Fault{Cut: 1 + r.IntN(len(files[body])-1)}
+			broken = testbed.ReplyFault{CutAfter: 1 + r.IntN(len(files[body])-1)}
 			w.ring.MinVersion = 0
 		default:
-			target, broken = "/manifest/", testbed.Fault{Body: []byte(`{"format":1}`)}
+			target, broken = "/manifest/", testbed.ReplyFault{Body: []byte(`{"format":1}`)}
 		}
 		d := w.publish(raw, files, keys...)
 		ordered := d
@@ -593,14 +593,14 @@
 				mirror.PutSignatures(ordered, minisign.Sign(w.keys[0], raw), minisign.Sign(w.keys[1], raw))
 			}
 		}
-		isCut := broken.Cut > 0
+		isCut := broken.CutAfter > 0
 		for _, mirror := range w.mirrors {
-			mirror.Fail(func(path string, b []byte) testbed.Fault {
+			mirror.SetFault(func(path string, b []byte) testbed.ReplyFault {
 				if !strings.HasPrefix(path, target) || broken.Body == nil && !isCut {
-					return testbed.Fault{}
+					return testbed.ReplyFault{}
 				}
 				if isCut { // never a byte more
-					return testbed.Fault{Cut: 1, Body: []byte(strings.Repeat("y", len(b)))}
+					return testbed.ReplyFault{CutAfter: 1, Body: []byte(strings.Repeat("y", len(b)))}
 				}
 				return broken
 			})
@@ -616,7 +616,7 @@
 	require.Equal(t, []string{"1"}, started)
 	require.Equal(t, "1", answers(a, one))
 	for _, mirror := range w.mirrors {
-		mirror.Fail(nil)
+		mirror.SetFault(nil)
 	}
 	last := w.good(60000, "well")
 	w.order(last, "release")
--- a/internal/artifact/depot_test.go
+++ b/internal/artifact/depot_test.go
@@ -43,8 +43,8 @@
 	defer bad.Stop()
 	f := d.NewFetcher(artifact.Source{Mirrors: []string{bad.URL(), good.URL()}, MaxAttempts: 2, IdleTimeout: time.Second})
 	require.NoError(t, f.Fetch(context.Background(), b))
-	require.Len(t, bad.Asked(), 1)
-	require.Len(t, good.Asked(), 4)
+	require.Len(t, bad.Requests(), 1)
+	require.Len(t, good.Requests(), 4)
 }
 
 func TestTheRateIsKept(t *testing.T) {
--- a/internal/audit/book.go
+++ b/internal/audit/book.go
@@ -13,143 +13,143 @@
 	"dapplefront/policy"
 )
 
-// Category is what the rules need to know of a kind of task.
-type Category struct {
-	Repeat policy.Idempotency
-	Group  policy.DedupScope
-	Memory time.Duration
-}
-
-// Figures are the rules' figures, and how much slack the ways between sockets get.
-type Figures struct {
-	Categories map[string]Category
-	Slack      time.Duration // of an answer, after the patience
-	Grace      time.Duration
-	Tip        float64
-	TipFor     time.Duration
-	Window     time.Duration
-	Free       float64
-	ByCategory bool
-	Guarded    int
-	FirstCap   float64 // of the first stage, for builds not announced
-	Way        time.Duration
+// Class is what the rules need to know of a kind of task.
+type Class struct {
+	Idempotency policy.Idempotency
+	DedupScope  policy.DedupScope
+	DedupWindow time.Duration
+}
+
+// Limits are the rules' figures, and how much slack the ways between sockets get.
+type Limits struct {
+	Classes            map[string]Class
+	AnswerSlack        time.Duration // of an answer, after the patience
+	DrainGrace         time.Duration
+	ColdOverloadFactor float64
+	ColdOverloadWindow time.Duration
+	ExposureWindow     time.Duration
+	ExposureAllowance  float64
+	ExposurePerClass   bool
+	GuardedStages      int
+	FirstStageCap      float64 // of the first stage, for builds not announced
+	TransitTime        time.Duration
 }
 
 // Host is what stood at an address.
 type Host struct {
-	ID       uint32
-	Build    int
-	Location string
-	Cell     int
-	Up       time.Duration                  // in the book's time; 0 for long ago
-	Cold     time.Duration                  // after Up, until when it is cold
-	Capacity func(at time.Duration) float64 // work a second
+	ID        uint32
+	Build     int
+	Zone      string
+	Cell      int
+	StartedAt time.Duration                  // in the book's time; 0 for long ago
+	WarmUp    time.Duration                  // after Up, until when it is cold
+	Capacity  func(at time.Duration) float64 // work a second
 }
 
-type kind int
+type eventKind int
 
 const (
-	asked kind = iota
-	answered
-	lost
-	unreached
-	left
-	arrived
-	unseen
-	ran
-	listed
-	told
-	routerUp
-	routerDown
-	stood
+	requestSent eventKind = iota
+	responseReceived
+	connectionLost
+	connectFailed
+	clientLeft
+	attemptArrived
+	attemptRejected
+	effectRan
+	endpointsAcknowledged
+	releaseAnnounced
+	routerStarting
+	routerStopping
+	routerPaused
 )
 
 // event is one thing seen.
 type event struct {
-	at       time.Duration
-	kind     kind
-	task     string // one try
-	logical  string // the task over all its tries
-	router   string
-	category string
-	outcome  string
-	patience time.Duration
-	host     *Host
-	work     float64
-	news     News
-	standing map[uint32]policy.EndpointState
-}
-
-// News is what the desk told a router.
-type News struct {
+	at          time.Duration
+	kind        eventKind
+	requestID   string // one try
+	operationID string // the task over all its tries
+	router      string
+	class       string
+	outcome     string
+	timeout     time.Duration
+	host        *Host
+	work        float64
+	release     ReleaseStatus
+	states      map[uint32]policy.EndpointState
+}
+
+// ReleaseStatus is what the desk told a router.
+type ReleaseStatus struct {
 	Build, Stage int
 	Released     bool
-	Cap          float64
+	ExposureCap  float64
 }
 
-// Book is what was seen. It is safe for concurrent use.
-type Book struct {
+// Recorder is what was seen. It is safe for concurrent use.
+type Recorder struct {
 	start time.Time
 
-	mu     sync.Mutex
-	events []event
-	stalls []span
-	beat   time.Duration
-	stop   chan struct{}
-	done   chan struct{}
+	mu            sync.Mutex
+	events        []event
+	stalls        []interval
+	lastHeartbeat time.Duration
+	stop          chan struct{}
+	done          chan struct{}
 }
 
-type span struct{ from, to time.Duration }
+type interval struct{ from, to time.Duration }
 
 const (
-	pulse  = 5 * time.Millisecond
-	missed = 60 * time.Millisecond // a beat this late means that the machine stood still
+	heartbeatInterval = 5 * time.Millisecond
+	stallThreshold    = 60 * time.Millisecond // a beat this late means that the machine stood still
 )
 
-// Open starts a book and its heartbeat.
-func Open() *Book {
-	b := &Book{start: time.Now(), stop: make(chan struct{}), done: make(chan struct{})}
-	go b.pulse()
+// NewRecorder starts a book and its heartbeat.
+func NewRecorder() *Recorder {
+	b := &Recorder{start: time.Now(), stop: make(chan struct{}), done: make(chan struct{})}
+	go b.runHeartbeat()
 	return b
 }
 
-func (b *Book) pulse() {
+func (b *Recorder) runHeartbeat() {
 	defer close(b.done)
-	t := time.NewTicker(pulse)
+	t := time.NewTicker(heartbeatInterval)
 	defer t.Stop()
 	for {
 		select {
 		case <-b.stop:
 			return
 		case <-t.C:
-			b.Beat(b.Now())
+			b.Heartbeat(b.Now())
 		}
 	}
 }
 
-// Beat notes that the machine runs at a moment.
-func (b *Book) Beat(now time.Duration) {
+// Heartbeat notes that the machine runs at a moment.
+func (b *Recorder) Heartbeat(now time.Duration) {
 	b.mu.Lock()
-	if now-b.beat > missed {
-		b.stalls = append(b.stalls, span{b.beat, now})
+	if now-b.lastHeartbeat > stallThreshold {
+		b.stalls = append(b.stalls, interval{b.lastHeartbeat, now})
 	}
-	b.beat = now
+	b.lastHeartbeat = now
 	b.mu.Unlock()
 }
 
 // Close stops the heartbeat.
-func (b *Book) Close() {
+func (b *Recorder) Close() {
 	close(b.stop)
 	<-b.done
 }
 
 // Now is the book's time.
-func (b *Book) Now() time.Duration { return time.Since(b.start) }
+func (b *Recorder) Now() time.Duration { return time.Since(b.start) }
 
 // At is the book's time of a moment.
-func (b *Book) At(t time.Time) time.Duration { return t.Sub(b.start) }
+func (b *Recorder) At(t time.Time) time.Duration { return t.Sub(b.start) }
 
-func (b *Book) note(e event) {
+func (b *Recorder) add(e event) {
 	b.mu.Lock()
 	if e.at == 0 {
 		e.at = time.Since(b.start)
@@ -158,92 +158,98 @@
 	b.mu.Unlock()
 }
 
-// Asked notes a try that a client is about to send: task is its id, logical what all tries of it share.
-func (b *Book) Asked(task, logical, router, category string, patience time.Duration) {
-	b.note(event{kind: asked, task: task, logical: logical, router: router, category: category, patience: patience})
+// RequestSent notes a try that a client is about to send: task is its id, logical what all tries of it share.
+func (b *Recorder) RequestSent(task, logical, router, category string, patience time.Duration) {
+	b.add(event{kind: requestSent, requestID: task, operationID: logical, router: router, class: category, timeout: patience})
 }
 
-// Answered notes a whole answer at a client; outcome is empty where the request was not taken as a task.
-func (b *Book) Answered(task, outcome string) {
-	b.note(event{kind: answered, task: task, outcome: outcome})
+// ResponseReceived notes a whole answer at a client; outcome is empty where the request was not taken as a task.
+func (b *Recorder) ResponseReceived(task, outcome string) {
+	b.add(event{kind: responseReceived, requestID: task, outcome: outcome})
 }
 
-// Unreached notes that no connection to the router could be made.
-func (b *Book) Unreached(task string) { b.note(event{kind: unreached, task: task}) }
+// ConnectFailed notes that no connection to the router could be made.
+func (b *Recorder) ConnectFailed(task string) { b.add(event{kind: connectFailed, requestID: task}) }
 
-// Lost notes that the client's connection ended with no answer.
-func (b *Book) Lost(task string) { b.note(event{kind: lost, task: task}) }
+// ConnectionLost notes that the client's connection ended with no answer.
+func (b *Recorder) ConnectionLost(task string) { b.add(event{kind: connectionLost, requestID: task}) }
 
-// Left notes that the client closed its connection before an answer.
-func (b *Book) Left(task string) { b.note(event{kind: left, task: task}) }
+// ClientLeft notes that the client closed its connection before an answer.
+func (b *Recorder) ClientLeft(task string) { b.add(event{kind: clientLeft, requestID: task}) }
 
-// Arrived notes a task that a host was sent, with the work that it is.
-func (b *Book) Arrived(h *Host, router, task, category string, work float64) {
-	b.note(event{kind: arrived, host: h, router: router, task: task, category: category, work: work})
+// AttemptArrived notes a task that a host was sent, with the work that it is.
+func (b *Recorder) AttemptArrived(h *Host, router, task, category string, work float64) {
+	b.add(event{kind: attemptArrived, host: h, router: router, requestID: task, class: category, work: work})
 }
 
-// Unseen notes that a host turned a task back without having looked at it, before it says so.
-func (b *Book) Unseen(h *Host, task string) { b.note(event{kind: unseen, host: h, task: task}) }
+// AttemptRejected notes that a host turned a task back without having looked at it, before it says so.
+func (b *Recorder) AttemptRejected(h *Host, task string) {
+	b.add(event{kind: attemptRejected, host: h, requestID: task})
+}
 
-// Ran notes that a task's effect took place at a host.
-func (b *Book) Ran(h *Host, task string) { b.note(event{kind: ran, host: h, task: task}) }
+// EffectRan notes that a task's effect took place at a host.
+func (b *Recorder) EffectRan(h *Host, task string) {
+	b.add(event{kind: effectRan, host: h, requestID: task})
+}
 
-// Listed notes what a router is known to have been told of hosts' standings: when it acknowledged a list.
-func (b *Book) Listed(router string, standing map[uint32]policy.EndpointState) {
-	b.note(event{kind: listed, router: router, standing: standing})
+// EndpointsAcknowledged notes what a router is known to have been told of hosts' standings: when it acknowledged a list.
+func (b *Recorder) EndpointsAcknowledged(router string, standing map[uint32]policy.EndpointState) {
+	b.add(event{kind: endpointsAcknowledged, router: router, states: standing})
 }
 
-// Told notes the desk's news as it goes out to a router.
-func (b *Book) Told(router string, n News) { b.note(event{kind: told, router: router, news: n}) }
+// ReleaseAnnounced notes the desk's news as it goes out to a router.
+func (b *Recorder) ReleaseAnnounced(router string, n ReleaseStatus) {
+	b.add(event{kind: releaseAnnounced, router: router, release: n})
+}
 
-// Stood notes that whoever plays the day made a router stand still from now on, for so long.
-func (b *Book) Stood(router string, d time.Duration) {
-	b.note(event{kind: stood, router: router, patience: d})
+// RouterPaused notes that whoever plays the day made a router stand still from now on, for so long.
+func (b *Recorder) RouterPaused(router string, d time.Duration) {
+	b.add(event{kind: routerPaused, router: router, timeout: d})
 }
 
-// RouterDown notes that a router is about to be ended, RouterUp that a new one is about to start in its place.
-func (b *Book) RouterDown(router string) { b.note(event{kind: routerDown, router: router}) }
+// RouterStopping notes that a router is about to be ended, RouterUp that a new one is about to start in its place.
+func (b *Recorder) RouterStopping(router string) { b.add(event{kind: routerStopping, router: router}) }
 
-// RouterUp is told before the router starts.
-func (b *Book) RouterUp(router string) { b.note(event{kind: routerUp, router: router}) }
+// RouterStarting is told before the router starts.
+func (b *Recorder) RouterStarting(router string) { b.add(event{kind: routerStarting, router: router}) }
 
-// Remote is what a host in another process saw, with its clock.
-type Remote struct {
-	Kind                   string // arrived, unseen or ran
-	At                     time.Time
-	Task, Router, Category string
-	Work                   float64
+// RemoteEvent is what a host in another process saw, with its clock.
+type RemoteEvent struct {
+	Kind                     string // arrived, unseen or ran
+	At                       time.Time
+	RequestID, Router, Class string
+	Work                     float64
 }
 
-// Seen notes what a host in another process saw.
-func (b *Book) Seen(h *Host, r Remote) {
-	k, ok := map[string]kind{"arrived": arrived, "unseen": unseen, "ran": ran}[r.Kind]
+// AddRemote notes what a host in another process saw.
+func (b *Recorder) AddRemote(h *Host, r RemoteEvent) {
+	k, ok := map[string]eventKind{"arrived": attemptArrived, "unseen": attemptRejected, "ran": effectRan}[r.Kind]
 	if ok {
-		b.note(event{at: max(1, r.At.Sub(b.start)), kind: k, host: h, router: r.Router, task: r.Task, category: r.Category, work: r.Work})
+		b.add(event{at: max(1, r.At.Sub(b.start)), kind: k, host: h, router: r.Router, requestID: r.RequestID, class: r.Class, work: r.Work})
 	}
 }
 
 // LastArrival is when hosts of a build were last sent a task; 0 for never.
-func (b *Book) LastArrival(build int) (at time.Duration) {
+func (b *Recorder) LastArrival(build int) (at time.Duration) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	for _, e := range b.events {
-		if e.kind == arrived && e.host.Build == build {
+		if e.kind == attemptArrived && e.host.Build == build {
 			at = max(at, e.at)
 		}
 	}
 	return at
 }
 
-// Crossed counts the tasks that reached hosts, and those of them that reached another location than their router's.
-func (b *Book) Crossed(places map[string]string) (all, crossed int) {
+// CountCrossZone counts the tasks that reached hosts, and those of them that reached another location than their router's.
+func (b *Recorder) CountCrossZone(places map[string]string) (all, crossed int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	for _, e := range b.events {
-		if e.kind != arrived {
+		if e.kind != attemptArrived {
 			continue
 		}
-		if all++; e.host.Location != places[e.router] {
+		if all++; e.host.Zone != places[e.router] {
 			crossed++
 		}
 	}
--- a/internal/proxy/benchmark_test.go
+++ b/internal/proxy/benchmark_test.go
@@ -175,7 +175,7 @@
 // startRouter starts a router for the hosts.
 func startRouter(b *testing.B, hosts []string, timeout string) *child {
 	b.Helper()
-	discovery, err := testbed.StartRegister("127.0.0.1:0", "shop", nil)
+	discovery, err := testbed.StartDiscovery("127.0.0.1:0", "shop", nil)
 	require.NoError(b, err)
 	b.Cleanup(discovery.Stop)
 	release, err := controller.StartStandalone(controller.NodeConfig{Name: "c", Dir: b.TempDir(), Listen: "127.0.0.1:0", Quick: true, Build: 1},
@@ -183,8 +183,8 @@
 	require.NoError(b, err)
 	b.Cleanup(func() { _ = release.Stop() })
 	for i, h := range hosts {
-		discovery.Set(testbed.Entry{Host: testbed.Elsewhere(h, testbed.Machine{ID: uint32(i + 1), Location: "here", Cores: 1,
-			Speed: 1}, 1), Standing: policy.Serving})
+		discovery.Set(testbed.Endpoint{Backend: testbed.RemoteBackend(h, testbed.Machine{ID: uint32(i + 1), Zone: "here", Cores: 1,
+			Speed: 1}, 1), State: policy.Serving})
 	}
 	c := startChild(b, "DAPPLEFRONT_BENCH=router", "DAPPLEFRONT_CHARTER="+fmt.Sprintf(`
 [router]
--- a/internal/proxy/faults_test.go
+++ b/internal/proxy/faults_test.go
@@ -169,7 +169,7 @@
 	r.eventually(func() bool { return h.requests.Load() == 1 })
 	r.router.Kill()
 	c.requireClosed()
-	r.discovery.Down(true)
+	r.discovery.SetDown(true)
 	r.start()
 	c = r.dial()
 	c.post("/quote", "")
--- a/internal/proxy/testbench_test.go
+++ b/internal/proxy/testbench_test.go
@@ -30,7 +30,7 @@
 	*testing.T
 	config     *routerconfig.Config
 	router     *Proxy
-	discovery  *testbed.Register
+	discovery  *testbed.DiscoveryServer
 	controller *controller.Standalone
 	hosts      []*scriptedHost
 }
@@ -38,7 +38,7 @@
 // scriptedHost is a host whose connections a test serves itself, request by request.
 type scriptedHost struct {
 	listener net.Listener
-	entry    *testbed.Host
+	entry    *testbed.Backend
 	requests atomic.Int64
 	conns    atomic.Int64
 }
@@ -65,8 +65,8 @@
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
-	h := &scriptedHost{listener: l, entry: testbed.Elsewhere(l.Addr().String(),
-		testbed.Machine{ID: id, Location: "here", Cores: 1, Speed: 1}, build)}
+	h := &scriptedHost{listener: l, entry: testbed.RemoteBackend(l.Addr().String(),
+		testbed.Machine{ID: id, Zone: "here", Cores: 1, Speed: 1}, build)}
 	go func() {
 		for {
 			c, err := l.Accept()
@@ -142,7 +142,7 @@
 	t.Helper()
 	r := &testbench{T: t, hosts: hosts}
 	var err error
-	r.discovery, err = testbed.StartRegister("127.0.0.1:0", "shop", nil)
+	r.discovery, err = testbed.StartDiscovery("127.0.0.1:0", "shop", nil)
 	require.NoError(t, err)
 	t.Cleanup(r.discovery.Stop)
 	r.controller, err = controller.StartStandalone(controller.NodeConfig{Name: "c", Dir: t.TempDir(), Listen: "127.0.0.1:0", Quick: true, Build: 1,
@@ -166,7 +166,7 @@
 }
 
 func (r *testbench) setEndpoint(h *scriptedHost, s policy.EndpointState) {
-	r.discovery.Set(testbed.Entry{Host: h.entry, Standing: s})
+	r.discovery.Set(testbed.Endpoint{Backend: h.entry, State: s})
 }
 
 // start starts the router and waits until it knows its hosts and has had the first release status.
--- a/internal/scenario/agents.go
+++ b/internal/scenario/agents.go
@@ -33,7 +33,7 @@
 	log      *slog.Logger
 	ledger   *ledger
 	mirror   *testbed.Mirror
-	nest     *testbed.Nest
+	nest     *testbed.ObserverServer
 	keys     []minisign.PrivateKey
 	places   []testbed.Machine
 	agents   []*agentd.Agent
@@ -44,7 +44,7 @@
 	digests map[int]string // by build
 	numbers map[string]int // by digest
 	ids     map[string]uint32
-	hosts   map[uint32]*testbed.Host
+	hosts   map[uint32]*testbed.Backend
 	has     []map[int]bool        // by place, the builds that were ordered there
 	retired map[int]time.Duration // when a build's taking off was ordered
 }
@@ -90,21 +90,21 @@
 // listing is what the register is to show, and when.
 type listing struct {
 	due   time.Time
-	entry testbed.Entry
+	entry testbed.Endpoint
 }
 
 const patient = 30 * time.Second // for an agent to carry out an order; it reports failures much sooner
 
 func newCrew(s *stage) (*crew, error) {
 	c := &crew{stage: s, log: s.log, digests: map[int]string{}, numbers: map[string]int{}, ids: map[string]uint32{},
-		hosts: map[uint32]*testbed.Host{}, retired: map[int]time.Duration{}, listings: make(chan listing, 4096),
+		hosts: map[uint32]*testbed.Backend{}, retired: map[int]time.Duration{}, listings: make(chan listing, 4096),
 		places: places(s.plan, s.figures, mathrand.New(mathrand.NewPCG(s.plan.Seed, 3)))}
 	var err error
 	c.ledger = newLedger(s.desk, c.heard)
 	if c.mirror, err = testbed.StartMirror(); err != nil {
 		return c, err
 	}
-	if c.nest, err = testbed.StartNest(s.book, &testbed.Marks{}, s.desk.Count, c.id); err != nil {
+	if c.nest, err = testbed.StartObserverServer(s.book, &testbed.KeyStore{}, s.desk.Count, c.id); err != nil {
 		return c, err
 	}
 	s.desk.SetFleet(c)
@@ -142,7 +142,7 @@
 		a, err := agentd.Start(agentd.Config{Name: name, TLS: secure, Dir: filepath.Join(s.dir, name), Controller: s.desk.URL(),
 			Source:           artifact.Source{Mirrors: []string{c.mirror.URL()}, MaxAttempts: 3, Backoff: 50 * time.Millisecond, IdleTimeout: 2 * time.Second},
 			MaxArtifactBytes: 64 << 20, MaxOutputBytes: 64 << 10, KeyRing: ring, WarmUp: s.figures.cold, DrainDelay: s.figures.drains,
-			Env:    []string{testbed.PlaceVariable + "=" + string(place)},
+			Env:    []string{testbed.MachineVariable + "=" + string(place)},
 			Limits: agent.Limits{MaxCrashes: 3, CrashBackoff: 200 * time.Millisecond, MaxCrashBackoff: 2 * time.Second, CrashResetAfter: 10 * time.Second}}, c.log)
 		if err != nil {
 			return c, err
@@ -164,7 +164,7 @@
 	if err != nil {
 		return err
 	}
-	if err := testbed.PackFolder(folder, b, kindsOf(), c.nest.Address()); err != nil {
+	if err := testbed.WriteBuild(folder, b, kindsOf(), c.nest.Address()); err != nil {
 		return err
 	}
 	m := &build.Manifest{Format: 1, Name: "stand-in", Group: "day", Version: b.Number, Start: []string{"run.sh"}}
@@ -219,13 +219,13 @@
 		if h == nil {
 			m := c.place(name)
 			m.ID = id
-			h = testbed.Elsewhere(r.Address, m, c.numbers[r.Digest])
-			h.Up = time.UnixMilli(r.UpMs)
+			h = testbed.RemoteBackend(r.Address, m, c.numbers[r.Digest])
+			h.StartedAt = time.UnixMilli(r.UpMs)
 			c.hosts[id] = h
 		}
 		c.mu.Unlock()
 		standing := map[string]policy.EndpointState{string(agent.EndpointDraining): policy.Draining, string(agent.EndpointRemoved): policy.Removed}[r.Listing]
-		c.listings <- listing{time.Now().Add(c.stage.figures.listLate), testbed.Entry{Host: h, Standing: standing}}
+		c.listings <- listing{time.Now().Add(c.stage.figures.listLate), testbed.Endpoint{Backend: h, State: standing}}
 	}
 	if r.To == string(agent.Failed) {
 		c.mu.Lock()
@@ -308,7 +308,7 @@
 	each(chosen, func(place int) bool { return order(place, "stage", agent.Staged) })
 	byLocation := map[string][]int{}
 	for _, place := range chosen {
-		l := c.places[place].Location
+		l := c.places[place].Zone
 		byLocation[l] = append(byLocation[l], place)
 	}
 	var wait sync.WaitGroup
--- a/internal/scenario/controllers.go
+++ b/internal/scenario/controllers.go
@@ -40,7 +40,7 @@
 // controllers are the day's release controllers: one, three or five instances of the real one, on loopback.
 type controllers struct {
 	log     *slog.Logger
-	book    *audit.Book
+	book    *audit.Recorder
 	figures figures
 	dir     string
 	client  *client.Client
@@ -75,7 +75,7 @@
 }
 
 // startControllers starts so many at which build 1 has been released.
-func startControllers(n int, rules release.Rules, f figures, dir string, secure *trust, book *audit.Book, log *slog.Logger) (*controllers, error) {
+func startControllers(n int, rules release.Rules, f figures, dir string, secure *trust, book *audit.Recorder, log *slog.Logger) (*controllers, error) {
 	ctx, stop := context.WithCancel(context.Background())
 	c := &controllers{log: log, book: book, figures: f, dir: dir, stop: stop, counts: map[[2]string]*tally{}, heeds: map[uint64]map[string]api.PlanAck{}}
 	var urls []string
@@ -208,7 +208,7 @@
 }
 
 func (c *controllers) told(router string, n api.Release) {
-	c.book.Told(router, audit.News{Build: n.Build, Stage: n.Stage, Released: n.Phase == api.Phases[policy.Released], Cap: n.ExposureCap})
+	c.book.ReleaseAnnounced(router, audit.ReleaseStatus{Build: n.Build, Stage: n.Stage, Released: n.Phase == api.Phases[policy.Released], ExposureCap: n.ExposureCap})
 }
 
 // hear is the fleet's watch: orders are carried out, and moves are noted.
--- a/internal/scenario/day.go
+++ b/internal/scenario/day.go
@@ -57,13 +57,13 @@
 	return f
 }
 
-var wishes = []testbed.Wish{
-	{Kind: testbed.Kind{Name: "quote", Work: 30 * time.Millisecond, Repeat: policy.Idempotent}, Path: "/quote", Share: .6,
-		Promised: 400 * time.Millisecond, Patience: 1500 * time.Millisecond},
-	{Kind: testbed.Kind{Name: "order", Work: 40 * time.Millisecond, Repeat: policy.IdempotentWithKey, Memory: 10 * time.Second},
-		Path: "/order", Share: .23, Promised: 500 * time.Millisecond, Patience: 2 * time.Second},
-	{Kind: testbed.Kind{Name: "transfer", Work: 25 * time.Millisecond, Repeat: policy.NonIdempotent}, Path: "/transfer", Share: .17,
-		Promised: 300 * time.Millisecond, Patience: time.Second},
+var wishes = []testbed.RequestClass{
+	{Class: testbed.Class{Name: "quote", Work: 30 * time.Millisecond, Idempotency: policy.Idempotent}, Path: "/quote", Share: .6,
+		LatencyObjective: 400 * time.Millisecond, Timeout: 1500 * time.Millisecond},
+	{Class: testbed.Class{Name: "order", Work: 40 * time.Millisecond, Idempotency: policy.IdempotentWithKey, DedupWindow: 10 * time.Second},
+		Path: "/order", Share: .23, LatencyObjective: 500 * time.Millisecond, Timeout: 2 * time.Second},
+	{Class: testbed.Class{Name: "transfer", Work: 25 * time.Millisecond, Idempotency: policy.NonIdempotent}, Path: "/transfer", Share: .17,
+		LatencyObjective: 300 * time.Millisecond, Timeout: time.Second},
 }
 
 const way = 150 * time.Millisecond // what the audit allows for ways between sockets: many times what loopback takes
@@ -112,8 +112,8 @@
 	figures  figures
 	log      *slog.Logger
 	dir      string
-	book     *audit.Book
-	register *testbed.Register
+	book     *audit.Recorder
+	register *testbed.DiscoveryServer
 	desk     *controllers
 	trust    *trust // nil without TLS
 	fleet    *fleet // hosts inside this process, or
@@ -148,7 +148,7 @@
 		return nil, err
 	}
 	defer os.RemoveAll(dir)
-	s := &stage{plan: p, figures: f, log: log, dir: dir, book: audit.Open(), rand: rand.New(rand.NewPCG(p.Seed, 5))}
+	s := &stage{plan: p, figures: f, log: log, dir: dir, book: audit.NewRecorder(), rand: rand.New(rand.NewPCG(p.Seed, 5))}
 	defer s.close()
 	if err := s.build(); err != nil {
 		return nil, err
@@ -189,7 +189,7 @@
 	for i, x := range s.routers {
 		places[x.name] = f.locations[i%len(f.locations)]
 	}
-	if all, crossed := s.book.Crossed(places); all > 0 {
+	if all, crossed := s.book.CountCrossZone(places); all > 0 {
 		r.Crossed = float64(crossed) / float64(all)
 	}
 	r.Verdicts = s.book.Judge(s.judged())
@@ -197,19 +197,19 @@
 }
 
 // judged are the figures by which the audit judges.
-func (s *stage) judged() audit.Figures {
+func (s *stage) judged() audit.Limits {
 	f := s.figures
-	a := audit.Figures{Categories: map[string]audit.Category{}, Slack: way, Grace: f.grace, Tip: f.tip, TipFor: f.tipFor,
-		Window: f.window, Free: f.free, Guarded: f.guarded, FirstCap: f.caps[0], Way: way}
+	a := audit.Limits{Classes: map[string]audit.Class{}, AnswerSlack: way, DrainGrace: f.grace, ColdOverloadFactor: f.tip, ColdOverloadWindow: f.tipFor,
+		ExposureWindow: f.window, ExposureAllowance: f.free, GuardedStages: f.guarded, FirstStageCap: f.caps[0], TransitTime: way}
 	for _, w := range wishes {
-		a.Categories[w.Name] = audit.Category{Repeat: w.Repeat, Memory: w.Memory}
+		a.Classes[w.Name] = audit.Class{Idempotency: w.Idempotency, DedupWindow: w.DedupWindow}
 	}
 	return a
 }
 
 func (s *stage) build() (err error) {
 	p, f := s.plan, s.figures
-	if s.register, err = testbed.StartRegister("127.0.0.1:0", "day", s.book); err != nil {
+	if s.register, err = testbed.StartDiscovery("127.0.0.1:0", "day", s.book); err != nil {
 		return err
 	}
 	var stages []release.Stage
@@ -234,7 +234,7 @@
 	if err != nil {
 		return err
 	}
-	var doors []testbed.Door
+	var doors []testbed.Target
 	for i := range p.Routers {
 		x, err := s.seat(i)
 		if err != nil {
@@ -244,21 +244,21 @@
 		if err := s.open(x); err != nil {
 			return err
 		}
-		doors = append(doors, testbed.Door{Name: x.name, Address: x.address, Rate: p.Rate})
+		doors = append(doors, testbed.Target{Name: x.name, Address: x.address, Rate: p.Rate})
 	}
 	time.Sleep(300 * time.Millisecond) // the list and the news are on their way
 	secure, err := s.trust.client("clients")
 	if err != nil {
 		return err
 	}
-	s.clients = testbed.NewClients(wishes, doors, testbed.Habits{Rush: 1, Repeats: 2, Wait: 100 * time.Millisecond, Heed: true,
-		Leaves: .003, Complain: .3}, s.book, strings.Split(s.desk.URL(), ", ")[0], secure, p.Seed)
+	s.clients = testbed.NewClients(wishes, doors, testbed.Behavior{RateFactor: 1, MaxRetries: 2, RetryDelay: 100 * time.Millisecond, HonorsRetryAfter: true,
+		AbandonRate: .003, ComplaintRate: .3}, s.book, strings.Split(s.desk.URL(), ", ")[0], secure, p.Seed)
 	return nil
 }
 
 // people starts all hosts inside this process.
 func (s *stage) people() error {
-	world := testbed.World{Book: s.book, Kinds: kindsOf(), Marks: &testbed.Marks{}}
+	world := testbed.Environment{Observer: s.book, Classes: kindsOf(), Keys: &testbed.KeyStore{}}
 	s.fleet = newFleet(s.plan, s.figures, world, s.register)
 	s.fleet.desk = s.desk
 	s.desk.SetFleet(s.fleet)
@@ -274,10 +274,10 @@
 	return nil
 }
 
-func kindsOf() map[string]testbed.Kind {
-	kinds := map[string]testbed.Kind{}
+func kindsOf() map[string]testbed.Class {
+	kinds := map[string]testbed.Class{}
 	for _, w := range wishes {
-		kinds[w.Name] = w.Kind
+		kinds[w.Name] = w.Class
 	}
 	return kinds
 }
@@ -302,7 +302,7 @@
 		ask = "whole"
 	}
 	fmt.Fprintf(&b, "[register]\naddress = %s\nnames = %s\nask = %s\n", s.register.Address(),
-		strings.Join(s.register.Names(f.locations), ", "), ask)
+		strings.Join(s.register.Resources(f.locations), ", "), ask)
 	caps := make([]string, len(f.caps))
 	for n, c := range f.caps {
 		caps[n] = fmt.Sprintf("%g%%", 100*c)
@@ -320,11 +320,11 @@
 	fmt.Fprintf(&b, "[rules]\ngrace = %s\ncold = %s\ncold-share = %g%%\ntip = %g\ntip-for = %s\n", f.grace, f.cold,
 		100*f.coldShare, f.tip, f.tipFor)
 	for _, w := range wishes {
-		repeat := []string{"retriable", "fingerprinted", "binding"}[w.Repeat]
+		repeat := []string{"retriable", "fingerprinted", "binding"}[w.Idempotency]
 		fmt.Fprintf(&b, "[category %s]\nrepeat = %s\npaths = %s\npromised = %s\npatience = %s\n", w.Name, repeat, w.Path,
-			w.Promised, w.Patience)
-		if w.Repeat == policy.IdempotentWithKey {
-			fmt.Fprintf(&b, "memory = %s\n", w.Memory)
+			w.LatencyObjective, w.Timeout)
+		if w.Idempotency == policy.IdempotentWithKey {
+			fmt.Fprintf(&b, "memory = %s\n", w.DedupWindow)
 		}
 	}
 	if s.plan.Records != "" {
@@ -343,7 +343,7 @@
 	if err != nil {
 		return err
 	}
-	s.book.RouterUp(x.name)
+	s.book.RouterStarting(x.name)
 	i, err := proxy.Start(c, s.log, bend)
 	if err != nil {
 		return err
@@ -361,7 +361,7 @@
 	x.instance = nil
 	x.mu.Unlock()
 	if i != nil {
-		s.book.RouterDown(x.name)
+		s.book.RouterStopping(x.name)
 		i.Kill()
 	}
 }
@@ -379,15 +379,15 @@
 		if s.fleet != nil {
 			s.fleet.forgetTraffic()
 		}
-		score, open := s.clients.Second()
+		score, open := s.clients.SinceLast()
 		n := s.desk.News()
 		s.count(n, score)
 		if progress == nil {
 			continue
 		}
 		fmt.Fprintf(progress, "%4.0f s  asked %5d  in time %5d  late %4d  turned back %4d  scrapped %3d  lost %3d  open %4d  "+
-			"build %d %s, stage %d\n", time.Since(began).Seconds(), score.Asked, score.InTime, score.Late, score.TurnedBack,
-			score.Scrapped, score.Lost+score.Refused, open, n.Build, phases[n.Phase], n.Stage)
+			"build %d %s, stage %d\n", time.Since(began).Seconds(), score.Asked, score.InTime, score.Late, score.Rejected,
+			score.Failed, score.Lost+score.Refused, open, n.Build, phases[n.Phase], n.Stage)
 	}
 }
 
--- a/internal/scenario/day_test.go
+++ b/internal/scenario/day_test.go
@@ -20,7 +20,7 @@
 
 // The test binary is also the hosts' process in days with agents.
 func TestMain(m *testing.M) {
-	testbed.HostProcess()
+	testbed.RunIfBackendProcess()
 	os.Exit(m.Run())
 }
 
--- a/internal/scenario/fleet.go
+++ b/internal/scenario/fleet.go
@@ -15,8 +15,8 @@
 
 // fleet is all hosts: it starts, drains and replaces processes, and keeps the register told.
 type fleet struct {
-	world    testbed.World
-	register *testbed.Register
+	world    testbed.Environment
+	register *testbed.DiscoveryServer
 	desk     *controllers
 	figures  figures
 	places   []testbed.Machine // one for each place, without an id
@@ -34,17 +34,17 @@
 
 // member is a process at a place.
 type member struct {
-	*testbed.Host
+	*testbed.Backend
 	place   int
 	leaving bool
 }
 
-func newFleet(p Plan, f figures, w testbed.World, register *testbed.Register) *fleet {
+func newFleet(p Plan, f figures, w testbed.Environment, register *testbed.DiscoveryServer) *fleet {
 	fl := &fleet{register: register, figures: f, builds: map[int]testbed.Build{1: {Number: 1}},
 		rand: rand.New(rand.NewPCG(p.Seed, 3))}
 	fl.places = places(p, f, fl.rand)
-	w.Slows = fl.slows
-	w.Count = fl.count
+	w.Slowdown = fl.slows
+	w.CountRequest = fl.count
 	fl.world = w
 	return fl
 }
@@ -52,8 +52,8 @@
 // places are the machines that a day's hosts run on, without their ids.
 func places(p Plan, f figures, r *rand.Rand) (all []testbed.Machine) {
 	for i := range p.Hosts {
-		all = append(all, testbed.Machine{Location: f.locations[i%len(f.locations)], Cell: i % len(f.locations), Cores: 2,
-			Speed: 0.85 + 0.3*r.Float64(), ColdShare: f.coldShare, Cold: f.cold, Tip: f.tip, TipFor: f.tipFor})
+		all = append(all, testbed.Machine{Zone: f.locations[i%len(f.locations)], Cell: i % len(f.locations), Cores: 2,
+			Speed: 0.85 + 0.3*r.Float64(), ColdCapacity: f.coldShare, WarmUp: f.cold, ColdOverloadFactor: f.tip, ColdOverloadWindow: f.tipFor})
 	}
 	return all
 }
@@ -62,7 +62,7 @@
 func (f *fleet) count(build int, category string, took time.Duration, bad bool) {
 	f.sends.Add(1)
 	f.mu.Lock()
-	slows := f.builds[build].SlowsAll
+	slows := f.builds[build].FleetSlowdown
 	f.mu.Unlock()
 	if slows > 0 {
 		f.slow.Add(1)
@@ -96,11 +96,11 @@
 	if closed {
 		return nil, nil
 	}
-	h, err := testbed.StartHost(m, b, cold, f.world)
+	h, err := testbed.StartBackend(m, b, cold, f.world)
 	if err != nil {
 		return nil, err
 	}
-	x := &member{Host: h, place: place}
+	x := &member{Backend: h, place: place}
 	f.mu.Lock()
 	f.hosts = append(f.hosts, x)
 	f.mu.Unlock()
@@ -108,9 +108,9 @@
 }
 
 func (f *fleet) list(standing policy.EndpointState, hosts ...*member) {
-	var entries []testbed.Entry
+	var entries []testbed.Endpoint
 	for _, h := range hosts {
-		entries = append(entries, testbed.Entry{Host: h.Host, Standing: standing})
+		entries = append(entries, testbed.Endpoint{Backend: h.Backend, State: standing})
 	}
 	f.register.Set(entries...)
 }
@@ -129,7 +129,7 @@
 
 // at are the hosts of a location that are not leaving.
 func (f *fleet) at(location string) []*member {
-	return slices.DeleteFunc(f.of(0), func(h *member) bool { return h.Location != location })
+	return slices.DeleteFunc(f.of(0), func(h *member) bool { return h.Zone != location })
 }
 
 // some draws a share of the hosts, at least one.
--- a/internal/scenario/report.go
+++ b/internal/scenario/report.go
@@ -37,7 +37,7 @@
 		s, t := r.Scores[wish.Name], r.Times[wish.Name]
 		slices.Sort(t)
 		fmt.Fprintf(w, "%-10s %7d %7.2f%% %6d %12d %9d %8d %6d %6d %8s %8s\n", wish.Name, s.Asked,
-			100*float64(s.InTime)/max(1, float64(s.Asked)), s.Late, s.TurnedBack, s.Scrapped, s.Refused, s.Lost+s.Left, s.Wrong,
+			100*float64(s.InTime)/max(1, float64(s.Asked)), s.Late, s.Rejected, s.Failed, s.Refused, s.Lost+s.TimedOut, s.Wrong,
 			at(t, .5), at(t, .99))
 	}
 	fmt.Fprintf(w, "\n%-30s %8s %8s %8s %6s %12s %9s\n", "release", "moment", "asked", "in time", "late", "turned back", "scrapped")
@@ -49,7 +49,7 @@
 			}
 		}
 		fmt.Fprintf(w, "%-30s %8s %8d %7.2f%% %6d %12d %9d\n", fmt.Sprintf("build %d, stage %d, %s", x.Build, x.Stage, phases[x.Phase]),
-			moment, x.Asked, 100*float64(x.InTime)/max(1, float64(x.Asked)), x.Late, x.TurnedBack, x.Scrapped)
+			moment, x.Asked, 100*float64(x.InTime)/max(1, float64(x.Asked)), x.Late, x.Rejected, x.Failed)
 	}
 	if a := r.Agents; a != nil {
 		fmt.Fprintf(w, "\n%-10s %6s %8s %8s\n", "agents", "times", "p50", "p99")
@@ -92,7 +92,7 @@
 // cold is the largest share of a cold host's budget that was used.
 func (r *Result) cold() (most float64) {
 	for _, v := range r.Verdicts {
-		most = max(most, v.Most)
+		most = max(most, v.MaxShare)
 	}
 	return most
 }
--- a/internal/scenario/shares.go
+++ b/internal/scenario/shares.go
@@ -60,7 +60,7 @@
 			p.Whole++
 		}
 		s.desk.Publish(o.Published)
-		s.register.Weigh(o.Published)
+		s.register.SetWeights(o.Published)
 		return nil
 	}
 	s.wait.Add(1)
@@ -99,7 +99,7 @@
 	m := &plan.Model{Forecast: []plan.Forecast{{At: now}}, Limits: plan.Limits{Cross: 1, CrossPrice: .02, Reserve: .05,
 		Cold: plan.Cold{Lasts: f.cold, Share: f.coldShare}}}
 	for _, w := range wishes {
-		m.Classes = append(m.Classes, plan.Class{Name: w.Name, Work: w.Work.Seconds(), Idempotency: w.Repeat, PriorityWeight: 1})
+		m.Classes = append(m.Classes, plan.Class{Name: w.Name, Work: w.Work.Seconds(), Idempotency: w.Idempotency, PriorityWeight: 1})
 	}
 	rates := map[string]float64{}
 	for i := range s.routers {
@@ -116,10 +116,10 @@
 		trial = news.Build
 	}
 	for _, h := range s.fleet.of(0) {
-		x := plan.Host{Name: strconv.FormatUint(uint64(h.ID), 10), Zone: h.Location, Build: h.Build.Number,
+		x := plan.Host{Name: strconv.FormatUint(uint64(h.ID), 10), Zone: h.Zone, Build: h.Build.Number,
 			Weight: float64(h.Cores) * h.Speed, Starts: now - time.Hour}
-		if !h.Up.IsZero() {
-			x.Starts = min(now, h.Up.Sub(began))
+		if !h.StartedAt.IsZero() {
+			x.Starts = min(now, h.StartedAt.Sub(began))
 		}
 		if trial != 0 && x.Build == trial {
 			continue // it gets copies, which the cap bounds
--- a/internal/scenario/troubles.go
+++ b/internal/scenario/troubles.go
@@ -13,20 +13,20 @@
 	for n, o := range s.plan.Offers {
 		s.at(ctx, o.At, func() {
 			build := n + 2
-			b := testbed.Build{Number: build, Speed: .95 + .1*s.draw()}
+			b := testbed.Build{Number: build, SpeedFactor: .95 + .1*s.draw()}
 			switch o.Kind {
 			case "bad-some":
-				b.Fails = .08 + .25*s.draw()
+				b.FailureRate = .08 + .25*s.draw()
 			case "bad-category":
-				b.FailsOf, b.FailsOfBy = wishes[int(s.draw()*float64(len(wishes)))].Name, .4+.5*s.draw()
+				b.FailingClass, b.ClassFailureRate = wishes[int(s.draw()*float64(len(wishes)))].Name, .4+.5*s.draw()
 			case "bad-work":
-				b.Speed = 1 / (1.8 + 1.8*s.draw())
+				b.SpeedFactor = 1 / (1.8 + 1.8*s.draw())
 			case "bad-late":
-				b.LateAfter = time.Duration((3 + 3*s.draw()) * float64(time.Second))
+				b.DegradesAfter = time.Duration((3 + 3*s.draw()) * float64(time.Second))
 			case "bad-wrong":
-				b.Wrong = .05 + .2*s.draw()
+				b.WrongAnswerRate = .05 + .2*s.draw()
 			case "bad-slows-all":
-				b.SlowsAll = 2
+				b.FleetSlowdown = 2
 			}
 			if s.crew != nil {
 				if err := s.crew.pack(b, o.Kind); err != nil {
@@ -73,12 +73,12 @@
 	s.log.Info("trouble begins", "kind", t.Kind, "for", t.For, "share", t.Share, "size", t.Size)
 	defer s.log.Info("trouble ends", "kind", t.Kind)
 	lasting := func(begin, mend func()) { begin(); sleep(ctx, t.For); mend() }
-	hosts := func(change, back func(*testbed.Trouble)) {
+	hosts := func(change, back func(*testbed.Fault)) {
 		some := s.fleet.some(t.Share)
 		lasting(func() { all(some, change) }, func() { all(some, back) })
 	}
-	habits := func(change, back func(*testbed.Habits)) {
-		lasting(func() { s.clients.Change(change) }, func() { s.clients.Change(back) })
+	habits := func(change, back func(*testbed.Behavior)) {
+		lasting(func() { s.clients.ChangeBehavior(change) }, func() { s.clients.ChangeBehavior(back) })
 	}
 	switch t.Kind {
 	case "die":
@@ -90,16 +90,16 @@
 	case "lose-place", "cold-place":
 		s.fleet.die(s.fleet.at(s.figures.locations[len(s.figures.locations)-1]), t.For)
 	case "hang":
-		hosts(func(x *testbed.Trouble) { x.Hangs = true }, func(x *testbed.Trouble) { x.Hangs = false })
+		hosts(func(x *testbed.Fault) { x.Hangs = true }, func(x *testbed.Fault) { x.Hangs = false })
 	case "fail-fast":
-		hosts(func(x *testbed.Trouble) { x.Fails = t.Size }, func(x *testbed.Trouble) { x.Fails = 0 })
+		hosts(func(x *testbed.Fault) { x.FailureRate = t.Size }, func(x *testbed.Fault) { x.FailureRate = 0 })
 	case "slow", "all-slow":
-		hosts(func(x *testbed.Trouble) { x.Slow = t.Size }, func(x *testbed.Trouble) { x.Slow = 0 })
+		hosts(func(x *testbed.Fault) { x.Slowdown = t.Size }, func(x *testbed.Fault) { x.Slowdown = 0 })
 	case "refuse":
-		hosts(func(x *testbed.Trouble) { x.Refuses = true }, func(x *testbed.Trouble) { x.Refuses = false })
+		hosts(func(x *testbed.Fault) { x.RefusesConnections = true }, func(x *testbed.Fault) { x.RefusesConnections = false })
 	case "one-sided":
 		name := s.routers[int(s.draw()*float64(len(s.routers)))].name
-		hosts(func(x *testbed.Trouble) { x.NotFrom = name }, func(x *testbed.Trouble) { x.NotFrom = "" })
+		hosts(func(x *testbed.Fault) { x.BlockedRouter = name }, func(x *testbed.Fault) { x.BlockedRouter = "" })
 	case "pause":
 		some := s.fleet.some(t.Share)
 		for end := time.Now().Add(t.For); time.Now().Before(end); {
@@ -120,19 +120,21 @@
 			s.fleet.replace(some)
 		}
 	case "burst":
-		habits(func(h *testbed.Habits) { h.Rush = t.Size }, func(h *testbed.Habits) { h.Rush = 1 })
+		habits(func(h *testbed.Behavior) { h.RateFactor = t.Size }, func(h *testbed.Behavior) { h.RateFactor = 1 })
 	case "repeats":
-		habits(func(h *testbed.Habits) { h.Repeats, h.Heed, h.Wait = int(t.Size), false, 0 },
-			func(h *testbed.Habits) { h.Repeats, h.Heed, h.Wait = 2, true, 100*time.Millisecond })
+		habits(func(h *testbed.Behavior) { h.MaxRetries, h.HonorsRetryAfter, h.RetryDelay = int(t.Size), false, 0 },
+			func(h *testbed.Behavior) {
+				h.MaxRetries, h.HonorsRetryAfter, h.RetryDelay = 2, true, 100*time.Millisecond
+			})
 	case "bad-requests":
-		habits(func(h *testbed.Habits) { h.Bad = t.Size }, func(h *testbed.Habits) { h.Bad = 0 })
+		habits(func(h *testbed.Behavior) { h.BadRequestRate = t.Size }, func(h *testbed.Behavior) { h.BadRequestRate = 0 })
 	case "list-down":
-		lasting(func() { s.register.Down(true) }, func() { s.register.Down(false) })
+		lasting(func() { s.register.SetDown(true) }, func() { s.register.SetDown(false) })
 	case "reports-late":
 		late := time.Duration(t.Size * float64(time.Second))
 		s.desk.Lateness(late)
 		t.Share = 1
-		hosts(func(x *testbed.Trouble) { x.StaleLoad = late }, func(x *testbed.Trouble) { x.StaleLoad = 0 })
+		hosts(func(x *testbed.Fault) { x.LoadReportDelay = late }, func(x *testbed.Fault) { x.LoadReportDelay = 0 })
 		s.desk.Lateness(0)
 	case "desk-still":
 		lasting(func() { s.desk.Still(true) }, func() { s.desk.Still(false) })
@@ -148,7 +150,7 @@
 				x.mu.Lock()
 				if x.instance != nil {
 					d := time.Duration(t.Size * float64(time.Second))
-					s.book.Stood(x.name, d)
+					s.book.RouterPaused(x.name, d)
 					x.instance.Stall(d)
 				}
 				x.mu.Unlock()
@@ -160,9 +162,9 @@
 	}
 }
 
-func all(hosts []*member, change func(*testbed.Trouble)) {
+func all(hosts []*member, change func(*testbed.Fault)) {
 	for _, h := range hosts {
-		h.Suffer(change)
+		h.ChangeFault(change)
 	}
 }
 
--- a/internal/testbed/controller.go
+++ b/internal/testbed/controller.go
@@ -20,16 +20,16 @@
 	server *http.Server
 	listen net.Listener
 	stop   chan struct{}
-	// Heard is called for each report, once and in order; it may be nil.
-	Heard func(agent string, r api.AgentReport)
-
-	mu      sync.Mutex
-	orders  map[string][]api.Order
-	reports map[string][]api.AgentReport
-	last    map[string]uint64
-	number  uint64
-	changed chan struct{}
-	down    bool
+	// OnReport is called for each report, once and in order; it may be nil.
+	OnReport func(agent string, r api.AgentReport)
+
+	mu         sync.Mutex
+	orders     map[string][]api.Order
+	reports    map[string][]api.AgentReport
+	lastReport map[string]uint64
+	number     uint64
+	changed    chan struct{}
+	down       bool
 }
 
 // StartController starts one.
@@ -39,10 +39,10 @@
 		return nil, fmt.Errorf("controller: %w", err)
 	}
 	c := &Controller{listen: l, stop: make(chan struct{}), orders: map[string][]api.Order{},
-		reports: map[string][]api.AgentReport{}, last: map[string]uint64{}, changed: make(chan struct{})}
+		reports: map[string][]api.AgentReport{}, lastReport: map[string]uint64{}, changed: make(chan struct{})}
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /v1/agents/{name}/orders", c.watch)
-	mux.HandleFunc("POST /v1/agents/{name}/reports", c.hear)
+	mux.HandleFunc("POST /v1/agents/{name}/reports", c.receiveReports)
 	c.server = &http.Server{Handler: mux, ErrorLog: log.New(io.Discard, "", 0)}
 	go func() { _ = c.server.Serve(l) }()
 	return c, nil
@@ -57,8 +57,8 @@
 	_ = c.server.Close()
 }
 
-// Down cuts agents off, or lets them in again.
-func (c *Controller) Down(down bool) {
+// SetDown cuts agents off, or lets them in again.
+func (c *Controller) SetDown(down bool) {
 	c.mu.Lock()
 	c.down = down
 	close(c.changed)
@@ -91,8 +91,8 @@
 	return c.AwaitAfter(agent, 0, digest, within, phase) != ""
 }
 
-// Mark is how many reports an agent has made, for AwaitAfter.
-func (c *Controller) Mark(agent string) int { return len(c.Reports(agent)) }
+// ReportCount is how many reports an agent has made, for AwaitAfter.
+func (c *Controller) ReportCount(agent string) int { return len(c.Reports(agent)) }
 
 // AwaitAfter waits until an agent has reported a build in one of some phases, after its first reports up to a mark, and
 // returns that phase; empty if that takes too long.
@@ -150,7 +150,7 @@
 	}
 }
 
-func (c *Controller) hear(w http.ResponseWriter, r *http.Request) {
+func (c *Controller) receiveReports(w http.ResponseWriter, r *http.Request) {
 	var all []api.AgentReport
 	if err := json.NewDecoder(io.LimitReader(r.Body, 4<<20)).Decode(&all); err != nil {
 		problem(w, 400, "a list of reports expected: "+err.Error())
@@ -165,13 +165,13 @@
 	}
 	var fresh []api.AgentReport
 	for _, x := range all { // one that is sent again counts once
-		if x.Number > c.last[name] {
-			c.last[name] = x.Number
+		if x.Number > c.lastReport[name] {
+			c.lastReport[name] = x.Number
 			fresh = append(fresh, x)
 		}
 	}
 	c.reports[name] = append(c.reports[name], fresh...)
-	heard := c.Heard
+	heard := c.OnReport
 	close(c.changed)
 	c.changed = make(chan struct{})
 	c.mu.Unlock()
--- a/internal/testbed/mirror.go
+++ b/internal/testbed/mirror.go
@@ -19,19 +19,19 @@
 	server *http.Server
 	listen net.Listener
 
-	mu    sync.Mutex
-	items map[string][]byte
-	fault func(path string, body []byte) Fault
-	asked []string // paths, with the range
+	mu       sync.Mutex
+	items    map[string][]byte
+	fault    func(path string, body []byte) ReplyFault
+	requests []string // paths, with the range
 }
 
-// Fault is what a mirror does wrong with one reply. The zero Fault is nothing.
-type Fault struct {
-	Status int    // in place of an answer
-	Body   []byte // in place of the right one
-	Cut    int    // bytes after which the connection ends; 0 for never
-	Stall  bool   // goes silent there, instead of ending it
-	Tag    string // in place of the right ETag
+// ReplyFault is what a mirror does wrong with one reply. The zero Fault is nothing.
+type ReplyFault struct {
+	Status   int    // in place of an answer
+	Body     []byte // in place of the right one
+	CutAfter int    // bytes after which the connection ends; 0 for never
+	Stall    bool   // goes silent there, instead of ending it
+	ETag     string // in place of the right ETag
 }
 
 // StartMirror starts one that has nothing yet.
@@ -65,31 +65,31 @@
 	m.Put("/signatures/"+digest, raw)
 }
 
-// Fail says what goes wrong from now on; nil for nothing.
-func (m *Mirror) Fail(how func(path string, body []byte) Fault) {
+// SetFault says what goes wrong from now on; nil for nothing.
+func (m *Mirror) SetFault(how func(path string, body []byte) ReplyFault) {
 	m.mu.Lock()
 	m.fault = how
 	m.mu.Unlock()
 }
 
-// Asked are the paths asked for so far, each with its range.
-func (m *Mirror) Asked() []string {
+// Requests are the paths asked for so far, each with its range.
+func (m *Mirror) Requests() []string {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return append([]string(nil), m.asked...)
+	return append([]string(nil), m.requests...)
 }
 
 func (m *Mirror) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	m.mu.Lock()
 	body, ok := m.items[r.URL.Path]
 	how := m.fault
-	m.asked = append(m.asked, strings.TrimSpace(r.URL.Path+" "+r.Header.Get("Range")))
+	m.requests = append(m.requests, strings.TrimSpace(r.URL.Path+" "+r.Header.Get("Range")))
 	m.mu.Unlock()
 	if !ok {
 		http.NotFound(w, r)
 		return
 	}
-	var f Fault
+	var f ReplyFault
 	if how != nil {
 		f = how(r.URL.Path, body)
 	}
@@ -100,13 +100,13 @@
 	if f.Body != nil {
 		body = f.Body
 	}
-	tag := f.Tag
+	tag := f.ETag
 	if tag == "" {
 		tag = fmt.Sprintf(`"%d-%x"`, len(body), bytes.Count(body, []byte{'a'}))
 	}
 	w.Header().Set("ETag", tag)
-	if f.Cut > 0 {
-		w = &cutter{ResponseWriter: w, left: f.Cut, stall: f.Stall, done: r.Context().Done()}
+	if f.CutAfter > 0 {
+		w = &cutter{ResponseWriter: w, left: f.CutAfter, stall: f.Stall, done: r.Context().Done()}
 	}
 	http.ServeContent(w, r, "", time.Time{}, bytes.NewReader(body))
 }
--- a/internal/testbed/register.go
+++ b/internal/testbed/register.go
@@ -26,52 +26,52 @@
 	"dapplefront/policy"
 )
 
-// Entry is one host in the list.
-type Entry struct {
-	Host     *Host
-	Standing policy.EndpointState
+// Endpoint is one host in the list.
+type Endpoint struct {
+	Backend *Backend
+	State   policy.EndpointState
 }
 
-// Register is a stand-in for the host list: EDS over gRPC, one resource for each location, whole lists and changes.
-type Register struct {
+// DiscoveryServer is a stand-in for the host list: EDS over gRPC, one resource for each location, whole lists and changes.
+type DiscoveryServer struct {
 	edsv3.UnimplementedEndpointDiscoveryServiceServer
-	book    *audit.Book
-	server  *grpc.Server
-	address string
-	group   string
+	recorder *audit.Recorder
+	server   *grpc.Server
+	address  string
+	group    string
 
 	mu      sync.Mutex
-	entries map[uint32]Entry
+	entries map[uint32]Endpoint
 	version int
 	changed map[string]int // by resource, the version that it changed in
-	waiting map[chan struct{}]bool
+	wakeups map[chan struct{}]bool
 	down    bool
-	calls   map[chan struct{}]bool // streams, to cut
-	spoil   func(*endpointv3.ClusterLoadAssignment)
+	streams map[chan struct{}]bool // streams, to cut
+	corrupt func(*endpointv3.ClusterLoadAssignment)
 	weights map[string]uint64 // of a plan, by host id in decimals; nil for none
 	// Rejected are the reasons with which routers turned versions down.
 	rejected []string
 }
 
-// StartRegister serves the list of a group of hosts; book may be nil.
-func StartRegister(address, group string, book *audit.Book) (*Register, error) {
+// StartDiscovery serves the list of a group of hosts; book may be nil.
+func StartDiscovery(address, group string, book *audit.Recorder) (*DiscoveryServer, error) {
 	l, err := net.Listen("tcp", address)
 	if err != nil {
 		return nil, fmt.Errorf("register: %w", err)
 	}
-	r := &Register{book: book, server: grpc.NewServer(), address: l.Addr().String(), group: group,
-		entries: map[uint32]Entry{}, changed: map[string]int{}, waiting: map[chan struct{}]bool{},
-		calls: map[chan struct{}]bool{}}
+	r := &DiscoveryServer{recorder: book, server: grpc.NewServer(), address: l.Addr().String(), group: group,
+		entries: map[uint32]Endpoint{}, changed: map[string]int{}, wakeups: map[chan struct{}]bool{},
+		streams: map[chan struct{}]bool{}}
 	edsv3.RegisterEndpointDiscoveryServiceServer(r.server, r)
 	go func() { _ = r.server.Serve(l) }()
 	return r, nil
 }
 
 // Address is where it listens.
-func (r *Register) Address() string { return r.address }
+func (r *DiscoveryServer) Address() string { return r.address }
 
-// Names are the resources of the locations.
-func (r *Register) Names(locations []string) (names []string) {
+// Resources are the resources of the locations.
+func (r *DiscoveryServer) Resources(locations []string) (names []string) {
 	for _, l := range locations {
 		names = append(names, r.group+"/"+l)
 	}
@@ -79,27 +79,27 @@
 }
 
 // Stop ends it.
-func (r *Register) Stop() { r.server.Stop() }
+func (r *DiscoveryServer) Stop() { r.server.Stop() }
 
 // Set changes or adds entries; those that are gone are dropped from the list.
-func (r *Register) Set(entries ...Entry) {
+func (r *DiscoveryServer) Set(entries ...Endpoint) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.version++
 	for _, e := range entries {
-		if e.Standing == policy.Removed {
-			delete(r.entries, e.Host.ID)
+		if e.State == policy.Removed {
+			delete(r.entries, e.Backend.ID)
 		} else {
-			r.entries[e.Host.ID] = e
+			r.entries[e.Backend.ID] = e
 		}
-		r.changed[r.group+"/"+e.Host.Location] = r.version
+		r.changed[r.group+"/"+e.Backend.Zone] = r.version
 	}
 	r.wake()
 }
 
-// Weigh gives hosts the weights of a plan for the routers of their own location, so that any client of the list that goes
+// SetWeights gives hosts the weights of a plan for the routers of their own location, so that any client of the list that goes
 // by weights follows it.
-func (r *Register) Weigh(p *plan.Published) {
+func (r *DiscoveryServer) SetWeights(p *plan.Published) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.version++
@@ -116,7 +116,7 @@
 }
 
 // Clear empties the list.
-func (r *Register) Clear() {
+func (r *DiscoveryServer) Clear() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.version++
@@ -127,11 +127,11 @@
 	r.wake()
 }
 
-// Spoil makes all lists wrong from now on, or right again with nil.
-func (r *Register) Spoil(how func(*endpointv3.ClusterLoadAssignment)) {
+// SetCorruption makes all lists wrong from now on, or right again with nil.
+func (r *DiscoveryServer) SetCorruption(how func(*endpointv3.ClusterLoadAssignment)) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.spoil = how
+	r.corrupt = how
 	r.version++
 	for name := range r.changed {
 		r.changed[name] = r.version
@@ -140,26 +140,26 @@
 }
 
 // Rejected are the reasons with which routers turned versions down.
-func (r *Register) Rejected() []string {
+func (r *DiscoveryServer) Rejected() []string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return append([]string(nil), r.rejected...)
 }
 
-// Down cuts all streams and refuses new ones, or takes them again.
-func (r *Register) Down(down bool) {
+// SetDown cuts all streams and refuses new ones, or takes them again.
+func (r *DiscoveryServer) SetDown(down bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.down = down; down {
-		for cut := range r.calls {
+		for cut := range r.streams {
 			close(cut)
-			delete(r.calls, cut)
+			delete(r.streams, cut)
 		}
 	}
 }
 
-func (r *Register) wake() {
-	for w := range r.waiting {
+func (r *DiscoveryServer) wake() {
+	for w := range r.wakeups {
 		select {
 		case w <- struct{}{}:
 		default:
@@ -167,43 +167,43 @@
 	}
 }
 
-// enter starts a stream: news comes on wake, cut ends it.
-func (r *Register) enter() (wake, cut chan struct{}, leave func(), err error) {
+// openStream starts a stream: news comes on wake, cut ends it.
+func (r *DiscoveryServer) openStream() (wake, cut chan struct{}, leave func(), err error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.down {
 		return nil, nil, nil, status.Error(codes.Unavailable, "out of reach")
 	}
 	wake, cut = make(chan struct{}, 1), make(chan struct{})
-	r.waiting[wake], r.calls[cut] = true, true
+	r.wakeups[wake], r.streams[cut] = true, true
 	return wake, cut, func() {
 		r.mu.Lock()
-		delete(r.waiting, wake)
-		delete(r.calls, cut)
+		delete(r.wakeups, wake)
+		delete(r.streams, cut)
 		r.mu.Unlock()
 	}, nil
 }
 
 // resource is one location's list, with the standings in it.
-func (r *Register) resource(name string) (*anypb.Any, map[uint32]policy.EndpointState) {
+func (r *DiscoveryServer) resource(name string) (*anypb.Any, map[uint32]policy.EndpointState) {
 	a := &endpointv3.ClusterLoadAssignment{ClusterName: name}
 	standing := map[uint32]policy.EndpointState{}
 	byPlace := map[string]*endpointv3.LocalityLbEndpoints{}
 	for id, e := range r.entries {
-		if r.group+"/"+e.Host.Location != name {
+		if r.group+"/"+e.Backend.Zone != name {
 			continue
 		}
-		standing[id] = e.Standing
-		l := byPlace[e.Host.Location]
+		standing[id] = e.State
+		l := byPlace[e.Backend.Zone]
 		if l == nil {
-			l = &endpointv3.LocalityLbEndpoints{Locality: &corev3.Locality{Zone: e.Host.Location}}
-			byPlace[e.Host.Location] = l
+			l = &endpointv3.LocalityLbEndpoints{Locality: &corev3.Locality{Zone: e.Backend.Zone}}
+			byPlace[e.Backend.Zone] = l
 			a.Endpoints = append(a.Endpoints, l)
 		}
 		l.LbEndpoints = append(l.LbEndpoints, r.endpoint(e))
 	}
-	if r.spoil != nil {
-		r.spoil(a)
+	if r.corrupt != nil {
+		r.corrupt(a)
 	}
 	raw, err := anypb.New(a)
 	if err != nil {
@@ -212,23 +212,23 @@
 	return raw, standing
 }
 
-func (r *Register) endpoint(e Entry) *endpointv3.LbEndpoint {
-	host, port, _ := net.SplitHostPort(e.Host.Address())
+func (r *DiscoveryServer) endpoint(e Endpoint) *endpointv3.LbEndpoint {
+	host, port, _ := net.SplitHostPort(e.Backend.Address())
 	n, _ := strconv.Atoi(port)
 	health := corev3.HealthStatus_HEALTHY
-	if e.Standing == policy.Draining {
+	if e.State == policy.Draining {
 		health = corev3.HealthStatus_DRAINING
 	}
 	up := 0.0
-	if !e.Host.Up.IsZero() {
-		up = float64(e.Host.Up.UnixMilli())
+	if !e.Backend.StartedAt.IsZero() {
+		up = float64(e.Backend.StartedAt.UnixMilli())
 	}
-	fields := map[string]*structpb.Value{"build": structpb.NewNumberValue(float64(e.Host.Build.Number)),
-		"up": structpb.NewNumberValue(up), "cell": structpb.NewNumberValue(float64(e.Host.Cell)),
-		"id": structpb.NewNumberValue(float64(e.Host.ID))}
-	size := uint32(1000 * float64(e.Host.Cores) * e.Host.Speed)
+	fields := map[string]*structpb.Value{"build": structpb.NewNumberValue(float64(e.Backend.Build.Number)),
+		"up": structpb.NewNumberValue(up), "cell": structpb.NewNumberValue(float64(e.Backend.Cell)),
+		"id": structpb.NewNumberValue(float64(e.Backend.ID))}
+	size := uint32(1000 * float64(e.Backend.Cores) * e.Backend.Speed)
 	weight := size
-	if w, ok := r.weights[strconv.FormatUint(uint64(e.Host.ID), 10)]; ok {
+	if w, ok := r.weights[strconv.FormatUint(uint64(e.Backend.ID), 10)]; ok {
 		weight = uint32(min(max(1, w/1000), math.MaxUint32))
 		fields["size"] = structpb.NewNumberValue(float64(size))
 	}
@@ -240,9 +240,9 @@
 		Metadata:            &corev3.Metadata{FilterMetadata: map[string]*structpb.Struct{eds.Metadata: {Fields: fields}}}}
 }
 
-// acked notes what a router is now known to have been told.
-func (r *Register) acked(router string, sent map[uint32]policy.EndpointState, was map[uint32]policy.EndpointState) {
-	if r.book == nil {
+// acknowledged notes what a router is now known to have been told.
+func (r *DiscoveryServer) acknowledged(router string, sent map[uint32]policy.EndpointState, was map[uint32]policy.EndpointState) {
+	if r.recorder == nil {
 		return
 	}
 	now := map[uint32]policy.EndpointState{}
@@ -252,12 +252,12 @@
 	for id, s := range sent {
 		now[id] = s
 	}
-	r.book.Listed(router, now)
+	r.recorder.EndpointsAcknowledged(router, now)
 }
 
 // StreamEndpoints speaks the state-of-the-world protocol.
-func (r *Register) StreamEndpoints(s edsv3.EndpointDiscoveryService_StreamEndpointsServer) error {
-	wake, cut, leave, err := r.enter()
+func (r *DiscoveryServer) StreamEndpoints(s edsv3.EndpointDiscoveryService_StreamEndpointsServer) error {
+	wake, cut, leave, err := r.openStream()
 	if err != nil {
 		return err
 	}
@@ -282,10 +282,10 @@
 			names = ask.GetResourceNames()
 			if ask.GetResponseNonce() != "" && ask.GetResponseNonce() == nonce {
 				if ask.GetErrorDetail() == nil {
-					r.acked(router, sent, held)
+					r.acknowledged(router, sent, held)
 					held = sent
 				} else {
-					r.turnedDown(ask.GetErrorDetail().GetMessage())
+					r.rejectedBy(ask.GetErrorDetail().GetMessage())
 				}
 				continue
 			}
@@ -319,8 +319,8 @@
 }
 
 // DeltaEndpoints speaks the incremental protocol.
-func (r *Register) DeltaEndpoints(s edsv3.EndpointDiscoveryService_DeltaEndpointsServer) error {
-	wake, cut, leave, err := r.enter()
+func (r *DiscoveryServer) DeltaEndpoints(s edsv3.EndpointDiscoveryService_DeltaEndpointsServer) error {
+	wake, cut, leave, err := r.openStream()
 	if err != nil {
 		return err
 	}
@@ -352,10 +352,10 @@
 			}
 			if ask.GetResponseNonce() != "" && ask.GetResponseNonce() == nonce {
 				if ask.GetErrorDetail() != nil {
-					r.turnedDown(ask.GetErrorDetail().GetMessage())
+					r.rejectedBy(ask.GetErrorDetail().GetMessage())
 				} else {
 					for name, standing := range pending {
-						r.acked(router, standing, held[name])
+						r.acknowledged(router, standing, held[name])
 						held[name] = standing
 					}
 				}
@@ -395,7 +395,7 @@
 	}
 }
 
-func (r *Register) turnedDown(why string) {
+func (r *DiscoveryServer) rejectedBy(why string) {
 	r.mu.Lock()
 	r.rejected = append(r.rejected, why)
 	r.mu.Unlock()
