--- a/control/state.go
+++ b/control/state.go
@@ -90,7 +90,7 @@
 	Format   int                    `json:"format"`
 	Now      policy.Time            `json:"now"`
 	Index    uint64                 `json:"index"`
-	Machine  release.Saved          `json:"machine"`
+	Machine  release.Snapshot          `json:"machine"`
 	Releases []*Release             `json:"releases"`
 	Keys     []creation             `json:"keys"`
 	Routers  map[string]policy.Time `json:"routers"`
@@ -157,7 +157,7 @@
 
 // Save is the state as bytes.
 func (s *State) Save() ([]byte, error) {
-	s.Machine = s.machine.Save()
+	s.Machine = s.machine.Snapshot()
 	return json.Marshal(s.saved)
 }
 
--- /dev/null
+++ b/release/snapshot.go
@@ -0,0 +1,57 @@
+package release
+
+import (
+	"fmt"
+	"maps"
+	"slices"
+
+	"dapplefront/policy"
+)
+
+// Snapshot is the whole state of a Machine in the form that is stored. Its JSON names and State's values never change.
+type Snapshot struct {
+	State         int            `json:"state"`
+	Status        Status         `json:"news"`
+	PreviousBuild int            `json:"earlier"`
+	Now           policy.Time    `json:"now"`
+	StageStarted  policy.Time    `json:"runs"`
+	HeldTime      policy.Time    `json:"held"`
+	OnHold        bool           `json:"holding"`
+	LastHandled   policy.Time    `json:"ticked"`
+	Irreversible  bool           `json:"fixed"`
+	Votes         []VoteSnapshot `json:"votes"` // by router
+}
+
+// VoteSnapshot is one router's last vote.
+type VoteSnapshot struct {
+	Router string            `json:"Router"`
+	Build  int               `json:"Build"`
+	Stage  int               `json:"Stage"`
+	Choice policy.VoteChoice `json:"Voice"`
+	At     policy.Time       `json:"At"`
+}
+
+// Snapshot is the machine's state: the same after the same inputs.
+func (m *Machine) Snapshot() Snapshot {
+	s := Snapshot{State: int(m.state), Status: m.status, PreviousBuild: m.previousBuild, Now: m.now, StageStarted: m.stageStarted,
+		HeldTime: m.heldTime, OnHold: m.onHold, LastHandled: m.lastHandled, Irreversible: m.irreversible, Votes: []VoteSnapshot{}}
+	for _, router := range slices.Sorted(maps.Keys(m.votes)) {
+		v := m.votes[router]
+		s.Votes = append(s.Votes, VoteSnapshot{router, v.build, v.stage, v.choice, v.at})
+	}
+	return s
+}
+
+// Restore returns a machine that goes on from a snapshot under the given rules. A snapshot that no machine with these rules
+// could have is an error.
+func Restore(rules Rules, s Snapshot) (*Machine, error) {
+	if s.State < 0 || s.State > int(rolledBack) || s.Status.Stage < 0 || s.Status.Stage > max(0, len(rules.Stages)-1) || s.Status.Build < 1 {
+		return nil, fmt.Errorf("release: impossible snapshot: state %d at stage %d of build %d", s.State, s.Status.Stage, s.Status.Build)
+	}
+	m := &Machine{rules: rules, now: s.Now, state: state(s.State), status: s.Status, previousBuild: s.PreviousBuild, stageStarted: s.StageStarted,
+		heldTime: s.HeldTime, onHold: s.OnHold, lastHandled: s.LastHandled, irreversible: s.Irreversible, votes: map[string]castVote{}}
+	for _, v := range s.Votes {
+		m.votes[v.Router] = castVote{v.Build, v.Stage, v.Choice, v.At}
+	}
+	return m, nil
+}
