--- a/control/replay_test.go
+++ b/control/replay_test.go
@@ -4,6 +4,7 @@
 	"crypto/sha256"
 	"encoding/hex"
 	"encoding/json"
+	"errors"
 	"os"
 	"path/filepath"
 	"testing"
@@ -26,14 +27,27 @@
 	Release string `json:"release"`
 }
 
+// storedCodes are the codes of rejected commands in the files; 0 is accepted, 1 repeated.
+var storedCodes = map[error]int{ErrInvalid: 2, ErrNotFound: 3, ErrConflict: 4, ErrVersionMismatch: 5}
+
 // applyStored applies a command and returns what became of it in the form of the files.
 func applyStored(t *testing.T, s *State, index uint64, c Command) storedReply {
 	t.Helper()
-	reply := s.Apply(index, c)
+	reply, err := s.Apply(index, c)
+	stored := storedReply{Number: reply.OrderNumber}
+	var rejected *Error
+	switch {
+	case errors.As(err, &rejected):
+		stored.Code, stored.Field, stored.Reason = storedCodes[rejected.Kind], rejected.Field, rejected.Reason
+		require.NotZero(t, stored.Code, "%v", err)
+	case reply.Repeated:
+		stored.Code = 1
+	}
 	text, err := json.Marshal(reply.Release)
 	require.NoError(t, err)
 	sum := sha256.Sum256(text)
-	return storedReply{Code: int(reply.Code), Field: reply.Field, Reason: reply.Reason, Number: reply.Number, Release: hex.EncodeToString(sum[:8])}
+	stored.Release = hex.EncodeToString(sum[:8])
+	return stored
 }
 
 func TestCommandsOfAnEarlierProgramGiveTheSameRepliesAndState(t *testing.T) {
@@ -55,7 +69,7 @@
 			}
 			require.NoError(t, json.Unmarshal(text, &stored))
 			require.Len(t, stored.Commands, 150)
-			config := figures
+			config := config
 			if stored.Timed {
 				config.Rules.Mode, config.Rules.StageTime, config.Rules.HoldQuorum = policy.Timed, 3*policy.Second, 1
 			}
--- a/internal/controller/agents.go
+++ b/internal/controller/agents.go
@@ -35,7 +35,7 @@
 	}
 	body, _ := json.Marshal(o)
 	s.change(w, r, control.Command{Kind: control.OrderAgent, Name: r.PathValue("name"), Body: body}, http.StatusCreated,
-		func(c control.Reply) any { o.Number = c.Number; return o })
+		func(c control.Reply) any { o.Number = c.OrderNumber; return o })
 }
 
 // hearOf takes an agent's reports; those sent again count once.
--- a/internal/controller/controller_test.go
+++ b/internal/controller/controller_test.go
@@ -50,7 +50,7 @@
 	t.Cleanup(g.close)
 	require.Eventually(t, func() bool {
 		known := 0
-		g.nodes[0].Read(func(s *control.State, _ policy.Time) { known = len(s.Members) })
+		g.nodes[0].Read(func(s *control.State, _ policy.Time) { known = len(s.ControllerURLs()) })
 		return known == n
 	}, 20*time.Second, 10*time.Millisecond)
 	return g
--- a/internal/controller/cuts_test.go
+++ b/internal/controller/cuts_test.go
@@ -102,7 +102,7 @@
 	t.Cleanup(g.close)
 	require.Eventually(t, func() bool {
 		known := 0
-		g.nodes[0].Read(func(s *control.State, _ policy.Time) { known = len(s.Members) })
+		g.nodes[0].Read(func(s *control.State, _ policy.Time) { known = len(s.ControllerURLs()) })
 		return known == 3
 	}, 20*time.Second, 10*time.Millisecond)
 	return g
--- a/internal/controller/described_test.go
+++ b/internal/controller/described_test.go
@@ -496,5 +496,5 @@
 	}
 	t.Logf("%d requests: %v", workers*each, sum)
 	require.Greater(t, sum[200]+sum[201]+sum[202]+sum[204], workers*each/20)
-	a.Read(func(s *control.State, _ policy.Time) { require.NotEmpty(t, s.Releases) })
+	a.Read(func(s *control.State, _ policy.Time) { require.NotEmpty(t, s.List(nil, nil, 0, 1)) })
 }
--- a/internal/controller/node.go
+++ b/internal/controller/node.go
@@ -170,11 +170,11 @@
 	case err != nil:
 		return control.Reply{}, fmt.Errorf("%w: %w", ErrUnclear, err)
 	}
-	r, ok := f.Response().(control.Reply)
+	result, ok := f.Response().(applyResult)
 	if !ok {
 		return control.Reply{}, fmt.Errorf("%w: %v", ErrUnclear, f.Response())
 	}
-	return r, nil
+	return result.reply, result.err
 }
 
 // now is the controllers' time: what the state had when this instance began to lead, and what its monotonic clock has
@@ -298,6 +298,12 @@
 
 // ---- The log's side ----
 
+// applyResult is what became of a command of the log.
+type applyResult struct {
+	reply control.Reply
+	err   error
+}
+
 // machine is what the log applies commands to.
 type machine Node
 
@@ -307,11 +313,11 @@
 	c, err := unpack(l.Data)
 	if err != nil {
 		m.log.Error("an entry of the log is damaged", "index", l.Index, "error", err)
-		return control.Reply{Code: control.Invalid, Reason: err.Error()} // the same on every instance that has it so
+		return applyResult{err: &control.Error{Kind: control.ErrInvalid, Reason: err.Error()}} // the same on every instance that has it so
 	}
-	r := m.state.Apply(l.Index, c)
+	reply, err := m.state.Apply(l.Index, c)
 	(*Node)(m).wake()
-	return r
+	return applyResult{reply, err}
 }
 
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
--- a/internal/controller/secure_test.go
+++ b/internal/controller/secure_test.go
@@ -70,7 +70,7 @@
 	}
 	require.Eventually(t, func() bool {
 		known := 0
-		nodes[2].Read(func(s *control.State, _ policy.Time) { known = len(s.Members) })
+		nodes[2].Read(func(s *control.State, _ policy.Time) { known = len(s.ControllerURLs()) })
 		return known == 3
 	}, 20*time.Second, 10*time.Millisecond, "controllers find each other by TLS")
 	ask := func(who *tls.Config, at int, method, path, body string) int {
--- a/internal/controller/server.go
+++ b/internal/controller/server.go
@@ -162,7 +162,7 @@
 		}
 		known, leader := "", ""
 		leads, name := s.node.IsLeader()
-		s.node.Read(func(st *control.State, _ policy.Time) { known, leader = st.Members[s.node.seat.Name], st.Members[name] })
+		s.node.Read(func(st *control.State, _ policy.Time) { known, leader = st.ControllerURL(s.node.seat.Name), st.ControllerURL(name) })
 		if known == s.front.URL {
 			continue
 		}
@@ -259,26 +259,27 @@
 	return v, true
 }
 
-var statuses = map[control.Code]int{control.Invalid: http.StatusBadRequest, control.Unknown: http.StatusNotFound,
-	control.Conflict: http.StatusConflict, control.Stale: http.StatusPreconditionFailed}
+var statuses = map[error]int{control.ErrInvalid: http.StatusBadRequest, control.ErrNotFound: http.StatusNotFound,
+	control.ErrConflict: http.StatusConflict, control.ErrVersionMismatch: http.StatusPreconditionFailed}
 
 // change makes a change and answers, with done's status where it was made. An instance that does not lead passes the
 // request on to the one that does.
 func (s *Server) change(w http.ResponseWriter, r *http.Request, c control.Command, done int, body func(control.Reply) any) {
 	reply, err := s.node.Propose(c)
+	var rejected *control.Error
 	switch {
 	case errors.Is(err, ErrNoLeader):
 		w.Header().Set("Retry-After", "1")
 		problem(w, http.StatusServiceUnavailable, "", err.Error())
+	case errors.As(err, &rejected):
+		problem(w, statuses[rejected.Kind], rejected.Field, rejected.Reason)
 	case err != nil:
 		problem(w, http.StatusGatewayTimeout, "", err.Error())
-	case reply.Code > control.Repeated:
-		problem(w, statuses[reply.Code], reply.Field, reply.Reason)
 	default:
 		if reply.Release != nil {
 			w.Header().Set("ETag", reply.Release.ETag())
 		}
-		if reply.Code == control.Repeated && done == http.StatusCreated {
+		if reply.Repeated && done == http.StatusCreated {
 			done = http.StatusOK
 		}
 		if body == nil {
@@ -296,7 +297,7 @@
 		return false
 	}
 	to := ""
-	s.node.Read(func(st *control.State, _ policy.Time) { to = st.Members[name] })
+	s.node.Read(func(st *control.State, _ policy.Time) { to = st.ControllerURL(name) })
 	const passed = "Dapplefront-Passed" // once is enough: whoever leads may have changed meanwhile
 	if to == "" || name == s.node.seat.Name || r.Header.Get(passed) != "" {
 		w.Header().Set("Retry-After", "1")
@@ -682,7 +683,7 @@
 	}
 	out := api.Status{Name: s.node.seat.Name, Leads: leads, Leader: leader, BehindMs: s.node.ReplicationLag().Milliseconds(), Members: members}
 	s.node.Read(func(st *control.State, _ policy.Time) {
-		out.Version, out.Routers, out.Events = st.Version(), len(st.Routers), st.LastEvent()
+		out.Version, out.Routers, out.Events = st.Version(), st.RouterCount(), st.LastEvent()
 	})
 	s.mu.Lock()
 	out.Watchers, out.Slow = s.watchers, s.cuts
--- a/internal/controller/store.go
+++ b/internal/controller/store.go
@@ -107,7 +107,7 @@
 		if seen != nil {
 			seen(i, c)
 		}
-		s.Apply(i, c)
+		_, _ = s.Apply(i, c) // a rejected command is part of the log too
 	}
 	return s, nil
 }
--- a/internal/controller/watch.go
+++ b/internal/controller/watch.go
@@ -194,7 +194,7 @@
 func (n *Node) joinThrough(s *Server, router string) {
 	_, name := n.IsLeader()
 	to := ""
-	n.Read(func(st *control.State, _ policy.Time) { to = st.Members[name] })
+	n.Read(func(st *control.State, _ policy.Time) { to = st.ControllerURL(name) })
 	if to == "" {
 		return
 	}
@@ -221,7 +221,7 @@
 				s.front.Told(router, told)
 			}
 		}
-	case "release":
+	case control.EventRelease:
 		var r control.Release
 		if json.Unmarshal(e.Body, &r) == nil {
 			body = encode(shown(&r, now, nil))
--- a/internal/scenario/controllers.go
+++ b/internal/scenario/controllers.go
@@ -228,7 +228,7 @@
 		}
 		go fleet.Place(p.Build, p.Share)
 	case "retire":
-		var r control.Retire
+		var r control.RetireOrder
 		if err := json.Unmarshal(data, &r); err != nil {
 			return err
 		}
@@ -392,15 +392,16 @@
 // note keeps what routers said of the plan in force, before the next one takes its place.
 func (c *controllers) note() {
 	c.state(func(s *control.State) {
-		if s.Plan == nil {
+		active, _ := s.ActivePlan(s.Clock())
+		if active == nil {
 			return
 		}
 		by := map[string]api.PlanAck{}
-		for r, h := range s.PlanAcks {
+		for r, h := range s.PlanAcks() {
 			by[r] = api.PlanAck{Followed: h.Reason == "", Reason: h.Reason}
 		}
 		c.mu.Lock()
-		c.heeds[s.Plan.Version] = by
+		c.heeds[active.Version] = by
 		c.mu.Unlock()
 	})
 }
