--- a/policy/admission.go
+++ b/policy/admission.go
@@ -4,6 +4,21 @@
 	"math"
 )
 
+// admissionState is the work that each locality completed lately.
+type admissionState struct {
+	completed [2]completedWork
+}
+
+// completedWork is what a locality completed lately; the sums are worked out once for each moment.
+type completedWork struct {
+	responses responseCounter
+
+	computedAt Time
+	span       Time
+	work       float64 // usual latencies of the responses of the span, added up
+	slowdown   float64 // actual latencies over usual ones; infinite where too few responses tell
+}
+
 // responseCounter is one side's last answers, with running sums of those in a window: whole numbers, so that their order is no
 // matter.
 type responseCounter struct {
@@ -48,30 +63,30 @@
 // the short one, or as far back as the long one for enough answers; and how often longer than usual those of
 // the short one took, if they are a few. It is worked out once for each moment.
 func (r *Router) recentWork(side int, short, long Time, few, enough int) (float64, Time, float64) {
-	w := &r.completedWork[side]
-	if w.at != r.now {
-		w.at, w.span, w.strain = r.now, min(short, r.now-r.startedAt), math.Inf(1)
-		n := w.last.advance(r.now-short, r.now-long, r.endedBase)
-		w.done = float64(w.last.usualLatency)
+	w := &r.admission.completed[side]
+	if w.computedAt != r.now {
+		w.computedAt, w.span, w.slowdown = r.now, min(short, r.now-r.startedAt), math.Inf(1)
+		n := w.responses.advance(r.now-short, r.now-long, r.traffic.endedBase)
+		w.work = float64(w.responses.usualLatency)
 		if n >= few && n > 0 {
-			w.strain = float64(w.last.latency) / w.done
+			w.slowdown = float64(w.responses.latency) / w.work
 		}
-		for i := w.last.windowStart - 1; i >= 0; i-- {
-			x := w.last.responses[i]
+		for i := w.responses.windowStart - 1; i >= 0; i-- {
+			x := w.responses.responses[i]
 			age := r.now - x.at
 			if age > w.span && n >= enough {
 				break
 			}
-			n, w.done, w.span = n+1, w.done+float64(x.usualLatency), max(w.span, age)
+			n, w.work, w.span = n+1, w.work+float64(x.usualLatency), max(w.span, age)
 		}
 		if n < enough {
 			w.span = min(long, r.now-r.startedAt)
 		}
 		for _, class := range r.classes {
-			w.done = max(w.done, float64(class.usualLatency))
+			w.work = max(w.work, float64(class.usualLatency))
 		}
 	}
-	return w.done, w.span, w.strain
+	return w.work, w.span, w.slowdown
 }
 
 // meanInFlight is the sends out at a side's hosts that are well, as the mean over a span, and these hosts.
@@ -90,8 +105,8 @@
 			out += part(r.now - attempt.sentAt)
 		}
 	}
-	for i := len(r.ended) - 1; i >= 0 && r.ended[i].at > r.now-over; i-- {
-		if x := &r.ended[i]; x.locality == side {
+	for i := len(r.traffic.ended) - 1; i >= 0 && r.traffic.ended[i].at > r.now-over; i-- {
+		if x := &r.traffic.ended[i]; x.locality == side {
 			out += part(min(x.latency, over-(r.now-x.at)))
 		}
 	}
@@ -128,7 +143,7 @@
 	for _, other := range r.classes {
 		out += float64(other.inFlight) + other.peerStats.decayedTo(r.now).inFlight
 	}
-	if out*float64(r.routers)/(1+r.activePeers*decayFactor(r.now-r.lastGossipAt)) <= hosts {
+	if out*float64(r.routers)/(1+r.gossip.activePeers*decayFactor(r.now-r.gossip.receivedAt)) <= hosts {
 		return 0
 	}
 	own, told, lean := class.ownStats.decayedTo(r.now), class.peerStats.decayedTo(r.now), few*float64(class.usualLatency)
@@ -177,17 +192,17 @@
 		return r.expectedSlowdown(r.localityOf(host))*float64(request.Class.usualLatency) > limit
 	}
 	took := r.expectedClassSlowdown(request.Class) * float64(request.Class.usualLatency)
-	return float64(r.randomN(1000)) < 1000*(took/limit-begin)/(end-begin)
+	return float64(r.random.intN(1000)) < 1000*(took/limit-begin)/(end-begin)
 }
 
 // lateShare is how many of the last ended sends of a category were late; where hundreds of routers see few,
 // those of others are taken to be in time.
 func (r *Router) lateShare(class *Class, last int) float64 {
 	if r.limits.MaxGossipBytes == 0 {
-		return r.endedShare(last, func(x trafficEvent) bool { return x.late })
+		return r.traffic.endedShare(last, func(x trafficEvent) bool { return x.late })
 	}
 	late, n := 0.0, float64(last)/3
-	for _, x := range r.ended[max(0, len(r.ended)-last):] {
+	for _, x := range r.traffic.ended[max(0, len(r.traffic.ended)-last):] {
 		if x.class == class {
 			if n++; x.late {
 				late++
--- a/policy/analysis.go
+++ b/policy/analysis.go
@@ -7,6 +7,12 @@
 	"gonum.org/v1/gonum/stat"
 )
 
+// analysisState is what canary and baseline are compared by.
+type analysisState struct {
+	windows []*buildWindow // own attempts
+	stats   []BuildStats   // the release controller's counts of all routers
+}
+
 // buildWindow keeps the last samples of one build.
 type buildWindow struct {
 	build      int
@@ -50,30 +56,30 @@
 }
 
 // window is what is kept of a build.
-func (r *Router) window(build int) *buildWindow {
-	for _, b := range r.windows {
+func (a *analysisState) window(build int) *buildWindow {
+	for _, b := range a.windows {
 		if b.build == build {
 			return b
 		}
 	}
-	r.windows = appendBounded(r.windows, &buildWindow{build: build}, 4)
-	return r.windows[len(r.windows)-1]
+	a.windows = appendBounded(a.windows, &buildWindow{build: build}, 4)
+	return a.windows[len(a.windows)-1]
 }
 
 // baselineWindow is the latest earlier build that some sends are known of, if any; where the desk's counts are judged, by
 // these: a router of hundreds has a few sends of its own.
 func (r *Router) baselineWindow(build, sends int) (last *buildWindow) {
 	if r.statsOutweighOwn() {
-		for _, x := range r.stats {
-			if x.Build < build && (last == nil || x.Build > last.build) && r.countedAttempts(x.Build) > float64(sends) {
-				last = r.window(x.Build)
+		for _, x := range r.analysis.stats {
+			if x.Build < build && (last == nil || x.Build > last.build) && r.analysis.countedAttempts(x.Build) > float64(sends) {
+				last = r.analysis.window(x.Build)
 			}
 		}
 	}
 	if last != nil {
 		return last
 	}
-	for _, b := range r.windows {
+	for _, b := range r.analysis.windows {
 		if b.build < build && len(b.samples) > sends && (last == nil || b.build > last.build) {
 			last = b
 		}
@@ -84,9 +90,9 @@
 // ComplaintReceived takes in that a client found an answer wrong.
 func (r *Router) ComplaintReceived(now Time, host *Host, class *Class, age Time) {
 	r.now = now
-	if b := r.window(host.Build); host.StartedAt <= now-age {
-		r.complaints[b.build]++
-		r.unsentComplaints[b.build]++
+	if b := r.analysis.window(host.Build); host.StartedAt <= now-age {
+		r.gossip.complaints[b.build]++
+		r.gossip.unsentComplaints[b.build]++
 		b.complaints = appendBounded(b.complaints, attemptSample{at: now, host: host, class: class}, 240)
 	}
 }
@@ -94,8 +100,8 @@
 // complaintStratum is how many answers of a build all routers heard complaints of, among the sends that the desk
 // counted; these come later, so there are never fewer.
 func (r *Router) complaintStratum(b *buildWindow) stratum {
-	bad := float64(r.complaints[b.build])
-	return stratum{failures: bad, attempts: max(1, bad, r.countedAttempts(b.build)/max(0.01, r.releaseConfig.SampledShare))}
+	bad := float64(r.gossip.complaints[b.build])
+	return stratum{failures: bad, attempts: max(1, bad, r.analysis.countedAttempts(b.build)/max(0.01, r.release.config.SampledShare))}
 }
 
 // evidence is the evidence that the newest build is bad, in odds; 1 is none. Copies are judged against the
@@ -105,19 +111,19 @@
 	const floor, worst, stray = 0.01, 0.25, 1                  // least usual failures; hosts left out
 	const while, kin = 2 * Second, 5.0                         // one time; originals that the rest weigh
 	const twice, lasting, begins = 0.4, 8 * Second, 5 * Second // log of it; so long, so soon after a release
-	now, before := r.window(r.releaseStatus.Build), r.baselineWindow(r.releaseStatus.Build, 20)
+	now, before := r.analysis.window(r.release.status.Build), r.baselineWindow(r.release.status.Build, 20)
 	if before == nil {
 		return 1, nil
 	}
 	// Copies and originals of the same time are compared, or a trouble that begins or ends speaks for a build.
 	fresh, peers := now.since(before.start()), before.since(now.start())
-	if r.releaseStatus.Phase == Released { // what was kept of the earlier build, against what happens now
+	if r.release.status.Phase == Released { // what was kept of the earlier build, against what happens now
 		fresh, peers = now.since(r.now-10*Second), before.samples
 	}
 	// A cold host is slow whatever its build; time-outs of hasty clients or in a release's jam say nothing.
 	warm := func(s attemptSample) bool { return s.hostAge > r.limits.WarmUp }
 	fair := func(s attemptSample) bool {
-		return s.outcome != TimedOut || warm(s) && !s.impatient && r.releaseStatus.Phase == Canary
+		return s.outcome != TimedOut || warm(s) && !s.impatient && r.release.status.Phase == Canary
 	}
 	counts := r.comparableStats(now.build, before.build)
 	sum, shares := 0.0, 0.0
@@ -144,13 +150,13 @@
 		return doubt
 	}
 	small, large, whole, apart := 0.06, 0.15, 0.25, 0.04
-	if r.releaseStatus.Phase == Released { // the earlier machines are gone: a small harm is cheaper than going back
+	if r.release.status.Phase == Released { // the earlier machines are gone: a small harm is cheaper than going back
 		small, large, whole, apart = 0.3, 0.5, 0.5, 0.16 // and a jam after the release is not the build's
 	}
 	test(1, r.classes, small, large, 0.6)
 	for _, class := range r.classes {
 		class.failureOdds = test(1/float64(len(r.classes)), []*Class{class}, whole, 0.7)
-		if r.releaseConfig.SampledShare > 0 && !r.judgesByStats() && class.Idempotency != Idempotent { // not told by host: far beyond one sick one
+		if r.release.config.SampledShare > 0 && !r.judgesByStats() && class.Idempotency != Idempotent { // not told by host: far beyond one sick one
 			o := r.countedFailureEvidence(class, now.build, before.build, 4, 0.1, 0.25, 0.6)
 			add(1/float64(len(r.classes)), o, o)
 		}
@@ -162,22 +168,22 @@
 	all, usual := summarizeByHost(fresh, done, level), summarizeByHost(peers, done, level)
 	slower := func(share float64) float64 { return r.latencyEvidence(all, usual, counts, before.build, apart, share) }
 	add(1, slower(0.75), slower(0.5)) // most hosts to convict, half to doubt
-	if r.releaseStatus.Phase == Canary {
+	if r.release.status.Phase == Canary {
 		o := r.surgeEvidence(before)
 		add(1, o, o)
 	}
-	logs := now.logLatencyRatiosSince(r.now-3*Second, r.concurrencyCost)
+	logs := now.logLatencyRatiosSince(r.now-3*Second, r.load.concurrencyCost)
 	n := float64(len(logs)) // few of them scatter
 	slow := stat.Mean(logs, nil) - 0.5/math.Sqrt(n)
 	if r.statsOutweighOwn() { // a router's own figures are against a third more than the middle
-		slow, n = logLatencyGapToPast(r.stats, nil, before.build, now.build, r.offeredAt, r.now-3*Second, 0.3)
+		slow, n = logLatencyGapToPast(r.analysis.stats, nil, before.build, now.build, r.release.offeredAt, r.now-3*Second, 0.3)
 	}
-	if r.releaseStatus.Phase != Released || n < 5 || slow < twice {
-		r.lastUnslowedAt = r.now
-	} else if r.now-r.lastUnslowedAt > lasting && r.lastUnslowedAt < r.stageStartedAt+begins { // later, it is another trouble
+	if r.release.status.Phase != Released || n < 5 || slow < twice {
+		r.surge.lastNormalAt = r.now
+	} else if r.now-r.surge.lastNormalAt > lasting && r.surge.lastNormalAt < r.release.stageStartedAt+begins { // later, it is another trouble
 		add(1, math.Inf(1), 1)
 	}
-	if r.releaseConfig.ComplaintShare > 0 {
+	if r.release.config.ComplaintShare > 0 {
 		x := stratum{now.complaintCount(), float64(len(now.samples)), before.complaintCount() / float64(len(before.samples)+1)}
 		if r.limits.MaxGossipBytes > 0 && r.judgesByStats() { // of all routers, against all sends
 			y := r.complaintStratum(before)
@@ -200,7 +206,7 @@
 	hosts := len(fresh)
 	if r.judgesByStats() {
 		gap, n, of, on := logLatencyGap(counts[0], counts[1])
-		if calm, m := logLatencyGapToPast(r.stats, nil, was, r.releaseStatus.Build, r.offeredAt, r.offeredAt, 0); m > 0 {
+		if calm, m := logLatencyGapToPast(r.analysis.stats, nil, was, r.release.status.Build, r.release.offeredAt, r.release.offeredAt, 0); m > 0 {
 			gap = min(gap, calm) // a trial that takes most of the traffic leaves the earlier hosts idle
 		}
 		fresh, usual, hosts = []float64{gap}, []float64{0}, on
--- a/policy/attempt.go
+++ b/policy/attempt.go
@@ -76,9 +76,9 @@
 	}
 	host.attempts = appendBounded(host.attempts, trafficEvent{at: r.now, class: request.Class}, 256)
 	if r.isBaseline(host) {
-		r.baselineAttempts = appendBounded(r.baselineAttempts, trafficEvent{at: r.now, class: request.Class}, 8192)
+		r.traffic.baselineAttempts = appendBounded(r.traffic.baselineAttempts, trafficEvent{at: r.now, class: request.Class}, 8192)
 	} else {
-		r.canaryAttempts = appendBounded(r.canaryAttempts, trafficEvent{at: r.now, class: request.Class}, 8192)
+		r.traffic.canaryAttempts = appendBounded(r.traffic.canaryAttempts, trafficEvent{at: r.now, class: request.Class}, 8192)
 	}
 	return attempt
 }
@@ -103,9 +103,9 @@
 	case request.firstAmbiguous == nil || attempt.sentAt < request.firstAmbiguous.sentAt:
 		request.firstAmbiguous = attempt
 	}
-	both := r.releaseStatus.Phase == Canary || r.snapshot().newestBaselineHosts < r.snapshot().baselineHosts // builds a key could go between
-	if outcome == Succeeded && r.releaseConfig.StickyKeys && request.Key != "" && attempt.build >= r.releaseStatus.Build && both {
-		r.stickyBuilds[request.Key] = attempt.build
+	both := r.release.status.Phase == Canary || r.snapshot().newestBaselineHosts < r.snapshot().baselineHosts // builds a key could go between
+	if outcome == Succeeded && r.release.config.StickyKeys && request.Key != "" && attempt.build >= r.release.status.Build && both {
+		r.release.stickyBuilds[request.Key] = attempt.build
 	}
 	r.handleRequestEvent(request, event)
 }
@@ -124,7 +124,7 @@
 	}
 	if load != nil {
 		if attempt.Host.load, attempt.Host.loadAt = load, r.now; load.ActiveRequests >= 0 {
-			r.reportedLoads = appendBounded(r.reportedLoads, load.ActiveRequests, 64)
+			r.load.reported = appendBounded(r.load.reported, load.ActiveRequests, 64)
 		}
 	}
 	if attempt.Host.connectedAt = r.now; outcome == ConnectFailed {
@@ -136,17 +136,17 @@
 	if x.late || outcome == TimedOut || outcome == ConnectFailed || outcome == ConnectionLost {
 		way.failures = 1
 	}
-	r.paths[x.locality].add(way)
+	r.zones.paths[x.locality].add(way)
 	if outcome == Succeeded {
 		x.usualLatency = x.class.usualLatency
 	}
 	if attempt.Host.health == healthy && r.isBaseline(attempt.Host) {
 		x.latency = r.now - attempt.sentAt
 	}
-	before := len(r.ended)
-	r.ended = appendBounded(r.ended, x, 4096)
-	r.endedBase += before + 1 - len(r.ended)
+	before := len(r.traffic.ended)
+	r.traffic.ended = appendBounded(r.traffic.ended, x, 4096)
+	r.traffic.endedBase += before + 1 - len(r.traffic.ended)
 	if x.usualLatency > 0 {
-		r.completedWork[x.locality].last.add(countedResponse{r.endedBase + len(r.ended) - 1, x.at, x.usualLatency, x.latency})
+		r.admission.completed[x.locality].responses.add(countedResponse{r.traffic.endedBase + len(r.traffic.ended) - 1, x.at, x.usualLatency, x.latency})
 	}
 }
--- a/policy/balancing.go
+++ b/policy/balancing.go
@@ -7,6 +7,24 @@
 	"gonum.org/v1/gonum/stat"
 )
 
+// loadEstimate is what is known of how much hosts have in flight and what that costs.
+type loadEstimate struct {
+	reported        []float64       // requests in flight, as hosts last reported
+	counted         float64         // requests in flight at a host, by the release controller's last statistics
+	concurrencyCost float64         // what each request in flight at a host adds to the latency of the next, as a share
+	baselineSamples []attemptSample // last successes at the baseline
+}
+
+// balancer holds the plan that is followed and buffers that choices among hosts reuse, so that they allocate nothing.
+type balancer struct {
+	plan           WeightPlan
+	localHosts     []*Host
+	remoteHosts    []*Host
+	connectedHosts []*Host
+	weights        []float64
+	planWeights    []float64
+}
+
 // WeightPlan is a plan of shares worked out ahead: a hint, which the router's own view goes before.
 type WeightPlan struct {
 	Weights map[*Host]float64
@@ -17,7 +35,7 @@
 // PlanOffered tells shares worked out ahead; hosts that they don't name have none.
 func (r *Router) PlanOffered(now Time, c WeightPlan) {
 	r.now = now
-	r.plan = c
+	r.balancer.plan = c
 	for _, host := range r.hosts {
 		host.planWeight = c.Weights[host]
 	}
@@ -29,13 +47,13 @@
 func (r *Router) hostLoad(host *Host) float64 {
 	const fades = Second // about what it takes a queue to become another
 	own := float64(len(host.inFlight))
-	if len(r.reportedLoads) == 0 && r.statsOutweighOwn() {
-		return r.countedLoad + own // a router's own few, times their number, would be a host's load now and nothing then
+	if len(r.load.reported) == 0 && r.statsOutweighOwn() {
+		return r.load.counted + own // a router's own few, times their number, would be a host's load now and nothing then
 	}
-	if len(r.reportedLoads) == 0 {
+	if len(r.load.reported) == 0 {
 		return own * float64(r.routers)
 	}
-	usual := recentMean(r.reportedLoads) + own
+	usual := recentMean(r.load.reported) + own
 	if l := host.load; l != nil && l.ActiveRequests >= 0 {
 		fresh := math.Exp(-float64(r.now-host.loadAt) / float64(fades))
 		return max(own, usual+(l.ActiveRequests+countSince(host.attempts, host.loadAt-1, nil)-usual)*fresh)
@@ -46,10 +64,10 @@
 // typicalLoad is what most hosts hold at the most, as they reported or the desk counted, or as own sends say.
 func (r *Router) typicalLoad() float64 {
 	switch m := r.snapshot(); {
-	case len(r.reportedLoads) > 0:
-		return upperQuantile(r.reportedLoads, 0.5)
+	case len(r.load.reported) > 0:
+		return upperQuantile(r.load.reported, 0.5)
 	case r.statsOutweighOwn():
-		return r.countedLoad
+		return r.load.counted
 	default:
 		return float64((m.inFlight[localZone]+m.inFlight[remoteZones])*r.routers) / float64(max(1, m.healthy[localZone]+m.healthy[remoteZones]))
 	}
@@ -65,7 +83,7 @@
 		}
 	}
 	for _, attempt := range host.inFlight {
-		usual := float64(attempt.Request.Class.usualLatency) * (1 + r.concurrencyCost*attempt.hostLoad)
+		usual := float64(attempt.Request.Class.usualLatency) * (1 + r.load.concurrencyCost*attempt.hostLoad)
 		if x := float64(r.now-attempt.sentAt) / usual; x > 2 {
 			pace, n = pace+x, n+1
 		}
@@ -76,13 +94,13 @@
 // fitConcurrencyCost fits, by a line through the last finished sends, how much each task that a host holds adds to the
 // time of the next: near 1 where hosts work on one task at a time, and little where they have cores to spare.
 func (r *Router) fitConcurrencyCost(least int, longest, low, high float64) {
-	if len(r.recentBaseline) < least {
+	if len(r.load.baselineSamples) < least {
 		return
 	}
-	held, strains := loadsAndSlowdowns(r.recentBaseline, longest)
+	held, strains := loadsAndSlowdowns(r.load.baselineSamples, longest)
 	if _, spread := stat.MeanStdDev(held, nil); spread > 0 {
 		base, more := stat.LinearRegression(held, strains, nil, false)
-		r.concurrencyCost = min(high, max(low, more/max(0.1, base)))
+		r.load.concurrencyCost = min(high, max(low, more/max(0.1, base)))
 	}
 }
 
@@ -106,10 +124,10 @@
 	here, there := r.splitByLocality(func(host *Host) bool { return fits(host) && r.isEligible(request, host) })
 	if r.mergesZones() {
 		here, there = append(here, there...), nil
-		r.localHosts = here // so that what it grew to is kept
+		r.balancer.localHosts = here // so that what it grew to is kept
 	}
 	busy := func(host *Host) float64 { return r.hostSlowdown(host, doubt, old) * (1 + r.hostLoad(host)) }
-	scarce := r.endedShare(last, func(x trafficEvent) bool { return x.outcome == ConnectFailed }) > barred
+	scarce := r.traffic.endedShare(last, func(x trafficEvent) bool { return x.outcome == ConnectFailed }) > barred
 	draw := func(from []*Host) (best *Host) {
 		known := r.recentlyConnected(from, r.now-lately)
 		try := func(n int, from []*Host) {
@@ -123,7 +141,7 @@
 		if !scarce || len(known) == 0 {
 			try(2, from)
 		}
-		if scarce || len(r.reportedLoads) > 0 && 2*len(known) < len(from) {
+		if scarce || len(r.load.reported) > 0 && 2*len(known) < len(from) {
 			try(more, known)
 		}
 		return best
@@ -132,7 +150,7 @@
 	if a != nil && r.crossesCheaply() {
 		return a // the way is poor: what may be lost there costs more than a wait
 	}
-	price := r.limits.CrossZonePrice * float64(25+r.randomN(50)) / 100 // in a band, lest all cross at once
+	price := r.limits.CrossZonePrice * float64(25+r.random.intN(50)) / 100 // in a band, lest all cross at once
 	if a != nil && b != nil && r.planCrosses() && r.missProbability(request, remoteZones)-r.missProbability(request, localZone) <= price {
 		return b // as planned, as it is not much worse
 	}
@@ -164,8 +182,8 @@
 // else whatever the rule on exposure allows. Keys stay with the build that answered them where that is told.
 func (r *Router) pickBaseline(request *Request) *Host {
 	sticks, m := 0, r.snapshot()
-	if request.Key != "" && r.releaseConfig.StickyKeys && (r.releaseStatus.Phase == Canary || r.releaseStatus.Phase == Released) {
-		sticks = r.stickyBuilds[request.Key]
+	if request.Key != "" && r.release.config.StickyKeys && (r.release.status.Phase == Canary || r.release.status.Phase == Released) {
+		sticks = r.release.stickyBuilds[request.Key]
 	}
 	level, newest := 0, m.newestBaseline
 	if 3*m.newestBaselineHosts < m.baselineHosts {
@@ -185,7 +203,7 @@
 // drawHost draws a host by the shares that are due, or the first of a draw by the parts of a plan that holds. The
 // other stays drawn so, that a plan that has become wrong is corrected by how busy the two are.
 func (r *Router) drawHost(from []*Host, due []float64, first bool) *Host {
-	if first && r.now < r.plan.Until && slices.ContainsFunc(from, func(host *Host) bool { return host.planWeight > 0 }) {
+	if first && r.now < r.balancer.plan.Until && slices.ContainsFunc(from, func(host *Host) bool { return host.planWeight > 0 }) {
 		due = r.hostPlanWeights(from)
 	}
 	return r.drawWeighted(from, due)
@@ -196,21 +214,21 @@
 // here, where it moves shares, and not between two drawn, or all routers would take the same one at once.
 func (r *Router) drawWeights(from []*Host) []float64 {
 	const doubt = 4 // usual sends
-	r.weights = r.weights[:0]
+	r.balancer.weights = r.balancer.weights[:0]
 	for _, host := range from {
 		w := host.peerHealth(r.now, firstHandWeight, secondHandWeight)
-		r.weights = append(r.weights, r.capacity(host)/max(1, (doubt+w.slowdown)/(doubt+w.attempts)))
+		r.balancer.weights = append(r.balancer.weights, r.capacity(host)/max(1, (doubt+w.slowdown)/(doubt+w.attempts)))
 	}
-	return r.weights
+	return r.balancer.weights
 }
 
 // hostPlanWeights are those of the plan, until it is asked for again.
 func (r *Router) hostPlanWeights(from []*Host) []float64 {
-	r.planWeights = r.planWeights[:0]
+	r.balancer.planWeights = r.balancer.planWeights[:0]
 	for _, host := range from {
-		r.planWeights = append(r.planWeights, host.planWeight)
+		r.balancer.planWeights = append(r.balancer.planWeights, host.planWeight)
 	}
-	return r.planWeights
+	return r.balancer.planWeights
 }
 
 // drawWeighted draws a host, each as often as its weight says.
@@ -220,7 +238,7 @@
 		sum += w
 	}
 	const grain = 1 << 20 // finer than any share that matters
-	at := float64(r.randomN(grain)) / grain * sum
+	at := float64(r.random.intN(grain)) / grain * sum
 	for i, w := range weights {
 		if at -= w; at < 0 {
 			return from[i]
@@ -231,17 +249,17 @@
 
 // planCrosses draws whether a task starts far away, as a plan that holds has it.
 func (r *Router) planCrosses() bool {
-	return r.now < r.plan.Until && r.plan.Cross > 0 && float64(r.randomN(1<<20)) < r.plan.Cross*(1<<20)
+	return r.now < r.balancer.plan.Until && r.balancer.plan.Cross > 0 && float64(r.random.intN(1<<20)) < r.balancer.plan.Cross*(1<<20)
 }
 
 // recentlyConnected are the hosts that have answered since, so that a link to them is up; until it is asked for again.
 func (r *Router) recentlyConnected(all []*Host, from Time) []*Host {
-	some := r.connectedHosts[:0]
+	some := r.balancer.connectedHosts[:0]
 	for _, host := range all {
 		if host.connectedAt > from {
 			some = append(some, host)
 		}
 	}
-	r.connectedHosts = some
+	r.balancer.connectedHosts = some
 	return some
 }
--- a/policy/config.go
+++ b/policy/config.go
@@ -37,6 +37,6 @@
 	if r.limits.PushedDiscovery && !l.PushedDiscovery { // from now on the list must be asked for
 		r.effects.WatchEndpoints()
 	}
-	r.routers, r.rank, r.limits, r.releaseConfig = max(1, routers), rank, l, d
+	r.routers, r.rank, r.limits, r.release.config = max(1, routers), rank, l, d
 	r.fleet.valid = false
 }
--- a/policy/discovery.go
+++ b/policy/discovery.go
@@ -4,6 +4,12 @@
 	"slices"
 )
 
+// discoveryState is what is known of the polls of the endpoint list.
+type discoveryState struct {
+	failedPolls int // in a row
+	lastPollAt  Time
+}
+
 // EndpointUpdate is what the host list says of one host; whoever calls turns lists into changes.
 type EndpointUpdate struct {
 	Host      *Host
@@ -21,13 +27,13 @@
 func (r *Router) EndpointsChanged(now Time, changes []EndpointUpdate, ok bool) {
 	r.now = now
 	if !ok {
-		r.failedPolls = max(r.failedPolls, map[bool]int{true: 1}[now-r.lastPollAt < 3*Second]) // a call ends by then, a watch goes on
-		wait := min(3*Second/8<<min(2*r.failedPolls, 6), max(r.limits.PollInterval, Second)*2/5)
-		r.failedPolls++
-		r.effects.SetTimer(wait+Time(r.randomN(int(wait)+1)), &Timer{polls: true})
+		r.discovery.failedPolls = max(r.discovery.failedPolls, map[bool]int{true: 1}[now-r.discovery.lastPollAt < 3*Second]) // a call ends by then, a watch goes on
+		wait := min(3*Second/8<<min(2*r.discovery.failedPolls, 6), max(r.limits.PollInterval, Second)*2/5)
+		r.discovery.failedPolls++
+		r.effects.SetTimer(wait+Time(r.random.intN(int(wait)+1)), &Timer{polls: true})
 		return
 	}
-	r.failedPolls = 0
+	r.discovery.failedPolls = 0
 	for _, l := range changes {
 		r.applyEndpoint(l)
 	}
--- a/policy/exposure.go
+++ b/policy/exposure.go
@@ -2,18 +2,18 @@
 
 // exposureOf tells whether a build is on trial for this router, and at which stage and cap. One that is not
 // announced yet counts as in the first stage.
-func (r *Router) exposureOf(build int) (on bool, stage int, share float64) {
+func (s *releaseState) exposureOf(build int) (on bool, stage int, share float64) {
 	switch {
-	case build == r.rolledBackBuild && build < r.releaseStatus.Build: // its hosts may still be listed when the next is offered
+	case build == s.rolledBackBuild && build < s.status.Build: // its hosts may still be listed when the next is offered
 		return true, 0, 0
-	case !r.releaseKnown || build < r.releaseStatus.Build || build == r.releaseStatus.Build && r.releaseStatus.Phase == Released:
+	case !s.known || build < s.status.Build || build == s.status.Build && s.status.Phase == Released:
 		return false, 0, 1
-	case build > r.releaseStatus.Build && len(r.releaseConfig.ExposureCaps) > 0:
-		return true, 0, r.releaseConfig.ExposureCaps[0]
-	case build > r.releaseStatus.Build || r.releaseStatus.Phase != Canary:
+	case build > s.status.Build && len(s.config.ExposureCaps) > 0:
+		return true, 0, s.config.ExposureCaps[0]
+	case build > s.status.Build || s.status.Phase != Canary:
 		return true, 0, 0
 	}
-	return true, r.releaseStatus.Stage, r.releaseStatus.ExposureCap
+	return true, s.status.Stage, s.status.ExposureCap
 }
 
 // withinExposure tells whether one more send of the category at a build on trial keeps the rule on exposure. Sends are
@@ -21,16 +21,16 @@
 // router sent is unknown after a start, so nothing goes there until one window has passed.
 func (r *Router) withinExposure(build int, class *Class) bool {
 	const edge = Second / 20 // several ticks of any clock
-	on, stage, share := r.exposureOf(build)
+	on, stage, share := r.release.exposureOf(build)
 	if !on {
 		return true
 	}
-	if share <= 0 || r.now-r.startedAt < r.releaseConfig.ExposureWindow+edge || class.Idempotency != Idempotent && stage < r.releaseConfig.GuardedStages {
+	if share <= 0 || r.now-r.startedAt < r.release.config.ExposureWindow+edge || class.Idempotency != Idempotent && stage < r.release.config.GuardedStages {
 		return false
 	}
-	if !r.releaseConfig.ExposurePerClass {
+	if !r.release.config.ExposurePerClass {
 		class = nil
 	}
-	tried, taken := countSince(r.canaryAttempts, r.now-r.releaseConfig.ExposureWindow-edge, class), countSince(r.arrivals, r.now-r.releaseConfig.ExposureWindow+edge, class)
-	return tried+1 <= r.releaseConfig.ExposureAllowance+share*taken
+	tried, taken := countSince(r.traffic.canaryAttempts, r.now-r.release.config.ExposureWindow-edge, class), countSince(r.traffic.arrivals, r.now-r.release.config.ExposureWindow+edge, class)
+	return tried+1 <= r.release.config.ExposureAllowance+share*taken
 }
--- a/policy/gossip.go
+++ b/policy/gossip.go
@@ -5,6 +5,17 @@
 	"slices"
 )
 
+// gossipState is what peers told that is not of one host or class.
+type gossipState struct {
+	localPeers  []int   // ranks of the peers in this zone that were heard last
+	activePeers float64 // peers heard lately, decayed
+	receivedAt  Time
+	remotePath  healthStats // the path to other zones, by peers in this one
+
+	complaints       map[int]int // by build, of all routers
+	unsentComplaints map[int]int // own ones that no peer has been told
+}
+
 const firstHandWeight, secondHandWeight = 0.5, 0.5 // of an own send, a peer's word weighs: its links are its own
 
 // decayTime is how long sums of what was seen last: about as long as a host's trouble or a jam takes to be
@@ -42,8 +53,8 @@
 
 // remotePathStats is what is known of the way to the rest, own sends and what those nearby told of theirs.
 func (r *Router) remotePathStats() healthStats {
-	w := r.peerRemotePath
-	w.add(r.paths[remoteZones].decayedTo(r.now))
+	w := r.gossip.remotePath
+	w.add(r.zones.paths[remoteZones].decayedTo(r.now))
 	return w
 }
 
@@ -53,7 +64,7 @@
 func (r *Router) sendGossip() {
 	const oneIn, kin, many = 5, 3, 16 // looks; of those nearby but one in so many; words, the worst first
 	const least = 0.3                 // of a send: older is forgotten
-	if r.limits.MaxGossipBytes == 0 || r.routers < 2 || r.randomN(oneIn) > 0 {
+	if r.limits.MaxGossipBytes == 0 || r.routers < 2 || r.random.intN(oneIn) > 0 {
 		return
 	}
 	for _, blame := range r.unsentComplaintMessages() {
@@ -61,9 +72,9 @@
 	}
 	d := r.summarize(least)
 	d.keepWorst(many)
-	peer := (r.rank + 1 + r.randomN(r.routers-1)) % r.routers
-	if len(r.localPeers) > 0 && r.randomN(kin) > 0 {
-		peer = r.localPeers[r.randomN(len(r.localPeers))]
+	peer := (r.rank + 1 + r.random.intN(r.routers-1)) % r.routers
+	if len(r.gossip.localPeers) > 0 && r.random.intN(kin) > 0 {
+		peer = r.gossip.localPeers[r.random.intN(len(r.gossip.localPeers))]
 	}
 	r.effects.Gossip(peer, d.encode(r.limits.MaxGossipBytes))
 }
@@ -74,7 +85,7 @@
 	const known = 16 // fellows
 	r.now = now
 	if build, n, ok := decodeComplaints(body); ok {
-		r.complaints[build] += n
+		r.gossip.complaints[build] += n
 		return
 	}
 	d, ok := r.decodeSummary(body)
@@ -84,8 +95,8 @@
 	if r.mergeClassStats(d); d.nearbyHost == nil || r.localityOf(d.nearbyHost) != localZone {
 		return
 	}
-	if !slices.Contains(r.localPeers, peer) {
-		r.localPeers = appendBounded(r.localPeers, peer, known)
+	if !slices.Contains(r.gossip.localPeers, peer) {
+		r.gossip.localPeers = appendBounded(r.gossip.localPeers, peer, known)
 	}
 	r.mergeLocalReport(d)
 	for _, w := range d.hosts {
@@ -97,7 +108,7 @@
 
 // mergeClassStats adds up what a peer tells of its categories.
 func (r *Router) mergeClassStats(d gossipSummary) {
-	r.activePeers, r.lastGossipAt = 1+r.activePeers*decayFactor(r.now-r.lastGossipAt), r.now
+	r.gossip.activePeers, r.gossip.receivedAt = 1+r.gossip.activePeers*decayFactor(r.now-r.gossip.receivedAt), r.now
 	for i, class := range r.classes {
 		class.peerStats.add(d.classes[i])
 	}
@@ -105,7 +116,7 @@
 
 // mergeLocalReport adds up what a peer nearby tells of its way and of hosts.
 func (r *Router) mergeLocalReport(d gossipSummary) {
-	r.peerRemotePath.add(d.remotePath)
+	r.gossip.remotePath.add(d.remotePath)
 	for _, w := range d.hosts {
 		w.host.healthByHops[w.hops+1].add(w.healthStats)
 	}
@@ -114,7 +125,7 @@
 // summarize is what this router has to tell: of its categories, its way, and of hosts of which more than least
 // is known.
 func (r *Router) summarize(least float64) gossipSummary {
-	d := gossipSummary{remotePath: r.paths[remoteZones].decayedTo(r.now)}
+	d := gossipSummary{remotePath: r.zones.paths[remoteZones].decayedTo(r.now)}
 	r.countInFlight()
 	for _, class := range r.classes {
 		x := class.ownStats.decayedTo(r.now)
@@ -141,10 +152,10 @@
 
 // unsentComplaintMessages are messages on complaints that no peer has been told, each once.
 func (r *Router) unsentComplaintMessages() (all [][]byte) {
-	for _, b := range r.windows {
-		if n := r.unsentComplaints[b.build]; n > 0 {
+	for _, b := range r.analysis.windows {
+		if n := r.gossip.unsentComplaints[b.build]; n > 0 {
 			all = append(all, encodeComplaints(b.build, n))
-			delete(r.unsentComplaints, b.build)
+			delete(r.gossip.unsentComplaints, b.build)
 		}
 	}
 	return all
--- a/policy/health_check.go
+++ b/policy/health_check.go
@@ -4,11 +4,11 @@
 // it still is; what comes of it is told like a send.
 func (r *Router) checkRemotePath() {
 	const oneIn = 20 // looks: with what those nearby tell, enough to keep the way shut and to find it open
-	if !r.limits.HealthChecks || !r.crossesCheaply() || r.mergesZones() || r.randomN(oneIn) > 0 {
+	if !r.limits.HealthChecks || !r.crossesCheaply() || r.mergesZones() || r.random.intN(oneIn) > 0 {
 		return
 	}
 	if _, there := r.splitByLocality(func(*Host) bool { return true }); len(there) > 0 { // sick ones too
-		r.effects.CheckHealth(there[r.randomN(len(there))])
+		r.effects.CheckHealth(there[r.random.intN(len(there))])
 	}
 }
 
@@ -19,7 +19,7 @@
 	if outcome != Succeeded {
 		way.failures = 1
 	}
-	r.paths[r.localityOf(host)].add(way)
+	r.zones.paths[r.localityOf(host)].add(way)
 	if load != nil {
 		host.load, host.loadAt = load, now
 	}
--- a/policy/host.go
+++ b/policy/host.go
@@ -42,13 +42,13 @@
 
 // isBaseline tells hosts that serve with a build that is not on trial.
 func (r *Router) isBaseline(host *Host) bool {
-	on, _, _ := r.exposureOf(host.Build)
+	on, _, _ := r.release.exposureOf(host.Build)
 	return !on && host.State == Serving
 }
 
 // runsNewestBuild tells hosts that serve with the newest build told.
-func (r *Router) runsNewestBuild(host *Host) bool {
-	return host.Build == r.releaseStatus.Build && host.State == Serving
+func (s *releaseState) runsNewestBuild(host *Host) bool {
+	return host.Build == s.status.Build && host.State == Serving
 }
 
 // countHosts is how many hosts there are of a kind.
--- a/policy/latency.go
+++ b/policy/latency.go
@@ -38,7 +38,7 @@
 	if r.limits.MaxGossipBytes > 0 { // where a category waits everywhere no host is to blame
 		x.slowdown /= r.classSlowdown(attempt.Request.Class)
 	}
-	x.unqueuedSlowdown = x.slowdown / (1 + r.concurrencyCost*attempt.hostLoad)
+	x.unqueuedSlowdown = x.slowdown / (1 + r.load.concurrencyCost*attempt.hostLoad)
 	w := healthStats{at: r.now, attempts: 1, slowdown: min(x.slowdown, 8)} // one very long send says little
 	if attempt.outcome != Succeeded {
 		w.failures = 1
@@ -56,11 +56,11 @@
 		return
 	}
 	class.latencies = appendBounded(class.latencies, x.latency, 64)
-	class.serviceTimes = appendBounded(class.serviceTimes, float64(x.latency)/(1+r.concurrencyCost*attempt.hostLoad), 64)
-	if !r.statsOutweighOwn() || len(r.stats) == 0 { // the middle and more, for the tail: slow hosts weigh little
+	class.serviceTimes = appendBounded(class.serviceTimes, float64(x.latency)/(1+r.load.concurrencyCost*attempt.hostLoad), 64)
+	if !r.statsOutweighOwn() || len(r.analysis.stats) == 0 { // the middle and more, for the tail: slow hosts weigh little
 		class.usualLatency = max(1, Time(upperQuantile(class.serviceTimes, 0.5)*4/3))
 	}
-	r.recentBaseline = appendBounded(r.recentBaseline, x, 200)
+	r.load.baselineSamples = appendBounded(r.load.baselineSamples, x, 200)
 }
 
 // learnUsualLatencyFromStats sets what a category usually takes by the calmest of the desk's periods kept: hundreds of routers
@@ -69,8 +69,8 @@
 func (r *Router) learnUsualLatencyFromStats(class *Class) {
 	const few, calm = 10, 0.85
 	var means []Time
-	for _, x := range r.stats {
-		if on, _, _ := r.exposureOf(x.Build); !on && x.Class == class && x.Samples-x.Failures >= few {
+	for _, x := range r.analysis.stats {
+		if on, _, _ := r.release.exposureOf(x.Build); !on && x.Class == class && x.Samples-x.Failures >= few {
 			means = append(means, x.MeanLatency)
 		}
 	}
--- a/policy/logic_test.go
+++ b/policy/logic_test.go
@@ -215,7 +215,7 @@
 	for range 300 {
 		f.serve(1, f.quote, succeeds)
 		f.serve(1, f.order, succeeds)
-		require.LessOrEqual(t, countSince(f.router.canaryAttempts, f.now-4*Second, nil), 1+0.1*countSince(f.router.arrivals, f.now-4*Second, nil))
+		require.LessOrEqual(t, countSince(f.router.traffic.canaryAttempts, f.now-4*Second, nil), 1+0.1*countSince(f.router.traffic.arrivals, f.now-4*Second, nil))
 	}
 	require.Positive(t, f.attemptsAtBuild(2))
 	for _, attempt := range f.attempts {
@@ -229,7 +229,7 @@
 
 func TestAfterAStartExposureIsUnknownAndAnUnannouncedBuildInItsFirstStage(t *testing.T) {
 	f, _ := newFakeFleet(t, nil)
-	on, stage, share := f.router.exposureOf(2)
+	on, stage, share := f.router.release.exposureOf(2)
 	require.Equal(t, []any{true, 0, 0.1}, []any{on, stage, share})
 	f.router.ReleaseChanged(f.now, ReleaseStatus{Build: 2, Stage: 1, ExposureCap: 0.5})
 	f.serve(60, f.quote, succeeds) // three seconds, less than the window
@@ -239,7 +239,7 @@
 func TestKeysStayWithTheBuildThatAnsweredThem(t *testing.T) {
 	f, _ := newFakeFleet(t, func(p *Config) { p.Release.StickyKeys = true })
 	f.startCanary(1, 0.5)
-	f.router.stickyBuilds["pen"] = 2
+	f.router.release.stickyBuilds["pen"] = 2
 	request := &Request{Class: f.quote, Timeout: Second, Key: "pen"}
 	f.router.RequestArrived(f.now, request)
 	for _, attempt := range request.Attempts {
@@ -293,9 +293,9 @@
 
 func TestLastingSlownessIsToldByTheDeskWhereItSeesMore(t *testing.T) {
 	f, _ := newFakeFleet(t, nil)
-	f.router.stats = []BuildStats{{Build: 1, Class: f.quote, Samples: 90, MeanLatency: 500, receivedAt: Second},
+	f.router.analysis.stats = []BuildStats{{Build: 1, Class: f.quote, Samples: 90, MeanLatency: 500, receivedAt: Second},
 		{Build: 2, Class: f.quote, Samples: 90, MeanLatency: 1000, receivedAt: 9 * Second}}
-	gap, _ := logLatencyGapToPast(f.router.stats, nil, 1, 2, 2*Second, 8*Second, 0)
+	gap, _ := logLatencyGapToPast(f.router.analysis.stats, nil, 1, 2, 2*Second, 8*Second, 0)
 	require.InDelta(t, 0.69, gap, 0.01)
 }
 
@@ -393,7 +393,7 @@
 		}
 	}
 	require.Greater(t, f.attemptsAtBuild(2), copies)
-	require.Len(t, f.router.window(2).samples, copies)
+	require.Len(t, f.router.analysis.window(2).samples, copies)
 }
 
 func TestOriginalsAreJudgedByTheTimeThatACopyIsGiven(t *testing.T) {
@@ -427,12 +427,12 @@
 func TestASwellSeenByOwnSendsAloneConvictsNoBuildAndEnds(t *testing.T) {
 	f, _ := newFakeFleet(t, nil)
 	f.startCanary(1, 0.5)
-	f.router.surge, f.router.surgeSince = surgeProven, f.now
+	f.router.surge.state, f.router.surge.since = surgeProven, f.now
 	w, testOdds := f.router.evidence()
 	require.Contains(t, testOdds, 20.0)
 	require.Less(t, w, 8.0)
 	f.advance(16 * Second)
-	require.Equal(t, surgeNone, f.router.surge)
+	require.Equal(t, surgeNone, f.router.surge.state)
 }
 
 func TestSendsCutShortCountInTheBudgetOfFurtherOnes(t *testing.T) {
@@ -830,16 +830,16 @@
 	list[0].Build = 2
 	f.router.EndpointsChanged(f.now, list, true)
 	keyed(20)
-	require.NotEmpty(t, f.router.stickyBuilds, "earlier hosts still serve")
+	require.NotEmpty(t, f.router.release.stickyBuilds, "earlier hosts still serve")
 	for i := range list {
 		list[i].Build = 2
 	}
 	f.router.EndpointsChanged(f.now, list, true)
-	before := len(f.router.stickyBuilds)
+	before := len(f.router.release.stickyBuilds)
 	keyed(26)
-	require.Len(t, f.router.stickyBuilds, before, "one build alone")
+	require.Len(t, f.router.release.stickyBuilds, before, "one build alone")
 	f.router.ReleaseChanged(f.now, ReleaseStatus{Build: 3, Phase: Canary, ExposureCap: 0.1})
-	require.Empty(t, f.router.stickyBuilds)
+	require.Empty(t, f.router.release.stickyBuilds)
 }
 
 // Where no earlier host is left, a request doesn't go to the build on trial twice.
--- a/policy/muster_test.go
+++ b/policy/muster_test.go
@@ -67,13 +67,13 @@
 			require.Equal(t, *r.snapshot(), kept)
 			for side := range 2 {
 				done, latency, n := Time(0), Time(0), 0
-				for _, x := range r.ended { // the window, by a walk
+				for _, x := range r.traffic.ended { // the window, by a walk
 					if x.locality == side && x.usualLatency > 0 && now-x.at <= 2*Second {
 						done, latency, n = done+x.usualLatency, latency+x.latency, n+1
 					}
 				}
-				l := &r.completedWork[side].last
-				require.Equal(t, n, l.advance(now-2*Second, now-8*Second, r.endedBase))
+				l := &r.admission.completed[side].responses
+				require.Equal(t, n, l.advance(now-2*Second, now-8*Second, r.traffic.endedBase))
 				require.Equal(t, []Time{done, latency}, []Time{l.usualLatency, l.latency})
 			}
 		}
--- a/policy/orders_test.go
+++ b/policy/orders_test.go
@@ -49,20 +49,20 @@
 				l.Fatalf("at %d: two attempts at once", now)
 			}
 		}
-		if on, stage, cap := f.router.exposureOf(attempt.build); on {
-			if stage < f.router.releaseConfig.GuardedStages && request.Class.Idempotency != Idempotent {
+		if on, stage, cap := f.router.release.exposureOf(attempt.build); on {
+			if stage < f.router.release.config.GuardedStages && request.Class.Idempotency != Idempotent {
 				l.Fatalf("at %d: an effect in a guarded stage", now)
 			}
 			l.canaryAttempts = append(l.canaryAttempts, trafficEvent{at: now})
 			in := func(all []trafficEvent) (n float64) {
 				for _, m := range all {
-					if now-m.at < f.router.releaseConfig.ExposureWindow {
+					if now-m.at < f.router.release.config.ExposureWindow {
 						n++
 					}
 				}
 				return n
 			}
-			if in(l.canaryAttempts) > f.router.releaseConfig.ExposureAllowance+cap*in(l.arrivals) {
+			if in(l.canaryAttempts) > f.router.release.config.ExposureAllowance+cap*in(l.arrivals) {
 				l.Fatalf("at %d: %v attempts on trial, of %v requests at a cap of %v", now, in(l.canaryAttempts), in(l.arrivals), cap)
 			}
 		}
--- a/policy/outlier.go
+++ b/policy/outlier.go
@@ -72,11 +72,11 @@
 	case x.ok():
 		event = hostRecovered
 	}
-	if on, _, _ := r.exposureOf(attempt.build); event != hostRefused && (attempt.IsShadow() || !on) { // who had nowhere else is no copy
+	if on, _, _ := r.release.exposureOf(attempt.build); event != hostRefused && (attempt.IsShadow() || !on) { // who had nowhere else is no copy
 		if !attempt.IsShadow() && !r.limits.AllowHedging && class.repeatsSafely() && latency > attempt.shadowTimeout { // a copy would have been cut
 			x.outcome = TimedOut
 		}
-		b := r.window(attempt.build)
+		b := r.analysis.window(attempt.build)
 		b.samples = appendBounded(b.samples, x, 1500) // a trial's worth, or some ten seconds of a busy router's sends
 	}
 	r.transitionHealth(host, event)
@@ -105,10 +105,10 @@
 	const told = 6 * Second   // as the platform has it: what a list would have told counts by then
 	hung := func(host *Host) bool { return host.health == healthy && host.stuckAttempts(r.now, stuckFactor) >= few }
 	blame := 2*r.countHosts(hung) < r.countHosts(func(host *Host) bool { return host.health == healthy })
-	lost := r.failedPolls > 0 && r.now-r.releasedAt > told // where no later host is known there is none to send to
+	lost := r.discovery.failedPolls > 0 && r.now-r.release.releasedAt > told // where no later host is known there is none to send to
 	for _, host := range r.hosts {
 		switch {
-		case lost && host.Build < r.releasedBuild && host.State == Serving:
+		case lost && host.Build < r.release.releasedBuild && host.State == Serving:
 			host.State, host.leftAt, r.fleet.valid = Draining, r.now, false
 		case blame && hung(host):
 			r.transitionHealth(host, hostFailing)
@@ -163,8 +163,8 @@
 	const wait, all = Second, 4.0 // slow enough to cost little, fast enough to find a recovery; of all, in it
 	few := all * float64(r.snapshot().ejected) / float64(r.routers)
 	if r.snapshot().ejected == 0 || r.limits.MaxGossipBytes > 0 &&
-		float64(r.randomN(1000)) >= 1000*few/max(1, countSince(r.arrivals, r.now-wait, nil)) {
-		r.draws++ // as pick does for whatever it finds
+		float64(r.random.intN(1000)) >= 1000*few/max(1, countSince(r.traffic.arrivals, r.now-wait, nil)) {
+		r.random.skip() // as pickHost does for whatever it finds
 		return nil
 	}
 	return r.pickHost(request, func(host *Host) bool {
--- a/policy/peers_test.go
+++ b/policy/peers_test.go
@@ -288,7 +288,7 @@
 	f.advance(Second / 100)
 	asks := f.polls
 	request := f.arrive(f.payment)
-	l, d := f.router.limits, f.router.releaseConfig
+	l, d := f.router.limits, f.router.release.config
 	l.MaxGossipBytes, l.PushedDiscovery, l.AllowHedging = 256, true, false
 	f.router.ConfigChanged(f.now, 300, 4, l, d)
 	require.Len(t, f.attempts, 1, "nothing is sent anew")
@@ -333,7 +333,7 @@
 	require.False(t, story(quick, slow, quick).router.shadowsPaused(), "they go on when it is quick again")
 	require.Contains(t, story(quick, slow, quick, slow).votes, Rollback)
 	f = story(quick, slow, slow, slow, slow, slow, slow, slow)
-	require.False(t, f.router.surge == surgeProven, "slow without copies too: another trouble")
+	require.False(t, f.router.surge.state == surgeProven, "slow without copies too: another trouble")
 	require.NotContains(t, f.votes, Rollback)
 }
 
--- a/policy/release.go
+++ b/policy/release.go
@@ -1,5 +1,21 @@
 package policy
 
+// releaseState is what the release controller told: its settings and where the newest build stands.
+type releaseState struct {
+	config ReleaseConfig
+	status ReleaseStatus
+	known  bool // some status has come
+
+	offeredAt      Time // when the newest build was first heard of
+	stageStartedAt Time
+
+	releasedBuild   int // newest build known to be released, 0 for none
+	releasedAt      Time
+	rolledBackBuild int // newest build known to roll back or to have done so, 0 for none
+
+	stickyBuilds map[string]int // build that answered a key, while two builds serve
+}
+
 // Phase is where a release stands.
 type Phase int
 
@@ -65,21 +81,21 @@
 
 // applyReleaseStatus takes over news, and at a new build remembers how quick the fleet was before it.
 func (r *Router) applyReleaseStatus(n ReleaseStatus) {
-	if !r.releaseKnown || n.Build != r.releaseStatus.Build || n.Stage != r.releaseStatus.Stage || n.Phase != r.releaseStatus.Phase {
-		r.stageStartedAt, r.vote = r.now-n.Age, voteRecord{}
+	if !r.release.known || n.Build != r.release.status.Build || n.Stage != r.release.status.Stage || n.Phase != r.release.status.Phase {
+		r.release.stageStartedAt, r.vote = r.now-n.Age, voteRecord{}
 	}
-	if n.Build != r.releaseStatus.Build {
+	if n.Build != r.release.status.Build {
 		for _, class := range r.classes {
 			class.baselineLatency = class.usualLatency
 		}
-		r.offeredAt, r.surge, r.surgeSince = r.now, surgeNone, r.now
-		clear(r.stickyBuilds) // no key stays with the build before, which serves them all or has gone back
+		r.release.offeredAt, r.surge.state, r.surge.since = r.now, surgeNone, r.now
+		clear(r.release.stickyBuilds) // no key stays with the build before, which serves them all or has gone back
 	}
-	if r.releaseStatus, r.releaseKnown = n, true; n.Phase == Released {
-		r.releasedBuild, r.releasedAt = n.Build, r.now-n.Age
+	if r.release.status, r.release.known = n, true; n.Phase == Released {
+		r.release.releasedBuild, r.release.releasedAt = n.Build, r.now-n.Age
 	} else if n.Phase != Canary {
-		if r.rolledBackBuild = n.Build; r.releasedBuild == n.Build {
-			r.releasedBuild = 0
+		if r.release.rolledBackBuild = n.Build; r.release.releasedBuild == n.Build {
+			r.release.releasedBuild = 0
 		}
 	}
 	r.fleet.valid = false
--- a/policy/request.go
+++ b/policy/request.go
@@ -109,7 +109,7 @@
 // RequestArrived accepts a task; from here on it is owed one final answer. More tasks are kept than any window holds.
 func (r *Router) RequestArrived(now Time, request *Request) {
 	r.now, request.arrivedAt = now, now
-	r.arrivals = appendBounded(r.arrivals, trafficEvent{at: now, class: request.Class}, 8192)
+	r.traffic.arrivals = appendBounded(r.traffic.arrivals, trafficEvent{at: now, class: request.Class}, 8192)
 	if c := request.Tenant; c != nil {
 		c.arrivals = appendBounded(c.arrivals, trafficEvent{at: now, class: request.Class}, 4096)
 	}
--- a/policy/retry.go
+++ b/policy/retry.go
@@ -10,8 +10,8 @@
 	const over, few, oneIn = 5 * Second, 4, 8 // one for every eight tasks taken lately, and a few
 	const alone = 4.0                         // routers that each may have them
 	const full = 3                            // times longer than usual: for want of hosts, not by bad luck
-	owed := few*min(1, alone/float64(r.routers)) + countSince(r.arrivals, r.now-over, nil)/oneIn
-	return r.leastExpectedSlowdown(class) < full && countSince(r.retries, r.now-over, nil) < owed
+	owed := few*min(1, alone/float64(r.routers)) + countSince(r.traffic.arrivals, r.now-over, nil)/oneIn
+	return r.leastExpectedSlowdown(class) < full && countSince(r.traffic.retries, r.now-over, nil) < owed
 }
 
 // retry sends a task once more where that is allowed, affordable and can still be in time. What follows a lone
@@ -28,7 +28,7 @@
 		return false
 	}
 	if last.role != shadowFirstAttempt {
-		r.retries = appendBounded(r.retries, trafficEvent{at: r.now, class: request.Class}, 2048)
+		r.traffic.retries = appendBounded(r.traffic.retries, trafficEvent{at: r.now, class: request.Class}, 2048)
 	}
 	r.send(request, host, retryAttempt)
 	return true
--- a/policy/router.go
+++ b/policy/router.go
@@ -5,110 +5,105 @@
 	"hash/fnv"
 )
 
-// Effects carry out what a Router decides.
+// Effects carries out what a Router decides. Its methods are called before the Router's own call returns; they must not call
+// the Router.
 type Effects interface {
+	// Send starts an attempt and ends it as TimedOut after the given time.
 	Send(attempt *Attempt, within Time)
-	Reject(request *Request, stay Time)
+	// Reject gives the request's final answer: it did no harm and may be repeated, best after the given time.
+	Reject(request *Request, retryAfter Time)
+	// Fail gives the request's final answer where it may have been executed.
 	Fail(request *Request)
-	SetTimer(in Time, what *Timer)
+	// SetTimer asks for a call of TimerFired with the timer after the given time.
+	SetTimer(in Time, timer *Timer)
+	// WatchEndpoints asks for the endpoint list and its changes.
 	WatchEndpoints()
+	// Vote casts a vote on a build in a stage at the release controller.
 	Vote(build, stage int, choice VoteChoice)
+	// Log writes a line about a decision.
 	Log(text string)
-	Gossip(peer int, body []byte) // peer is a rank, or Everyone
+	// Gossip sends a message to the router of a rank, or to all of them for Broadcast.
+	Gossip(peer int, body []byte)
+	// CheckHealth probes a host; HealthChecked takes the result.
 	CheckHealth(host *Host)
 }
 
 // Broadcast stands for the ranks of all peers.
 const Broadcast = -1
 
-// Router is one instance's mind; it shares nothing with others.
+// Router decides for one router instance. It shares nothing with others and is not safe for concurrent use: its owner
+// calls it with one event after the other, in the order of their times.
 type Router struct {
-	effects       Effects
-	seed          uint64
-	draws         uint64
-	now           Time
-	startedAt     Time
-	routers       int
-	rank          int
-	zone          *Zone
-	classes       []*Class
-	limits        Limits
-	releaseConfig ReleaseConfig
-	hosts         []*Host
-	releaseStatus ReleaseStatus
-	releaseKnown  bool
-	completedWork [2]struct { // near and far: work answered lately, as of a moment
-		at, span     Time
-		done, strain float64
-		last         responseCounter
-	}
-	baselineRate struct { // sends that a host gets from this router, as of a moment
-		at   Time
-		rate float64
-	}
-	concurrencyCost  float64         // what each task that a host holds adds to the time of the next, as a share
-	recentBaseline   []attemptSample // finished sends at earlier builds
-	releasedBuild    int             // the newest build known to be released, and since when
-	releasedAt       Time
-	rolledBackBuild  int        // the newest build known to go back, or to have gone
-	offeredAt        Time       // when the newest build was first told
-	stageStartedAt   Time       // when the present stage was first told
-	surge            surgeState // how the fleet has slowed during the trial, and since when
-	surgeSince       Time
-	lastUnslowedAt   Time      // when the fleet was last about as quick as before the trial
-	reportedLoads    []float64 // what hosts last reported to hold
-	arrivals         []trafficEvent
-	canaryAttempts   []trafficEvent
-	baselineAttempts []trafficEvent
-	ended            []trafficEvent
-	endedBase        int // number of the first of done among all that ever were
-	retries          []trafficEvent
-	stickyBuilds     map[string]int
-	windows          []*buildWindow
-	stats            []BuildStats
-	vote             voteRecord
-	failedPolls      int  // list calls that failed in a row
-	lastPollAt       Time // when the list was asked for last
-	plan             WeightPlan
-	fleet            fleetSnapshot
-	localHosts       []*Host // scratch for choices among hosts, so that these take no memory
-	remoteHosts      []*Host
-	connectedHosts   []*Host
-	weights          []float64 // scratch for shares, and for parts of a plan
-	planWeights      []float64
-	countedLoad      float64        // what a host holds, as the desk counted last
-	paths            [2]healthStats // own sends of the sides lately
-	remoteDegraded   bool           // the way to the far side is poor
-	peerRemotePath   healthStats    // of the far side, told by those nearby
-	localPeers       []int          // peers nearby that were heard last
-	activePeers      float64        // peers heard lately, faded
-	lastGossipAt     Time
-	complaints       map[int]int // complaints by build, of all routers
-	unsentComplaints map[int]int // and own ones that no peer has been told
+	effects Effects
+	random  randomSource
+
+	now       Time // of the event in hand
+	startedAt Time
+
+	routers int // all that serve the fleet
+	rank    int // of this one among them, from 0
+	zone    *Zone
+	classes []*Class
+	limits  Limits
+
+	hosts []*Host // listed ones, by ID
+	fleet fleetSnapshot
+
+	discovery discoveryState
+	release   releaseState
+	traffic   trafficHistory
+	load      loadEstimate
+	balancer  balancer
+	zones     zonePaths
+	admission admissionState
+	slowStart slowStartRate
+	gossip    gossipState
+	analysis  analysisState
+	surge     latencySurge
+	vote      voteRecord
 }
 
-// NewRouter starts a router that knows nothing but its place.
-func NewRouter(now Time, p Config, hands Effects) *Router {
-	r := &Router{effects: hands, seed: p.Seed, now: now, startedAt: now, routers: max(1, p.Routers), rank: p.Rank,
-		zone: p.Zone, classes: p.Classes, limits: p.Limits, releaseConfig: p.Release, stickyBuilds: map[string]int{},
-		complaints: map[int]int{}, unsentComplaints: map[int]int{}, concurrencyCost: 0.3} // a fleet neither idle nor full, until known
+// NewRouter starts a router that knows its configuration alone: no host and no release. It sets the timer of the regular
+// review and, where endpoints must be polled, that of the first poll.
+func NewRouter(now Time, config Config, effects Effects) *Router {
+	const startSpread = 2 * Second         // routers that start at once poll within this
+	const startSpreadPerPeer = Second / 10 // or within so much for each other router
+	const unknownLatencyShare = 5          // of the latency objective, as usual latency until something is known
+	const unknownConcurrencyCost = 0.3     // that of a fleet neither idle nor full
+	r := &Router{effects: effects, random: randomSource{seed: config.Seed}, now: now, startedAt: now,
+		routers: max(1, config.Routers), rank: config.Rank, zone: config.Zone, classes: config.Classes, limits: config.Limits,
+		release: releaseState{config: config.Release, stickyBuilds: map[string]int{}},
+		load:    loadEstimate{concurrencyCost: unknownConcurrencyCost},
+		gossip:  gossipState{complaints: map[int]int{}, unsentComplaints: map[int]int{}}}
 	for _, class := range r.classes {
-		class.usualLatency = max(1, class.LatencyObjective/5) // until something is known
+		class.usualLatency = max(1, class.LatencyObjective/unknownLatencyShare)
 	}
-	if hands.SetTimer(reviewInterval, &Timer{}); !p.Limits.PushedDiscovery { // many that start at once don't ask as one
-		hands.SetTimer(Time(r.randomN(int(min(2*Second, Time(r.routers-1)*Second/10))+1)), &Timer{polls: true})
+	effects.SetTimer(reviewInterval, &Timer{})
+	if !config.Limits.PushedDiscovery {
+		spread := int(min(startSpread, Time(r.routers-1)*startSpreadPerPeer))
+		effects.SetTimer(Time(r.random.intN(spread+1)), &Timer{polls: true})
 	}
 	return r
 }
 
-// randomN draws evenly from 0 up to n.
-func (r *Router) randomN(n int) int {
-	r.draws++
+// randomSource draws numbers that follow from its seed and the number of earlier draws alone, so that decisions can be
+// replayed.
+type randomSource struct{ seed, draws uint64 }
+
+// intN draws evenly from 0 up to n.
+func (s *randomSource) intN(n int) int {
+	s.draws++
 	h := fnv.New64a()
 	var b [16]byte
-	binary.LittleEndian.PutUint64(b[:8], r.seed)
-	binary.LittleEndian.PutUint64(b[8:], r.draws)
+	binary.LittleEndian.PutUint64(b[:8], s.seed)
+	binary.LittleEndian.PutUint64(b[8:], s.draws)
 	h.Write(b[:])
 	x := h.Sum64()
 	return int((x ^ x>>32) % uint64(n))
 }
+
+// chance is true in so many of a thousand draws, which may be a fraction; more than 1000 is always.
+func (s *randomSource) chance(perMille float64) bool { return float64(s.intN(1000)) < perMille }
+
+// skip leaves out one draw.
+func (s *randomSource) skip() { s.draws++ }
--- a/policy/shadow.go
+++ b/policy/shadow.go
@@ -9,31 +9,31 @@
 	const taste = 0.25                          // of what earlier hosts get, effects not yet judged
 	const cleared, guilty, fails = 0.1, 10, 0.3 // odds; what a bad build fails of a category, more or less
 	const lately, least, all = 2 * Second, 2, 8 // a while, copies in it of each router at the least, and of all
-	n, class := r.releaseStatus, request.Class
-	alone := r.vote.choice == Rollback && r.releaseConfig.RollbackQuorum <= 1 // others may not agree, and more copies change a mind
-	if !r.releaseKnown || n.Phase != Canary || alone || r.shadowsPaused() || !r.withinExposure(n.Build, class) {
+	n, class := r.release.status, request.Class
+	alone := r.vote.choice == Rollback && r.release.config.RollbackQuorum <= 1 // others may not agree, and more copies change a mind
+	if !r.release.known || n.Phase != Canary || alone || r.shadowsPaused() || !r.withinExposure(n.Build, class) {
 		return nil
 	}
 	both := r.mergesZones()
 	by := func(host *Host) bool { return both || r.localityOf(host) == localZone }
-	here := func(host *Host) bool { return r.runsNewestBuild(host) && by(host) }
+	here := func(host *Host) bool { return r.release.runsNewestBuild(host) && by(host) }
 	on := here
 	if well := func(host *Host) bool { return here(host) && host.health != ejected }; r.statsOutweighOwn() && r.countHosts(well) > 0 {
 		on = well // the desk tells no host from a build: a sick one's failures would be the build's
 	}
 	// Where others cross, those nearby alone say little of what a host gets.
 	peer := func(host *Host) bool { return r.isBaseline(host) && (by(host) || r.crossesCheaply()) }
-	each := countSince(r.arrivals, r.now-lately, nil) / max(1, r.totalCapacity(peer))
+	each := countSince(r.traffic.arrivals, r.now-lately, nil) / max(1, r.totalCapacity(peer))
 	due := max(min(least, all/float64(r.routers)), each*r.totalCapacity(on))
-	if class.Idempotency != Idempotent && r.releaseConfig.HarmPrice*fails*class.failureOdds >= r.releaseConfig.DelayPrice {
-		if class.failureOdds < cleared || class.failureOdds > guilty || float64(r.randomN(1000)) >= 1000*taste {
+	if class.Idempotency != Idempotent && r.release.config.HarmPrice*fails*class.failureOdds >= r.release.config.DelayPrice {
+		if class.failureOdds < cleared || class.failureOdds > guilty || float64(r.random.intN(1000)) >= 1000*taste {
 			return nil
 		}
 	}
 	if due >= least {
-		due -= countSince(r.canaryAttempts, r.now-lately, nil) + 1
+		due -= countSince(r.traffic.canaryAttempts, r.now-lately, nil) + 1
 	} else { // less than a router can count: by chance, lest all of them send at once
-		due = due/max(1, countSince(r.arrivals, r.now-lately, nil)) - float64(r.randomN(1000))/1000
+		due = due/max(1, countSince(r.traffic.arrivals, r.now-lately, nil)) - float64(r.random.intN(1000))/1000
 	}
 	if due < 0 || class.Idempotency != Idempotent && n.Stage == 0 {
 		return nil
@@ -46,4 +46,6 @@
 }
 
 // shadowsPaused tells whether copies rest, as the fleet has slowed during the trial.
-func (r *Router) shadowsPaused() bool { return r.surge == surgePaused || r.surge == surgeProven }
+func (r *Router) shadowsPaused() bool {
+	return r.surge.state == surgePaused || r.surge.state == surgeProven
+}
--- a/policy/slowstart.go
+++ b/policy/slowstart.go
@@ -1,5 +1,12 @@
 package policy
 
+// slowStartRate is how many attempts a baseline host gets from this router, in attempts for each unit of Time; it is worked
+// out once for each moment.
+type slowStartRate struct {
+	at   Time
+	rate float64
+}
+
 // isWarm tells hosts that have been up for long enough to do all they can.
 func (r *Router) isWarm(host *Host) bool { return r.isWarmAt(host, r.now) }
 
@@ -42,15 +49,15 @@
 	if countSince(host.attempts, r.now-r.limits.ColdOverloadWindow, nil)+1 > max(1, budget) {
 		return false
 	}
-	due := countSince(r.arrivals, r.now-flowOver, nil) * float64(r.limits.ColdOverloadWindow) / float64(flowOver) *
+	due := countSince(r.traffic.arrivals, r.now-flowOver, nil) * float64(r.limits.ColdOverloadWindow) / float64(flowOver) *
 		r.capacity(host) / max(r.capacity(host), r.baselineCapacity()) // on trial too, where shares are those of earlier hosts
-	return due <= budget || float64(r.randomN(1000)) < 1000*budget/due
+	return due <= budget || float64(r.random.intN(1000)) < 1000*budget/due
 }
 
 // baselineAttemptRate is how many sends a host of the build with most hosts gets from this router, worked out once for each
 // moment. Hosts that left within the span count, or a lone newcomer would be due all their work.
 func (r *Router) baselineAttemptRate(over Time) float64 {
-	if r.baselineRate.at != r.now {
+	if r.slowStart.at != r.now {
 		of, most := map[int]float64{}, 1.0
 		for _, host := range r.hosts {
 			if host.State == Serving || r.now-host.leftAt < over {
@@ -58,7 +65,7 @@
 				most = max(most, of[host.Build])
 			}
 		}
-		r.baselineRate.at, r.baselineRate.rate = r.now, countSince(r.baselineAttempts, r.now-over, nil)/float64(over)/most
+		r.slowStart.at, r.slowStart.rate = r.now, countSince(r.traffic.baselineAttempts, r.now-over, nil)/float64(over)/most
 	}
-	return r.baselineRate.rate
+	return r.slowStart.rate
 }
--- a/policy/stats.go
+++ b/policy/stats.go
@@ -35,24 +35,26 @@
 	}
 	c.warmShare /= max(1, float64(c.hosts))
 	c.warmUpBias = math.Log(max(1, float64(c.hosts)) / max(r.limits.ColdCapacity, cold))
-	if len(r.stats) == 0 || r.stats[len(r.stats)-1].receivedAt != now {
-		r.countedLoad = 0 // what hosts hold: how much comes by how long it takes
+	if len(r.analysis.stats) == 0 || r.analysis.stats[len(r.analysis.stats)-1].receivedAt != now {
+		r.load.counted = 0 // what hosts hold: how much comes by how long it takes
 	}
-	if r.releaseConfig.SampledShare > 0 && c.Window > 0 {
+	if r.release.config.SampledShare > 0 && c.Window > 0 {
 		serve := r.countHosts(func(host *Host) bool { return host.State == Serving })
-		r.countedLoad += float64(c.Samples) / r.releaseConfig.SampledShare / float64(c.Window) * float64(c.MeanLatency) / max(1, serve)
+		r.load.counted += float64(c.Samples) / r.release.config.SampledShare / float64(c.Window) * float64(c.MeanLatency) / max(1, serve)
 	}
-	r.stats = appendBounded(r.stats, c, 240)
-	if on, _, _ := r.exposureOf(c.Build); r.statsOutweighOwn() && !on {
+	r.analysis.stats = appendBounded(r.analysis.stats, c, 240)
+	if on, _, _ := r.release.exposureOf(c.Build); r.statsOutweighOwn() && !on {
 		r.learnUsualLatencyFromStats(c.Class)
 	}
 }
 
 // statsOutweighOwn tells whether the desk counts far more of all sends than a router sees: then its counts, though
 // late and not by host, are judged; but after a release only own sends tell errors from a jam.
-func (r *Router) statsOutweighOwn() bool { return r.releaseConfig.SampledShare*float64(r.routers) > 2 }
+func (r *Router) statsOutweighOwn() bool { return r.release.config.SampledShare*float64(r.routers) > 2 }
 
-func (r *Router) judgesByStats() bool { return r.statsOutweighOwn() && r.releaseStatus.Phase == Canary }
+func (r *Router) judgesByStats() bool {
+	return r.statsOutweighOwn() && r.release.status.Phase == Canary
+}
 
 // filterStats are the counts of a kind.
 func filterStats(all []BuildStats, of func(BuildStats) bool) (some []BuildStats) {
@@ -85,8 +87,8 @@
 }
 
 // countedAttempts is how many sends at a build the desk counted.
-func (r *Router) countedAttempts(build int) (n float64) {
-	for _, x := range r.stats {
+func (a *analysisState) countedAttempts(build int) (n float64) {
+	for _, x := range a.stats {
 		if x.Build == build {
 			n += float64(x.Samples)
 		}
@@ -97,8 +99,8 @@
 // comparableStats are the desk's counts to be judged, of the build and of the one before it, over the same time.
 // Those of a time when no host of the build was warm speak of the cold.
 func (r *Router) comparableStats(now, before int) (of [2][]BuildStats) {
-	of[0] = filterStats(r.stats, func(x BuildStats) bool { return x.Build == now && x.warmShare > 0 })
-	of[1] = filterStats(r.stats, func(x BuildStats) bool {
+	of[0] = filterStats(r.analysis.stats, func(x BuildStats) bool { return x.Build == now && x.warmShare > 0 })
+	of[1] = filterStats(r.analysis.stats, func(x BuildStats) bool {
 		return x.Build == before && len(of[0]) > 0 && x.receivedAt >= of[0][0].receivedAt
 	})
 	return of
@@ -141,8 +143,8 @@
 // pretrialFailureRate is what share of a category the desk counted to go wrong at a build before the trial, when all
 // load was its own; as if leaning on so many sends of a usual share.
 func (r *Router) pretrialFailureRate(before *buildWindow, class *Class, usual, priorWeight float64) float64 {
-	bad, n, _ := sumStats(filterStats(r.stats, func(x BuildStats) bool {
-		return x.Build == before.build && x.receivedAt <= r.offeredAt
+	bad, n, _ := sumStats(filterStats(r.analysis.stats, func(x BuildStats) bool {
+		return x.Build == before.build && x.receivedAt <= r.release.offeredAt
 	}), class)
 	return stratum{failures: bad, attempts: n}.failureRate(stratum{0.5, 0.5 / usual, 0}, priorWeight)
 }
@@ -151,7 +153,7 @@
 // more than a least share and the usual one it failed.
 func (r *Router) countedFailureEvidence(class *Class, now, before, few int, floor float64, gaps ...float64) float64 {
 	wide := func(x BuildStats) bool { return x.Build == now && x.hosts >= few }
-	bad, n, hosts := sumStats(filterStats(r.stats, wide), class)
-	was, of, _ := sumStats(filterStats(r.stats, func(x BuildStats) bool { return x.Build == before }), class)
+	bad, n, hosts := sumStats(filterStats(r.analysis.stats, wide), class)
+	was, of, _ := sumStats(filterStats(r.analysis.stats, func(x BuildStats) bool { return x.Build == before }), class)
 	return boundByHosts(failureEvidence([]stratum{{bad, n, max(floor, (was+0.5)/(of+1))}}, gaps...), hosts)
 }
--- a/policy/surge.go
+++ b/policy/surge.go
@@ -6,6 +6,13 @@
 	"gonum.org/v1/gonum/stat"
 )
 
+// latencySurge is how the whole fleet's latency has moved since the canary was offered.
+type latencySurge struct {
+	state        surgeState
+	since        Time
+	lastNormalAt Time // when answers last took about as long as before the canary was offered
+}
+
 type surgeState int
 
 const (
@@ -41,10 +48,10 @@
 }
 
 // transitionSurge reads the table of swells.
-func (r *Router) transitionSurge(event surgeEvent) {
+func (s *latencySurge) transition(event surgeEvent, now Time) {
 	for _, row := range surgeTransitions {
-		if row.state == r.surge && row.event == event {
-			r.surge, r.surgeSince = row.next, r.now
+		if row.state == s.state && row.event == event {
+			s.state, s.since = row.next, now
 			return
 		}
 	}
@@ -60,14 +67,14 @@
 	switch {
 	case n < few:
 	case slow > high && r.canaryShare(r.now-rest/6) > small:
-		r.transitionSurge(surgeRose)
+		r.surge.transition(surgeRose, r.now)
 	case slow < low:
-		r.transitionSurge(surgeSubsided)
+		r.surge.transition(surgeSubsided, r.now)
 	}
-	if r.now-r.surgeSince > rest {
-		r.transitionSurge(surgeTimedOut)
+	if r.now-r.surge.since > rest {
+		r.surge.transition(surgeTimedOut, r.now)
 	}
-	if r.surge == surgeProven { // own sends alone swell by a trouble of the fleet as well
+	if r.surge.state == surgeProven { // own sends alone swell by a trouble of the fleet as well
 		return map[bool]float64{true: proof, false: alone}[r.judgesByStats()]
 	}
 	return 1
@@ -77,13 +84,13 @@
 // category that is the least so, or by own answers; and how many sends say so.
 func (r *Router) surgeMagnitude(before *buildWindow, from Time) (gap, n float64) {
 	if !r.judgesByStats() {
-		logs := before.logLatencyRatiosSince(from, r.concurrencyCost)
+		logs := before.logLatencyRatiosSince(from, r.load.concurrencyCost)
 		return stat.Mean(logs, nil), float64(len(logs))
 	}
 	gap = math.Inf(1)
 	for _, class := range r.classes {
-		g, k := logLatencyGapToPast(r.stats, class, before.build, before.build, r.offeredAt, from, 0)
-		h, l := logLatencyGapToPast(r.stats, class, before.build, r.releaseStatus.Build, r.offeredAt, from, 0) // in the end it has most of the sends
+		g, k := logLatencyGapToPast(r.analysis.stats, class, before.build, before.build, r.release.offeredAt, from, 0)
+		h, l := logLatencyGapToPast(r.analysis.stats, class, before.build, r.release.status.Build, r.release.offeredAt, from, 0) // in the end it has most of the sends
 		if k+l > 0 {
 			gap, n = min(gap, (g*k+h*l)/(k+l)), n+k+l
 		}
@@ -94,12 +101,12 @@
 // canaryShare is the share of the sends since a moment that went on trial, as the desk counted them, or of the
 // own.
 func (r *Router) canaryShare(from Time) float64 {
-	at, all := countSince(r.canaryAttempts, from, nil), countSince(r.canaryAttempts, from, nil)+countSince(r.baselineAttempts, from, nil)
+	at, all := countSince(r.traffic.canaryAttempts, from, nil), countSince(r.traffic.canaryAttempts, from, nil)+countSince(r.traffic.baselineAttempts, from, nil)
 	if r.judgesByStats() {
 		at, all = 0, 0
-		for _, x := range r.stats {
+		for _, x := range r.analysis.stats {
 			if x.receivedAt > from {
-				if all += float64(x.Samples); x.Build == r.releaseStatus.Build {
+				if all += float64(x.Samples); x.Build == r.release.status.Build {
 					at += float64(x.Samples)
 				}
 			}
@@ -112,6 +119,6 @@
 // after a release, or too cold: the more jammed the fleet, the warmer they must be.
 func (r *Router) isUnreadyForRelease() bool {
 	need := min(0.95, 0.4+0.15*max(1, r.expectedSlowdown(localZone))) // it binds where answers take twice as long as usual
-	return r.surge == surgePaused || r.surge == surgeObserved || 2*r.countHosts(r.runsNewestBuild) < r.countHosts(r.isBaseline) ||
-		r.totalCapacityFactor(r.runsNewestBuild) < need*r.countHosts(r.runsNewestBuild)
+	return r.surge.state == surgePaused || r.surge.state == surgeObserved || 2*r.countHosts(r.release.runsNewestBuild) < r.countHosts(r.isBaseline) ||
+		r.totalCapacityFactor(r.release.runsNewestBuild) < need*r.countHosts(r.release.runsNewestBuild)
 }
--- a/policy/timer.go
+++ b/policy/timer.go
@@ -11,7 +11,7 @@
 	r.now = now
 	switch {
 	case a.polls:
-		r.lastPollAt = now
+		r.discovery.lastPollAt = now
 		r.effects.WatchEndpoints()
 	case a.attempt == nil:
 		r.fitConcurrencyCost(40, 6, 0.02, 1.5) // few sends make no line, and one very long task says little
--- a/policy/traffic.go
+++ b/policy/traffic.go
@@ -7,6 +7,16 @@
 	"gonum.org/v1/gonum/stat"
 )
 
+// trafficHistory keeps the last events of each kind, in the order of their times.
+type trafficHistory struct {
+	arrivals         []trafficEvent
+	baselineAttempts []trafficEvent
+	canaryAttempts   []trafficEvent
+	retries          []trafficEvent // that count in the budget
+	ended            []trafficEvent
+	endedBase        int // sequence number of the first of ended
+}
+
 type trafficEvent struct {
 	at                    Time
 	class                 *Class
@@ -45,8 +55,8 @@
 func recentMean(all []float64) float64 { return stat.Mean(all[max(0, len(all)-64):], nil) }
 
 // endedShare is how many of the last ended sends are of a kind.
-func (r *Router) endedShare(last int, is func(trafficEvent) bool) (share float64) {
-	for _, x := range r.ended[max(0, len(r.ended)-last):] {
+func (t *trafficHistory) endedShare(last int, is func(trafficEvent) bool) (share float64) {
+	for _, x := range t.ended[max(0, len(t.ended)-last):] {
 		if is(x) {
 			share += 1 / float64(last)
 		}
@@ -56,9 +66,9 @@
 
 // meanCompletionInterval is the mean time between the last so many ended sends.
 func (r *Router) meanCompletionInterval(n int) Time {
-	n = min(n, len(r.ended))
+	n = min(n, len(r.traffic.ended))
 	if n == 0 {
 		return r.now - r.startedAt
 	}
-	return (r.now - r.ended[len(r.ended)-n].at) / Time(n)
+	return (r.now - r.traffic.ended[len(r.traffic.ended)-n].at) / Time(n)
 }
--- a/policy/vote.go
+++ b/policy/vote.go
@@ -74,9 +74,9 @@
 		r.vote.state = row.next
 		if row.castsVote {
 			r.vote.choice, r.vote.castAt = choice, r.now
-			r.effects.Vote(r.releaseStatus.Build, r.releaseStatus.Stage, choice)
+			r.effects.Vote(r.release.status.Build, r.release.status.Stage, choice)
 			r.effects.Log(fmt.Sprintf("votes %d on build %d in stage %d: odds of bad %.2g, mean of %.2g",
-				choice, r.releaseStatus.Build, r.releaseStatus.Stage, w, testOdds))
+				choice, r.release.status.Build, r.release.status.Stage, w, testOdds))
 		}
 		return
 	}
@@ -93,27 +93,27 @@
 	const alarm, loud, several = 8.0, 30.0, 2.5 // one good build in so many goes back by chance; one host's odds
 	const doubt, sure = 4.0, 0.3                // on in a stage unless in doubt; release when fairly sure
 	const softer, bear, most = 0.02, 0.5, 8.0   // a second's wait of that, of the worst; while copies go on
-	if !r.releaseKnown || r.releaseStatus.Build == 0 || r.releaseStatus.Phase == RollingBack || r.releaseStatus.Phase == RolledBack {
+	if !r.release.known || r.release.status.Build == 0 || r.release.status.Phase == RollingBack || r.release.status.Phase == RolledBack {
 		return Abstain, w, testOdds
 	}
 	w, testOdds = r.evidence()
 	limit, worst := doubt, math.Inf(1)
-	final := r.releaseStatus.Stage+1 >= len(r.releaseConfig.ExposureCaps)
+	final := r.release.status.Stage+1 >= len(r.release.config.ExposureCaps)
 	if final {
-		waited := float64(max(0, r.now-r.stageStartedAt-r.releaseConfig.MinStageTime)) / float64(Second)
-		part := evidenceShare(r.releaseConfig.PromoteQuorum)
+		waited := float64(max(0, r.now-r.release.stageStartedAt-r.release.config.MinStageTime)) / float64(Second)
+		part := evidenceShare(r.release.config.PromoteQuorum)
 		limit, worst = min(1, math.Pow(sure, part)+softer*waited), min(most, 1+bear*waited)/part
 	}
 	limitBack := alarm
-	if r.judgesByStats() || r.releaseStatus.Phase == Released { // the desk tells no host from a build; a release is dear to undo
+	if r.judgesByStats() || r.release.status.Phase == Released { // the desk tells no host from a build; a release is dear to undo
 		limitBack = loud
 	}
 	switch {
-	case w > max(several, math.Pow(limitBack, evidenceShare(r.releaseConfig.RollbackQuorum))):
+	case w > max(several, math.Pow(limitBack, evidenceShare(r.release.config.RollbackQuorum))):
 		return Rollback, w, testOdds
-	case r.releaseStatus.Phase == Canary && r.releaseConfig.Mode == Timed && w > doubt:
+	case r.release.status.Phase == Canary && r.release.config.Mode == Timed && w > doubt:
 		return Hold, w, testOdds
-	case r.releaseStatus.Phase == Released || r.releaseConfig.Mode == Timed || len(testOdds) == 0 || final && r.isUnreadyForRelease():
+	case r.release.status.Phase == Released || r.release.config.Mode == Timed || len(testOdds) == 0 || final && r.isUnreadyForRelease():
 	case w < limit && slices.Max(testOdds) <= worst:
 		return Promote, w, testOdds
 	}
@@ -125,12 +125,12 @@
 func (r *Router) mayVote() bool {
 	const few, stretch = 3, 4 * Second // a vote that is lost is no harm, nor is a router that is down
 	turn := r.rank + r.routers - int(r.now/stretch)*few%r.routers
-	return r.releaseConfig.Mode != AnyRouter || r.routers <= few || turn%r.routers < few
+	return r.release.config.Mode != AnyRouter || r.routers <= few || turn%r.routers < few
 }
 
 func (r *Router) updateVote() {
 	choice, w, testOdds := r.verdict()
-	if r.vote.state == votePending && r.now-r.vote.castAt > r.releaseConfig.VoteTimeout+Second/2 {
+	if r.vote.state == votePending && r.now-r.vote.castAt > r.release.config.VoteTimeout+Second/2 {
 		r.transitionVote(voteTimedOut, 0, 0, nil)
 	}
 	if !r.mayVote() && (r.vote.state != voteStanding || r.vote.choice != Promote || choice == Promote) {
@@ -138,7 +138,7 @@
 	}
 	const pause = Second // before a vote that did not count is cast again: the desk is not flooded
 	if choice != r.vote.choice && (choice != Abstain || r.vote.state == voteStanding) || choice != Abstain &&
-		(r.vote.state == voteIdle && r.now-r.vote.castAt > pause || r.now-r.vote.castAt > r.releaseConfig.VoteTTL*7/10) {
+		(r.vote.state == voteIdle && r.now-r.vote.castAt > pause || r.now-r.vote.castAt > r.release.config.VoteTTL*7/10) {
 		r.transitionVote(voteWanted, choice, w, testOdds)
 	}
 }
--- a/policy/zone.go
+++ b/policy/zone.go
@@ -4,6 +4,12 @@
 	"math"
 )
 
+// zonePaths is what is known of the network paths to the own zone and to the other ones.
+type zonePaths struct {
+	paths          [2]healthStats // own attempts, by locality
+	remoteDegraded bool
+}
+
 // Zone is where hosts and routers stand. It is told by its address alone, so it must not be of size zero.
 type Zone struct{ _ byte }
 
@@ -22,7 +28,7 @@
 
 // splitByLocality are the hosts nearby and the rest, as far as they fit; until it is asked for again.
 func (r *Router) splitByLocality(fits func(*Host) bool) (here, there []*Host) {
-	here, there = r.localHosts[:0], r.remoteHosts[:0]
+	here, there = r.balancer.localHosts[:0], r.balancer.remoteHosts[:0]
 	for _, host := range r.hosts {
 		switch {
 		case host.State != Serving || !fits(host):
@@ -32,7 +38,7 @@
 			there = append(there, host)
 		}
 	}
-	r.localHosts, r.remoteHosts = here, there
+	r.balancer.localHosts, r.balancer.remoteHosts = here, there
 	return here, there
 }
 
@@ -50,11 +56,11 @@
 	if !r.crossesCheaply() {
 		return false
 	}
-	there, here := r.remotePathStats(), r.paths[localZone].decayedTo(r.now)
+	there, here := r.remotePathStats(), r.zones.paths[localZone].decayedTo(r.now)
 	poor := there.failures >= few && there.failures/there.attempts >= here.failures/max(1, here.attempts)+gap
 	// What fades is no good news: where probes tell, the way stays shut until something came through.
-	r.remoteDegraded = poor || r.remoteDegraded && r.limits.HealthChecks && there.attempts-there.failures < few/2
-	return !r.remoteDegraded
+	r.zones.remoteDegraded = poor || r.zones.remoteDegraded && r.limits.HealthChecks && there.attempts-there.failures < few/2
+	return !r.zones.remoteDegraded
 }
 
 // missProbability is the chance that a task breaks its promised time on a side, as if answers took exponential times.
