--- a/policy/analysis.go
+++ b/policy/analysis.go
@@ -7,377 +7,309 @@
 	"gonum.org/v1/gonum/stat"
 )
 
+// What is kept at the least.
+const (
+	keptBuilds     = 4
+	keptComplaints = 240 // of a build
+)
+
 // analysisState is what canary and baseline are compared by.
 type analysisState struct {
 	windows []*buildWindow // own attempts
 	stats   []BuildStats   // the release controller's counts of all routers
 }
 
-// buildWindow keeps the last samples of one build.
+// buildWindow keeps the last samples of one build, in the order of their times.
 type buildWindow struct {
 	build      int
 	samples    []attemptSample
-	complaints []attemptSample
+	complaints []attemptSample // on wrong responses
 }
 
 // start is when the samples kept of a build begin.
-func (b *buildWindow) start() Time {
-	if len(b.samples) == 0 {
+func (w *buildWindow) start() Time {
+	if len(w.samples) == 0 {
 		return 0
 	}
-	return b.samples[0].at
+	return w.samples[0].at
 }
 
-// since are the samples from a moment on.
-func (b *buildWindow) since(from Time) []attemptSample {
-	i, _ := slices.BinarySearchFunc(b.samples, from, func(x attemptSample, at Time) int { return int(x.at - at) })
-	return b.samples[i:]
+// since gives the samples from a moment on.
+func (w *buildWindow) since(from Time) []attemptSample {
+	i, _ := slices.BinarySearchFunc(w.samples, from, func(x attemptSample, at Time) int { return int(x.at - at) })
+	return w.samples[i:]
 }
 
-// complaintCount are those about sends as late as the samples kept.
-func (b *buildWindow) complaintCount() (n float64) {
-	for _, x := range b.complaints {
-		if len(b.samples) > 0 && x.at >= b.samples[0].at {
+// complaintCount counts the complaints as late as the samples kept.
+func (w *buildWindow) complaintCount() (n float64) {
+	for _, complaint := range w.complaints {
+		if len(w.samples) > 0 && complaint.at >= w.samples[0].at {
 			n++
 		}
 	}
 	return n
 }
 
-// logLatencyRatiosSince is the log of how slow the earlier build's answers since from are against the time before the
-// trial, and their number.
-func (b *buildWindow) logLatencyRatiosSince(from Time, crowd float64) (logs []float64) {
-	for _, x := range b.since(from + 1) {
-		if x.class.baselineLatency > 0 {
-			logs = append(logs, x.logLatencyRatio(crowd))
+// logLatencyRatiosSince gives the logs of the latencies after a moment over the usual ones before the canary.
+func (w *buildWindow) logLatencyRatiosSince(from Time, concurrencyCost float64) (logs []float64) {
+	for _, sample := range w.since(from + 1) {
+		if sample.class.baselineLatency > 0 {
+			logs = append(logs, sample.logLatencyRatio(concurrencyCost))
 		}
 	}
 	return logs
 }
 
-// window is what is kept of a build.
+// window gives a build's window, an empty one for a build that has none.
 func (a *analysisState) window(build int) *buildWindow {
-	for _, b := range a.windows {
-		if b.build == build {
-			return b
+	for _, window := range a.windows {
+		if window.build == build {
+			return window
 		}
 	}
-	a.windows = appendBounded(a.windows, &buildWindow{build: build}, 4)
+	a.windows = appendBounded(a.windows, &buildWindow{build: build}, keptBuilds)
 	return a.windows[len(a.windows)-1]
 }
 
-// baselineWindow is the latest earlier build that some sends are known of, if any; where the desk's counts are judged, by
-// these: a router of hundreds has a few sends of its own.
-func (r *Router) baselineWindow(build, sends int) (last *buildWindow) {
+// baselineWindow is the window of the latest build before a build with more than so many attempts, nil for none; where the
+// release controller's statistics outweigh own attempts, by these, as one of hundreds of routers has few of its own.
+func (r *Router) baselineWindow(build, attempts int) (latest *buildWindow) {
 	if r.statsOutweighOwn() {
 		for _, x := range r.analysis.stats {
-			if x.Build < build && (last == nil || x.Build > last.build) && r.analysis.countedAttempts(x.Build) > float64(sends) {
-				last = r.analysis.window(x.Build)
+			if x.Build < build && (latest == nil || x.Build > latest.build) &&
+				r.analysis.countedAttempts(x.Build) > float64(attempts) {
+				latest = r.analysis.window(x.Build)
 			}
 		}
 	}
-	if last != nil {
-		return last
+	if latest != nil {
+		return latest
 	}
-	for _, b := range r.analysis.windows {
-		if b.build < build && len(b.samples) > sends && (last == nil || b.build > last.build) {
-			last = b
+	for _, window := range r.analysis.windows {
+		if window.build < build && len(window.samples) > attempts && (latest == nil || window.build > latest.build) {
+			latest = window
 		}
 	}
-	return last
+	return latest
 }
 
-// ComplaintReceived takes in that a client found an answer wrong.
+// ComplaintReceived says that a client found a response of a host wrong, to an attempt sent so long ago.
 func (r *Router) ComplaintReceived(now Time, host *Host, class *Class, age Time) {
 	r.now = now
-	if b := r.analysis.window(host.Build); host.StartedAt <= now-age {
-		r.gossip.complaints[b.build]++
-		r.gossip.unsentComplaints[b.build]++
-		b.complaints = appendBounded(b.complaints, attemptSample{at: now, host: host, class: class}, 240)
+	if window := r.analysis.window(host.Build); host.StartedAt <= now-age {
+		r.gossip.complaints[window.build]++
+		r.gossip.unsentComplaints[window.build]++
+		window.complaints = appendBounded(window.complaints, attemptSample{at: now, host: host, class: class}, keptComplaints)
 	}
 }
 
-// complaintStratum is how many answers of a build all routers heard complaints of, among the sends that the desk
-// counted; these come later, so there are never fewer.
-func (r *Router) complaintStratum(b *buildWindow) stratum {
-	bad := float64(r.gossip.complaints[b.build])
-	return stratum{failures: bad, attempts: max(1, bad, r.analysis.countedAttempts(b.build)/max(0.01, r.release.config.SampledShare))}
+// evidenceSum is the weighed mean of the tests' odds that the canary is bad; 1 is no evidence.
+type evidenceSum struct {
+	sum, weights float64
+	testOdds     []float64 // of each test, to clear the canary
 }
 
-// evidence is the evidence that the newest build is bad, in odds; 1 is none. Copies are judged against the
-// sends at the build before it: failures over all and by category, the desk's counts, slowness, complaints.
-// The mean is what a vote back needs; what may still be wrong, test by test, is what a release needs to know.
-func (r *Router) evidence() (mean float64, testOdds []float64) {
-	const floor, worst, stray = 0.01, 0.25, 1                  // least usual failures; hosts left out
-	const while, kin = 2 * Second, 5.0                         // one time; originals that the rest weigh
-	const twice, lasting, begins = 0.4, 8 * Second, 5 * Second // log of it; so long, so soon after a release
-	now, before := r.analysis.window(r.release.status.Build), r.baselineWindow(r.release.status.Build, 20)
-	if before == nil {
-		return 1, nil
-	}
-	// Copies and originals of the same time are compared, or a trouble that begins or ends speaks for a build.
-	fresh, peers := now.since(before.start()), before.since(now.start())
-	if r.release.status.Phase == Released { // what was kept of the earlier build, against what happens now
-		fresh, peers = now.since(r.now-10*Second), before.samples
-	}
-	// A cold host is slow whatever its build; time-outs of hasty clients or in a release's jam say nothing.
-	warm := func(s attemptSample) bool { return s.hostAge > r.limits.WarmUp }
-	fair := func(s attemptSample) bool {
-		return s.outcome != TimedOut || warm(s) && !s.impatient && r.release.status.Phase == Canary
-	}
-	counts := r.comparableStats(now.build, before.build)
-	sum, shares := 0.0, 0.0
-	add := func(share, guilt, doubt float64) {
-		sum, shares, testOdds = sum+share*guilt, shares+share, append(testOdds, doubt)
-	}
-	test := func(share float64, classes []*Class, gaps ...float64) (doubt float64) {
-		weigh := func(but float64) float64 {
-			var parts []stratum
-			most := 0
-			for _, class := range classes { // each against its own originals: the mix may change
-				is := func(s attemptSample) bool { return s.class == class && fair(s) }
-				some, hosts := strataByTime(fresh, peers, is, but, stray, while, kin)
-				if r.judgesByStats() { // which does not tell hosts apart: this router's own copies do
-					some, hosts = strataByPeriod(counts[0], counts[1], class, kin), hosts+1
-					some = withRateFloor(some, r.pretrialFailureRate(before, class, floor, kin)) // a trial leaves earlier hosts idle
-				}
-				parts, most = append(parts, some...), max(most, hosts)
-			}
-			return boundByHosts(failureEvidence(withRateFloor(parts, floor), gaps...), most)
-		}
-		doubt = weigh(0)
-		add(share, weigh(worst), doubt)
-		return doubt
-	}
-	small, large, whole, apart := 0.06, 0.15, 0.25, 0.04
-	if r.release.status.Phase == Released { // the earlier machines are gone: a small harm is cheaper than going back
-		small, large, whole, apart = 0.3, 0.5, 0.5, 0.16 // and a jam after the release is not the build's
-	}
-	test(1, r.classes, small, large, 0.6)
-	for _, class := range r.classes {
-		class.failureOdds = test(1/float64(len(r.classes)), []*Class{class}, whole, 0.7)
-		if r.release.config.SampledShare > 0 && !r.judgesByStats() && class.Idempotency != Idempotent { // not told by host: far beyond one sick one
-			o := r.countedFailureEvidence(class, now.build, before.build, 4, 0.1, 0.25, 0.6)
-			add(1/float64(len(r.classes)), o, o)
-		}
-	}
-	done := func(s attemptSample) bool { // errors are quick
-		return warm(s) && (s.outcome == Succeeded || s.outcome == TimedOut)
-	}
-	level := logSlowdownByTime(peers, done, while, kin)
-	all, usual := summarizeByHost(fresh, done, level), summarizeByHost(peers, done, level)
-	slower := func(share float64) float64 { return r.latencyEvidence(all, usual, counts, before.build, apart, share) }
-	add(1, slower(0.75), slower(0.5)) // most hosts to convict, half to doubt
-	if r.release.status.Phase == Canary {
-		o := r.surgeEvidence(before)
-		add(1, o, o)
-	}
-	logs := now.logLatencyRatiosSince(r.now-3*Second, r.load.concurrencyCost)
-	n := float64(len(logs)) // few of them scatter
-	slow := stat.Mean(logs, nil) - 0.5/math.Sqrt(n)
-	if r.statsOutweighOwn() { // a router's own figures are against a third more than the middle
-		slow, n = logLatencyGapToPast(r.analysis.stats, nil, before.build, now.build, r.release.offeredAt, r.now-3*Second, 0.3)
-	}
-	if r.release.status.Phase != Released || n < 5 || slow < twice {
-		r.surge.lastNormalAt = r.now
-	} else if r.now-r.surge.lastNormalAt > lasting && r.surge.lastNormalAt < r.release.stageStartedAt+begins { // later, it is another trouble
-		add(1, math.Inf(1), 1)
-	}
-	if r.release.config.ComplaintShare > 0 {
-		x := stratum{now.complaintCount(), float64(len(now.samples)), before.complaintCount() / float64(len(before.samples)+1)}
-		if r.limits.MaxGossipBytes > 0 && r.judgesByStats() { // of all routers, against all sends
-			y := r.complaintStratum(before)
-			x = r.complaintStratum(now)
-			x.expectedRate = y.failures / y.attempts
-		}
-		o := failureEvidence(withRateFloor([]stratum{x}, 0.003), 0.01, 0.04) // now and then a client errs
-		add(1, o, o)
-	}
-	return sum / shares, testOdds
-}
-
-// latencyEvidence weighs whether a build's hosts are slower than the ones before, host by host, as they differ. apart is
-// the variance between two good sets, at two times; share is how many must be that slow. Or the desk speaks.
-func (r *Router) latencyEvidence(now, before []hostSummary, counts [2][]BuildStats, was int, apart, share float64) float64 {
-	const differ, scatter = 0.2, 0.8                         // variance: the one's square, and the other by sends
-	const more = 0.6                                         // log of 1.8: a fleet that is half full feels that
-	fresh, a := hostLogSlowdowns(now, differ, scatter, 3, 1) // or 1, with so many hosts that none is met three times
-	usual, b := hostLogSlowdowns(before, differ, scatter, 3, 1)
-	hosts := len(fresh)
-	if r.judgesByStats() {
-		gap, n, of, on := logLatencyGap(counts[0], counts[1])
-		if calm, m := logLatencyGapToPast(r.analysis.stats, nil, was, r.release.status.Build, r.release.offeredAt, r.release.offeredAt, 0); m > 0 {
-			gap = min(gap, calm) // a trial that takes most of the traffic leaves the earlier hosts idle
-		}
-		fresh, usual, hosts = []float64{gap}, []float64{0}, on
-		a, b = differ*differ/max(1, float64(on))+scatter/max(0.01, n), scatter/max(0.01, of)
-	}
-	if min(len(fresh), len(usual)) == 0 {
-		return 1
-	}
-	gap := upperQuantile(fresh, share) - upperQuantile(usual, 0.5)
-	return boundByHosts(likelihoodRatio(gap, more, a+b+apart, 6), hosts)
+// add takes in one test. Its odds to convict and to clear the canary differ where one leaves out what the other doesn't.
+func (e *evidenceSum) add(weight, toConvict, toClear float64) {
+	e.sum, e.weights, e.testOdds = e.sum+weight*toConvict, e.weights+weight, append(e.testOdds, toClear)
 }
 
-// hostSummary is what one host's samples say of its build.
-type hostSummary struct {
-	host                            *Host
-	attempts, failures, logSlowdown float64 // slow sums up logs of paces
+// comparison is what the tests go by: samples of canary and baseline of the same time, so that a fault that begins or ends
+// speaks for neither, and the release controller's reports on them.
+type comparison struct {
+	canary, baseline               *buildWindow
+	canarySamples, baselineSamples []attemptSample
+	stats                          buildPair
+	gaps                           gapSizes
 }
 
-// summarizeByHost sums up samples by host, the ones with most bad last; how slow they were is told from a level.
-func summarizeByHost(all []attemptSample, of func(attemptSample) bool, level func(attemptSample) float64) (sums []hostSummary) {
-	for _, s := range all {
-		if !of(s) {
-			continue
-		}
-		i := slices.IndexFunc(sums, func(x hostSummary) bool { return x.host == s.host })
-		if i < 0 {
-			i, sums = len(sums), append(sums, hostSummary{host: s.host})
-		}
-		sums[i].attempts, sums[i].logSlowdown = sums[i].attempts+1, sums[i].logSlowdown+s.logSlowdown()-level(s)
-		if s.outcome != Succeeded {
-			sums[i].failures++
-		}
-	}
-	slices.SortStableFunc(sums, func(a, b hostSummary) int { return int(a.failures - b.failures) })
-	return sums
+// gapSizes are the gaps that count as harm.
+type gapSizes struct {
+	smallFailureGap, largeFailureGap float64 // of failure rates over all classes
+	classFailureGap                  float64 // of one class
+	latencyVariance                  float64 // of log slowdowns between two good sets of hosts, at two times
 }
 
-// stratum is how many tries of a kind went bad, and the share of them that usually does.
-type stratum struct{ failures, attempts, expectedRate float64 }
+// After a release the baseline's hosts are gone: a small harm is cheaper than rolling back, and an overload that the release
+// brings is not the build's.
+var (
+	canaryGaps   = gapSizes{0.06, 0.15, 0.25, 0.04}
+	releasedGaps = gapSizes{0.3, 0.5, 0.5, 0.16}
+)
 
-func (p *stratum) add(s attemptSample) {
-	if p.attempts++; s.outcome != Succeeded {
-		p.failures++
-	}
-}
+// Failure gaps that count as harm in any phase.
+const allFailureGap, allClassFailureGap = 0.6, 0.7
 
-// failureRate is how many went bad, leaning on all others as if these were kin.
-func (p stratum) failureRate(all stratum, priorWeight float64) float64 {
-	return (p.failures + priorWeight*all.failures/all.attempts) / (p.attempts + priorWeight)
+// compareBuilds prepares the tests of the newest build; ok is false while too little is known of an earlier one.
+func (r *Router) compareBuilds() (c comparison, ok bool) {
+	const minBaselineAttempts = 20
+	const releasedWindow = 10 * Second
+	c.canary = r.analysis.window(r.release.status.Build)
+	if c.baseline = r.baselineWindow(r.release.status.Build, minBaselineAttempts); c.baseline == nil {
+		return c, false
+	}
+	c.gaps = canaryGaps
+	c.canarySamples, c.baselineSamples = c.canary.since(c.baseline.start()), c.baseline.since(c.canary.start())
+	if r.release.status.Phase == Released { // what was kept of the baseline, against what happens now
+		c.gaps = releasedGaps
+		c.canarySamples, c.baselineSamples = c.canary.since(r.now-releasedWindow), c.baseline.samples
+	}
+	c.stats = r.comparableStats(c.canary.build, c.baseline.build)
+	return c, true
 }
 
-// withRateFloor has no part whose usual share is below a floor.
-func withRateFloor(parts []stratum, floor float64) []stratum {
-	for i := range parts {
-		parts[i].expectedRate = max(floor, parts[i].expectedRate)
+// evidence gives the odds that the newest build is bad: shadow attempts are judged against attempts at the build before it,
+// by failures over all and by class, latency, a surge of the fleet's latency and complaints. The mean is what a vote to roll
+// back needs; the tests' odds are what a release must not leave open.
+func (r *Router) evidence() (mean float64, testOdds []float64) {
+	c, ok := r.compareBuilds()
+	if !ok {
+		return 1, nil
+	}
+	var sum evidenceSum
+	r.testFailures(c, &sum)
+	r.testLatency(c, &sum)
+	if r.release.status.Phase == Canary {
+		odds := r.surgeEvidence(c.baseline)
+		sum.add(1, odds, odds)
 	}
-	return parts
+	r.testSlowRelease(c, &sum)
+	r.testComplaints(c, &sum)
+	return sum.sum / sum.weights, sum.testOdds
 }
 
-// failureEvidence weighs bad against n tries, part by part, as signs that a build fails more than the usual share: the
-// mean likelihood ratio over a few sizes of the gap. Were the build good it would pass x with a chance of at
-// most 1/x, however often it is looked at, and a mean of such odds keeps that bound; so many looks and tests
-// raise no alarm.
-func failureEvidence(parts []stratum, gaps ...float64) (mean float64) {
-	for _, g := range gaps {
-		sum := 0.0
-		for _, x := range parts {
-			p := x.expectedRate + g*(1-x.expectedRate)
-			sum += x.failures*math.Log(p/x.expectedRate) + (x.attempts-x.failures)*math.Log((1-p)/(1-x.expectedRate))
+// isWarmSample tells samples of warm hosts: a cold one is slow whatever its build.
+func (r *Router) isWarmSample(sample attemptSample) bool { return sample.hostAge > r.limits.WarmUp }
+
+// testFailures tests failure rates over all classes and of each, and sets the classes' failure odds.
+func (r *Router) testFailures(c comparison, sum *evidenceSum) {
+	r.testClassFailures(c, sum, 1, r.classes, c.gaps.smallFailureGap, c.gaps.largeFailureGap, allFailureGap)
+	for i, class := range r.classes {
+		weight := 1 / float64(len(r.classes))
+		class.failureOdds = r.testClassFailures(c, sum, weight, r.classes[i:i+1], c.gaps.classFailureGap, allClassFailureGap)
+		if r.release.config.SampledShare > 0 && !r.judgesByStats() && class.Idempotency != Idempotent {
+			odds := r.countedFailureEvidence(class, c.canary.build, c.baseline.build)
+			sum.add(weight, odds, odds)
 		}
-		mean += math.Exp(min(50, sum)) / float64(len(gaps))
 	}
-	return mean
 }
 
-// likelihoodRatio is the likelihood ratio of a gap that is as large as more against none, for a gap measured with some
-// variance; its log is at most as stated, for the model itself may be wrong.
-func likelihoodRatio(gap, more, variance, most float64) float64 {
-	return math.Exp(max(-most, min(most, (gap*more-more*more/2)/variance)))
+// testClassFailures tests the failure rates of some classes together and returns the odds to clear the canary. To convict it
+// the worst hosts are left out.
+func (r *Router) testClassFailures(c comparison, sum *evidenceSum, weight float64, classes []*Class, gaps ...float64) float64 {
+	const worstHosts = 0.25 // share
+	odds := func(excluded float64) float64 {
+		strata, hosts := r.failureStrata(c, classes, excluded)
+		return boundByHosts(failureEvidence(strata, gaps...), hosts)
+	}
+	toClear := odds(0)
+	sum.add(weight, odds(worstHosts), toClear)
+	return toClear
 }
 
-// boundByHosts bounds the odds by the number of hosts that speak for them: each may at most quadruple them.
-func boundByHosts(o float64, hosts int) float64 { return min(o, math.Pow(4, float64(max(1, hosts)))) }
-
-// excludeWorstHosts are all hosts but a share of them, those with most failures, and how many of these have any. So few
-// failures of a host as are stray are no sign that it differs from the rest.
-func excludeWorstHosts(sums []hostSummary, but, stray float64) (some map[*Host]bool, failing int) {
-	some = map[*Host]bool{}
-	left := int(math.Ceil(but * float64(len(sums))))
-	for i, x := range sums {
-		if some[x.host] = i == 0 || i < len(sums)-left || x.failures <= stray; some[x.host] && x.failures > 0 {
-			failing++
+// failureStrata gives the canary's attempts of some classes, each class compared with itself, as the mix may change, and the
+// most hosts that failed in one of them. Timeouts of cold hosts, of impatient clients and after a release don't count.
+func (r *Router) failureStrata(c comparison, classes []*Class, excluded float64) (strata []stratum, hosts int) {
+	const minRate = 0.01 // that is to be expected of any build
+	for _, class := range classes {
+		counts := func(sample attemptSample) bool {
+			return sample.class == class && (sample.outcome != TimedOut ||
+				r.isWarmSample(sample) && !sample.impatient && r.release.status.Phase == Canary)
+		}
+		classStrata, failing := strataByTime(c.canarySamples, c.baselineSamples, counts, excluded)
+		if r.judgesByStats() { // these don't tell hosts apart: own shadow attempts do
+			classStrata, failing = c.stats.strataByPeriod(class), failing+1
+			// A canary that takes most of the traffic leaves the baseline's hosts idle.
+			classStrata = withRateFloor(classStrata, r.failureRateBeforeCanary(c.baseline, class, minRate))
 		}
+		strata, hosts = append(strata, classStrata...), max(hosts, failing)
 	}
-	return some, failing
+	return withRateFloor(strata, minRate), hosts
 }
 
-// strataByTime parts sends of a kind by the time when they were made, each with the share of the originals of that
-// time that went bad; kin is how many of these all the others weigh as much as. Hosts are spared as told.
-func strataByTime(fresh, peers []attemptSample, is func(attemptSample) bool, but, stray float64, slotLength Time, priorWeight float64) (
-	parts []stratum, hosts int) {
-	flat := func(attemptSample) float64 { return 0 }
-	some, hosts := excludeWorstHosts(summarizeByHost(fresh, is, flat), but, stray)
-	same, _ := excludeWorstHosts(summarizeByHost(peers, is, flat), but, stray)
-	was, all := map[Time]stratum{}, stratum{0.5, 1, 0}
-	for _, s := range peers {
-		if is(s) && same[s.host] {
-			w := was[s.timeSlot(slotLength)]
-			w.add(s)
-			all.add(s)
-			was[s.timeSlot(slotLength)] = w
+// testLatency tests whether canary hosts are slower: most of them to convict the build, half of them to doubt it.
+func (r *Router) testLatency(c comparison, sum *evidenceSum) {
+	const most, half = 0.75, 0.5
+	counts := func(sample attemptSample) bool { // errors are quick
+		return r.isWarmSample(sample) && (sample.outcome == Succeeded || sample.outcome == TimedOut)
+	}
+	level := logSlowdownByTime(c.baselineSamples, counts)
+	canary, baseline := summarizeByHost(c.canarySamples, counts, level), summarizeByHost(c.baselineSamples, counts, level)
+	sum.add(1, r.latencyEvidence(c, canary, baseline, most), r.latencyEvidence(c, canary, baseline, half))
+}
+
+// latencyEvidence gives the odds that canary hosts are slower than baseline hosts, by the variance among hosts, or by the
+// release controller's statistics. share is how many of the hosts must be slower.
+func (r *Router) latencyEvidence(c comparison, canary, baseline []hostSummary, share float64) float64 {
+	const hostDeviation, attemptVariance = 0.2, 0.8 // of log slowdowns
+	const slower = 0.6                              // log of 1.8: a fleet that is half busy feels that
+	const logLimit = 6
+	const enough, few = 3, 1 // attempts at a host; few where hosts are so many that none gets enough
+	slowdowns, variance := hostLogSlowdowns(canary, hostDeviation, attemptVariance, enough, few)
+	usual, usualVariance := hostLogSlowdowns(baseline, hostDeviation, attemptVariance, enough, few)
+	hosts := len(slowdowns)
+	if r.judgesByStats() {
+		gap, offeredAt := c.stats.latencyGap(), r.release.offeredAt
+		toPast, n := r.analysis.logLatencyGapToPast(nil, c.baseline.build, r.release.status.Build, offeredAt, offeredAt)
+		if n > 0 {
+			gap.log = min(gap.log, toPast) // a canary that takes most of the traffic leaves the baseline's hosts idle
 		}
+		slowdowns, usual, hosts = []float64{gap.log}, []float64{0}, gap.canaryHosts
+		variance = hostDeviation*hostDeviation/max(1, float64(gap.canaryHosts)) + attemptVariance/max(0.01, gap.canary)
+		usualVariance = attemptVariance / max(0.01, gap.baseline)
 	}
-	where := map[Time]int{}
-	for _, s := range fresh {
-		if !is(s) || !some[s.host] {
-			continue
-		}
-		t := s.timeSlot(slotLength)
-		if _, ok := where[t]; !ok {
-			where[t], parts = len(parts), append(parts, stratum{expectedRate: was[t].failureRate(all, priorWeight)})
-		}
-		parts[where[t]].add(s)
+	if min(len(slowdowns), len(usual)) == 0 {
+		return 1
 	}
-	return parts, hosts
+	gap := upperQuantile(slowdowns, share) - upperQuantile(usual, 0.5)
+	return boundByHosts(likelihoodRatio(gap, slower, variance+usualVariance+c.gaps.latencyVariance, logLimit), hosts)
 }
 
-// strataByPeriod does the same with the desk's counts, period by period.
-func strataByPeriod(now, before []BuildStats, class *Class, priorWeight float64) (parts []stratum) {
-	bad, n, _ := sumStats(before, class)
-	all := stratum{0.5 + bad, 1 + n, 0}
-	of := func(x BuildStats) stratum {
-		return stratum{failures: float64(x.Failures), attempts: float64(x.Samples)}
+// testSlowRelease convicts a released build whose responses take far longer than before, for a while that began soon after
+// the release; later slowness has another cause.
+func (r *Router) testSlowRelease(c comparison, sum *evidenceSum) {
+	const window = 3 * Second
+	const farSlower = 0.4     // log
+	const statsMargin = 0.3   // log that statistics must be beyond
+	const ownDeviations = 0.5 // that own samples must be beyond, by the root of their number
+	const minSamples = 5
+	const lasts, beginsWithin = 8 * Second, 5 * Second
+	logs := c.canary.logLatencyRatiosSince(r.now-window, r.load.concurrencyCost)
+	n := float64(len(logs))
+	slower := stat.Mean(logs, nil) - ownDeviations/math.Sqrt(n)
+	if r.statsOutweighOwn() {
+		slower, n = r.analysis.logLatencyGapToPast(nil, c.baseline.build, c.canary.build, r.release.offeredAt, r.now-window)
+		slower -= statsMargin
 	}
-	for _, x := range now {
-		if x.Class == class {
-			p := of(x)
-			p.expectedRate = of(samePeriod(x, before)).failureRate(all, priorWeight)
-			parts = append(parts, p)
-		}
+	if r.release.status.Phase != Released || n < minSamples || slower < farSlower {
+		r.surge.lastNormalAt = r.now
+	} else if r.now-r.surge.lastNormalAt > lasts && r.surge.lastNormalAt < r.release.stageStartedAt+beginsWithin {
+		sum.add(1, math.Inf(1), 1)
 	}
-	return parts
 }
 
-// logSlowdownByTime tells how slow, as a log, sends of a kind were on average at the time of a sample, likewise.
-func logSlowdownByTime(all []attemptSample, is func(attemptSample) bool, slotLength Time, priorWeight float64) func(attemptSample) float64 {
-	type sum struct{ slow, n float64 }
-	of, whole := map[Time]sum{}, sum{0, 0.01}
-	for _, s := range all {
-		if is(s) {
-			t := of[s.timeSlot(slotLength)]
-			of[s.timeSlot(slotLength)] = sum{t.slow + s.logSlowdown(), t.n + 1}
-			whole = sum{whole.slow + s.logSlowdown(), whole.n + 1}
-		}
-	}
-	return func(s attemptSample) float64 {
-		t := of[s.timeSlot(slotLength)]
-		return (t.slow + priorWeight*whole.slow/whole.n) / (t.n + priorWeight)
-	}
+// testComplaints tests the rate of complaints on wrong responses.
+func (r *Router) testComplaints(c comparison, sum *evidenceSum) {
+	const minRate = 0.003 // now and then a client errs
+	const smallGap, largeGap = 0.01, 0.04
+	if r.release.config.ComplaintShare <= 0 {
+		return
+	}
+	complaints := stratum{failures: c.canary.complaintCount(), attempts: float64(len(c.canary.samples)),
+		expectedRate: c.baseline.complaintCount() / float64(len(c.baseline.samples)+1)}
+	if r.limits.MaxGossipBytes > 0 && r.judgesByStats() {
+		complaints = r.fleetComplaints(c.canary)
+		usual := r.fleetComplaints(c.baseline)
+		complaints.expectedRate = usual.failures / usual.attempts
+	}
+	odds := failureEvidence(withRateFloor([]stratum{complaints}, minRate), smallGap, largeGap)
+	sum.add(1, odds, odds)
 }
 
-// hostLogSlowdowns are the logs of how slow hosts are, and the variance of their mean when hosts differ by so much among
-// themselves and sends scatter by so much. Only hosts with the first of so many sends count, else the next.
-func hostLogSlowdowns(hosts []hostSummary, differ, scatter float64, least ...float64) (logs []float64, variance float64) {
-	for len(logs) == 0 && len(least) > 0 {
-		for _, x := range hosts {
-			if x.attempts >= least[0] {
-				logs, variance = append(logs, x.logSlowdown/x.attempts), variance+differ*differ+scatter/x.attempts
-			}
-		}
-		least = least[1:]
-	}
-	return logs, variance / max(1, float64(len(logs)*len(logs)))
+// fleetComplaints counts the complaints on a build that all routers heard, among the attempts that the release controller
+// counted; as its reports come later there are never fewer attempts than complaints.
+func (r *Router) fleetComplaints(window *buildWindow) stratum {
+	complaints := float64(r.gossip.complaints[window.build])
+	attempts := r.analysis.countedAttempts(window.build) / max(0.01, r.release.config.SampledShare)
+	return stratum{failures: complaints, attempts: max(1, complaints, attempts)}
 }
--- a/policy/attempt.go
+++ b/policy/attempt.go
@@ -1,94 +1,105 @@
 package policy
 
-import (
-	"slices"
-)
+import "slices"
 
-// Outcome is how a send ended.
+// Outcome is how an attempt ended.
 type Outcome int
 
+// Outcomes; their values are stored.
 const (
-	Pending        Outcome = iota
-	Succeeded              // answered
-	Failed                 // answered with an error; it may have run
-	Rejected               // rejected unseen
-	TimedOut               // no answer in time; it may have run
-	ConnectFailed          // no connection in time; it never ran
-	ConnectionLost         // the connection dropped; it may have run
-	Canceled               // the router stopped waiting; it may have run
-	NotSent                // it never left
+	Pending        Outcome = iota // still in flight
+	Succeeded                     // a response
+	Failed                        // an error response; the request may have been executed
+	Rejected                      // refused by the host before execution
+	TimedOut                      // no response in time; it may have been executed
+	ConnectFailed                 // no connection in time; it was not executed
+	ConnectionLost                // the connection dropped; it may have been executed
+	Canceled                      // the router stopped waiting; it may have been executed
+	NotSent                       // it never left the router
 )
 
-// Attempt is one try of a task at a host.
+// Attempt is one try of a request at a host.
 type Attempt struct {
 	Request *Request
 	Host    *Host
 
 	outcome         Outcome
+	role            attemptRole
 	sentAt          Time
-	build           int
-	hostStartedAt   Time
-	shadowTimeout   Time // what a lone copy would be given
+	build           int  // that the host ran
+	hostStartedAt   Time // of the process that got it
 	hostLoad        float64
-	role            attemptRole
+	shadowTimeout   Time // what a shadow attempt before its primary one would be given
 	responseStarted bool
 }
 
-// IsShadow tells a send that was made to judge the build on trial: beside its original, or before it.
-func (s *Attempt) IsShadow() bool { return s.role == shadowAttempt || s.role == shadowFirstAttempt }
+// IsShadow tells an attempt that was made to judge the canary, beside the primary attempt or before it.
+func (a *Attempt) IsShadow() bool { return a.role == shadowAttempt || a.role == shadowFirstAttempt }
 
 type attemptRole int
 
 const (
 	primaryAttempt     attemptRole = iota
-	shadowAttempt                  // beside its original
-	shadowFirstAttempt             // before its original, where two at once are forbidden or the category has an effect
-	retryAttempt
+	shadowAttempt                  // at the canary, beside the primary one
+	shadowFirstAttempt             // before the primary one, where two at once are not allowed or the class is not idempotent
+	retryAttempt                   // a retry or a hedged attempt
 )
 
+// send starts an attempt with its timeout, and the timer of a hedged one where that is allowed.
 func (r *Router) send(request *Request, host *Host, role attemptRole) {
+	class := request.Class
 	attempt := r.startAttempt(request, host, role)
-	within, slowest := request.arrivedAt+request.Timeout-r.now, request.Class.LatencyObjective/2
-	if len(request.Class.latencies) >= 40 { // fewer show no tail
-		slowest = upperQuantile(request.Class.latencies, 0.05)
-	}
-	lingersAt := max(slowest*3/2, request.Class.usualLatency*2) // beyond 19 in 20, with some slack
-	attempt.shadowTimeout = min(within, Time(float64(max(lingersAt, request.Class.LatencyObjective/3))/r.capacityFactor(host)))
+	within := request.arrivedAt + request.Timeout - r.now
+	slowAfter := class.slowAfter()
+	attempt.shadowTimeout = min(within, Time(float64(max(slowAfter, class.LatencyObjective/3))/r.capacityFactor(host)))
 	switch {
-	case !request.Class.repeatsSafely():
+	case !class.repeatsSafely():
 	case r.limits.AllowHedging && role != shadowAttempt:
-		r.effects.SetTimer(lingersAt, &Timer{attempt: attempt})
+		r.effects.SetTimer(slowAfter, &Timer{attempt: attempt})
 	case r.limits.AllowHedging || len(request.Attempts) >= r.limits.MaxAttempts:
-	case role == shadowFirstAttempt: // it leaves its original the time to answer; a cold host is slow
+	case role == shadowFirstAttempt: // it leaves the primary attempt the time to answer; a cold host is slow
 		within = attempt.shadowTimeout
-	case request.arrivedAt+request.Class.LatencyObjective-r.now-request.Class.usualLatency > lingersAt && r.retryBudgetAllows(request.Class):
-		within = min(within, lingersAt)
+	case request.arrivedAt+class.LatencyObjective-r.now-class.usualLatency > slowAfter && r.retryBudgetAllows(class):
+		within = min(within, slowAfter)
 	}
 	r.effects.Send(attempt, within)
 }
 
-// startAttempt notes a new send.
+// slowAfter is the age at which an attempt counts as slow: beyond 19 in 20 successes, with some slack.
+func (c *Class) slowAfter() Time {
+	const enough, tail = 40, 0.05 // fewer latencies show no tail
+	slowest := c.LatencyObjective / 2
+	if len(c.latencies) >= enough {
+		slowest = upperQuantile(c.latencies, tail)
+	}
+	return max(slowest*3/2, c.usualLatency*2)
+}
+
+// startAttempt notes a new attempt.
 func (r *Router) startAttempt(request *Request, host *Host, role attemptRole) *Attempt {
-	attempt := &Attempt{Request: request, Host: host, sentAt: r.now, build: host.Build, hostStartedAt: host.StartedAt, hostLoad: r.hostLoad(host), role: role}
+	attempt := &Attempt{Request: request, Host: host, role: role, sentAt: r.now, build: host.Build,
+		hostStartedAt: host.StartedAt, hostLoad: r.hostLoad(host)}
 	request.Attempts, host.inFlight = append(request.Attempts, attempt), append(host.inFlight, attempt)
 	if host.health == healthy && r.isBaseline(host) {
 		r.fleet.inFlight[r.localityOf(host)]++
 	}
-	host.attempts = appendBounded(host.attempts, trafficEvent{at: r.now, class: request.Class}, 256)
+	event := trafficEvent{at: r.now, class: request.Class}
+	host.attempts = appendBounded(host.attempts, event, keptHostEvents)
 	if r.isBaseline(host) {
-		r.traffic.baselineAttempts = appendBounded(r.traffic.baselineAttempts, trafficEvent{at: r.now, class: request.Class}, 8192)
+		r.traffic.baselineAttempts = appendBounded(r.traffic.baselineAttempts, event, keptFleetEvents)
 	} else {
-		r.traffic.canaryAttempts = appendBounded(r.traffic.canaryAttempts, trafficEvent{at: r.now, class: request.Class}, 8192)
+		r.traffic.canaryAttempts = appendBounded(r.traffic.canaryAttempts, event, keptFleetEvents)
 	}
 	return attempt
 }
 
-// ResponseStarted says that a send's answer has started to stream.
+// ResponseStarted says that the first byte of an attempt's response has come: it is not hedged any more.
 func (r *Router) ResponseStarted(now Time, attempt *Attempt) {
 	r.now, attempt.responseStarted = now, true
 }
 
-// AttemptEnded says how a send ended, how long it took, whether its task is over, and what the host reported.
+// AttemptEnded says how an attempt ended and how long it took. done tells that the request is over, by this attempt or
+// before it; load is what the host reported with it, nil for nothing.
 func (r *Router) AttemptEnded(now Time, attempt *Attempt, outcome Outcome, latency Time, done bool, load *LoadReport) {
 	request := attempt.Request
 	r.now = now
@@ -103,50 +114,64 @@
 	case request.firstAmbiguous == nil || attempt.sentAt < request.firstAmbiguous.sentAt:
 		request.firstAmbiguous = attempt
 	}
-	both := r.release.status.Phase == Canary || r.snapshot().newestBaselineHosts < r.snapshot().baselineHosts // builds a key could go between
-	if outcome == Succeeded && r.release.config.StickyKeys && request.Key != "" && attempt.build >= r.release.status.Build && both {
+	if outcome == Succeeded && r.release.config.StickyKeys && request.Key != "" &&
+		attempt.build >= r.release.status.Build && r.twoBuildsServe() {
 		r.release.stickyBuilds[request.Key] = attempt.build
 	}
 	r.handleRequestEvent(request, event)
 }
 
-// finishAttempt notes the end of a send.
+// twoBuildsServe tells whether a key could go from one build to another.
+func (r *Router) twoBuildsServe() bool {
+	fleet := r.snapshot()
+	return r.release.status.Phase == Canary || fleet.newestBaselineHosts < fleet.baselineHosts
+}
+
+// finishAttempt notes the end of an attempt.
 func (r *Router) finishAttempt(attempt *Attempt, outcome Outcome, load *LoadReport) {
+	host, class := attempt.Host, attempt.Request.Class
 	attempt.outcome = outcome
-	class := attempt.Request.Class
 	if outcome == Succeeded {
 		class.ownStats.add(admissionStats{at: r.now, usualLatency: float64(class.usualLatency), latency: float64(r.now - attempt.sentAt)})
 	}
-	was := len(attempt.Host.inFlight)
-	attempt.Host.inFlight = slices.DeleteFunc(attempt.Host.inFlight, func(x *Attempt) bool { return x == attempt })
-	if attempt.Host.health == healthy && r.isBaseline(attempt.Host) {
-		r.fleet.inFlight[r.localityOf(attempt.Host)] -= was - len(attempt.Host.inFlight)
+	was := len(host.inFlight)
+	host.inFlight = slices.DeleteFunc(host.inFlight, func(x *Attempt) bool { return x == attempt })
+	counts := host.health == healthy && r.isBaseline(host)
+	if counts {
+		r.fleet.inFlight[r.localityOf(host)] -= was - len(host.inFlight)
 	}
 	if load != nil {
-		if attempt.Host.load, attempt.Host.loadAt = load, r.now; load.ActiveRequests >= 0 {
-			r.load.reported = appendBounded(r.load.reported, load.ActiveRequests, 64)
+		if host.load, host.loadAt = load, r.now; load.ActiveRequests >= 0 {
+			r.load.reported = appendBounded(r.load.reported, load.ActiveRequests, keptLoadReports)
 		}
 	}
-	if attempt.Host.connectedAt = r.now; outcome == ConnectFailed {
-		attempt.Host.connectedAt = 0
-	}
-	x := trafficEvent{at: r.now, class: attempt.Request.Class, locality: r.localityOf(attempt.Host), outcome: outcome,
-		late: r.now-attempt.Request.arrivedAt > attempt.Request.Class.LatencyObjective}
-	way := healthStats{at: r.now, attempts: 1}
-	if x.late || outcome == TimedOut || outcome == ConnectFailed || outcome == ConnectionLost {
-		way.failures = 1
+	if host.connectedAt = r.now; outcome == ConnectFailed {
+		host.connectedAt = 0
 	}
-	r.zones.paths[x.locality].add(way)
+	event := trafficEvent{at: r.now, class: class, locality: r.localityOf(host), outcome: outcome,
+		late: r.now-attempt.Request.arrivedAt > class.LatencyObjective}
 	if outcome == Succeeded {
-		x.usualLatency = x.class.usualLatency
+		event.usualLatency = class.usualLatency
 	}
-	if attempt.Host.health == healthy && r.isBaseline(attempt.Host) {
-		x.latency = r.now - attempt.sentAt
+	if counts {
+		event.latency = r.now - attempt.sentAt
+	}
+	r.recordEnd(event)
+}
+
+// recordEnd takes the end of an attempt into the history, the state of its network path and the work completed.
+func (r *Router) recordEnd(event trafficEvent) {
+	path := healthStats{at: r.now, attempts: 1}
+	if event.late || event.outcome == TimedOut || event.outcome == ConnectFailed || event.outcome == ConnectionLost {
+		path.failures = 1
 	}
+	r.zones.paths[event.locality].add(path)
 	before := len(r.traffic.ended)
-	r.traffic.ended = appendBounded(r.traffic.ended, x, 4096)
+	r.traffic.ended = appendBounded(r.traffic.ended, event, keptEndedEvents)
 	r.traffic.endedBase += before + 1 - len(r.traffic.ended)
-	if x.usualLatency > 0 {
-		r.admission.completed[x.locality].responses.add(countedResponse{r.traffic.endedBase + len(r.traffic.ended) - 1, x.at, x.usualLatency, x.latency})
+	if event.usualLatency > 0 {
+		r.admission.completed[event.locality].responses.add(countedResponse{
+			sequence: r.traffic.endedBase + len(r.traffic.ended) - 1, at: event.at,
+			usualLatency: event.usualLatency, latency: event.latency})
 	}
 }
--- a/policy/balancing.go
+++ b/policy/balancing.go
@@ -7,6 +7,9 @@
 	"gonum.org/v1/gonum/stat"
 )
 
+// keptLoadReports is how many of the last load reports tell the usual load of a host.
+const keptLoadReports = 64
+
 // loadEstimate is what is known of how much hosts have in flight and what that costs.
 type loadEstimate struct {
 	reported        []float64       // requests in flight, as hosts last reported
@@ -25,174 +28,201 @@
 	planWeights    []float64
 }
 
-// WeightPlan is a plan of shares worked out ahead: a hint, which the router's own view goes before.
+// WeightPlan is a plan of weights that was worked out ahead. It is a hint: what the router observes goes before it.
 type WeightPlan struct {
-	Weights map[*Host]float64
-	Cross   float64 // share of the tasks that start far away
-	Until   Time    // it is not followed from then on
+	Weights map[*Host]float64 // within a locality, in one unit
+	Cross   float64           // share of the requests that start in another zone
+	Until   Time              // it is not followed from then on
 }
 
-// PlanOffered tells shares worked out ahead; hosts that they don't name have none.
-func (r *Router) PlanOffered(now Time, c WeightPlan) {
+// PlanOffered replaces the plan. Hosts that it doesn't name have no weight.
+func (r *Router) PlanOffered(now Time, plan WeightPlan) {
 	r.now = now
-	r.balancer.plan = c
+	r.balancer.plan = plan
 	for _, host := range r.hosts {
-		host.planWeight = c.Weights[host]
+		host.planWeight = plan.Weights[host]
 	}
 }
 
-// hostLoad is how many tasks a host seems to have in hand: what it reported, with what was sent since, which
-// fades into what hosts hold on average; else this router's own open sends as a share of everyone's. A
-// reported rate is no help: it calls all routers at once.
+func (p *WeightPlan) isActive(now Time) bool { return now < p.Until }
+
+// hostLoad estimates a host's requests in flight: what it reported, with the attempts sent since, which decays to what hosts
+// have on average; else this router's own attempts for each router. Request rates that hosts report are not used: they
+// would lead all routers to one host at once.
 func (r *Router) hostLoad(host *Host) float64 {
-	const fades = Second // about what it takes a queue to become another
+	const reportDecay = Second // about what it takes a queue to turn over
 	own := float64(len(host.inFlight))
 	if len(r.load.reported) == 0 && r.statsOutweighOwn() {
-		return r.load.counted + own // a router's own few, times their number, would be a host's load now and nothing then
+		return r.load.counted + own // a few own attempts times the number of routers would scatter too much
 	}
 	if len(r.load.reported) == 0 {
 		return own * float64(r.routers)
 	}
 	usual := recentMean(r.load.reported) + own
 	if l := host.load; l != nil && l.ActiveRequests >= 0 {
-		fresh := math.Exp(-float64(r.now-host.loadAt) / float64(fades))
-		return max(own, usual+(l.ActiveRequests+countSince(host.attempts, host.loadAt-1, nil)-usual)*fresh)
+		weight := math.Exp(-float64(r.now-host.loadAt) / float64(reportDecay))
+		return max(own, usual+(l.ActiveRequests+countSince(host.attempts, host.loadAt-1, nil)-usual)*weight)
 	}
 	return usual
 }
 
-// typicalLoad is what most hosts hold at the most, as they reported or the desk counted, or as own sends say.
+// typicalLoad is the median of the loads that hosts reported, else the mean that the release controller's statistics or own
+// attempts give.
 func (r *Router) typicalLoad() float64 {
-	switch m := r.snapshot(); {
+	switch fleet := r.snapshot(); {
 	case len(r.load.reported) > 0:
 		return upperQuantile(r.load.reported, 0.5)
 	case r.statsOutweighOwn():
 		return r.load.counted
 	default:
-		return float64((m.inFlight[localZone]+m.inFlight[remoteZones])*r.routers) / float64(max(1, m.healthy[localZone]+m.healthy[remoteZones]))
+		inFlight := (fleet.inFlight[localZone] + fleet.inFlight[remoteZones]) * r.routers
+		return float64(inFlight) / float64(max(1, fleet.healthy[localZone]+fleet.healthy[remoteZones]))
 	}
 }
 
-// hostSlowdown is how slow a host's last sends were against what is usual, given what it held; sends still out count
-// with their age. Few sends prove little: so many usual ones are assumed as doubt says, old ones forgotten.
-func (r *Router) hostSlowdown(host *Host, doubt float64, old Time) float64 {
-	pace, n := doubt, doubt
-	for _, p := range host.samples {
-		if r.now-p.at < old {
-			pace, n = pace+p.unqueuedSlowdown, n+1
+// hostSlowdown is how many times longer than usual a host's last attempts took, given its load; attempts in flight count
+// with their age once it is unusual. As few attempts prove little, some usual ones are added.
+func (r *Router) hostSlowdown(host *Host) float64 {
+	const usualAttempts, forgetAfter = 8.0, 10 * Second
+	const unusual = 2.0 // times the usual latency
+	slowdown, n := usualAttempts, usualAttempts
+	for _, sample := range host.samples {
+		if r.now-sample.at < forgetAfter {
+			slowdown, n = slowdown+sample.unqueuedSlowdown, n+1
 		}
 	}
 	for _, attempt := range host.inFlight {
 		usual := float64(attempt.Request.Class.usualLatency) * (1 + r.load.concurrencyCost*attempt.hostLoad)
-		if x := float64(r.now-attempt.sentAt) / usual; x > 2 {
-			pace, n = pace+x, n+1
+		if x := float64(r.now-attempt.sentAt) / usual; x > unusual {
+			slowdown, n = slowdown+x, n+1
 		}
 	}
-	return pace / n
+	return slowdown / n
 }
 
-// fitConcurrencyCost fits, by a line through the last finished sends, how much each task that a host holds adds to the
-// time of the next: near 1 where hosts work on one task at a time, and little where they have cores to spare.
-func (r *Router) fitConcurrencyCost(least int, longest, low, high float64) {
-	if len(r.load.baselineSamples) < least {
+// fitConcurrencyCost fits, by a line through the last successes, how much each request in flight at a host adds to the
+// latency of the next: near 1 where hosts work on one request at a time, little where they have cores to spare.
+func (r *Router) fitConcurrencyCost() {
+	const minSamples = 40     // fewer make no line
+	const slowdownLimit = 6.0 // one very long attempt says little
+	const minCost, maxCost = 0.02, 1.5
+	const minUsual = 0.1 // slowdown of an idle host
+	if len(r.load.baselineSamples) < minSamples {
 		return
 	}
-	held, strains := loadsAndSlowdowns(r.load.baselineSamples, longest)
-	if _, spread := stat.MeanStdDev(held, nil); spread > 0 {
-		base, more := stat.LinearRegression(held, strains, nil, false)
-		r.load.concurrencyCost = min(high, max(low, more/max(0.1, base)))
+	var loads, slowdowns []float64
+	for _, sample := range r.load.baselineSamples {
+		loads, slowdowns = append(loads, sample.hostLoad), append(slowdowns, min(sample.slowdown, slowdownLimit))
+	}
+	if _, spread := stat.MeanStdDev(loads, nil); spread > 0 {
+		idle, more := stat.LinearRegression(loads, slowdowns, nil, false)
+		r.load.concurrencyCost = min(maxCost, max(minCost, more/max(minUsual, idle)))
 	}
 }
 
-// loadsAndSlowdowns lists what hosts held, and the strain of their answers up to a limit.
-func loadsAndSlowdowns(samples []attemptSample, limit float64) (held, strains []float64) {
-	for _, s := range samples {
-		held, strains = append(held, s.hostLoad), append(strains, min(s.slowdown, limit))
+// pickHost draws a host of a kind in each locality and chooses between the two; nil where there is none.
+func (r *Router) pickHost(request *Request, fits func(*Host) bool) *Host {
+	local, remote := r.splitByLocality(func(host *Host) bool { return fits(host) && r.isEligible(request, host) })
+	if r.mergesZones() {
+		local, remote = append(local, remote...), nil
+		r.balancer.localHosts = local // so that the grown buffer is kept
 	}
-	return held, strains
+	scarce := r.connectionsAreScarce()
+	localBest := r.drawBest(local, scarce)
+	remoteBest := r.drawBest(remote, scarce)
+	return r.chooseLocality(request, localBest, remoteBest)
 }
 
-// pickHost draws two hosts at random among those nearby and two among the rest, and takes the less busy one; a
-// far one only if the promised time is so much likelier to be kept there that it is worth half the price: a
-// miss costs windows, classes and tails beyond its earnings. Most of a large fleet was heard of long ago, so
-// some that reported just now, to this router alone, are drawn too. While many hosts take no connections, as
-// after deaths that no list tells or where these are scarce, only links that work are used.
-func (r *Router) pickHost(request *Request, fits func(*Host) bool) (best *Host) {
-	const doubt, old = 8, 10 * Second // few sends prove little, and hosts change
-	const lately, more = Second, 3    // as long as a report says much; few, lest one host draws all
-	const barred, last = 0.2, 20      // of the last sends: more than a few hosts refuse
-	here, there := r.splitByLocality(func(host *Host) bool { return fits(host) && r.isEligible(request, host) })
-	if r.mergesZones() {
-		here, there = append(here, there...), nil
-		r.balancer.localHosts = here // so that what it grew to is kept
+// chooseLocality takes the host in another zone only if the latency objective is so much likelier to be met there that it
+// is worth half the price of crossing (a miss costs more than its request's value), or if the plan crosses and that is not
+// much worse. Either host may be nil.
+func (r *Router) chooseLocality(request *Request, local, remote *Host) *Host {
+	const lowestPercent, percents = 25, 50 // the price is drawn from a band, lest all routers cross at once
+	if local != nil && r.crossesCheaply() {
+		return local // the path is degraded: what may be lost there costs more than a wait
 	}
-	busy := func(host *Host) float64 { return r.hostSlowdown(host, doubt, old) * (1 + r.hostLoad(host)) }
-	scarce := r.traffic.endedShare(last, func(x trafficEvent) bool { return x.outcome == ConnectFailed }) > barred
-	draw := func(from []*Host) (best *Host) {
-		known := r.recentlyConnected(from, r.now-lately)
-		try := func(n int, from []*Host) {
-			w := r.drawWeights(from)
-			for range min(n, len(from)) {
-				if host := r.drawHost(from, w, best == nil); best == nil || busy(host) < busy(best) {
-					best = host
-				}
-			}
-		}
-		if !scarce || len(known) == 0 {
-			try(2, from)
-		}
-		if scarce || len(r.load.reported) > 0 && 2*len(known) < len(from) {
-			try(more, known)
-		}
-		return best
+	price := r.limits.CrossZonePrice * float64(lowestPercent+r.random.intN(percents)) / 100
+	if local != nil && remote != nil && r.planCrosses() &&
+		r.missProbability(request, remoteZones)-r.missProbability(request, localZone) <= price {
+		return remote
+	}
+	if local == nil || remote != nil && r.missProbability(request, localZone)-r.missProbability(request, remoteZones) > price {
+		return remote
 	}
-	a, b := draw(here), draw(there)
-	if a != nil && r.crossesCheaply() {
-		return a // the way is poor: what may be lost there costs more than a wait
+	return local
+}
+
+// drawBest draws two hosts by weight and takes the less busy one. Most hosts of a large fleet were last heard of long ago,
+// so some of those that answered this router lately are drawn too. While connections are scarce only these are.
+func (r *Router) drawBest(from []*Host, scarce bool) (best *Host) {
+	const lately = Second           // for as long as a load report says much
+	const choices, connected = 2, 3 // few, lest one host draws all routers
+	recent := r.recentlyConnected(from, r.now-lately)
+	if !scarce || len(recent) == 0 {
+		best = r.drawLessBusy(from, choices, nil)
 	}
-	price := r.limits.CrossZonePrice * float64(25+r.random.intN(50)) / 100 // in a band, lest all cross at once
-	if a != nil && b != nil && r.planCrosses() && r.missProbability(request, remoteZones)-r.missProbability(request, localZone) <= price {
-		return b // as planned, as it is not much worse
+	if scarce || len(r.load.reported) > 0 && 2*len(recent) < len(from) {
+		best = r.drawLessBusy(recent, connected, best)
 	}
-	if a == nil || b != nil && r.missProbability(request, localZone)-r.missProbability(request, remoteZones) > price {
-		return b
+	return best
+}
+
+// drawLessBusy draws so many hosts and takes the least busy of them and the best so far, which may be nil.
+func (r *Router) drawLessBusy(from []*Host, draws int, best *Host) *Host {
+	weights := r.drawWeights(from)
+	for range min(draws, len(from)) {
+		if host := r.drawHost(from, weights, best == nil); best == nil || r.busyness(host) < r.busyness(best) {
+			best = host
+		}
 	}
-	return a
+	return best
 }
 
-// isEligible keeps repeats among the hosts that drop them, and off hosts that the task has already tried.
+// busyness is proportional to the latency to be expected at a host.
+func (r *Router) busyness(host *Host) float64 { return r.hostSlowdown(host) * (1 + r.hostLoad(host)) }
+
+// connectionsAreScarce tells that more than a few hosts take no connections, as after failures that the endpoint list has
+// not peers, or where connections are limited.
+func (r *Router) connectionsAreScarce() bool {
+	const lastEnded, failedShare = 20, 0.2
+	return r.traffic.endedShare(lastEnded, func(event trafficEvent) bool { return event.outcome == ConnectFailed }) > failedShare
+}
+
+// isEligible keeps requests off hosts that they have tried, that warm up beyond their budget or that back off, and those
+// with an idempotency key among the hosts that would drop a repeat.
 func (r *Router) isEligible(request *Request, host *Host) bool {
-	const edge = Second / 20 // of a group's memory: the way to the host counts too
-	if slices.ContainsFunc(request.Attempts, func(attempt *Attempt) bool { return attempt.Host == host }) || !r.withinWarmUpBudget(host) ||
-		host.health == backingOff && r.now < host.backoffUntil {
+	const margin = Second / 20 // of the deduplication window, for the way to the host
+	if slices.ContainsFunc(request.Attempts, func(attempt *Attempt) bool { return attempt.Host == host }) ||
+		!r.withinWarmUpBudget(host) || host.health == backingOff && r.now < host.backoffUntil {
 		return false
 	}
-	x, class := request.firstAmbiguous, request.Class
+	ambiguous, class := request.firstAmbiguous, request.Class
 	switch {
-	case x == nil || class.Idempotency == Idempotent:
+	case ambiguous == nil || class.Idempotency == Idempotent:
 		return true
-	case class.Idempotency == NonIdempotent || r.now-x.sentAt > class.DedupWindow-edge:
+	case class.Idempotency == NonIdempotent || r.now-ambiguous.sentAt > class.DedupWindow-margin:
 		return false
 	}
-	here := host.Zone == x.Host.Zone && (class.DedupScope == ZoneScope || host.Cell == x.Host.Cell)
-	return here || class.DedupScope == FleetScope
+	sameZone := host.Zone == ambiguous.Host.Zone && (class.DedupScope == ZoneScope || host.Cell == ambiguous.Host.Cell)
+	return sameZone || class.DedupScope == FleetScope
 }
 
-// pickBaseline picks a host for the ordinary way: of the newest build that is not on trial, else of an older one,
-// else whatever the rule on exposure allows. Keys stay with the build that answered them where that is told.
+// pickBaseline picks a host for a request's primary attempt: of the newest baseline build, else of any baseline build, else
+// whatever exposure allows. A sticky key stays with the build that answered it, or a later one.
 func (r *Router) pickBaseline(request *Request) *Host {
-	sticks, m := 0, r.snapshot()
-	if request.Key != "" && r.release.config.StickyKeys && (r.release.status.Phase == Canary || r.release.status.Phase == Released) {
-		sticks = r.release.stickyBuilds[request.Key]
+	const newestOnly, anyBaseline, anyExposed = 0, 1, 2
+	stickyBuild, fleet, phase := 0, r.snapshot(), r.release.status.Phase
+	if request.Key != "" && r.release.config.StickyKeys && (phase == Canary || phase == Released) {
+		stickyBuild = r.release.stickyBuilds[request.Key]
 	}
-	level, newest := 0, m.newestBaseline
-	if 3*m.newestBaselineHosts < m.baselineHosts {
-		level = 1 // too few to carry all, as when a list that is down has not told of the rest
+	step, newest := newestOnly, fleet.newestBaseline
+	if 3*fleet.newestBaselineHosts < fleet.baselineHosts {
+		step = anyBaseline // too few known to carry all, as while endpoint discovery is down
 	}
-	for ; level < 3; level++ {
+	for ; step <= anyExposed; step++ {
 		if host := r.pickHost(request, func(host *Host) bool {
-			return host.Build >= sticks && (level == 2 && r.withinExposure(host.Build, request.Class) ||
-				level < 2 && r.isBaseline(host) && host.health != ejected && (level == 1 || host.Build == newest))
+			return host.Build >= stickyBuild && (step == anyExposed && r.withinExposure(host.Build, request.Class) ||
+				step < anyExposed && r.isBaseline(host) && host.health != ejected && (step == anyBaseline || host.Build == newest))
 		}); host != nil {
 			return host
 		}
@@ -200,29 +230,30 @@
 	return nil
 }
 
-// drawHost draws a host by the shares that are due, or the first of a draw by the parts of a plan that holds. The
-// other stays drawn so, that a plan that has become wrong is corrected by how busy the two are.
-func (r *Router) drawHost(from []*Host, due []float64, first bool) *Host {
-	if first && r.now < r.balancer.plan.Until && slices.ContainsFunc(from, func(host *Host) bool { return host.planWeight > 0 }) {
-		due = r.hostPlanWeights(from)
+// drawHost draws a host by its weight; the first of a draw by the plan, while one is active. The second is not, so that a
+// plan that has become wrong is corrected by how busy the two are.
+func (r *Router) drawHost(from []*Host, weights []float64, first bool) *Host {
+	if first && r.balancer.plan.isActive(r.now) && slices.ContainsFunc(from, func(host *Host) bool { return host.planWeight > 0 }) {
+		weights = r.hostPlanWeights(from)
 	}
-	return r.drawWeighted(from, due)
+	return r.drawWeighted(from, weights)
 }
 
-// drawWeights are what hosts are due, until it is asked for again: by what they can do, as the list hints at it
-// and as they warm. Most routers meet a host too seldom to learn its speed: what peers tell of it counts
-// here, where it moves shares, and not between two drawn, or all routers would take the same one at once.
+// drawWeights are the hosts' capacities, less what peers tell of their slowdown: most routers meet a host too seldom to
+// learn it. Between two hosts drawn that doesn't count, or all routers would take the same one at once. The slice holds until
+// the next call.
 func (r *Router) drawWeights(from []*Host) []float64 {
-	const doubt = 4 // usual sends
+	const usualAttempts = 4
 	r.balancer.weights = r.balancer.weights[:0]
 	for _, host := range from {
-		w := host.peerHealth(r.now, firstHandWeight, secondHandWeight)
-		r.balancer.weights = append(r.balancer.weights, r.capacity(host)/max(1, (doubt+w.slowdown)/(doubt+w.attempts)))
+		peers := host.peerHealth(r.now)
+		r.balancer.weights = append(r.balancer.weights,
+			r.capacity(host)/max(1, (usualAttempts+peers.slowdown)/(usualAttempts+peers.attempts)))
 	}
 	return r.balancer.weights
 }
 
-// hostPlanWeights are those of the plan, until it is asked for again.
+// hostPlanWeights are the hosts' weights by the plan. The slice holds until the next call.
 func (r *Router) hostPlanWeights(from []*Host) []float64 {
 	r.balancer.planWeights = r.balancer.planWeights[:0]
 	for _, host := range from {
@@ -231,28 +262,31 @@
 	return r.balancer.planWeights
 }
 
+// drawGrain is the number of steps that weighted draws are made in, finer than any share that matters.
+const drawGrain = 1 << 20
+
 // drawWeighted draws a host, each as often as its weight says.
 func (r *Router) drawWeighted(from []*Host, weights []float64) *Host {
 	sum := 0.0
-	for _, w := range weights {
-		sum += w
+	for _, weight := range weights {
+		sum += weight
 	}
-	const grain = 1 << 20 // finer than any share that matters
-	at := float64(r.random.intN(grain)) / grain * sum
-	for i, w := range weights {
-		if at -= w; at < 0 {
+	at := float64(r.random.intN(drawGrain)) / drawGrain * sum
+	for i, weight := range weights {
+		if at -= weight; at < 0 {
 			return from[i]
 		}
 	}
 	return from[len(from)-1]
 }
 
-// planCrosses draws whether a task starts far away, as a plan that holds has it.
+// planCrosses draws whether a request starts in another zone, while a plan is active.
 func (r *Router) planCrosses() bool {
-	return r.now < r.balancer.plan.Until && r.balancer.plan.Cross > 0 && float64(r.random.intN(1<<20)) < r.balancer.plan.Cross*(1<<20)
+	plan := &r.balancer.plan
+	return plan.isActive(r.now) && plan.Cross > 0 && float64(r.random.intN(drawGrain)) < plan.Cross*drawGrain
 }
 
-// recentlyConnected are the hosts that have answered since, so that a link to them is up; until it is asked for again.
+// recentlyConnected are the hosts to which a connection was up after a moment. The slice holds until the next call.
 func (r *Router) recentlyConnected(all []*Host, from Time) []*Host {
 	some := r.balancer.connectedHosts[:0]
 	for _, host := range all {
--- a/policy/config.go
+++ b/policy/config.go
@@ -1,42 +1,42 @@
 package policy
 
-// Config is all that a router is told when it starts.
+// Config is all that a Router is told when it starts.
 type Config struct {
-	Seed    uint64
-	Routers int
-	Rank    int // this router's number among them, from 0
+	Seed    uint64 // of the random source; the same events and seed give the same decisions
+	Routers int    // all that serve the fleet
+	Rank    int    // this router's number among them, from 0
 	Zone    *Zone
 	Classes []*Class
 	Limits  Limits
 	Release ReleaseConfig
 }
 
-// Limits are the rules' figures and what the place allows.
+// Limits are the bounds that the deployment sets and the features that it allows.
 type Limits struct {
-	DrainGrace          Time
-	WarmUp              Time
-	ColdCapacity        float64
-	ColdOverloadFactor  float64
-	ColdOverloadWindow  Time
-	PollInterval        Time
-	MaxAttempts         int
-	MaxOpen             int
-	AllowHedging        bool
-	MaxRetryAfter       Time // that a turn-back may name as a time to come back; 0 for none
-	PushedDiscovery     bool // the host list comes by itself
-	MaxGossipBytes      int  // most bytes of a message to another router; 0 where there are none
-	HealthChecks        bool // hosts may be probed
-	CrossZonePrice      float64
-	WastePrice          float64
-	OverQuotaValueShare float64
+	DrainGrace          Time    // attempts that were on their way to a draining host are served for this long
+	WarmUp              Time    // of a host after its start
+	ColdCapacity        float64 // share of its capacity that a host has at its start
+	ColdOverloadFactor  float64 // times its capacity factor at which a warming host fails
+	ColdOverloadWindow  Time    // over which that is counted
+	PollInterval        Time    // of the endpoint list
+	MaxAttempts         int     // of one request
+	MaxOpen             int     // connections to a host
+	AllowHedging        bool    // two attempts of a request may be in flight at once
+	MaxRetryAfter       Time    // longest Retry-After of a rejection; 0 for none
+	PushedDiscovery     bool    // the endpoint list comes without being asked for
+	MaxGossipBytes      int     // of a message to another router; 0 where there is no gossip
+	HealthChecks        bool    // hosts may be probed
+	CrossZonePrice      float64 // of a request served in another zone, in units of a request's value
+	WastePrice          float64 // of an attempt whose response is not used
+	OverQuotaValueShare float64 // share of its value that a request beyond its tenant's quota keeps
 }
 
-// ConfigChanged takes over other settings while the router runs; what was sent and seen before counts on.
-func (r *Router) ConfigChanged(now Time, routers, rank int, l Limits, d ReleaseConfig) {
+// ConfigChanged replaces the settings of a running router. What was sent and observed before counts on.
+func (r *Router) ConfigChanged(now Time, routers, rank int, limits Limits, release ReleaseConfig) {
 	r.now = now
-	if r.limits.PushedDiscovery && !l.PushedDiscovery { // from now on the list must be asked for
+	if r.limits.PushedDiscovery && !limits.PushedDiscovery { // from now on the list must be asked for
 		r.effects.WatchEndpoints()
 	}
-	r.routers, r.rank, r.limits, r.release.config = max(1, routers), rank, l, d
+	r.routers, r.rank, r.limits, r.release.config = max(1, routers), rank, limits, release
 	r.fleet.valid = false
 }
--- a/policy/exposure.go
+++ b/policy/exposure.go
@@ -1,36 +1,45 @@
 package policy
 
-// exposureOf tells whether a build is on trial for this router, and at which stage and cap. One that is not
-// announced yet counts as in the first stage.
-func (s *releaseState) exposureOf(build int) (on bool, stage int, share float64) {
+// exposureLimit bounds the attempts at a build.
+type exposureLimit struct {
+	applies bool    // false for a build that takes any request
+	stage   int     // of the release
+	share   float64 // cap on the attempts, as a share of the requests
+}
+
+// exposureOf is the limit on a build. A build that the release controller has not told yet counts as in its first stage;
+// one that rolled back gets nothing, even when the next one is offered, as its hosts may still be listed.
+func (s *releaseState) exposureOf(build int) exposureLimit {
 	switch {
-	case build == s.rolledBackBuild && build < s.status.Build: // its hosts may still be listed when the next is offered
-		return true, 0, 0
+	case build == s.rolledBackBuild && build < s.status.Build:
+		return exposureLimit{applies: true}
 	case !s.known || build < s.status.Build || build == s.status.Build && s.status.Phase == Released:
-		return false, 0, 1
+		return exposureLimit{share: 1}
 	case build > s.status.Build && len(s.config.ExposureCaps) > 0:
-		return true, 0, s.config.ExposureCaps[0]
+		return exposureLimit{applies: true, share: s.config.ExposureCaps[0]}
 	case build > s.status.Build || s.status.Phase != Canary:
-		return true, 0, 0
+		return exposureLimit{applies: true}
 	}
-	return true, s.status.Stage, s.status.ExposureCap
+	return exposureLimit{applies: true, stage: s.status.Stage, share: s.status.ExposureCap}
 }
 
-// withinExposure tells whether one more send of the category at a build on trial keeps the rule on exposure. Sends are
-// counted over a little more than the window and tasks over a little less. What an earlier life of this
-// router sent is unknown after a start, so nothing goes there until one window has passed.
+// withinExposure tells whether one more attempt of the class at a build keeps within its limit. Attempts are counted over a
+// little more than the window and requests over a little less. After a start it is unknown what an earlier process of this
+// router sent, so nothing goes to a limited build until one window has passed.
 func (r *Router) withinExposure(build int, class *Class) bool {
-	const edge = Second / 20 // several ticks of any clock
-	on, stage, share := r.release.exposureOf(build)
-	if !on {
+	const margin = Second / 20 // several ticks of any clock
+	config, limit := &r.release.config, r.release.exposureOf(build)
+	if !limit.applies {
 		return true
 	}
-	if share <= 0 || r.now-r.startedAt < r.release.config.ExposureWindow+edge || class.Idempotency != Idempotent && stage < r.release.config.GuardedStages {
+	guarded := class.Idempotency != Idempotent && limit.stage < config.GuardedStages
+	if limit.share <= 0 || r.now-r.startedAt < config.ExposureWindow+margin || guarded {
 		return false
 	}
-	if !r.release.config.ExposurePerClass {
+	if !config.ExposurePerClass {
 		class = nil
 	}
-	tried, taken := countSince(r.traffic.canaryAttempts, r.now-r.release.config.ExposureWindow-edge, class), countSince(r.traffic.arrivals, r.now-r.release.config.ExposureWindow+edge, class)
-	return tried+1 <= r.release.config.ExposureAllowance+share*taken
+	attempts := countSince(r.traffic.canaryAttempts, r.now-config.ExposureWindow-margin, class)
+	requests := countSince(r.traffic.arrivals, r.now-config.ExposureWindow+margin, class)
+	return attempts+1 <= config.ExposureAllowance+limit.share*requests
 }
--- a/policy/gossip.go
+++ b/policy/gossip.go
@@ -16,147 +16,147 @@
 	unsentComplaints map[int]int // own ones that no peer has been told
 }
 
-const firstHandWeight, secondHandWeight = 0.5, 0.5 // of an own send, a peer's word weighs: its links are its own
+// An attempt that a peer tells of counts for so much of an own one, as its connections are its own: told by who made it, and
+// passed on once.
+const firstHandWeight, secondHandWeight = 0.5, 0.5
 
-// decayTime is how long sums of what was seen last: about as long as a host's trouble or a jam takes to be
-// another.
+// decayTime is how long sums of what was observed last: about as long as a host's fault or an overload takes to be another.
 const decayTime = 3 * Second
 
 // decayFactor is what is left of a sum after a span.
 func decayFactor(span Time) float64 { return math.Exp(-float64(max(0, span)) / float64(decayTime)) }
 
-// healthStats sums up sends at a host or a way, faded.
+// healthStats adds up attempts at a host or over a network path, decayed; slowdown is the sum of the attempts' slowdowns.
 type healthStats struct {
 	at                           Time
 	attempts, failures, slowdown float64
 }
 
-// decayedTo is a repute's sums at a later moment.
-func (p healthStats) decayedTo(now Time) healthStats {
-	if p.attempts == 0 {
-		return healthStats{at: now} // nothing to fade, as for most hosts at most routers
+// decayedTo gives the sums at a later moment.
+func (s healthStats) decayedTo(now Time) healthStats {
+	if s.attempts == 0 {
+		return healthStats{at: now} // nothing to decay, as for most hosts at most routers
 	}
-	f := decayFactor(now - p.at)
-	return healthStats{now, p.attempts * f, p.failures * f, p.slowdown * f}
+	f := decayFactor(now - s.at)
+	return healthStats{now, s.attempts * f, s.failures * f, s.slowdown * f}
 }
 
-func (p *healthStats) add(x healthStats) {
-	y := p.decayedTo(max(x.at, p.at))
-	*p = healthStats{y.at, y.attempts + x.attempts, y.failures + x.failures, y.slowdown + x.slowdown}
+func (s *healthStats) add(x healthStats) {
+	y := s.decayedTo(max(x.at, s.at))
+	*s = healthStats{y.at, y.attempts + x.attempts, y.failures + x.failures, y.slowdown + x.slowdown}
 }
 
-// peerHealth is what peers tell of a host, each word weighed.
-func (h *Host) peerHealth(now Time, first, second float64) healthStats {
+// peerHealth is what peers tell of a host, weighed.
+func (h *Host) peerHealth(now Time) healthStats {
+	const first, second = firstHandWeight, secondHandWeight
 	a, b := h.healthByHops[1].decayedTo(now), h.healthByHops[2].decayedTo(now)
 	return healthStats{now, first*a.attempts + second*b.attempts, first*a.failures + second*b.failures, first*a.slowdown + second*b.slowdown}
 }
 
-// remotePathStats is what is known of the way to the rest, own sends and what those nearby told of theirs.
-func (r *Router) remotePathStats() healthStats {
-	w := r.gossip.remotePath
-	w.add(r.zones.paths[remoteZones].decayedTo(r.now))
-	return w
-}
-
-// sendGossip tells a peer drawn by chance, nearby where any is known, what was met lately and what peers told of
-// theirs: passed on once, so that no word comes back as new. Where hundreds meet a host once in ten seconds
-// each, only so they know it before it has failed them all. Complaints are rare and go to all.
+// sendGossip tells a peer drawn by chance, mostly one in this zone, what this router observed lately and what peers told of
+// their own observations: that is passed on once, so that nothing comes back as new. Where hundreds of routers meet a host
+// once in ten seconds each, only so they know of its failures before it has failed them all. Complaints are rare and go to
+// all peers.
 func (r *Router) sendGossip() {
-	const oneIn, kin, many = 5, 3, 16 // looks; of those nearby but one in so many; words, the worst first
-	const least = 0.3                 // of a send: older is forgotten
-	if r.limits.MaxGossipBytes == 0 || r.routers < 2 || r.random.intN(oneIn) > 0 {
+	const reviewsPerMessage = 5
+	const localPerAnyPeer = 3 // one message in so many goes to a peer drawn from all
+	const maxHosts = 16
+	if r.limits.MaxGossipBytes == 0 || r.routers < 2 || r.random.intN(reviewsPerMessage) > 0 {
 		return
 	}
-	for _, blame := range r.unsentComplaintMessages() {
-		r.effects.Gossip(Broadcast, blame)
+	for _, message := range r.unsentComplaintMessages() {
+		r.effects.Gossip(Broadcast, message)
 	}
-	d := r.summarize(least)
-	d.keepWorst(many)
+	summary := r.summarize()
+	summary.keepWorst(maxHosts)
 	peer := (r.rank + 1 + r.random.intN(r.routers-1)) % r.routers
-	if len(r.gossip.localPeers) > 0 && r.random.intN(kin) > 0 {
+	if len(r.gossip.localPeers) > 0 && r.random.intN(localPerAnyPeer) > 0 {
 		peer = r.gossip.localPeers[r.random.intN(len(r.gossip.localPeers))]
 	}
-	r.effects.Gossip(peer, d.encode(r.limits.MaxGossipBytes))
+	r.effects.Gossip(peer, summary.encode(r.limits.MaxGossipBytes))
 }
 
-// GossipReceived takes in a peer's word. It names no host that the own list has not and moves no bound of a rule; what
-// can't be read is dropped whole. Of a way only those know who stand at the same end.
+// GossipReceived takes a message of the peer of a rank. It adds no host to the endpoint list and moves no limit of exposure
+// or slow start. What can't be read is dropped whole. What it says of network paths and hosts counts from peers in the own
+// zone alone.
 func (r *Router) GossipReceived(now Time, peer int, body []byte) {
-	const known = 16 // fellows
+	const keptPeers = 16
 	r.now = now
 	if build, n, ok := decodeComplaints(body); ok {
 		r.gossip.complaints[build] += n
 		return
 	}
-	d, ok := r.decodeSummary(body)
+	summary, ok := r.decodeSummary(body)
 	if !ok || peer == r.rank {
 		return
 	}
-	if r.mergeClassStats(d); d.nearbyHost == nil || r.localityOf(d.nearbyHost) != localZone {
+	r.mergeClassStats(summary)
+	if summary.nearbyHost == nil || r.localityOf(summary.nearbyHost) != localZone {
 		return
 	}
 	if !slices.Contains(r.gossip.localPeers, peer) {
-		r.gossip.localPeers = appendBounded(r.gossip.localPeers, peer, known)
+		r.gossip.localPeers = appendBounded(r.gossip.localPeers, peer, keptPeers)
 	}
-	r.mergeLocalReport(d)
-	for _, w := range d.hosts {
-		if w.host.health == healthy && r.isFailing(w.host) {
-			r.transitionHealth(w.host, hostFailing)
+	r.mergeLocalReport(summary)
+	for _, report := range summary.hosts {
+		if report.host.health == healthy && r.isFailing(report.host) {
+			r.transitionHealth(report.host, hostFailing)
 		}
 	}
 }
 
-// mergeClassStats adds up what a peer tells of its categories.
-func (r *Router) mergeClassStats(d gossipSummary) {
+// mergeClassStats adds up what a peer tells of classes.
+func (r *Router) mergeClassStats(summary gossipSummary) {
 	r.gossip.activePeers, r.gossip.receivedAt = 1+r.gossip.activePeers*decayFactor(r.now-r.gossip.receivedAt), r.now
 	for i, class := range r.classes {
-		class.peerStats.add(d.classes[i])
+		class.peerStats.add(summary.classes[i])
 	}
 }
 
-// mergeLocalReport adds up what a peer nearby tells of its way and of hosts.
-func (r *Router) mergeLocalReport(d gossipSummary) {
-	r.gossip.remotePath.add(d.remotePath)
-	for _, w := range d.hosts {
-		w.host.healthByHops[w.hops+1].add(w.healthStats)
+// mergeLocalReport adds up what a peer in this zone tells of the path to other zones and of hosts.
+func (r *Router) mergeLocalReport(summary gossipSummary) {
+	r.gossip.remotePath.add(summary.remotePath)
+	for _, report := range summary.hosts {
+		report.host.healthByHops[report.hops+1].add(report.healthStats)
 	}
 }
 
-// summarize is what this router has to tell: of its categories, its way, and of hosts of which more than least
-// is known.
-func (r *Router) summarize(least float64) gossipSummary {
-	d := gossipSummary{remotePath: r.zones.paths[remoteZones].decayedTo(r.now)}
+// summarize gives what this router has to tell: of its classes, of its path to other zones, and of the hosts that enough is
+// known of.
+func (r *Router) summarize() gossipSummary {
+	const minAttempts = 0.3 // decayed
+	summary := gossipSummary{remotePath: r.zones.paths[remoteZones].decayedTo(r.now)}
 	r.countInFlight()
 	for _, class := range r.classes {
-		x := class.ownStats.decayedTo(r.now)
-		x.inFlight = float64(class.inFlight)
-		d.classes = append(d.classes, x)
+		stats := class.ownStats.decayedTo(r.now)
+		stats.inFlight = float64(class.inFlight)
+		summary.classes = append(summary.classes, stats)
 	}
 	for _, host := range r.hosts {
-		if d.nearbyHost == nil && r.localityOf(host) == localZone {
-			d.nearbyHost = host
+		if summary.nearbyHost == nil && r.localityOf(host) == localZone {
+			summary.nearbyHost = host
 		}
-		for hop := range 2 {
-			w := host.healthByHops[hop].decayedTo(r.now)
-			if hop == 0 {
-				n := float64(host.stuckAttempts(r.now, stuckFactor))
-				w.attempts, w.failures = w.attempts+n, w.failures+n
+		for hops := range 2 {
+			stats := host.healthByHops[hops].decayedTo(r.now)
+			if hops == 0 {
+				stuck := float64(host.stuckAttempts(r.now))
+				stats.attempts, stats.failures = stats.attempts+stuck, stats.failures+stuck
 			}
-			if w.attempts > least {
-				d.hosts = append(d.hosts, hostReport{host, hop, w})
+			if stats.attempts > minAttempts {
+				summary.hosts = append(summary.hosts, hostReport{host, hops, stats})
 			}
 		}
 	}
-	return d
+	return summary
 }
 
-// unsentComplaintMessages are messages on complaints that no peer has been told, each once.
-func (r *Router) unsentComplaintMessages() (all [][]byte) {
-	for _, b := range r.analysis.windows {
-		if n := r.gossip.unsentComplaints[b.build]; n > 0 {
-			all = append(all, encodeComplaints(b.build, n))
-			delete(r.gossip.unsentComplaints, b.build)
+// unsentComplaintMessages gives the messages on complaints that no peer has been told, each once.
+func (r *Router) unsentComplaintMessages() (messages [][]byte) {
+	for _, window := range r.analysis.windows {
+		if n := r.gossip.unsentComplaints[window.build]; n > 0 {
+			messages = append(messages, encodeComplaints(window.build, n))
+			delete(r.gossip.unsentComplaints, window.build)
 		}
 	}
-	return all
+	return messages
 }
--- a/policy/gossip_codec.go
+++ b/policy/gossip_codec.go
@@ -7,90 +7,109 @@
 	"slices"
 )
 
-// hostReport is a word on a host; hop 0 is first hand, 1 was told by who met it.
+// hostReport is what a router tells of one host. hops is 0 for its own attempts and 1 for what peers told of theirs.
 type hostReport struct {
 	host *Host
 	hops int
 	healthStats
 }
 
-// gossipSummary is what one router tells another.
+// gossipSummary is a message of one router to another.
 type gossipSummary struct {
-	nearbyHost *Host // one near the sender, if any
+	nearbyHost *Host // one in the sender's zone, nil for none; it tells the sender's zone
 	remotePath healthStats
-	classes    []admissionStats
+	classes    []admissionStats // in the order of the configuration
 	hosts      []hostReport
 }
 
-// keepWorst keeps so many words, those with most bad first.
-func (d *gossipSummary) keepWorst(many int) {
-	slices.SortStableFunc(d.hosts, func(a, b hostReport) int {
+// keepWorst keeps so many reports, those with most failures first.
+func (s *gossipSummary) keepWorst(many int) {
+	slices.SortStableFunc(s.hosts, func(a, b hostReport) int {
 		if c := cmp.Compare(b.failures, a.failures); c != 0 {
 			return c
 		}
 		return cmp.Compare(b.attempts, a.attempts)
 	})
-	d.hosts = d.hosts[:min(many, len(d.hosts))]
+	s.hosts = s.hosts[:min(many, len(s.hosts))]
 }
 
+// The first byte of a message tells its kind.
+//
+// A summary is, in little-endian order: its kind and the number of classes, a byte each; the ID of a host in the sender's
+// zone, 4 bytes, 0 for none; attempts and failures on the path to other zones, a byte each; for each class the attempts in
+// flight, a byte, and the usual and actual latencies added up, 2 bytes each; for each host its ID, 4 bytes, and hops, attempts, failures
+// and mean slowdown, a byte each.
+//
+// Complaints are: their kind, a byte; the build, 2 bytes; their number, a byte.
 const (
-	messageSummary, messageComplaints   = 1, 2
-	summaryHeaderBytes, classStatsBytes = 8, 5
-	hostReportBytes                     = 8
-	countScale                          = 8.0  // counts are told in eighths
-	slowdownScale                       = 16.0 // paces in sixteenths
-	latencyScale                        = 100  // sums of times in hundredths of a second
+	messageSummary    = 1
+	messageComplaints = 2
+
+	summaryHeaderBytes = 8
+	classStatsBytes    = 5
+	hostReportBytes    = 8
+	complaintsBytes    = 4
+
+	countScale    = 8.0  // attempts and failures are told in eighths
+	slowdownScale = 16.0 // slowdowns in sixteenths
+	latencyScale  = 100  // sums of latencies in hundredths of a second
 )
 
 func toByte(x float64) byte { return byte(math.Round(max(0, min(255, x)))) }
 
-func (d gossipSummary) encode(most int) []byte {
-	b := []byte{messageSummary, byte(len(d.classes))}
+func toUint16(x float64) uint16 { return uint16(min(math.MaxUint16, x)) }
+
+// encode writes the summary, leaving out the last host reports beyond the bytes allowed.
+func (s gossipSummary) encode(maxBytes int) []byte {
+	b := []byte{messageSummary, byte(len(s.classes))}
 	id := uint32(0)
-	if d.nearbyHost != nil {
-		id = d.nearbyHost.ID
+	if s.nearbyHost != nil {
+		id = s.nearbyHost.ID
 	}
 	b = binary.LittleEndian.AppendUint32(b, id)
-	b = append(b, toByte(d.remotePath.attempts*countScale), toByte(d.remotePath.failures*countScale))
-	for _, x := range d.classes {
-		b = append(b, toByte(x.inFlight))
-		b = binary.LittleEndian.AppendUint16(b, uint16(min(math.MaxUint16, x.usualLatency/latencyScale)))
-		b = binary.LittleEndian.AppendUint16(b, uint16(min(math.MaxUint16, x.latency/latencyScale)))
+	b = append(b, toByte(s.remotePath.attempts*countScale), toByte(s.remotePath.failures*countScale))
+	for _, class := range s.classes {
+		b = append(b, toByte(class.inFlight))
+		b = binary.LittleEndian.AppendUint16(b, toUint16(class.usualLatency/latencyScale))
+		b = binary.LittleEndian.AppendUint16(b, toUint16(class.latency/latencyScale))
 	}
-	for _, w := range d.hosts {
-		if len(b)+hostReportBytes > most {
+	for _, report := range s.hosts {
+		if len(b)+hostReportBytes > maxBytes {
 			break
 		}
-		b = binary.LittleEndian.AppendUint32(b, w.host.ID)
-		b = append(b, byte(w.hops), toByte(w.attempts*countScale), toByte(w.failures*countScale), toByte(w.slowdown/max(0.01, w.attempts)*slowdownScale))
+		meanSlowdown := report.slowdown / max(0.01, report.attempts)
+		b = binary.LittleEndian.AppendUint32(b, report.host.ID)
+		b = append(b, byte(report.hops), toByte(report.attempts*countScale), toByte(report.failures*countScale), toByte(meanSlowdown*slowdownScale))
 	}
 	return b
 }
 
-// decodeSummary reads a digest; what is not one to the last byte is none at all. Hosts that are not listed are
+// decodeSummary reads a summary; ok is false for what is not one to the last byte. Reports on hosts that are not listed are
 // left out.
-func (r *Router) decodeSummary(b []byte) (d gossipSummary, ok bool) {
-	if len(b) < summaryHeaderBytes || b[0] != messageSummary || int(b[1]) != len(r.classes) ||
-		len(b) < summaryHeaderBytes+classStatsBytes*len(r.classes) || (len(b)-summaryHeaderBytes-classStatsBytes*len(r.classes))%hostReportBytes != 0 {
-		return d, false
+func (r *Router) decodeSummary(b []byte) (summary gossipSummary, ok bool) {
+	reportBytes := len(b) - summaryHeaderBytes - classStatsBytes*len(r.classes)
+	if reportBytes < 0 || b[0] != messageSummary || int(b[1]) != len(r.classes) || reportBytes%hostReportBytes != 0 {
+		return summary, false
 	}
-	d.nearbyHost = r.hostByID(binary.LittleEndian.Uint32(b[2:]))
-	d.remotePath = healthStats{at: r.now, attempts: float64(b[6]) / countScale, failures: min(float64(b[6]), float64(b[7])) / countScale}
+	summary.nearbyHost = r.hostByID(binary.LittleEndian.Uint32(b[2:]))
+	summary.remotePath = healthStats{at: r.now, attempts: float64(b[6]) / countScale,
+		failures: min(float64(b[6]), float64(b[7])) / countScale}
 	b = b[summaryHeaderBytes:]
 	for range r.classes {
-		d.classes = append(d.classes, admissionStats{r.now, float64(b[0]), float64(binary.LittleEndian.Uint16(b[1:])) * latencyScale,
-			float64(binary.LittleEndian.Uint16(b[3:])) * latencyScale})
+		summary.classes = append(summary.classes, admissionStats{at: r.now, inFlight: float64(b[0]),
+			usualLatency: float64(binary.LittleEndian.Uint16(b[1:])) * latencyScale,
+			latency:      float64(binary.LittleEndian.Uint16(b[3:])) * latencyScale})
 		b = b[classStatsBytes:]
 	}
 	for ; len(b) > 0; b = b[hostReportBytes:] {
-		host, n := r.hostByID(binary.LittleEndian.Uint32(b)), float64(b[5])/countScale
+		host, attempts := r.hostByID(binary.LittleEndian.Uint32(b)), float64(b[5])/countScale
 		if host == nil || b[4] > 1 {
 			continue
 		}
-		d.hosts = append(d.hosts, hostReport{host, int(b[4]),
-			healthStats{r.now, n, min(n, float64(b[6])/countScale), n * float64(b[7]) / slowdownScale}})
+		summary.hosts = append(summary.hosts, hostReport{host, int(b[4]), healthStats{at: r.now, attempts: attempts,
+			failures: min(attempts, float64(b[6])/countScale), slowdown: attempts * float64(b[7]) / slowdownScale}})
 	}
-	return d, true
+	return summary, true
 }
 
 func encodeComplaints(build, n int) []byte {
@@ -98,7 +117,7 @@
 }
 
 func decodeComplaints(b []byte) (build, n int, ok bool) {
-	if len(b) != 4 || b[0] != messageComplaints {
+	if len(b) != complaintsBytes || b[0] != messageComplaints {
 		return 0, 0, false
 	}
 	return int(binary.LittleEndian.Uint16(b[1:])), int(b[3]), true
--- a/policy/health_check.go
+++ b/policy/health_check.go
@@ -1,25 +1,26 @@
 package policy
 
-// checkRemotePath probes a host far away now and then while the way there is poor, so that no task need try whether
-// it still is; what comes of it is told like a send.
+// checkRemotePath probes a host in another zone now and then while the path there is degraded, so that no request needs to
+// try whether it still is.
 func (r *Router) checkRemotePath() {
-	const oneIn = 20 // looks: with what those nearby tell, enough to keep the way shut and to find it open
-	if !r.limits.HealthChecks || !r.crossesCheaply() || r.mergesZones() || r.random.intN(oneIn) > 0 {
+	const reviewsPerCheck = 20 // with what local peers tell, enough to see that the path is degraded and that it recovers
+	if !r.limits.HealthChecks || !r.crossesCheaply() || r.mergesZones() || r.random.intN(reviewsPerCheck) > 0 {
 		return
 	}
-	if _, there := r.splitByLocality(func(*Host) bool { return true }); len(there) > 0 { // sick ones too
-		r.effects.CheckHealth(there[r.random.intN(len(there))])
+	if _, remote := r.splitByLocality(func(*Host) bool { return true }); len(remote) > 0 {
+		r.effects.CheckHealth(remote[r.random.intN(len(remote))])
 	}
 }
 
-// HealthChecked takes in what a probe found: of the way, and what the host reports.
+// HealthChecked takes the result of a health check: it tells of the network path and, by load, of the host; load is nil
+// where it reported none.
 func (r *Router) HealthChecked(now Time, host *Host, outcome Outcome, _ Time, load *LoadReport) {
 	r.now = now
-	way := healthStats{at: now, attempts: 1}
+	path := healthStats{at: now, attempts: 1}
 	if outcome != Succeeded {
-		way.failures = 1
+		path.failures = 1
 	}
-	r.zones.paths[r.localityOf(host)].add(way)
+	r.zones.paths[r.localityOf(host)].add(path)
 	if load != nil {
 		host.load, host.loadAt = load, now
 	}
--- a/policy/host.go
+++ b/policy/host.go
@@ -1,52 +1,54 @@
 package policy
 
-import (
-	"slices"
-)
+import "slices"
 
-// EndpointState is what the host list says of a host.
+// EndpointState is what the endpoint list says of a host.
 type EndpointState int
 
+// States of an endpoint; their values are stored.
 const (
 	Serving EndpointState = iota
 	Draining
 	Removed
 )
 
-// Host is one machine; a later process or machine under the same id is the same Host with a new Up.
+// Host is one endpoint. A later process or machine under the same ID is the same Host with another StartedAt. Its exported
+// fields but the ID are the router's to set, by EndpointsChanged.
 type Host struct {
-	ID        uint32 // for an order that is the same everywhere, nothing else
+	ID        uint32 // for an order that is the same at all routers, nothing else
 	Zone      *Zone
 	Cell      int
 	State     EndpointState
 	Build     int
-	Weight    float64
-	StartedAt Time // when its process last started; 0 is long ago
+	Weight    float64 // against other hosts, in any unit; 0 where not told
+	StartedAt Time    // when its process last started; 0 is long ago
 
 	listed       bool
 	health       hostHealth
-	backoffUntil Time // when its health is looked at anew
-	leftAt       Time // when it was told to drain or to be gone
-	inFlight     []*Attempt
-	attempts     []trafficEvent
-	samples      []attemptSample
-	load         *LoadReport
-	loadAt       Time
-	connectedAt  Time           // when a send over a link to it last ended
-	healthByHops [3]healthStats // own, told by who met the host, and passed on once
-	planWeight   float64        // of the tasks of its side, as a plan has it; in a unit that all share
+	backoffUntil Time // while it is backingOff
+	leftAt       Time // when it was told to drain or was removed
+
+	inFlight []*Attempt
+	attempts []trafficEvent  // the last starts
+	samples  []attemptSample // the last ends
+
+	load        *LoadReport // the last one, nil for none
+	loadAt      Time
+	connectedAt Time // when an attempt over a connection to it last ended; 0 where the last one had none
+
+	healthByHops [3]healthStats // own; told by peers that met the host; told by peers that were told
+	planWeight   float64        // share of its locality's requests by the plan, in a unit that all hosts share
 }
 
-// LoadReport is what a host reports of itself; a negative figure was not reported.
+// LoadReport is what a host reports of itself. A negative figure was not reported.
 type LoadReport struct{ ActiveRequests, QueuedRequests, CPUUtilization, MeanLatency, RequestsPerSecond float64 }
 
-// isBaseline tells hosts that serve with a build that is not on trial.
+// isBaseline tells hosts that serve with a build that is not limited by exposure.
 func (r *Router) isBaseline(host *Host) bool {
-	on, _, _ := r.release.exposureOf(host.Build)
-	return !on && host.State == Serving
+	return host.State == Serving && !r.release.exposureOf(host.Build).applies
 }
 
-// runsNewestBuild tells hosts that serve with the newest build told.
+// runsNewestBuild tells hosts that serve with the newest build that the release controller told.
 func (s *releaseState) runsNewestBuild(host *Host) bool {
 	return host.Build == s.status.Build && host.State == Serving
 }
@@ -61,7 +63,7 @@
 	return n
 }
 
-// hostByID is the listed host of an id, or nil.
+// hostByID is the listed host of an ID, or nil.
 func (r *Router) hostByID(id uint32) *Host {
 	at, ok := slices.BinarySearchFunc(r.hosts, id, func(host *Host, id uint32) int { return int(host.ID) - int(id) })
 	if !ok {
@@ -70,7 +72,7 @@
 	return r.hosts[at]
 }
 
-// capacity is what a host can do against others: its size, as far as the list hints at it, and as it warms.
+// capacity is what a host can do against others: its weight, where that is told, by its capacity factor.
 func (r *Router) capacity(host *Host) float64 {
 	if host.Weight <= 0 {
 		return r.capacityFactor(host)
@@ -78,7 +80,7 @@
 	return host.Weight * r.capacityFactor(host)
 }
 
-// totalCapacity adds up what the hosts of a kind that serve can do.
+// totalCapacity adds up the capacities of the serving hosts of a kind.
 func (r *Router) totalCapacity(is func(*Host) bool) (sum float64) {
 	for _, host := range r.hosts {
 		if host.State == Serving && is(host) {
@@ -88,52 +90,56 @@
 	return sum
 }
 
-// baselineCapacity is what all hosts whose build is not on trial can do, worked out once for each moment.
+// baselineCapacity adds up the capacities of the baseline hosts; it is worked out once for each moment.
 func (r *Router) baselineCapacity() float64 {
-	m := r.snapshot()
-	if m.capacityAt != r.now {
-		m.baselineCapacity, m.capacityAt = r.totalCapacity(r.isBaseline), r.now
+	fleet := r.snapshot()
+	if fleet.capacityAt != r.now {
+		fleet.baselineCapacity, fleet.capacityAt = r.totalCapacity(r.isBaseline), r.now
 	}
-	return m.baselineCapacity
+	return fleet.baselineCapacity
 }
 
-// fleetSnapshot is what hosts add up to, kept as sends come and go and counted anew once hosts or news have changed.
+// fleetSnapshot counts hosts and their attempts in flight. Attempts change it as they start and end; any other change makes
+// it invalid, to be counted anew by snapshot.
 type fleetSnapshot struct {
-	valid               bool
-	healthy             [2]int // hosts of a side that are fit and whose build is not on trial
-	inFlight            [2]int // sends out at these
-	ejected             int
-	baselineHosts       int // whose build is not on trial; newest is the newest of these builds, which latest of them run
-	newestBaseline      int
-	newestBaselineHosts int
-	baselineCapacity    float64 // what hosts whose build is not on trial can do, as of a moment
-	capacityAt          Time
+	valid   bool
+	ejected int // of all hosts
+
+	baselineHosts       int
+	newestBaseline      int // newest build of the baseline hosts
+	newestBaselineHosts int // that run it
+
+	healthy  [2]int // baseline hosts by locality
+	inFlight [2]int // attempts at these
+
+	baselineCapacity float64 // as of capacityAt
+	capacityAt       Time
 }
 
-// snapshot counts hosts and the sends out at them, if anything but sends has changed since it was last done.
+// snapshot is the present count, made anew where it is invalid.
 func (r *Router) snapshot() *fleetSnapshot {
-	m := &r.fleet
-	if m.valid {
-		return m
+	fleet := &r.fleet
+	if fleet.valid {
+		return fleet
 	}
-	*m = fleetSnapshot{valid: true}
+	*fleet = fleetSnapshot{valid: true}
 	for _, host := range r.hosts {
 		if host.health == ejected {
-			m.ejected++
+			fleet.ejected++
 		}
 		if !r.isBaseline(host) {
 			continue
 		}
-		if m.baselineHosts++; host.Build > m.newestBaseline {
-			m.newestBaseline, m.newestBaselineHosts = host.Build, 0
+		if fleet.baselineHosts++; host.Build > fleet.newestBaseline {
+			fleet.newestBaseline, fleet.newestBaselineHosts = host.Build, 0
 		}
-		if host.Build == m.newestBaseline {
-			m.newestBaselineHosts++
+		if host.Build == fleet.newestBaseline {
+			fleet.newestBaselineHosts++
 		}
 		if host.health == healthy {
-			m.healthy[r.localityOf(host)]++
-			m.inFlight[r.localityOf(host)] += len(host.inFlight)
+			fleet.healthy[r.localityOf(host)]++
+			fleet.inFlight[r.localityOf(host)] += len(host.inFlight)
 		}
 	}
-	return m
+	return fleet
 }
--- a/policy/latency.go
+++ b/policy/latency.go
@@ -1,87 +1,97 @@
 package policy
 
-import (
-	"math"
-)
+import "math"
 
-// attemptSample is one ended send, kept for the figures made of it.
+// attemptSample is what one attempt that ended showed.
 type attemptSample struct {
-	at, latency, hostAge Time
-	host                 *Host
-	class                *Class
-	outcome              Outcome
-	impatient            bool // its client waited less than the promised time
-	hostLoad, slowdown   float64
-	unqueuedSlowdown     float64 // strain, less what the host's other tasks added
+	at        Time // when it ended
+	latency   Time
+	hostAge   Time // of the host's process, when the attempt was sent
+	host      *Host
+	class     *Class
+	outcome   Outcome
+	impatient bool    // timed out, and its client waited less than the latency objective
+	hostLoad  float64 // when it was sent
+
+	slowdown         float64 // latency over the class's usual one
+	unqueuedSlowdown float64 // the same, less the part that the host's load added
 }
 
-// ok tells whether a send ended as one at a host that works.
-func (x attemptSample) ok() bool { return x.outcome == Succeeded && x.slowdown < 3 }
+// ok tells an attempt that speaks for a host that works.
+func (x attemptSample) ok() bool {
+	const slow = 3
+	return x.outcome == Succeeded && x.slowdown < slow
+}
 
-// timeSlot is the span of the clock that a sample was sent in.
-func (x attemptSample) timeSlot(slotLength Time) Time { return (x.at - x.latency) / slotLength }
+// timeSlot is the span of the clock that the attempt was sent in.
+func (x attemptSample) timeSlot() Time { return (x.at - x.latency) / slotLength }
 
-// logSlowdown is the log of a sample's pace.
 func (x attemptSample) logSlowdown() float64 { return math.Log(max(0.01, x.unqueuedSlowdown)) }
 
-// logLatencyRatio is the log of what a send took, less what the host's other tasks added, against the time before
-// the trial.
-func (x attemptSample) logLatencyRatio(crowd float64) float64 {
-	return math.Log(float64(max(1, x.latency)) / (1 + crowd*x.hostLoad) / float64(x.class.baselineLatency))
+// logLatencyRatio is the log of the latency, less the part that the host's load added, over the class's usual one before
+// the canary.
+func (x attemptSample) logLatencyRatio(concurrencyCost float64) float64 {
+	return math.Log(float64(max(1, x.latency)) / (1 + concurrencyCost*x.hostLoad) / float64(x.class.baselineLatency))
 }
 
-// newSample is what an ended send showed.
+// newSample makes a sample of an attempt that ended and adds it to what the router knows of its host.
 func (r *Router) newSample(attempt *Attempt, latency Time) attemptSample {
-	x := attemptSample{at: r.now, latency: latency, hostAge: attempt.sentAt - attempt.hostStartedAt, host: attempt.Host, class: attempt.Request.Class, outcome: attempt.outcome,
-		impatient: attempt.outcome == TimedOut && attempt.Request.Timeout < attempt.Request.Class.LatencyObjective, hostLoad: attempt.hostLoad,
-		slowdown: float64(latency) / float64(attempt.Request.Class.usualLatency)}
-	if r.limits.MaxGossipBytes > 0 { // where a category waits everywhere no host is to blame
-		x.slowdown /= r.classSlowdown(attempt.Request.Class)
+	const slowdownLimit = 8 // one very long attempt says little of a host
+	host, class := attempt.Host, attempt.Request.Class
+	sample := attemptSample{at: r.now, latency: latency, hostAge: attempt.sentAt - attempt.hostStartedAt, host: host, class: class,
+		outcome: attempt.outcome, hostLoad: attempt.hostLoad,
+		impatient: attempt.outcome == TimedOut && attempt.Request.Timeout < class.LatencyObjective,
+		slowdown:  float64(latency) / float64(class.usualLatency)}
+	if r.limits.MaxGossipBytes > 0 { // where a class is slow at all hosts none is at fault
+		sample.slowdown /= r.classSlowdown(class)
 	}
-	x.unqueuedSlowdown = x.slowdown / (1 + r.load.concurrencyCost*attempt.hostLoad)
-	w := healthStats{at: r.now, attempts: 1, slowdown: min(x.slowdown, 8)} // one very long send says little
+	sample.unqueuedSlowdown = sample.slowdown / (1 + r.load.concurrencyCost*attempt.hostLoad)
+	stats := healthStats{at: r.now, attempts: 1, slowdown: min(sample.slowdown, slowdownLimit)}
 	if attempt.outcome != Succeeded {
-		w.failures = 1
+		stats.failures = 1
 	}
-	attempt.Host.healthByHops[0].add(w)
+	host.healthByHops[0].add(stats)
 	if attempt.hostStartedAt == 0 {
-		x.hostAge = math.MaxInt32
+		sample.hostAge = math.MaxInt32
 	}
-	return x
+	return sample
 }
 
-// learnUsualLatency learns from an answer of the earlier build what a category takes.
-func (r *Router) learnUsualLatency(class *Class, attempt *Attempt, x attemptSample) {
-	if attempt.outcome != Succeeded || !r.isBaseline(attempt.Host) {
+// learnUsualLatency learns from a success at the baseline what a class usually takes.
+func (r *Router) learnUsualLatency(sample attemptSample) {
+	const kept, keptForFit = 64, 200
+	class := sample.class
+	if sample.outcome != Succeeded || !r.isBaseline(sample.host) {
 		return
 	}
-	class.latencies = appendBounded(class.latencies, x.latency, 64)
-	class.serviceTimes = appendBounded(class.serviceTimes, float64(x.latency)/(1+r.load.concurrencyCost*attempt.hostLoad), 64)
-	if !r.statsOutweighOwn() || len(r.analysis.stats) == 0 { // the middle and more, for the tail: slow hosts weigh little
+	serviceTime := float64(sample.latency) / (1 + r.load.concurrencyCost*sample.hostLoad)
+	class.latencies = appendBounded(class.latencies, sample.latency, kept)
+	class.serviceTimes = appendBounded(class.serviceTimes, serviceTime, kept)
+	if !r.statsOutweighOwn() || len(r.analysis.stats) == 0 { // the median, so that slow hosts weigh little, and more for the tail
 		class.usualLatency = max(1, Time(upperQuantile(class.serviceTimes, 0.5)*4/3))
 	}
-	r.load.baselineSamples = appendBounded(r.load.baselineSamples, x, 200)
+	r.load.baselineSamples = appendBounded(r.load.baselineSamples, sample, keptForFit)
 }
 
-// learnUsualLatencyFromStats sets what a category usually takes by the calmest of the desk's periods kept: hundreds of routers
-// have too few sends of their own to tell, and were apart by ten times; and a category that waits long is
-// not usual.
+// learnUsualLatencyFromStats learns it from the fastest of the release controller's periods: hundreds of routers have too
+// few attempts of their own, and what a class takes while it waits long is not usual.
 func (r *Router) learnUsualLatencyFromStats(class *Class) {
-	const few, calm = 10, 0.85
+	const minSuccesses, slowerShare = 10, 0.85
 	var means []Time
-	for _, x := range r.analysis.stats {
-		if on, _, _ := r.release.exposureOf(x.Build); !on && x.Class == class && x.Samples-x.Failures >= few {
-			means = append(means, x.MeanLatency)
+	for _, stats := range r.analysis.stats {
+		if !r.release.exposureOf(stats.Build).applies && stats.Class == class && stats.Samples-stats.Failures >= minSuccesses {
+			means = append(means, stats.MeanLatency)
 		}
 	}
 	if len(means) > 0 {
-		class.usualLatency = max(1, upperQuantile(means, calm))
+		class.usualLatency = max(1, upperQuantile(means, slowerShare))
 	}
 }
 
-// classSlowdown is how much longer than usual a category's answers take everywhere, by own ones and what peers told.
+// classSlowdown is how many times longer than usual a class's responses take at all hosts, by own attempts and peers'.
 func (r *Router) classSlowdown(class *Class) float64 {
-	lean := 5 * float64(class.usualLatency)
-	own, told := class.ownStats.decayedTo(r.now), class.peerStats.decayedTo(r.now)
-	return max(1, (own.latency+told.latency+lean)/(own.usualLatency+told.usualLatency+lean))
+	const usualAttempts = 5 // as if so many more were as usual
+	usual := usualAttempts * float64(class.usualLatency)
+	own, peers := class.ownStats.decayedTo(r.now), class.peerStats.decayedTo(r.now)
+	return max(1, (own.latency+peers.latency+usual)/(own.usualLatency+peers.usualLatency+usual))
 }
--- a/policy/logic_test.go
+++ b/policy/logic_test.go
@@ -229,8 +229,7 @@
 
 func TestAfterAStartExposureIsUnknownAndAnUnannouncedBuildInItsFirstStage(t *testing.T) {
 	f, _ := newFakeFleet(t, nil)
-	on, stage, share := f.router.release.exposureOf(2)
-	require.Equal(t, []any{true, 0, 0.1}, []any{on, stage, share})
+	require.Equal(t, exposureLimit{applies: true, stage: 0, share: 0.1}, f.router.release.exposureOf(2))
 	f.router.ReleaseChanged(f.now, ReleaseStatus{Build: 2, Stage: 1, ExposureCap: 0.5})
 	f.serve(60, f.quote, succeeds) // three seconds, less than the window
 	require.Zero(t, f.attemptsAtBuild(2))
@@ -295,7 +294,7 @@
 	f, _ := newFakeFleet(t, nil)
 	f.router.analysis.stats = []BuildStats{{Build: 1, Class: f.quote, Samples: 90, MeanLatency: 500, receivedAt: Second},
 		{Build: 2, Class: f.quote, Samples: 90, MeanLatency: 1000, receivedAt: 9 * Second}}
-	gap, _ := logLatencyGapToPast(f.router.analysis.stats, nil, 1, 2, 2*Second, 8*Second, 0)
+	gap, _ := f.router.analysis.logLatencyGapToPast(nil, 1, 2, 2*Second, 8*Second)
 	require.InDelta(t, 0.69, gap, 0.01)
 }
 
@@ -465,7 +464,7 @@
 		}
 	}
 	is := func(attemptSample) bool { return true }
-	parts, _ := strataByTime(fresh, peers, is, 0, 1, 2*Second, 5)
+	parts, _ := strataByTime(fresh, peers, is, 0)
 	require.Less(t, failureEvidence(withRateFloor(parts, 0.01), 0.06, 0.15, 0.6), 3.0)
 }
 
--- a/policy/muster_test.go
+++ b/policy/muster_test.go
@@ -65,7 +65,7 @@
 			kept := *r.snapshot()
 			r.fleet.valid = false
 			require.Equal(t, *r.snapshot(), kept)
-			for side := range 2 {
+			for _, side := range []locality{localZone, remoteZones} {
 				done, latency, n := Time(0), Time(0), 0
 				for _, x := range r.traffic.ended { // the window, by a walk
 					if x.locality == side && x.usualLatency > 0 && now-x.at <= 2*Second {
--- a/policy/orders_test.go
+++ b/policy/orders_test.go
@@ -49,8 +49,8 @@
 				l.Fatalf("at %d: two attempts at once", now)
 			}
 		}
-		if on, stage, cap := f.router.release.exposureOf(attempt.build); on {
-			if stage < f.router.release.config.GuardedStages && request.Class.Idempotency != Idempotent {
+		if limit := f.router.release.exposureOf(attempt.build); limit.applies {
+			if limit.stage < f.router.release.config.GuardedStages && request.Class.Idempotency != Idempotent {
 				l.Fatalf("at %d: an effect in a guarded stage", now)
 			}
 			l.canaryAttempts = append(l.canaryAttempts, trafficEvent{at: now})
@@ -62,8 +62,8 @@
 				}
 				return n
 			}
-			if in(l.canaryAttempts) > f.router.release.config.ExposureAllowance+cap*in(l.arrivals) {
-				l.Fatalf("at %d: %v attempts on trial, of %v requests at a cap of %v", now, in(l.canaryAttempts), in(l.arrivals), cap)
+			if in(l.canaryAttempts) > f.router.release.config.ExposureAllowance+limit.share*in(l.arrivals) {
+				l.Fatalf("at %d: %v attempts on trial, of %v requests at a cap of %v", now, in(l.canaryAttempts), in(l.arrivals), limit.share)
 			}
 		}
 	}
--- a/policy/outlier.go
+++ b/policy/outlier.go
@@ -1,5 +1,16 @@
 package policy
 
+// hostHealth is what the router makes of a host's last attempts:
+//
+//	state       event          next        for
+//	healthy     hostFailing    ejected
+//	healthy     hostRefused    backingOff  0.2 s, as it is full or can't be reached for a moment
+//	backingOff  hostRefused    backingOff  1 s
+//	backingOff  hostFailing    ejected
+//	backingOff  hostRecovered  healthy
+//	ejected     hostRecovered  healthy
+//
+// Any other pair changes nothing. An ejected host gets an idempotent request now and then; see pickEjected.
 type hostHealth int
 
 const (
@@ -17,6 +28,7 @@
 	hostUnchanged
 )
 
+// healthTransition is a row of the table at hostHealth.
 type healthTransition struct {
 	state   hostHealth
 	event   healthEvent
@@ -24,17 +36,15 @@
 	backoff Time
 }
 
-// healthTransitions says how a host's health moves; a sick host only gets the trickle of probation.
 var healthTransitions = []healthTransition{
 	{healthy, hostFailing, ejected, 0},
-	{healthy, hostRefused, backingOff, Second / 5}, // full or unreachable: others first for a moment
+	{healthy, hostRefused, backingOff, Second / 5},
 	{backingOff, hostRefused, backingOff, Second},
 	{backingOff, hostFailing, ejected, 0},
 	{backingOff, hostRecovered, healthy, 0},
 	{ejected, hostRecovered, healthy, 0},
 }
 
-// transitionHealth reads the table of healths.
 func (r *Router) transitionHealth(host *Host, event healthEvent) {
 	for _, row := range healthTransitions {
 		if row.state == host.health && row.event == event {
@@ -48,127 +58,151 @@
 	}
 }
 
-// recordOutcome keeps what a send showed, of its host, its category and its build, and reviews the host's health.
+// Samples that are kept.
+const (
+	keptHostSamples  = 8    // enough to tell a slow host, few enough to forget that it was one
+	keptBuildSamples = 1500 // those of a canary's time, or some ten seconds of a busy router
+)
+
+// recordOutcome keeps what an attempt showed of its host, class and build, and reviews the host's health.
 func (r *Router) recordOutcome(attempt *Attempt, latency Time) {
-	host, class := attempt.Host, attempt.Request.Class
-	if attempt.outcome == NotSent || attempt.outcome == Canceled || attempt.hostStartedAt != host.StartedAt || attempt.build != host.Build {
+	host := attempt.Host
+	replaced := attempt.hostStartedAt != host.StartedAt || attempt.build != host.Build
+	if attempt.outcome == NotSent || attempt.outcome == Canceled || replaced {
 		return
 	}
-	x := r.newSample(attempt, latency)
-	r.learnUsualLatency(class, attempt, x)
-	if host.samples = append(host.samples, x); len(host.samples) > 8 { // enough to tell a slow host, few to forget one
+	sample := r.newSample(attempt, latency)
+	r.learnUsualLatency(sample)
+	if host.samples = append(host.samples, sample); len(host.samples) > keptHostSamples {
 		host.samples = host.samples[1:]
 	}
-	event := hostUnchanged
-	switch {
-	case attempt.outcome == Rejected || attempt.outcome == ConnectFailed:
-		event = hostRefused
-	case host.health == ejected: // two good answers in a row, whatever came before
-		if n := len(host.samples); x.ok() && n > 1 && host.samples[n-2].ok() {
-			event = hostRecovered
-		}
-	case r.isFailing(host):
-		event = hostFailing
-	case x.ok():
-		event = hostRecovered
-	}
-	if on, _, _ := r.release.exposureOf(attempt.build); event != hostRefused && (attempt.IsShadow() || !on) { // who had nowhere else is no copy
-		if !attempt.IsShadow() && !r.limits.AllowHedging && class.repeatsSafely() && latency > attempt.shadowTimeout { // a copy would have been cut
-			x.outcome = TimedOut
+	event := r.healthEventOf(sample)
+	// Primary attempts at the canary had nowhere else to go: they don't count for it.
+	if event != hostRefused && (attempt.IsShadow() || !r.release.exposureOf(attempt.build).applies) {
+		if !attempt.IsShadow() && !r.limits.AllowHedging && attempt.Request.Class.repeatsSafely() && latency > attempt.shadowTimeout {
+			sample.outcome = TimedOut // as a shadow attempt would have been
 		}
-		b := r.analysis.window(attempt.build)
-		b.samples = appendBounded(b.samples, x, 1500) // a trial's worth, or some ten seconds of a busy router's sends
+		window := r.analysis.window(attempt.build)
+		window.samples = appendBounded(window.samples, sample, keptBuildSamples)
 	}
 	r.transitionHealth(host, event)
 }
 
-const stuckFactor = 4 // usual times of a host that holds as much, after which a send seems stuck
+// healthEventOf is what a host's last sample, already among its samples, says of its health. An ejected host recovers by two
+// good responses in a row.
+func (r *Router) healthEventOf(last attemptSample) healthEvent {
+	host := last.host
+	switch {
+	case last.outcome == Rejected || last.outcome == ConnectFailed:
+		return hostRefused
+	case host.health == ejected:
+		if n := len(host.samples); last.ok() && n > 1 && host.samples[n-2].ok() {
+			return hostRecovered
+		}
+	case r.isFailing(host):
+		return hostFailing
+	case last.ok():
+		return hostRecovered
+	}
+	return hostUnchanged
+}
 
-// stuckAttempts counts a host's sends that have been out for longer than so many usual times with no answer since
-// from it.
-func (h *Host) stuckAttempts(now Time, times float64) (n int) {
+// stuckAttempts counts a host's attempts that have been in flight for far longer than usual, given the host's load, with no
+// end of any attempt since they were sent.
+func (h *Host) stuckAttempts(now Time) (n int) {
+	const stuckAfter = 4 // times the usual latency
 	for _, attempt := range h.inFlight {
-		late := float64(now-attempt.sentAt) > times*float64(attempt.Request.Class.usualLatency)*(1+attempt.hostLoad)
-		if late && (len(h.samples) == 0 || h.samples[len(h.samples)-1].at < attempt.sentAt) {
+		usual := stuckAfter * float64(attempt.Request.Class.usualLatency) * (1 + attempt.hostLoad)
+		if float64(now-attempt.sentAt) > usual && (len(h.samples) == 0 || h.samples[len(h.samples)-1].at < attempt.sentAt) {
 			n++
 		}
 	}
 	return n
 }
 
-// reviewHealth looks at all hosts. One that takes tasks and answers none before these run out of time is sick; when
-// half the fleet or more does so none is to blame. A sick one is tried again once what spoke against it has
-// faded, where peers watch it too: the trickle of one router in hundreds would not find it well for minutes.
-// While the list is out of reach, hosts of builds before one long released count as told to drain.
+// reviewHealth looks at all hosts. One that takes attempts and ends none is ejected before these time out, unless half of
+// the healthy hosts or more do so: then none is at fault. An ejected one returns once what spoke against it has decayed,
+// where peers watch it too: one router of hundreds would not find it recovered for minutes. While endpoint discovery fails,
+// hosts of builds before one that was released a while ago count as draining.
 func (r *Router) reviewHealth() {
-	const few, trace = 3, 0.3 // sends; of a bad send
-	const told = 6 * Second   // as the platform has it: what a list would have told counts by then
-	hung := func(host *Host) bool { return host.health == healthy && host.stuckAttempts(r.now, stuckFactor) >= few }
-	blame := 2*r.countHosts(hung) < r.countHosts(func(host *Host) bool { return host.health == healthy })
-	lost := r.discovery.failedPolls > 0 && r.now-r.release.releasedAt > told // where no later host is known there is none to send to
+	const minStuck = 3
+	const forgottenFailures = 0.3 // decayed
+	const drainAfter = 6 * Second // of a release; the endpoint list would have told by then
+	hung := func(host *Host) bool { return host.health == healthy && host.stuckAttempts(r.now) >= minStuck }
+	ejects := 2*r.countHosts(hung) < r.countHosts(func(host *Host) bool { return host.health == healthy })
+	drains := r.discovery.failedPolls > 0 && r.now-r.release.releasedAt > drainAfter
 	for _, host := range r.hosts {
 		switch {
-		case lost && host.Build < r.release.releasedBuild && host.State == Serving:
+		case drains && host.Build < r.release.releasedBuild && host.State == Serving:
 			host.State, host.leftAt, r.fleet.valid = Draining, r.now, false
-		case blame && hung(host):
+		case ejects && hung(host):
 			r.transitionHealth(host, hostFailing)
 		case host.health == ejected && r.limits.MaxGossipBytes > 0 &&
-			host.healthByHops[0].decayedTo(r.now).failures+host.peerHealth(r.now, firstHandWeight, secondHandWeight).failures < trace:
+			host.healthByHops[0].decayedTo(r.now).failures+host.peerHealth(r.now).failures < forgottenFailures:
 			r.transitionHealth(host, hostRecovered)
 		}
 	}
 }
 
-// isFailing compares a host's last sends with its peers of the same build: it must fail or drag far more than
-// they do, so that neither a bad build nor a slow fleet empties the list.
+// isFailing compares a host's last attempts with those of its peers of the same build: it must fail or be slow far more
+// than they do, so that neither a bad build nor a slow fleet empties the endpoint list.
 func (r *Router) isFailing(host *Host) bool {
-	const gap, drag, least = 0.35, 3.0, 6 // about three of the last eight; three times as slow as its peers
-	share, strain := r.faultScore(host, least)
-	if share <= gap && strain <= drag { // whatever its peers do
+	const rateGap = 0.35      // of failures, above twice the peers' median: about three of the last eight
+	const slowdownRatio = 3.0 // to the peers' median
+	own := r.faultScoreOf(host)
+	if own.failureRate <= rateGap && own.slowdown <= slowdownRatio { // whatever its peers do
 		return false
 	}
-	shares, strains := r.peerFaultScores(host, least)
-	return len(shares) > 1 && (share > gap+2*upperQuantile(shares, 0.5) || strain > drag*max(1, upperQuantile(strains, 0.5)))
+	rates, slowdowns := r.peerFaultScores(host)
+	return len(rates) > 1 && (own.failureRate > rateGap+2*upperQuantile(rates, 0.5) ||
+		own.slowdown > slowdownRatio*max(1, upperQuantile(slowdowns, 0.5)))
 }
 
-// faultScore is a host's share of failed sends and its mean strain, as if over least sends or more, with what peers
-// tell of it and sends that seem stuck.
-func (r *Router) faultScore(host *Host, least int) (share, strain float64) {
-	for _, p := range host.samples {
-		if p.outcome != Succeeded {
-			share++
+// faultScore is a host's failure rate and mean slowdown.
+type faultScore struct{ failureRate, slowdown float64 }
+
+// faultScoreOf scores a host by its last attempts and what peers tell, as if over some attempts at the least.
+func (r *Router) faultScoreOf(host *Host) faultScore {
+	const minAttempts = 6
+	var sum faultScore
+	for _, sample := range host.samples {
+		if sample.outcome != Succeeded {
+			sum.failureRate++
 		}
-		strain += p.slowdown
+		sum.slowdown += sample.slowdown
 	}
-	w := host.peerHealth(r.now, firstHandWeight, secondHandWeight)
-	n := max(float64(len(host.samples))+w.attempts, float64(least))
-	return (share + w.failures) / n, (strain + w.slowdown) / n
+	peers := host.peerHealth(r.now)
+	n := max(float64(len(host.samples))+peers.attempts, minAttempts)
+	return faultScore{(sum.failureRate + peers.failures) / n, (sum.slowdown + peers.slowdown) / n}
 }
 
-// peerFaultScores is how the other hosts of a host's build do.
-func (r *Router) peerFaultScores(host *Host, least int) (shares, strains []float64) {
-	for _, p := range r.hosts {
-		if p != host && p.Build == host.Build && p.State == Serving &&
-			float64(len(p.samples))+p.peerHealth(r.now, firstHandWeight, secondHandWeight).attempts > 2 {
-			s, d := r.faultScore(p, least)
-			shares, strains = append(shares, s), append(strains, d)
+// peerFaultScores are the scores of the other serving hosts of a host's build that enough is known of.
+func (r *Router) peerFaultScores(host *Host) (rates, slowdowns []float64) {
+	const enough = 2 // attempts, and some more
+	for _, peer := range r.hosts {
+		if peer != host && peer.Build == host.Build && peer.State == Serving &&
+			float64(len(peer.samples))+peer.peerHealth(r.now).attempts > enough {
+			score := r.faultScoreOf(peer)
+			rates, slowdowns = append(rates, score.failureRate), append(slowdowns, score.slowdown)
 		}
 	}
-	return shares, strains
+	return rates, slowdowns
 }
 
-// pickEjected picks a sick host whose turn for a trickle has come; only repeatable tasks go there. Where peers
-// tell what they meet, the trickle is that of all routers, or hundreds of them would keep a sick host busy.
+// pickEjected picks an ejected host that is due a request, so that its recovery is found; only idempotent requests go
+// there. Where peers tell what they meet, the rate is that of all routers, or hundreds would keep an ejected host busy.
 func (r *Router) pickEjected(request *Request) *Host {
-	const wait, all = Second, 4.0 // slow enough to cost little, fast enough to find a recovery; of all, in it
-	few := all * float64(r.snapshot().ejected) / float64(r.routers)
-	if r.snapshot().ejected == 0 || r.limits.MaxGossipBytes > 0 &&
-		float64(r.random.intN(1000)) >= 1000*few/max(1, countSince(r.traffic.arrivals, r.now-wait, nil)) {
-		r.random.skip() // as pickHost does for whatever it finds
+	const interval = Second   // long enough to cost little, short enough to find a recovery
+	const fleetAttempts = 4.0 // of all routers in an interval, for each host
+	ejectedHosts := r.snapshot().ejected
+	due := fleetAttempts * float64(ejectedHosts) / float64(r.routers)
+	if ejectedHosts == 0 || r.limits.MaxGossipBytes > 0 &&
+		!r.random.chance(1000*due/max(1, countSince(r.traffic.arrivals, r.now-interval, nil))) {
+		r.random.skip() // pickHost would have drawn once
 		return nil
 	}
 	return r.pickHost(request, func(host *Host) bool {
 		return host.health == ejected && request.Class.Idempotency == Idempotent && r.isBaseline(host) &&
-			len(host.inFlight) == 0 && countSince(host.attempts, r.now-wait, nil) == 0
+			len(host.inFlight) == 0 && countSince(host.attempts, r.now-interval, nil) == 0
 	})
 }
--- a/policy/peers_test.go
+++ b/policy/peers_test.go
@@ -43,7 +43,7 @@
 	f.router.GossipReceived(f.now, 3, f.hostSummary(host, 8, 8))
 	require.Zero(t, host.healthByHops[0].attempts, "no own sends")
 	require.InDelta(t, 8, host.healthByHops[1].attempts, 0.1)
-	d := f.router.summarize(0.3)
+	d := f.router.summarize()
 	require.Len(t, d.hosts, 1)
 	require.Equal(t, 1, d.hosts[0].hops, "told at second hand")
 	back, ok := f.router.decodeSummary(d.encode(256))
@@ -51,7 +51,7 @@
 	f.router.mergeLocalReport(back)
 	require.InDelta(t, 8, host.healthByHops[1].attempts, 0.1)
 	require.InDelta(t, 8, host.healthByHops[2].attempts, 0.1)
-	require.Len(t, f.router.summarize(0.3).hosts, 1, "what came at second hand goes no further")
+	require.Len(t, f.router.summarize().hosts, 1, "what came at second hand goes no further")
 }
 
 func TestWordsThatCantBeReadOrNameUnlistedHostsChangeNothing(t *testing.T) {
--- a/policy/release.go
+++ b/policy/release.go
@@ -1,24 +1,9 @@
 package policy
 
-// releaseState is what the release controller told: its settings and where the newest build stands.
-type releaseState struct {
-	config ReleaseConfig
-	status ReleaseStatus
-	known  bool // some status has come
-
-	offeredAt      Time // when the newest build was first heard of
-	stageStartedAt Time
-
-	releasedBuild   int // newest build known to be released, 0 for none
-	releasedAt      Time
-	rolledBackBuild int // newest build known to roll back or to have done so, 0 for none
-
-	stickyBuilds map[string]int // build that answered a key, while two builds serve
-}
-
 // Phase is where a release stands.
 type Phase int
 
+// Phases of a release; their values are stored.
 const (
 	Canary Phase = iota
 	RollingBack
@@ -26,76 +11,97 @@
 	RolledBack
 )
 
-// ReleaseStatus is what the release desk tells.
+// ReleaseStatus is what the release controller tells of the newest build.
 type ReleaseStatus struct {
 	Build, Stage int
 	Phase        Phase
-	ExposureCap  float64
-	Age          Time
-	VoteResult   VoteResult
+	ExposureCap  float64    // share of the requests that may go to the canary
+	Age          Time       // since the release controller came to it
+	VoteResult   VoteResult // of the router's own vote, where this answers one
 }
 
-// PromotionMode is how the desk moves a build on.
+// PromotionMode is how the release controller promotes a build to the next stage.
 type PromotionMode int
 
+// Modes of promotion; their values are stored.
 const (
-	AnyRouter PromotionMode = iota
-	Quorum
-	Timed
+	AnyRouter PromotionMode = iota // by one vote
+	Quorum                         // by the votes of several routers
+	Timed                          // after a time, unless votes hold or roll back
 )
 
-// ReleaseConfig is what the release desk told at start.
+// ReleaseConfig is the release controller's settings.
 type ReleaseConfig struct {
 	Mode              PromotionMode
 	ExposureCaps      []float64 // by stage
-	MinStageTime      Time      // of a stage
-	StageTime         Time      // of a stage, under Clock
-	PromoteQuorum     int       // votes that move a stage on
-	RollbackQuorum    int       // votes that send a build back
-	VoteTTL           Time
-	VoteTimeout       Time
-	MaxVotesPerSecond float64 // from all routers together
-	ExposureWindow    Time    // of the rule on exposure
-	ExposureAllowance float64
-	ExposurePerClass  bool
-	GuardedStages     int // stages that take retriable tasks only
-	StickyKeys        bool
-	DelayPrice        float64
-	HarmPrice         float64
-	ComplaintShare    float64 // share of the wrong answers that is reported
-	SampledShare      float64 // share of the sends in the desk's counts
+	MinStageTime      Time
+	StageTime         Time    // in mode Timed
+	PromoteQuorum     int     // votes that promote a stage
+	RollbackQuorum    int     // votes that roll a build back
+	VoteTTL           Time    // for which a vote stands
+	VoteTimeout       Time    // for a reply to a vote
+	MaxVotesPerSecond float64 // of all routers together
+	ExposureWindow    Time    // that exposure is counted over
+	ExposureAllowance float64 // attempts in the window beside the cap's
+	ExposurePerClass  bool    // each class is counted by itself
+	GuardedStages     int     // first stages, in which the canary gets idempotent requests alone
+	StickyKeys        bool    // a request with a key stays with the build that answered the key
+	DelayPrice        float64 // of a longer release, in the unit of HarmPrice
+	HarmPrice         float64 // of failed requests that are not idempotent
+	ComplaintShare    float64 // share of the wrong responses that clients complain of
+	SampledShare      float64 // share of the attempts in the release controller's statistics
+}
+
+// releaseState is what the release controller told: its settings and where the newest build stands.
+type releaseState struct {
+	config ReleaseConfig
+	status ReleaseStatus
+	known  bool // some status has come
+
+	offeredAt      Time // when the newest build was first heard of
+	stageStartedAt Time
+
+	releasedBuild   int // newest build known to be released, 0 for none
+	releasedAt      Time
+	rolledBackBuild int // newest build known to roll back or to have done so, 0 for none
+
+	stickyBuilds map[string]int // build that answered a key, while two builds serve
 }
 
-// ReleaseChanged takes in the desk's news, or its answer to a vote.
-func (r *Router) ReleaseChanged(now Time, n ReleaseStatus) {
+// ReleaseChanged takes a status of the release controller, or its reply to a vote.
+func (r *Router) ReleaseChanged(now Time, status ReleaseStatus) {
 	r.now = now
-	if n.VoteResult == Unsolicited || n.VoteResult == VoteAccepted {
-		r.applyReleaseStatus(n)
+	if status.VoteResult == Unsolicited || status.VoteResult == VoteAccepted {
+		r.applyReleaseStatus(status)
 	}
-	if n.VoteResult == VoteAccepted {
-		r.transitionVote(voteCounted, 0, 0, nil)
-	} else if n.VoteResult != Unsolicited {
-		r.transitionVote(voteDropped, 0, 0, nil)
+	if status.VoteResult == VoteAccepted {
+		r.transitionVote(voteCounted, verdict{})
+	} else if status.VoteResult != Unsolicited {
+		r.transitionVote(voteDropped, verdict{})
 	}
 }
 
-// applyReleaseStatus takes over news, and at a new build remembers how quick the fleet was before it.
-func (r *Router) applyReleaseStatus(n ReleaseStatus) {
-	if !r.release.known || n.Build != r.release.status.Build || n.Stage != r.release.status.Stage || n.Phase != r.release.status.Phase {
-		r.release.stageStartedAt, r.vote = r.now-n.Age, voteRecord{}
+// applyReleaseStatus replaces the status. At a new build it keeps the latency before it; at a new stage votes begin anew.
+func (r *Router) applyReleaseStatus(status ReleaseStatus) {
+	release, last := &r.release, r.release.status
+	if !release.known || status.Build != last.Build || status.Stage != last.Stage || status.Phase != last.Phase {
+		release.stageStartedAt, r.vote = r.now-status.Age, voteRecord{}
 	}
-	if n.Build != r.release.status.Build {
+	if status.Build != last.Build {
 		for _, class := range r.classes {
 			class.baselineLatency = class.usualLatency
 		}
-		r.release.offeredAt, r.surge.state, r.surge.since = r.now, surgeNone, r.now
-		clear(r.release.stickyBuilds) // no key stays with the build before, which serves them all or has gone back
+		release.offeredAt, r.surge.state, r.surge.since = r.now, surgeNone, r.now
+		clear(release.stickyBuilds) // the build before serves all keys or has rolled back
 	}
-	if r.release.status, r.release.known = n, true; n.Phase == Released {
-		r.release.releasedBuild, r.release.releasedAt = n.Build, r.now-n.Age
-	} else if n.Phase != Canary {
-		if r.release.rolledBackBuild = n.Build; r.release.releasedBuild == n.Build {
-			r.release.releasedBuild = 0
+	release.status, release.known = status, true
+	switch status.Phase {
+	case Canary:
+	case Released:
+		release.releasedBuild, release.releasedAt = status.Build, r.now-status.Age
+	default:
+		if release.rolledBackBuild = status.Build; release.releasedBuild == status.Build {
+			release.releasedBuild = 0
 		}
 	}
 	r.fleet.valid = false
--- a/policy/retry.go
+++ b/policy/retry.go
@@ -1,26 +1,28 @@
 package policy
 
-import (
-	"slices"
-)
+import "slices"
 
-// retryBudgetAllows tells whether the budget has room for a further send, so that a slow fleet is not given more work.
-// The few beyond the share are for a fleet of few routers: each of hundreds would add them.
+// retryBudgetAllows tells whether the budget has room for one more attempt, so that a slow fleet is not given more work:
+// a share of the last requests, and a few beyond it for a fleet of few routers, as each of hundreds would add them.
 func (r *Router) retryBudgetAllows(class *Class) bool {
-	const over, few, oneIn = 5 * Second, 4, 8 // one for every eight tasks taken lately, and a few
-	const alone = 4.0                         // routers that each may have them
-	const full = 3                            // times longer than usual: for want of hosts, not by bad luck
-	owed := few*min(1, alone/float64(r.routers)) + countSince(r.traffic.arrivals, r.now-over, nil)/oneIn
-	return r.leastExpectedSlowdown(class) < full && countSince(r.traffic.retries, r.now-over, nil) < owed
+	const window = 5 * Second
+	const requestsPerRetry, few = 8, 4
+	const routersWithFew = 4.0
+	const overloaded = 3 // times the usual latency: for want of hosts, not by chance
+	allowed := few*min(1, routersWithFew/float64(r.routers)) +
+		countSince(r.traffic.arrivals, r.now-window, nil)/requestsPerRetry
+	return r.leastExpectedSlowdown(class) < overloaded && countSince(r.traffic.retries, r.now-window, nil) < allowed
 }
 
-// retry sends a task once more where that is allowed, affordable and can still be in time. What follows a lone
-// copy, or a send that this router cut short, no budget holds back: it was asked when that one was sent.
+// retry sends a request once more where that is allowed, within the budget and can still be in time; it tells whether it
+// did. What follows a shadow attempt that went first, or an attempt that this router cut short, needs no budget now: that
+// was asked when the earlier one was sent.
 func (r *Router) retry(request *Request) bool {
 	left := request.arrivedAt + request.Timeout - r.now
 	last := request.Attempts[len(request.Attempts)-1]
-	first := last.role == shadowFirstAttempt || last.outcome == TimedOut && !r.limits.AllowHedging // this router cut it short
-	if len(request.Attempts) >= r.limits.MaxAttempts || left <= request.Class.usualLatency/2 || !first && !r.retryBudgetAllows(request.Class) {
+	budgeted := last.role == shadowFirstAttempt || last.outcome == TimedOut && !r.limits.AllowHedging
+	if len(request.Attempts) >= r.limits.MaxAttempts || left <= request.Class.usualLatency/2 ||
+		!budgeted && !r.retryBudgetAllows(request.Class) {
 		return false
 	}
 	host := r.pickBaseline(request)
@@ -28,25 +30,26 @@
 		return false
 	}
 	if last.role != shadowFirstAttempt {
-		r.traffic.retries = appendBounded(r.traffic.retries, trafficEvent{at: r.now, class: request.Class}, 2048)
+		r.traffic.retries = appendBounded(r.traffic.retries, trafficEvent{at: r.now, class: request.Class}, keptRetryEvents)
 	}
 	r.send(request, host, retryAttempt)
 	return true
 }
 
-// continueAfterFailure answers a failed send: with a further one, with waiting for one still out, or with the final answer.
+// continueAfterFailure follows a failed attempt: by a retry, by waiting for an attempt in flight, or by the final answer.
 func (r *Router) continueAfterFailure(request *Request) {
-	out := func(attempt *Attempt) bool { return attempt.outcome == Pending }
-	main := func(attempt *Attempt) bool { return attempt.outcome == Pending && attempt.role != shadowAttempt }
-	if !slices.ContainsFunc(request.Attempts, main) && !r.retry(request) && !slices.ContainsFunc(request.Attempts, out) {
+	pending := func(attempt *Attempt) bool { return attempt.outcome == Pending }
+	pendingNoShadow := func(attempt *Attempt) bool { return attempt.outcome == Pending && attempt.role != shadowAttempt }
+	if !slices.ContainsFunc(request.Attempts, pendingNoShadow) && !r.retry(request) &&
+		!slices.ContainsFunc(request.Attempts, pending) {
 		r.giveUp(request)
 	}
 }
 
-// hedge sends a second copy of a task that takes unusually long.
+// hedge sends a second attempt of a request whose attempt takes unusually long. The first one may have been executed.
 func (r *Router) hedge(request *Request) {
 	if request.firstAmbiguous == nil {
-		request.firstAmbiguous = request.Attempts[0] // still out, it may have run
+		request.firstAmbiguous = request.Attempts[0]
 	}
 	r.retry(request)
 }
--- a/policy/stats.go
+++ b/policy/stats.go
@@ -1,159 +1,183 @@
 package policy
 
-import (
-	"math"
-)
+import "math"
 
-// BuildStats is what the release desk counted for one build and category over a period.
+// keptStats is how many of the release controller's reports are kept at the least.
+const keptStats = 240
+
+// BuildStats is what the release controller counted for one build and class over a period.
 type BuildStats struct {
 	Build             int
 	Class             *Class
 	Failures, Samples int
-	MeanLatency       Time
-	Age               Time
-
-	Window Time // the span that was counted
+	MeanLatency       Time // of the successes
+	Age               Time // since the end of the period
+	Window            Time // length of the period
 
 	receivedAt Time
-	hosts      int     // that ran the build when the count came
-	warmShare  float64 // share of them that were warm when its span began
-	warmUpBias float64 // log of how much longer they take for the cold, at the most
+	hosts      int     // that ran the build when the report came
+	warmShare  float64 // share of them that were warm when the period began
+	warmUpBias float64 // log of how many times longer they take as they warm up, at the most
 }
 
-// StatsReported takes in what the desk counted, with how many hosts ran the build and how many were warm by then.
-func (r *Router) StatsReported(now Time, c BuildStats) {
-	cold := 0.0
-	r.now, c.receivedAt = now, now
-	for _, host := range r.hosts {
-		if host.Build == c.Build && host.State == Serving {
-			c.hosts++
-			cold += r.capacityFactorAt(host, now-c.Age-c.Window/2)
-			if now-c.Age-c.Window-host.StartedAt > r.limits.WarmUp {
-				c.warmShare++
-			}
-		}
-	}
-	c.warmShare /= max(1, float64(c.hosts))
-	c.warmUpBias = math.Log(max(1, float64(c.hosts)) / max(r.limits.ColdCapacity, cold))
+func (s *BuildStats) successes() float64 { return float64(s.Samples - s.Failures) }
+
+// StatsReported takes a report of the release controller.
+func (r *Router) StatsReported(now Time, stats BuildStats) {
+	r.now, stats.receivedAt = now, now
+	r.describeHosts(&stats)
 	if len(r.analysis.stats) == 0 || r.analysis.stats[len(r.analysis.stats)-1].receivedAt != now {
-		r.load.counted = 0 // what hosts hold: how much comes by how long it takes
+		r.load.counted = 0 // made anew of the reports of one moment
 	}
-	if r.release.config.SampledShare > 0 && c.Window > 0 {
-		serve := r.countHosts(func(host *Host) bool { return host.State == Serving })
-		r.load.counted += float64(c.Samples) / r.release.config.SampledShare / float64(c.Window) * float64(c.MeanLatency) / max(1, serve)
+	if r.release.config.SampledShare > 0 && stats.Window > 0 { // requests in flight: their rate by their latency
+		serving := r.countHosts(func(host *Host) bool { return host.State == Serving })
+		r.load.counted += float64(stats.Samples) / r.release.config.SampledShare / float64(stats.Window) *
+			float64(stats.MeanLatency) / max(1, serving)
 	}
-	r.analysis.stats = appendBounded(r.analysis.stats, c, 240)
-	if on, _, _ := r.release.exposureOf(c.Build); r.statsOutweighOwn() && !on {
-		r.learnUsualLatencyFromStats(c.Class)
+	r.analysis.stats = appendBounded(r.analysis.stats, stats, keptStats)
+	if r.statsOutweighOwn() && !r.release.exposureOf(stats.Build).applies {
+		r.learnUsualLatencyFromStats(stats.Class)
 	}
 }
 
-// statsOutweighOwn tells whether the desk counts far more of all sends than a router sees: then its counts, though
-// late and not by host, are judged; but after a release only own sends tell errors from a jam.
-func (r *Router) statsOutweighOwn() bool { return r.release.config.SampledShare*float64(r.routers) > 2 }
+// describeHosts notes how many hosts run the build of a report, and how warm they were in its period.
+func (r *Router) describeHosts(stats *BuildStats) {
+	capacity := 0.0
+	for _, host := range r.hosts {
+		if host.Build == stats.Build && host.State == Serving {
+			stats.hosts++
+			capacity += r.capacityFactorAt(host, r.now-stats.Age-stats.Window/2)
+			if r.now-stats.Age-stats.Window-host.StartedAt > r.limits.WarmUp {
+				stats.warmShare++
+			}
+		}
+	}
+	stats.warmShare /= max(1, float64(stats.hosts))
+	stats.warmUpBias = math.Log(max(1, float64(stats.hosts)) / max(r.limits.ColdCapacity, capacity))
+}
 
+// statsOutweighOwn tells whether the release controller counts far more attempts than this router makes: then its
+// statistics are judged, though they come late and don't tell hosts apart.
+func (r *Router) statsOutweighOwn() bool {
+	const ownAttempts = 2 // as many as so many routers make
+	return r.release.config.SampledShare*float64(r.routers) > ownAttempts
+}
+
+// judgesByStats tells whether the canary is judged by them. After a release only own attempts tell errors from an overload.
 func (r *Router) judgesByStats() bool {
 	return r.statsOutweighOwn() && r.release.status.Phase == Canary
 }
 
-// filterStats are the counts of a kind.
-func filterStats(all []BuildStats, of func(BuildStats) bool) (some []BuildStats) {
-	for _, x := range all {
-		if of(x) {
-			some = append(some, x)
+func filterStats(all []BuildStats, is func(BuildStats) bool) (some []BuildStats) {
+	for _, stats := range all {
+		if is(stats) {
+			some = append(some, stats)
 		}
 	}
 	return some
 }
 
-// sumStats adds up what the desk counted of a category.
-func sumStats(all []BuildStats, class *Class) (bad, n float64, hosts int) {
-	for _, x := range all {
-		if x.Class == class {
-			bad, n, hosts = bad+float64(x.Failures), n+float64(x.Samples), x.hosts
+// sumStats adds up the reports on a class; hosts are those of the last one.
+func sumStats(all []BuildStats, class *Class) (failures, attempts float64, hosts int) {
+	for _, stats := range all {
+		if stats.Class == class {
+			failures, attempts, hosts = failures+float64(stats.Failures), attempts+float64(stats.Samples), stats.hosts
 		}
 	}
-	return bad, n, hosts
+	return failures, attempts, hosts
 }
 
-// samePeriod is the count of the same category and period at the other build.
-func samePeriod(x BuildStats, others []BuildStats) BuildStats {
-	for _, y := range others {
-		if y.Class == x.Class && y.receivedAt == x.receivedAt {
-			return y
+// samePeriod is the report of the same class and period among others; one without samples where there is none.
+func samePeriod(stats BuildStats, others []BuildStats) BuildStats {
+	for _, other := range others {
+		if other.Class == stats.Class && other.receivedAt == stats.receivedAt {
+			return other
 		}
 	}
 	return BuildStats{}
 }
 
-// countedAttempts is how many sends at a build the desk counted.
+// countedAttempts is how many attempts at a build the release controller counted.
 func (a *analysisState) countedAttempts(build int) (n float64) {
-	for _, x := range a.stats {
-		if x.Build == build {
-			n += float64(x.Samples)
+	for _, stats := range a.stats {
+		if stats.Build == build {
+			n += float64(stats.Samples)
 		}
 	}
 	return n
 }
 
-// comparableStats are the desk's counts to be judged, of the build and of the one before it, over the same time.
-// Those of a time when no host of the build was warm speak of the cold.
-func (r *Router) comparableStats(now, before int) (of [2][]BuildStats) {
-	of[0] = filterStats(r.analysis.stats, func(x BuildStats) bool { return x.Build == now && x.warmShare > 0 })
-	of[1] = filterStats(r.analysis.stats, func(x BuildStats) bool {
-		return x.Build == before && len(of[0]) > 0 && x.receivedAt >= of[0][0].receivedAt
+// comparableStats are the reports on canary and baseline over the same time. Those of a time when no canary host was warm
+// would tell of the warm-up.
+func (r *Router) comparableStats(canary, baseline int) (stats buildPair) {
+	stats.canary = filterStats(r.analysis.stats, func(x BuildStats) bool { return x.Build == canary && x.warmShare > 0 })
+	stats.baseline = filterStats(r.analysis.stats, func(x BuildStats) bool {
+		return x.Build == baseline && len(stats.canary) > 0 && x.receivedAt >= stats.canary[0].receivedAt
 	})
-	return of
+	return stats
 }
 
-// logLatencyGap is the log of how much longer the sends of one set of counts took than those of another, by
-// category and period, with the sends behind each side and the hosts of the first.
-func logLatencyGap(now, before []BuildStats) (gap, n, of float64, hosts int) {
-	for _, x := range now {
-		y, good := samePeriod(x, before), float64(x.Samples-x.Failures)
-		if hosts = x.hosts; good > 0 && x.MeanLatency > 0 && y.MeanLatency > 0 {
-			gap += good * (math.Log(float64(x.MeanLatency)/float64(y.MeanLatency)) - x.warmUpBias + y.warmUpBias)
-			n, of = n+good, of+float64(y.Samples-y.Failures)
+// buildPair is the reports on canary and baseline.
+type buildPair struct{ canary, baseline []BuildStats }
+
+// latencyGap is the log of how many times longer the canary's successes took than the baseline's, class by class and period
+// by period, less what the warm-up explains.
+type latencyGap struct {
+	log              float64
+	canary, baseline float64 // successes
+	canaryHosts      int
+}
+
+func (p buildPair) latencyGap() (gap latencyGap) {
+	for _, x := range p.canary {
+		y, successes := samePeriod(x, p.baseline), x.successes()
+		if gap.canaryHosts = x.hosts; successes > 0 && x.MeanLatency > 0 && y.MeanLatency > 0 {
+			gap.log += successes * (math.Log(float64(x.MeanLatency)/float64(y.MeanLatency)) - x.warmUpBias + y.warmUpBias)
+			gap.canary, gap.baseline = gap.canary+successes, gap.baseline+y.successes()
 		}
 	}
-	return gap / max(1, n), n, of, hosts
+	gap.log /= max(1, gap.canary)
+	return gap
 }
 
-// logLatencyGapToPast is the log of how much longer the sends at a build take now than those at another before the newest
-// was offered, less so much, as the desk counted them, and the number of the former; a category narrows it.
-func logLatencyGapToPast(all []BuildStats, class *Class, was, is int, offered, now Time, less float64) (gap, n float64) {
-	for _, x := range all {
-		if x.Build != is || x.MeanLatency <= 0 || x.receivedAt <= now || class != nil && x.Class != class {
+// logLatencyGapToPast is the log of how many times longer successes at a build take after a moment than those at a past
+// build took until another, and how many successes say so. A class other than nil narrows it.
+func (a *analysisState) logLatencyGapToPast(class *Class, pastBuild, build int, pastUntil, after Time) (gap, n float64) {
+	for _, x := range a.stats {
+		if x.Build != build || x.MeanLatency <= 0 || x.receivedAt <= after || class != nil && x.Class != class {
 			continue
 		}
-		took, sum := 0.0, 0.0
-		for _, y := range all {
-			if y.Build == was && y.MeanLatency > 0 && y.receivedAt <= offered && y.Class == x.Class {
-				good := float64(y.Samples - y.Failures)
-				took, sum = took+good*float64(y.MeanLatency), sum+good
+		latency, sum := 0.0, 0.0
+		for _, y := range a.stats {
+			if y.Build == pastBuild && y.MeanLatency > 0 && y.receivedAt <= pastUntil && y.Class == x.Class {
+				latency, sum = latency+y.successes()*float64(y.MeanLatency), sum+y.successes()
 			}
 		}
-		if good := float64(x.Samples - x.Failures); sum > 0 && took > 0 {
-			gap, n = gap+good*(math.Log(float64(x.MeanLatency)*sum/took)-x.warmUpBias), n+good
+		if sum > 0 && latency > 0 {
+			gap, n = gap+x.successes()*(math.Log(float64(x.MeanLatency)*sum/latency)-x.warmUpBias), n+x.successes()
 		}
 	}
-	return gap/max(1, n) - less, n
+	return gap / max(1, n), n
 }
 
-// pretrialFailureRate is what share of a category the desk counted to go wrong at a build before the trial, when all
-// load was its own; as if leaning on so many sends of a usual share.
-func (r *Router) pretrialFailureRate(before *buildWindow, class *Class, usual, priorWeight float64) float64 {
-	bad, n, _ := sumStats(filterStats(r.analysis.stats, func(x BuildStats) bool {
-		return x.Build == before.build && x.receivedAt <= r.release.offeredAt
+// failureRateBeforeCanary is a class's failure rate at the baseline before the canary was offered, when the baseline had
+// all load, as if some attempts more had failed at a usual rate.
+func (r *Router) failureRateBeforeCanary(baseline *buildWindow, class *Class, usualRate float64) float64 {
+	failures, attempts, _ := sumStats(filterStats(r.analysis.stats, func(x BuildStats) bool {
+		return x.Build == baseline.build && x.receivedAt <= r.release.offeredAt
 	}), class)
-	return stratum{failures: bad, attempts: n}.failureRate(stratum{0.5, 0.5 / usual, 0}, priorWeight)
+	return stratum{failures: failures, attempts: attempts}.failureRate(stratum{failures: 0.5, attempts: 0.5 / usualRate})
 }
 
-// countedFailureEvidence weighs what the desk counted of a category while so many hosts or more ran the build: by how much
-// more than a least share and the usual one it failed.
-func (r *Router) countedFailureEvidence(class *Class, now, before, few int, floor float64, gaps ...float64) float64 {
-	wide := func(x BuildStats) bool { return x.Build == now && x.hosts >= few }
-	bad, n, hosts := sumStats(filterStats(r.analysis.stats, wide), class)
-	was, of, _ := sumStats(filterStats(r.analysis.stats, func(x BuildStats) bool { return x.Build == before }), class)
-	return boundByHosts(failureEvidence([]stratum{{bad, n, max(floor, (was+0.5)/(of+1))}}, gaps...), hosts)
+// countedFailureEvidence weighs the reports on a class while enough hosts ran the canary: by how much more than the
+// baseline it fails. It is for a router with few own attempts at classes that are not idempotent: as reports don't tell
+// hosts apart, only gaps far beyond one failing host count.
+func (r *Router) countedFailureEvidence(class *Class, canary, baseline int) float64 {
+	const minHosts, minRate = 4, 0.1
+	const smallGap, largeGap = 0.25, 0.6
+	enoughHosts := func(x BuildStats) bool { return x.Build == canary && x.hosts >= minHosts }
+	failures, attempts, hosts := sumStats(filterStats(r.analysis.stats, enoughHosts), class)
+	past, pastAttempts, _ := sumStats(filterStats(r.analysis.stats, func(x BuildStats) bool { return x.Build == baseline }), class)
+	expected := max(minRate, (past+0.5)/(pastAttempts+1))
+	return boundByHosts(failureEvidence([]stratum{{failures, attempts, expected}}, smallGap, largeGap), hosts)
 }
--- a/policy/surge.go
+++ b/policy/surge.go
@@ -10,9 +10,22 @@
 type latencySurge struct {
 	state        surgeState
 	since        Time
-	lastNormalAt Time // when answers last took about as long as before the canary was offered
+	lastNormalAt Time // when responses last took about as long as before the canary was offered
 }
 
+// surgeState finds a canary that slows all hosts alike, baseline ones too, which leaves no gap between the two: shadow
+// attempts pause while the fleet is slower than before the canary was offered. Routers that judge by the release
+// controller's statistics pause together.
+//
+//	state          event          next           for
+//	surgeNone      surgeRose      surgePaused    shadow attempts pause
+//	surgePaused    surgeSubsided  surgeObserved  they go on; that it subsided may be chance
+//	surgePaused    surgeTimedOut  surgeNone      the fleet is slow without them too
+//	surgeObserved  surgeRose      surgeProven    slow twice with them, fast without them
+//	surgeObserved  surgeTimedOut  surgeNone
+//	surgeProven    surgeTimedOut  surgeNone
+//
+// Any other pair changes nothing.
 type surgeState int
 
 const (
@@ -30,24 +43,22 @@
 	surgeTimedOut
 )
 
+// surgeTransition is a row of the table at surgeState.
 type surgeTransition struct {
 	state surgeState
 	event surgeEvent
 	next  surgeState
 }
 
-// surgeTransitions says whether the build on trial slows old and new alike, which leaves no gap between them: copies
-// rest while the earlier build is slower than before. Where routers see the desk's counts they rest together.
 var surgeTransitions = []surgeTransition{
 	{surgeNone, surgeRose, surgePaused},
-	{surgePaused, surgeSubsided, surgeObserved}, // copies rest and it is quick again: so far that may be chance
-	{surgePaused, surgeTimedOut, surgeNone},     // it is slow without copies too
-	{surgeObserved, surgeRose, surgeProven},     // with copies it was slow twice, and without them quick
+	{surgePaused, surgeSubsided, surgeObserved},
+	{surgePaused, surgeTimedOut, surgeNone},
+	{surgeObserved, surgeRose, surgeProven},
 	{surgeObserved, surgeTimedOut, surgeNone},
 	{surgeProven, surgeTimedOut, surgeNone},
 }
 
-// transitionSurge reads the table of swells.
 func (s *latencySurge) transition(event surgeEvent, now Time) {
 	for _, row := range surgeTransitions {
 		if row.state == s.state && row.event == event {
@@ -57,68 +68,79 @@
 	}
 }
 
-// surgeEvidence reads the table and weighs it; a category that waits alone is another trouble, so all must be slow.
-func (r *Router) surgeEvidence(before *buildWindow) float64 {
-	const high, low = 0.4, 0.25  // log of half slower than before the trial; of little more than then
-	const rest = 15 * Second     // by then what waits at hosts has gone and the desk has counted it
-	const few, small = 60, 0.15  // sends, as these scatter; of the sends: what gets less can't slow a fleet so
-	const proof, alone = 400, 20 // odds: enough among the other tests that find nothing, and with another's only
-	slow, n := r.surgeMagnitude(before, r.now-rest/6)
+// surgeEvidence takes the present latency of the fleet into the surge's state and gives the odds that the canary slows the
+// fleet. All classes must be slow: one that waits by itself has another cause.
+func (r *Router) surgeEvidence(baseline *buildWindow) float64 {
+	const rose, subsided = 0.4, 0.25           // log of the latency over that before the canary
+	const stateTimeout = 15 * Second           // by then queues have drained and the release controller has counted that
+	const window = stateTimeout / 6            // that latency is measured over
+	const minAttempts = 60                     // fewer scatter
+	const minCanaryShare = 0.15                // of the attempts: a canary that gets less can't slow a fleet so
+	const provenByStats, provenByOwn = 400, 20 // odds; an own observation may be a fault of the fleet
+	slower, n := r.surgeMagnitude(baseline, r.now-window)
 	switch {
-	case n < few:
-	case slow > high && r.canaryShare(r.now-rest/6) > small:
+	case n < minAttempts:
+	case slower > rose && r.canaryShare(r.now-window) > minCanaryShare:
 		r.surge.transition(surgeRose, r.now)
-	case slow < low:
+	case slower < subsided:
 		r.surge.transition(surgeSubsided, r.now)
 	}
-	if r.now-r.surge.since > rest {
+	if r.now-r.surge.since > stateTimeout {
 		r.surge.transition(surgeTimedOut, r.now)
 	}
-	if r.surge.state == surgeProven { // own sends alone swell by a trouble of the fleet as well
-		return map[bool]float64{true: proof, false: alone}[r.judgesByStats()]
+	switch {
+	case r.surge.state != surgeProven:
+		return 1
+	case r.judgesByStats():
+		return provenByStats
 	}
-	return 1
+	return provenByOwn
 }
 
-// surgeMagnitude is how much longer than before the trial sends take since from: by the desk's counts of all, in the
-// category that is the least so, or by own answers; and how many sends say so.
-func (r *Router) surgeMagnitude(before *buildWindow, from Time) (gap, n float64) {
+// surgeMagnitude is the log of how many times longer attempts after a moment take than before the canary, and how many say
+// so: of the least slow class by the release controller's statistics, or of own attempts at the baseline.
+func (r *Router) surgeMagnitude(baseline *buildWindow, after Time) (slower, n float64) {
 	if !r.judgesByStats() {
-		logs := before.logLatencyRatiosSince(from, r.load.concurrencyCost)
+		logs := baseline.logLatencyRatiosSince(after, r.load.concurrencyCost)
 		return stat.Mean(logs, nil), float64(len(logs))
 	}
-	gap = math.Inf(1)
+	slower = math.Inf(1)
+	newest, offeredAt := r.release.status.Build, r.release.offeredAt
 	for _, class := range r.classes {
-		g, k := logLatencyGapToPast(r.analysis.stats, class, before.build, before.build, r.release.offeredAt, from, 0)
-		h, l := logLatencyGapToPast(r.analysis.stats, class, before.build, r.release.status.Build, r.release.offeredAt, from, 0) // in the end it has most of the sends
-		if k+l > 0 {
-			gap, n = min(gap, (g*k+h*l)/(k+l)), n+k+l
+		old, oldAttempts := r.analysis.logLatencyGapToPast(class, baseline.build, baseline.build, offeredAt, after)
+		canary, canaryAttempts := r.analysis.logLatencyGapToPast(class, baseline.build, newest, offeredAt, after)
+		if canaryAttempts+oldAttempts > 0 { // in the last stage most are the canary's
+			slower = min(slower, (old*oldAttempts+canary*canaryAttempts)/(oldAttempts+canaryAttempts))
+			n = n + oldAttempts + canaryAttempts
 		}
 	}
-	return gap, n
+	return slower, n
 }
 
-// canaryShare is the share of the sends since a moment that went on trial, as the desk counted them, or of the
-// own.
-func (r *Router) canaryShare(from Time) float64 {
-	at, all := countSince(r.traffic.canaryAttempts, from, nil), countSince(r.traffic.canaryAttempts, from, nil)+countSince(r.traffic.baselineAttempts, from, nil)
+// canaryShare is the share of the attempts after a moment that went to the canary, by the release controller's statistics
+// or by own attempts.
+func (r *Router) canaryShare(after Time) float64 {
+	canary := countSince(r.traffic.canaryAttempts, after, nil)
+	all := canary + countSince(r.traffic.baselineAttempts, after, nil)
 	if r.judgesByStats() {
-		at, all = 0, 0
-		for _, x := range r.analysis.stats {
-			if x.receivedAt > from {
-				if all += float64(x.Samples); x.Build == r.release.status.Build {
-					at += float64(x.Samples)
+		canary, all = 0, 0
+		for _, stats := range r.analysis.stats {
+			if stats.receivedAt > after {
+				if all += float64(stats.Samples); stats.Build == r.release.status.Build {
+					canary += float64(stats.Samples)
 				}
 			}
 		}
 	}
-	return at / max(1, all)
+	return canary / max(1, all)
 }
 
-// isUnreadyForRelease tells that the fleet has slowed for no known cause, or that the hosts known are too few to carry all
-// after a release, or too cold: the more jammed the fleet, the warmer they must be.
+// isUnreadyForRelease tells that the fleet has slowed for no known cause, or that the canary hosts known are too few to
+// carry all requests after a release, or too cold: the more overloaded the fleet, the warmer they must be.
 func (r *Router) isUnreadyForRelease() bool {
-	need := min(0.95, 0.4+0.15*max(1, r.expectedSlowdown(localZone))) // it binds where answers take twice as long as usual
-	return r.surge.state == surgePaused || r.surge.state == surgeObserved || 2*r.countHosts(r.release.runsNewestBuild) < r.countHosts(r.isBaseline) ||
-		r.totalCapacityFactor(r.release.runsNewestBuild) < need*r.countHosts(r.release.runsNewestBuild)
+	const lowestFactor, factorPerSlowdown, highestFactor = 0.4, 0.15, 0.95 // mean capacity factor
+	needed := min(highestFactor, lowestFactor+factorPerSlowdown*max(1, r.expectedSlowdown(localZone)))
+	canaryHosts := r.countHosts(r.release.runsNewestBuild)
+	return r.surge.state == surgePaused || r.surge.state == surgeObserved || 2*canaryHosts < r.countHosts(r.isBaseline) ||
+		r.totalCapacityFactor(r.release.runsNewestBuild) < needed*canaryHosts
 }
--- a/policy/time.go
+++ b/policy/time.go
@@ -1,7 +1,7 @@
 package policy
 
-// Time is a moment or a span in whole tenths of a millisecond.
+// Time is a moment or a span in whole tenths of a millisecond. Moments count from a zero that is the owner's choice.
 type Time int64
 
-// Second is the unit that long spans are written in.
+// Second is one second as a Time.
 const Second Time = 10_000
--- a/policy/timer.go
+++ b/policy/timer.go
@@ -1,26 +1,30 @@
 package policy
 
-// Timer is a call that the router asked for.
+// reviewInterval is the time between two reviews of hosts, gossip and vote, a fraction of the shortest stage.
+const reviewInterval = Second / 5
+
+// Timer is a call of TimerFired that the router asked for by Effects.SetTimer: the regular review, a poll of the endpoint
+// list or the look at an attempt that has become slow.
 type Timer struct {
-	attempt *Attempt
+	attempt *Attempt // nil for the other kinds
 	polls   bool
 }
 
-// TimerFired rings an alarm: of a send that takes long, of the list, or of the regular look at the build on trial.
-func (r *Router) TimerFired(now Time, a *Timer) {
+// TimerFired says that a timer's time has come. Each timer fires once.
+func (r *Router) TimerFired(now Time, timer *Timer) {
 	r.now = now
 	switch {
-	case a.polls:
+	case timer.polls:
 		r.discovery.lastPollAt = now
 		r.effects.WatchEndpoints()
-	case a.attempt == nil:
-		r.fitConcurrencyCost(40, 6, 0.02, 1.5) // few sends make no line, and one very long task says little
+	case timer.attempt == nil:
+		r.fitConcurrencyCost()
 		r.reviewHealth()
 		r.sendGossip()
 		r.checkRemotePath()
 		r.updateVote()
-		r.effects.SetTimer(reviewInterval, a)
-	case a.attempt.outcome == Pending && !a.attempt.responseStarted:
-		r.handleRequestEvent(a.attempt.Request, attemptSlow)
+		r.effects.SetTimer(reviewInterval, timer)
+	case timer.attempt.outcome == Pending && !timer.attempt.responseStarted:
+		r.handleRequestEvent(timer.attempt.Request, attemptSlow)
 	}
 }
--- a/policy/vote.go
+++ b/policy/vote.go
@@ -9,10 +9,11 @@
 // VoteResult is what became of a vote.
 type VoteResult int
 
+// Results of a vote; their values are stored.
 const (
-	Unsolicited  VoteResult = iota // news that no vote asked for
+	Unsolicited  VoteResult = iota // a status that no vote asked for
 	VoteAccepted                   // the vote stands
-	VoteStale                      // not the present build or stage
+	VoteStale                      // not of the present build or stage
 	VoteRejected                   // too many votes, or an error: it does not count
 	VoteUnknown                    // no reply: it may count
 )
@@ -20,6 +21,7 @@
 // VoteChoice is what a vote says.
 type VoteChoice int
 
+// Choices of a vote; their values are stored.
 const (
 	Abstain VoteChoice = iota
 	Promote
@@ -27,12 +29,23 @@
 	Rollback
 )
 
+// voteRecord is the router's last vote in the present stage.
 type voteRecord struct {
 	state  voteState
 	choice VoteChoice
 	castAt Time
 }
 
+// voteState is what the release controller made of the last vote:
+//
+//	state         event         next          casts a vote
+//	voteIdle      voteWanted    votePending   yes
+//	voteStanding  voteWanted    votePending   yes
+//	votePending   voteTimedOut  voteIdle
+//	votePending   voteCounted   voteStanding
+//	votePending   voteDropped   voteIdle
+//
+// Any other pair changes nothing.
 type voteState int
 
 const (
@@ -44,12 +57,13 @@
 type voteEvent int
 
 const (
-	voteWanted   voteEvent = iota // the verdict differs from what stands, or that will soon run out
-	voteTimedOut                  // no answer in time
+	voteWanted   voteEvent = iota // the verdict differs from the vote that stands, or that will soon run out
+	voteTimedOut                  // no reply in time
 	voteCounted
-	voteDropped // refused, moot or unclear
+	voteDropped // rejected, stale or unclear
 )
 
+// voteTransition is a row of the table at voteState.
 type voteTransition struct {
 	state     voteState
 	event     voteEvent
@@ -65,80 +79,111 @@
 	{votePending, voteDropped, voteIdle, false},
 }
 
-// transitionVote reads the table of ballots.
-func (r *Router) transitionVote(event voteEvent, choice VoteChoice, w float64, testOdds []float64) {
+// transitionVote reads the table; the verdict is that of the vote to cast, empty for other events.
+func (r *Router) transitionVote(event voteEvent, v verdict) {
 	for _, row := range voteTransitions {
 		if row.state != r.vote.state || row.event != event {
 			continue
 		}
 		r.vote.state = row.next
 		if row.castsVote {
-			r.vote.choice, r.vote.castAt = choice, r.now
-			r.effects.Vote(r.release.status.Build, r.release.status.Stage, choice)
+			r.vote.choice, r.vote.castAt = v.choice, r.now
+			build, stage := r.release.status.Build, r.release.status.Stage
+			r.effects.Vote(build, stage, v.choice)
 			r.effects.Log(fmt.Sprintf("votes %d on build %d in stage %d: odds of bad %.2g, mean of %.2g",
-				choice, r.release.status.Build, r.release.status.Stage, w, testOdds))
+				v.choice, build, stage, v.odds, v.testOdds))
 		}
 		return
 	}
 }
 
-const reviewInterval = Second / 5 // a fraction of the shortest stage
+// verdict is what the evidence says of the newest build.
+type verdict struct {
+	choice   VoteChoice
+	odds     float64   // that the build is bad
+	testOdds []float64 // of each test
+}
 
-// evidenceShare is what part of the proof each of so many routers owes whose votes must agree, on their own evidence.
+// Odds that the newest build is bad, by which votes are cast.
+const (
+	rollbackOdds       = 8.0  // one good build in so many is rolled back by chance
+	costlyRollbackOdds = 30.0 // where statistics don't tell one failing host from a build, and after a release
+	minRollbackOdds    = 2.5  // whatever the quorum: less is one host's odds
+	promoteOdds        = 4.0  // a stage is promoted unless in doubt, as what it may expose is limited
+	releaseOdds        = 0.3  // the last stage is promoted when fairly sure
+	releaseOddsPerWait = 0.02 // more for each second after the shortest stage time
+	releaseTestPerWait = 0.5  // likewise, of the worst test
+	maxReleaseTestOdds = 8.0  // of the worst test, while shadow attempts of its class go on
+)
+
+// evidenceShare is the part of the proof that each of so many routers owes whose votes must agree, as their evidence is
+// their own.
 func evidenceShare(votes int) float64 { return 1 / math.Sqrt(float64(max(1, votes-1))) }
 
-// verdict turns the weight of the evidence into a vote. A move that exposes little needs no proof, as sends
-// at the build stay few; the release does, and as waiting has its price, the demand falls as time goes on.
-func (r *Router) verdict() (choice VoteChoice, w float64, testOdds []float64) {
-	const alarm, loud, several = 8.0, 30.0, 2.5 // one good build in so many goes back by chance; one host's odds
-	const doubt, sure = 4.0, 0.3                // on in a stage unless in doubt; release when fairly sure
-	const softer, bear, most = 0.02, 0.5, 8.0   // a second's wait of that, of the worst; while copies go on
-	if !r.release.known || r.release.status.Build == 0 || r.release.status.Phase == RollingBack || r.release.status.Phase == RolledBack {
-		return Abstain, w, testOdds
-	}
-	w, testOdds = r.evidence()
-	limit, worst := doubt, math.Inf(1)
-	final := r.release.status.Stage+1 >= len(r.release.config.ExposureCaps)
-	if final {
-		waited := float64(max(0, r.now-r.release.stageStartedAt-r.release.config.MinStageTime)) / float64(Second)
-		part := evidenceShare(r.release.config.PromoteQuorum)
-		limit, worst = min(1, math.Pow(sure, part)+softer*waited), min(most, 1+bear*waited)/part
+// judge turns the evidence into a verdict on the newest build.
+func (r *Router) judge() verdict {
+	status, config := &r.release.status, &r.release.config
+	if !r.release.known || status.Build == 0 || status.Phase == RollingBack || status.Phase == RolledBack {
+		return verdict{}
 	}
-	limitBack := alarm
-	if r.judgesByStats() || r.release.status.Phase == Released { // the desk tells no host from a build; a release is dear to undo
-		limitBack = loud
+	odds, testOdds := r.evidence()
+	v := verdict{odds: odds, testOdds: testOdds}
+	final := status.Stage+1 >= len(config.ExposureCaps)
+	limit, testLimit := r.promotionLimits(final)
+	rollbackAt := rollbackOdds
+	if r.judgesByStats() || status.Phase == Released {
+		rollbackAt = costlyRollbackOdds
 	}
 	switch {
-	case w > max(several, math.Pow(limitBack, evidenceShare(r.release.config.RollbackQuorum))):
-		return Rollback, w, testOdds
-	case r.release.status.Phase == Canary && r.release.config.Mode == Timed && w > doubt:
-		return Hold, w, testOdds
-	case r.release.status.Phase == Released || r.release.config.Mode == Timed || len(testOdds) == 0 || final && r.isUnreadyForRelease():
-	case w < limit && slices.Max(testOdds) <= worst:
-		return Promote, w, testOdds
+	case odds > max(minRollbackOdds, math.Pow(rollbackAt, evidenceShare(config.RollbackQuorum))):
+		v.choice = Rollback
+	case status.Phase == Canary && config.Mode == Timed && odds > promoteOdds:
+		v.choice = Hold
+	case status.Phase == Released || config.Mode == Timed || len(testOdds) == 0 || final && r.isUnreadyForRelease():
+	case odds < limit && slices.Max(testOdds) <= testLimit:
+		v.choice = Promote
 	}
-	return Abstain, w, testOdds
+	return v
 }
 
-// mayVote tells whether it is this router's turn to vote. Where one vote decides, a few at a time do, by rank
-// and a shared clock: were all to look, the one with the oddest luck would decide, and the desk be flooded.
+// promotionLimits gives the odds, over all tests and of the worst test, below which the present stage is promoted. For the
+// last one, the release, they rise while it waits, as waiting has its price.
+func (r *Router) promotionLimits(final bool) (odds, testOdds float64) {
+	if !final {
+		return promoteOdds, math.Inf(1)
+	}
+	waited := float64(max(0, r.now-r.release.stageStartedAt-r.release.config.MinStageTime)) / float64(Second)
+	share := evidenceShare(r.release.config.PromoteQuorum)
+	return min(1, math.Pow(releaseOdds, share)+releaseOddsPerWait*waited),
+		min(maxReleaseTestOdds, 1+releaseTestPerWait*waited) / share
+}
+
+// mayVote tells whether it is this router's turn to vote. Where one vote decides, a few routers vote at a time, by rank and
+// time: were all to vote, the one with the oddest luck would decide, and the release controller be flooded.
 func (r *Router) mayVote() bool {
-	const few, stretch = 3, 4 * Second // a vote that is lost is no harm, nor is a router that is down
-	turn := r.rank + r.routers - int(r.now/stretch)*few%r.routers
-	return r.release.config.Mode != AnyRouter || r.routers <= few || turn%r.routers < few
+	const voters, turnLength = 3, 4 * Second // a router that is down, or a vote lost, does no harm
+	turn := r.rank + r.routers - int(r.now/turnLength)*voters%r.routers
+	return r.release.config.Mode != AnyRouter || r.routers <= voters || turn%r.routers < voters
 }
 
+// updateVote casts a vote where the verdict differs from the last one, the last one did not count or will soon run out. A
+// standing vote to promote is withdrawn at any time, as it would promote the build whoever's turn it is.
 func (r *Router) updateVote() {
-	choice, w, testOdds := r.verdict()
-	if r.vote.state == votePending && r.now-r.vote.castAt > r.release.config.VoteTimeout+Second/2 {
-		r.transitionVote(voteTimedOut, 0, 0, nil)
+	const replySlack = Second / 2
+	const pause = Second  // before a vote that did not count is cast again, lest the release controller is flooded
+	const renewTenths = 7 // of a vote's time to live, after which it is renewed
+	config, v := &r.release.config, r.judge()
+	if r.vote.state == votePending && r.now-r.vote.castAt > config.VoteTimeout+replySlack {
+		r.transitionVote(voteTimedOut, verdict{})
 	}
-	if !r.mayVote() && (r.vote.state != voteStanding || r.vote.choice != Promote || choice == Promote) {
-		return // but what stands is taken back at any time: it would move the build on, whoever's turn it is
+	withdraws := r.vote.state == voteStanding && r.vote.choice == Promote && v.choice != Promote
+	if !r.mayVote() && !withdraws {
+		return
 	}
-	const pause = Second // before a vote that did not count is cast again: the desk is not flooded
-	if choice != r.vote.choice && (choice != Abstain || r.vote.state == voteStanding) || choice != Abstain &&
-		(r.vote.state == voteIdle && r.now-r.vote.castAt > pause || r.now-r.vote.castAt > r.release.config.VoteTTL*7/10) {
-		r.transitionVote(voteWanted, choice, w, testOdds)
+	changes := v.choice != r.vote.choice && (v.choice != Abstain || r.vote.state == voteStanding)
+	age := r.now - r.vote.castAt
+	renews := v.choice != Abstain && (r.vote.state == voteIdle && age > pause || age > config.VoteTTL*renewTenths/10)
+	if changes || renews {
+		r.transitionVote(voteWanted, v)
 	}
 }
