--- a/policy/balancing.go
+++ b/policy/balancing.go
@@ -182,7 +182,7 @@
 func (r *Router) busyness(host *Host) float64 { return r.hostSlowdown(host) * (1 + r.hostLoad(host)) }
 
 // connectionsAreScarce tells that more than a few hosts take no connections, as after failures that the endpoint list has
-// not peers, or where connections are limited.
+// not reported, or where connections are limited.
 func (r *Router) connectionsAreScarce() bool {
 	const lastEnded, failedShare = 20, 0.2
 	return r.traffic.endedShare(lastEnded, func(event trafficEvent) bool { return event.outcome == ConnectFailed }) > failedShare
