--- /dev/null
+++ b/policy/analysis_test.go
@@ -0,0 +1,161 @@
+package policy
+
+import (
+	"testing"
+
+	"github.com/stretchr/testify/require"
+)
+
+func TestLastingSlownessShowsInStats(t *testing.T) {
+	f, _ := newFakeFleet(t, nil)
+	f.router.analysis.stats = []BuildStats{{Build: 1, Class: f.quote, Samples: 90, MeanLatency: 500, receivedAt: Second},
+		{Build: 2, Class: f.quote, Samples: 90, MeanLatency: 1000, receivedAt: 9 * Second}}
+	gap, _ := f.router.analysis.logLatencyGapToPast(nil, 1, 2, 2*Second, 8*Second)
+	require.InDelta(t, 0.69, gap, 0.01)
+}
+
+func TestPrimaryAttemptsAreJudgedByTheTimeoutOfShadowAttempts(t *testing.T) {
+	f, list := newFakeFleet(t, func(p *Config) { p.Limits.AllowHedging = false })
+	f.router.EndpointsChanged(f.now, append(list, f.host(10, 2), f.host(11, 2), f.host(12, 2)), true)
+	f.quote.LatencyObjective = Second / 7 // too short for a send to be cut and another made in time
+	f.serve(120, f.quote, succeeds)
+	f.router.ReleaseChanged(f.now, ReleaseStatus{Build: 2, Stage: 1, ExposureCap: 1})
+	f.votes = nil
+	n := map[int]int{}
+	for range 800 { // one send in 22 takes long, at either build
+		request := f.arrive(f.quote)
+		f.advance(Second / 20)
+		for i := 0; i < len(request.Attempts); i++ {
+			attempt := request.Attempts[i]
+			latency := Time(Second / 20)
+			if n[attempt.build]++; n[attempt.build]%22 == 0 {
+				latency = Second * 8 / 10
+			}
+			if latency > f.timeouts[attempt] {
+				f.end(attempt, TimedOut, f.timeouts[attempt])
+			} else {
+				f.end(attempt, Succeeded, latency)
+			}
+		}
+	}
+	require.Greater(t, f.attemptsAtBuild(2), 10)
+	require.NotContains(t, f.votes, Rollback)
+}
+
+func TestFaultThatBeginsDuringTheCanaryIsNoEvidenceAgainstIt(t *testing.T) {
+	var fresh, peers []attemptSample
+	for i := range Time(200) { // errors come in the last two of ten seconds, when copies have become many
+		late, at := i >= 160, i*Second/20
+		x := attemptSample{at: at, host: &Host{}, outcome: Succeeded}
+		if peers = append(peers, x); late && i%2 == 0 {
+			peers[i].outcome = Failed
+		}
+		if late {
+			fresh = append(fresh, peers[i])
+		}
+	}
+	is := func(attemptSample) bool { return true }
+	parts, _ := strataByTime(fresh, peers, is, 0)
+	require.Less(t, failureEvidence(withRateFloor(parts, 0.01), 0.06, 0.15, 0.6), 3.0)
+}
+
+func TestAnotherMixOfRequestsIsNoEvidence(t *testing.T) {
+	require.Less(t, failureEvidence([]stratum{{90, 100, 0.9}, {1, 900, 0.01}}, 0.1, 0.3), 1.0)
+}
+
+func TestComplaintsAreEvidenceAgainstABuild(t *testing.T) {
+	f, _ := newFakeFleet(t, func(p *Config) { p.Release.ComplaintShare = 0.3 })
+	f.startCanary(2, 1)
+	f.serve(40, f.quote, succeeds)
+	clear, _ := f.router.evidence()
+	for range 3 {
+		f.router.ComplaintReceived(f.now, f.attempts[len(f.attempts)-1].Host, f.quote, Second/2)
+		for _, host := range f.router.hosts {
+			if host.Build == 2 {
+				f.router.ComplaintReceived(f.now, host, f.quote, Second/2)
+			}
+		}
+	}
+	wrong, _ := f.router.evidence()
+	require.Greater(t, wrong, 7*clear)
+}
+
+func TestTimeoutsOfColdHostsAreNoEvidence(t *testing.T) {
+	f, list := newFakeFleet(t, nil)
+	f.startCanary(1, 0.5)
+	list[6].StartedAt = f.now
+	f.router.EndpointsChanged(f.now, list, true)
+	f.serve(60, f.quote, func(attempt *Attempt) Outcome {
+		if attempt.build == 2 {
+			return TimedOut
+		}
+		return Succeeded
+	})
+	w, _ := f.router.evidence()
+	require.LessOrEqual(t, w, 1.0)
+}
+
+func TestTimeoutsOfImpatientClientsAreNoEvidence(t *testing.T) {
+	f, list := newFakeFleet(t, nil)
+	f.router.EndpointsChanged(f.now, append(list, f.host(10, 2), f.host(11, 2), f.host(12, 2)), true)
+	f.startCanary(2, 1)
+	for range 60 {
+		request := &Request{Class: f.quote, Timeout: Second / 4}
+		f.router.RequestArrived(f.now, request)
+		f.advance(Second / 20)
+		for _, attempt := range request.Attempts {
+			outcome := Succeeded
+			if attempt.build == 2 {
+				outcome = TimedOut
+			}
+			f.end(attempt, outcome, Second/4)
+		}
+	}
+	require.NotContains(t, f.votes, Rollback)
+}
+
+func TestReleasedBuildThatSlowsEveryHostIsRolledBack(t *testing.T) {
+	f, list := newFakeFleet(t, nil)
+	f.startCanary(2, 1)
+	f.serve(60, f.quote, succeeds)
+	f.router.ReleaseChanged(f.now, ReleaseStatus{Build: 2, Stage: 2, Phase: Released, ExposureCap: 1})
+	for i := range list[:6] {
+		list[i].Build = 2
+	}
+	f.router.EndpointsChanged(f.now, list, true)
+	for range 250 {
+		request := f.arrive(f.quote)
+		f.advance(Second / 10)
+		for _, attempt := range request.Attempts {
+			f.end(attempt, Succeeded, Second/8) // more than twice as long as before the trial
+		}
+	}
+	require.Contains(t, f.votes, Rollback)
+}
+
+// Hundreds of routers hear a complaint in ten days each; together they hear a build that errs.
+func TestComplaintsOfAllRoutersAreWeighedAgainstStats(t *testing.T) {
+	story := func(blames int) []VoteChoice {
+		f, _ := newGossipingFleet(t, func(p *Config) { p.Routers, p.Rank, p.Release.Mode = 300, 0, Quorum })
+		count := func(build, n int) {
+			for _, class := range []*Class{f.quote, f.order, f.payment} {
+				f.router.StatsReported(f.now, BuildStats{Build: build, Class: class, Samples: n, MeanLatency: Second / 20, Window: 2 * Second})
+			}
+		}
+		count(1, 400)
+		f.startCanary(2, 1)
+		for range 10 {
+			f.serve(10, f.quote, succeeds)
+			count(1, 200)
+			count(2, 200)
+		}
+		for range blames {
+			f.router.GossipReceived(f.now, 9, encodeComplaints(2, 4))
+		}
+		f.votes = nil
+		f.advance(2 * Second)
+		return f.votes
+	}
+	require.NotContains(t, story(1), Rollback)
+	require.Contains(t, story(120), Rollback)
+}
--- /dev/null
+++ b/policy/exposure_test.go
@@ -0,0 +1,45 @@
+package policy
+
+import (
+	"testing"
+
+	"github.com/stretchr/testify/require"
+)
+
+func TestCanaryAttemptsKeepWithinCapAndGuardedStages(t *testing.T) {
+	f, _ := newFakeFleet(t, nil)
+	f.startCanary(0, 0.1)
+	for range 300 {
+		f.serve(1, f.quote, succeeds)
+		f.serve(1, f.order, succeeds)
+		require.LessOrEqual(t, countSince(f.router.traffic.canaryAttempts, f.now-4*Second, nil), 1+0.1*countSince(f.router.traffic.arrivals, f.now-4*Second, nil))
+	}
+	require.Positive(t, f.attemptsAtBuild(2))
+	for _, attempt := range f.attempts {
+		require.False(t, attempt.build == 2 && attempt.Request.Class != f.quote)
+	}
+	f.router.ReleaseChanged(f.now, ReleaseStatus{Build: 2, Phase: RollingBack})
+	n := f.attemptsAtBuild(2)
+	f.serve(100, f.quote, succeeds)
+	require.Equal(t, n, f.attemptsAtBuild(2))
+}
+
+func TestExposureIsUnknownAfterAStartAndAnUnannouncedBuildIsInItsFirstStage(t *testing.T) {
+	f, _ := newFakeFleet(t, nil)
+	require.Equal(t, exposureLimit{applies: true, stage: 0, share: 0.1}, f.router.release.exposureOf(2))
+	f.router.ReleaseChanged(f.now, ReleaseStatus{Build: 2, Stage: 1, ExposureCap: 0.5})
+	f.serve(60, f.quote, succeeds) // three seconds, less than the window
+	require.Zero(t, f.attemptsAtBuild(2))
+}
+
+// Where no earlier host is left, a request doesn't go to the build on trial twice.
+func TestRequestHasOneCanaryAttemptWhereNoBaselineHostIsLeft(t *testing.T) {
+	f, list := newFakeFleet(t, nil)
+	f.router.ReleaseChanged(f.now, ReleaseStatus{Build: 2, Phase: Canary, ExposureCap: 0.1})
+	for i := range list[:6] {
+		list[i].State = Removed
+	}
+	f.router.EndpointsChanged(f.now, list, true)
+	f.advance(5 * Second) // beyond the window after a start
+	require.Len(t, f.arrive(f.quote).Attempts, 1, "one is free in a window")
+}
--- /dev/null
+++ b/policy/gossip_test.go
@@ -0,0 +1,126 @@
+package policy
+
+import (
+	"math/rand/v2"
+	"testing"
+
+	"github.com/stretchr/testify/require"
+)
+
+func TestGossipEjectsAFailingHostBeforeAnyOwnAttempt(t *testing.T) {
+	f, list := newGossipingFleet(t, nil)
+	for _, l := range list[:6] {
+		f.router.GossipReceived(f.now, 3, f.hostSummary(l.Host, 8, 0))
+	}
+	require.Equal(t, healthy, list[0].Host.health)
+	f.router.GossipReceived(f.now, 4, f.hostSummary(list[0].Host, 16, 14))
+	require.Equal(t, ejected, list[0].Host.health)
+	require.Equal(t, healthy, list[1].Host.health)
+	f.advance(20 * Second) // no word against it any more
+	require.Equal(t, healthy, list[0].Host.health)
+}
+
+func TestReportsArePassedOnOnceAndNeverAsOwn(t *testing.T) {
+	f, list := newGossipingFleet(t, nil)
+	host := list[0].Host
+	f.router.GossipReceived(f.now, 3, f.hostSummary(host, 8, 8))
+	require.Zero(t, host.healthByHops[0].attempts, "no own sends")
+	require.InDelta(t, 8, host.healthByHops[1].attempts, 0.1)
+	d := f.router.summarize()
+	require.Len(t, d.hosts, 1)
+	require.Equal(t, 1, d.hosts[0].hops, "told at second hand")
+	back, ok := f.router.decodeSummary(d.encode(256))
+	require.True(t, ok)
+	f.router.mergeLocalReport(back)
+	require.InDelta(t, 8, host.healthByHops[1].attempts, 0.1)
+	require.InDelta(t, 8, host.healthByHops[2].attempts, 0.1)
+	require.Len(t, f.router.summarize().hosts, 1, "what came at second hand goes no further")
+}
+
+func TestUnreadableGossipAndUnlistedHostsChangeNothing(t *testing.T) {
+	f, list := newGossipingFleet(t, nil)
+	good := f.hostSummary(list[0].Host, 8, 8)
+	chance := rand.New(rand.NewPCG(1, 2))
+	for n := range len(good) {
+		f.router.GossipReceived(f.now, 3, good[:n])
+	}
+	f.router.GossipReceived(f.now, 3, append(good[:len(good):len(good)], 1))
+	f.router.GossipReceived(f.now, f.router.rank, good) // from itself
+	require.Zero(t, list[0].Host.healthByHops[1].attempts)
+	f.router.GossipReceived(f.now, 3, f.hostSummary(&Host{ID: 77}, 8, 8))
+	require.Len(t, f.router.hosts, 7)
+	for range 2000 {
+		b := make([]byte, chance.IntN(256))
+		for i := range b {
+			b[i] = byte(chance.Uint32())
+		}
+		if len(b) > 1 {
+			b[0], b[1] = byte(1+chance.IntN(2)), 3
+		}
+		f.router.GossipReceived(f.now, 5, b)
+	}
+	f.serve(3, f.quote, succeeds)
+	require.Empty(t, f.failed)
+}
+
+func TestGossipMovesNoLimitOfExposureOrSlowStart(t *testing.T) {
+	f, _ := newGossipingFleet(t, func(p *Config) { p.Release.ExposureWindow = Second })
+	f.startCanary(0, 0.1)
+	cold := f.host(20, 1)
+	cold.StartedAt = f.now
+	f.router.EndpointsChanged(f.now, []EndpointUpdate{cold}, true)
+	before := [2]bool{f.router.withinExposure(2, f.quote), f.router.withinExposure(2, f.payment)}
+	budget := func() (n int) {
+		for range 400 {
+			if f.router.withinWarmUpBudget(cold.Host) {
+				n++
+			}
+		}
+		return n
+	}
+	was := budget()
+	for range 200 {
+		f.router.GossipReceived(f.now, 3, f.hostSummary(cold.Host, 30, 0))
+	}
+	require.Equal(t, before, [2]bool{f.router.withinExposure(2, f.quote), f.router.withinExposure(2, f.payment)})
+	require.InDelta(t, was, budget(), 80, "chance alone differs")
+}
+
+func TestNoGossipOrHealthCheckWhereNotAllowed(t *testing.T) {
+	f, list := newGossipingFleet(t, func(p *Config) { p.Limits.MaxGossipBytes, p.Limits.HealthChecks = 0, false })
+	f.serve(5, f.quote, succeeds)
+	f.router.ComplaintReceived(f.now, list[0].Host, f.quote, Second/2)
+	f.advance(5 * Second)
+	require.Empty(t, f.gossip)
+	require.Empty(t, f.healthChecked)
+}
+
+func TestGossipKeepsWithinItsSizeAndGoesToPeersOnly(t *testing.T) {
+	f, _ := newGossipingFleet(t, func(p *Config) { p.Limits.MaxGossipBytes = 64 })
+	f.serve(60, f.quote, succeeds)
+	f.advance(20 * Second)
+	require.NotEmpty(t, f.gossip)
+	for i, b := range f.gossip {
+		require.LessOrEqual(t, len(b), 64)
+		require.NotEqual(t, f.router.rank, f.gossipTo[i])
+		require.True(t, f.gossipTo[i] == Broadcast || f.gossipTo[i] >= 0 && f.gossipTo[i] < 300)
+	}
+}
+
+func TestOwnComplaintsAreBroadcastOnce(t *testing.T) {
+	f, list := newGossipingFleet(t, nil)
+	f.advance(Second)
+	for range 3 {
+		f.router.ComplaintReceived(f.now, list[0].Host, f.quote, Second/2)
+	}
+	f.advance(10 * Second)
+	n := 0
+	for i, b := range f.gossip {
+		if build, k, ok := decodeComplaints(b); ok {
+			require.Equal(t, Broadcast, f.gossipTo[i])
+			require.Equal(t, 1, build)
+			n += k
+		}
+	}
+	require.Equal(t, 3, n)
+}
--- a/policy/host_test.go
+++ b/policy/host_test.go
@@ -4,130 +4,86 @@
 	"testing"
 
 	"github.com/stretchr/testify/require"
+	"pgregory.net/rapid"
 )
 
-// fakeFleet is one tiny host fleet: it plays the hands of a router and ends sends as a story tells it to.
-type fakeFleet struct {
-	t                     *testing.T
-	router                *Router
-	now                   Time
-	localZone, remoteZone *Zone
-	quote, order, payment *Class
-	attempts              []*Attempt
-	timeouts              map[*Attempt]Time
-	rejected, failed      []*Request
-	votes                 []VoteChoice
-	polls                 int
-	retryAfters           []Time // that turn-backs named
-	gossip                [][]byte
-	gossipTo              []int
-	healthChecked         []*Host
-	timers                []*Timer
-	timersDue             []Time
-}
+// discardEffects carries nothing out.
+type discardEffects struct{ attempts []*Attempt }
 
-func (f *fakeFleet) Send(attempt *Attempt, within Time) {
-	f.attempts = append(f.attempts, attempt)
-	f.timeouts[attempt] = within
-}
-func (f *fakeFleet) Reject(request *Request, s Time) {
-	f.rejected, f.retryAfters = append(f.rejected, request), append(f.retryAfters, s)
-}
-func (f *fakeFleet) Fail(request *Request) { f.failed = append(f.failed, request) }
-func (f *fakeFleet) SetTimer(in Time, a *Timer) {
-	f.timers, f.timersDue = append(f.timers, a), append(f.timersDue, f.now+in)
-}
-func (f *fakeFleet) WatchEndpoints()             { f.polls++ }
-func (f *fakeFleet) Vote(_, _ int, v VoteChoice) { f.votes = append(f.votes, v) }
-func (f *fakeFleet) Gossip(peer int, b []byte) {
-	f.gossip = append(f.gossip, b)
-	f.gossipTo = append(f.gossipTo, peer)
-}
-func (f *fakeFleet) CheckHealth(host *Host) { f.healthChecked = append(f.healthChecked, host) }
-func (f *fakeFleet) Log(string)             {}
-func (f *fakeFleet) host(id uint32, build int) EndpointUpdate {
-	return f.hostAt(id, build, f.localZone)
-}
-func (f *fakeFleet) hostAt(id uint32, build int, at *Zone) EndpointUpdate {
-	return EndpointUpdate{Host: &Host{ID: id}, Zone: at, Build: build, Weight: 1}
-}
+func (m *discardEffects) Send(attempt *Attempt, _ Time) { m.attempts = append(m.attempts, attempt) }
 
-// newFakeFleet starts a router beside six hosts of build 1, and one of build 2 that has long been warm.
-func newFakeFleet(t *testing.T, change func(*Config)) (*fakeFleet, []EndpointUpdate) {
-	f := &fakeFleet{t: t, localZone: &Zone{}, remoteZone: &Zone{}, timeouts: map[*Attempt]Time{},
-		quote:   &Class{Idempotency: Idempotent, LatencyObjective: Second, PriorityWeight: 1},
-		order:   &Class{Idempotency: IdempotentWithKey, DedupWindow: 3 * Second, LatencyObjective: Second, PriorityWeight: 5},
-		payment: &Class{Idempotency: NonIdempotent, LatencyObjective: Second, PriorityWeight: 2}}
-	p := Config{Seed: 7, Routers: 1, Zone: f.localZone, Classes: []*Class{f.quote, f.order, f.payment},
-		Limits: Limits{DrainGrace: Second, WarmUp: 5 * Second, ColdCapacity: 0.3, ColdOverloadFactor: 3, ColdOverloadWindow: Second,
-			PollInterval: 10 * Second, MaxAttempts: 4, AllowHedging: true, CrossZonePrice: 0.1},
-		Release: ReleaseConfig{ExposureCaps: []float64{0.1, 0.5, 1}, MinStageTime: Second, VoteTTL: 10 * Second, VoteTimeout: Second,
-			ExposureWindow: 4 * Second, ExposureAllowance: 1, GuardedStages: 1}}
-	if change != nil {
-		change(&p)
-	}
-	f.router = NewRouter(0, p, f)
-	var list []EndpointUpdate
-	for id := range uint32(6) {
-		list = append(list, f.host(id+1, 1))
-	}
-	list = append(list, f.host(9, 2))
-	f.router.EndpointsChanged(0, list, true)
-	f.router.ReleaseChanged(0, ReleaseStatus{Build: 1, Stage: 2, Phase: Released, ExposureCap: 1})
-	return f, list
-}
+func (m *discardEffects) Reject(*Request, Time) {}
 
-// advance lets time go by and rings what comes due.
-func (f *fakeFleet) advance(span Time) {
-	for end := f.now + span; f.now < end; {
-		f.now += Second / 100
-		for i := 0; i < len(f.timersDue); i++ {
-			if f.timersDue[i] <= f.now {
-				a := f.timers[i]
-				f.timers, f.timersDue = append(f.timers[:i:i], f.timers[i+1:]...), append(f.timersDue[:i:i], f.timersDue[i+1:]...)
-				i--
-				f.router.TimerFired(f.now, a)
-			}
-		}
-	}
-}
+func (m *discardEffects) Fail(*Request) {}
 
-func (f *fakeFleet) arrive(class *Class) *Request {
-	request := &Request{Class: class, Timeout: 3 * Second}
-	f.router.RequestArrived(f.now, request)
-	return request
-}
+func (m *discardEffects) SetTimer(Time, *Timer) {}
 
-func (f *fakeFleet) end(attempt *Attempt, outcome Outcome, latency Time) {
-	f.router.AttemptEnded(f.now, attempt, outcome, latency, attempt.Request.Answered(), nil)
-}
+func (m *discardEffects) WatchEndpoints() {}
 
-// serve takes so many tasks and ends each send as the story says.
-func (f *fakeFleet) serve(n int, class *Class, fate func(*Attempt) Outcome) {
-	for range n {
-		request := f.arrive(class)
-		f.advance(Second / 20)
-		for i := 0; i < len(request.Attempts); i++ {
-			f.end(request.Attempts[i], fate(request.Attempts[i]), Second/20)
-		}
-	}
-}
+func (m *discardEffects) Vote(int, int, VoteChoice) {}
 
-func succeeds(*Attempt) Outcome { return Succeeded }
+func (m *discardEffects) Log(string) {}
 
-// startCanary offers build 2 after the earlier build has been seen for a while.
-func (f *fakeFleet) startCanary(stage int, share float64) {
-	f.serve(120, f.quote, succeeds)
-	f.serve(40, f.order, succeeds)
-	f.router.ReleaseChanged(f.now, ReleaseStatus{Build: 2, Stage: stage, ExposureCap: share})
-	require.NotNil(f.t, f.router.baselineWindow(2, 20))
-}
+func (m *discardEffects) Gossip(int, []byte) {}
+
+func (m *discardEffects) CheckHealth(*Host) {}
 
-func (f *fakeFleet) attemptsAtBuild(b int) (n int) {
-	for _, attempt := range f.attempts {
-		if attempt.build == b {
-			n++
+// TestRunningSumsEqualSumsMadeAnew holds the running sums to what a walk over all hosts and answers finds, after any
+// events.
+func TestRunningSumsEqualSumsMadeAnew(t *testing.T) {
+	rapid.Check(t, func(t *rapid.T) {
+		hands := &discardEffects{}
+		home, away := &Zone{}, &Zone{}
+		class := &Class{LatencyObjective: 4000, PriorityWeight: 1}
+		r := NewRouter(0, Config{Seed: 1, Routers: rapid.SampledFrom([]int{1, 3, 9}).Draw(t, "routers"), Zone: home, Classes: []*Class{class},
+			Limits:  Limits{WarmUp: Second, ColdCapacity: .5, ColdOverloadFactor: 3, ColdOverloadWindow: Second, MaxAttempts: 4, AllowHedging: true, PollInterval: 1000 * Second},
+			Release: ReleaseConfig{ExposureCaps: []float64{.1, 1}, PromoteQuorum: 1, RollbackQuorum: 1, ExposureWindow: Second, ExposureAllowance: 2, VoteTTL: Second}}, hands)
+		var hosts []*Host
+		for i := range 6 {
+			hosts = append(hosts, &Host{ID: uint32(i + 1)})
+		}
+		now := Time(0)
+		var open []*Attempt
+		for range rapid.IntRange(1, 150).Draw(t, "events") {
+			now += Time(rapid.IntRange(0, 3000).Draw(t, "passes"))
+			switch rapid.IntRange(0, 9).Draw(t, "event") {
+			case 0:
+				host := rapid.SampledFrom(hosts).Draw(t, "host")
+				at := home
+				if host.ID%2 == 0 {
+					at = away
+				}
+				r.EndpointsChanged(now, []EndpointUpdate{{Host: host, Zone: at, State: EndpointState(rapid.IntRange(0, 2).Draw(t, "standing")), Build: rapid.IntRange(1, 2).Draw(t, "build"), Weight: 1}}, true)
+			case 1:
+				r.ReleaseChanged(now, ReleaseStatus{Build: rapid.IntRange(1, 2).Draw(t, "told"), Phase: Phase(rapid.IntRange(0, 3).Draw(t, "phase")), ExposureCap: .1})
+			case 2, 3, 4, 5:
+				r.RequestArrived(now, &Request{Class: class, Timeout: 10_000})
+				open, hands.attempts = append(open, hands.attempts...), nil
+			default:
+				if len(open) == 0 {
+					continue
+				}
+				i := rapid.IntRange(0, len(open)-1).Draw(t, "send")
+				attempt := open[i]
+				open = append(open[:i], open[i+1:]...)
+				outcome := rapid.SampledFrom([]Outcome{Succeeded, Succeeded, Succeeded, Failed, TimedOut, ConnectFailed, Rejected}).Draw(t, "fate")
+				r.AttemptEnded(now, attempt, outcome, now-attempt.sentAt, outcome == Succeeded, nil)
+				open, hands.attempts = append(open, hands.attempts...), nil
+			}
+			kept := *r.snapshot()
+			r.fleet.valid = false
+			require.Equal(t, *r.snapshot(), kept)
+			for _, side := range []locality{localZone, remoteZones} {
+				done, latency, n := Time(0), Time(0), 0
+				for _, x := range r.traffic.ended { // the window, by a walk
+					if x.locality == side && x.usualLatency > 0 && now-x.at <= 2*Second {
+						done, latency, n = done+x.usualLatency, latency+x.latency, n+1
+					}
+				}
+				l := &r.admission.completed[side].responses
+				require.Equal(t, n, l.advance(now-2*Second, now-8*Second, r.traffic.endedBase))
+				require.Equal(t, []Time{done, latency}, []Time{l.usualLatency, l.latency})
+			}
 		}
-	}
-	return n
+	})
 }
--- a/policy/orders_test.go
+++ b/policy/invariants_test.go
@@ -88,7 +88,7 @@
 
 // Whatever order answers, failures, time-outs, clients' ends, lists, news and alarms come in, also at one instant, the rules
 // hold that a router keeps by itself, and every request has one final answer by the time that its client waits until.
-func TestTheRulesHoldInWhateverOrderThingsHappen(t *testing.T) {
+func TestInvariantsHoldInWhateverOrderEventsCome(t *testing.T) {
 	rapid.Check(t, func(d *rapid.T) {
 		f, list := newFakeFleet(t, func(p *Config) {
 			p.Limits.AllowHedging = rapid.Bool().Draw(d, "two at once")
--- /dev/null
+++ b/policy/request_test.go
@@ -0,0 +1,29 @@
+package policy
+
+import (
+	"testing"
+
+	"github.com/stretchr/testify/require"
+)
+
+func TestRequestGetsOneAnswerAndNoAttemptAfterIt(t *testing.T) {
+	f, _ := newFakeFleet(t, nil)
+	request := f.arrive(f.quote)
+	f.end(request.Attempts[0], Succeeded, Second/20)
+	sends := len(f.attempts)
+	f.advance(5 * Second)
+	require.True(t, request.Answered())
+	require.Len(t, f.attempts, sends)
+	require.Empty(t, f.rejected)
+}
+
+func TestRequestWithoutAHostIsRejectedAtOnce(t *testing.T) {
+	f, list := newFakeFleet(t, nil)
+	for i := range list {
+		list[i].State = Removed
+	}
+	f.router.EndpointsChanged(f.now, list, true)
+	request := f.arrive(f.payment)
+	require.Equal(t, []*Request{request}, f.rejected)
+	require.Empty(t, f.attempts)
+}
--- /dev/null
+++ b/policy/retry_test.go
@@ -0,0 +1,90 @@
+package policy
+
+import (
+	"testing"
+
+	"github.com/stretchr/testify/require"
+)
+
+func TestNonIdempotentRequestThatMayHaveExecutedIsNeitherRetriedNorRejected(t *testing.T) {
+	f, _ := newFakeFleet(t, nil)
+	request := f.arrive(f.payment)
+	f.advance(2 * Second) // it lingers, and is not copied either
+	require.Len(t, request.Attempts, 1)
+	f.end(request.Attempts[0], ConnectionLost, 2*Second)
+	require.Equal(t, []*Request{request}, f.failed)
+	require.Len(t, request.Attempts, 1)
+}
+
+func TestNonIdempotentRequestThatWasNotExecutedIsRetried(t *testing.T) {
+	f, _ := newFakeFleet(t, nil)
+	request := f.arrive(f.payment)
+	f.end(request.Attempts[0], ConnectFailed, Second/40)
+	require.Len(t, request.Attempts, 2)
+	require.NotSame(t, request.Attempts[0].Host, request.Attempts[1].Host)
+}
+
+func TestRetryWithIdempotencyKeyStaysInDedupScopeAndWindow(t *testing.T) {
+	f, list := newFakeFleet(t, nil)
+	f.order.DedupScope = ZoneScope
+	list[5].Zone = f.remoteZone
+	f.router.EndpointsChanged(f.now, list, true)
+	for range 20 {
+		request := f.arrive(f.order)
+		f.end(request.Attempts[0], Failed, Second/40)
+		for _, attempt := range request.Attempts[1:] {
+			require.Same(t, request.Attempts[0].Host.Zone, attempt.Host.Zone)
+		}
+		f.advance(Second)
+		f.router.ClientGone(f.now, request)
+	}
+	late := f.arrive(f.order)
+	late.Timeout = 9 * Second
+	f.advance(4 * Second) // longer than the hosts remember
+	n := len(late.Attempts)
+	f.end(late.Attempts[0], ConnectionLost, 4*Second)
+	require.Len(t, late.Attempts, n)
+}
+
+func TestNoSecondAttemptInFlightWithoutHedging(t *testing.T) {
+	f, _ := newFakeFleet(t, func(p *Config) { p.Limits.AllowHedging = false })
+	f.startCanary(1, 0.5)
+	for range 40 {
+		request := f.arrive(f.quote)
+		require.LessOrEqual(t, len(request.Attempts), 1)
+		if attempt := request.Attempts[0]; attempt.build == 2 { // a lone copy, with the time left for its original
+			require.Less(t, f.timeouts[attempt], request.Timeout/2)
+			f.end(attempt, TimedOut, f.timeouts[attempt])
+			require.Len(t, request.Attempts, 2)
+			require.Equal(t, 1, request.Attempts[1].build)
+		}
+		f.advance(Second / 20)
+		f.end(request.Attempts[len(request.Attempts)-1], Succeeded, Second/20)
+	}
+	require.Positive(t, f.attemptsAtBuild(2))
+}
+
+func TestAttemptsCutShortCountInTheRetryBudget(t *testing.T) {
+	f, _ := newFakeFleet(t, func(p *Config) { p.Limits.AllowHedging = false })
+	f.serve(120, f.quote, succeeds)
+	cut := 0
+	for range 200 { // all hosts are slower than before
+		request := f.arrive(f.quote)
+		f.advance(Second / 40)
+		if attempt := request.Attempts[0]; f.timeouts[attempt] < request.Timeout {
+			cut++
+			f.end(attempt, TimedOut, f.timeouts[attempt])
+		}
+		f.end(request.Attempts[len(request.Attempts)-1], Succeeded, Second/20)
+	}
+	require.Positive(t, cut)
+	require.Less(t, cut, 60) // one for every eight tasks of the last five seconds, and a few
+}
+
+func TestRetriesKeepWithinTheirBudget(t *testing.T) {
+	f, _ := newFakeFleet(t, nil)
+	f.serve(80, f.quote, succeeds)
+	f.attempts = nil
+	f.serve(100, f.quote, func(*Attempt) Outcome { return Failed })
+	require.Less(t, len(f.attempts), 130)
+}
--- /dev/null
+++ b/policy/surge_test.go
@@ -0,0 +1,50 @@
+package policy
+
+import (
+	"testing"
+
+	"github.com/stretchr/testify/require"
+)
+
+func TestSurgeSeenOnlyByOwnAttemptsConvictsNoBuildAndEnds(t *testing.T) {
+	f, _ := newFakeFleet(t, nil)
+	f.startCanary(1, 0.5)
+	f.router.surge.state, f.router.surge.since = surgeProven, f.now
+	w, testOdds := f.router.evidence()
+	require.Contains(t, testOdds, 20.0)
+	require.Less(t, w, 8.0)
+	f.advance(16 * Second)
+	require.Equal(t, surgeNone, f.router.surge.state)
+}
+
+// A build that slows old and new alike leaves no gap: slow with copies, quick without, and slow again prove it.
+func TestTwoSurgesWithShadowAttemptsProveABuildThatSlowsTheFleet(t *testing.T) {
+	story := func(means ...Time) (f *fakeFleet) {
+		f, _ = newGossipingFleet(t, func(p *Config) { p.Release.Mode, p.Limits.AllowHedging = Quorum, false })
+		count := func(mean Time) {
+			for _, b := range []int{1, 2} {
+				for _, class := range []*Class{f.quote, f.order, f.payment} {
+					f.router.StatsReported(f.now, BuildStats{Build: b, Class: class, Samples: 100, MeanLatency: mean, Window: 2 * Second})
+				}
+			}
+		}
+		count(Second / 20)
+		f.startCanary(2, 1)
+		for _, m := range means {
+			f.advance(2 * Second)
+			count(m)
+			f.advance(Second / 2)
+		}
+		return f
+	}
+	const quick, slow = Second / 20, Second / 10
+	f := story(quick, slow)
+	require.True(t, f.router.shadowsPaused())
+	require.True(t, f.router.isUnreadyForRelease(), "no release meanwhile")
+	require.NotContains(t, f.votes, Rollback)
+	require.False(t, story(quick, slow, quick).router.shadowsPaused(), "they go on when it is quick again")
+	require.Contains(t, story(quick, slow, quick, slow).votes, Rollback)
+	f = story(quick, slow, slow, slow, slow, slow, slow, slow)
+	require.False(t, f.router.surge.state == surgeProven, "slow without copies too: another trouble")
+	require.NotContains(t, f.votes, Rollback)
+}
--- /dev/null
+++ b/policy/vote_test.go
@@ -0,0 +1,139 @@
+package policy
+
+import (
+	"testing"
+
+	"github.com/stretchr/testify/require"
+)
+
+func TestGoodBuildIsPromotedAndBadOneRolledBack(t *testing.T) {
+	story := func(bad func(*Attempt) bool) []VoteChoice {
+		f, list := newFakeFleet(t, nil)
+		for id := range uint32(5) {
+			list = append(list, f.host(10+id, 2))
+		}
+		f.router.EndpointsChanged(f.now, list, true)
+		f.startCanary(2, 1)
+		for range 100 {
+			for _, class := range []*Class{f.quote, f.order, f.payment} {
+				f.serve(1, class, func(attempt *Attempt) Outcome {
+					if attempt.build == 2 && bad(attempt) {
+						return Failed
+					}
+					return Succeeded
+				})
+			}
+		}
+		return f.votes
+	}
+	require.Contains(t, story(func(*Attempt) bool { return false }), Promote)
+	require.NotContains(t, story(func(*Attempt) bool { return false }), Rollback)
+	n := 0
+	require.Contains(t, story(func(*Attempt) bool { n++; return n%3 == 0 }), Rollback)
+	require.NotContains(t, story(func(attempt *Attempt) bool { return attempt.Host.ID == 9 }), Rollback) // one sick host
+	require.NotContains(t, story(func(attempt *Attempt) bool { return attempt.Request.Class.Idempotency == NonIdempotent }), Promote)
+}
+
+func TestNoWaitPromotesABuildWhileAClassIsInDoubt(t *testing.T) {
+	f, list := newFakeFleet(t, nil)
+	f.router.EndpointsChanged(f.now, append(list, f.host(10, 2), f.host(11, 2), f.host(12, 2)), true)
+	f.startCanary(2, 1)
+	for range 300 {
+		f.serve(3, f.quote, succeeds)
+		f.serve(1, f.order, func(attempt *Attempt) Outcome {
+			if attempt.build == 2 {
+				return Failed
+			}
+			return Succeeded
+		})
+	}
+	require.NotContains(t, f.votes, Promote)
+}
+
+func TestManyRoutersJudgeByStatsAndAFewOfThemVote(t *testing.T) {
+	votes := map[VoteChoice]int{}
+	story := func(rank, bad int, latency Time) {
+		f, list := newFakeFleet(t, func(p *Config) { p.Routers, p.Rank, p.Release.SampledShare = 40, rank, 0.2 })
+		f.router.EndpointsChanged(f.now, append(list, f.host(10, 2), f.host(11, 2), f.host(12, 2)), true)
+		f.startCanary(2, 1)
+		for range 4 { // seconds; this router's own copies all fail, the desk's counts say what the story says
+			f.serve(20, f.quote, func(attempt *Attempt) Outcome {
+				if attempt.build == 2 && len(attempt.Host.samples) < 3 {
+					return Failed
+				}
+				return Succeeded
+			})
+			for _, class := range []*Class{f.quote, f.order, f.payment} {
+				f.router.StatsReported(f.now, BuildStats{Build: 1, Class: class, Failures: 1, Samples: 60, MeanLatency: Second / 20})
+				f.router.StatsReported(f.now, BuildStats{Build: 2, Class: class, Failures: bad, Samples: 60, MeanLatency: latency})
+			}
+		}
+		for _, v := range f.votes {
+			votes[v]++
+		}
+	}
+	for rank := range 40 {
+		story(rank, 20, Second/20)
+	}
+	require.Positive(t, votes[Rollback])
+	require.Less(t, votes[Rollback], 40)
+	clear(votes)
+	for rank := range 40 {
+		story(rank, 1, Second/20)
+	}
+	require.Zero(t, votes[Rollback])
+}
+
+func TestOneFailingHostDoesNotRollABuildBackWhereAQuorumMustAgree(t *testing.T) {
+	f, list := newFakeFleet(t, func(p *Config) {
+		p.Routers, p.Release.Mode, p.Release.PromoteQuorum, p.Release.RollbackQuorum = 60, Quorum, 30, 15
+		p.Limits.AllowHedging = false
+	})
+	f.router.EndpointsChanged(f.now, append(list, f.host(10, 2), f.host(11, 2), f.host(12, 2), f.host(13, 2)), true)
+	f.startCanary(2, 1)
+	story := func(bad func(*Attempt) bool) {
+		f.serve(200, f.quote, func(attempt *Attempt) Outcome {
+			if attempt.build == 2 && bad(attempt) {
+				return Failed
+			}
+			return Succeeded
+		})
+	}
+	story(func(attempt *Attempt) bool { return attempt.Host.ID == 9 })
+	require.NotContains(t, f.votes, Rollback)
+	story(func(*Attempt) bool { return true })
+	require.Contains(t, f.votes, Rollback)
+	f.attempts = nil
+	story(func(*Attempt) bool { return true })
+	require.Positive(t, f.attemptsAtBuild(2)) // others may not agree, so the copies go on
+}
+
+func TestUnansweredVoteIsCastAgainWithoutAFlood(t *testing.T) {
+	f, _ := newFakeFleet(t, nil)
+	f.startCanary(0, 0.1)
+	f.advance(20 * Second)
+	require.Greater(t, len(f.votes), 5)
+	require.Less(t, len(f.votes), 20)
+	f.router.ReleaseChanged(f.now, ReleaseStatus{VoteResult: VoteAccepted, Build: 2, ExposureCap: 0.1})
+	n := len(f.votes)
+	f.advance(5 * Second)
+	require.Len(t, f.votes, n)
+	f.advance(5 * Second) // renewed before it runs out
+	require.Greater(t, len(f.votes), n)
+}
+
+func TestBuildWithFewKnownHostsIsNeitherReleasedNorOverloaded(t *testing.T) {
+	f, list := newFakeFleet(t, nil) // one host of build 2, six of build 1, and the list tells no more
+	f.startCanary(2, 1)
+	for range 60 {
+		f.serve(1, f.quote, succeeds)
+		f.serve(1, f.order, succeeds)
+		f.serve(1, f.payment, succeeds)
+	}
+	require.NotContains(t, f.votes, Promote)
+	f.router.ReleaseChanged(f.now, ReleaseStatus{Build: 2, Stage: 2, Phase: Released, ExposureCap: 1})
+	f.attempts = nil
+	f.serve(100, f.quote, succeeds)
+	require.Less(t, f.attemptsAtBuild(2), 50)
+	require.Positive(t, len(list[0].Host.attempts))
+}
