--- a/policy/orders_test.go
+++ b/policy/invariants_test.go
@@ -49,21 +49,21 @@
 				l.Fatalf("at %d: two attempts at once", now)
 			}
 		}
-		if on, stage, cap := f.router.exposureOf(attempt.build); on {
-			if stage < f.router.releaseConfig.GuardedStages && request.Class.Idempotency != Idempotent {
+		if limit := f.router.release.exposureOf(attempt.build); limit.applies {
+			if limit.stage < f.router.release.config.GuardedStages && request.Class.Idempotency != Idempotent {
 				l.Fatalf("at %d: an effect in a guarded stage", now)
 			}
 			l.canaryAttempts = append(l.canaryAttempts, trafficEvent{at: now})
 			in := func(all []trafficEvent) (n float64) {
 				for _, m := range all {
-					if now-m.at < f.router.releaseConfig.ExposureWindow {
+					if now-m.at < f.router.release.config.ExposureWindow {
 						n++
 					}
 				}
 				return n
 			}
-			if in(l.canaryAttempts) > f.router.releaseConfig.ExposureAllowance+cap*in(l.arrivals) {
-				l.Fatalf("at %d: %v attempts on trial, of %v requests at a cap of %v", now, in(l.canaryAttempts), in(l.arrivals), cap)
+			if in(l.canaryAttempts) > f.router.release.config.ExposureAllowance+limit.share*in(l.arrivals) {
+				l.Fatalf("at %d: %v attempts on trial, of %v requests at a cap of %v", now, in(l.canaryAttempts), in(l.arrivals), limit.share)
 			}
 		}
 	}
@@ -88,7 +88,7 @@
 
 // Whatever order answers, failures, time-outs, clients' ends, lists, news and alarms come in, also at one instant, the rules
 // hold that a router keeps by itself, and every request has one final answer by the time that its client waits until.
-func TestTheRulesHoldInWhateverOrderThingsHappen(t *testing.T) {
+func TestInvariantsHoldInWhateverOrderEventsCome(t *testing.T) {
 	rapid.Check(t, func(d *rapid.T) {
 		f, list := newFakeFleet(t, func(p *Config) {
 			p.Limits.AllowHedging = rapid.Bool().Draw(d, "two at once")
