--- /dev/null
+++ b/internal/downstream/request.go
@@ -0,0 +1,215 @@
+package downstream
+
+import (
+	"net/http"
+	"net/netip"
+	"strconv"
+	"strings"
+
+	"dapplefront/internal/http1"
+	"dapplefront/policy"
+)
+
+// responseHeadCapacity is how many bytes are reserved for a response's head.
+const responseHeadCapacity = 512
+
+// Request is a request that a server hands to its handler. It takes one final response: Respond, Reject or Fail.
+type Request struct {
+	Message        *http1.Message
+	Class          string
+	Tenant         string
+	IdempotencyKey string
+	Key            string
+	Timeout        policy.Time // from the moment the server hands it in
+	ExpectedWork   policy.Time
+	ClientRetry    bool
+	From           netip.Addr
+
+	// OnClientGone is called from the loop's work when the client has gone before the response. The handler sets it.
+	OnClientGone func()
+
+	pending *pendingResponse
+}
+
+// requestReceived handles a complete request; its first byte came at startedAt.
+func (s *Server) requestReceived(c *clientConn, m *http1.Message, startedAt policy.Time) {
+	isDraining := s.state >= draining
+	if isDraining && len(c.pending) > 0 { // the newest request's response closes the connection
+		c.pending[len(c.pending)-1].closeAfter = false
+	}
+	p := &pendingResponse{conn: c, closeAfter: m.Closes() || isDraining, omitBody: m.Method == http.MethodHead}
+	c.pending = append(c.pending, p)
+	c.hadRequest = true
+	s.unanswered++
+	if path := s.protocol.ReadinessPath; path != "" && m.Method == http.MethodGet && m.Target == path {
+		m.Drop()
+		if isDraining || s.ready != nil && !s.ready() {
+			p.refuse(&http1.Error{Status: http.StatusServiceUnavailable, Text: "not ready"})
+			return
+		}
+		p.respondText(appendStatus(make([]byte, 0, 128), http.StatusOK, "OK"), "ready")
+		return
+	}
+	r, err := s.parseRequest(c, m, startedAt)
+	switch {
+	case err != nil:
+		m.Drop()
+		p.refuse(err)
+	case s.state == closing:
+		m.Drop()
+		r.Reject(0, "this router is closing")
+	case len(c.pending) > s.config.MaxPipelined:
+		m.Drop()
+		r.Reject(pipelineRetry, "too many requests at once on one connection")
+	default:
+		p.request = r
+		s.handler(r)
+	}
+}
+
+// parseRequest reads what a request says of itself; the newest pending response of c is its.
+func (s *Server) parseRequest(c *clientConn, m *http1.Message, startedAt policy.Time) (*Request, *http1.Error) {
+	r := &Request{Message: m, OnClientGone: func() {}, pending: c.pending[len(c.pending)-1], From: c.remoteIP}
+	headers, err := s.protocol.readHeaders(m, s.headers)
+	if err != nil {
+		return nil, err
+	}
+	class, err := s.classOf(m, &headers)
+	if err != nil {
+		return nil, err
+	}
+	r.Class, r.Tenant, r.Key = class.Name, headers[tenantHeader].value, headers[keyHeader].value
+	r.IdempotencyKey = headers[idempotencyKeyHeader].value
+	r.ClientRetry = headers[clientRetryHeader].value == "1"
+	if err := s.checkClass(class, m, &headers); err != nil {
+		return nil, err
+	}
+	if err := s.registerID(r.pending, headers[idHeader].value); err != nil {
+		return nil, err
+	}
+	if err := s.readTimes(r, class, &headers); err != nil {
+		return nil, err
+	}
+	now := s.loop.Now()
+	if r.Timeout -= now - startedAt; s.deadline != 0 {
+		r.Timeout = min(r.Timeout, s.deadline-now)
+	}
+	if r.Tenant == "" {
+		r.Tenant, _ = s.networks.Lookup(c.remoteIP)
+	}
+	return r, nil
+}
+
+// classOf finds a request's class by its header, or else by its path.
+func (s *Server) classOf(m *http1.Message, headers *requestHeaders) (*Class, *http1.Error) {
+	if headers[classHeader].present {
+		class := s.classes[headers[classHeader].value]
+		if class == nil {
+			return nil, badRequest(s.protocol.Class + " names none of the categories served here")
+		}
+		return class, nil
+	}
+	for i := range s.routes {
+		if strings.HasPrefix(m.Target, s.routes[i].prefix) {
+			return s.routes[i].class, nil
+		}
+	}
+	if s.protocol.Strict {
+		return nil, badRequest(s.protocol.Class + " is missing")
+	}
+	return nil, &http1.Error{Status: http.StatusNotFound, Text: "no category has this path"}
+}
+
+// checkClass checks what a class demands of its requests.
+func (s *Server) checkClass(class *Class, m *http1.Message, headers *requestHeaders) *http1.Error {
+	key := headers[idempotencyKeyHeader]
+	switch {
+	case class.RequiresIdempotencyKey && key.value == "":
+		return badRequest("tasks of the category " + class.Name + " need an " + s.protocol.IdempotencyKey)
+	case class.ForbidsIdempotencyKey && key.present:
+		return badRequest("tasks of the category " + class.Name + " bear no " + s.protocol.IdempotencyKey)
+	case class.Method != "" && m.Method != class.Method:
+		return &http1.Error{Status: http.StatusMethodNotAllowed, Text: "tasks of the category " + class.Name + " come by " + class.Method}
+	case class.Method == http.MethodGet && len(m.Body) > 0:
+		return badRequest("tasks of the category " + class.Name + " have no body")
+	}
+	return nil
+}
+
+// registerID notes the id that the client gave a request, where the protocol has ids; no two open requests share one.
+func (s *Server) registerID(p *pendingResponse, id string) *http1.Error {
+	switch {
+	case s.protocol.ID == "":
+		return nil
+	case id == "":
+		return badRequest(s.protocol.ID + " is missing")
+	case s.openByID[id] != nil:
+		return badRequest(s.protocol.ID + " is that of another request, which is still open")
+	}
+	p.id, s.openByID[id] = id, p
+	return nil
+}
+
+// readTimes reads a request's timeout and its expected work.
+func (s *Server) readTimes(r *Request, class *Class, headers *requestHeaders) *http1.Error {
+	r.Timeout = class.Timeout
+	if text := headers[timeoutHeader].value; text != "" || s.protocol.Strict {
+		timeout, ok := s.protocol.parseTimeout(text)
+		if !ok {
+			return badRequest(s.protocol.Timeout + " is not a time above 0 such as 240ms, or milliseconds")
+		}
+		r.Timeout = min(timeout, class.Timeout)
+	}
+	if text := headers[expectedWorkHeader].value; text != "" {
+		work, ok := s.protocol.parseWork(text)
+		if !ok {
+			return badRequest(s.protocol.ExpectedWork + " is not a time such as 12ms")
+		}
+		r.ExpectedWork = work
+	}
+	return nil
+}
+
+func badRequest(text string) *http1.Error {
+	return &http1.Error{Status: http.StatusBadRequest, Text: text}
+}
+
+// Respond answers with a host's response. host is the host's id.
+func (r *Request) Respond(m *http1.Message, host uint32) {
+	head := make([]byte, 0, responseHeadCapacity)
+	head = appendStatus(head, m.Status, m.Reason)
+	protocol := r.pending.conn.server.protocol
+	head = protocol.appendOutcome(m.AppendFields(head, protocol.isOwnHeader), outcomeSucceeded)
+	if protocol.Host != "" {
+		head = http1.AppendField(head, protocol.Host, strconv.FormatUint(uint64(host), 10))
+	}
+	if m.Status == http.StatusNoContent || m.Status == http.StatusNotModified || r.pending.omitBody {
+		if v, ok := m.Lookup("Content-Length"); ok && m.Status != http.StatusNoContent {
+			head = http1.AppendField(head, "Content-Length", v)
+		}
+		r.pending.respond(append(head, r.pending.endOfHead()...), nil)
+		return
+	}
+	head = append(head, "Content-Length: "...)
+	head = strconv.AppendInt(head, int64(len(m.Body)), 10)
+	head = append(head, '\r', '\n')
+	r.pending.respond(append(head, r.pending.endOfHead()...), m.Body)
+}
+
+// Reject answers that the request has not run and trying again is harmless, best after retryAfter; 0 for any time.
+func (r *Request) Reject(retryAfter policy.Time, reason string) {
+	head := appendStatus(make([]byte, 0, 256), http.StatusServiceUnavailable, "Service Unavailable")
+	protocol := r.pending.conn.server.protocol
+	head = protocol.appendRetryAfter(protocol.appendOutcome(head, outcomeRejected), retryAfter)
+	r.pending.respondText(head, reason)
+}
+
+// Fail answers that the request may have run or not; timedOut says that there was no response in time.
+func (r *Request) Fail(timedOut bool) {
+	status, phrase, reason := http.StatusBadGateway, "Bad Gateway", "the task may have run or not"
+	if timedOut {
+		status, phrase, reason = http.StatusGatewayTimeout, "Gateway Timeout", "no answer in time; the task may have run or not"
+	}
+	head := appendStatus(make([]byte, 0, 256), status, phrase)
+	r.pending.respondText(r.pending.conn.server.protocol.appendOutcome(head, outcomeFailed), reason)
+}
--- /dev/null
+++ b/internal/downstream/server_test.go
@@ -0,0 +1,232 @@
+package downstream
+
+import (
+	"bufio"
+	"bytes"
+	"fmt"
+	"io"
+	"net"
+	"net/http"
+	"testing"
+	"time"
+
+	"github.com/stretchr/testify/require"
+
+	"dapplefront/internal/eventloop"
+	"dapplefront/internal/http1"
+	"dapplefront/internal/transport"
+	"dapplefront/policy"
+)
+
+// testbench is a server on a real listener, whose loop a test can block.
+type testbench struct {
+	*testing.T
+	loop     *eventloop.Loop
+	server   *Server
+	address  string
+	requests chan *Request
+}
+
+func newTestbench(t *testing.T, change func(*Config)) *testbench {
+	t.Helper()
+	config := Config{Classes: []Class{{Name: "quote", Paths: []string{"/"}, Timeout: 10 * policy.Second}},
+		Limits: http1.Limits{Head: 4096, Body: 4096}, TransferTimeout: time.Minute, IdleTimeout: time.Minute, MaxConnections: 10, MaxPipelined: 1}
+	if change != nil {
+		change(&config)
+	}
+	h := &testbench{T: t, loop: eventloop.New(), requests: make(chan *Request, 100)}
+	engine := transport.Start()
+	h.loop.Do(func() {
+		h.server = NewServer(h.loop, config, http1.NewBudget(1<<20), func(r *Request) { r.OnClientGone = func() {}; h.requests <- r })
+	})
+	l, err := net.Listen("tcp", "127.0.0.1:0")
+	require.NoError(t, err)
+	h.address = l.Addr().String()
+	engine.Accept(l, h.server.Accept)
+	t.Cleanup(func() { h.loop.Close(); engine.Stop() })
+	return h
+}
+
+// blockLoop stops the loop until the function that it returns is called.
+func (h *testbench) blockLoop() (unblock func()) {
+	blocked, barrier := make(chan bool), make(chan bool)
+	go h.loop.Post(func() { blocked <- true; <-barrier })
+	<-blocked
+	return func() { close(barrier) }
+}
+
+func (h *testbench) fail(r *Request) { h.loop.Do(func() { r.Fail(false) }) }
+
+// testClient is a raw connection to the server.
+type testClient struct {
+	net.Conn
+	in *bufio.Reader
+}
+
+func (h *testbench) dial() testClient {
+	h.Helper()
+	c, err := net.Dial("tcp", h.address)
+	require.NoError(h, err)
+	h.Cleanup(func() { _ = c.Close() })
+	require.NoError(h, c.SetDeadline(time.Now().Add(20*time.Second)))
+	return testClient{c, bufio.NewReader(c)}
+}
+
+func (c testClient) get() { _, _ = fmt.Fprint(c, "GET /x HTTP/1.1\r\nHost: h\r\n\r\n") }
+
+// status is that of the next response; 0 where the connection ends first.
+func (c testClient) status() int {
+	got, err := http.ReadResponse(c.in, nil)
+	if err != nil {
+		return 0
+	}
+	_, _ = io.Copy(io.Discard, got.Body)
+	_ = got.Body.Close()
+	return got.StatusCode
+}
+
+// onlyConn is the one connection of the server; the loop must be blocked, or the caller its work.
+func (h *testbench) onlyConn() (c *clientConn) {
+	for c = range h.server.conns {
+	}
+	return c
+}
+
+func (h *testbench) waitConnections(n int) {
+	h.Helper()
+	require.Eventually(h, func() bool { open := 0; h.loop.Do(func() { open = h.server.Connections() }); return open == n },
+		20*time.Second, time.Millisecond)
+}
+
+// closers are the ways in which idle connections are closed.
+var closers = map[string]func(*Server){
+	"shutdown": (*Server).Close,
+	"reclaim":  func(s *Server) { s.reclaim() },
+	"sweep":    func(s *Server) { s.config.IdleTimeout = 0; s.sweep() },
+}
+
+// A request that was read and posted, but that the loop has not come to, keeps its connection open, whatever would close
+// it as idle: shutdown, the sweep, reclaiming for a new connection.
+func TestServer_RespondsToRequestThatCrossesIdleClose(t *testing.T) {
+	for name, closes := range closers {
+		t.Run(name, func(t *testing.T) {
+			h := newTestbench(t, func(c *Config) { c.ReclaimIdleAfter = time.Nanosecond })
+			c := h.dial()
+			c.get()
+			h.fail(<-h.requests) // it has had a request
+			require.Equal(t, 502, c.status())
+			unblock := h.blockLoop()
+			go h.loop.Post(func() { closes(h.server) }) // it is queued before the request is
+			require.Eventually(t, func() bool { return h.loop.Waiting() == 1 }, 20*time.Second, time.Millisecond)
+			conn := h.onlyConn()
+			c.get()
+			require.Eventually(t, func() bool { return conn.awaitingResponse.Load() == 1 && h.loop.Waiting() == 2 }, 20*time.Second, time.Millisecond)
+			conn.lastReadAt.Store(0) // long ago, as far as the server knows
+			unblock()
+			if name != "shutdown" {
+				h.fail(<-h.requests)
+				require.Equal(t, 502, c.status())
+				return
+			}
+			require.Equal(t, 503, c.status())
+			_ = c.Close()
+			require.Eventually(t, func() bool { done := false; h.loop.Do(func() { done = h.server.Drained() }); return done },
+				20*time.Second, time.Millisecond)
+		})
+	}
+}
+
+// A request on a connection above the limit must not run: no response can reach its client.
+func TestServer_DropsRequestOfConnectionAboveLimit(t *testing.T) {
+	h := newTestbench(t, func(c *Config) { c.MaxConnections = 1 })
+	first := h.dial()
+	first.get()
+	admitted := <-h.requests
+	unblock := h.blockLoop()
+	c := h.dial()
+	c.get()
+	require.Eventually(t, func() bool { return h.loop.Waiting() == 2 }, 20*time.Second, time.Millisecond, "its accept and its request")
+	unblock()
+	require.Zero(t, c.status())
+	h.loop.Do(func() {}) // all that was queued is done
+	require.Empty(t, h.requests)
+	h.fail(admitted)
+	require.Equal(t, 502, first.status())
+}
+
+// Half a request has time to be completed during shutdown; then it is rejected.
+func TestServer_CloseWaitsForHalfARequestAndRejectsIt(t *testing.T) {
+	h := newTestbench(t, nil)
+	c := h.dial()
+	_, _ = fmt.Fprint(c, "GET /x HTTP/1.1\r\nHost: h\r\n\r")
+	h.waitConnections(1)
+	unblock := h.blockLoop()
+	conn := h.onlyConn()
+	require.Eventually(t, func() bool { return conn.requestStartedAt.Load() != 0 }, 20*time.Second, time.Millisecond)
+	unblock()
+	h.loop.Do(h.server.Close)
+	drained := true
+	h.loop.Do(func() { drained = h.server.Drained() })
+	require.False(t, drained)
+	_, _ = fmt.Fprint(c, "\n")
+	require.Equal(t, 503, c.status())
+	_, err := c.in.ReadByte()
+	require.ErrorIs(t, err, io.EOF, "then the connection ends in order")
+}
+
+// What comes while the server is draining is responded to before the deadline, however long its client would wait.
+func TestServer_BoundsTimeoutWhileDraining(t *testing.T) {
+	h := newTestbench(t, nil)
+	h.loop.Do(func() { h.server.StartDraining(h.loop.Now() + policy.Second) })
+	c := h.dial()
+	c.get()
+	require.LessOrEqual(t, (<-h.requests).Timeout, policy.Second)
+}
+
+// Idle connections make room for new ones, long before they would be closed as idle.
+func TestServer_ReclaimsIdleConnectionForNewOne(t *testing.T) {
+	h := newTestbench(t, func(c *Config) { c.MaxConnections, c.ReclaimIdleAfter = 2, time.Nanosecond })
+	first, second := h.dial(), h.dial()
+	for _, c := range []testClient{first, second} {
+		c.get()
+		h.fail(<-h.requests)
+		require.Equal(t, 502, c.status())
+	}
+	second.get() // has a request in flight, and stays
+	open := <-h.requests
+	third := h.dial()
+	third.get()
+	h.fail(<-h.requests)
+	require.Equal(t, 502, third.status())
+	_, err := first.in.ReadByte()
+	require.ErrorIs(t, err, io.EOF)
+	h.fail(open)
+	require.Equal(t, 502, second.status())
+}
+
+// A response that has not left completely keeps its connection, whatever would close it as idle.
+func TestServer_KeepsConnectionWhileResponseIsBeingWritten(t *testing.T) {
+	for name, closes := range closers {
+		t.Run(name, func(t *testing.T) {
+			h := newTestbench(t, func(c *Config) { c.ReclaimIdleAfter = time.Nanosecond })
+			c := h.dial()
+			c.get()
+			r := <-h.requests
+			body := bytes.Repeat([]byte("0123456789abcdef"), 1<<20) // more than the kernel keeps
+			pending := 0
+			h.loop.Do(func() {
+				r.Respond(&http1.Message{Status: 200, Reason: "OK", Body: body}, 1)
+				h.onlyConn().lastReadAt.Store(0) // long ago
+				pending, _ = h.onlyConn().conn.Pending()
+				closes(h.server)
+			})
+			require.Positive(t, pending)
+			got, err := http.ReadResponse(c.in, nil)
+			require.NoError(t, err)
+			text, err := io.ReadAll(got.Body)
+			require.NoError(t, err)
+			require.NoError(t, got.Body.Close())
+			require.True(t, bytes.Equal(body, text))
+		})
+	}
+}
