--- a/internal/upstream/pool_test.go
+++ b/internal/upstream/pool_test.go
@@ -19,28 +19,29 @@
 	"dapplefront/policy"
 )
 
-// rig is a pool with one real host, whose connections a test serves request by request.
-type rig struct {
+// testbench is a pool with one real host, whose connections a test serves request by request.
+type testbench struct {
 	*testing.T
-	loop *eventloop.Loop
-	pool *Pool
-	host net.Listener
-	came chan arrival
-	open atomic.Int64 // connections that the host has accepted
+	loop     *eventloop.Loop
+	pool     *Pool
+	host     net.Listener
+	requests chan hostRequest
+	accepted atomic.Int64 // connections that the host has accepted
 }
 
-// arrival is a request as it has come to the host.
-type arrival struct {
+// hostRequest is a request as it has come to the host.
+type hostRequest struct {
 	*http.Request
 	conn net.Conn
 }
 
-func (a arrival) answer(body string) {
-	fmt.Fprintf(a.conn, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
+func (r hostRequest) respond(body string) {
+	_, _ = fmt.Fprintf(r.conn, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
 }
 
-func newRig(t *testing.T) *rig {
-	r := &rig{T: t, loop: eventloop.New(), came: make(chan arrival, 100)}
+func newTestbench(t *testing.T) *testbench {
+	t.Helper()
+	r := &testbench{T: t, loop: eventloop.New(), requests: make(chan hostRequest, 100)}
 	var err error
 	r.host, err = net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
@@ -52,14 +53,14 @@
 			if err != nil {
 				return
 			}
-			r.open.Add(1)
+			r.accepted.Add(1)
 			go func() {
 				for in := bufio.NewReader(c); ; {
 					q, err := http.ReadRequest(in)
 					if err != nil {
 						return
 					}
-					r.came <- arrival{q, c}
+					r.requests <- hostRequest{q, c}
 				}
 			}()
 		}
@@ -72,10 +73,13 @@
 	return r
 }
 
-// send starts a send from the loop's work; its result goes to the channel, after then.
-func (r *rig) send(name string, within policy.Time, to chan string, then func()) *Attempt {
+// attemptTimeout is the timeout of all attempts.
+const attemptTimeout = 10 * policy.Second
+
+// send starts an attempt from the loop's work; its response or outcome goes to the channel, after then.
+func (r *testbench) send(name string, results chan string, then func()) *Attempt {
 	head := []byte("GET /" + name + " HTTP/1.1\r\nHost: h\r\n")
-	return r.pool.Send(1, head, nil, false, within, func(x Result) {
+	return r.pool.Send(1, head, nil, false, attemptTimeout, func(x Result) {
 		text := fmt.Sprint(x.Outcome)
 		if x.Response != nil {
 			text = string(x.Response.Body)
@@ -84,117 +88,117 @@
 		if then != nil {
 			then()
 		}
-		to <- text
+		results <- text
 	})
 }
 
-// A second copy of an answer that comes when the next request is on its way is nobody's answer.
+// A duplicate of a response that comes when the next request is in flight is not the response to that.
 func TestPool_IgnoresLateDuplicateResponse(t *testing.T) {
-	r := newRig(t)
+	r := newTestbench(t)
 	got := make(chan string, 4)
 	r.loop.Do(func() {
-		r.send("first", 10*policy.Second, got, func() { r.send("second", 10*policy.Second, got, nil) })
+		r.send("first", got, func() { r.send("second", got, nil) })
 	})
-	first := <-r.came
-	first.answer("first")
+	first := <-r.requests
+	first.respond("first")
 	require.Equal(t, "first", <-got)
-	second := <-r.came
-	first.answer("first") // once more, as the second request has come
-	second.answer("second")
+	second := <-r.requests
+	first.respond("first") // once more, when the second request has come
+	second.respond("second")
 	require.Equal(t, "second", <-got)
 	require.Eventually(t, func() bool {
-		links := 0
-		r.loop.Do(func() { links = r.pool.Connections() })
-		return links == 1
-	}, 10*time.Second, time.Millisecond, "the odd connection has ended")
+		open := 0
+		r.loop.Do(func() { open = r.pool.Connections() })
+		return open == 1
+	}, 10*time.Second, time.Millisecond, "the connection with the duplicate was closed")
 }
 
-// A copy that came later than a link rests makes links rest longer from then on.
+// A duplicate that came after the quiet period makes it longer from then on.
 func TestPool_LengthensQuietPeriodAfterLateDuplicate(t *testing.T) {
-	r := newRig(t)
+	r := newTestbench(t)
 	got := make(chan string, 4)
-	r.loop.Do(func() { r.send("first", 10*policy.Second, got, nil) })
-	first := <-r.came
-	first.answer("first")
+	r.loop.Do(func() { r.send("first", got, nil) })
+	first := <-r.requests
+	first.respond("first")
 	<-got
-	var freed policy.Time
-	r.loop.Do(func() { freed = r.pool.hosts[1].idle[0].free })
-	require.Eventually(t, func() bool { return r.loop.Now()-freed > 2*leastRest }, 10*time.Second, time.Millisecond)
-	first.answer("first")
+	var idleSince policy.Time
+	r.loop.Do(func() { idleSince = r.pool.hosts[1].idle[0].idleSince })
+	require.Eventually(t, func() bool { return r.loop.Now()-idleSince > 2*minQuietPeriod }, 10*time.Second, time.Millisecond)
+	first.respond("first")
 	require.Eventually(t, func() bool {
-		rests := policy.Time(0)
-		r.loop.Do(func() { rests = r.pool.rests })
-		return rests > 4*leastRest && rests <= mostRest
+		quiet := policy.Time(0)
+		r.loop.Do(func() { quiet = r.pool.quietPeriod })
+		return quiet > 4*minQuietPeriod && quiet <= maxQuietPeriod
 	}, 10*time.Second, time.Millisecond)
 }
 
 func TestPool_ReusesConnectionAfterQuietPeriod(t *testing.T) {
-	r := newRig(t)
+	r := newTestbench(t)
 	got := make(chan string, 4)
 	for n := range 3 {
 		r.loop.Do(func() {
-			for _, l := range r.pool.hosts[1].idle {
-				l.free = 1 // long ago
+			for _, c := range r.pool.hosts[1].idle {
+				c.idleSince = 1 // long ago
 			}
-			r.send(strconv.Itoa(n), 10*policy.Second, got, nil)
+			r.send(strconv.Itoa(n), got, nil)
 		})
-		(<-r.came).answer("x")
+		(<-r.requests).respond("x")
 		<-got
 	}
-	require.EqualValues(t, 1, r.open.Load())
+	require.EqualValues(t, 1, r.accepted.Load())
 }
 
-// The time that a host is told is what is left when the bytes leave, however long the connection took to come up.
+// The timeout that a host reads is the time left when the bytes leave, however long the connection took to open.
 func TestPool_SendsTimeLeftWhenBytesLeave(t *testing.T) {
-	r := newRig(t)
+	r := newTestbench(t)
 	got := make(chan string, 1)
-	const within, late = 10 * policy.Second, 120 * policy.Second / 1000
+	const late = 120 * policy.Second / 1000
 	sent, barrier := make(chan bool), make(chan bool)
 	go r.loop.Post(func() {
-		r.send("x", within, got, nil)
+		r.send("x", got, nil)
 		sent <- true
 		<-barrier // the connection is open, and the loop comes to it later
 	})
 	<-sent
 	began := r.loop.Now()
-	require.Eventually(t, func() bool { return r.open.Load() == 1 && r.loop.Now()-began > late }, 10*time.Second, time.Millisecond)
+	require.Eventually(t, func() bool { return r.accepted.Load() == 1 && r.loop.Now()-began > late }, 10*time.Second, time.Millisecond)
 	close(barrier)
-	q := <-r.came
-	told, err := strconv.Atoi(strings.TrimSuffix(q.Header.Get(DefaultProtocol.Timeout), "ms"))
+	request := <-r.requests
+	left, err := strconv.Atoi(strings.TrimSuffix(request.Header.Get(DefaultProtocol.Timeout), "ms"))
 	require.NoError(t, err)
-	require.LessOrEqual(t, told, int((within-late)/(policy.Second/1000)))
-	require.Greater(t, told, 0)
-	q.answer("x")
+	require.LessOrEqual(t, left, int((attemptTimeout-late)/(policy.Second/1000)))
+	require.Positive(t, left)
+	request.respond("x")
 	require.Equal(t, "x", <-got)
 }
 
-// A connection that comes up when its host has left, or is told at another address, carries nothing.
+// Nothing is sent on a connection that opens when its host was removed, or has another address.
 func TestPool_SendsNothingOnConnectionThatOpensTooLate(t *testing.T) {
-	for name, change := range map[string]func(*rig){
-		"left":    func(r *rig) { r.pool.Remove(1) },
-		"moved":   func(r *rig) { r.pool.SetAddress(1, "127.0.0.1:1") },
-		"another": func(r *rig) { r.pool.Remove(1); r.pool.SetAddress(1, r.host.Addr().String()) },
+	for name, change := range map[string]func(*testbench){
+		"removed":           func(r *testbench) { r.pool.Remove(1) },
+		"moved":             func(r *testbench) { r.pool.SetAddress(1, "127.0.0.1:1") },
+		"removed and added": func(r *testbench) { r.pool.Remove(1); r.pool.SetAddress(1, r.host.Addr().String()) },
 	} {
 		t.Run(name, func(t *testing.T) {
-			r := newRig(t)
+			r := newTestbench(t)
 			got := make(chan string, 1)
-			r.loop.Do(func() { r.send("x", 10*policy.Second, got, nil); change(r) })
+			r.loop.Do(func() { r.send("x", got, nil); change(r) })
 			require.Equal(t, fmt.Sprint(policy.NotSent), <-got)
 			require.Eventually(t, func() bool {
-				links := -1
-				r.loop.Do(func() { links = r.pool.Connections() })
-				return links == 0
-			}, 10*time.Second, time.Millisecond, "and it is counted back once")
-			require.Empty(t, r.came)
+				open := -1
+				r.loop.Do(func() { open = r.pool.Connections() })
+				return open == 0
+			}, 10*time.Second, time.Millisecond, "and it is taken out of the count once")
+			require.Empty(t, r.requests)
 		})
 	}
 }
 
-// A connection whose send is withheld while it opens rests for the next one, and is counted once.
+// A connection whose attempt is canceled while it opens is kept for the next one, and counted once.
 func TestPool_KeepsConnectionWhoseAttemptWasCanceled(t *testing.T) {
-	r := newRig(t)
+	r := newTestbench(t)
 	got := make(chan string, 2)
-	r.loop.Do(func() { r.send("x", 10*policy.Second, got, nil).Cancel() })
+	r.loop.Do(func() { r.send("x", got, nil).Cancel() })
 	require.Equal(t, fmt.Sprint(policy.NotSent), <-got)
 	require.Eventually(t, func() bool {
 		idle := 0
@@ -206,5 +210,5 @@
 		r.pool.Close()
 		require.Zero(t, r.pool.Connections())
 	})
-	require.Empty(t, r.came)
+	require.Empty(t, r.requests)
 }
