--- /dev/null
+++ b/router/endpoints.go
@@ -0,0 +1,90 @@
+package router
+
+import (
+	"cmp"
+	"slices"
+
+	"dapplefront/policy"
+)
+
+// Hosts are forgotten forgetHostAfter their removal, far beyond what the policy looks back on; forgetHostsInterval is
+// how often that is looked at.
+const (
+	forgetHostAfter     = 600 * policy.Second
+	forgetHostsInterval = 60 * policy.Second
+)
+
+// host is an endpoint that was listed.
+type host struct {
+	policy    *policy.Host
+	removedAt policy.Time // 0 while it is listed
+	attempts  int         // that have not ended
+}
+
+// endpointsChanged takes over a list, and follows the plan in force with the hosts that are listed only now.
+func (r *Router) endpointsChanged(now policy.Time, e EndpointsChanged) {
+	r.policy.EndpointsChanged(now, r.endpointUpdates(now, e), true)
+	r.forgetHosts(now)
+	if now < r.planValidUntil {
+		r.policy.PlanOffered(now, r.weightPlan())
+	}
+}
+
+// endpointUpdates turns a list into changes to what was known; hosts that a complete list leaves out are removed, in the
+// order of their ids.
+func (r *Router) endpointUpdates(now policy.Time, e EndpointsChanged) []policy.EndpointUpdate {
+	updates := make([]policy.EndpointUpdate, 0, len(e.Hosts))
+	listed := make(map[uint32]bool, len(e.Hosts))
+	for _, l := range e.Hosts {
+		h := r.hosts[l.ID]
+		if h == nil {
+			h = &host{policy: &policy.Host{ID: l.ID}}
+			r.hosts[l.ID] = h
+		}
+		if h.removedAt = 0; l.State == policy.Removed {
+			h.removedAt = now
+		}
+		listed[l.ID] = true
+		updates = append(updates, policy.EndpointUpdate{Host: h.policy, Zone: r.zone(l.Zone), Cell: l.Cell,
+			State: l.State, Build: l.Build, Weight: l.Weight, StartedAt: l.StartedAt})
+	}
+	if !e.Complete {
+		return updates
+	}
+	known := len(updates)
+	for id, h := range r.hosts {
+		if listed[id] {
+			continue
+		}
+		if h.removedAt == 0 {
+			h.removedAt = now
+		}
+		p := h.policy
+		updates = append(updates, policy.EndpointUpdate{Host: p, Zone: p.Zone, Cell: p.Cell, State: policy.Removed,
+			Build: p.Build, Weight: p.Weight, StartedAt: p.StartedAt})
+	}
+	slices.SortFunc(updates[known:], func(a, b policy.EndpointUpdate) int { return cmp.Compare(a.Host.ID, b.Host.ID) })
+	return updates
+}
+
+// forgetHosts forgets the hosts that were removed so long ago that nothing known of them counts any more.
+func (r *Router) forgetHosts(now policy.Time) {
+	if now-r.hostsForgottenAt < forgetHostsInterval {
+		return
+	}
+	r.hostsForgottenAt = now
+	for id, h := range r.hosts {
+		if h.removedAt != 0 && now-h.removedAt > forgetHostAfter && h.attempts == 0 {
+			r.policy.Forget(h.policy)
+			delete(r.hosts, id)
+		}
+	}
+}
+
+// zone is the policy's object for a zone's name.
+func (r *Router) zone(name string) *policy.Zone {
+	if r.zones[name] == nil {
+		r.zones[name] = &policy.Zone{}
+	}
+	return r.zones[name]
+}
--- /dev/null
+++ b/router/plan.go
@@ -0,0 +1,57 @@
+package router
+
+import (
+	"time"
+
+	"dapplefront/plan"
+	"dapplefront/policy"
+)
+
+// policyTick is the unit of policy.Time.
+const policyTick = 100 * time.Microsecond
+
+// planOffered follows a version of a weight plan or rejects it, and acknowledges it.
+func (r *Router) planOffered(now policy.Time, offer plan.Offered) {
+	ack := Action{Kind: AcknowledgePlan, PlanVersion: offer.Version}
+	if err := r.planFollower.Offer(offer, r.planFleet(now)); err != nil {
+		ack.Text = err.Error()
+	} else {
+		r.plan, r.planValidUntil = offer, now+policy.Time(offer.ValidFor/policyTick)
+		r.policy.PlanOffered(now, r.weightPlan())
+	}
+	r.actions = append(r.actions, ack)
+}
+
+// planFleet is what a plan is checked against: the known hosts, and the canary build with its exposure cap.
+func (r *Router) planFleet(now policy.Time) plan.Fleet {
+	warmUp := r.config.Limits.WarmUp
+	fleet := plan.Fleet{Hosts: make(map[uint32]plan.Known, len(r.hosts)), Cold: time.Duration(warmUp) * policyTick}
+	if r.releaseStatus.Phase == policy.Canary {
+		fleet.Build, fleet.Cap = r.releaseStatus.Build, r.releaseStatus.ExposureCap
+	}
+	local := r.zone(r.config.Zone)
+	for id, h := range r.hosts {
+		p := h.policy
+		age := now - p.StartedAt
+		if p.StartedAt == 0 {
+			age = warmUp // started long ago
+		}
+		fleet.Hosts[id] = plan.Known{Near: p.Zone == local, Size: p.Weight, Age: time.Duration(max(0, age)) * policyTick,
+			Trial: fleet.Build != 0 && p.Build == fleet.Build}
+	}
+	return fleet
+}
+
+// weightPlan is the plan in force, for the hosts that are known.
+func (r *Router) weightPlan() policy.WeightPlan {
+	w := policy.WeightPlan{Weights: make(map[*policy.Host]float64, len(r.plan.LocalWeights)+len(r.plan.RemoteWeights)),
+		Cross: r.plan.CrossZoneShare, Until: r.planValidUntil}
+	for _, weights := range [][]plan.HostWeight{r.plan.LocalWeights, r.plan.RemoteWeights} {
+		for _, hw := range weights {
+			if h := r.hosts[hw.Host]; h != nil {
+				w.Weights[h.policy] = hw.Weight
+			}
+		}
+	}
+	return w
+}
