--- a/router/example_test.go
+++ b/router/example_test.go
@@ -7,31 +7,31 @@
 	"dapplefront/router"
 )
 
-// A harness of one host: every send is answered after ten milliseconds of a clock that the harness turns itself.
+// A program with one host: every attempt is responded to after ten milliseconds of a clock that the program sets itself.
 func Example() {
 	now := policy.Time(0)
 	r, actions := router.New(now, router.Config{Seed: 1, Routers: 1, Zone: "here",
 		Classes: []router.Class{{Name: "quote", LatencyObjective: policy.Second, PriorityWeight: 1}},
 		Limits:  policy.Limits{MaxAttempts: 3, PushedDiscovery: true, MaxRetryAfter: policy.Second}})
-	hear := func(e router.Event) {
+	handle := func(e router.Event) {
 		var err error
 		if actions, err = r.Handle(now, e, actions[:0]); err != nil {
 			panic(err)
 		}
 	}
-	hear(router.EndpointsChanged{Complete: true, Hosts: []router.Host{{ID: 7, Zone: "here", Build: 1, Weight: 1}}})
-	hear(router.ReleaseChanged{Status: policy.ReleaseStatus{Build: 1, Phase: policy.Released, ExposureCap: 1}})
+	handle(router.EndpointsChanged{Complete: true, Hosts: []router.Host{{ID: 7, Zone: "here", Build: 1, Weight: 1}}})
+	handle(router.ReleaseChanged{Status: policy.ReleaseStatus{Build: 1, Phase: policy.Released, ExposureCap: 1}})
 
-	hear(router.RequestArrived{RequestID: "a", Class: "quote", Timeout: 2 * policy.Second})
+	handle(router.RequestArrived{RequestID: "a", Class: "quote", Timeout: 2 * policy.Second})
 	for _, a := range actions {
 		if a.Kind == router.SendAttempt {
 			fmt.Printf("task %s goes to host %d\n", a.RequestID, a.Host)
 			now += 100
-			hear(router.AttemptEnded{RequestID: a.RequestID, Attempt: a.Attempt, Outcome: policy.Succeeded, Latency: 100, Done: true})
+			handle(router.AttemptEnded{RequestID: a.RequestID, Attempt: a.Attempt, Outcome: policy.Succeeded, Latency: 100, Done: true})
 		}
 	}
-	hear(router.EndpointsChanged{Complete: true}) // the list is empty now
-	hear(router.RequestArrived{RequestID: "b", Class: "quote", Timeout: 2 * policy.Second})
+	handle(router.EndpointsChanged{Complete: true}) // no hosts any more
+	handle(router.RequestArrived{RequestID: "b", Class: "quote", Timeout: 2 * policy.Second})
 	for _, a := range actions {
 		if a.Kind == router.Reject {
 			fmt.Printf("task %s is turned back for %d ms\n", a.RequestID, a.Duration/10)
