--- a/internal/eventloop/loop.go
+++ b/internal/eventloop/loop.go
@@ -18,29 +18,29 @@
 // Loop is one instance's line of work.
 type Loop struct {
 	start time.Time
-	zero  policy.Time // what the clock showed at start
+	epoch policy.Time // what the clock showed at start
 
-	mu     sync.Mutex
-	line   []func()
-	busy   bool
-	closed atomic.Bool
-	ended  chan struct{}
+	mu      sync.Mutex
+	queue   []func()
+	running bool
+	closed  atomic.Bool
+	done    chan struct{}
 
-	alarms alarms
-	timer  *time.Timer
-	rings  time.Time // when timer goes off; zero while it is not set
+	timers   timerHeap
+	wakeup   *time.Timer
+	wakeupAt time.Time // when timer goes off; zero while it is not set
 }
 
 // New starts a loop whose clock shows the time since the epoch, and never steps back.
 func New() *Loop {
 	now := time.Now()
-	return &Loop{ended: make(chan struct{}), start: now, zero: policy.Time(now.UnixMicro() / 100)}
+	return &Loop{done: make(chan struct{}), start: now, epoch: policy.Time(now.UnixMicro() / 100)}
 }
 
 // Now is the loop's clock: tenths of a millisecond since the epoch, as told when the loop was made, and since then
 // by a clock that no one sets.
 func (l *Loop) Now() policy.Time {
-	return l.zero + policy.Time(time.Since(l.start)/(100*time.Microsecond))
+	return l.epoch + policy.Time(time.Since(l.start)/(100*time.Microsecond))
 }
 
 // FromDuration turns a duration into the loop's units.
@@ -56,16 +56,16 @@
 		l.mu.Unlock()
 		return
 	}
-	l.line = append(l.line, work)
-	if l.busy {
+	l.queue = append(l.queue, work)
+	if l.running {
 		l.mu.Unlock()
 		return
 	}
-	l.busy = true
+	l.running = true
 	var spare []func()
-	for len(l.line) > 0 && !l.closed.Load() {
-		batch := l.line
-		l.line = spare[:0]
+	for len(l.queue) > 0 && !l.closed.Load() {
+		batch := l.queue
+		l.queue = spare[:0]
 		l.mu.Unlock()
 		for i, work := range batch {
 			if batch[i] = nil; !l.closed.Load() {
@@ -75,7 +75,7 @@
 		spare = batch
 		l.mu.Lock()
 	}
-	l.busy = false
+	l.running = false
 	l.mu.Unlock()
 }
 
@@ -83,7 +83,7 @@
 func (l *Loop) Waiting() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return len(l.line)
+	return len(l.queue)
 }
 
 // Do runs work in the loop and waits for it; it reports false if the loop is closed. It must not be called from
@@ -94,7 +94,7 @@
 	select {
 	case <-done:
 		return true
-	case <-l.ended:
+	case <-l.done:
 		return false
 	}
 }
@@ -104,13 +104,13 @@
 	if l.closed.Swap(true) {
 		return
 	}
-	close(l.ended)
+	close(l.done)
 	l.mu.Lock()
-	l.line = nil
-	if l.timer != nil {
-		l.timer.Stop()
+	l.queue = nil
+	if l.wakeup != nil {
+		l.wakeup.Stop()
 	}
-	for l.busy {
+	for l.running {
 		l.mu.Unlock()
 		time.Sleep(100 * time.Microsecond)
 		l.mu.Lock()
@@ -120,70 +120,70 @@
 
 // Timer is a call to come.
 type Timer struct {
-	at   time.Time
-	do   func()
-	rank int
+	at       time.Time
+	callback func()
+	index    int
 }
 
 // After calls do in the loop after a span; it must itself be called from the loop's work.
 func (l *Loop) After(span policy.Time, do func()) *Timer {
-	a := &Timer{at: time.Now().Add(Duration(max(0, span))), do: do}
-	heap.Push(&l.alarms, a)
-	if a.rank == 0 {
-		l.set()
+	a := &Timer{at: time.Now().Add(Duration(max(0, span))), callback: do}
+	heap.Push(&l.timers, a)
+	if a.index == 0 {
+		l.schedule()
 	}
 	return a
 }
 
 // Stop takes an alarm back; one that has rung is let be. It must be called from the loop's work.
 func (l *Loop) Stop(a *Timer) {
-	if a != nil && a.rank >= 0 {
-		heap.Remove(&l.alarms, a.rank)
+	if a != nil && a.index >= 0 {
+		heap.Remove(&l.timers, a.index)
 	}
 }
 
-// set arms the timer for the first alarm unless it will ring early enough anyway.
-func (l *Loop) set() {
-	if len(l.alarms) == 0 {
+// schedule arms the timer for the first alarm unless it will ring early enough anyway.
+func (l *Loop) schedule() {
+	if len(l.timers) == 0 {
 		return
 	}
-	first := l.alarms[0].at
-	if !l.rings.IsZero() && !first.Before(l.rings) {
+	first := l.timers[0].at
+	if !l.wakeupAt.IsZero() && !first.Before(l.wakeupAt) {
 		return
 	}
-	l.rings = first
+	l.wakeupAt = first
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.closed.Load() {
 		return
 	}
-	if l.timer == nil {
-		l.timer = time.AfterFunc(time.Until(first), func() { l.Post(l.ring) })
+	if l.wakeup == nil {
+		l.wakeup = time.AfterFunc(time.Until(first), func() { l.Post(l.fireTimers) })
 	} else {
-		l.timer.Reset(time.Until(first))
+		l.wakeup.Reset(time.Until(first))
 	}
 }
 
-func (l *Loop) ring() {
-	l.rings = time.Time{}
+func (l *Loop) fireTimers() {
+	l.wakeupAt = time.Time{}
 	now := time.Now()
-	for len(l.alarms) > 0 && !l.alarms[0].at.After(now) {
-		heap.Pop(&l.alarms).(*Timer).do()
+	for len(l.timers) > 0 && !l.timers[0].at.After(now) {
+		heap.Pop(&l.timers).(*Timer).callback()
 	}
-	l.set()
+	l.schedule()
 }
 
-// alarms is a heap by time.
-type alarms []*Timer
+// timerHeap is a heap by time.
+type timerHeap []*Timer
 
-func (a alarms) Len() int           { return len(a) }
-func (a alarms) Less(i, j int) bool { return a[i].at.Before(a[j].at) }
-func (a alarms) Swap(i, j int)      { a[i], a[j] = a[j], a[i]; a[i].rank, a[j].rank = i, j }
-func (a *alarms) Push(x any)        { x.(*Timer).rank = len(*a); *a = append(*a, x.(*Timer)) }
-func (a *alarms) Pop() any {
+func (a timerHeap) Len() int           { return len(a) }
+func (a timerHeap) Less(i, j int) bool { return a[i].at.Before(a[j].at) }
+func (a timerHeap) Swap(i, j int)      { a[i], a[j] = a[j], a[i]; a[i].index, a[j].index = i, j }
+func (a *timerHeap) Push(x any)        { x.(*Timer).index = len(*a); *a = append(*a, x.(*Timer)) }
+func (a *timerHeap) Pop() any {
 	old := *a
 	x := old[len(old)-1]
-	x.rank, old[len(old)-1] = -1, nil
+	x.index, old[len(old)-1] = -1, nil
 	*a = old[:len(old)-1]
 	return x
 }
--- a/internal/http1/message.go
+++ b/internal/http1/message.go
@@ -88,12 +88,12 @@
 
 func (b *Error) Error() string { return fmt.Sprintf("%d: %s", b.Status, b.Text) }
 
-func bad(status int, format string, values ...any) error {
+func newError(status int, format string, values ...any) error {
 	return &Error{status, fmt.Sprintf(format, values...)}
 }
 
-// hop are the fields that concern one connection only (RFC 9110, 7.6.1), beside those that Connection names.
-func hop(name string) bool {
+// isHopByHop are the fields that concern one connection only (RFC 9110, 7.6.1), beside those that Connection names.
+func isHopByHop(name string) bool {
 	switch len(name) {
 	case 2:
 		return strings.EqualFold(name, "te")
@@ -126,7 +126,7 @@
 		}
 	}
 	for _, f := range m.Fields {
-		if hop(f.Name) || leave != nil && leave(f.Name) || named != "" && listed(named, f.Name) {
+		if isHopByHop(f.Name) || leave != nil && leave(f.Name) || named != "" && inList(named, f.Name) {
 			continue
 		}
 		to = AppendField(to, f.Name, f.Value)
@@ -134,7 +134,7 @@
 	return to
 }
 
-func listed(list, name string) bool {
+func inList(list, name string) bool {
 	for word := range strings.SplitSeq(list, ",") {
 		if strings.EqualFold(strings.TrimSpace(word), name) {
 			return true
--- a/internal/http1/reader.go
+++ b/internal/http1/reader.go
@@ -23,73 +23,73 @@
 }
 
 const (
-	mostFields = 100 // as net/http's clients send a few dozen at most
-	mostChunk  = 256 // bytes of a chunk's size line: a size and some extension
-	mostAhead  = 4   // empty lines before a request that are passed over (RFC 9112, 2.2)
+	maxFields     = 100 // as net/http's clients send a few dozen at most
+	maxChunkLine  = 256 // bytes of a chunk's size line: a size and some extension
+	maxEmptyLines = 4   // empty lines before a request that are passed over (RFC 9112, 2.2)
 )
 
-type state int
+type readState int
 
 const (
-	inHead state = iota
-	headDone
-	inBody    // of a told length
-	inSize    // of a chunk
-	inChunk   // data
-	inEnd     // the line end after a chunk
-	inTrailer // fields after the last chunk, which are dropped
-	inRest    // a response that its connection's end ends
-	whole
+	readingHead readState = iota
+	headComplete
+	readingBody      // of a told length
+	readingChunkSize // of a chunk
+	readingChunk     // data
+	readingChunkEnd  // the line end after a chunk
+	readingTrailer   // fields after the last chunk, which are dropped
+	readingToEnd     // a response that its connection's end ends
+	messageComplete
 )
 
 // Reader puts messages together. The zero Reader is not ready: use NewReader.
 type Reader struct {
-	bounds   Limits
+	limits   Limits
 	budget   *Budget
 	response bool
-	bodyless bool // the response to a HEAD request
+	noBody   bool // the response to a HEAD request
 
-	state state
-	buf   []byte // head, or the line in hand
-	seen  int    // how far buf was searched for the head's end
-	ahead int    // bytes of empty lines that were passed over before it
-	left  int    // of body or chunk
-	msg   *Message
+	state     readState
+	buffer    []byte // head, or the line in hand
+	searched  int    // how far buf was searched for the head's end
+	skipped   int    // bytes of empty lines that were passed over before it
+	remaining int    // of body or chunk
+	message   *Message
 }
 
 // NewReader reads requests, or responses. Bodies hold bytes of the budget until Message.Drop.
 func NewReader(bounds Limits, budget *Budget, response bool) *Reader {
-	return &Reader{bounds: bounds, budget: budget, response: response}
+	return &Reader{limits: bounds, budget: budget, response: response}
 }
 
 // Expect says before a response arrives whether it answers a HEAD request and so has no body.
-func (r *Reader) Expect(head bool) { r.bodyless = head }
+func (r *Reader) Expect(head bool) { r.noBody = head }
 
 // Idle tells whether no byte of a message has been read yet.
-func (r *Reader) Idle() bool { return r.state == inHead && len(r.buf) == 0 }
+func (r *Reader) Idle() bool { return r.state == readingHead && len(r.buffer) == 0 }
 
 // Peek is the message in hand after Head.
-func (r *Reader) Peek() *Message { return r.msg }
+func (r *Reader) Peek() *Message { return r.message }
 
 // Take hands over a whole message; the next bytes start another one.
 func (r *Reader) Take() *Message {
-	m := r.msg
-	r.msg, r.state, r.seen, r.ahead, r.buf = nil, inHead, 0, 0, r.buf[:0]
+	m := r.message
+	r.message, r.state, r.searched, r.skipped, r.buffer = nil, readingHead, 0, 0, r.buffer[:0]
 	return m
 }
 
 // Drop gives back what a message in hand holds.
 func (r *Reader) Drop() {
-	if r.msg != nil {
-		r.msg.Drop()
+	if r.message != nil {
+		r.message.Drop()
 	}
-	r.msg, r.buf, r.state = nil, nil, inHead
+	r.message, r.buffer, r.state = nil, nil, readingHead
 }
 
 // Ended says that the connection has ended; it reports whether that made a message whole.
 func (r *Reader) Ended() bool {
-	if r.state == inRest {
-		r.state = whole
+	if r.state == readingToEnd {
+		r.state = messageComplete
 		return true
 	}
 	return false
@@ -101,65 +101,65 @@
 	for {
 		var used int
 		switch r.state {
-		case inHead:
-			if used, err = r.head(data[n:]); err != nil {
+		case readingHead:
+			if used, err = r.readHead(data[n:]); err != nil {
 				return n, More, err
 			}
-			if n += used; r.state != inHead {
+			if n += used; r.state != readingHead {
 				return n, Head, nil
 			}
 			return n, More, nil
-		case headDone:
-			if err := r.frame(); err != nil {
+		case headComplete:
+			if err := r.startBody(); err != nil {
 				return n, More, err
 			}
-		case whole:
+		case messageComplete:
 			return n, Whole, nil
-		case inBody, inChunk, inRest:
+		case readingBody, readingChunk, readingToEnd:
 			take := data[n:]
-			if r.state != inRest {
-				take = take[:min(len(take), r.left)]
+			if r.state != readingToEnd {
+				take = take[:min(len(take), r.remaining)]
 			}
-			if err := r.keep(take); err != nil {
+			if err := r.appendBody(take); err != nil {
 				return n, More, err
 			}
 			n += len(take)
-			r.left -= len(take)
+			r.remaining -= len(take)
 			switch {
-			case r.state == inRest || r.left > 0:
+			case r.state == readingToEnd || r.remaining > 0:
 				return n, More, nil
-			case r.state == inBody:
-				r.state = whole
+			case r.state == readingBody:
+				r.state = messageComplete
 			default:
-				r.state = inEnd
+				r.state = readingChunkEnd
 			}
 		default:
-			line, used, err := r.line(data[n:])
+			line, used, err := r.readLine(data[n:])
 			n += used
 			if err != nil || line == nil {
 				return n, More, err
 			}
-			if err := r.chunks(line); err != nil {
+			if err := r.chunkLine(line); err != nil {
 				return n, More, err
 			}
 		}
 	}
 }
 
-// keep adds to the body, within the bounds of one body and of all.
-func (r *Reader) keep(data []byte) error {
-	m := r.msg
+// appendBody adds to the body, within the bounds of one body and of all.
+func (r *Reader) appendBody(data []byte) error {
+	m := r.message
 	need := len(m.Body) + len(data)
-	if need > r.bounds.Body {
-		return bad(413, "the body is larger than %d bytes", r.bounds.Body)
+	if need > r.limits.Body {
+		return newError(413, "the body is larger than %d bytes", r.limits.Body)
 	}
 	if need > cap(m.Body) {
-		size := max(need, min(2*cap(m.Body), r.bounds.Body), 512)
-		if r.state == inBody { // no more than was announced
-			size = max(need, min(size, len(m.Body)+r.left))
+		size := max(need, min(2*cap(m.Body), r.limits.Body), 512)
+		if r.state == readingBody { // no more than was announced
+			size = max(need, min(size, len(m.Body)+r.remaining))
 		}
 		if r.budget != nil && !r.budget.Reserve(size-m.reserved) {
-			return bad(503, "too much is held for others just now")
+			return newError(503, "too much is held for others just now")
 		}
 		m.reserved, m.budget = size, r.budget
 		m.Body = append(make([]byte, 0, size), m.Body...)
@@ -168,115 +168,115 @@
 	return nil
 }
 
-// line collects one line of the chunk framing, without its end; nil while it is not whole.
-func (r *Reader) line(data []byte) (line []byte, used int, err error) {
+// readLine collects one line of the chunk framing, without its end; nil while it is not whole.
+func (r *Reader) readLine(data []byte) (line []byte, used int, err error) {
 	end := bytes.IndexByte(data, '\n')
 	if used = end + 1; end < 0 {
 		used = len(data)
 	}
-	r.buf = append(r.buf, data[:used]...)
-	if len(r.buf) > mostChunk+2 {
-		return nil, used, bad(400, "a line of the chunked body is longer than %d bytes", mostChunk)
+	r.buffer = append(r.buffer, data[:used]...)
+	if len(r.buffer) > maxChunkLine+2 {
+		return nil, used, newError(400, "a line of the chunked body is longer than %d bytes", maxChunkLine)
 	}
 	if end < 0 {
 		return nil, used, nil
 	}
-	line, r.buf = r.buf[:len(r.buf)-1], r.buf[:0]
+	line, r.buffer = r.buffer[:len(r.buffer)-1], r.buffer[:0]
 	if len(line) == 0 || line[len(line)-1] != '\r' {
-		return nil, used, bad(400, "a line of the chunked body ends without CR")
+		return nil, used, newError(400, "a line of the chunked body ends without CR")
 	}
 	return line[:len(line)-1], used, nil
 }
 
-// chunks reads a line of the chunk framing (RFC 9112, 7.1).
-func (r *Reader) chunks(line []byte) error {
+// chunkLine reads a line of the chunk framing (RFC 9112, 7.1).
+func (r *Reader) chunkLine(line []byte) error {
 	switch r.state {
-	case inEnd:
+	case readingChunkEnd:
 		if len(line) > 0 {
-			return bad(400, "a chunk is longer than it says")
+			return newError(400, "a chunk is longer than it says")
 		}
-		r.state = inSize
-	case inTrailer:
+		r.state = readingChunkSize
+	case readingTrailer:
 		if len(line) == 0 {
-			r.state = whole
-		} else if r.left += len(line); r.left > r.bounds.Head {
-			return bad(431, "the trailer is larger than %d bytes", r.bounds.Head)
+			r.state = messageComplete
+		} else if r.remaining += len(line); r.remaining > r.limits.Head {
+			return newError(431, "the trailer is larger than %d bytes", r.limits.Head)
 		}
 	default:
 		digits, _, _ := bytes.Cut(line, []byte(";"))
 		digits = bytes.TrimRight(digits, " \t")
 		for _, c := range digits {
 			if !(c >= '0' && c <= '9' || c >= 'a' && c <= 'f' || c >= 'A' && c <= 'F') {
-				return bad(400, "a chunk's size is not a hexadecimal number")
+				return newError(400, "a chunk's size is not a hexadecimal number")
 			}
 		}
 		size, err := strconv.ParseInt(string(digits), 16, 32)
 		if err != nil {
-			return bad(400, "a chunk's size is not a hexadecimal number below 2^31")
+			return newError(400, "a chunk's size is not a hexadecimal number below 2^31")
 		}
-		if len(r.msg.Body)+int(size) > r.bounds.Body {
-			return bad(413, "the body is larger than %d bytes", r.bounds.Body)
+		if len(r.message.Body)+int(size) > r.limits.Body {
+			return newError(413, "the body is larger than %d bytes", r.limits.Body)
 		}
-		if r.left, r.state = int(size), inChunk; size == 0 {
-			r.state = inTrailer
+		if r.remaining, r.state = int(size), readingChunk; size == 0 {
+			r.state = readingTrailer
 		}
 	}
 	return nil
 }
 
-// head collects a head and reads it once it is whole.
-func (r *Reader) head(data []byte) (used int, err error) {
-	if len(r.buf) == 0 && !r.response { // empty lines before a request
-		for used < len(data) && r.ahead < 2*mostAhead && (data[used] == '\r' || data[used] == '\n') {
+// readHead collects a head and reads it once it is whole.
+func (r *Reader) readHead(data []byte) (used int, err error) {
+	if len(r.buffer) == 0 && !r.response { // empty lines before a request
+		for used < len(data) && r.skipped < 2*maxEmptyLines && (data[used] == '\r' || data[used] == '\n') {
 			used++
-			r.ahead++
+			r.skipped++
 		}
 		data = data[used:]
 	}
-	if len(r.buf) == 0 { // most heads come in one piece and need no copy of their own
+	if len(r.buffer) == 0 { // most heads come in one piece and need no copy of their own
 		if end := bytes.Index(data, []byte("\r\n\r\n")); end >= 0 {
-			if end > r.bounds.Head {
-				return used, bad(431, "the head is larger than %d bytes", r.bounds.Head)
+			if end > r.limits.Head {
+				return used, newError(431, "the head is larger than %d bytes", r.limits.Head)
 			}
-			return used + end + 4, r.parse(data[:end])
+			return used + end + 4, r.parseHead(data[:end])
 		}
 	}
-	from := max(0, r.seen-3)
-	room := r.bounds.Head + 4 - len(r.buf)
+	from := max(0, r.searched-3)
+	room := r.limits.Head + 4 - len(r.buffer)
 	take := min(len(data), max(0, room))
-	before := len(r.buf)
-	r.buf = append(r.buf, data[:take]...)
-	if end := bytes.Index(r.buf[from:], []byte("\r\n\r\n")); end >= 0 {
+	before := len(r.buffer)
+	r.buffer = append(r.buffer, data[:take]...)
+	if end := bytes.Index(r.buffer[from:], []byte("\r\n\r\n")); end >= 0 {
 		end += from
 		used += end + 4 - before
-		err := r.parse(r.buf[:end])
-		r.buf, r.seen = r.buf[:0], 0
+		err := r.parseHead(r.buffer[:end])
+		r.buffer, r.searched = r.buffer[:0], 0
 		return used, err
 	}
-	if r.seen = len(r.buf); r.seen >= r.bounds.Head+4 {
-		return used, bad(431, "the head is larger than %d bytes", r.bounds.Head)
+	if r.searched = len(r.buffer); r.searched >= r.limits.Head+4 {
+		return used, newError(431, "the head is larger than %d bytes", r.limits.Head)
 	}
-	if r.seen > 0 && !r.plausible() {
-		return used, bad(400, "this is no HTTP/1.1 message")
+	if r.searched > 0 && !r.maybeHead() {
+		return used, newError(400, "this is no HTTP/1.1 message")
 	}
 	return used + take, nil
 }
 
-// plausible turns away at its first byte what can't become a head, as a TLS greeting on a plain port.
-func (r *Reader) plausible() bool {
-	c := r.buf[0]
-	return r.response && c == 'H' || !r.response && token(c)
+// maybeHead turns away at its first byte what can't become a head, as a TLS greeting on a plain port.
+func (r *Reader) maybeHead() bool {
+	c := r.buffer[0]
+	return r.response && c == 'H' || !r.response && isToken(c)
 }
 
-func (r *Reader) parse(raw []byte) error {
+func (r *Reader) parseHead(raw []byte) error {
 	text := string(raw) // one copy, which all parts share
 	start, rest, _ := strings.Cut(text, "\r\n")
 	m := &Message{}
 	var err error
 	if r.response {
-		err = m.statusLine(start)
+		err = m.parseStatusLine(start)
 	} else {
-		err = m.requestLine(start)
+		err = m.parseRequestLine(start)
 	}
 	if err != nil {
 		return err
@@ -284,74 +284,74 @@
 	m.Fields = make([]Field, 0, 8)
 	for rest != "" {
 		var line string
-		if line, rest, _ = strings.Cut(rest, "\r\n"); len(m.Fields) == mostFields {
-			return bad(431, "there are more than %d header fields", mostFields)
+		if line, rest, _ = strings.Cut(rest, "\r\n"); len(m.Fields) == maxFields {
+			return newError(431, "there are more than %d header fields", maxFields)
 		}
-		f, err := field(line)
+		f, err := parseField(line)
 		if err != nil {
 			return err
 		}
 		m.Fields = append(m.Fields, f)
 	}
-	r.msg, r.state = m, headDone
+	r.message, r.state = m, headComplete
 	return nil
 }
 
-func (m *Message) requestLine(line string) error {
+func (m *Message) parseRequestLine(line string) error {
 	var version string
 	var ok1, ok2 bool
 	m.Method, line, ok1 = strings.Cut(line, " ")
 	m.Target, version, ok2 = strings.Cut(line, " ")
-	if !ok1 || !ok2 || m.Method == "" || !all(m.Method, token) || m.Target == "" || !all(m.Target, visible) {
-		return bad(400, "the request line is not METHOD TARGET HTTP/1.1")
+	if !ok1 || !ok2 || m.Method == "" || !every(m.Method, isToken) || m.Target == "" || !every(m.Target, isVisible) {
+		return newError(400, "the request line is not METHOD TARGET HTTP/1.1")
 	}
 	if m.Target[0] != '/' && m.Target != "*" {
-		return bad(400, "the request's target is no path")
+		return newError(400, "the request's target is no path")
 	}
-	return m.version(version)
+	return m.parseVersion(version)
 }
 
-func (m *Message) statusLine(line string) error {
+func (m *Message) parseStatusLine(line string) error {
 	version, rest, _ := strings.Cut(line, " ")
 	code, reason, _ := strings.Cut(rest, " ")
 	status, err := strconv.Atoi(code)
 	if err != nil || len(code) != 3 || status < 100 {
-		return bad(502, "the status line is not HTTP/1.1 CODE REASON")
+		return newError(502, "the status line is not HTTP/1.1 CODE REASON")
 	}
 	m.Status, m.Reason = status, reason
-	if !all(reason, text) {
-		return bad(502, "the status line holds control characters")
+	if !every(reason, isText) {
+		return newError(502, "the status line holds control characters")
 	}
-	return m.version(version)
+	return m.parseVersion(version)
 }
 
-func (m *Message) version(v string) error {
+func (m *Message) parseVersion(v string) error {
 	switch v {
 	case "HTTP/1.1":
 		m.Minor = 1
 	case "HTTP/1.0":
 	default:
-		return bad(505, "the version is neither HTTP/1.1 nor HTTP/1.0")
+		return newError(505, "the version is neither HTTP/1.1 nor HTTP/1.0")
 	}
 	return nil
 }
 
-func field(line string) (Field, error) {
+func parseField(line string) (Field, error) {
 	name, value, ok := strings.Cut(line, ":")
-	if !ok || name == "" || !all(name, token) {
-		return Field{}, bad(400, "a header line is not NAME: VALUE")
+	if !ok || name == "" || !every(name, isToken) {
+		return Field{}, newError(400, "a header line is not NAME: VALUE")
 	}
 	value = strings.Trim(value, " \t")
-	if !all(value, text) {
-		return Field{}, bad(400, "the value of %s holds control characters", name)
+	if !every(value, isText) {
+		return Field{}, newError(400, "the value of %s holds control characters", name)
 	}
 	return Field{name, value}, nil
 }
 
-// frame tells where the body ends (RFC 9112, 6.3).
-func (r *Reader) frame() error {
-	m := r.msg
-	r.state, r.left = whole, 0
+// startBody tells where the body ends (RFC 9112, 6.3).
+func (r *Reader) startBody() error {
+	m := r.message
+	r.state, r.remaining = messageComplete, 0
 	length, lengths, chunked, hosts := "", 0, false, 0
 	for _, f := range m.Fields {
 		switch len(f.Name) {
@@ -362,14 +362,14 @@
 		case len("content-length"):
 			if strings.EqualFold(f.Name, "content-length") {
 				if lengths++; lengths > 1 && f.Value != length {
-					return bad(400, "two different lengths are told")
+					return newError(400, "two different lengths are told")
 				}
 				length = f.Value
 			}
 		case len("transfer-encoding"):
 			if strings.EqualFold(f.Name, "transfer-encoding") {
 				if chunked || !strings.EqualFold(f.Value, "chunked") {
-					return bad(501, "the transfer coding %q is not served", f.Value)
+					return newError(501, "the transfer coding %q is not served", f.Value)
 				}
 				chunked = true
 			}
@@ -377,34 +377,34 @@
 	}
 	switch {
 	case !r.response && (hosts > 1 || hosts == 0 && m.Minor > 0):
-		return bad(400, "there must be one Host field")
+		return newError(400, "there must be one Host field")
 	case chunked && lengths > 0:
-		return bad(400, "both a length and a transfer coding are told")
+		return newError(400, "both a length and a transfer coding are told")
 	case chunked && m.Minor == 0:
-		return bad(400, "HTTP/1.0 has no transfer codings")
-	case r.response && (r.bodyless || m.Status < 200 || m.Status == 204 || m.Status == 304):
+		return newError(400, "HTTP/1.0 has no transfer codings")
+	case r.response && (r.noBody || m.Status < 200 || m.Status == 204 || m.Status == 304):
 	case chunked:
-		r.state = inSize
+		r.state = readingChunkSize
 	case lengths > 0:
 		n, err := strconv.ParseUint(length, 10, 62)
 		if err != nil || length[0] == '+' {
-			return bad(400, "the length is not a whole number")
+			return newError(400, "the length is not a whole number")
 		}
-		if n > uint64(r.bounds.Body) {
-			return bad(413, "the body is larger than %d bytes", r.bounds.Body)
+		if n > uint64(r.limits.Body) {
+			return newError(413, "the body is larger than %d bytes", r.limits.Body)
 		}
-		if r.left = int(n); n > 0 {
-			r.state = inBody
+		if r.remaining = int(n); n > 0 {
+			r.state = readingBody
 		}
-	case r.response && r.bounds.Framed:
-		return bad(502, "the answer tells no length")
+	case r.response && r.limits.Framed:
+		return newError(502, "the answer tells no length")
 	case r.response:
-		r.state = inRest
+		r.state = readingToEnd
 	}
 	return nil
 }
 
-func all(s string, is func(byte) bool) bool {
+func every(s string, is func(byte) bool) bool {
 	for i := range len(s) {
 		if !is(s[i]) {
 			return false
@@ -413,7 +413,7 @@
 	return true
 }
 
-var tokens = func() (t [256]bool) {
+var tokenTable = func() (t [256]bool) {
 	for c := range 256 {
 		t[c] = c >= 'a' && c <= 'z' || c >= 'A' && c <= 'Z' || c >= '0' && c <= '9' ||
 			c > 0 && c < 128 && strings.IndexByte("!#$%&'*+-.^_`|~", byte(c)) >= 0
@@ -421,6 +421,6 @@
 	return t
 }()
 
-func token(c byte) bool   { return tokens[c] }
-func visible(c byte) bool { return c > ' ' && c != 0x7f }
-func text(c byte) bool    { return c >= ' ' && c != 0x7f || c == '\t' }
+func isToken(c byte) bool   { return tokenTable[c] }
+func isVisible(c byte) bool { return c > ' ' && c != 0x7f }
+func isText(c byte) bool    { return c >= ' ' && c != 0x7f || c == '\t' }
--- a/internal/http1/reader_test.go
+++ b/internal/http1/reader_test.go
@@ -13,7 +13,7 @@
 	"pgregory.net/rapid"
 )
 
-var bounds = Limits{Head: 1024, Body: 4096}
+var testLimits = Limits{Head: 1024, Body: 4096}
 
 // readAll feeds data in pieces of a size and returns the messages, and what was wrong.
 func readAll(r *Reader, data []byte, piece int) (all []*Message, err error) {
@@ -42,7 +42,7 @@
 		"POST /b HTTP/1.1\r\nhost: h\r\nTransfer-Encoding: chunked\r\n\r\n3;x=y\r\nabc\r\n0A\r\n0123456789\r\n0\r\nTrailer: t\r\n\r\n" +
 		"GET /c HTTP/1.0\r\nConnection: keep-alive\r\nEmpty:\r\n\r\n"
 	for piece := 1; piece <= len(text); piece++ {
-		all, err := readAll(NewReader(bounds, NewBudget(1<<20), false), []byte(text), piece)
+		all, err := readAll(NewReader(testLimits, NewBudget(1<<20), false), []byte(text), piece)
 		require.NoError(t, err)
 		require.Len(t, all, 3)
 		require.Equal(t, "hello", string(all[0].Body))
@@ -55,7 +55,7 @@
 
 func TestReader_FindsEndOfResponseByKind(t *testing.T) {
 	read := func(text string, head bool) (*Message, *Reader) {
-		r := NewReader(bounds, nil, true)
+		r := NewReader(testLimits, nil, true)
 		r.Expect(head)
 		all, err := readAll(r, []byte(text), 7)
 		require.NoError(t, err)
@@ -82,10 +82,10 @@
 func TestReader_ReservesAndReleasesBudget(t *testing.T) {
 	b := NewBudget(6000)
 	ask := "POST / HTTP/1.1\r\nHost: h\r\nContent-Length: 4000\r\n\r\n" + strings.Repeat("x", 4000)
-	one, err := readAll(NewReader(bounds, b, false), []byte(ask), 100)
+	one, err := readAll(NewReader(testLimits, b, false), []byte(ask), 100)
 	require.NoError(t, err)
 	require.Len(t, one, 1)
-	r := NewReader(bounds, b, false)
+	r := NewReader(testLimits, b, false)
 	_, err = readAll(r, []byte(ask), 100)
 	var wrong *Error
 	require.True(t, errors.As(err, &wrong))
@@ -96,7 +96,7 @@
 }
 
 func TestMessage_AppendFieldsLeavesOutHopByHopFields(t *testing.T) {
-	all, err := readAll(NewReader(bounds, nil, false), []byte("GET / HTTP/1.1\r\nHost: h\r\nConnection: close, X-Mine\r\nx-mine: 1\r\n"+
+	all, err := readAll(NewReader(testLimits, nil, false), []byte("GET / HTTP/1.1\r\nHost: h\r\nConnection: close, X-Mine\r\nx-mine: 1\r\n"+
 		"Keep-Alive: 5\r\nTE: trailers\r\nUpgrade: h2c\r\nExpect: 100-continue\r\nX-Yours: 2\r\n\r\n"), 1000)
 	require.NoError(t, err)
 	require.Equal(t, "Host: h\r\nX-Yours: 2\r\n", string(all[0].AppendFields(nil, nil)))
@@ -121,7 +121,7 @@
 		if err := req.Write(&wire); err != nil {
 			t.Fatal(err)
 		}
-		all, err := readAll(NewReader(bounds, nil, false), wire.Bytes(), rapid.IntRange(1, 700).Draw(t, "piece"))
+		all, err := readAll(NewReader(testLimits, nil, false), wire.Bytes(), rapid.IntRange(1, 700).Draw(t, "piece"))
 		if err != nil || len(all) != 1 || !bytes.Equal(all[0].Body, body) || all[0].Get("x-value") != value {
 			t.Fatalf("%v, %d messages of %q", err, len(all), wire.String())
 		}
@@ -138,13 +138,13 @@
 	}
 	f.Fuzz(func(t *testing.T, data []byte, piece int) {
 		piece = max(1, piece%64)
-		whole, err1 := readAll(NewReader(bounds, nil, false), data, len(data)+1)
-		parts, err2 := readAll(NewReader(bounds, nil, false), data, piece)
+		whole, err1 := readAll(NewReader(testLimits, nil, false), data, len(data)+1)
+		parts, err2 := readAll(NewReader(testLimits, nil, false), data, piece)
 		if len(whole) != len(parts) || (err1 == nil) != (err2 == nil) {
 			t.Fatalf("%d messages (%v) in one piece, %d (%v) in pieces of %d", len(whole), err1, len(parts), err2, piece)
 		}
 		for i, m := range whole {
-			if len(m.Body) > bounds.Body || !bytes.Equal(m.Body, parts[i].Body) {
+			if len(m.Body) > testLimits.Body || !bytes.Equal(m.Body, parts[i].Body) {
 				t.Fatal("bodies differ")
 			}
 		}
--- a/internal/transport/sock.go
+++ b/internal/transport/sock.go
@@ -26,19 +26,19 @@
 
 // Conn is an open connection. Its methods are safe for concurrent use and never block.
 type Conn struct {
-	tcp     *net.TCPConn
-	raw     syscall.RawConn
-	session Session
-	pending atomic.Int64
-	since   atomic.Int64 // when writing began to wait for the peer, in ns; 0 while nothing waits
-	shut    atomic.Bool
+	tcp         *net.TCPConn
+	raw         syscall.RawConn
+	session     Session
+	unsent      atomic.Int64
+	unsentSince atomic.Int64 // when writing began to wait for the peer, in ns; 0 while nothing waits
+	closed      atomic.Bool
 
-	mu   sync.Mutex
-	rest []byte // what the kernel has not taken yet; whoever carries it on takes it away
-	busy bool   // somebody carries it on
-	last bool   // nothing is written after what waits
+	mu       sync.Mutex
+	buffered []byte // what the kernel has not taken yet; whoever carries it on takes it away
+	busy     bool   // somebody carries it on
+	last     bool   // nothing is written after what waits
 
-	reads   sync.Mutex // held around each read from the kernel, never around anything that waits
+	readMu  sync.Mutex // held around each read from the kernel, never around anything that waits
 	handing bool       // bytes were read that the session has not heard whole yet
 	deaf    bool       // nothing more is read
 }
@@ -52,7 +52,7 @@
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.shut.Load() || c.last {
+	if c.closed.Load() || c.last {
 		return true, net.ErrClosed
 	}
 	none = true
@@ -62,7 +62,7 @@
 		}
 		n, err := 0, error(nil)
 		if !c.busy {
-			if n, err = c.once(part); err != nil {
+			if n, err = c.writeOnce(part); err != nil {
 				return none && n == 0, err
 			}
 		}
@@ -73,20 +73,20 @@
 		if n == len(part) {
 			continue
 		}
-		if c.pending.Add(int64(len(part)-n)) == int64(len(part)-n) {
-			c.since.Store(time.Now().UnixNano())
+		if c.unsent.Add(int64(len(part)-n)) == int64(len(part)-n) {
+			c.unsentSince.Store(time.Now().UnixNano())
 		}
-		c.rest = append(c.rest, part[n:]...)
+		c.buffered = append(c.buffered, part[n:]...)
 		if !c.busy {
 			c.busy = true
-			go c.carry()
+			go c.flush()
 		}
 	}
 	return false, nil
 }
 
-// once writes what the kernel takes without waiting.
-func (c *Conn) once(part []byte) (n int, err error) {
+// writeOnce writes what the kernel takes without waiting.
+func (c *Conn) writeOnce(part []byte) (n int, err error) {
 	wrong := c.raw.Write(func(fd uintptr) bool {
 		for {
 			n, err = syscall.Write(int(fd), part)
@@ -102,14 +102,14 @@
 	return n, errors.Join(wrong, err)
 }
 
-// carry writes on as the peer reads.
-func (c *Conn) carry() {
+// flush writes on as the peer reads.
+func (c *Conn) flush() {
 	for {
 		c.mu.Lock()
-		part := c.rest
-		if c.rest = nil; len(part) == 0 {
+		part := c.buffered
+		if c.buffered = nil; len(part) == 0 {
 			if c.busy = false; c.last {
-				c.endSending()
+				c.shutdownWrite()
 			}
 			c.mu.Unlock()
 			return
@@ -120,10 +120,10 @@
 			part = part[n:]
 			if n > 0 {
 				c.session.Wrote(n)
-				if c.pending.Add(int64(-n)) == 0 {
-					c.since.Store(0)
+				if c.unsent.Add(int64(-n)) == 0 {
+					c.unsentSince.Store(0)
 				} else {
-					c.since.Store(time.Now().UnixNano())
+					c.unsentSince.Store(time.Now().UnixNano())
 				}
 			}
 			if err != nil {
@@ -136,8 +136,8 @@
 
 // Pending is how many bytes wait for the peer to read, and since when; the time is zero where none do.
 func (c *Conn) Pending() (bytes int, since time.Time) {
-	bytes = int(c.pending.Load())
-	if at := c.since.Load(); bytes > 0 && at > 0 {
+	bytes = int(c.unsent.Load())
+	if at := c.unsentSince.Load(); bytes > 0 && at > 0 {
 		since = time.Unix(0, at)
 	}
 	return bytes, since
@@ -149,11 +149,11 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.last = true; !c.busy {
-		c.endSending()
+		c.shutdownWrite()
 	}
 }
 
-func (c *Conn) endSending() {
+func (c *Conn) shutdownWrite() {
 	_ = c.raw.Control(func(fd uintptr) { _ = syscall.Shutdown(int(fd), syscall.SHUT_WR) })
 }
 
@@ -161,10 +161,10 @@
 // are not read yet, bytes that were read but are not handed on yet, and whatever idle knows of keep it open: so a close
 // never crosses a request that this side has taken. idle must not wait for the session.
 func (c *Conn) CloseIdle(idle func() bool) bool {
-	c.reads.Lock()
+	c.readMu.Lock()
 	c.deaf = c.deaf || !c.handing && idle() && c.Quiet()
 	closes := c.deaf
-	c.reads.Unlock()
+	c.readMu.Unlock()
 	if closes { // not under the lock: closing waits for the reader, which may wait for the lock
 		c.Close()
 	}
@@ -174,7 +174,7 @@
 // Close closes the connection; its session's Closed follows. The peer is told before it returns: by itself closing
 // waits for the reader to let go of the descriptor, and what is written elsewhere meanwhile would come first.
 func (c *Conn) Close() {
-	if !c.shut.Swap(true) {
+	if !c.closed.Swap(true) {
 		_ = c.raw.Control(func(fd uintptr) { _ = syscall.Shutdown(int(fd), syscall.SHUT_RDWR) })
 		_ = c.tcp.Close()
 	}
@@ -206,8 +206,8 @@
 			if buffer == nil {
 				buffer = buffers.Get().(*[16 << 10]byte)
 			}
-			c.reads.Lock()
-			defer c.reads.Unlock()
+			c.readMu.Lock()
+			defer c.readMu.Unlock()
 			if c.deaf {
 				n, err = 0, net.ErrClosed
 				return true
@@ -222,9 +222,9 @@
 		})
 		if wrong == nil && err == nil && n > 0 {
 			c.session.Data(buffer[:n])
-			c.reads.Lock()
+			c.readMu.Lock()
 			c.handing = false
-			c.reads.Unlock()
+			c.readMu.Unlock()
 		}
 		if buffer != nil {
 			buffers.Put(buffer)
@@ -242,8 +242,8 @@
 
 // Engine holds the connections of one instance.
 type Engine struct {
-	closed atomic.Bool
-	wait   sync.WaitGroup
+	closed     atomic.Bool
+	goroutines sync.WaitGroup
 
 	mu        sync.Mutex
 	listeners []net.Listener
@@ -258,13 +258,13 @@
 	e.mu.Lock()
 	e.listeners = append(e.listeners, l)
 	e.mu.Unlock()
-	e.wait.Add(1)
+	e.goroutines.Add(1)
 	go func() {
-		defer e.wait.Done()
+		defer e.goroutines.Done()
 		for {
 			conn, err := l.Accept()
 			if err != nil {
-				if temporary(err) { // out of file descriptors: let some close
+				if isTemporary(err) { // out of file descriptors: let some close
 					time.Sleep(10 * time.Millisecond)
 					continue
 				}
@@ -277,7 +277,7 @@
 	}()
 }
 
-func temporary(err error) bool {
+func isTemporary(err error) bool {
 	for _, no := range []syscall.Errno{syscall.EMFILE, syscall.ENFILE, syscall.ECONNABORTED, syscall.ENOBUFS,
 		syscall.ENOMEM} {
 		if errors.Is(err, no) {
@@ -306,9 +306,9 @@
 		return nil, net.ErrClosed
 	}
 	e.conns[c] = true
-	e.wait.Add(1)
+	e.goroutines.Add(1)
 	go func() {
-		defer e.wait.Done()
+		defer e.goroutines.Done()
 		err := c.read()
 		c.Close()
 		e.mu.Lock()
@@ -354,5 +354,5 @@
 		c.Close()
 	}
 	e.mu.Unlock()
-	e.wait.Wait()
+	e.goroutines.Wait()
 }
