--- a/internal/node/fixture_test.go
+++ b/internal/node/fixture_test.go
@@ -18,20 +18,21 @@
 	"github.com/stretchr/testify/require"
 )
 
-// fakePlatform is the platform's services at one address: list, feed and votes.
+// fakePlatform serves discovery, the feed and votes at one address.
 type fakePlatform struct {
 	*httptest.Server
 	mu        sync.Mutex
 	endpoints []string
 	votes     atomic.Int64
-	streams   atomic.Int64 // watches and feeds
-	changes   chan string  // lines of the watch, beside its first
+	streams   atomic.Int64 // opened: watches and feeds
+	changes   chan string  // lines of the watch after its first
 }
 
-func newFakePlatform(t *testing.T, members ...string) *fakePlatform {
-	p := &fakePlatform{endpoints: members, changes: make(chan string, 10)}
+func newFakePlatform(t *testing.T, endpoints ...string) *fakePlatform {
+	t.Helper()
+	p := &fakePlatform{endpoints: endpoints, changes: make(chan string, 10)}
 	p.Server = httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		say := func(text string) { fmt.Fprint(w, text+"\n"); w.(http.Flusher).Flush() }
+		say := func(text string) { _, _ = fmt.Fprint(w, text+"\n"); w.(http.Flusher).Flush() }
 		switch r.URL.Path {
 		case "/v1/endpoints":
 			p.streams.Add(1)
@@ -57,7 +58,7 @@
 			}
 		default:
 			p.votes.Add(1)
-			fmt.Fprint(w, releaseStatus)
+			_, _ = fmt.Fprint(w, releaseStatus)
 		}
 	}))
 	t.Cleanup(func() { p.CloseClientConnections(); p.Close() })
@@ -68,7 +69,7 @@
 
 const releaseStatus = `{"release":1,"tranche":0,"mode":"live","exposure":1,"old_ms":9000}`
 
-// fakeHost is a host whose answers a test writes itself.
+// fakeHost is a host whose responses a test writes itself.
 type fakeHost struct {
 	net.Listener
 	id          string
@@ -77,8 +78,9 @@
 	received    chan *http.Request
 }
 
-// newFakeHost serves whole requests; serve returns false to end the connection.
+// newFakeHost serves each request by serve, which returns false to close the connection.
 func newFakeHost(t *testing.T, id string, serve func(c net.Conn, r *http.Request, body []byte) bool) *fakeHost {
+	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	m := &fakeHost{Listener: l, id: id, received: make(chan *http.Request, 1000)}
@@ -91,7 +93,7 @@
 			}
 			m.connections.Add(1)
 			go func() {
-				defer c.Close()
+				defer func() { _ = c.Close() }()
 				in := bufio.NewReader(c)
 				for {
 					r, err := http.ReadRequest(in)
@@ -126,39 +128,39 @@
 	for _, f := range fields {
 		head += f + "\r\n"
 	}
-	fmt.Fprintf(c, "HTTP/1.1 %d Told\r\n%sContent-Length: %d\r\n\r\n%s", status, head, len(body), body)
+	_, _ = fmt.Fprintf(c, "HTTP/1.1 %d Told\r\n%sContent-Length: %d\r\n\r\n%s", status, head, len(body), body)
 }
 
-// respondOK answers with the task's own id.
+// respondOK responds with the id of the request.
 func respondOK(c net.Conn, r *http.Request, _ []byte) bool {
 	respond(c, 200, "for "+r.Header.Get("Request-Id"), "Server-Load: active=1,rps=2,avg_ms=3")
 	return true
 }
 
-// respondWhenReleased answers what is posted only once it is told to go on.
-func respondWhenReleased(goOn chan bool) func(net.Conn, *http.Request, []byte) bool {
+// respondAfter responds to a POST only after a value on release.
+func respondAfter(release chan bool) func(net.Conn, *http.Request, []byte) bool {
 	return func(c net.Conn, r *http.Request, b []byte) bool {
-		if r.Method == "POST" {
-			<-goOn
+		if r.Method == http.MethodPost {
+			<-release
 		}
 		return respondOK(c, r, b)
 	}
 }
 
 // configJSON is a configuration for a router with these services.
-func configJSON(list, desk string) map[string]any {
-	kind := func(name, repeat string, deadline int) map[string]any {
-		return map[string]any{"Name": name, "Semantics": repeat, "AimUs": 300000, "DeadlineUs": deadline, "Importance": 1,
+func configJSON(discoveryAddress, platformAddress string) map[string]any {
+	class := func(name, semantics string, deadline int) map[string]any {
+		return map[string]any{"Name": name, "Semantics": semantics, "AimUs": 300000, "DeadlineUs": deadline, "Importance": 1,
 			"LateValue": 0, "DedupScope": "all", "WindowUs": 5000000}
 	}
-	var first any
-	_ = json.Unmarshal([]byte(releaseStatus), &first)
-	return map[string]any{"name": "n0", "listen": "127.0.0.1:0", "discovery": list, "seed": "8c1f30d27a5be964",
+	var status any
+	_ = json.Unmarshal([]byte(releaseStatus), &status)
+	return map[string]any{"name": "n0", "listen": "127.0.0.1:0", "discovery": discoveryAddress, "seed": "8c1f30d27a5be964",
 		"limits":   map[string]any{"cores": 0.5, "memory_mb": 64, "sockets": 256},
-		"platform": map[string]any{"address": desk, "news": first},
+		"platform": map[string]any{"address": platformAddress, "news": status},
 		"known":    map[string]any{"revision": 1, "complete": true, "members": []any{}},
 		"settings": map[string]any{"Balancers": 1, "Rank": 0, "MyZone": "here", "RegistryMode": "on_request",
-			"Categories": []any{kind("quote", "repeatable", 1000000), kind("order", "by_key", 1000000), kind("pay", "once", 600000)},
+			"Categories": []any{class("quote", "repeatable", 1000000), class("order", "by_key", 1000000), class("pay", "once", 600000)},
 			"Parties":    []any{}, "Report": map[string]any{"Fields": []string{"rps", "avg_ms", "active"}},
 			"Obligations": map[string]any{"DrainGraceUs": 300000, "ColdUs": 1000000, "StartCapacity": 0.3, "TipMultiple": 4,
 				"OverloadForUs": 3000000, "AskWithinUs": 1500000},
@@ -169,6 +171,7 @@
 }
 
 func parseConfig(t *testing.T, b map[string]any) *Config {
+	t.Helper()
 	p, err := parse([]byte(encode(t, b)))
 	require.NoError(t, err)
 	return p
@@ -183,6 +186,7 @@
 }
 
 func startNode(t *testing.T, machines ...*fakeHost) *fixture {
+	t.Helper()
 	var members []string
 	for _, m := range machines {
 		members = append(members, m.entry())
@@ -198,7 +202,7 @@
 		}
 	})
 	require.Eventually(t, func() bool { return r.platform.streams.Load() == 2 }, 10*time.Second, time.Millisecond)
-	for _, m := range machines { // the list has come once each of them has answered
+	for _, m := range machines { // the endpoint list has arrived once each of them has responded
 		r.eventually(func() bool { r.request("GET", "quote", ""); return m.requests.Load() > 0 })
 	}
 	return r
@@ -215,7 +219,7 @@
 	in *bufio.Reader
 }
 
-func (r *fixture) client() *client {
+func (r *fixture) connect() *client {
 	r.Helper()
 	c, err := net.Dial("tcp", r.node.instance.Address().String())
 	require.NoError(r, err)
@@ -237,6 +241,7 @@
 	if err != nil {
 		return response{}
 	}
+	defer func() { _ = got.Body.Close() }()
 	body, err := io.ReadAll(got.Body)
 	if err != nil {
 		return response{}
@@ -246,10 +251,10 @@
 
 var lastRequestID atomic.Int64
 
-// requestText is one that a usual client sends, under an id of its own.
-func requestText(method, category string, fields ...string) (text, id string) {
+// requestText is a valid request under a new id.
+func requestText(method, class string, fields ...string) (text, id string) {
 	id = fmt.Sprintf("id%d", lastRequestID.Add(1))
-	text = method + " /api?x=1 HTTP/1.1\r\nHost: service\r\nRequest-Id: " + id + "\r\nRequest-Class: " + category +
+	text = method + " /api?x=1 HTTP/1.1\r\nHost: service\r\nRequest-Id: " + id + "\r\nRequest-Class: " + class +
 		"\r\nRequest-Timeout-Ms: 900\r\n"
 	for _, f := range fields {
 		if f != "" {
@@ -262,11 +267,11 @@
 	return text + "\r\n", id
 }
 
-func (r *fixture) request(method, category, field string) (response, string) {
+func (r *fixture) request(method, class, field string) (response, string) {
 	r.Helper()
-	c := r.client()
-	defer c.Close()
-	text, id := requestText(method, category, field)
+	c := r.connect()
+	defer func() { _ = c.Close() }()
+	text, id := requestText(method, class, field)
 	_, _ = io.WriteString(c, text)
 	return c.read(), id
 }
@@ -274,13 +279,14 @@
 // readiness is the status of the router's readiness.
 func (r *fixture) readiness() int {
 	r.Helper()
-	c := r.client()
-	defer c.Close()
+	c := r.connect()
+	defer func() { _ = c.Close() }()
 	_, _ = io.WriteString(c, "GET /ready HTTP/1.1\r\nHost: x\r\n\r\n")
 	return c.read().status
 }
 
 func encode(t *testing.T, b map[string]any) string {
+	t.Helper()
 	text, err := json.Marshal(b)
 	require.NoError(t, err)
 	return string(text)
