--- /dev/null
+++ b/internal/discovery/host_table.go
@@ -0,0 +1,145 @@
+package discovery
+
+import (
+	"strconv"
+	"time"
+
+	"github.com/cespare/xxhash/v2"
+
+	"dapplefront/internal/eds"
+)
+
+const (
+	// maxIncarnations is how many incarnations of a name are kept: complaints arrive within seconds of the attempt.
+	maxIncarnations = 4
+
+	// forgetAfter is the time after which a removed name is forgotten: complaints arrive within seconds of an attempt,
+	// and attempts within a request's deadline of the removal.
+	forgetAfter = time.Minute
+)
+
+// hostTable maps the names of endpoints to host ids, over time.
+type hostTable struct {
+	names     map[string]*endpointName
+	idOwners  map[uint32]string // the owner of each id in use
+	lastSweep time.Time         // when removed names were last forgotten
+}
+
+// endpointName is a name that one host after another may have.
+type endpointName struct {
+	last         Endpoint
+	listed       bool
+	removedAt    time.Time     // when it was last listed, if it is not
+	incarnations []incarnation // the last few, the newest last
+}
+
+// incarnation is a host that a name stands for from a time on.
+type incarnation struct {
+	id    uint32
+	owner string // the name and the build
+	since time.Time
+}
+
+func newHostTable() hostTable {
+	return hostTable{names: map[string]*endpointName{}, idOwners: map[uint32]string{}}
+}
+
+// apply takes a list in and returns its hosts, each after the one that it replaces, which is returned as removed. Hosts
+// that a complete list leaves out are not returned: the router learns of them by the list's being complete.
+func (t *hostTable) apply(l EndpointList, now time.Time) []eds.Host {
+	if l.Complete {
+		t.removeMissing(l, now)
+	}
+	hosts := make([]eds.Host, 0, len(l.Endpoints))
+	for _, e := range l.Endpoints {
+		hosts = t.applyEndpoint(hosts, e, now)
+	}
+	t.forgetRemoved(now)
+	return hosts
+}
+
+// removeMissing marks the names that a complete list leaves out as removed.
+func (t *hostTable) removeMissing(l EndpointList, now time.Time) {
+	listed := make(map[string]bool, len(l.Endpoints))
+	for _, e := range l.Endpoints {
+		listed[e.ID] = true
+	}
+	for id, n := range t.names {
+		if n.listed && !listed[id] {
+			n.listed, n.removedAt = false, now
+		}
+	}
+}
+
+// applyEndpoint appends the host that an entry describes, after the host that it replaces, if any.
+func (t *hostTable) applyEndpoint(hosts []eds.Host, e Endpoint, now time.Time) []eds.Host {
+	n := t.names[e.ID]
+	if n == nil {
+		n = &endpointName{}
+		t.names[e.ID] = n
+	}
+	if e.Phase == phaseRemoved && n.listed { // the host that is listed is removed, whatever build the entry names
+		e.Build = n.last.Build
+		if e.Address == "" {
+			e.Address = n.last.Address
+		}
+	}
+	id, owner := t.assignID(e)
+	if count := len(n.incarnations); count == 0 || n.incarnations[count-1].id != id {
+		if n.listed && count > 0 {
+			replaced := n.last
+			replaced.Phase = phaseRemoved
+			hosts = append(hosts, replaced.host(n.incarnations[count-1].id))
+		}
+		n.incarnations = append(n.incarnations[max(0, count-maxIncarnations+1):count:count], incarnation{id, owner, now})
+	}
+	if n.last, n.listed = e, e.Phase != phaseRemoved; !n.listed {
+		n.removedAt = now
+	}
+	return append(hosts, e.host(id))
+}
+
+// forgetRemoved forgets names that were removed so long ago that no complaint refers to them. It looks for them once in
+// forgetAfter.
+func (t *hostTable) forgetRemoved(now time.Time) {
+	if now.Sub(t.lastSweep) < forgetAfter {
+		return
+	}
+	t.lastSweep = now
+	clear(t.idOwners)
+	for name, n := range t.names {
+		if !n.listed && now.Sub(n.removedAt) > forgetAfter {
+			delete(t.names, name)
+			continue
+		}
+		for _, i := range n.incarnations {
+			t.idOwners[i.id] = i.owner
+		}
+	}
+}
+
+// assignID returns the id of a name with a build, and their owner string. Where two owners have the same hash, one in
+// 2^32, the later one takes the next free id; routers may then differ, and no rule depends on it.
+func (t *hostTable) assignID(e Endpoint) (id uint32, owner string) {
+	owner = e.ID + " " + strconv.Itoa(e.Build)
+	id = uint32(xxhash.Sum64String(owner))
+	for id == 0 || t.idOwners[id] != "" && t.idOwners[id] != owner {
+		id++
+	}
+	t.idOwners[id] = owner
+	return id, owner
+}
+
+// idAt is the id that a name stood for at a time; the earliest one kept for an earlier time.
+func (t *hostTable) idAt(name string, at time.Time) (uint32, bool) {
+	n := t.names[name]
+	if n == nil || len(n.incarnations) == 0 {
+		return 0, false
+	}
+	for i := len(n.incarnations) - 1; i > 0; i-- {
+		if !n.incarnations[i].since.After(at) {
+			return n.incarnations[i].id, true
+		}
+	}
+	return n.incarnations[0].id, true
+}
--- /dev/null
+++ b/internal/discovery/list.go
@@ -0,0 +1,93 @@
+package discovery
+
+import (
+	"encoding/json"
+	"errors"
+	"fmt"
+	"math"
+	"net/netip"
+
+	"dapplefront/internal/eds"
+	"dapplefront/policy"
+	"dapplefront/router"
+)
+
+// EndpointList is a message of discovery: the whole endpoint list or what changed since an earlier revision. Its JSON
+// names are those of "Discovery" in the operators' protocol page.
+type EndpointList struct {
+	Revision  int64      `json:"revision"`
+	Complete  bool       `json:"complete"`
+	Endpoints []Endpoint `json:"members"`
+}
+
+// Endpoint is one entry of a list.
+type Endpoint struct {
+	ID          string  `json:"id"` // the name that all routers know the host by
+	Address     string  `json:"host_port"`
+	Zone        string  `json:"locality"`
+	Cell        int     `json:"cell"`
+	Phase       string  `json:"phase"` // a key of endpointStates
+	Weight      float64 `json:"size"`
+	StartedAtMs int64   `json:"up_since_ms"` // Unix time of the last start; 0 for long ago
+	Build       int     `json:"revision_no"`
+}
+
+// Phases of an endpoint in the operators' protocol page.
+const (
+	phaseUp       = "up"
+	phaseDraining = "draining"
+	phaseRemoved  = "removed" // among changes only
+)
+
+// endpointStates maps the phases of the protocol to the router's terms.
+var endpointStates = map[string]policy.EndpointState{
+	phaseUp:       policy.Serving,
+	phaseDraining: policy.Draining,
+	phaseRemoved:  policy.Removed,
+}
+
+// Check returns an error that names the first invalid field; nil for a valid list.
+func (l EndpointList) Check() error {
+	if l.Revision < 0 {
+		return fmt.Errorf("revision: %d can't be", l.Revision)
+	}
+	for i, e := range l.Endpoints {
+		address, err := netip.ParseAddrPort(e.Address)
+		_, known := endpointStates[e.Phase]
+		switch {
+		case e.ID == "":
+			return fmt.Errorf("members[%d].id is missing", i)
+		case err != nil && e.Phase != phaseRemoved || err == nil && address.Port() == 0:
+			return fmt.Errorf("members[%d].host_port: a numeric address and a port expected, not %q", i, e.Address)
+		case !known:
+			return fmt.Errorf("members[%d].phase: up, draining or removed expected, not %q", i, e.Phase)
+		case e.Build < 0 || e.Cell < 0 || e.StartedAtMs < 0 || e.Weight < 0 || math.IsInf(e.Weight, 0):
+			return fmt.Errorf("members[%d]: a figure is below 0", i)
+		}
+	}
+	return nil
+}
+
+// decodeList reads and checks one message of a watch, which has all three fields.
+func decodeList(text json.RawMessage) (EndpointList, error) {
+	var message struct {
+		Revision  *int64     `json:"revision"`
+		Complete  *bool      `json:"complete"`
+		Endpoints []Endpoint `json:"members"`
+	}
+	if err := json.Unmarshal(text, &message); err != nil {
+		return EndpointList{}, err
+	}
+	if message.Revision == nil || message.Complete == nil || message.Endpoints == nil {
+		return EndpointList{}, errors.New("revision, complete or members is missing")
+	}
+	l := EndpointList{Revision: *message.Revision, Complete: *message.Complete, Endpoints: message.Endpoints}
+	return l, l.Check()
+}
+
+// host is the endpoint in the router's terms, under the id of its incarnation.
+func (e Endpoint) host(id uint32) eds.Host {
+	const ticksPerMillisecond = 10
+	return eds.Host{Address: e.Address, Host: router.Host{ID: id, Zone: e.Zone, Cell: e.Cell, State: endpointStates[e.Phase],
+		Build: e.Build, Weight: e.Weight, StartedAt: policy.Time(e.StartedAtMs) * ticksPerMillisecond}}
+}
