--- a/internal/platform/client_test.go
+++ b/internal/platform/client_test.go
@@ -16,14 +16,15 @@
 	"dapplefront/policy"
 )
 
-// fakePlatform is a control service whose answers a test writes byte by byte.
+// fakePlatform is a control service whose responses a test writes byte by byte.
 type fakePlatform struct {
 	net.Listener
-	feeds chan net.Conn // each has been asked for and has its head
-	votes chan string   // bodies
+	feeds chan net.Conn // open feeds, their response head sent
+	votes chan string   // bodies of votes
 }
 
 func newFakePlatform(t *testing.T, vote func(net.Conn, string)) *fakePlatform {
+	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	s := &fakePlatform{l, make(chan net.Conn, 20), make(chan string, 20)}
@@ -41,7 +42,7 @@
 					return
 				}
 				if r.URL.Path == "/apis/fleet/feed" {
-					fmt.Fprint(c, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
+					_, _ = fmt.Fprint(c, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
 					s.feeds <- c
 					return
 				}
@@ -55,10 +56,10 @@
 	return s
 }
 
-func writeChunk(c net.Conn, text string) { fmt.Fprintf(c, "%x\r\n%s\r\n", len(text), text) }
+func writeChunk(c net.Conn, text string) { _, _ = fmt.Fprintf(c, "%x\r\n%s\r\n", len(text), text) }
 
 func writeResponse(c net.Conn, status int, body string) {
-	fmt.Fprintf(c, "HTTP/1.1 %d Status\r\nContent-Length: %d\r\n\r\n%s", status, len(body), body)
+	_, _ = fmt.Fprintf(c, "HTTP/1.1 %d Status\r\nContent-Length: %d\r\n\r\n%s", status, len(body), body)
 }
 
 const statusJSON = `{"release":42,"tranche":1,"mode":"testing","exposure":0.28,"old_ms":310}`
@@ -71,16 +72,17 @@
 	failures   chan error
 }
 
-func openTestClient(t *testing.T, s *fakePlatform, within time.Duration) (*Client, events) {
+func openTestClient(t *testing.T, s *fakePlatform, voteTimeout time.Duration) (*Client, events) {
+	t.Helper()
 	h := events{make(chan policy.ReleaseStatus, 20), make(chan api.Complaint, 20), make(chan error, 50)}
-	l := Open(s.Addr().String(), within, func(unit string, _ time.Time) (uint32, bool) { return 7, unit == "s-1" },
+	c := Open(s.Addr().String(), voteTimeout, func(endpoint string, _ time.Time) (uint32, bool) { return 7, endpoint == "s-1" },
 		controlclient.Handler{Release: func(n policy.ReleaseStatus) { h.releases <- n }, Complaint: func(c api.Complaint) { h.complaints <- c },
 			Failed: func(err error) { h.failures <- err }})
-	t.Cleanup(l.Close)
-	return l, h
+	t.Cleanup(c.Close)
+	return c, h
 }
 
-func TestTheFeedTellsNewsAndComplaintsAndIsTakenUpAgain(t *testing.T) {
+func TestFeedReportsStatusesAndComplaintsAndIsReopened(t *testing.T) {
 	s := newFakePlatform(t, nil)
 	_, h := openTestClient(t, s, time.Second)
 	feed := <-s.feeds
@@ -90,85 +92,87 @@
 	writeChunk(feed, `{"type":"flag","object":{"unit":"s-1","pro`)
 	writeChunk(feed, `duct":"lookup","old_ms":1200}}`+"\n")
 	require.Equal(t, api.Complaint{Host: 7, Class: "lookup", AgeMs: 1200}, <-h.complaints)
-	for _, noise := range []string{"noise\n", `{"type":"stage","object":{"release":43}}` + "\n",
+	for _, invalid := range []string{"noise\n", `{"type":"stage","object":{"release":43}}` + "\n",
 		`{"type":"stage","object":{"release":43,"tranche":0,"mode":"odd","exposure":1,"old_ms":0}}` + "\n",
 		`{"type":"stage","object":{"release":43,"tranche":0,"mode":"live","exposure":7,"old_ms":0}}` + "\n"} {
-		writeChunk(feed, noise)
+		writeChunk(feed, invalid)
 		require.Error(t, <-h.failures)
 		feed = <-s.feeds
 		writeChunk(feed, "{}\n")
 	}
-	require.Empty(t, h.releases, "what can't be read is no news")
+	require.Empty(t, h.releases, "an invalid message reports nothing")
 	writeChunk(feed, `{"type":"stage","object":`+statusJSON)
 	_ = feed.Close()
 	feed = <-s.feeds
-	require.Empty(t, h.releases, "nor is half an object")
+	require.Empty(t, h.releases, "nor does a partial one")
 	writeChunk(feed, `{"type":"stage","object":`+statusJSON+"}\n")
 	require.Equal(t, status, <-h.releases)
 }
 
-func TestWhatBecomesOfAVote(t *testing.T) {
-	counted := status
-	counted.VoteResult = policy.VoteAccepted
-	not := func(a policy.VoteResult) policy.ReleaseStatus {
+func TestVoteResultByResponse(t *testing.T) {
+	accepted := status
+	accepted.VoteResult = policy.VoteAccepted
+	unaccepted := func(a policy.VoteResult) policy.ReleaseStatus {
 		return policy.ReleaseStatus{Build: 42, Stage: 1, VoteResult: a}
 	}
 	for name, x := range map[string]struct {
 		vote func(net.Conn, string)
 		want policy.ReleaseStatus
 	}{
-		"counts": {func(c net.Conn, _ string) { writeResponse(c, 200, statusJSON) }, counted},
-		"1xx in front": {func(c net.Conn, _ string) {
-			fmt.Fprint(c, "HTTP/1.1 103 Early\r\n\r\n")
+		"accepted": {func(c net.Conn, _ string) { writeResponse(c, 200, statusJSON) }, accepted},
+		"an informational response first": {func(c net.Conn, _ string) {
+			_, _ = fmt.Fprint(c, "HTTP/1.1 103 Early\r\n\r\n")
 			writeResponse(c, 200, statusJSON)
-		}, counted},
-		"too many":          {func(c net.Conn, _ string) { writeResponse(c, 429, `{"error":"too_many_calls"}`) }, not(policy.VoteRejected)},
-		"out of date":       {func(c net.Conn, _ string) { writeResponse(c, 409, `{"error":"out_of_date"}`) }, not(policy.VoteStale)},
-		"an error":          {func(c net.Conn, _ string) { writeResponse(c, 500, `{"error":"unavailable"}`) }, not(policy.VoteRejected)},
-		"no such call":      {func(c net.Conn, _ string) { writeResponse(c, 400, `{"error":"bad_request"}`) }, not(policy.VoteRejected)},
-		"other words":       {func(c net.Conn, _ string) { writeResponse(c, 429, `{"error":"zzz"}`) }, not(policy.VoteUnknown)},
-		"noise in the body": {func(c net.Conn, _ string) { writeResponse(c, 200, "\x01\x02") }, not(policy.VoteUnknown)},
-		"noise":             {func(c net.Conn, _ string) { fmt.Fprint(c, "zzz\r\n\r\n") }, not(policy.VoteUnknown)},
-		"cut":               {func(net.Conn, string) {}, not(policy.VoteUnknown)},
-		"a part": {func(c net.Conn, _ string) {
-			fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: 99\r\n\r\n%s", statusJSON)
-		}, not(policy.VoteUnknown)},
-		"news without stage": {func(c net.Conn, _ string) { writeResponse(c, 200, `{"release":42}`) }, not(policy.VoteUnknown)},
+		}, accepted},
+		"rate limit":         {func(c net.Conn, _ string) { writeResponse(c, 429, `{"error":"too_many_calls"}`) }, unaccepted(policy.VoteRejected)},
+		"stale":              {func(c net.Conn, _ string) { writeResponse(c, 409, `{"error":"out_of_date"}`) }, unaccepted(policy.VoteStale)},
+		"an error":           {func(c net.Conn, _ string) { writeResponse(c, 500, `{"error":"unavailable"}`) }, unaccepted(policy.VoteRejected)},
+		"bad request":        {func(c net.Conn, _ string) { writeResponse(c, 400, `{"error":"bad_request"}`) }, unaccepted(policy.VoteRejected)},
+		"unknown error":      {func(c net.Conn, _ string) { writeResponse(c, 429, `{"error":"zzz"}`) }, unaccepted(policy.VoteUnknown)},
+		"malformed body":     {func(c net.Conn, _ string) { writeResponse(c, 200, "\x01\x02") }, unaccepted(policy.VoteUnknown)},
+		"malformed response": {func(c net.Conn, _ string) { _, _ = fmt.Fprint(c, "zzz\r\n\r\n") }, unaccepted(policy.VoteUnknown)},
+		"connection closed":  {func(net.Conn, string) {}, unaccepted(policy.VoteUnknown)},
+		"partial body": {func(c net.Conn, _ string) {
+			_, _ = fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: 99\r\n\r\n%s", statusJSON)
+		}, unaccepted(policy.VoteUnknown)},
+		"status without stage": {func(c net.Conn, _ string) { writeResponse(c, 200, `{"release":42}`) }, unaccepted(policy.VoteUnknown)},
 	} {
-		s := newFakePlatform(t, x.vote)
-		l, _ := openTestClient(t, s, 5*time.Second)
-		done := make(chan policy.ReleaseStatus, 2)
-		l.Vote(42, 1, policy.Promote, func(n policy.ReleaseStatus) { done <- n })
-		require.Equal(t, x.want, <-done, name)
-		require.JSONEq(t, `{"release":42,"tranche":1,"ruling":"go"}`, <-s.votes)
-		require.Empty(t, s.votes, "a vote is cast once: %s", name)
+		t.Run(name, func(t *testing.T) {
+			s := newFakePlatform(t, x.vote)
+			c, _ := openTestClient(t, s, 5*time.Second)
+			done := make(chan policy.ReleaseStatus, 2)
+			c.Vote(42, 1, policy.Promote, func(n policy.ReleaseStatus) { done <- n })
+			require.Equal(t, x.want, <-done)
+			require.JSONEq(t, `{"release":42,"tranche":1,"ruling":"go"}`, <-s.votes)
+			require.Empty(t, s.votes, "a vote is sent once")
+		})
 	}
 }
 
-func TestAVoteThatNeverArrivedIsRefusedAndOneInSilenceIsUnclear(t *testing.T) {
+func TestVoteWithoutResponseIsUnknownAndOneNotSentIsRejected(t *testing.T) {
 	s := newFakePlatform(t, func(net.Conn, string) { select {} })
-	l, _ := openTestClient(t, s, 100*time.Millisecond)
+	c, _ := openTestClient(t, s, 100*time.Millisecond)
 	done := make(chan policy.ReleaseStatus, 1)
-	l.Vote(42, 1, policy.Rollback, func(n policy.ReleaseStatus) { done <- n })
+	c.Vote(42, 1, policy.Rollback, func(n policy.ReleaseStatus) { done <- n })
 	require.Equal(t, policy.VoteUnknown, (<-done).VoteResult)
 	_ = s.Close()
-	l.Vote(42, 1, policy.Rollback, func(n policy.ReleaseStatus) { done <- n })
+	c.Vote(42, 1, policy.Rollback, func(n policy.ReleaseStatus) { done <- n })
 	require.Equal(t, policy.VoteRejected, (<-done).VoteResult)
 }
 
-func TestAnotherAddressIsGoneOverTo(t *testing.T) {
+func TestFeedAndVotesMoveToAnotherAddress(t *testing.T) {
 	old, next := newFakePlatform(t, nil), newFakePlatform(t, func(c net.Conn, _ string) { writeResponse(c, 200, statusJSON) })
-	l, h := openTestClient(t, old, time.Second)
+	c, h := openTestClient(t, old, time.Second)
 	feed := <-old.feeds
 	writeChunk(feed, "{}\n")
-	l.SetAddress(next.Addr().String())
+	c.SetAddress(next.Addr().String())
 	writeChunk(feed, `{"type":"stage","object":`+statusJSON+"}\n")
-	require.Equal(t, status, <-h.releases, "the old feed is heard until the new one speaks")
+	require.Equal(t, status, <-h.releases, "the old feed is read until the new one responds")
 	writeChunk(<-next.feeds, "{}\n")
 	_, err := feed.Read(make([]byte, 1))
-	require.Error(t, err, "then it ends")
+	require.Error(t, err, "then it is closed")
 	done := make(chan policy.ReleaseStatus, 1)
-	l.Vote(42, 1, policy.Promote, func(n policy.ReleaseStatus) { done <- n })
+	c.Vote(42, 1, policy.Promote, func(n policy.ReleaseStatus) { done <- n })
 	require.Equal(t, policy.VoteAccepted, (<-done).VoteResult)
 	require.Empty(t, old.votes)
 }
