--- a/internal/jsonstream/stream.go
+++ b/internal/jsonstream/stream.go
@@ -1,6 +1,5 @@
-// Package jsonstream keeps one standing answer that comes value by value: a GET whose chunked body stays open and holds JSON
-// objects, such as a watch. What stands may be replaced by one from another address; the old one is read on until the
-// new one speaks.
+// Package jsonstream follows a stream of JSON values: the response to a GET whose chunked body stays open, such as a
+// watch. The stream may move to another address; the old connection is read until the new one has delivered a value.
 package jsonstream
 
 import (
@@ -16,30 +15,37 @@
 	"time"
 )
 
-// Handler is whoever follows a stream. Its functions are called one at a time, from goroutines of the stream.
+var (
+	errIdle     = errors.New("it is silent")
+	errReplaced = errors.New("a newer stream has taken its place")
+)
+
+// Handler handles the events of a stream. Its functions are called one at a time, from goroutines of the stream.
 type Handler struct {
-	// Open is called at each start: the path to ask for, and what is told each value, however it is laid out in lines.
-	// An error of value ends the stream.
-	Open  func() (path string, value func(json.RawMessage) error)
-	Ended func(err error) // the newest stream has ended, and no other is under way
+	// Open is called for each connection. It returns the path to request and the handler of the values that arrive, however
+	// they are spread over lines. An error of the handler ends the connection.
+	Open func() (path string, handle func(json.RawMessage) error)
+	// Ended is called when the newest connection has ended and no other is open.
+	Ended func(err error)
 }
 
-// Timeouts are how long a stream may be silent.
+// Timeouts are the times that a connection may be silent.
 type Timeouts struct {
-	FirstValue time.Duration // until its first value, the connection's making included
-	Idle       time.Duration // from then on, between two bytes of any kind
+	FirstValue time.Duration // until the first value, connecting included
+	Idle       time.Duration // from then on, between two reads of any bytes
 }
 
-const maxValueBytes = 4 << 20 // bytes of a value: some 20,000 entries of a list
+const maxValueBytes = 4 << 20 // some 20,000 entries of an endpoint list
 
-// NewHTTPClient is an HTTP client that uses each connection for one call alone, so that what became of a call is exact.
+// NewHTTPClient returns a client that uses each connection for one request, follows no redirects, and doesn't compress.
+// That makes it exact what became of a request.
 func NewHTTPClient() *http.Client {
 	return &http.Client{Transport: &http.Transport{DisableKeepAlives: true, DisableCompression: true, ReadBufferSize: 4 << 10,
 		WriteBufferSize: 2 << 10, MaxResponseHeaderBytes: 16 << 10, DialContext: (&net.Dialer{Timeout: time.Second}).DialContext},
 		CheckRedirect: func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse }}
 }
 
-// Stream follows one address at a time.
+// Stream follows one address at a time. It is safe for concurrent use.
 type Stream struct {
 	handler  Handler
 	timeouts Timeouts
@@ -49,9 +55,9 @@
 	address     string
 	connections []*connection // the newest last
 	closed      bool
-	wg          sync.WaitGroup
+	wg          sync.WaitGroup // of the connections' goroutines
 
-	handling  sync.Mutex
+	handling  sync.Mutex // held while the handler is called
 	attempted atomic.Bool
 }
 
@@ -66,32 +72,30 @@
 	return &Stream{handler: h, timeouts: t, client: NewHTTPClient(), address: address}
 }
 
-// Address is the one that is followed, or would be.
+// Address is the address followed, or to be followed by Open.
 func (s *Stream) Address() string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.address
 }
 
-// Attempted tells whether a first attempt has been made, whatever came of it: its first value was handled, or it has ended.
+// Attempted reports whether a first attempt is over: its first value was handled, or it has ended.
 func (s *Stream) Attempted() bool { return s.attempted.Load() }
 
-// Open starts following, unless the present address is followed already.
+// Open connects, unless the newest connection is to the present address.
 func (s *Stream) Open() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if n := len(s.connections); s.closed || n > 0 && s.connections[n-1].address == s.address {
 		return
 	}
-	ctx, stop := context.WithCancel(context.Background())
-	r := &connection{address: s.address, cancel: stop}
-	s.connections = append(s.connections, r)
-	s.wg.Add(1)
-	go func() {
-		defer s.wg.Done()
-		defer stop()
-		s.connectionEnded(r, s.follow(ctx, r))
-	}()
+	ctx, cancel := context.WithCancel(context.Background())
+	c := &connection{address: s.address, cancel: cancel}
+	s.connections = append(s.connections, c)
+	s.wg.Go(func() {
+		defer cancel()
+		s.connectionEnded(c, s.follow(ctx, c))
+	})
 }
 
 // SetAddress follows another address from now on.
@@ -102,30 +106,31 @@
 	s.Open()
 }
 
-// Close ends it for good and waits until the handler is told nothing more.
+// Close ends the stream for good and waits until the handler is called no more.
 func (s *Stream) Close() {
 	s.mu.Lock()
 	s.closed = true
-	for _, r := range s.connections {
-		r.cancel()
+	for _, c := range s.connections {
+		c.cancel()
 	}
 	s.mu.Unlock()
 	s.wg.Wait()
 }
 
-func (s *Stream) connectionEnded(r *connection, err error) {
+func (s *Stream) connectionEnded(c *connection, err error) {
 	s.mu.Lock()
-	newest := s.connections[len(s.connections)-1] == r
-	for i, x := range s.connections {
-		if x == r {
+	newest := s.connections[len(s.connections)-1] == c
+	for i, other := range s.connections {
+		if other == c {
 			s.connections = append(s.connections[:i:i], s.connections[i+1:]...)
 			break
 		}
 	}
-	// An older address has nothing to start anew: whoever moved on has opened the next, whose end is told by itself.
-	told := newest && !s.closed && r.address == s.address
+	// The end of a connection to an earlier address is not reported: SetAddress has opened the next one, which reports
+	// its own end.
+	report := newest && !s.closed && c.address == s.address
 	s.mu.Unlock()
-	if told {
+	if report {
 		s.handling.Lock()
 		defer s.handling.Unlock()
 		s.handler.Ended(err)
@@ -133,56 +138,60 @@
 	s.attempted.Store(true)
 }
 
-// follow reads one stream to its end.
-func (s *Stream) follow(ctx context.Context, r *connection) error {
-	ctx, stop := context.WithCancelCause(ctx)
-	defer stop(nil)
-	silent := time.AfterFunc(s.timeouts.FirstValue, func() { stop(errors.New("it is silent")) })
-	defer silent.Stop()
+// follow reads one connection to its end. The error names the address.
+func (s *Stream) follow(ctx context.Context, c *connection) error {
+	ctx, cancel := context.WithCancelCause(ctx)
+	defer cancel(nil)
+	idle := time.AfterFunc(s.timeouts.FirstValue, func() { cancel(errIdle) })
+	defer idle.Stop()
+	err := s.readValues(ctx, c, idle)
+	if ctx.Err() != nil {
+		err = context.Cause(ctx)
+	}
+	return fmt.Errorf("%s: %w", c.address, err)
+}
+
+// readValues requests the stream and delivers its values until an error. It resets the idle timer at each read, once a
+// first value has arrived.
+func (s *Stream) readValues(ctx context.Context, c *connection, idle *time.Timer) error {
 	s.handling.Lock()
-	path, value := s.handler.Open()
+	path, handle := s.handler.Open()
 	s.handling.Unlock()
-	why := func(err error) error {
-		if ctx.Err() != nil {
-			return fmt.Errorf("%s: %w", r.address, context.Cause(ctx))
-		}
-		return fmt.Errorf("%s: %w", r.address, err)
-	}
-	ask, err := http.NewRequestWithContext(ctx, "GET", "http://"+r.address+path, nil)
+	request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+c.address+path, nil)
 	if err != nil {
-		return why(err)
+		return err
 	}
-	got, err := s.client.Do(ask)
+	response, err := s.client.Do(request)
 	if err != nil {
-		return why(err)
+		return err
 	}
-	defer got.Body.Close()
-	if got.StatusCode != http.StatusOK {
-		return why(fmt.Errorf("status %s", got.Status))
+	defer func() { _ = response.Body.Close() }() // its end is of no interest
+	if response.StatusCode != http.StatusOK {
+		return fmt.Errorf("status %s", response.Status)
 	}
-	in := &boundedBody{Reader: got.Body, remaining: maxValueBytes, onRead: func() {
-		if r.gotValue.Load() {
-			silent.Reset(s.timeouts.Idle)
+	body := &boundedBody{Reader: response.Body, remaining: maxValueBytes, onRead: func() {
+		if c.gotValue.Load() {
+			idle.Reset(s.timeouts.Idle)
 		}
 	}}
-	for values := json.NewDecoder(in); ; {
-		var v json.RawMessage
-		if err := values.Decode(&v); err != nil { // half a value at the end is dropped
-			return why(err)
+	for values := json.NewDecoder(body); ; {
+		var value json.RawMessage
+		if err := values.Decode(&value); err != nil { // a partial value at the end is dropped
+			return err
 		}
-		in.remaining = maxValueBytes
-		if err := s.deliver(r, v, value); err != nil {
-			return why(err)
+		body.remaining = maxValueBytes
+		if err := s.deliver(c, value, handle); err != nil {
+			return err
 		}
-		silent.Reset(s.timeouts.Idle)
+		idle.Reset(s.timeouts.Idle)
 	}
 }
 
-// boundedBody is an answer's body whose every byte is a sign of life, and whose values are bounded.
+// boundedBody is a response body that limits the bytes of a value and reports each read.
 type boundedBody struct {
 	io.Reader
 	onRead    func()
-	remaining int // bytes that may still come until a value is whole
+	remaining int // bytes that may still be read until a value is complete
 }
 
 func (b *boundedBody) Read(to []byte) (int, error) {
@@ -196,35 +205,47 @@
 	return n, err
 }
 
-// deliver hands a value on, unless a newer stream has spoken; the first of a stream ends all older ones.
-func (s *Stream) deliver(r *connection, v json.RawMessage, value func(json.RawMessage) error) error {
+// deliver hands a value to its handler, unless a newer connection has delivered one. The first value of a connection
+// ends all older connections.
+func (s *Stream) deliver(c *connection, value json.RawMessage, handle func(json.RawMessage) error) error {
 	s.handling.Lock()
 	defer s.handling.Unlock()
-	s.mu.Lock()
-	at := -1
-	for i, x := range s.connections {
-		if x == r {
-			at = i
-		} else if at >= 0 && x.gotValue.Load() {
-			s.mu.Unlock()
-			return errors.New("a newer stream has taken its place")
-		}
+	if s.isReplaced(c) {
+		return errReplaced
 	}
-	s.mu.Unlock()
-	if err := value(v); err != nil {
+	if err := handle(value); err != nil {
 		return err
 	}
 	s.attempted.Store(true)
-	if r.gotValue.Swap(true) {
-		return nil
+	if first := !c.gotValue.Swap(true); first {
+		s.cancelOlder(c)
 	}
+	return nil
+}
+
+// isReplaced reports whether a newer connection than c has delivered a value.
+func (s *Stream) isReplaced(c *connection) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for _, x := range s.connections {
-		if x == r {
-			break
+	newer := false
+	for _, other := range s.connections {
+		if other == c {
+			newer = true
+		} else if newer && other.gotValue.Load() {
+			return true
 		}
-		x.cancel()
 	}
-	return nil
+	return false
+}
+
+// cancelOlder ends all connections that are older than c.
+func (s *Stream) cancelOlder(c *connection) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	for _, other := range s.connections {
+		if other == c {
+			return
+		}
+		other.cancel()
+	}
 }
