--- a/internal/node/router_config.go
+++ b/internal/node/router_config.go
@@ -92,8 +92,8 @@
 	return d
 }
 
-// upstreamProtocol names the headers of "Routers to hosts" in the operators' protocol page. The load report is read by
-// the fields that the settings name.
+// upstreamProtocol names the headers of "Routers to hosts" in the operators' protocol page. Any response may carry a load
+// report.
 func (c *Config) upstreamProtocol() *upstream.Protocol {
 	return &upstream.Protocol{Timeout: "Request-Timeout-Ms", NotStarted: "Not-Started",
 		NotStartedStatuses: []int{http.StatusServiceUnavailable, http.StatusGatewayTimeout}, OnlyStatusOK: true, StartsWhenComplete: true,
--- a/internal/platformsettings/settings_test.go
+++ b/internal/platformsettings/settings_test.go
@@ -25,7 +25,7 @@
 	"Extra.Control": "share", "Extra.StageCap": "0.096,0.48,1", "Extra.AyesNeeded": "2", "Extra.MetricsPeriodUs": "1500000",
 	"Extra.SampledShare": "0.5"}
 
-func TestBothFormsOfOneTextMakeOnePlace(t *testing.T) {
+func TestPairsAndJSONGiveTheSameSettings(t *testing.T) {
 	p, err := Flatten([]byte(nestedSettings))
 	require.NoError(t, err)
 	got, want := Read(p, 7), Read(flattenedSettings, 7)
@@ -39,7 +39,7 @@
 	require.Equal(t, policy.Time(15000), got.StatsWindow)
 }
 
-func TestSettingsThatCanNotBeReadSayWhere(t *testing.T) {
+func TestInvalidJSONIsRejectedWithItsPath(t *testing.T) {
 	for _, text := range []string{``, `7`, `[1]`, `{"a":`, `{"a":[1,{"b":2}]}`} {
 		_, err := Flatten([]byte(text))
 		require.Error(t, err, text)
@@ -48,7 +48,7 @@
 	require.ErrorContains(t, err, "a.b")
 }
 
-func TestReportsAreReadWholeOrNotAtAll(t *testing.T) {
+func TestInvalidLoadReportIsRejectedWhole(t *testing.T) {
 	r := ReportFields{"rps", "avg_ms", "active"}
 	got, err := r.Parse("active=7, rps=2.5,avg_ms=40")
 	require.NoError(t, err)
