--- a/internal/eds/cache.go
+++ b/internal/eds/cache.go
@@ -3,7 +3,9 @@
 import (
 	"bytes"
 	"encoding/json"
+	"errors"
 	"fmt"
+	"io/fs"
 	"os"
 
 	"dapplefront/internal/atomicfile"
@@ -11,7 +13,12 @@
 	"dapplefront/router"
 )
 
-// cacheFile is the file of a last list.
+const (
+	cacheFormat = 1
+	cacheMode   = 0o600
+)
+
+// cacheFile is the content of the endpoint cache.
 type cacheFile struct {
 	Format int          `json:"format"`
 	Hosts  []storedHost `json:"hosts"`
@@ -20,19 +27,19 @@
 // storedHost is a Host as the file has it. Its JSON names are those of the first version of the format and never
 // change, whatever the fields of Host are called.
 type storedHost struct {
-	ID       uint32               `json:"ID"`
-	Location string               `json:"Location"`
-	Cell     int                  `json:"Cell"`
-	Standing policy.EndpointState `json:"Standing"`
-	Build    int                  `json:"Build"`
-	Size     float64              `json:"Size"`
-	Up       policy.Time          `json:"Up"`
-	Address  string               `json:"Address"`
+	ID        uint32               `json:"ID"`
+	Zone      string               `json:"Location"`
+	Cell      int                  `json:"Cell"`
+	State     policy.EndpointState `json:"Standing"`
+	Build     int                  `json:"Build"`
+	Weight    float64              `json:"Size"`
+	StartedAt policy.Time          `json:"Up"`
+	Address   string               `json:"Address"`
 }
 
 func toStoredHost(h Host) storedHost {
 	return storedHost{
-		ID: h.ID, Location: h.Zone, Cell: h.Cell, Standing: h.State, Build: h.Build, Size: h.Weight, Up: h.StartedAt,
+		ID: h.ID, Zone: h.Zone, Cell: h.Cell, State: h.State, Build: h.Build, Weight: h.Weight, StartedAt: h.StartedAt,
 		Address: h.Address,
 	}
 }
@@ -40,15 +47,13 @@
 func (s storedHost) host() Host {
 	return Host{
 		Host: router.Host{
-			ID: s.ID, Zone: s.Location, Cell: s.Cell, State: s.Standing, Build: s.Build, Weight: s.Size, StartedAt: s.Up,
+			ID: s.ID, Zone: s.Zone, Cell: s.Cell, State: s.State, Build: s.Build, Weight: s.Weight, StartedAt: s.StartedAt,
 		},
 		Address: s.Address,
 	}
 }
 
-const cacheFormat = 1
-
-// SaveCache writes the last list to a file, whole or not at all.
+// SaveCache writes the endpoint list to a file, whole or not at all.
 func SaveCache(file string, hosts []Host) error {
 	stored := make([]storedHost, 0, len(hosts))
 	for _, h := range hosts {
@@ -58,13 +63,13 @@
 	if err != nil {
 		return err
 	}
-	return atomicfile.Write(file, text, 0o600)
+	return atomicfile.Write(file, text, cacheMode)
 }
 
-// LoadCache reads what Keep wrote. No file is no list and no error.
+// LoadCache reads what SaveCache wrote. A missing file is no list and no error; an error names the file.
 func LoadCache(file string) ([]Host, error) {
 	text, err := os.ReadFile(file)
-	if os.IsNotExist(err) {
+	if errors.Is(err, fs.ErrNotExist) {
 		return nil, nil
 	}
 	if err != nil {
