--- a/agent/machine_test.go
+++ b/agent/machine_test.go
@@ -11,24 +11,25 @@
 )
 
 var (
-	rules = Limits{MaxCrashes: 3, CrashBackoff: 100 * time.Millisecond, MaxCrashBackoff: time.Second, CrashResetAfter: 10 * time.Second}
-	began = time.Date(2026, 12, 1, 12, 0, 0, 0, time.UTC)
+	limits    = Limits{MaxCrashes: 3, CrashBackoff: 100 * time.Millisecond, MaxCrashBackoff: time.Second, CrashResetAfter: 10 * time.Second}
+	startTime = time.Date(2026, 12, 1, 12, 0, 0, 0, time.UTC)
 )
 
-// served is a machine whose build "one" is released and serves.
-func served(t *testing.T) *Machine {
-	m := New(rules)
-	m.Handle(began, Order{Number: 1, Digest: "one", Build: 1, Goal: GoalRelease})
+// newServingMachine returns a machine whose build "one" is released and serves.
+func newServingMachine(t *testing.T) *Machine {
+	t.Helper()
+	m := New(limits)
+	m.Handle(startTime, Order{Number: 1, Digest: "one", Build: 1, Goal: GoalRelease})
 	for _, in := range []Input{Fetched{"one"}, Verified{"one"}, Started{"one", Process{Pid: 1}}, Ready{"one"}, WarmedUp{"one"}} {
-		m.Handle(began, in)
+		m.Handle(startTime, in)
 	}
 	require.Equal(t, Serving, m.State.Stable.Phase)
 	return m
 }
 
-// phases are the phases that a run went through, as reported.
-func phases(all []Effect) (out []Phase) {
-	for _, e := range all {
+// reportedPhases returns the phases that were reported as reached.
+func reportedPhases(effects []Effect) (out []Phase) {
+	for _, e := range effects {
 		if r, ok := e.(ReportTransition); ok {
 			out = append(out, r.To)
 		}
@@ -36,25 +37,26 @@
 	return out
 }
 
-func hear(m *Machine, inputs ...Input) (all []Effect) {
+// handle has a machine handle inputs and returns all effects.
+func handle(m *Machine, inputs ...Input) (all []Effect) {
 	for _, in := range inputs {
-		all = append(all, m.Handle(began, in)...)
+		all = append(all, m.Handle(startTime, in)...)
 	}
 	return all
 }
 
-func TestABuildGoesFromOrderToReleaseAndTheEarlierOneLeavesOnlyThen(t *testing.T) {
-	m := served(t)
-	all := hear(m, Order{Number: 2, Digest: "two", Build: 2, Goal: GoalStage}, Fetched{"two"}, Verified{"two"})
-	require.Equal(t, []Phase{Fetching, Verifying, Staged}, phases(all))
-	require.NotContains(t, all, Start{"two"}, "it waits until it may start")
-	all = hear(m, Order{Number: 3, Digest: "two", Build: 2, Goal: GoalServe}, Started{"two", Process{Pid: 2}}, Ready{"two"}, WarmedUp{"two"})
+func TestAReleasedCandidateReplacesTheStableBuildAndNotBefore(t *testing.T) {
+	m := newServingMachine(t)
+	all := handle(m, Order{Number: 2, Digest: "two", Build: 2, Goal: GoalStage}, Fetched{"two"}, Verified{"two"})
+	require.Equal(t, []Phase{Fetching, Verifying, Staged}, reportedPhases(all))
+	require.NotContains(t, all, Start{"two"}, "it waits for the goal serve")
+	all = handle(m, Order{Number: 3, Digest: "two", Build: 2, Goal: GoalServe}, Started{"two", Process{Pid: 2}}, Ready{"two"}, WarmedUp{"two"})
 	require.Contains(t, all, Start{"two"})
 	require.Contains(t, all, PublishEndpoint{"two", EndpointServing})
-	require.NotContains(t, all, PublishEndpoint{"one", EndpointDraining}, "the earlier build stays until the newer one is released")
-	all = hear(m, Order{Number: 4, Digest: "two", Build: 2, Goal: GoalRelease})
+	require.NotContains(t, all, PublishEndpoint{"one", EndpointDraining}, "the stable build stays until the candidate is released")
+	all = handle(m, Order{Number: 4, Digest: "two", Build: 2, Goal: GoalRelease})
 	require.Contains(t, all, PublishEndpoint{"one", EndpointDraining})
-	all = hear(m, Drained{"one"}, Exited{"one", "as told"})
+	all = handle(m, Drained{"one"}, Exited{"one", "as told"})
 	require.Contains(t, all, Stop{"one"})
 	require.Contains(t, all, PublishEndpoint{"one", EndpointRemoved})
 	require.Contains(t, all, CollectGarbage{})
@@ -62,87 +64,87 @@
 	require.Len(t, m.State.Instances(), 1)
 }
 
-func TestATakeBackOvertakesWhateverIsUnderWay(t *testing.T) {
-	back := Order{Number: 9, Digest: "two", Build: 2, Goal: GoalRollback}
+func TestARollbackOvertakesAnyStepUnderWay(t *testing.T) {
+	rollback := Order{Number: 9, Digest: "two", Build: 2, Goal: GoalRollback}
 	steps := []Input{Order{Number: 2, Digest: "two", Build: 2, Goal: GoalServe}, Fetched{"two"}, Verified{"two"},
 		Started{"two", Process{Pid: 2}}, Ready{"two"}, WarmedUp{"two"}}
 	for n := 1; n <= len(steps); n++ {
-		m := served(t)
-		hear(m, steps[:n]...)
-		all := hear(m, back)
-		all = append(all, hear(m, steps[n:]...)...) // what was under way still comes in
-		all = append(all, hear(m, Drained{"two"}, Exited{"two", "as told"})...)
+		m := newServingMachine(t)
+		handle(m, steps[:n]...)
+		all := handle(m, rollback)
+		all = append(all, handle(m, steps[n:]...)...) // outcomes of what was under way still arrive
+		all = append(all, handle(m, Drained{"two"}, Exited{"two", "as told"})...)
 		require.Len(t, m.State.Instances(), 1, "after %d steps", n)
 		require.Equal(t, Serving, m.State.Stable.Phase)
-		require.Equal(t, RolledBack, phases(all)[len(phases(all))-1])
-		require.Empty(t, hear(m, steps[0]), "an older order that arrives late is ignored")
+		require.Equal(t, Removed, reportedPhases(all)[len(reportedPhases(all))-1])
+		require.Empty(t, handle(m, steps[0]), "an older order that arrives late is ignored")
 	}
 }
 
-func TestAReleasedBuildIsTakenBackToAnOlderOne(t *testing.T) {
-	m := served(t)
-	all := hear(m, Order{Number: 2, Digest: "one", Build: 1, Goal: GoalRollback, RollbackTo: "zero", RollbackToBuild: 0})
+func TestTheStableBuildIsRolledBackToAnOlderOne(t *testing.T) {
+	m := newServingMachine(t)
+	all := handle(m, Order{Number: 2, Digest: "one", Build: 1, Goal: GoalRollback, RollbackTo: "zero", RollbackToBuild: 0})
 	require.Contains(t, all, PublishEndpoint{"one", EndpointDraining})
 	require.Contains(t, all, Fetch{"zero", true})
-	hear(m, Drained{"one"}, Exited{"one", ""}, Fetched{"zero"}, Verified{"zero"}, Started{"zero", Process{Pid: 3}}, Ready{"zero"}, WarmedUp{"zero"})
+	handle(m, Drained{"one"}, Exited{"one", ""}, Fetched{"zero"}, Verified{"zero"}, Started{"zero", Process{Pid: 3}}, Ready{"zero"}, WarmedUp{"zero"})
 	require.Equal(t, "zero", m.State.Stable.Digest)
 }
 
-func TestABuildThatCrashesIsStartedAgainLaterAndLaterThenGivenUp(t *testing.T) {
-	m := served(t)
-	hear(m, Order{Number: 2, Digest: "two", Build: 2, Goal: GoalServe}, Fetched{"two"}, Verified{"two"})
-	var pauses []time.Duration
+func TestACrashingBuildIsRestartedWithBackoffThenFails(t *testing.T) {
+	m := newServingMachine(t)
+	handle(m, Order{Number: 2, Digest: "two", Build: 2, Goal: GoalServe}, Fetched{"two"}, Verified{"two"})
+	var delays []time.Duration
 	for range 3 {
-		for _, e := range hear(m, Started{"two", Process{Pid: 2}}, Exited{"two", "exit status 1"}, BackoffElapsed{"two"}) {
-			if p, ok := e.(Backoff); ok {
-				pauses = append(pauses, p.Delay)
+		for _, e := range handle(m, Started{"two", Process{Pid: 2}}, Exited{"two", "exit status 1"}, BackoffElapsed{"two"}) {
+			if b, ok := e.(Backoff); ok {
+				delays = append(delays, b.Delay)
 			}
 		}
 	}
-	require.Equal(t, []time.Duration{100 * time.Millisecond, 200 * time.Millisecond, 400 * time.Millisecond}, pauses)
-	all := hear(m, Exited{"two", "exit status 1"})
+	require.Equal(t, []time.Duration{100 * time.Millisecond, 200 * time.Millisecond, 400 * time.Millisecond}, delays)
+	all := handle(m, Exited{"two", "exit status 1"})
 	require.Equal(t, Failed, m.State.Candidate.Phase)
 	require.Contains(t, all, Stop{"two"})
 	require.Equal(t, Serving, m.State.Stable.Phase)
 	require.Equal(t, "exit status 1", all[len(all)-2].(ReportTransition).Cause)
 }
 
-func TestAReleasedBuildIsNeverGivenUp(t *testing.T) {
-	m := served(t)
+func TestAReleasedBuildIsRestartedForever(t *testing.T) {
+	m := newServingMachine(t)
 	for range 20 {
-		hear(m, Exited{"one", "killed"}, BackoffElapsed{"one"})
+		handle(m, Exited{"one", "killed"}, BackoffElapsed{"one"})
 	}
 	require.Equal(t, Starting, m.State.Stable.Phase)
 }
 
-// No path starts an unchecked build, and the earlier build is there until a newer one has been released and serves.
+// No path starts an unverified build, and the stable build is there until a candidate has been released and serves.
 // Inputs come in any order, sensible or not, with restarts from the saved state in between.
-func TestNoPathStartsAnUncheckedBuildOrLosesTheEarlierOne(t *testing.T) {
+func TestNoPathStartsAnUnverifiedBuildOrDrainsTheStableOneEarly(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		m := New(rules)
-		now, number := began, uint64(0)
-		checking, checked := map[string]bool{}, map[string]bool{} // what a world outside saw asked for, and passed
+		m := New(limits)
+		now, number := startTime, uint64(0)
+		verifying, verified := map[string]bool{}, map[string]bool{} // what was to be verified, and passed, as seen from outside
 		running := map[string]bool{}
-		released, takenBack := "", map[string]bool{}
+		released, rolledBack := "", map[string]bool{}
 		digest := rapid.SampledFrom([]string{"a", "b", "c"})
-		see := func(all []Effect) {
+		observe := func(all []Effect) {
 			for _, e := range all {
 				switch e := e.(type) {
 				case Fetch:
-					checked[e.Digest] = false
+					verified[e.Digest] = false
 				case Verify:
-					checking[e.Digest] = true
+					verifying[e.Digest] = true
 				case Start:
-					if !checked[e.Digest] {
-						t.Fatalf("%s is started unchecked", e.Digest)
+					if !verified[e.Digest] {
+						t.Fatalf("%s is started unverified", e.Digest)
 					}
 					running[e.Digest] = true
 				case Stop:
-					if e.Digest == released && !takenBack[e.Digest] {
+					if e.Digest == released && !rolledBack[e.Digest] {
 						t.Fatalf("the released build %s is stopped", e.Digest)
 					}
 				case PublishEndpoint:
-					if e.State == EndpointDraining && e.Digest == released && !takenBack[e.Digest] {
+					if e.State == EndpointDraining && e.Digest == released && !rolledBack[e.Digest] {
 						r := m.State.Stable
 						if r == nil || r.Digest == e.Digest || r.Phase != Serving {
 							t.Fatalf("the released build %s drains and nothing serves in its place", e.Digest)
@@ -163,16 +165,16 @@
 				number++
 				goal := Goal(rapid.IntRange(1, 4).Draw(t, "goal"))
 				if goal == GoalRollback {
-					takenBack[d] = true
+					rolledBack[d] = true
 				} else {
-					takenBack[d] = false
+					rolledBack[d] = false
 				}
 				in = Order{Number: number, Digest: d, Build: 1, Goal: goal, RollbackTo: rapid.SampledFrom([]string{"", "a", "b"}).Draw(t, "to")}
 			case 2:
 				in = Fetched{d}
 			case 3:
-				if r := m.State.Instance(d); checking[d] && r != nil && r.Phase == Verifying {
-					checked[d] = true
+				if r := m.State.Instance(d); verifying[d] && r != nil && r.Phase == Verifying {
+					verified[d] = true
 				}
 				in = Verified{d}
 			case 4:
@@ -199,15 +201,15 @@
 					t.Fatal(err)
 				}
 				var all []Effect
-				m, all = Resume(now, rules, s, func(r Instance) (Process, bool) { return r.Process, rapid.Bool().Draw(t, "alive") })
-				see(all)
+				m, all = Resume(now, limits, s, func(r Instance) (Process, bool) { return r.Process, rapid.Bool().Draw(t, "alive") })
+				observe(all)
 				continue
 			}
-			see(m.Handle(now, in))
+			observe(m.Handle(now, in))
 			if seen := map[string]bool{}; true {
 				for _, r := range m.State.Instances() {
 					if seen[r.Digest] {
-						t.Fatalf("two runs of %s: %s", r.Digest, fmt.Sprint(m.State))
+						t.Fatalf("two instances of %s: %s", r.Digest, fmt.Sprint(m.State))
 					}
 					seen[r.Digest] = true
 				}
--- a/internal/agentd/agentd.go
+++ b/internal/agentd/agentd.go
@@ -307,7 +307,7 @@
 	if goal == 0 || !plain(o.Digest) || o.To != "" && !plain(o.To) {
 		return fmt.Errorf("an order that makes no sense: %s", data)
 	}
-	a.hear(agent.Order{Number: o.Number, Digest: o.Digest, Build: o.Build, Goal: goal, AllowBelowFloor: o.Old, RollbackTo: o.To, RollbackToBuild: o.ToNum})
+	a.hear(agent.Order{Number: o.Number, Digest: o.Digest, Build: o.Build, Goal: goal, AllowBelowMinVersion: o.Old, RollbackTo: o.To, RollbackToBuild: o.ToNum})
 	return nil
 }
 
@@ -399,7 +399,7 @@
 	err := a.manifest(ctx, e.Digest)
 	var m *build.Manifest
 	if err == nil {
-		m, err = a.verified(e.Digest, e.AllowBelowFloor)
+		m, err = a.verified(e.Digest, e.AllowBelowMinVersion)
 	}
 	if err == nil {
 		err = a.fetcher.Fetch(ctx, m)
@@ -554,7 +554,7 @@
 
 // check reads everything again, signatures and files, and lays the build out.
 func (a *Agent) check(ctx context.Context, e agent.Verify) {
-	m, err := a.verified(e.Digest, e.AllowBelowFloor)
+	m, err := a.verified(e.Digest, e.AllowBelowMinVersion)
 	if err == nil {
 		err = a.depot.Verify(m)
 	}
--- a/internal/agentd/agentd_test.go
+++ b/internal/agentd/agentd_test.go
@@ -231,11 +231,11 @@
 	require.Equal(t, "1", answers(a, one), "the earlier build stays until the newer one is released")
 	require.Equal(t, "2", answers(a, two))
 	w.order(two, "take-back")
-	w.await(two, agent.RolledBack)
+	w.await(two, agent.Removed)
 	require.Equal(t, "1", answers(a, one))
 	require.Empty(t, a.runner.Find(two))
 	w.order(two, "release")
-	w.await(one, agent.RolledBack)
+	w.await(one, agent.Removed)
 	require.Equal(t, "2", answers(a, two))
 	require.Empty(t, a.runner.Find(one))
 	var asked int
@@ -283,7 +283,7 @@
 		w.await(d, agent.Serving)
 		require.NotEmpty(t, a.runner.Find(d))
 		w.order(d, "take-back")
-		w.await(d, agent.RolledBack)
+		w.await(d, agent.Removed)
 		require.Empty(t, a.runner.Find(d), "%s: nothing of it runs any more", how)
 	}
 	require.Equal(t, "1", answers(a, one))
@@ -401,7 +401,7 @@
 	w.order(starting, "serve")
 	require.Eventually(t, func() bool { return len(w.seen("2")) == 1 }, 10*time.Second, time.Millisecond)
 	w.order(starting, "take-back")
-	w.await(starting, agent.RolledBack)
+	w.await(starting, agent.Removed)
 	require.Empty(t, a.runner.Find(starting))
 	for _, m := range w.mirrors {
 		m.Fail(func(string, []byte) testbed.Fault { return testbed.Fault{Cut: 1, Stall: true} })
@@ -410,7 +410,7 @@
 	w.order(fetching, "serve")
 	w.await(fetching, agent.Fetching)
 	w.order(fetching, "take-back")
-	w.await(fetching, agent.RolledBack)
+	w.await(fetching, agent.Removed)
 	require.Empty(t, w.seen("3"))
 	require.Equal(t, "1", answers(a, one))
 }
@@ -452,7 +452,7 @@
 		w.order(one, "release")
 		w.await(one, agent.Serving)
 		w.order(two, "release")
-		w.await(one, agent.RolledBack)
+		w.await(one, agent.Removed)
 		require.Equal(t, "2", answers(a, two))
 		require.Len(t, w.seen("1"), 1, "full at write %d", at+1)
 		require.Len(t, w.seen("2"), 1, "full at write %d", at+1)
@@ -676,7 +676,7 @@
 			w.order(two, "release")
 		}()
 		done := make(chan bool, 1)
-		go func() { done <- w.controller.Await("h1", one, string(agent.RolledBack), 10*time.Second) }()
+		go func() { done <- w.controller.Await("h1", one, string(agent.Removed), 10*time.Second) }()
 		killed := false
 		select {
 		case <-died:
--- a/internal/scenario/agents.go
+++ b/internal/scenario/agents.go
@@ -284,12 +284,12 @@
 		name := c.names[place]
 		mark := c.ledger.mark(name)
 		c.ledger.order(name, api.Order{Digest: digest, Build: number, Goal: goal})
-		words := []string{string(agent.Failed), string(agent.RolledBack)}
+		words := []string{string(agent.Failed), string(agent.Removed)}
 		for _, p := range phases {
 			words = append(words, string(p))
 		}
 		got := c.ledger.await(name, mark, digest, patient, words...)
-		return got != "" && got != string(agent.Failed) && got != string(agent.RolledBack)
+		return got != "" && got != string(agent.Failed) && got != string(agent.Removed)
 	}
 	var failed atomic.Bool
 	each := func(places []int, do func(int) bool) {
@@ -358,7 +358,7 @@
 			name := c.names[place]
 			mark := c.ledger.mark(name)
 			c.ledger.order(name, o)
-			c.ledger.await(name, mark, digest, patient, string(agent.RolledBack))
+			c.ledger.await(name, mark, digest, patient, string(agent.Removed))
 		}()
 	}
 	wait.Wait()
