--- /dev/null
+++ b/internal/agentd/invalid_builds_test.go
@@ -0,0 +1,119 @@
+package agentd
+
+import (
+	"log/slog"
+	mathrand "math/rand/v2"
+	"strings"
+	"testing"
+	"time"
+
+	"aead.dev/minisign"
+	"github.com/stretchr/testify/require"
+
+	"dapplefront/agent"
+	"dapplefront/build"
+	"dapplefront/internal/testbed"
+)
+
+// A thousand builds, each invalid in a way that is drawn: none ever starts, by the witness's account, the stable build
+// keeps serving, and a valid build that follows is released.
+func TestNoInvalidBuildEverStarts(t *testing.T) {
+	builds := 1000
+	if testing.Short() {
+		builds = 100
+	}
+	h := newHarness(t)
+	c := h.config()
+	c.Source.MaxAttempts, c.Source.Backoff, c.Source.IdleTimeout = 2, 0, 100*time.Millisecond
+	a, err := Start(c, slog.New(slog.DiscardHandler))
+	require.NoError(t, err)
+	defer a.Stop()
+	one := h.releaseFirst()
+	r := mathrand.New(mathrand.NewPCG(1, 2))
+	for n := range builds {
+		m, files := h.pack(2+n, "well")
+		keys, body := []int{0, 1}, m.Files[0].SHA256
+		var broken testbed.Fault
+		target := "/sha256/" + body
+		change := func(how func([]byte) []byte) {
+			broken.Body = how(append([]byte(nil), files[body]...))
+		}
+		raw, err := m.Bytes()
+		require.NoError(t, err)
+		mirrorsManifest := raw
+		switch r.IntN(14) {
+		case 0:
+			change(func(b []byte) []byte { b[r.IntN(len(b))] ^= byte(1 + r.IntN(255)); return b })
+		case 1:
+			change(func(b []byte) []byte { return b[:1+r.IntN(len(b)-1)] })
+		case 2:
+			change(func(b []byte) []byte { return append(b, "echo more\n"...) })
+		case 3:
+			change(func(b []byte) []byte { return []byte(strings.Repeat("x", len(b))) })
+		case 4: // truncated, with a manifest that looks right but is not the signed one
+			m.Files[0].Size--
+			cut := files[body][:m.Files[0].Size]
+			m.Files[0].SHA256 = build.Digest(cut)
+			files[m.Files[0].SHA256] = cut
+			mirrorsManifest, _ = m.Bytes()
+		case 5:
+			keys = []int{r.IntN(3)}
+		case 6:
+			keys = []int{r.IntN(3), 3} // one that has expired
+		case 7:
+			keys = []int{r.IntN(3), 4} // one that was revoked
+		case 8:
+			keys = []int{2, 2, 2}
+		case 9:
+			m.Group = "muscat"
+			raw, _ = m.Bytes()
+			mirrorsManifest = raw
+		case 10:
+			raw = []byte(strings.Replace(string(raw), `"data/shared"`, `"../../../shared"`, 1))
+			mirrorsManifest = raw
+		case 11:
+			target, broken = "/signatures/", testbed.Fault{Body: []byte(`["rubbish","` + strings.Repeat("x", r.IntN(300)) + `"]`)}
+		case 12:
+			broken = testbed.Fault{Cut: 1 + r.IntN(len(files[body])-1)}
+			h.ring.MinVersion = 0
+		default:
+			target, broken = "/manifest/", testbed.Fault{Body: []byte(`{"format":1}`)}
+		}
+		d := h.publish(raw, files, keys...)
+		ordered := d
+		if string(mirrorsManifest) != string(raw) { // the order names what the signers never saw
+			ordered = build.Digest(mirrorsManifest)
+			for _, mirror := range h.mirrors {
+				mirror.Put("/manifest/"+ordered, mirrorsManifest)
+				mirror.PutSignatures(ordered, minisign.Sign(h.keys[0], raw), minisign.Sign(h.keys[1], raw))
+			}
+		}
+		isCut := broken.Cut > 0
+		for _, mirror := range h.mirrors {
+			mirror.Fail(func(path string, b []byte) testbed.Fault {
+				if !strings.HasPrefix(path, target) || broken.Body == nil && !isCut {
+					return testbed.Fault{}
+				}
+				if isCut { // never a byte more
+					return testbed.Fault{Cut: 1, Body: []byte(strings.Repeat("y", len(b)))}
+				}
+				return broken
+			})
+		}
+		h.order(ordered, "release")
+		if !h.controller.Await("h1", ordered, string(agent.Failed), 15*time.Second) {
+			t.Fatalf("build %d is not refused: %+v", n, a.State())
+		}
+	}
+	h.mu.Lock()
+	started := append([]string(nil), h.started...)
+	h.mu.Unlock()
+	require.Equal(t, []string{"1"}, started)
+	require.Equal(t, "1", answer(a, one))
+	for _, mirror := range h.mirrors {
+		mirror.Fail(nil)
+	}
+	last := h.publishValid(60000, "well")
+	h.order(last, "release")
+	h.await(last, agent.Serving)
+}
--- /dev/null
+++ b/internal/agentd/main_test.go
@@ -0,0 +1,83 @@
+package agentd
+
+import (
+	"encoding/json"
+	"fmt"
+	"io"
+	"log/slog"
+	"net"
+	"net/http"
+	"os"
+	"os/exec"
+	"os/signal"
+	"strings"
+	"syscall"
+	"testing"
+	"time"
+
+	"dapplefront/internal/process"
+)
+
+// The test binary is also the process of the builds, and an agent to be killed.
+func TestMain(m *testing.M) {
+	switch {
+	case os.Getenv("DAPPLEFRONT_TEST_BUILD") != "":
+		serveBuild(os.Getenv("DAPPLEFRONT_TEST_BUILD"))
+	case os.Getenv("DAPPLEFRONT_TEST_AGENT") != "":
+		runAgent()
+	default:
+		os.Exit(m.Run())
+	}
+}
+
+// serveBuild is a build's process. Its specification is VERSION,BEHAVIOR,WITNESS.
+func serveBuild(specification string) {
+	parts := strings.Split(specification, ",")
+	version, behavior, witness := parts[0], parts[1], parts[2]
+	if c, err := net.Dial("tcp", witness); err == nil { // a start is seen at a socket
+		_, _ = fmt.Fprintln(c, version)
+		_ = c.Close()
+	}
+	switch behavior {
+	case "crash":
+		os.Exit(3)
+	case "silent":
+		time.Sleep(time.Hour)
+	case "stubborn":
+		signal.Ignore(syscall.SIGTERM)
+	case "fork":
+		c := exec.Command("/bin/sh", "-c", "sleep 1000")
+		c.SysProcAttr = &syscall.SysProcAttr{Setsid: true} // out of the group
+		_ = c.Start()
+	}
+	_ = os.WriteFile(os.Getenv(process.ReadyVariable), []byte("ready"), 0o600)
+	_ = http.ListenAndServe("127.0.0.1:"+os.Getenv(process.PortVariable), http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+		_, _ = io.WriteString(w, version)
+	}))
+}
+
+// runAgent is an agent in a process of its own, which kills itself at one of its writes.
+func runAgent() {
+	var c Config
+	raw, err := os.ReadFile(os.Getenv("DAPPLEFRONT_TEST_AGENT"))
+	if err == nil {
+		err = json.Unmarshal(raw, &c)
+	}
+	if err != nil {
+		fmt.Println(err)
+		os.Exit(2)
+	}
+	at := 0
+	_, _ = fmt.Sscan(os.Getenv("DAPPLEFRONT_TEST_KILL"), &at)
+	c.AfterSave = func(n int) {
+		if n == at {
+			_ = syscall.Kill(os.Getpid(), syscall.SIGKILL)
+			time.Sleep(time.Minute)
+		}
+	}
+	if _, err := Start(c, slog.New(slog.DiscardHandler)); err != nil {
+		fmt.Println(err)
+		os.Exit(2)
+	}
+	time.Sleep(time.Minute)
+}
--- /dev/null
+++ b/internal/agentd/restart_test.go
@@ -0,0 +1,90 @@
+package agentd
+
+import (
+	"encoding/json"
+	"fmt"
+	"os"
+	"os/exec"
+	"path/filepath"
+	"syscall"
+	"testing"
+	"time"
+
+	"github.com/stretchr/testify/require"
+
+	"dapplefront/agent"
+)
+
+func TestAnAgentWithoutAControllerKeepsServing(t *testing.T) {
+	h := newHarness(t)
+	a := h.start()
+	defer func() { a.Stop() }()
+	one := h.releaseFirst()
+	h.controller.Down(true)
+	a.Close() // and is restarted meanwhile
+	a = h.start()
+	time.Sleep(100 * time.Millisecond)
+	require.Equal(t, "1", answer(a, one))
+	require.Len(t, h.startsOf("1"), 1, "it was adopted, not started again")
+	s := a.State()
+	require.NoError(t, syscall.Kill(-s.Stable.Process.Pid, syscall.SIGKILL))
+	require.Eventually(t, func() bool { return answer(a, one) == "1" && len(h.startsOf("1")) == 2 }, 10*time.Second, 10*time.Millisecond)
+	h.controller.Down(false)
+	h.await(one, agent.Starting) // what happened meanwhile is reported
+}
+
+// An agent that is killed at each of its writes, one after the other, and started again, ends in the same state: the
+// second build is released and serves with one process, the first is removed.
+func TestAnAgentKilledAtAnyWriteEndsInTheSameState(t *testing.T) {
+	exe, err := os.Executable()
+	require.NoError(t, err)
+	kills := 0
+	for at := 1; ; at++ {
+		h := newHarness(t)
+		one, two := h.publishValid(1, "well"), h.publishValid(2, "well")
+		raw, err := json.Marshal(h.config())
+		require.NoError(t, err)
+		file := filepath.Join(t.TempDir(), "config")
+		require.NoError(t, os.WriteFile(file, raw, 0o600))
+		h.order(one, "release")
+		command := exec.Command(exe)
+		command.Env = append(os.Environ(), "DAPPLEFRONT_TEST_AGENT="+file, fmt.Sprint("DAPPLEFRONT_TEST_KILL=", at))
+		command.Stdout, command.Stderr = os.Stdout, os.Stderr
+		require.NoError(t, command.Start())
+		died := make(chan struct{})
+		go func() { _ = command.Wait(); close(died) }()
+		ordered := make(chan bool, 1)
+		go func() { // the second order comes once the first is carried out
+			ordered <- h.controller.Await("h1", one, string(agent.Serving), 10*time.Second)
+			h.order(two, "release")
+		}()
+		done := make(chan bool, 1)
+		go func() { done <- h.controller.Await("h1", one, string(agent.Removed), 10*time.Second) }()
+		killed := false
+		select {
+		case <-died:
+			killed = true
+			kills++
+		case removed := <-done: // it needed fewer writes
+			_ = command.Process.Kill()
+			<-died
+			require.True(t, removed, "at %d: %+v", at, h.controller.Reports("h1"))
+		}
+		a := h.start()
+		require.True(t, <-ordered, "killed at write %d: %+v", at, h.controller.Reports("h1"))
+		require.Eventually(t, func() bool {
+			s := a.State()
+			return s.Stable != nil && s.Stable.Digest == two && s.Stable.Phase == agent.Serving && len(s.Retiring) == 0 && s.Candidate == nil
+		}, 15*time.Second, 5*time.Millisecond, "killed at write %d: %+v", at, h.controller.Reports("h1"))
+		require.Equal(t, "2", answer(a, two))
+		require.Len(t, a.runner.Find(two), 1, "killed at write %d", at)
+		require.Empty(t, a.runner.Find(one), "killed at write %d", at)
+		require.LessOrEqual(t, len(h.startsOf("1")), 2)
+		a.Stop()
+		if !killed {
+			break
+		}
+	}
+	require.Greater(t, kills, 10)
+	t.Logf("killed at %d writes", kills)
+}
--- a/internal/artifact/fetch.go
+++ b/internal/artifact/fetch.go
@@ -21,12 +21,12 @@
 
 // Source is where files come from: mirrors that serve each file at /sha256/DIGEST.
 type Source struct {
-	Mirrors           []string // base URLs
-	MaxBytesPerSecond int      // bytes a second over all files; 0 for no limit
-	MaxAttempts       int      // of one file, over all mirrors; what brought new bytes doesn't count
-	Backoff           time.Duration
-	IdleTimeout       time.Duration // without a byte, after which a mirror has failed
-	Client            *http.Client  `json:"-"`
+	Mirrors           []string      `json:"mirrors"`           // base URLs
+	MaxBytesPerSecond int           `json:"maxBytesPerSecond"` // over all files; 0 for no limit
+	MaxAttempts       int           `json:"maxAttempts"`       // of one file, over all mirrors; one that brings new bytes doesn't count
+	Backoff           time.Duration `json:"backoff"`           // after the first failed attempt; it doubles with each further one
+	IdleTimeout       time.Duration `json:"idleTimeout"`       // without a byte, after which an attempt has failed
+	Client            *http.Client  `json:"-"`                 // nil for a default one
 }
 
 // Fetcher brings files into a depot.
