--- a/policy/admission_test.go
+++ b/policy/admission_test.go
@@ -7,12 +7,12 @@
 )
 
 func TestHungHostIsNoOverloadWhileResponsesComeInTime(t *testing.T) {
-	f, list := newFakeFleet(t, func(p *Config) { p.Routers = 50 })
+	f, endpoints := newFakeFleet(t, func(config *Config) { config.Routers = 50 })
 	for range 300 {
 		request := f.arrive(f.quote)
 		f.advance(Second / 10)
 		for _, attempt := range request.Attempts {
-			if attempt.Host != list[0].Host && attempt.Host != list[1].Host {
+			if attempt.Host != endpoints[0].Host && attempt.Host != endpoints[1].Host {
 				f.end(attempt, Succeeded, Second/20)
 			}
 		}
@@ -23,7 +23,7 @@
 func TestOverloadRejectsEarlyAndAnIdleFleetAdmitsAgain(t *testing.T) {
 	f, _ := newFakeFleet(t, nil)
 	f.serve(60, f.quote, succeeds)
-	for range 400 { // nothing is answered any more
+	for range 400 { // no response comes any more
 		f.arrive(f.quote)
 		f.advance(Second / 100)
 	}
@@ -37,9 +37,9 @@
 	require.NotEmpty(t, f.arrive(f.quote).Attempts)
 }
 
-// One category waits everywhere: no host is to blame, and the others are not turned back.
+// One class is slow at all hosts: none is ejected, and no other class is rejected.
 func TestClassThatIsSlowAtAllHostsAffectsNoOtherClass(t *testing.T) {
-	f, list := newGossipingFleet(t, nil)
+	f, endpoints := newGossipingFleet(t, nil)
 	for range 6 {
 		for _, class := range []*Class{f.quote, f.order, f.payment} {
 			f.router.StatsReported(f.now, BuildStats{Build: 1, Class: class, Samples: 60, MeanLatency: Second / 20, Window: 2 * Second})
@@ -47,9 +47,9 @@
 	}
 	usual := f.order.usualLatency
 	for range 60 {
-		slow, quick := f.arrive(f.order), f.arrive(f.quote)
+		slow, fast := f.arrive(f.order), f.arrive(f.quote)
 		f.advance(Second / 20)
-		for _, attempt := range quick.Attempts {
+		for _, attempt := range fast.Attempts {
 			f.end(attempt, Succeeded, Second/20)
 		}
 		f.advance(Second / 2)
@@ -60,29 +60,29 @@
 	for range 3 {
 		f.router.StatsReported(f.now, BuildStats{Build: 1, Class: f.order, Samples: 60, MeanLatency: 2 * Second, Window: 2 * Second})
 	}
-	require.Equal(t, usual, f.order.usualLatency, "what is usual stays")
-	for _, l := range list {
-		require.NotEqual(t, ejected, l.Host.health)
+	require.Equal(t, usual, f.order.usualLatency, "the usual latency stays")
+	for _, endpoint := range endpoints {
+		require.NotEqual(t, ejected, endpoint.Host.health)
 	}
 	for _, request := range f.rejected {
 		require.Equal(t, f.order, request.Class)
 	}
 }
 
-// What is given up gets its answer in the event that brings it, with a time to come back where one may be named.
+// A final answer comes in the event that leads to it, with a Retry-After where that is allowed.
 func TestRejectionComesAtOnceWithRetryAfter(t *testing.T) {
-	f, list := newGossipingFleet(t, func(p *Config) { p.Limits.MaxRetryAfter = 2 * Second })
-	for i := range list {
-		list[i].State = Removed
+	f, endpoints := newGossipingFleet(t, func(config *Config) { config.Limits.MaxRetryAfter = 2 * Second })
+	for i := range endpoints {
+		endpoints[i].State = Removed
 	}
-	f.router.EndpointsChanged(f.now, list, true)
+	f.router.EndpointsChanged(f.now, endpoints, true)
 	request := f.arrive(f.quote)
 	require.Equal(t, []*Request{request}, f.rejected, "before the call returns")
 	require.Positive(t, f.retryAfters[0])
 	require.LessOrEqual(t, f.retryAfters[0], 2*Second)
 
-	f, _ = newGossipingFleet(t, func(p *Config) { p.Limits.MaxAttempts = 1 })
+	f, _ = newGossipingFleet(t, func(config *Config) { config.Limits.MaxAttempts = 1 })
 	request = f.arrive(f.payment)
 	f.end(request.Attempts[0], ConnectionLost, Second/20)
-	require.Equal(t, []*Request{request}, f.failed, "it may have run, and nothing is held back")
+	require.Equal(t, []*Request{request}, f.failed, "it may have been executed")
 }
--- a/policy/analysis_test.go
+++ b/policy/analysis_test.go
@@ -15,19 +15,19 @@
 }
 
 func TestPrimaryAttemptsAreJudgedByTheTimeoutOfShadowAttempts(t *testing.T) {
-	f, list := newFakeFleet(t, func(p *Config) { p.Limits.AllowHedging = false })
-	f.router.EndpointsChanged(f.now, append(list, f.host(10, 2), f.host(11, 2), f.host(12, 2)), true)
-	f.quote.LatencyObjective = Second / 7 // too short for a send to be cut and another made in time
+	f, endpoints := newFakeFleet(t, func(config *Config) { config.Limits.AllowHedging = false })
+	f.router.EndpointsChanged(f.now, append(endpoints, f.host(10, 2), f.host(11, 2), f.host(12, 2)), true)
+	f.quote.LatencyObjective = Second / 7 // too short for an attempt to be cut short and retried in time
 	f.serve(120, f.quote, succeeds)
 	f.router.ReleaseChanged(f.now, ReleaseStatus{Build: 2, Stage: 1, ExposureCap: 1})
 	f.votes = nil
 	n := map[int]int{}
-	for range 800 { // one send in 22 takes long, at either build
+	for range 800 { // one attempt in 22 takes long, at either build
 		request := f.arrive(f.quote)
 		f.advance(Second / 20)
 		for i := 0; i < len(request.Attempts); i++ {
 			attempt := request.Attempts[i]
-			latency := Time(Second / 20)
+			latency := Second / 20
 			if n[attempt.build]++; n[attempt.build]%22 == 0 {
 				latency = Second * 8 / 10
 			}
@@ -38,25 +38,25 @@
 			}
 		}
 	}
-	require.Greater(t, f.attemptsAtBuild(2), 10)
+	require.Greater(t, f.canaryAttempts(), 10)
 	require.NotContains(t, f.votes, Rollback)
 }
 
 func TestFaultThatBeginsDuringTheCanaryIsNoEvidenceAgainstIt(t *testing.T) {
-	var fresh, peers []attemptSample
-	for i := range Time(200) { // errors come in the last two of ten seconds, when copies have become many
+	var canary, baseline []attemptSample
+	for i := range Time(200) { // failures come in the last two of ten seconds, when shadow attempts have become many
 		late, at := i >= 160, i*Second/20
 		x := attemptSample{at: at, host: &Host{}, outcome: Succeeded}
-		if peers = append(peers, x); late && i%2 == 0 {
-			peers[i].outcome = Failed
+		if baseline = append(baseline, x); late && i%2 == 0 {
+			baseline[i].outcome = Failed
 		}
 		if late {
-			fresh = append(fresh, peers[i])
+			canary = append(canary, baseline[i])
 		}
 	}
-	is := func(attemptSample) bool { return true }
-	parts, _ := strataByTime(fresh, peers, is, 0)
-	require.Less(t, failureEvidence(withRateFloor(parts, 0.01), 0.06, 0.15, 0.6), 3.0)
+	all := func(attemptSample) bool { return true }
+	strata, _ := strataByTime(canary, baseline, all, 0)
+	require.Less(t, failureEvidence(withRateFloor(strata, 0.01), 0.06, 0.15, 0.6), 3.0)
 }
 
 func TestAnotherMixOfRequestsIsNoEvidence(t *testing.T) {
@@ -64,10 +64,10 @@
 }
 
 func TestComplaintsAreEvidenceAgainstABuild(t *testing.T) {
-	f, _ := newFakeFleet(t, func(p *Config) { p.Release.ComplaintShare = 0.3 })
+	f, _ := newFakeFleet(t, func(config *Config) { config.Release.ComplaintShare = 0.3 })
 	f.startCanary(2, 1)
 	f.serve(40, f.quote, succeeds)
-	clear, _ := f.router.evidence()
+	before, _ := f.router.evidence()
 	for range 3 {
 		f.router.ComplaintReceived(f.now, f.attempts[len(f.attempts)-1].Host, f.quote, Second/2)
 		for _, host := range f.router.hosts {
@@ -76,28 +76,28 @@
 			}
 		}
 	}
-	wrong, _ := f.router.evidence()
-	require.Greater(t, wrong, 7*clear)
+	after, _ := f.router.evidence()
+	require.Greater(t, after, 7*before)
 }
 
 func TestTimeoutsOfColdHostsAreNoEvidence(t *testing.T) {
-	f, list := newFakeFleet(t, nil)
+	f, endpoints := newFakeFleet(t, nil)
 	f.startCanary(1, 0.5)
-	list[6].StartedAt = f.now
-	f.router.EndpointsChanged(f.now, list, true)
+	endpoints[6].StartedAt = f.now
+	f.router.EndpointsChanged(f.now, endpoints, true)
 	f.serve(60, f.quote, func(attempt *Attempt) Outcome {
 		if attempt.build == 2 {
 			return TimedOut
 		}
 		return Succeeded
 	})
-	w, _ := f.router.evidence()
-	require.LessOrEqual(t, w, 1.0)
+	odds, _ := f.router.evidence()
+	require.LessOrEqual(t, odds, 1.0)
 }
 
 func TestTimeoutsOfImpatientClientsAreNoEvidence(t *testing.T) {
-	f, list := newFakeFleet(t, nil)
-	f.router.EndpointsChanged(f.now, append(list, f.host(10, 2), f.host(11, 2), f.host(12, 2)), true)
+	f, endpoints := newFakeFleet(t, nil)
+	f.router.EndpointsChanged(f.now, append(endpoints, f.host(10, 2), f.host(11, 2), f.host(12, 2)), true)
 	f.startCanary(2, 1)
 	for range 60 {
 		request := &Request{Class: f.quote, Timeout: Second / 4}
@@ -115,28 +115,28 @@
 }
 
 func TestReleasedBuildThatSlowsEveryHostIsRolledBack(t *testing.T) {
-	f, list := newFakeFleet(t, nil)
+	f, endpoints := newFakeFleet(t, nil)
 	f.startCanary(2, 1)
 	f.serve(60, f.quote, succeeds)
 	f.router.ReleaseChanged(f.now, ReleaseStatus{Build: 2, Stage: 2, Phase: Released, ExposureCap: 1})
-	for i := range list[:6] {
-		list[i].Build = 2
+	for i := range endpoints[:6] {
+		endpoints[i].Build = 2
 	}
-	f.router.EndpointsChanged(f.now, list, true)
+	f.router.EndpointsChanged(f.now, endpoints, true)
 	for range 250 {
 		request := f.arrive(f.quote)
 		f.advance(Second / 10)
 		for _, attempt := range request.Attempts {
-			f.end(attempt, Succeeded, Second/8) // more than twice as long as before the trial
+			f.end(attempt, Succeeded, Second/8) // more than twice as long as before the canary
 		}
 	}
 	require.Contains(t, f.votes, Rollback)
 }
 
-// Hundreds of routers hear a complaint in ten days each; together they hear a build that errs.
+// Each of hundreds of routers hears few complaints; together they hear of a build whose responses are wrong.
 func TestComplaintsOfAllRoutersAreWeighedAgainstStats(t *testing.T) {
-	story := func(blames int) []VoteChoice {
-		f, _ := newGossipingFleet(t, func(p *Config) { p.Routers, p.Rank, p.Release.Mode = 300, 0, Quorum })
+	votesAfter := func(complaints int) []VoteChoice {
+		f, _ := newGossipingFleet(t, func(config *Config) { config.Routers, config.Rank, config.Release.Mode = 300, 0, Quorum })
 		count := func(build, n int) {
 			for _, class := range []*Class{f.quote, f.order, f.payment} {
 				f.router.StatsReported(f.now, BuildStats{Build: build, Class: class, Samples: n, MeanLatency: Second / 20, Window: 2 * Second})
@@ -149,13 +149,13 @@
 			count(1, 200)
 			count(2, 200)
 		}
-		for range blames {
+		for range complaints {
 			f.router.GossipReceived(f.now, 9, encodeComplaints(2, 4))
 		}
 		f.votes = nil
 		f.advance(2 * Second)
 		return f.votes
 	}
-	require.NotContains(t, story(1), Rollback)
-	require.Contains(t, story(120), Rollback)
+	require.NotContains(t, votesAfter(1), Rollback)
+	require.Contains(t, votesAfter(120), Rollback)
 }
--- a/policy/discovery_test.go
+++ b/policy/discovery_test.go
@@ -8,9 +8,9 @@
 )
 
 func TestDrainingHostGetsNoAttempt(t *testing.T) {
-	f, list := newFakeFleet(t, nil)
-	list[0].State, list[1].State = Draining, Removed
-	f.router.EndpointsChanged(f.now, list, true)
+	f, endpoints := newFakeFleet(t, nil)
+	endpoints[0].State, endpoints[1].State = Draining, Removed
+	f.router.EndpointsChanged(f.now, endpoints, true)
 	f.serve(100, f.quote, succeeds)
 	for _, attempt := range f.attempts {
 		require.Equal(t, Serving, attempt.Host.State)
@@ -19,19 +19,20 @@
 
 func TestFailingEndpointListIsPolledAgainWithoutAFlood(t *testing.T) {
 	f, _ := newFakeFleet(t, nil)
-	f.advance(Second / 100) // a lone router asks at once
+	f.advance(Second / 100) // the only router polls at once
 	require.Equal(t, 1, f.polls)
-	f.advance(4 * Second) // a watch stood for a while
+	f.advance(4 * Second) // a watch was open for a while
 	for n := range 20 {
 		before, failed := f.polls, f.now
 		f.router.EndpointsChanged(f.now, nil, false)
 		for f.polls == before {
 			f.advance(Second / 100)
 		}
-		least, most := 4*Second, 8*Second // the most is within ask-within
-		if n == 0 {
-			least, most = Second/4, 3*Second/4 // a watch that fell silent has to be replaced within six seconds
-		} else if n == 1 {
+		least, most := 4*Second, 8*Second // within the poll interval
+		switch n {
+		case 0:
+			least, most = Second/4, 3*Second/4 // a watch that fell silent must be replaced within six seconds
+		case 1:
 			least, most = Second, 3*Second
 		}
 		require.GreaterOrEqual(t, f.now-failed, least)
@@ -41,7 +42,7 @@
 	}
 }
 
-// A call that fails is no watch that stood: who answers it has too many callers, or is down.
+// A poll that fails at once is no watch that ended: the service has too many callers, or is down.
 func TestFirstPollThatFailsIsNotRepeatedSoon(t *testing.T) {
 	f, _ := newFakeFleet(t, nil)
 	f.advance(Second / 100)
@@ -53,12 +54,12 @@
 	require.Equal(t, 2, f.polls)
 }
 
-// A fleet that starts or loses its list at one moment doesn't ask as one, again and again.
+// Routers that start or lose the endpoint list at one moment don't poll at one moment.
 func TestRoutersSpreadTheirPolls(t *testing.T) {
 	const routers = 60
 	var starts, retries []Time
 	for rank := range routers {
-		f, _ := newFakeFleet(t, func(p *Config) { p.Routers, p.Rank, p.Seed = routers, rank, uint64(rank) })
+		f, _ := newFakeFleet(t, func(config *Config) { config.Routers, config.Rank, config.Seed = routers, rank, uint64(rank) })
 		for ; f.polls == 0; f.advance(Second / 100) {
 		}
 		starts = append(starts, f.now)
@@ -88,71 +89,73 @@
 	}
 }
 
-// While the list is out of reach, what it would have told after a release counts as told all the same.
+// While discovery fails, hosts of earlier builds count as draining some time after a release, as the endpoint list would tell.
 func TestHostsOfEarlierBuildsDrainWhileDiscoveryFailsAfterARelease(t *testing.T) {
-	for name, x := range map[string]struct {
-		lost  bool
-		after []ReleaseStatus
-		old   bool // earlier hosts are still sent to
+	for name, test := range map[string]struct {
+		discoveryFails bool
+		statuses       []ReleaseStatus
+		servesOld      bool // hosts of the earlier build still get attempts
 	}{
-		"list out of reach":    {true, nil, false},
-		"list stands":          {false, nil, true},
-		"it goes back":         {true, []ReleaseStatus{{Build: 2, Stage: 2, Phase: RollingBack}}, true},
-		"it has gone back":     {true, []ReleaseStatus{{Build: 2, Phase: RolledBack}, {Build: 3, Phase: Canary, ExposureCap: 0.1}}, true},
-		"the next is on trial": {true, []ReleaseStatus{{Build: 3, Phase: Canary, ExposureCap: 0.1}}, false},
+		"discovery fails":              {true, nil, false},
+		"discovery works":              {false, nil, true},
+		"the release is rolling back":  {true, []ReleaseStatus{{Build: 2, Stage: 2, Phase: RollingBack}}, true},
+		"the release was rolled back":  {true, []ReleaseStatus{{Build: 2, Phase: RolledBack}, {Build: 3, Phase: Canary, ExposureCap: 0.1}}, true},
+		"the next build is the canary": {true, []ReleaseStatus{{Build: 3, Phase: Canary, ExposureCap: 0.1}}, false},
 	} {
-		f, list := newFakeFleet(t, nil)
-		f.advance(4 * Second)
-		for i := range list { // a build with too few known hosts to carry all
-			list[i].Build = 1
-		}
-		list[6].Build = 2
-		f.router.EndpointsChanged(f.now, list, true)
-		f.router.ReleaseChanged(f.now, ReleaseStatus{Build: 2, Stage: 2, Phase: Released, ExposureCap: 1})
-		to := func() (old, all int) {
-			before := len(f.attempts)
-			f.serve(60, f.quote, succeeds)
-			for _, attempt := range f.attempts[before:] {
-				if all++; attempt.Host.Build == 1 {
-					old++
+		t.Run(name, func(t *testing.T) {
+			f, endpoints := newFakeFleet(t, nil)
+			f.advance(4 * Second)
+			for i := range endpoints { // the released build has too few known hosts to carry all requests
+				endpoints[i].Build = 1
+			}
+			endpoints[6].Build = 2
+			f.router.EndpointsChanged(f.now, endpoints, true)
+			f.router.ReleaseChanged(f.now, ReleaseStatus{Build: 2, Stage: 2, Phase: Released, ExposureCap: 1})
+			serve := func() (old, all int) {
+				before := len(f.attempts)
+				f.serve(60, f.quote, succeeds)
+				for _, attempt := range f.attempts[before:] {
+					if all++; attempt.Host.Build == 1 {
+						old++
+					}
 				}
+				return old, all
 			}
-			return old, all
-		}
-		if x.lost {
-			f.router.EndpointsChanged(f.now, nil, false)
-		}
-		old, _ := to()
-		require.Positive(t, old, "%s: it may still be as it was", name)
-		for _, n := range x.after {
-			f.router.ReleaseChanged(f.now, n)
-		}
-		f.advance(5 * Second)
-		old, all := to()
-		require.Positive(t, all, name)
-		require.Equal(t, x.old, old > 0, name)
-		if x.after != nil && x.after[0].Phase != Canary {
-			require.Equal(t, all, old, "%s: a build that goes back is done with", name)
-		}
-		for i := range list {
-			list[i].State = Serving
-		}
-		f.router.EndpointsChanged(f.now, list[:6], true) // the list is back, and has them serve
-		if old, _ = to(); len(x.after) == 0 {
-			require.Positive(t, old, name)
-		}
+			if test.discoveryFails {
+				f.router.EndpointsChanged(f.now, nil, false)
+			}
+			old, _ := serve()
+			require.Positive(t, old, "nothing may have changed yet")
+			for _, status := range test.statuses {
+				f.router.ReleaseChanged(f.now, status)
+			}
+			f.advance(5 * Second)
+			old, all := serve()
+			require.Positive(t, all)
+			require.Equal(t, test.servesOld, old > 0)
+			if test.statuses != nil && test.statuses[0].Phase != Canary {
+				require.Equal(t, all, old, "a build that rolls back gets nothing")
+			}
+			for i := range endpoints {
+				endpoints[i].State = Serving
+			}
+			f.router.EndpointsChanged(f.now, endpoints[:6], true) // the list is back and has them serve
+			if old, _ = serve(); len(test.statuses) == 0 {
+				require.Positive(t, old)
+			}
+		})
 	}
 }
 
-// Where no host of the released build is known either, what comes is turned back: hosts that are told to drain get nothing.
+// Where no host of the released build is known either, requests are rejected: draining hosts get nothing.
 func TestRequestsAreRejectedRatherThanSentToDrainedHostsWhileDiscoveryFails(t *testing.T) {
 	f, _ := newFakeFleet(t, nil)
 	f.advance(4 * Second)
 	f.router.ReleaseChanged(f.now, ReleaseStatus{Build: 3, Stage: 2, Phase: Released, ExposureCap: 1})
 	f.router.EndpointsChanged(f.now, nil, false)
 	f.advance(7 * Second)
-	sent, turned := len(f.attempts), len(f.rejected)
+	attempts, rejected := len(f.attempts), len(f.rejected)
 	f.serve(20, f.quote, succeeds)
-	require.Len(t, f.attempts, sent)
-	require.Len(t, f.rejected, turned+20)
+	require.Len(t, f.attempts, attempts)
+	require.Len(t, f.rejected, rejected+20)
 }
--- a/policy/exposure_test.go
+++ b/policy/exposure_test.go
@@ -14,14 +14,14 @@
 		f.serve(1, f.order, succeeds)
 		require.LessOrEqual(t, countSince(f.router.traffic.canaryAttempts, f.now-4*Second, nil), 1+0.1*countSince(f.router.traffic.arrivals, f.now-4*Second, nil))
 	}
-	require.Positive(t, f.attemptsAtBuild(2))
+	require.Positive(t, f.canaryAttempts())
 	for _, attempt := range f.attempts {
 		require.False(t, attempt.build == 2 && attempt.Request.Class != f.quote)
 	}
 	f.router.ReleaseChanged(f.now, ReleaseStatus{Build: 2, Phase: RollingBack})
-	n := f.attemptsAtBuild(2)
+	n := f.canaryAttempts()
 	f.serve(100, f.quote, succeeds)
-	require.Equal(t, n, f.attemptsAtBuild(2))
+	require.Equal(t, n, f.canaryAttempts())
 }
 
 func TestExposureIsUnknownAfterAStartAndAnUnannouncedBuildIsInItsFirstStage(t *testing.T) {
@@ -29,17 +29,17 @@
 	require.Equal(t, exposureLimit{applies: true, stage: 0, share: 0.1}, f.router.release.exposureOf(2))
 	f.router.ReleaseChanged(f.now, ReleaseStatus{Build: 2, Stage: 1, ExposureCap: 0.5})
 	f.serve(60, f.quote, succeeds) // three seconds, less than the window
-	require.Zero(t, f.attemptsAtBuild(2))
+	require.Zero(t, f.canaryAttempts())
 }
 
-// Where no earlier host is left, a request doesn't go to the build on trial twice.
+// Where no baseline host is left, a request doesn't go to the canary twice.
 func TestRequestHasOneCanaryAttemptWhereNoBaselineHostIsLeft(t *testing.T) {
-	f, list := newFakeFleet(t, nil)
+	f, endpoints := newFakeFleet(t, nil)
 	f.router.ReleaseChanged(f.now, ReleaseStatus{Build: 2, Phase: Canary, ExposureCap: 0.1})
-	for i := range list[:6] {
-		list[i].State = Removed
+	for i := range endpoints[:6] {
+		endpoints[i].State = Removed
 	}
-	f.router.EndpointsChanged(f.now, list, true)
+	f.router.EndpointsChanged(f.now, endpoints, true)
 	f.advance(5 * Second) // beyond the window after a start
-	require.Len(t, f.arrive(f.quote).Attempts, 1, "one is free in a window")
+	require.Len(t, f.arrive(f.quote).Attempts, 1, "the allowance of a window is one")
 }
--- a/policy/gossip_test.go
+++ b/policy/gossip_test.go
@@ -8,54 +8,54 @@
 )
 
 func TestGossipEjectsAFailingHostBeforeAnyOwnAttempt(t *testing.T) {
-	f, list := newGossipingFleet(t, nil)
-	for _, l := range list[:6] {
-		f.router.GossipReceived(f.now, 3, f.hostSummary(l.Host, 8, 0))
+	f, endpoints := newGossipingFleet(t, nil)
+	for _, endpoint := range endpoints[:6] {
+		f.router.GossipReceived(f.now, 3, f.hostSummary(endpoint.Host, 8, 0))
 	}
-	require.Equal(t, healthy, list[0].Host.health)
-	f.router.GossipReceived(f.now, 4, f.hostSummary(list[0].Host, 16, 14))
-	require.Equal(t, ejected, list[0].Host.health)
-	require.Equal(t, healthy, list[1].Host.health)
-	f.advance(20 * Second) // no word against it any more
-	require.Equal(t, healthy, list[0].Host.health)
+	require.Equal(t, healthy, endpoints[0].Host.health)
+	f.router.GossipReceived(f.now, 4, f.hostSummary(endpoints[0].Host, 16, 14))
+	require.Equal(t, ejected, endpoints[0].Host.health)
+	require.Equal(t, healthy, endpoints[1].Host.health)
+	f.advance(20 * Second) // reports have decayed
+	require.Equal(t, healthy, endpoints[0].Host.health)
 }
 
 func TestReportsArePassedOnOnceAndNeverAsOwn(t *testing.T) {
-	f, list := newGossipingFleet(t, nil)
-	host := list[0].Host
+	f, endpoints := newGossipingFleet(t, nil)
+	host := endpoints[0].Host
 	f.router.GossipReceived(f.now, 3, f.hostSummary(host, 8, 8))
-	require.Zero(t, host.healthByHops[0].attempts, "no own sends")
+	require.Zero(t, host.healthByHops[0].attempts, "no own attempts")
 	require.InDelta(t, 8, host.healthByHops[1].attempts, 0.1)
-	d := f.router.summarize()
-	require.Len(t, d.hosts, 1)
-	require.Equal(t, 1, d.hosts[0].hops, "told at second hand")
-	back, ok := f.router.decodeSummary(d.encode(256))
+	summary := f.router.summarize()
+	require.Len(t, summary.hosts, 1)
+	require.Equal(t, 1, summary.hosts[0].hops, "to be told as a peer's")
+	back, ok := f.router.decodeSummary(summary.encode(256))
 	require.True(t, ok)
 	f.router.mergeLocalReport(back)
 	require.InDelta(t, 8, host.healthByHops[1].attempts, 0.1)
 	require.InDelta(t, 8, host.healthByHops[2].attempts, 0.1)
-	require.Len(t, f.router.summarize().hosts, 1, "what came at second hand goes no further")
+	require.Len(t, f.router.summarize().hosts, 1, "what was passed on goes no further")
 }
 
 func TestUnreadableGossipAndUnlistedHostsChangeNothing(t *testing.T) {
-	f, list := newGossipingFleet(t, nil)
-	good := f.hostSummary(list[0].Host, 8, 8)
-	chance := rand.New(rand.NewPCG(1, 2))
+	f, endpoints := newGossipingFleet(t, nil)
+	good := f.hostSummary(endpoints[0].Host, 8, 8)
+	random := rand.New(rand.NewPCG(1, 2))
 	for n := range len(good) {
 		f.router.GossipReceived(f.now, 3, good[:n])
 	}
 	f.router.GossipReceived(f.now, 3, append(good[:len(good):len(good)], 1))
-	f.router.GossipReceived(f.now, f.router.rank, good) // from itself
-	require.Zero(t, list[0].Host.healthByHops[1].attempts)
+	f.router.GossipReceived(f.now, f.router.rank, good) // from the router itself
+	require.Zero(t, endpoints[0].Host.healthByHops[1].attempts)
 	f.router.GossipReceived(f.now, 3, f.hostSummary(&Host{ID: 77}, 8, 8))
 	require.Len(t, f.router.hosts, 7)
 	for range 2000 {
-		b := make([]byte, chance.IntN(256))
+		b := make([]byte, random.IntN(256))
 		for i := range b {
-			b[i] = byte(chance.Uint32())
+			b[i] = byte(random.Uint32())
 		}
 		if len(b) > 1 {
-			b[0], b[1] = byte(1+chance.IntN(2)), 3
+			b[0], b[1] = byte(1+random.IntN(2)), 3
 		}
 		f.router.GossipReceived(f.now, 5, b)
 	}
@@ -64,13 +64,16 @@
 }
 
 func TestGossipMovesNoLimitOfExposureOrSlowStart(t *testing.T) {
-	f, _ := newGossipingFleet(t, func(p *Config) { p.Release.ExposureWindow = Second })
+	f, _ := newGossipingFleet(t, func(config *Config) { config.Release.ExposureWindow = Second })
 	f.startCanary(0, 0.1)
 	cold := f.host(20, 1)
 	cold.StartedAt = f.now
 	f.router.EndpointsChanged(f.now, []EndpointUpdate{cold}, true)
-	before := [2]bool{f.router.withinExposure(2, f.quote), f.router.withinExposure(2, f.payment)}
-	budget := func() (n int) {
+	exposed := func() [2]bool {
+		return [2]bool{f.router.withinExposure(2, f.quote), f.router.withinExposure(2, f.payment)}
+	}
+	before := exposed()
+	admitted := func() (n int) {
 		for range 400 {
 			if f.router.withinWarmUpBudget(cold.Host) {
 				n++
@@ -78,25 +81,25 @@
 		}
 		return n
 	}
-	was := budget()
+	admittedBefore := admitted()
 	for range 200 {
 		f.router.GossipReceived(f.now, 3, f.hostSummary(cold.Host, 30, 0))
 	}
-	require.Equal(t, before, [2]bool{f.router.withinExposure(2, f.quote), f.router.withinExposure(2, f.payment)})
-	require.InDelta(t, was, budget(), 80, "chance alone differs")
+	require.Equal(t, before, exposed())
+	require.InDelta(t, admittedBefore, admitted(), 80, "by chance alone")
 }
 
 func TestNoGossipOrHealthCheckWhereNotAllowed(t *testing.T) {
-	f, list := newGossipingFleet(t, func(p *Config) { p.Limits.MaxGossipBytes, p.Limits.HealthChecks = 0, false })
+	f, endpoints := newGossipingFleet(t, func(config *Config) { config.Limits.MaxGossipBytes, config.Limits.HealthChecks = 0, false })
 	f.serve(5, f.quote, succeeds)
-	f.router.ComplaintReceived(f.now, list[0].Host, f.quote, Second/2)
+	f.router.ComplaintReceived(f.now, endpoints[0].Host, f.quote, Second/2)
 	f.advance(5 * Second)
 	require.Empty(t, f.gossip)
 	require.Empty(t, f.healthChecked)
 }
 
 func TestGossipKeepsWithinItsSizeAndGoesToPeersOnly(t *testing.T) {
-	f, _ := newGossipingFleet(t, func(p *Config) { p.Limits.MaxGossipBytes = 64 })
+	f, _ := newGossipingFleet(t, func(config *Config) { config.Limits.MaxGossipBytes = 64 })
 	f.serve(60, f.quote, succeeds)
 	f.advance(20 * Second)
 	require.NotEmpty(t, f.gossip)
@@ -108,10 +111,10 @@
 }
 
 func TestOwnComplaintsAreBroadcastOnce(t *testing.T) {
-	f, list := newGossipingFleet(t, nil)
+	f, endpoints := newGossipingFleet(t, nil)
 	f.advance(Second)
 	for range 3 {
-		f.router.ComplaintReceived(f.now, list[0].Host, f.quote, Second/2)
+		f.router.ComplaintReceived(f.now, endpoints[0].Host, f.quote, Second/2)
 	}
 	f.advance(10 * Second)
 	n := 0
--- a/policy/invariants_test.go
+++ b/policy/invariants_test.go
@@ -9,49 +9,49 @@
 	"pgregory.net/rapid"
 )
 
-// invariants is what a drawn story has seen of each task, to hold the rules against.
+// invariants is what a drawn sequence of events has shown of each request, to check the rules against.
 type invariants struct {
 	*rapid.T
 	f               *fakeFleet
 	requests        []*Request
 	deadlines       map[*Request]Time
-	answers         map[*Request]int // final ones, the client's leaving among them
+	answers         map[*Request]int // final ones
 	clientGone      map[*Request]bool
-	drainingSince   map[*Host]Time // since when a host has been told to drain or to be gone
-	canaryAttempts  []trafficEvent // sends at the build on trial
+	drainingSince   map[*Host]Time // since when a host has been draining or removed
+	canaryAttempts  []trafficEvent // attempts at a build with limited exposure
 	arrivals        []trafficEvent
-	checkedAttempts int // of f.sent
-	checkedRejects  int // of f.turned
-	checkedFailures int // of f.scrapped
+	checkedAttempts int // of f.attempts
+	checkedRejects  int // of f.rejected
+	checkedFailures int // of f.failed
 }
 
-// check looks at what the router did since the last look.
+// check checks what the router did since the last check.
 func (l *invariants) check() {
 	f := l.f
 	for ; l.checkedAttempts < len(f.attempts); l.checkedAttempts++ {
 		attempt := f.attempts[l.checkedAttempts]
 		request, now := attempt.Request, f.now
 		if l.clientGone[request] || l.answers[request] > 0 {
-			l.Fatalf("at %d: a send for a request that is over", now)
+			l.Fatalf("at %d: an attempt for a request that is over", now)
 		}
 		if f.timeouts[attempt] <= 0 || now+f.timeouts[attempt] > l.deadlines[request] {
-			l.Fatalf("at %d: a send may take %d, the client waits until %d", now, f.timeouts[attempt], l.deadlines[request])
+			l.Fatalf("at %d: an attempt may take %d, the client waits until %d", now, f.timeouts[attempt], l.deadlines[request])
 		}
 		if at, ok := l.drainingSince[attempt.Host]; ok && now-at > f.router.limits.DrainGrace {
-			l.Fatalf("at %d: a send to a host that was told to drain at %d", now, at)
+			l.Fatalf("at %d: an attempt at a host that has been draining since %d", now, at)
 		}
 		for _, before := range request.Attempts[:slices.Index(request.Attempts, attempt)] {
 			sure := before.outcome == Rejected || before.outcome == ConnectFailed || before.outcome == NotSent
 			if request.Class.Idempotency == NonIdempotent && !sure {
-				l.Fatalf("at %d: an unsafe request again, after an attempt that ended as %d", now, before.outcome)
+				l.Fatalf("at %d: a non-idempotent request again, after an attempt that ended as %d", now, before.outcome)
 			}
 			if !f.router.limits.AllowHedging && before.outcome == Pending {
-				l.Fatalf("at %d: two attempts at once", now)
+				l.Fatalf("at %d: two attempts in flight", now)
 			}
 		}
 		if limit := f.router.release.exposureOf(attempt.build); limit.applies {
 			if limit.stage < f.router.release.config.GuardedStages && request.Class.Idempotency != Idempotent {
-				l.Fatalf("at %d: an effect in a guarded stage", now)
+				l.Fatalf("at %d: a request that is not idempotent in a guarded stage", now)
 			}
 			l.canaryAttempts = append(l.canaryAttempts, trafficEvent{at: now})
 			in := func(all []trafficEvent) (n float64) {
@@ -63,7 +63,7 @@
 				return n
 			}
 			if in(l.canaryAttempts) > f.router.release.config.ExposureAllowance+limit.share*in(l.arrivals) {
-				l.Fatalf("at %d: %v attempts on trial, of %v requests at a cap of %v", now, in(l.canaryAttempts), in(l.arrivals), limit.share)
+				l.Fatalf("at %d: %v attempts at the canary, of %v requests at a cap of %v", now, in(l.canaryAttempts), in(l.arrivals), limit.share)
 			}
 		}
 	}
@@ -73,7 +73,7 @@
 		if slices.ContainsFunc(request.Attempts, func(attempt *Attempt) bool {
 			return attempt.outcome != Rejected && attempt.outcome != ConnectFailed && attempt.outcome != NotSent
 		}) && request.Class.Idempotency == NonIdempotent {
-			l.Fatalf("at %d: refused, though it may have run", f.now)
+			l.Fatalf("at %d: rejected, though it may have been executed", f.now)
 		}
 	}
 	for ; l.checkedFailures < len(f.failed); l.checkedFailures++ {
@@ -86,19 +86,19 @@
 	}
 }
 
-// Whatever order answers, failures, time-outs, clients' ends, lists, news and alarms come in, also at one instant, the rules
-// hold that a router keeps by itself, and every request has one final answer by the time that its client waits until.
+// Responses, failures, timeouts, clients that go, endpoint lists, release statuses and timers come in any order, also several
+// at one moment: the limits that a router keeps by itself hold, and every request has one final answer by its deadline.
 func TestInvariantsHoldInWhateverOrderEventsCome(t *testing.T) {
 	rapid.Check(t, func(d *rapid.T) {
-		f, list := newFakeFleet(t, func(p *Config) {
-			p.Limits.AllowHedging = rapid.Bool().Draw(d, "two at once")
-			p.Limits.PushedDiscovery = rapid.Bool().Draw(d, "pushed")
-			p.Routers = rapid.SampledFrom([]int{1, 3, 300}).Draw(d, "routers")
-			p.Seed = rapid.Uint64().Draw(d, "seed")
+		f, endpoints := newFakeFleet(t, func(config *Config) {
+			config.Limits.AllowHedging = rapid.Bool().Draw(d, "hedging")
+			config.Limits.PushedDiscovery = rapid.Bool().Draw(d, "pushed")
+			config.Routers = rapid.SampledFrom([]int{1, 3, 300}).Draw(d, "routers")
+			config.Seed = rapid.Uint64().Draw(d, "seed")
 		})
 		l := &invariants{T: d, f: f, deadlines: map[*Request]Time{}, answers: map[*Request]int{}, clientGone: map[*Request]bool{}, drainingSince: map[*Host]Time{}}
 		classes := []*Class{f.quote, f.order, f.payment}
-		pass := func(span Time) { // the edge's part: a send whose time is up has ended
+		pass := func(span Time) { // what the owner of a router does: an attempt whose time is up has ended
 			for end := f.now + span; f.now < end; {
 				f.advance(Second / 100)
 				l.check()
@@ -112,15 +112,15 @@
 		}
 		end := func(attempt *Attempt, outcome Outcome) {
 			if outcome == Succeeded && l.answers[attempt.Request] == 0 && !l.clientGone[attempt.Request] {
-				l.answers[attempt.Request]++ // the edge passes it on before the router hears of it
+				l.answers[attempt.Request]++ // the client has the response before the router is told
 			}
 			f.router.AttemptEnded(f.now, attempt, outcome, f.now-attempt.sentAt, l.answers[attempt.Request] > 0 || l.clientGone[attempt.Request], nil)
 		}
 		steps := map[string]func(){
-			"take": func() {
+			"request": func() {
 				for range rapid.IntRange(1, 6).Draw(d, "requests") {
 					class := classes[rapid.IntRange(0, 2).Draw(d, "class")]
-					request := &Request{Class: class, Timeout: Time(rapid.IntRange(100, 30_000).Draw(d, "patience"))}
+					request := &Request{Class: class, Timeout: Time(rapid.IntRange(100, 30_000).Draw(d, "timeout"))}
 					l.requests, l.deadlines[request] = append(l.requests, request), f.now+request.Timeout
 					l.arrivals = append(l.arrivals, trafficEvent{at: f.now})
 					f.router.RequestArrived(f.now, request)
@@ -128,29 +128,29 @@
 				}
 			},
 			"end": func() {
-				var out []*Attempt
+				var pending []*Attempt
 				for _, attempt := range f.attempts {
 					if attempt.outcome == Pending {
-						out = append(out, attempt)
+						pending = append(pending, attempt)
 					}
 				}
-				for range min(len(out), rapid.IntRange(1, 5).Draw(d, "ends")) {
-					attempt := out[rapid.IntRange(0, len(out)-1).Draw(d, "which")]
+				for range min(len(pending), rapid.IntRange(1, 5).Draw(d, "ends")) {
+					attempt := pending[rapid.IntRange(0, len(pending)-1).Draw(d, "which")]
 					if attempt.outcome == Pending {
 						end(attempt, rapid.SampledFrom([]Outcome{Succeeded, Succeeded, Succeeded, Failed, Rejected, TimedOut, ConnectFailed, ConnectionLost,
-							NotSent}).Draw(d, "fate"))
+							NotSent}).Draw(d, "outcome"))
 						l.check()
 					}
 				}
 			},
-			"leave": func() {
+			"client gone": func() {
 				if len(l.requests) > 0 {
-					request := l.requests[rapid.IntRange(max(0, len(l.requests)-5), len(l.requests)-1).Draw(d, "who")]
+					request := l.requests[rapid.IntRange(max(0, len(l.requests)-5), len(l.requests)-1).Draw(d, "request")]
 					if l.answers[request] == 0 && !l.clientGone[request] {
 						l.clientGone[request] = true
 						f.router.ClientGone(f.now, request)
-						for _, attempt := range request.Attempts { // what had not left is withheld, what had goes on to its end
-							if attempt.outcome == Pending && rapid.Bool().Draw(d, "withheld") {
+						for _, attempt := range request.Attempts { // what was not sent is canceled, the rest runs to its end
+							if attempt.outcome == Pending && rapid.Bool().Draw(d, "canceled") {
 								end(attempt, NotSent)
 							}
 						}
@@ -158,37 +158,37 @@
 					}
 				}
 			},
-			"list": func() {
-				i := rapid.IntRange(0, len(list)-1).Draw(d, "host")
-				list[i].State = rapid.SampledFrom([]EndpointState{Serving, Serving, Draining, Removed}).Draw(d, "standing")
-				if host := list[i].Host; list[i].State == Serving {
+			"endpoint": func() {
+				i := rapid.IntRange(0, len(endpoints)-1).Draw(d, "host")
+				endpoints[i].State = rapid.SampledFrom([]EndpointState{Serving, Serving, Draining, Removed}).Draw(d, "state")
+				if host := endpoints[i].Host; endpoints[i].State == Serving {
 					delete(l.drainingSince, host)
 				} else if _, ok := l.drainingSince[host]; !ok {
 					l.drainingSince[host] = f.now
 				}
 				if rapid.Bool().Draw(d, "started") {
-					list[i].StartedAt = f.now
+					endpoints[i].StartedAt = f.now
 				}
-				f.router.EndpointsChanged(f.now, list[i:i+1], true)
+				f.router.EndpointsChanged(f.now, endpoints[i:i+1], true)
 				l.check()
 			},
-			"no list": func() { f.router.EndpointsChanged(f.now, nil, false); l.check() },
-			"news": func() {
+			"no endpoints": func() { f.router.EndpointsChanged(f.now, nil, false); l.check() },
+			"release": func() {
 				f.router.ReleaseChanged(f.now, rapid.SampledFrom([]ReleaseStatus{{Build: 2, Phase: Canary, ExposureCap: 0.1}, {Build: 2, Stage: 1, Phase: Canary, ExposureCap: 0.5},
 					{Build: 2, Stage: 2, Phase: Released, ExposureCap: 1}, {Build: 2, Phase: RollingBack}, {Build: 2, Phase: RolledBack},
-					{Build: 3, Phase: Canary, ExposureCap: 0.1}}).Draw(d, "news"))
-				l.canaryAttempts = nil // caps may have fallen: what was allowed before is looked at no more
+					{Build: 3, Phase: Canary, ExposureCap: 0.1}}).Draw(d, "status"))
+				l.canaryAttempts = nil // caps may have fallen: earlier attempts are not checked against the new ones
 				l.check()
 			},
 			"a moment": func() { pass(Time(rapid.IntRange(1, 300).Draw(d, "tenths"))) },
 			"a while":  func() { pass(Second * Time(rapid.IntRange(1, 8).Draw(d, "seconds"))) },
 		}
-		names := []string{"take", "take", "take", "end", "end", "leave", "list", "no list", "news", "a moment", "a moment", "a while"}
+		names := []string{"request", "request", "request", "end", "end", "client gone", "endpoint", "no endpoints", "release", "a moment", "a moment", "a while"}
 		for n := range rapid.IntRange(5, 60).Draw(d, "steps") {
 			name := rapid.SampledFrom(names).Draw(d, fmt.Sprint("step ", n))
 			steps[name]()
 		}
-		pass(4 * Second) // beyond the longest patience
+		pass(4 * Second) // beyond the longest timeout
 		for _, request := range l.requests {
 			require.Equal(d, map[bool]int{true: 0, false: 1}[l.clientGone[request]], l.answers[request], "a request's final answers")
 		}
--- a/policy/outlier_test.go
+++ b/policy/outlier_test.go
@@ -7,40 +7,40 @@
 )
 
 func TestEjectedHostGetsFewRequestsAndRecovers(t *testing.T) {
-	f, list := newFakeFleet(t, nil)
-	ill := true
-	fate := func(attempt *Attempt) Outcome {
-		if attempt.Host.ID == 1 && ill {
+	f, endpoints := newFakeFleet(t, nil)
+	failing := true
+	outcomeOf := func(attempt *Attempt) Outcome {
+		if attempt.Host.ID == 1 && failing {
 			return Failed
 		}
 		return Succeeded
 	}
-	f.serve(200, f.quote, fate)
-	require.Equal(t, ejected, list[0].Host.health)
+	f.serve(200, f.quote, outcomeOf)
+	require.Equal(t, ejected, endpoints[0].Host.health)
 	f.attempts = nil
-	f.serve(100, f.payment, fate)
+	f.serve(100, f.payment, outcomeOf)
 	for _, attempt := range f.attempts {
 		require.NotEqual(t, uint32(1), attempt.Host.ID)
 	}
-	ill = false
-	f.serve(100, f.quote, fate)
-	require.Equal(t, healthy, list[0].Host.health)
+	failing = false
+	f.serve(100, f.quote, outcomeOf)
+	require.Equal(t, healthy, endpoints[0].Host.health)
 }
 
 func TestNoHostIsEjectedWhenAllFail(t *testing.T) {
-	f, list := newFakeFleet(t, nil)
+	f, endpoints := newFakeFleet(t, nil)
 	f.serve(100, f.quote, func(*Attempt) Outcome { return Failed })
-	for _, l := range list[:6] {
-		require.Equal(t, healthy, l.Host.health)
+	for _, endpoint := range endpoints[:6] {
+		require.Equal(t, healthy, endpoint.Host.health)
 	}
 }
 
 func TestHungHostIsEjectedBeforeItsAttemptsTimeOut(t *testing.T) {
-	f, list := newFakeFleet(t, nil)
+	f, endpoints := newFakeFleet(t, nil)
 	f.serve(100, f.quote, succeeds)
 	for range 60 {
 		n := len(f.attempts)
-		for range 24 { // a busy moment: each host gets its share
+		for range 24 { // enough for each host to get its share
 			f.arrive(f.payment)
 		}
 		f.advance(Second / 20)
@@ -50,6 +50,6 @@
 			}
 		}
 	}
-	require.Equal(t, ejected, list[0].Host.health)
-	require.Less(t, len(list[0].Host.inFlight), 60) // of 1440 tasks; an even share would be 240
+	require.Equal(t, ejected, endpoints[0].Host.health)
+	require.Less(t, len(endpoints[0].Host.inFlight), 60) // of 1440 requests; an even share would be 240
 }
--- a/policy/request_test.go
+++ b/policy/request_test.go
@@ -10,19 +10,19 @@
 	f, _ := newFakeFleet(t, nil)
 	request := f.arrive(f.quote)
 	f.end(request.Attempts[0], Succeeded, Second/20)
-	sends := len(f.attempts)
+	attempts := len(f.attempts)
 	f.advance(5 * Second)
 	require.True(t, request.Answered())
-	require.Len(t, f.attempts, sends)
+	require.Len(t, f.attempts, attempts)
 	require.Empty(t, f.rejected)
 }
 
 func TestRequestWithoutAHostIsRejectedAtOnce(t *testing.T) {
-	f, list := newFakeFleet(t, nil)
-	for i := range list {
-		list[i].State = Removed
+	f, endpoints := newFakeFleet(t, nil)
+	for i := range endpoints {
+		endpoints[i].State = Removed
 	}
-	f.router.EndpointsChanged(f.now, list, true)
+	f.router.EndpointsChanged(f.now, endpoints, true)
 	request := f.arrive(f.payment)
 	require.Equal(t, []*Request{request}, f.rejected)
 	require.Empty(t, f.attempts)
--- a/policy/retry_test.go
+++ b/policy/retry_test.go
@@ -9,7 +9,7 @@
 func TestNonIdempotentRequestThatMayHaveExecutedIsNeitherRetriedNorRejected(t *testing.T) {
 	f, _ := newFakeFleet(t, nil)
 	request := f.arrive(f.payment)
-	f.advance(2 * Second) // it lingers, and is not copied either
+	f.advance(2 * Second) // it is slow, and not hedged either
 	require.Len(t, request.Attempts, 1)
 	f.end(request.Attempts[0], ConnectionLost, 2*Second)
 	require.Equal(t, []*Request{request}, f.failed)
@@ -25,10 +25,10 @@
 }
 
 func TestRetryWithIdempotencyKeyStaysInDedupScopeAndWindow(t *testing.T) {
-	f, list := newFakeFleet(t, nil)
+	f, endpoints := newFakeFleet(t, nil)
 	f.order.DedupScope = ZoneScope
-	list[5].Zone = f.remoteZone
-	f.router.EndpointsChanged(f.now, list, true)
+	endpoints[5].Zone = f.remoteZone
+	f.router.EndpointsChanged(f.now, endpoints, true)
 	for range 20 {
 		request := f.arrive(f.order)
 		f.end(request.Attempts[0], Failed, Second/40)
@@ -40,19 +40,19 @@
 	}
 	late := f.arrive(f.order)
 	late.Timeout = 9 * Second
-	f.advance(4 * Second) // longer than the hosts remember
+	f.advance(4 * Second) // longer than hosts remember its key
 	n := len(late.Attempts)
 	f.end(late.Attempts[0], ConnectionLost, 4*Second)
 	require.Len(t, late.Attempts, n)
 }
 
 func TestNoSecondAttemptInFlightWithoutHedging(t *testing.T) {
-	f, _ := newFakeFleet(t, func(p *Config) { p.Limits.AllowHedging = false })
+	f, _ := newFakeFleet(t, func(config *Config) { config.Limits.AllowHedging = false })
 	f.startCanary(1, 0.5)
 	for range 40 {
 		request := f.arrive(f.quote)
 		require.LessOrEqual(t, len(request.Attempts), 1)
-		if attempt := request.Attempts[0]; attempt.build == 2 { // a lone copy, with the time left for its original
+		if attempt := request.Attempts[0]; attempt.build == 2 { // a shadow attempt that goes first leaves the primary one its time
 			require.Less(t, f.timeouts[attempt], request.Timeout/2)
 			f.end(attempt, TimedOut, f.timeouts[attempt])
 			require.Len(t, request.Attempts, 2)
@@ -61,24 +61,24 @@
 		f.advance(Second / 20)
 		f.end(request.Attempts[len(request.Attempts)-1], Succeeded, Second/20)
 	}
-	require.Positive(t, f.attemptsAtBuild(2))
+	require.Positive(t, f.canaryAttempts())
 }
 
 func TestAttemptsCutShortCountInTheRetryBudget(t *testing.T) {
-	f, _ := newFakeFleet(t, func(p *Config) { p.Limits.AllowHedging = false })
+	f, _ := newFakeFleet(t, func(config *Config) { config.Limits.AllowHedging = false })
 	f.serve(120, f.quote, succeeds)
-	cut := 0
+	cutShort := 0
 	for range 200 { // all hosts are slower than before
 		request := f.arrive(f.quote)
 		f.advance(Second / 40)
 		if attempt := request.Attempts[0]; f.timeouts[attempt] < request.Timeout {
-			cut++
+			cutShort++
 			f.end(attempt, TimedOut, f.timeouts[attempt])
 		}
 		f.end(request.Attempts[len(request.Attempts)-1], Succeeded, Second/20)
 	}
-	require.Positive(t, cut)
-	require.Less(t, cut, 60) // one for every eight tasks of the last five seconds, and a few
+	require.Positive(t, cutShort)
+	require.Less(t, cutShort, 60) // one for every eight requests of the last five seconds, and a few
 }
 
 func TestRetriesKeepWithinTheirBudget(t *testing.T) {
--- a/policy/shadow_test.go
+++ b/policy/shadow_test.go
@@ -7,14 +7,14 @@
 )
 
 func TestWarmCanaryHostDoesNotGetTheShareOfColdOnes(t *testing.T) {
-	f, list := newFakeFleet(t, nil)
+	f, endpoints := newFakeFleet(t, nil)
 	for id := range uint32(5) {
-		fresh := f.host(10+id, 2)
-		fresh.StartedAt = 6*Second + 1
-		list = append(list, fresh)
+		coldHost := f.host(10+id, 2)
+		coldHost.StartedAt = 6*Second + 1
+		endpoints = append(endpoints, coldHost)
 	}
 	f.serve(120, f.quote, succeeds)
-	f.router.EndpointsChanged(f.now, list, true)
+	f.router.EndpointsChanged(f.now, endpoints, true)
 	f.router.ReleaseChanged(f.now, ReleaseStatus{Build: 2, Stage: 2, ExposureCap: 1})
 	f.attempts = nil
 	f.serve(40, f.quote, succeeds) // two seconds
@@ -22,75 +22,75 @@
 	for _, attempt := range f.attempts {
 		n[attempt.Host]++
 	}
-	require.Positive(t, n[list[6].Host])
-	require.LessOrEqual(t, n[list[6].Host], 40/6+2) // what an earlier host gets, and a little
+	require.Positive(t, n[endpoints[6].Host])
+	require.LessOrEqual(t, n[endpoints[6].Host], 40/6+2) // what a baseline host gets, and a little
 }
 
 func TestShadowAttemptsMakeNoQueueAtACanaryHost(t *testing.T) {
-	f, list := newFakeFleet(t, nil)
+	f, endpoints := newFakeFleet(t, nil)
 	f.serve(120, f.quote, succeeds)
 	f.router.ReleaseChanged(f.now, ReleaseStatus{Build: 2, Stage: 1, ExposureCap: 1})
-	trial := list[6].Host
+	canary := endpoints[6].Host
 	most := 0
-	for range 60 { // it pauses while the others answer
+	for range 60 { // the canary host pauses while the others answer
 		request := f.arrive(f.quote)
 		f.advance(Second / 20)
 		for _, attempt := range request.Attempts {
-			if attempt.Host != trial {
+			if attempt.Host != canary {
 				f.end(attempt, Succeeded, Second/20)
 			}
 		}
-		most = max(most, len(trial.inFlight))
+		most = max(most, len(canary.inFlight))
 	}
 	require.Positive(t, most)
 	require.LessOrEqual(t, most, 2)
 }
 
 func TestPrimaryAttemptsAtTheCanaryAreNoShadowAttempts(t *testing.T) {
-	f, list := newFakeFleet(t, nil)
+	f, endpoints := newFakeFleet(t, nil)
 	f.serve(120, f.quote, succeeds)
 	f.router.ReleaseChanged(f.now, ReleaseStatus{Build: 2, Stage: 2, ExposureCap: 1})
-	for i := range list[:6] { // the earlier hosts leave before the release is told
-		list[i].State = Draining
+	for i := range endpoints[:6] { // baseline hosts drain before the router is told of the release
+		endpoints[i].State = Draining
 	}
-	f.router.EndpointsChanged(f.now, list, true)
+	f.router.EndpointsChanged(f.now, endpoints, true)
 	f.votes = nil
 	f.serve(60, f.payment, func(*Attempt) Outcome { return TimedOut })
 	f.advance(Second)
-	require.Positive(t, f.attemptsAtBuild(2))
+	require.Positive(t, f.canaryAttempts())
 	require.NotContains(t, f.votes, Rollback)
-	copies := 0
+	shadows := 0
 	for _, attempt := range f.attempts {
 		if attempt.IsShadow() {
-			copies++
+			shadows++
 		}
 	}
-	require.Greater(t, f.attemptsAtBuild(2), copies)
-	require.Len(t, f.router.analysis.window(2).samples, copies)
+	require.Greater(t, f.canaryAttempts(), shadows)
+	require.Len(t, f.router.analysis.window(2).samples, shadows)
 }
 
-// A cold host on trial is due an earlier host's share: two warm ones once got the work of all the cold.
+// A cold canary host is due a baseline host's share, and warm ones don't get what cold ones can't take.
 func TestCanaryHostsAreDueTheShareOfBaselineHosts(t *testing.T) {
-	f, list := newGossipingFleet(t, func(p *Config) { p.Limits.AllowHedging = false })
-	var young []EndpointUpdate
+	f, endpoints := newGossipingFleet(t, func(config *Config) { config.Limits.AllowHedging = false })
+	var coldHosts []EndpointUpdate
 	for id := range uint32(3) {
 		l := f.host(40+id, 2)
 		l.StartedAt = f.now + 1
-		young = append(young, l)
+		coldHosts = append(coldHosts, l)
 	}
 	f.startCanary(2, 1)
-	for i := range young {
-		young[i].StartedAt = f.now
+	for i := range coldHosts {
+		coldHosts[i].StartedAt = f.now
 	}
-	f.router.EndpointsChanged(f.now, young, true)
+	f.router.EndpointsChanged(f.now, coldHosts, true)
 	at := len(f.attempts)
 	f.serve(200, f.quote, succeeds)
 	n := map[*Host]int{}
 	for _, attempt := range f.attempts[at:] {
 		n[attempt.Host]++
 	}
-	require.Less(t, n[list[6].Host], 60, "the warm one gets about what one of six earlier ones gets")
-	for _, l := range young {
+	require.Less(t, n[endpoints[6].Host], 60, "the warm one gets about what one of six baseline hosts gets")
+	for _, l := range coldHosts {
 		require.Positive(t, n[l.Host])
 	}
 }
--- a/policy/slowstart_test.go
+++ b/policy/slowstart_test.go
@@ -7,17 +7,17 @@
 )
 
 func TestColdHostGetsFewAttemptsEvenWhenAlmostTheOnlyOne(t *testing.T) {
-	f, list := newFakeFleet(t, nil)
+	f, endpoints := newFakeFleet(t, nil)
 	f.serve(100, f.quote, succeeds)
-	for i := range list[:6] {
-		list[i].State = Draining
+	for i := range endpoints[:6] {
+		endpoints[i].State = Draining
 	}
-	fresh := f.host(20, 1)
-	fresh.StartedAt = f.now
-	f.router.EndpointsChanged(f.now, append(list, fresh), true)
+	coldHost := f.host(20, 1)
+	coldHost.StartedAt = f.now
+	f.router.EndpointsChanged(f.now, append(endpoints, coldHost), true)
 	n := 0
-	for range 100 { // a hundred a second, six times what one host had
-		if request := f.arrive(f.quote); len(request.Attempts) > 0 && request.Attempts[0].Host == fresh.Host {
+	for range 100 { // a hundred a second, six times what one host got before
+		if request := f.arrive(f.quote); len(request.Attempts) > 0 && request.Attempts[0].Host == coldHost.Host {
 			n++
 		}
 		f.advance(Second / 100)
@@ -28,21 +28,21 @@
 
 func TestManyRoutersTogetherDoNotOverloadAColdHost(t *testing.T) {
 	n := 0
-	for rank := range 60 { // each serves ten tasks a second of a fleet where that is far over a cold host's due
-		f, list := newFakeFleet(t, func(p *Config) { p.Seed, p.Routers, p.Rank = uint64(rank), 60, rank })
+	for rank := range 60 { // each serves ten requests a second; together that is far beyond a cold host's budget
+		f, endpoints := newFakeFleet(t, func(config *Config) { config.Seed, config.Routers, config.Rank = uint64(rank), 60, rank })
 		f.serve(80, f.quote, succeeds)
-		list[0].StartedAt = f.now
-		f.router.EndpointsChanged(f.now, list, true)
+		endpoints[0].StartedAt = f.now
+		f.router.EndpointsChanged(f.now, endpoints, true)
 		f.attempts = nil
-		for range 20 { // two windows of the rule
+		for range 20 { // two windows of the limit
 			f.serve(2, f.quote, succeeds)
 		}
 		for _, attempt := range f.attempts {
-			if attempt.Host == list[0].Host {
+			if attempt.Host == endpoints[0].Host {
 				n++
 			}
 		}
 	}
 	require.Positive(t, n)
-	require.Less(t, n, 2*60*3*2) // of 60 routers' 20 sends a second over 6 hosts: 200, times 0.3 to 0.6, times 3
+	require.Less(t, n, 2*60*3*2) // of 60 routers' 20 attempts a second over 6 hosts: 200, times 0.3 to 0.6, times 3
 }
--- a/policy/surge_test.go
+++ b/policy/surge_test.go
@@ -10,17 +10,17 @@
 	f, _ := newFakeFleet(t, nil)
 	f.startCanary(1, 0.5)
 	f.router.surge.state, f.router.surge.since = surgeProven, f.now
-	w, testOdds := f.router.evidence()
+	odds, testOdds := f.router.evidence()
 	require.Contains(t, testOdds, 20.0)
-	require.Less(t, w, 8.0)
+	require.Less(t, odds, 8.0)
 	f.advance(16 * Second)
 	require.Equal(t, surgeNone, f.router.surge.state)
 }
 
-// A build that slows old and new alike leaves no gap: slow with copies, quick without, and slow again prove it.
+// A build that slows baseline and canary alike leaves no gap: slow with shadow attempts, fast without, and slow again prove it.
 func TestTwoSurgesWithShadowAttemptsProveABuildThatSlowsTheFleet(t *testing.T) {
-	story := func(means ...Time) (f *fakeFleet) {
-		f, _ = newGossipingFleet(t, func(p *Config) { p.Release.Mode, p.Limits.AllowHedging = Quorum, false })
+	surges := func(means ...Time) (f *fakeFleet) {
+		f, _ = newGossipingFleet(t, func(config *Config) { config.Release.Mode, config.Limits.AllowHedging = Quorum, false })
 		count := func(mean Time) {
 			for _, b := range []int{1, 2} {
 				for _, class := range []*Class{f.quote, f.order, f.payment} {
@@ -37,14 +37,14 @@
 		}
 		return f
 	}
-	const quick, slow = Second / 20, Second / 10
-	f := story(quick, slow)
+	const fast, slow = Second / 20, Second / 10
+	f := surges(fast, slow)
 	require.True(t, f.router.shadowsPaused())
 	require.True(t, f.router.isUnreadyForRelease(), "no release meanwhile")
 	require.NotContains(t, f.votes, Rollback)
-	require.False(t, story(quick, slow, quick).router.shadowsPaused(), "they go on when it is quick again")
-	require.Contains(t, story(quick, slow, quick, slow).votes, Rollback)
-	f = story(quick, slow, slow, slow, slow, slow, slow, slow)
-	require.False(t, f.router.surge.state == surgeProven, "slow without copies too: another trouble")
+	require.False(t, surges(fast, slow, fast).router.shadowsPaused(), "they go on when it is fast again")
+	require.Contains(t, surges(fast, slow, fast, slow).votes, Rollback)
+	f = surges(fast, slow, slow, slow, slow, slow, slow, slow)
+	require.NotEqual(t, surgeProven, f.router.surge.state, "slow without shadow attempts too: another cause")
 	require.NotContains(t, f.votes, Rollback)
 }
--- a/policy/vote_test.go
+++ b/policy/vote_test.go
@@ -7,17 +7,17 @@
 )
 
 func TestGoodBuildIsPromotedAndBadOneRolledBack(t *testing.T) {
-	story := func(bad func(*Attempt) bool) []VoteChoice {
-		f, list := newFakeFleet(t, nil)
+	votesOn := func(fails func(*Attempt) bool) []VoteChoice {
+		f, endpoints := newFakeFleet(t, nil)
 		for id := range uint32(5) {
-			list = append(list, f.host(10+id, 2))
+			endpoints = append(endpoints, f.host(10+id, 2))
 		}
-		f.router.EndpointsChanged(f.now, list, true)
+		f.router.EndpointsChanged(f.now, endpoints, true)
 		f.startCanary(2, 1)
 		for range 100 {
 			for _, class := range []*Class{f.quote, f.order, f.payment} {
 				f.serve(1, class, func(attempt *Attempt) Outcome {
-					if attempt.build == 2 && bad(attempt) {
+					if attempt.build == 2 && fails(attempt) {
 						return Failed
 					}
 					return Succeeded
@@ -26,17 +26,17 @@
 		}
 		return f.votes
 	}
-	require.Contains(t, story(func(*Attempt) bool { return false }), Promote)
-	require.NotContains(t, story(func(*Attempt) bool { return false }), Rollback)
+	require.Contains(t, votesOn(func(*Attempt) bool { return false }), Promote)
+	require.NotContains(t, votesOn(func(*Attempt) bool { return false }), Rollback)
 	n := 0
-	require.Contains(t, story(func(*Attempt) bool { n++; return n%3 == 0 }), Rollback)
-	require.NotContains(t, story(func(attempt *Attempt) bool { return attempt.Host.ID == 9 }), Rollback) // one sick host
-	require.NotContains(t, story(func(attempt *Attempt) bool { return attempt.Request.Class.Idempotency == NonIdempotent }), Promote)
+	require.Contains(t, votesOn(func(*Attempt) bool { n++; return n%3 == 0 }), Rollback)
+	require.NotContains(t, votesOn(func(attempt *Attempt) bool { return attempt.Host.ID == 9 }), Rollback) // one failing host
+	require.NotContains(t, votesOn(func(attempt *Attempt) bool { return attempt.Request.Class.Idempotency == NonIdempotent }), Promote)
 }
 
 func TestNoWaitPromotesABuildWhileAClassIsInDoubt(t *testing.T) {
-	f, list := newFakeFleet(t, nil)
-	f.router.EndpointsChanged(f.now, append(list, f.host(10, 2), f.host(11, 2), f.host(12, 2)), true)
+	f, endpoints := newFakeFleet(t, nil)
+	f.router.EndpointsChanged(f.now, append(endpoints, f.host(10, 2), f.host(11, 2), f.host(12, 2)), true)
 	f.startCanary(2, 1)
 	for range 300 {
 		f.serve(3, f.quote, succeeds)
@@ -52,11 +52,11 @@
 
 func TestManyRoutersJudgeByStatsAndAFewOfThemVote(t *testing.T) {
 	votes := map[VoteChoice]int{}
-	story := func(rank, bad int, latency Time) {
-		f, list := newFakeFleet(t, func(p *Config) { p.Routers, p.Rank, p.Release.SampledShare = 40, rank, 0.2 })
-		f.router.EndpointsChanged(f.now, append(list, f.host(10, 2), f.host(11, 2), f.host(12, 2)), true)
+	countVotes := func(rank, failures int, latency Time) {
+		f, endpoints := newFakeFleet(t, func(config *Config) { config.Routers, config.Rank, config.Release.SampledShare = 40, rank, 0.2 })
+		f.router.EndpointsChanged(f.now, append(endpoints, f.host(10, 2), f.host(11, 2), f.host(12, 2)), true)
 		f.startCanary(2, 1)
-		for range 4 { // seconds; this router's own copies all fail, the desk's counts say what the story says
+		for range 4 { // seconds; own shadow attempts fail, the release controller counts what the test says
 			f.serve(20, f.quote, func(attempt *Attempt) Outcome {
 				if attempt.build == 2 && len(attempt.Host.samples) < 3 {
 					return Failed
@@ -65,7 +65,7 @@
 			})
 			for _, class := range []*Class{f.quote, f.order, f.payment} {
 				f.router.StatsReported(f.now, BuildStats{Build: 1, Class: class, Failures: 1, Samples: 60, MeanLatency: Second / 20})
-				f.router.StatsReported(f.now, BuildStats{Build: 2, Class: class, Failures: bad, Samples: 60, MeanLatency: latency})
+				f.router.StatsReported(f.now, BuildStats{Build: 2, Class: class, Failures: failures, Samples: 60, MeanLatency: latency})
 			}
 		}
 		for _, v := range f.votes {
@@ -73,39 +73,39 @@
 		}
 	}
 	for rank := range 40 {
-		story(rank, 20, Second/20)
+		countVotes(rank, 20, Second/20)
 	}
 	require.Positive(t, votes[Rollback])
 	require.Less(t, votes[Rollback], 40)
 	clear(votes)
 	for rank := range 40 {
-		story(rank, 1, Second/20)
+		countVotes(rank, 1, Second/20)
 	}
 	require.Zero(t, votes[Rollback])
 }
 
 func TestOneFailingHostDoesNotRollABuildBackWhereAQuorumMustAgree(t *testing.T) {
-	f, list := newFakeFleet(t, func(p *Config) {
-		p.Routers, p.Release.Mode, p.Release.PromoteQuorum, p.Release.RollbackQuorum = 60, Quorum, 30, 15
-		p.Limits.AllowHedging = false
+	f, endpoints := newFakeFleet(t, func(config *Config) {
+		config.Routers, config.Release.Mode, config.Release.PromoteQuorum, config.Release.RollbackQuorum = 60, Quorum, 30, 15
+		config.Limits.AllowHedging = false
 	})
-	f.router.EndpointsChanged(f.now, append(list, f.host(10, 2), f.host(11, 2), f.host(12, 2), f.host(13, 2)), true)
+	f.router.EndpointsChanged(f.now, append(endpoints, f.host(10, 2), f.host(11, 2), f.host(12, 2), f.host(13, 2)), true)
 	f.startCanary(2, 1)
-	story := func(bad func(*Attempt) bool) {
+	serve := func(fails func(*Attempt) bool) {
 		f.serve(200, f.quote, func(attempt *Attempt) Outcome {
-			if attempt.build == 2 && bad(attempt) {
+			if attempt.build == 2 && fails(attempt) {
 				return Failed
 			}
 			return Succeeded
 		})
 	}
-	story(func(attempt *Attempt) bool { return attempt.Host.ID == 9 })
+	serve(func(attempt *Attempt) bool { return attempt.Host.ID == 9 })
 	require.NotContains(t, f.votes, Rollback)
-	story(func(*Attempt) bool { return true })
+	serve(func(*Attempt) bool { return true })
 	require.Contains(t, f.votes, Rollback)
 	f.attempts = nil
-	story(func(*Attempt) bool { return true })
-	require.Positive(t, f.attemptsAtBuild(2)) // others may not agree, so the copies go on
+	serve(func(*Attempt) bool { return true })
+	require.Positive(t, f.canaryAttempts()) // others may not agree, so shadow attempts go on
 }
 
 func TestUnansweredVoteIsCastAgainWithoutAFlood(t *testing.T) {
@@ -118,12 +118,12 @@
 	n := len(f.votes)
 	f.advance(5 * Second)
 	require.Len(t, f.votes, n)
-	f.advance(5 * Second) // renewed before it runs out
+	f.advance(5 * Second) // renewed before it expires
 	require.Greater(t, len(f.votes), n)
 }
 
 func TestBuildWithFewKnownHostsIsNeitherReleasedNorOverloaded(t *testing.T) {
-	f, list := newFakeFleet(t, nil) // one host of build 2, six of build 1, and the list tells no more
+	f, endpoints := newFakeFleet(t, nil) // one host of build 2, six of build 1 are all that is known
 	f.startCanary(2, 1)
 	for range 60 {
 		f.serve(1, f.quote, succeeds)
@@ -134,6 +134,6 @@
 	f.router.ReleaseChanged(f.now, ReleaseStatus{Build: 2, Stage: 2, Phase: Released, ExposureCap: 1})
 	f.attempts = nil
 	f.serve(100, f.quote, succeeds)
-	require.Less(t, f.attemptsAtBuild(2), 50)
-	require.Positive(t, len(list[0].Host.attempts))
+	require.Less(t, f.canaryAttempts(), 50)
+	require.NotEmpty(t, endpoints[0].Host.attempts)
 }
