--- a/policy/admission.go
+++ b/policy/admission.go
@@ -14,10 +14,10 @@
 	computedAt Time
 	span       Time    // that work was completed in
 	work       float64 // usual latencies of the responses of the span, added up; one request's at the least
-	slowdown   float64 // actual latencies over usual ones; infinite where too few responses tell
+	slowdown   float64 // actual latencies over usual ones; infinite where there are too few responses
 }
 
-// responseCounter keeps a locality's last successes, with running sums of those in a window. The sums are of whole numbers,
+// responseCounter keeps a locality's last successes, with running sums of those in a window. The sums are of integers,
 // so that their order doesn't matter.
 type responseCounter struct {
 	responses             []countedResponse
@@ -165,7 +165,7 @@
 	return min((inFlight*float64(decayTime)+usual)/work, maxLagOfSlowdown*latency/work)
 }
 
-// leastExpectedSlowdown is that of the class where peers tell, else that of the less busy locality of those with hosts.
+// leastExpectedSlowdown is that of the class where there is gossip, else that of the less busy locality of those with hosts.
 func (r *Router) leastExpectedSlowdown(class *Class) float64 {
 	if r.limits.MaxGossipBytes > 0 {
 		return r.expectedClassSlowdown(class)
@@ -218,7 +218,7 @@
 	return limit * float64(min(class.LatencyObjective, request.Timeout))
 }
 
-// lateShare is the share of late ones among the last attempts that ended: of the class where peers tell, with others that
+// lateShare is the share of late ones among the last attempts that ended: of the class where there is gossip, with others that
 // were on time, as one of hundreds of routers sees few.
 func (r *Router) lateShare(class *Class, last int) float64 {
 	const onTimeShare = 3 // the last by so much, as on time
--- a/policy/analysis.go
+++ b/policy/analysis.go
@@ -115,7 +115,7 @@
 }
 
 // comparison is what the tests go by: samples of canary and baseline of the same time, so that a fault that begins or ends
-// speaks for neither, and the release controller's reports on them.
+// is evidence for neither, and the release controller's reports on them.
 type comparison struct {
 	canary, baseline               *buildWindow
 	canarySamples, baselineSamples []attemptSample
@@ -178,7 +178,7 @@
 	return sum.sum / sum.weights, sum.testOdds
 }
 
-// isWarmSample tells samples of warm hosts: a cold one is slow whatever its build.
+// isWarmSample reports whether a sample is of a warm host: one that warms up is slow whatever its build.
 func (r *Router) isWarmSample(sample attemptSample) bool { return sample.hostAge > r.limits.WarmUp }
 
 // testFailures tests failure rates over all classes and of each, and sets the classes' failure odds.
@@ -217,7 +217,7 @@
 				r.isWarmSample(sample) && !sample.impatient && r.release.status.Phase == Canary)
 		}
 		classStrata, failing := strataByTime(c.canarySamples, c.baselineSamples, counts, excluded)
-		if r.judgesByStats() { // these don't tell hosts apart: own shadow attempts do
+		if r.judgesByStats() { // these don't distinguish hosts: own shadow attempts do
 			classStrata, failing = c.stats.strataByPeriod(class), failing+1
 			// A canary that takes most of the traffic leaves the baseline's hosts idle.
 			classStrata = withRateFloor(classStrata, r.failureRateBeforeCanary(c.baseline, class, minRate))
@@ -306,7 +306,7 @@
 	sum.add(1, odds, odds)
 }
 
-// fleetComplaints counts the complaints on a build that all routers heard, among the attempts that the release controller
+// fleetComplaints counts the complaints on a build that all routers received, among the attempts that the release controller
 // counted; as its reports come later there are never fewer attempts than complaints.
 func (r *Router) fleetComplaints(window *buildWindow) stratum {
 	complaints := float64(r.gossip.complaints[window.build])
--- a/policy/attempt.go
+++ b/policy/attempt.go
@@ -33,7 +33,7 @@
 	responseStarted bool
 }
 
-// IsShadow tells an attempt that was made to judge the canary, beside the primary attempt or before it.
+// IsShadow reports whether the attempt was made to judge the canary, beside the primary attempt or before it.
 func (a *Attempt) IsShadow() bool { return a.role == shadowAttempt || a.role == shadowFirstAttempt }
 
 type attemptRole int
@@ -98,7 +98,7 @@
 	r.now, attempt.responseStarted = now, true
 }
 
-// AttemptEnded says how an attempt ended and how long it took. done tells that the request is over, by this attempt or
+// AttemptEnded says how an attempt ended and how long it took. done says that the request is over, by this attempt or
 // before it; load is what the host reported with it, nil for nothing.
 func (r *Router) AttemptEnded(now Time, attempt *Attempt, outcome Outcome, latency Time, done bool, load *LoadReport) {
 	request := attempt.Request
@@ -121,7 +121,7 @@
 	r.handleRequestEvent(request, event)
 }
 
-// twoBuildsServe tells whether a key could go from one build to another.
+// twoBuildsServe reports whether a key could go from one build to another.
 func (r *Router) twoBuildsServe() bool {
 	fleet := r.snapshot()
 	return r.release.status.Phase == Canary || fleet.newestBaselineHosts < fleet.baselineHosts
--- a/policy/balancing.go
+++ b/policy/balancing.go
@@ -7,7 +7,7 @@
 	"gonum.org/v1/gonum/stat"
 )
 
-// keptLoadReports is how many of the last load reports tell the usual load of a host.
+// keptLoadReports is how many of the last load reports give the usual load of a host.
 const keptLoadReports = 64
 
 // loadEstimate is what is known of how much hosts have in flight and what that costs.
@@ -152,7 +152,7 @@
 	return local
 }
 
-// drawBest draws two hosts by weight and takes the less busy one. Most hosts of a large fleet were last heard of long ago,
+// drawBest draws two hosts by weight and takes the less busy one. Most hosts of a large fleet were last observed long ago,
 // so some of those that answered this router lately are drawn too. While connections are scarce only these are.
 func (r *Router) drawBest(from []*Host, scarce bool) (best *Host) {
 	const lately = Second           // for as long as a load report says much
@@ -181,7 +181,7 @@
 // busyness is proportional to the latency to be expected at a host.
 func (r *Router) busyness(host *Host) float64 { return r.hostSlowdown(host) * (1 + r.hostLoad(host)) }
 
-// connectionsAreScarce tells that more than a few hosts take no connections, as after failures that the endpoint list has
+// connectionsAreScarce reports whether more than a few hosts take no connections, as after failures that the endpoint list has
 // not reported, or where connections are limited.
 func (r *Router) connectionsAreScarce() bool {
 	const lastEnded, failedShare = 20, 0.2
@@ -239,7 +239,7 @@
 	return r.drawWeighted(from, weights)
 }
 
-// drawWeights are the hosts' capacities, less what peers tell of their slowdown: most routers meet a host too seldom to
+// drawWeights are the hosts' capacities, less the slowdown that peers report: most routers meet a host too seldom to
 // learn it. Between two hosts drawn that doesn't count, or all routers would take the same one at once. The slice holds until
 // the next call.
 func (r *Router) drawWeights(from []*Host) []float64 {
--- a/policy/config.go
+++ b/policy/config.go
@@ -1,6 +1,6 @@
 package policy
 
-// Config is all that a Router is told when it starts.
+// Config is the configuration that a Router starts with.
 type Config struct {
 	Seed    uint64 // of the random source; the same events and seed give the same decisions
 	Routers int    // all that serve the fleet
@@ -13,17 +13,17 @@
 
 // Limits are the bounds that the deployment sets and the features that it allows.
 type Limits struct {
-	DrainGrace          Time    // attempts that were on their way to a draining host are served for this long
+	DrainGrace          Time    // after its drain begins, for which a host still serves attempts that reach it
 	WarmUp              Time    // of a host after its start
 	ColdCapacity        float64 // share of its capacity that a host has at its start
 	ColdOverloadFactor  float64 // times its capacity factor at which a warming host fails
 	ColdOverloadWindow  Time    // over which that is counted
 	PollInterval        Time    // of the endpoint list
 	MaxAttempts         int     // of one request
-	MaxOpen             int     // connections to a host
+	MaxOpen             int     // requests in flight at the router; 0 for no limit
 	AllowHedging        bool    // two attempts of a request may be in flight at once
 	MaxRetryAfter       Time    // longest Retry-After of a rejection; 0 for none
-	PushedDiscovery     bool    // the endpoint list comes without being asked for
+	PushedDiscovery     bool    // endpoint updates come without a poll
 	MaxGossipBytes      int     // of a message to another router; 0 where there is no gossip
 	HealthChecks        bool    // hosts may be probed
 	CrossZonePrice      float64 // of a request served in another zone, in units of a request's value
@@ -31,10 +31,10 @@
 	OverQuotaValueShare float64 // share of its value that a request beyond its tenant's quota keeps
 }
 
-// ConfigChanged replaces the settings of a running router. What was sent and observed before counts on.
+// ConfigChanged replaces the settings of a running router. Earlier attempts and observations go on counting.
 func (r *Router) ConfigChanged(now Time, routers, rank int, limits Limits, release ReleaseConfig) {
 	r.now = now
-	if r.limits.PushedDiscovery && !limits.PushedDiscovery { // from now on the list must be asked for
+	if r.limits.PushedDiscovery && !limits.PushedDiscovery { // from now on the list must be polled
 		r.effects.WatchEndpoints()
 	}
 	r.routers, r.rank, r.limits, r.release.config = max(1, routers), rank, limits, release
--- a/policy/discovery.go
+++ b/policy/discovery.go
@@ -20,7 +20,7 @@
 }
 
 // EndpointsChanged takes changes to the endpoint list. ok is false when a poll failed or a watch ended: hosts stay as they
-// are, and the list is asked for again after a time that grows and is spread by chance, as a service with more callers than
+// are, and the list is polled again after a backoff that grows and is spread by chance, as a service with more callers than
 // it can take answers none in time. After a watch that stood the first time is short, within the time by which the changes
 // that it missed must be followed.
 func (r *Router) EndpointsChanged(now Time, changes []EndpointUpdate, ok bool) {
@@ -44,7 +44,7 @@
 	r.effects.SetTimer(backoff+Time(r.random.intN(int(backoff)+1)), &Timer{polls: true})
 }
 
-// applyEndpoint takes a change of one host. Hosts stand in an order that is the same at all routers.
+// applyEndpoint takes a change of one host. Hosts are kept in an order that is the same at all routers.
 func (r *Router) applyEndpoint(update EndpointUpdate) {
 	host := update.Host
 	r.fleet.valid = false
--- a/policy/evidence.go
+++ b/policy/evidence.go
@@ -102,7 +102,7 @@
 	return math.Exp(max(-logLimit, min(logLimit, (measured*size-size*size/2)/variance)))
 }
 
-// boundByHosts bounds odds by the number of hosts that speak for them: each may multiply them by four at the most.
+// boundByHosts bounds odds by the number of hosts that they are evidence from: each may multiply them by four at the most.
 func boundByHosts(odds float64, hosts int) float64 {
 	return min(odds, math.Pow(4, float64(max(1, hosts))))
 }
@@ -113,9 +113,11 @@
 	attempts, failures, logSlowdown float64 // logSlowdown is the sum of the attempts'
 }
 
-// summarizeByHost adds up samples of a kind by host, the hosts with most failures last. Logs of slowdowns are told from a
+// summarizeByHost adds up samples of a kind by host, the hosts with most failures last. Logs of slowdowns are relative to a
 // level.
-func summarizeByHost(samples []attemptSample, is func(attemptSample) bool, level func(attemptSample) float64) (hosts []hostSummary) {
+func summarizeByHost(
+	samples []attemptSample, is func(attemptSample) bool, level func(attemptSample) float64,
+) (hosts []hostSummary) {
 	for _, sample := range samples {
 		if !is(sample) {
 			continue
@@ -169,7 +171,9 @@
 // hostLogSlowdowns gives the hosts' mean log slowdowns and the variance of their mean, for hosts whose own ones have a
 // standard deviation and attempts that have a variance. Hosts with the first of so many attempts count; where there is none,
 // those with the next.
-func hostLogSlowdowns(hosts []hostSummary, hostDeviation, attemptVariance float64, minAttempts ...float64) (logs []float64, variance float64) {
+func hostLogSlowdowns(
+	hosts []hostSummary, hostDeviation, attemptVariance float64, minAttempts ...float64,
+) (logs []float64, variance float64) {
 	for len(logs) == 0 && len(minAttempts) > 0 {
 		for _, x := range hosts {
 			if x.attempts >= minAttempts[0] {
--- a/policy/exposure.go
+++ b/policy/exposure.go
@@ -7,7 +7,7 @@
 	share   float64 // cap on the attempts, as a share of the requests
 }
 
-// exposureOf is the limit on a build. A build that the release controller has not told yet counts as in its first stage;
+// exposureOf is the limit on a build. A build that the release controller has not announced yet counts as in its first stage;
 // one that rolled back gets nothing, even when the next one is offered, as its hosts may still be listed.
 func (s *releaseState) exposureOf(build int) exposureLimit {
 	switch {
@@ -23,7 +23,7 @@
 	return exposureLimit{applies: true, stage: s.status.Stage, share: s.status.ExposureCap}
 }
 
-// withinExposure tells whether one more attempt of the class at a build keeps within its limit. Attempts are counted over a
+// withinExposure reports whether one more attempt of the class at a build keeps within its limit. Attempts are counted over a
 // little more than the window and requests over a little less. After a start it is unknown what an earlier process of this
 // router sent, so nothing goes to a limited build until one window has passed.
 func (r *Router) withinExposure(build int, class *Class) bool {
--- a/policy/gossip.go
+++ b/policy/gossip.go
@@ -5,19 +5,19 @@
 	"slices"
 )
 
-// gossipState is what peers told that is not of one host or class.
+// gossipState is what peers reported that is not of one host or class.
 type gossipState struct {
-	localPeers  []int   // ranks of the peers in this zone that were heard last
-	activePeers float64 // peers heard lately, decayed
+	localPeers  []int   // ranks of the peers in this zone that sent messages last
+	activePeers float64 // peers that sent messages lately, decayed
 	receivedAt  Time
 	remotePath  healthStats // the path to other zones, by peers in this one
 
 	complaints       map[int]int // by build, of all routers
-	unsentComplaints map[int]int // own ones that no peer has been told
+	unsentComplaints map[int]int // own ones not sent yet
 }
 
-// An attempt that a peer tells of counts for so much of an own one, as its connections are its own: told by who made it, and
-// passed on once.
+// An attempt that a peer reports counts for so much of an own one, as its connections are its own: reported by the router
+// that made it, and passed on once.
 const firstHandWeight, secondHandWeight = 0.5, 0.5
 
 // decayTime is how long sums of what was observed last: about as long as a host's fault or an overload takes to be another.
@@ -46,15 +46,16 @@
 	*s = healthStats{y.at, y.attempts + x.attempts, y.failures + x.failures, y.slowdown + x.slowdown}
 }
 
-// peerHealth is what peers tell of a host, weighed.
+// peerHealth is what peers report of a host, weighed.
 func (h *Host) peerHealth(now Time) healthStats {
 	const first, second = firstHandWeight, secondHandWeight
 	a, b := h.healthByHops[1].decayedTo(now), h.healthByHops[2].decayedTo(now)
-	return healthStats{now, first*a.attempts + second*b.attempts, first*a.failures + second*b.failures, first*a.slowdown + second*b.slowdown}
+	return healthStats{at: now, attempts: first*a.attempts + second*b.attempts,
+		failures: first*a.failures + second*b.failures, slowdown: first*a.slowdown + second*b.slowdown}
 }
 
-// sendGossip tells a peer drawn by chance, mostly one in this zone, what this router observed lately and what peers told of
-// their own observations: that is passed on once, so that nothing comes back as new. Where hundreds of routers meet a host
+// sendGossip sends a peer drawn by chance, mostly one in this zone, what this router observed lately and what peers reported
+// of their own attempts: that is passed on once, so that nothing comes back as new. Where hundreds of routers meet a host
 // once in ten seconds each, only so they know of its failures before it has failed them all. Complaints are rare and go to
 // all peers.
 func (r *Router) sendGossip() {
@@ -77,8 +78,8 @@
 }
 
 // GossipReceived takes a message of the peer of a rank. It adds no host to the endpoint list and moves no limit of exposure
-// or slow start. What can't be read is dropped whole. What it says of network paths and hosts counts from peers in the own
-// zone alone.
+// or slow start. A message that can't be decoded is dropped. Reports on network paths and hosts
+// count only from peers in the own zone.
 func (r *Router) GossipReceived(now Time, peer int, body []byte) {
 	const keptPeers = 16
 	r.now = now
@@ -105,7 +106,7 @@
 	}
 }
 
-// mergeClassStats adds up what a peer tells of classes.
+// mergeClassStats adds a peer's statistics of classes.
 func (r *Router) mergeClassStats(summary gossipSummary) {
 	r.gossip.activePeers, r.gossip.receivedAt = 1+r.gossip.activePeers*decayFactor(r.now-r.gossip.receivedAt), r.now
 	for i, class := range r.classes {
@@ -113,7 +114,7 @@
 	}
 }
 
-// mergeLocalReport adds up what a peer in this zone tells of the path to other zones and of hosts.
+// mergeLocalReport adds the reports of a peer in this zone on the path to other zones and on hosts.
 func (r *Router) mergeLocalReport(summary gossipSummary) {
 	r.gossip.remotePath.add(summary.remotePath)
 	for _, report := range summary.hosts {
@@ -121,8 +122,7 @@
 	}
 }
 
-// summarize gives what this router has to tell: of its classes, of its path to other zones, and of the hosts that enough is
-// known of.
+// summarize makes this router's report on its classes, its path to other zones and the hosts that enough is known of.
 func (r *Router) summarize() gossipSummary {
 	const minAttempts = 0.3 // decayed
 	summary := gossipSummary{remotePath: r.zones.paths[remoteZones].decayedTo(r.now)}
@@ -150,7 +150,7 @@
 	return summary
 }
 
-// unsentComplaintMessages gives the messages on complaints that no peer has been told, each once.
+// unsentComplaintMessages gives the messages on complaints that were not sent yet, each once.
 func (r *Router) unsentComplaintMessages() (messages [][]byte) {
 	for _, window := range r.analysis.windows {
 		if n := r.gossip.unsentComplaints[window.build]; n > 0 {
--- a/policy/gossip_codec.go
+++ b/policy/gossip_codec.go
@@ -7,7 +7,7 @@
 	"slices"
 )
 
-// hostReport is what a router tells of one host. hops is 0 for its own attempts and 1 for what peers told of theirs.
+// hostReport is a router's report on one host. hops is 0 for its own attempts and 1 for those that peers reported.
 type hostReport struct {
 	host *Host
 	hops int
@@ -16,7 +16,7 @@
 
 // gossipSummary is a message of one router to another.
 type gossipSummary struct {
-	nearbyHost *Host // one in the sender's zone, nil for none; it tells the sender's zone
+	nearbyHost *Host // one in the sender's zone, nil for none; it gives the sender's zone
 	remotePath healthStats
 	classes    []admissionStats // in the order of the configuration
 	hosts      []hostReport
@@ -33,12 +33,12 @@
 	s.hosts = s.hosts[:min(many, len(s.hosts))]
 }
 
-// The first byte of a message tells its kind.
+// The first byte of a message is its kind.
 //
 // A summary is, in little-endian order: its kind and the number of classes, a byte each; the ID of a host in the sender's
 // zone, 4 bytes, 0 for none; attempts and failures on the path to other zones, a byte each; for each class the attempts in
-// flight, a byte, and the usual and actual latencies added up, 2 bytes each; for each host its ID, 4 bytes, and hops, attempts, failures
-// and mean slowdown, a byte each.
+// flight, a byte, and the usual and actual latencies added up, 2 bytes each; for each host its ID, 4 bytes, and hops,
+// attempts, failures and mean slowdown, a byte each.
 //
 // Complaints are: their kind, a byte; the build, 2 bytes; their number, a byte.
 const (
@@ -50,7 +50,7 @@
 	hostReportBytes    = 8
 	complaintsBytes    = 4
 
-	countScale    = 8.0  // attempts and failures are told in eighths
+	countScale    = 8.0  // attempts and failures are in eighths
 	slowdownScale = 16.0 // slowdowns in sixteenths
 	latencyScale  = 100  // sums of latencies in hundredths of a second
 )
@@ -79,7 +79,8 @@
 		}
 		meanSlowdown := report.slowdown / max(0.01, report.attempts)
 		b = binary.LittleEndian.AppendUint32(b, report.host.ID)
-		b = append(b, byte(report.hops), toByte(report.attempts*countScale), toByte(report.failures*countScale), toByte(meanSlowdown*slowdownScale))
+		b = append(b, byte(report.hops), toByte(report.attempts*countScale), toByte(report.failures*countScale),
+			toByte(meanSlowdown*slowdownScale))
 	}
 	return b
 }
--- a/policy/health_check.go
+++ b/policy/health_check.go
@@ -3,7 +3,7 @@
 // checkRemotePath probes a host in another zone now and then while the path there is degraded, so that no request needs to
 // try whether it still is.
 func (r *Router) checkRemotePath() {
-	const reviewsPerCheck = 20 // with what local peers tell, enough to see that the path is degraded and that it recovers
+	const reviewsPerCheck = 20 // with the reports of local peers, enough to see that the path is degraded and that it recovers
 	if !r.limits.HealthChecks || !r.crossesCheaply() || r.mergesZones() || r.random.intN(reviewsPerCheck) > 0 {
 		return
 	}
@@ -12,7 +12,7 @@
 	}
 }
 
-// HealthChecked takes the result of a health check: it tells of the network path and, by load, of the host; load is nil
+// HealthChecked takes the result of a health check: of the network path and, by load, of the host; load is nil
 // where it reported none.
 func (r *Router) HealthChecked(now Time, host *Host, outcome Outcome, _ Time, load *LoadReport) {
 	r.now = now
--- a/policy/host.go
+++ b/policy/host.go
@@ -20,13 +20,13 @@
 	Cell      int
 	State     EndpointState
 	Build     int
-	Weight    float64 // against other hosts, in any unit; 0 where not told
+	Weight    float64 // against other hosts, in any unit; 0 where unknown
 	StartedAt Time    // when its process last started; 0 is long ago
 
 	listed       bool
 	health       hostHealth
 	backoffUntil Time // while it is backingOff
-	leftAt       Time // when it was told to drain or was removed
+	leftAt       Time // when it began to drain or was removed
 
 	inFlight []*Attempt
 	attempts []trafficEvent  // the last starts
@@ -36,19 +36,19 @@
 	loadAt      Time
 	connectedAt Time // when an attempt over a connection to it last ended; 0 where the last one had none
 
-	healthByHops [3]healthStats // own; told by peers that met the host; told by peers that were told
+	healthByHops [3]healthStats // own; reported by peers that made them; passed on by peers
 	planWeight   float64        // share of its locality's requests by the plan, in a unit that all hosts share
 }
 
 // LoadReport is what a host reports of itself. A negative figure was not reported.
 type LoadReport struct{ ActiveRequests, QueuedRequests, CPUUtilization, MeanLatency, RequestsPerSecond float64 }
 
-// isBaseline tells hosts that serve with a build that is not limited by exposure.
+// isBaseline reports whether a host serves with a build whose exposure is not limited.
 func (r *Router) isBaseline(host *Host) bool {
 	return host.State == Serving && !r.release.exposureOf(host.Build).applies
 }
 
-// runsNewestBuild tells hosts that serve with the newest build that the release controller told.
+// runsNewestBuild reports whether a host serves with the newest build that the release controller announced.
 func (s *releaseState) runsNewestBuild(host *Host) bool {
 	return host.Build == s.status.Build && host.State == Serving
 }
@@ -72,7 +72,7 @@
 	return r.hosts[at]
 }
 
-// capacity is what a host can do against others: its weight, where that is told, by its capacity factor.
+// capacity is what a host can do against others: its weight, where that is known, by its capacity factor.
 func (r *Router) capacity(host *Host) float64 {
 	if host.Weight <= 0 {
 		return r.capacityFactor(host)
--- a/policy/latency.go
+++ b/policy/latency.go
@@ -17,7 +17,7 @@
 	unqueuedSlowdown float64 // the same, less the part that the host's load added
 }
 
-// ok tells an attempt that speaks for a host that works.
+// ok reports whether the attempt is evidence of a host that works.
 func (x attemptSample) ok() bool {
 	const slow = 3
 	return x.outcome == Succeeded && x.slowdown < slow
--- a/policy/outlier.go
+++ b/policy/outlier.go
@@ -49,7 +49,7 @@
 	for _, row := range healthTransitions {
 		if row.state == host.health && row.event == event {
 			if host.health == ejected {
-				host.samples = host.samples[max(0, len(host.samples)-1):] // none, where peers alone told of it
+				host.samples = host.samples[max(0, len(host.samples)-1):] // none, where only peers reported it
 			}
 			host.health, host.backoffUntil = row.next, r.now+row.backoff
 			r.fleet.valid = false
@@ -60,7 +60,7 @@
 
 // Samples that are kept.
 const (
-	keptHostSamples  = 8    // enough to tell a slow host, few enough to forget that it was one
+	keptHostSamples  = 8    // enough to find a slow host, few enough to forget that it was one
 	keptBuildSamples = 1500 // those of a canary's time, or some ten seconds of a busy router
 )
 
@@ -127,7 +127,7 @@
 func (r *Router) reviewHealth() {
 	const minStuck = 3
 	const forgottenFailures = 0.3 // decayed
-	const drainAfter = 6 * Second // of a release; the endpoint list would have told by then
+	const drainAfter = 6 * Second // of a release; the endpoint list would have it by then
 	hung := func(host *Host) bool { return host.health == healthy && host.stuckAttempts(r.now) >= minStuck }
 	ejects := 2*r.countHosts(hung) < r.countHosts(func(host *Host) bool { return host.health == healthy })
 	drains := r.discovery.failedPolls > 0 && r.now-r.release.releasedAt > drainAfter
@@ -161,7 +161,7 @@
 // faultScore is a host's failure rate and mean slowdown.
 type faultScore struct{ failureRate, slowdown float64 }
 
-// faultScoreOf scores a host by its last attempts and what peers tell, as if over some attempts at the least.
+// faultScoreOf scores a host by its last attempts and what peers report, as if over some attempts at the least.
 func (r *Router) faultScoreOf(host *Host) faultScore {
 	const minAttempts = 6
 	var sum faultScore
@@ -190,7 +190,7 @@
 }
 
 // pickEjected picks an ejected host that is due a request, so that its recovery is found; only idempotent requests go
-// there. Where peers tell what they meet, the rate is that of all routers, or hundreds would keep an ejected host busy.
+// there. Where there is gossip, the rate is that of all routers, or hundreds would keep an ejected host busy.
 func (r *Router) pickEjected(request *Request) *Host {
 	const interval = Second   // long enough to cost little, short enough to find a recovery
 	const fleetAttempts = 4.0 // of all routers in an interval, for each host
--- a/policy/release.go
+++ b/policy/release.go
@@ -11,7 +11,7 @@
 	RolledBack
 )
 
-// ReleaseStatus is what the release controller tells of the newest build.
+// ReleaseStatus is what the release controller reports of the newest build.
 type ReleaseStatus struct {
 	Build, Stage int
 	Phase        Phase
@@ -44,7 +44,7 @@
 	ExposureWindow    Time    // that exposure is counted over
 	ExposureAllowance float64 // attempts in the window beside the cap's
 	ExposurePerClass  bool    // each class is counted by itself
-	GuardedStages     int     // first stages, in which the canary gets idempotent requests alone
+	GuardedStages     int     // first stages, in which the canary gets only idempotent requests
 	StickyKeys        bool    // a request with a key stays with the build that answered the key
 	DelayPrice        float64 // of a longer release, in the unit of HarmPrice
 	HarmPrice         float64 // of failed requests that are not idempotent
@@ -52,13 +52,13 @@
 	SampledShare      float64 // share of the attempts in the release controller's statistics
 }
 
-// releaseState is what the release controller told: its settings and where the newest build stands.
+// releaseState is what the release controller reported: its settings and where the newest build stands.
 type releaseState struct {
 	config ReleaseConfig
 	status ReleaseStatus
 	known  bool // some status has come
 
-	offeredAt      Time // when the newest build was first heard of
+	offeredAt      Time // when the newest build was first announced
 	stageStartedAt Time
 
 	releasedBuild   int // newest build known to be released, 0 for none
--- a/policy/request.go
+++ b/policy/request.go
@@ -33,7 +33,7 @@
 	serviceTimes []float64 // the same, less the part that concurrent requests at the host added
 	usualLatency Time      // at a host with nothing else in flight
 
-	baselineLatency Time    // usualLatency when the canary was first heard of
+	baselineLatency Time    // usualLatency when the canary was announced
 	failureOdds     float64 // odds that the canary fails this class
 
 	inFlight  int            // attempts at healthy hosts, as countInFlight found last
@@ -41,7 +41,7 @@
 	peerStats admissionStats // peers' attempts lately, by gossip
 }
 
-// repeatsSafely tells whether a second execution does no harm on any host.
+// repeatsSafely reports whether a second execution does no harm on any host.
 func (c *Class) repeatsSafely() bool {
 	return c.Idempotency == Idempotent || c.Idempotency == IdempotentWithKey && c.DedupScope == FleetScope
 }
@@ -59,7 +59,7 @@
 	Tenant       *Tenant // nil where there are none
 	Key          string  // of what the request concerns, for sticky builds; empty for none
 	Timeout      Time    // how long the client goes on waiting
-	ExpectedWork Time    // 0 where not told
+	ExpectedWork Time    // 0 where unknown
 	ClientRetry  bool    // the client says that it retries by itself
 
 	Attempts []*Attempt // in the order in which they were sent
@@ -69,8 +69,8 @@
 	firstAmbiguous *Attempt // first attempt that may have been executed without a response
 }
 
-// Answered tells whether the request has had its final answer or its client has gone.
-func (t *Request) Answered() bool { return t.state == finished }
+// Answered reports whether the request has had its final answer or its client has gone.
+func (r *Request) Answered() bool { return r.state == finished }
 
 // requestState is what is known of a request's execution:
 //
--- a/policy/retry.go
+++ b/policy/retry.go
@@ -2,7 +2,7 @@
 
 import "slices"
 
-// retryBudgetAllows tells whether the budget has room for one more attempt, so that a slow fleet is not given more work:
+// retryBudgetAllows reports whether the budget has room for one more attempt, so that a slow fleet is not given more work:
 // a share of the last requests, and a few beyond it for a fleet of few routers, as each of hundreds would add them.
 func (r *Router) retryBudgetAllows(class *Class) bool {
 	const window = 5 * Second
@@ -14,9 +14,9 @@
 	return r.leastExpectedSlowdown(class) < overloaded && countSince(r.traffic.retries, r.now-window, nil) < allowed
 }
 
-// retry sends a request once more where that is allowed, within the budget and can still be in time; it tells whether it
+// retry sends a request once more where that is allowed, within the budget and can still be in time; it reports whether it
 // did. What follows a shadow attempt that went first, or an attempt that this router cut short, needs no budget now: that
-// was asked when the earlier one was sent.
+// was checked when the earlier one was sent.
 func (r *Router) retry(request *Request) bool {
 	left := request.arrivedAt + request.Timeout - r.now
 	last := request.Attempts[len(request.Attempts)-1]
--- a/policy/router.go
+++ b/policy/router.go
@@ -63,7 +63,7 @@
 	vote      voteRecord
 }
 
-// NewRouter starts a router that knows its configuration alone: no host and no release. It sets the timer of the regular
+// NewRouter starts a router that knows only its configuration: no host and no release. It sets the timer of the regular
 // review and, where endpoints must be polled, that of the first poll.
 func NewRouter(now Time, config Config, effects Effects) *Router {
 	const startSpread = 2 * Second         // routers that start at once poll within this
@@ -86,7 +86,7 @@
 	return r
 }
 
-// randomSource draws numbers that follow from its seed and the number of earlier draws alone, so that decisions can be
+// randomSource draws numbers that follow from its seed and the number of earlier draws, so that decisions can be
 // replayed.
 type randomSource struct{ seed, draws uint64 }
 
--- a/policy/shadow.go
+++ b/policy/shadow.go
@@ -15,10 +15,10 @@
 	reachable := func(host *Host) bool { return merged || r.localityOf(host) == localZone }
 	onCanary := func(host *Host) bool { return r.release.runsNewestBuild(host) && reachable(host) }
 	notEjected := func(host *Host) bool { return onCanary(host) && host.health != ejected }
-	// The release controller's statistics don't tell an ejected host's failures from the build's.
+	// The release controller's statistics don't separate an ejected host's failures from the build's.
 	skipEjected := r.statsOutweighOwn() && r.countHosts(notEjected) > 0
 	candidate := func(host *Host) bool { return onCanary(host) && (!skipEjected || host.health != ejected) }
-	// Where requests cross zones, local hosts alone say little of what a host gets.
+	// Where requests cross zones, local hosts say little of what a host gets.
 	peer := func(host *Host) bool { return r.isBaseline(host) && (reachable(host) || r.crossesCheaply()) }
 
 	arrivals := countSince(r.traffic.arrivals, r.now-window, nil)
@@ -42,7 +42,7 @@
 	})
 }
 
-// shadowsAllowed tells whether a request of the class may go to the canary at all. An own vote to roll back ends that only
+// shadowsAllowed reports whether a request of the class may go to the canary at all. An own vote to roll back ends that only
 // where it decides: others may not agree, and more attempts may change the vote.
 func (r *Router) shadowsAllowed(class *Class) bool {
 	decidesRollback := r.vote.choice == Rollback && r.release.config.RollbackQuorum <= 1
@@ -50,7 +50,7 @@
 		r.withinExposure(r.release.status.Build, class)
 }
 
-// acceptsHarm tells whether an attempt of the class at the canary costs less, by its likely harm, than it is worth: always
+// acceptsHarm reports whether an attempt of the class at the canary costs less, by its likely harm, than it is worth: always
 // for idempotent classes; by chance while the class is neither cleared nor convicted.
 func (r *Router) acceptsHarm(class *Class) bool {
 	const cleared, convicted = 0.1, 10.0 // odds that the canary fails the class
@@ -64,7 +64,7 @@
 	return true
 }
 
-// shadowsPaused tells whether shadow attempts pause, as the fleet's latency has risen since the canary was offered.
+// shadowsPaused reports whether shadow attempts pause, as the fleet's latency has risen since the canary was offered.
 func (r *Router) shadowsPaused() bool {
 	return r.surge.state == surgePaused || r.surge.state == surgeProven
 }
--- a/policy/slowstart.go
+++ b/policy/slowstart.go
@@ -7,7 +7,7 @@
 	rate float64
 }
 
-// isWarmAt tells hosts that had been up for the whole of their warm-up by a moment.
+// isWarmAt reports whether a host had been up for its full warm-up by a moment.
 func (r *Router) isWarmAt(host *Host, at Time) bool {
 	return host.StartedAt == 0 || at-host.StartedAt >= r.limits.WarmUp
 }
--- a/policy/stats.go
+++ b/policy/stats.go
@@ -56,14 +56,14 @@
 	stats.warmUpBias = math.Log(max(1, float64(stats.hosts)) / max(r.limits.ColdCapacity, capacity))
 }
 
-// statsOutweighOwn tells whether the release controller counts far more attempts than this router makes: then its
-// statistics are judged, though they come late and don't tell hosts apart.
+// statsOutweighOwn reports whether the release controller counts far more attempts than this router makes: then its
+// statistics are judged, though they come late and don't distinguish hosts.
 func (r *Router) statsOutweighOwn() bool {
 	const ownAttempts = 2 // as many as so many routers make
 	return r.release.config.SampledShare*float64(r.routers) > ownAttempts
 }
 
-// judgesByStats tells whether the canary is judged by them. After a release only own attempts tell errors from an overload.
+// judgesByStats reports whether the canary is judged by them. After a release only own attempts separate errors from an overload.
 func (r *Router) judgesByStats() bool {
 	return r.statsOutweighOwn() && r.release.status.Phase == Canary
 }
@@ -108,7 +108,7 @@
 }
 
 // comparableStats are the reports on canary and baseline over the same time. Those of a time when no canary host was warm
-// would tell of the warm-up.
+// would show the warm-up.
 func (r *Router) comparableStats(canary, baseline int) (stats buildPair) {
 	stats.canary = filterStats(r.analysis.stats, func(x BuildStats) bool { return x.Build == canary && x.warmShare > 0 })
 	stats.baseline = filterStats(r.analysis.stats, func(x BuildStats) bool {
@@ -170,8 +170,8 @@
 }
 
 // countedFailureEvidence weighs the reports on a class while enough hosts ran the canary: by how much more than the
-// baseline it fails. It is for a router with few own attempts at classes that are not idempotent: as reports don't tell
-// hosts apart, only gaps far beyond one failing host count.
+// baseline it fails. It is for a router with few own attempts at classes that are not idempotent: as reports don't
+// distinguish hosts, only gaps far beyond one failing host count.
 func (r *Router) countedFailureEvidence(class *Class, canary, baseline int) float64 {
 	const minHosts, minRate = 4, 0.1
 	const smallGap, largeGap = 0.25, 0.6
--- a/policy/surge.go
+++ b/policy/surge.go
@@ -6,7 +6,7 @@
 	"gonum.org/v1/gonum/stat"
 )
 
-// latencySurge is how the whole fleet's latency has moved since the canary was offered.
+// latencySurge is how the fleet's latency has moved since the canary was offered.
 type latencySurge struct {
 	state        surgeState
 	since        Time
@@ -135,7 +135,7 @@
 	return canary / max(1, all)
 }
 
-// isUnreadyForRelease tells that the fleet has slowed for no known cause, or that the canary hosts known are too few to
+// isUnreadyForRelease reports whether the fleet has slowed for no known cause, or the canary hosts known are too few to
 // carry all requests after a release, or too cold: the more overloaded the fleet, the warmer they must be.
 func (r *Router) isUnreadyForRelease() bool {
 	const lowestFactor, factorPerSlowdown, highestFactor = 0.4, 0.15, 0.95 // mean capacity factor
--- a/policy/traffic.go
+++ b/policy/traffic.go
@@ -7,7 +7,7 @@
 	"gonum.org/v1/gonum/stat"
 )
 
-// Events that are kept at the least, more than any window that counts them holds.
+// Events that are kept at the least, more than any window that counts them has.
 const (
 	keptFleetEvents  = 8192
 	keptTenantEvents = 4096
@@ -26,7 +26,7 @@
 	endedBase        int // sequence number of the first of ended
 }
 
-// trafficEvent is an arrival, the start of an attempt or the end of one; all but at and class are of ends alone.
+// trafficEvent is an arrival, the start of an attempt or the end of one; all fields but at and class are only of ends.
 type trafficEvent struct {
 	at           Time
 	class        *Class
--- a/policy/vote.go
+++ b/policy/vote.go
@@ -11,7 +11,7 @@
 
 // Results of a vote; their values are stored.
 const (
-	Unsolicited  VoteResult = iota // a status that no vote asked for
+	Unsolicited  VoteResult = iota // a status that is no reply to a vote
 	VoteAccepted                   // the vote stands
 	VoteStale                      // not of the present build or stage
 	VoteRejected                   // too many votes, or an error: it does not count
@@ -107,7 +107,7 @@
 // Odds that the newest build is bad, by which votes are cast.
 const (
 	rollbackOdds       = 8.0  // one good build in so many is rolled back by chance
-	costlyRollbackOdds = 30.0 // where statistics don't tell one failing host from a build, and after a release
+	costlyRollbackOdds = 30.0 // where statistics don't separate one failing host from the build, and after a release
 	minRollbackOdds    = 2.5  // whatever the quorum: less is one host's odds
 	promoteOdds        = 4.0  // a stage is promoted unless in doubt, as what it may expose is limited
 	releaseOdds        = 0.3  // the last stage is promoted when fairly sure
@@ -158,7 +158,7 @@
 		min(maxReleaseTestOdds, 1+releaseTestPerWait*waited) / share
 }
 
-// mayVote tells whether it is this router's turn to vote. Where one vote decides, a few routers vote at a time, by rank and
+// mayVote reports whether it is this router's turn to vote. Where one vote decides, a few routers vote at a time, by rank and
 // time: were all to vote, the one with the oddest luck would decide, and the release controller be flooded.
 func (r *Router) mayVote() bool {
 	const voters, turnLength = 3, 4 * Second // a router that is down, or a vote lost, does no harm
--- a/policy/zone.go
+++ b/policy/zone.go
@@ -2,10 +2,10 @@
 
 import "math"
 
-// Zone is where hosts and routers stand. It is told by its address alone, so it must not be of size zero.
+// Zone is where hosts and routers stand. It is identified by its address, so it must not be of size zero.
 type Zone struct{ _ byte }
 
-// locality tells the router's own zone from all others.
+// locality separates the router's own zone from all others.
 type locality int
 
 const (
@@ -42,14 +42,14 @@
 	return local, remote
 }
 
-// crossesCheaply tells that crossing zones costs less than an uneven split of traffic or hosts over zones does, which a
+// crossesCheaply reports whether crossing zones costs less than an uneven split of traffic or hosts over zones does, which a
 // router with little traffic can't see.
 func (r *Router) crossesCheaply() bool {
 	const cheap = 0.015
 	return r.limits.CrossZonePrice <= cheap
 }
 
-// mergesZones tells whether hosts are drawn whatever their zone: where crossing is cheap and the path to other zones is not
+// mergesZones reports whether hosts are drawn whatever their zone: where crossing is cheap and the path to other zones is not
 // degraded, which it is while far more of the last attempts there failed or were late than of local ones.
 func (r *Router) mergesZones() bool {
 	const minFailures, rateGap = 1.5, 0.3 // decayed attempts; difference of failure rates
@@ -59,7 +59,7 @@
 	remote, local := r.remotePathStats(), r.zones.paths[localZone].decayedTo(r.now)
 	degraded := remote.failures >= minFailures &&
 		remote.failures/remote.attempts >= local.failures/max(1, local.attempts)+rateGap
-	// That failures decay is no sign of recovery: where health checks tell, some attempt must have succeeded.
+	// That failures decay is no sign of recovery: where there are health checks, some attempt must have succeeded.
 	unproven := r.zones.remoteDegraded && r.limits.HealthChecks && remote.attempts-remote.failures < minFailures/2
 	r.zones.remoteDegraded = degraded || unproven
 	return !r.zones.remoteDegraded
