--- /dev/null
+++ b/internal/transport/engine.go
@@ -0,0 +1,143 @@
+package transport
+
+import (
+	"context"
+	"errors"
+	"net"
+	"sync"
+	"syscall"
+	"time"
+)
+
+// acceptPause is how long accepting pauses when the process is out of file descriptors or memory, so that some
+// connections can close.
+const acceptPause = 10 * time.Millisecond
+
+// Engine holds the connections of one router, and the goroutines that serve them.
+type Engine struct {
+	ctx        context.Context // done once the engine is stopped
+	stop       context.CancelFunc
+	goroutines sync.WaitGroup
+
+	mu        sync.Mutex
+	listeners []net.Listener
+	conns     map[*Conn]bool
+}
+
+// Start starts an engine; Stop ends it.
+func Start() *Engine {
+	e := &Engine{conns: map[*Conn]bool{}}
+	e.ctx, e.stop = context.WithCancel(context.Background())
+	return e
+}
+
+// Accept accepts connections of a listener and asks open for the session of each; a nil session closes it.
+func (e *Engine) Accept(l net.Listener, open func(*Conn) Session) {
+	e.mu.Lock()
+	e.listeners = append(e.listeners, l)
+	e.mu.Unlock()
+	e.goroutines.Go(func() {
+		for {
+			conn, err := l.Accept()
+			if err != nil {
+				if isTemporary(err) {
+					time.Sleep(acceptPause)
+					continue
+				}
+				return
+			}
+			if _, err := e.add(conn, open); err != nil {
+				_ = conn.Close()
+			}
+		}
+	})
+}
+
+// isTemporary reports whether accepting may succeed again after an error.
+func isTemporary(err error) bool {
+	for _, errno := range []syscall.Errno{syscall.EMFILE, syscall.ENFILE, syscall.ECONNABORTED, syscall.ENOBUFS,
+		syscall.ENOMEM} {
+		if errors.Is(err, errno) {
+			return true
+		}
+	}
+	return false
+}
+
+// add starts the reader of a connection. The caller closes the connection after an error.
+func (e *Engine) add(conn net.Conn, open func(*Conn) Session) (*Conn, error) {
+	tcp, ok := conn.(*net.TCPConn)
+	if !ok {
+		return nil, errors.New("a TCP connection expected")
+	}
+	raw, err := tcp.SyscallConn()
+	if err != nil {
+		return nil, err
+	}
+	c := &Conn{tcp: tcp, raw: raw}
+	if c.session = open(c); c.session == nil {
+		return nil, net.ErrClosed
+	}
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	if e.ctx.Err() != nil {
+		return nil, net.ErrClosed
+	}
+	e.conns[c] = true
+	e.goroutines.Go(func() {
+		err := c.serve()
+		e.mu.Lock()
+		delete(e.conns, c)
+		e.mu.Unlock()
+		c.session.Closed(err)
+	})
+	return c, nil
+}
+
+// Dial connects in the background and calls done with the connection, whose session is s, or with what went wrong. Once
+// the engine is stopped done is called before Dial returns.
+func (e *Engine) Dial(address string, timeout time.Duration, s Session, done func(*Conn, error)) {
+	e.mu.Lock()
+	if e.ctx.Err() != nil {
+		e.mu.Unlock()
+		done(nil, net.ErrClosed)
+		return
+	}
+	e.goroutines.Go(func() {
+		dialer := net.Dialer{Timeout: timeout}
+		conn, err := dialer.DialContext(e.ctx, "tcp", address)
+		if err != nil {
+			done(nil, err)
+			return
+		}
+		c, err := e.add(conn, func(*Conn) Session { return s })
+		if err != nil {
+			_ = conn.Close()
+		}
+		done(c, err)
+	})
+	e.mu.Unlock()
+}
+
+// CloseListeners closes the listeners; connections go on.
+func (e *Engine) CloseListeners() {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	for _, l := range e.listeners {
+		_ = l.Close()
+	}
+	e.listeners = nil
+}
+
+// Stop closes everything at once, and waits until all sessions have been told and all goroutines have ended. It must not
+// be called from a session.
+func (e *Engine) Stop() {
+	e.stop()
+	e.CloseListeners()
+	e.mu.Lock()
+	for c := range e.conns {
+		c.Close()
+	}
+	e.mu.Unlock()
+	e.goroutines.Wait()
+}
