--- /dev/null
+++ b/internal/eventloop/clock.go
@@ -0,0 +1,29 @@
+package eventloop
+
+import (
+	"time"
+
+	"dapplefront/policy"
+)
+
+// tick is the unit of policy.Time.
+const tick = 100 * time.Microsecond
+
+// clock is a clock that nobody sets.
+type clock struct {
+	start   time.Time   // with a monotonic reading
+	startAt policy.Time // the same moment, since the Unix epoch
+}
+
+func newClock() clock {
+	now := time.Now()
+	return clock{start: now, startAt: policy.Time(now.UnixMicro() / tick.Microseconds())}
+}
+
+func (c *clock) now() policy.Time { return c.startAt + policy.Time(time.Since(c.start)/tick) }
+
+// FromDuration converts a duration to policy.Time, rounded towards zero.
+func FromDuration(d time.Duration) policy.Time { return policy.Time(d / tick) }
+
+// Duration is the reverse of FromDuration.
+func Duration(t policy.Time) time.Duration { return time.Duration(t) * tick }
--- a/internal/eventloop/loop_test.go
+++ b/internal/eventloop/loop_test.go
@@ -43,21 +43,21 @@
 func TestLoop_FiresTimersInOrderUnlessStopped(t *testing.T) {
 	l := New()
 	defer l.Close()
-	rung := make(chan string, 4)
+	fired := make(chan string, 4)
 	l.Do(func() {
-		l.After(300, func() { rung <- "third" })
-		l.After(200, func() { rung <- "second" })
-		l.After(100, func() { rung <- "first" })
-		back := l.After(50, func() { rung <- "taken back" })
-		l.Stop(back)
-		l.Stop(back)
+		l.After(300, func() { fired <- "third" })
+		l.After(200, func() { fired <- "second" })
+		l.After(100, func() { fired <- "first" })
+		stopped := l.After(50, func() { fired <- "stopped" })
+		l.Stop(stopped)
+		l.Stop(stopped)
 	})
 	for _, want := range []string{"first", "second", "third"} {
 		select {
-		case got := <-rung:
+		case got := <-fired:
 			require.Equal(t, want, got)
 		case <-time.After(10 * time.Second):
-			t.Fatal("no alarm")
+			t.Fatal("no timer fired")
 		}
 	}
 }
