--- a/internal/downstream/connection.go
+++ b/internal/downstream/connection.go
@@ -80,14 +80,14 @@
 			return append(work, c.readFailed(err))
 		}
 		switch event {
-		case http1.More:
+		case http1.NeedMore:
 			if c.reader.Idle() {
 				c.requestStartedAt.Store(0)
 			}
 			return work
-		case http1.Head:
+		case http1.HeadRead:
 			c.expectContinue()
-		case http1.Whole:
+		case http1.MessageRead:
 			next := c.requestRead()
 			if next == nil {
 				return work
--- /dev/null
+++ b/internal/http1/body.go
@@ -0,0 +1,190 @@
+package http1
+
+import (
+	"bytes"
+	"net/http"
+	"strconv"
+	"strings"
+)
+
+const (
+	maxChunkLine = 256 // bytes of a chunk's size line: a size and some extension
+	minBodySize  = 512 // bytes that are reserved for a body whose length is not known
+)
+
+// framing is what a head says of where its body ends.
+type framing struct {
+	length  string // of Content-Length
+	lengths int    // how many of these fields there are
+	chunked bool
+	hosts   int // how many Host fields there are
+}
+
+func (m *Message) framing() (f framing, err error) {
+	for _, field := range m.Fields {
+		switch {
+		case sameName(field.Name, "host"):
+			f.hosts++
+		case sameName(field.Name, "content-length"):
+			if f.lengths++; f.lengths > 1 && field.Value != f.length {
+				return f, newError(http.StatusBadRequest, "two different lengths are told")
+			}
+			f.length = field.Value
+		case sameName(field.Name, "transfer-encoding"):
+			if f.chunked || !strings.EqualFold(field.Value, "chunked") {
+				return f, newError(http.StatusNotImplemented, "the transfer coding %q is not served", field.Value)
+			}
+			f.chunked = true
+		}
+	}
+	return f, nil
+}
+
+// startBody finds where the body ends (RFC 9112, 6.3).
+func (r *Reader) startBody() error {
+	m := r.message
+	r.state, r.remaining = messageComplete, 0
+	f, err := m.framing()
+	switch {
+	case err != nil:
+		return err
+	case !r.response && (f.hosts > 1 || f.hosts == 0 && m.Minor > 0):
+		return newError(http.StatusBadRequest, "there must be one Host field")
+	case f.chunked && f.lengths > 0:
+		return newError(http.StatusBadRequest, "both a length and a transfer coding are told")
+	case f.chunked && m.Minor == 0:
+		return newError(http.StatusBadRequest, "HTTP/1.0 has no transfer codings")
+	case r.response && (r.noBody || m.Status < http.StatusOK || m.Status == http.StatusNoContent || m.Status == http.StatusNotModified):
+	case f.chunked:
+		r.state = readingChunkSize
+	case f.lengths > 0:
+		return r.startSizedBody(f.length)
+	case r.response && r.limits.Framed:
+		return newError(http.StatusBadGateway, "the answer tells no length")
+	case r.response:
+		r.state = readingToEnd
+	}
+	return nil
+}
+
+func (r *Reader) startSizedBody(length string) error {
+	n, err := strconv.ParseUint(length, 10, 62)
+	if err != nil || length[0] == '+' {
+		return newError(http.StatusBadRequest, "the length is not a whole number")
+	}
+	if n > uint64(r.limits.Body) {
+		return newError(http.StatusRequestEntityTooLarge, "the body is larger than %d bytes", r.limits.Body)
+	}
+	if r.remaining = int(n); n > 0 {
+		r.state = readingBody
+	}
+	return nil
+}
+
+// readBody reads data of a body or chunk. needMore says that all data was read and more is to come of it.
+func (r *Reader) readBody(data []byte) (used int, needMore bool, err error) {
+	if r.state != readingToEnd {
+		data = data[:min(len(data), r.remaining)]
+	}
+	if err := r.appendBody(data); err != nil {
+		return 0, false, err
+	}
+	r.remaining -= len(data)
+	switch {
+	case r.state == readingToEnd || r.remaining > 0:
+		return len(data), true, nil
+	case r.state == readingBody:
+		r.state = messageComplete
+	default:
+		r.state = readingChunkEnd
+	}
+	return len(data), false, nil
+}
+
+// appendBody adds to the body, within the limit of one body and the budget of all.
+func (r *Reader) appendBody(data []byte) error {
+	m := r.message
+	need := len(m.Body) + len(data)
+	if need > r.limits.Body {
+		return newError(http.StatusRequestEntityTooLarge, "the body is larger than %d bytes", r.limits.Body)
+	}
+	if need > cap(m.Body) {
+		size := max(need, min(2*cap(m.Body), r.limits.Body), minBodySize)
+		if r.state == readingBody { // no more than was announced
+			size = max(need, min(size, len(m.Body)+r.remaining))
+		}
+		if r.budget != nil && !r.budget.Reserve(size-m.reserved) {
+			return newError(http.StatusServiceUnavailable, "too much is held for others just now")
+		}
+		m.reserved, m.budget = size, r.budget
+		m.Body = append(make([]byte, 0, size), m.Body...)
+	}
+	m.Body = append(m.Body, data...)
+	return nil
+}
+
+// readChunkLine reads a line of the chunk framing (RFC 9112, 7.1). needMore says that the line is not complete yet.
+func (r *Reader) readChunkLine(data []byte) (used int, needMore bool, err error) {
+	line, used, err := r.readLine(data)
+	if err != nil || line == nil {
+		return used, true, err
+	}
+	switch r.state {
+	case readingChunkEnd:
+		if len(line) > 0 {
+			return used, false, newError(http.StatusBadRequest, "a chunk is longer than it says")
+		}
+		r.state = readingChunkSize
+	case readingTrailer:
+		if len(line) == 0 {
+			r.state = messageComplete
+		} else if r.remaining += len(line); r.remaining > r.limits.Head {
+			return used, false, newError(http.StatusRequestHeaderFieldsTooLarge, "the trailer is larger than %d bytes", r.limits.Head)
+		}
+	default:
+		err = r.startChunk(line)
+	}
+	return used, false, err
+}
+
+// startChunk reads the size line of a chunk.
+func (r *Reader) startChunk(line []byte) error {
+	digits, _, _ := bytes.Cut(line, []byte(";"))
+	digits = bytes.TrimRight(digits, " \t")
+	for _, c := range digits {
+		if !isHexDigit(c) {
+			return newError(http.StatusBadRequest, "a chunk's size is not a hexadecimal number")
+		}
+	}
+	size, err := strconv.ParseInt(string(digits), 16, 32)
+	if err != nil {
+		return newError(http.StatusBadRequest, "a chunk's size is not a hexadecimal number below 2^31")
+	}
+	if len(r.message.Body)+int(size) > r.limits.Body {
+		return newError(http.StatusRequestEntityTooLarge, "the body is larger than %d bytes", r.limits.Body)
+	}
+	if r.remaining, r.state = int(size), readingChunk; size == 0 {
+		r.state = readingTrailer
+	}
+	return nil
+}
+
+// readLine collects one line of the chunk framing, without its end; nil while it is not complete.
+func (r *Reader) readLine(data []byte) (line []byte, used int, err error) {
+	end := bytes.IndexByte(data, '\n')
+	if used = end + 1; end < 0 {
+		used = len(data)
+	}
+	r.buffer = append(r.buffer, data[:used]...)
+	if len(r.buffer) > maxChunkLine+2 {
+		return nil, used, newError(http.StatusBadRequest, "a line of the chunked body is longer than %d bytes", maxChunkLine)
+	}
+	if end < 0 {
+		return nil, used, nil
+	}
+	line, r.buffer = r.buffer[:len(r.buffer)-1], r.buffer[:0]
+	if len(line) == 0 || line[len(line)-1] != '\r' {
+		return nil, used, newError(http.StatusBadRequest, "a line of the chunked body ends without CR")
+	}
+	return line[:len(line)-1], used, nil
+}
--- a/internal/http1/message.go
+++ b/internal/http1/message.go
@@ -7,24 +7,21 @@
 //	for {
 //		n, event, err := r.Read(data)
 //		data = data[n:]
-//		if err != nil || event == http1.More {
-//			break // err is a *Bad, with the status that fits
+//		if err != nil || event == http1.NeedMore {
+//			break // err is an *Error, with the status that fits
 //		}
-//		if event == http1.Whole {
+//		if event == http1.MessageRead {
 //			m := r.Take()
 //		}
 //	}
 package http1
 
-import (
-	"fmt"
-	"strings"
-)
+import "strings"
 
 // Field is one header line, its name as sent.
 type Field struct{ Name, Value string }
 
-// Message is a request (Method is set) or a response (Status is set), with its body whole.
+// Message is a request (Method is set) or a response (Status is set), with its whole body.
 type Message struct {
 	Method, Target string
 	Status         int
@@ -33,7 +30,7 @@
 	Fields         []Field
 	Body           []byte
 
-	reserved int
+	reserved int // bytes of the budget that the body holds
 	budget   *Budget
 }
 
@@ -46,25 +43,25 @@
 // Lookup is the value of the first field of that name and whether there is one.
 func (m *Message) Lookup(name string) (string, bool) {
 	for i := range m.Fields {
-		if f := &m.Fields[i]; len(f.Name) == len(name) && strings.EqualFold(f.Name, name) {
+		if f := &m.Fields[i]; sameName(f.Name, name) {
 			return f.Value, true
 		}
 	}
 	return "", false
 }
 
-// Closes tells whether the connection ends with this message (RFC 9112, 9.3).
+// Closes reports whether the connection ends with this message (RFC 9112, 9.3).
 func (m *Message) Closes() bool {
 	keep := m.Minor > 0
 	for _, f := range m.Fields {
-		if len(f.Name) != len("connection") || !strings.EqualFold(f.Name, "connection") {
+		if !sameName(f.Name, "connection") {
 			continue
 		}
-		for word := range strings.SplitSeq(f.Value, ",") {
-			switch word = strings.TrimSpace(word); {
-			case strings.EqualFold(word, "close"):
+		for option := range strings.SplitSeq(f.Value, ",") {
+			switch option = strings.TrimSpace(option); {
+			case strings.EqualFold(option, "close"):
 				return true
-			case strings.EqualFold(word, "keep-alive"):
+			case strings.EqualFold(option, "keep-alive"):
 				keep = true
 			}
 		}
@@ -80,18 +77,6 @@
 	m.Body, m.reserved = nil, 0
 }
 
-// Error is a message that can't be taken, and the status that says so.
-type Error struct {
-	Status int
-	Text   string
-}
-
-func (b *Error) Error() string { return fmt.Sprintf("%d: %s", b.Status, b.Text) }
-
-func newError(status int, format string, values ...any) error {
-	return &Error{status, fmt.Sprintf(format, values...)}
-}
-
 // isHopByHop are the fields that concern one connection only (RFC 9110, 7.6.1), beside those that Connection names.
 func isHopByHop(name string) bool {
 	switch len(name) {
@@ -117,16 +102,16 @@
 	return false
 }
 
-// AppendFields appends the fields that travel on: all but those of one connection, and those that leave is true of.
-func (m *Message) AppendFields(to []byte, leave func(name string) bool) []byte {
-	named := ""
+// AppendFields appends the end-to-end fields, but for those that skip is true of; skip may be nil.
+func (m *Message) AppendFields(to []byte, skip func(name string) bool) []byte {
+	connectionOptions := ""
 	for _, f := range m.Fields {
-		if len(f.Name) == len("connection") && strings.EqualFold(f.Name, "connection") {
-			named += "," + f.Value
+		if sameName(f.Name, "connection") {
+			connectionOptions += "," + f.Value
 		}
 	}
 	for _, f := range m.Fields {
-		if isHopByHop(f.Name) || leave != nil && leave(f.Name) || named != "" && inList(named, f.Name) {
+		if isHopByHop(f.Name) || skip != nil && skip(f.Name) || connectionOptions != "" && inList(connectionOptions, f.Name) {
 			continue
 		}
 		to = AppendField(to, f.Name, f.Value)
@@ -134,15 +119,19 @@
 	return to
 }
 
+// inList reports whether a name stands in a list that is separated by commas.
 func inList(list, name string) bool {
-	for word := range strings.SplitSeq(list, ",") {
-		if strings.EqualFold(strings.TrimSpace(word), name) {
+	for item := range strings.SplitSeq(list, ",") {
+		if strings.EqualFold(strings.TrimSpace(item), name) {
 			return true
 		}
 	}
 	return false
 }
 
+// sameName reports whether two field names are the same, in any case.
+func sameName(a, b string) bool { return len(a) == len(b) && strings.EqualFold(a, b) }
+
 // AppendField appends one header line.
 func AppendField(to []byte, name, value string) []byte {
 	to = append(to, name...)
--- a/internal/http1/reader_test.go
+++ b/internal/http1/reader_test.go
@@ -3,7 +3,6 @@
 import (
 	"bufio"
 	"bytes"
-	"errors"
 	"io"
 	"net/http"
 	"strings"
@@ -15,7 +14,7 @@
 
 var testLimits = Limits{Head: 1024, Body: 4096}
 
-// readAll feeds data in pieces of a size and returns the messages, and what was wrong.
+// readAll reads data in pieces of a size and returns the messages, and the error that ended them.
 func readAll(r *Reader, data []byte, piece int) (all []*Message, err error) {
 	for len(data) > 0 {
 		part := data[:min(piece, len(data))]
@@ -26,10 +25,10 @@
 			if err != nil {
 				return all, err
 			}
-			if event == More {
+			if event == NeedMore {
 				break
 			}
-			if event == Whole {
+			if event == MessageRead {
 				all = append(all, r.Take())
 			}
 		}
@@ -76,20 +75,20 @@
 	require.Equal(t, "to the end", string(r.Take().Body))
 	m, r = read("HTTP/1.1 200 OK\r\nContent-Length: 20\r\n\r\nnot to the end", false)
 	require.Nil(t, m)
-	require.False(t, r.Ended(), "a cut answer is no answer")
+	require.False(t, r.Ended(), "a response whose connection is lost is none")
 }
 
 func TestReader_ReservesAndReleasesBudget(t *testing.T) {
 	b := NewBudget(6000)
-	ask := "POST / HTTP/1.1\r\nHost: h\r\nContent-Length: 4000\r\n\r\n" + strings.Repeat("x", 4000)
-	one, err := readAll(NewReader(testLimits, b, false), []byte(ask), 100)
+	request := "POST / HTTP/1.1\r\nHost: h\r\nContent-Length: 4000\r\n\r\n" + strings.Repeat("x", 4000)
+	one, err := readAll(NewReader(testLimits, b, false), []byte(request), 100)
 	require.NoError(t, err)
 	require.Len(t, one, 1)
 	r := NewReader(testLimits, b, false)
-	_, err = readAll(r, []byte(ask), 100)
-	var wrong *Error
-	require.True(t, errors.As(err, &wrong))
-	require.Equal(t, 503, wrong.Status)
+	_, err = readAll(r, []byte(request), 100)
+	var refusal *Error
+	require.ErrorAs(t, err, &refusal)
+	require.Equal(t, 503, refusal.Status)
 	r.Drop()
 	one[0].Drop()
 	require.Zero(t, b.Used())
@@ -103,11 +102,11 @@
 	require.True(t, all[0].Closes())
 }
 
-// What net/http writes, this reads alike, in any pieces.
+// What net/http writes is read the same, in any pieces.
 func TestReader_ReadsRequestsOfNetHTTP(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		body := rapid.SliceOfN(rapid.Byte(), 0, 2000).Draw(t, "body")
-		req, err := http.NewRequest("POST", "http://h/"+rapid.StringMatching(`[a-z0-9/]{0,20}`).Draw(t, "path"), bytes.NewReader(body))
+		req, err := http.NewRequest(http.MethodPost, "http://h/"+rapid.StringMatching(`[a-z0-9/]{0,20}`).Draw(t, "path"), bytes.NewReader(body))
 		if err != nil {
 			t.Skip()
 		}
@@ -128,8 +127,8 @@
 	})
 }
 
-// FuzzReader: nothing makes the reader panic or hold more than its bounds, and how bytes are cut makes no difference;
-// a request that it takes, net/http takes too, with the same body.
+// FuzzReader checks that nothing makes the reader panic or hold more than its limits, that it makes no difference in
+// which pieces bytes arrive, and that net/http reads the same body of a request that both accept.
 func FuzzReader(f *testing.F) {
 	for _, s := range []string{"GET / HTTP/1.1\r\nHost: h\r\n\r\n", "POST /x HTTP/1.1\r\nHost: h\r\nContent-Length: 3\r\n\r\nabc",
 		"POST /x HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n0\r\n\r\n",
@@ -153,7 +152,7 @@
 		}
 		got, err := http.ReadRequest(bufio.NewReader(bytes.NewReader(bytes.TrimLeft(data, "\r\n"))))
 		if err != nil {
-			return // stricter than this, as with odd Host values
+			return // stricter than the reader, as with odd Host values
 		}
 		body, err := io.ReadAll(got.Body)
 		if err == nil && !bytes.Equal(body, whole[0].Body) {
--- a/internal/upstream/connection.go
+++ b/internal/upstream/connection.go
@@ -132,10 +132,10 @@
 			c.reader.Drop()
 			return func() { c.readFailed(err) }
 		}
-		if event == http1.More {
+		if event == http1.NeedMore {
 			return nil
 		}
-		if event != http1.Whole {
+		if event != http1.MessageRead {
 			continue
 		}
 		m := c.reader.Take()
