--- /dev/null
+++ b/internal/proxy/shutdown_test.go
@@ -0,0 +1,39 @@
+package proxy
+
+import (
+	"net"
+	"testing"
+	"time"
+
+	"github.com/stretchr/testify/require"
+)
+
+func TestProxy_DrainRespondsToRequestsInFlightAndAcceptsNoMore(t *testing.T) {
+	h := startHost(t, 1, 1, func(x exchange) bool { time.Sleep(200 * time.Millisecond); return respondOK(x) })
+	r := newTestbench(t, h)
+	c, idle := r.dial(), r.dial()
+	c.post("/quote", "")
+	r.eventually(func() bool { return h.requests.Load() == 1 })
+	done := make(chan int)
+	go func() { done <- r.router.Drain(5*time.Second, nil) }()
+	_, outcome, _ := c.response()
+	require.Equal(t, "finished", outcome)
+	c.requireClosed()
+	idle.requireClosed()
+	require.Zero(t, <-done)
+	r.router = nil
+	_, err := net.Dial("tcp", r.hosts[0].listener.Addr().String())
+	require.NoError(t, err)
+}
+
+func TestProxy_DrainCountsRequestsLeftWhenAborted(t *testing.T) {
+	h := startHost(t, 1, 1, func(x exchange) bool { time.Sleep(3 * time.Second); return false })
+	r := newTestbench(t, h)
+	c := r.dial()
+	c.post("/quote", "")
+	r.eventually(func() bool { return h.requests.Load() >= 1 })
+	cut := make(chan struct{})
+	close(cut)
+	require.Equal(t, 1, r.router.Drain(5*time.Second, cut))
+	r.router = nil
+}
