--- a/internal/inifile/file_test.go
+++ b/internal/inifile/file_test.go
@@ -9,7 +9,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-func TestEveryMistakeIsToldWithItsLine(t *testing.T) {
+func TestAllMistakesAreReportedWithTheirLines(t *testing.T) {
 	s := Parse("f.ini", `
 [a]
 span = 5
@@ -61,7 +61,7 @@
 	require.NoError(t, s.Done())
 }
 
-func TestAFileThatIsNotThere(t *testing.T) {
+func TestMissingFileIsAMistake(t *testing.T) {
 	s := Read(filepath.Join(t.TempDir(), "none.ini"))
 	s.Section("a").Text("b", "!")
 	require.ErrorIs(t, func() error { _, err := os.Stat("none"); return err }(), os.ErrNotExist)
