--- a/internal/gossip/socket.go
+++ b/internal/gossip/socket.go
@@ -1,5 +1,5 @@
-// Package gossip carries short messages between routers: one UDP datagram each, to and from listed addresses only. A
-// datagram may be lost, late or doubled; whoever hears it must make nothing of that.
+// Package gossip carries short messages between routers, each as one UDP datagram, to and from configured addresses only.
+// A datagram may be lost, late or duplicated; receivers must tolerate that.
 package gossip
 
 import (
@@ -16,31 +16,32 @@
 // Everyone stands for all other routers.
 const Everyone = policy.Broadcast
 
-// Config is what a router is told of its peers.
+// Config is what a router knows of its peers.
 type Config struct {
-	Rank      int
-	MaxBytes  int      // bytes of a message
+	Rank      int      // of this router
+	MaxBytes  int      // of a message
 	Addresses []string // of all routers, by rank
 }
 
-// Socket is one router's end.
+// Socket is one router's socket. It is safe for concurrent use.
 type Socket struct {
 	config    Config
 	conn      *net.UDPConn
-	addresses []netip.AddrPort
-	dropped   atomic.Uint64 // from strangers, or too long
-	done      chan struct{}
+	addresses []netip.AddrPort // by rank
+	dropped   atomic.Uint64
+	done      chan struct{} // closed when receive has returned
 }
 
-// Open listens at the own address and hands each message from a listed router to hear, with its rank.
-func Open(c Config, hear func(rank int, body string)) (*Socket, error) {
+// Open listens at the router's own address and hands each message of a configured router to handle, with the sender's
+// rank, one at a time.
+func Open(c Config, handle func(rank int, body string)) (*Socket, error) {
 	s := &Socket{config: c, done: make(chan struct{})}
-	for _, a := range c.Addresses {
-		at, err := netip.ParseAddrPort(a)
+	for _, text := range c.Addresses {
+		address, err := netip.ParseAddrPort(text)
 		if err != nil {
-			return nil, fmt.Errorf("peers: address %q: a numeric IP address and a port expected", a)
+			return nil, fmt.Errorf("peers: address %q: a numeric IP address and a port expected", text)
 		}
-		s.addresses = append(s.addresses, at)
+		s.addresses = append(s.addresses, address)
 	}
 	if c.Rank < 0 || c.Rank >= len(s.addresses) {
 		return nil, fmt.Errorf("peers: no address for rank %d", c.Rank)
@@ -49,15 +50,16 @@
 	if s.conn, err = net.ListenUDP("udp", net.UDPAddrFromAddrPort(s.addresses[c.Rank])); err != nil {
 		return nil, fmt.Errorf("peers: %w", err)
 	}
-	go s.listen(hear)
+	go s.receive(handle)
 	return s, nil
 }
 
-func (s *Socket) listen(hear func(rank int, body string)) {
+// receive handles messages until the socket is closed.
+func (s *Socket) receive(handle func(rank int, body string)) {
 	defer close(s.done)
-	b := make([]byte, s.config.MaxBytes+1)
+	buffer := make([]byte, s.config.MaxBytes+1) // one byte more, to notice a message that is too long
 	for {
-		n, from, err := s.conn.ReadFromUDPAddrPort(b)
+		n, from, err := s.conn.ReadFromUDPAddrPort(buffer)
 		if errors.Is(err, net.ErrClosed) {
 			return
 		}
@@ -66,27 +68,27 @@
 			s.dropped.Add(1)
 			continue
 		}
-		hear(rank, string(b[:n]))
+		handle(rank, string(buffer[:n]))
 	}
 }
 
-// Send sends a message to one router or to all others. What can't be sent is lost, as on the way.
+// Send sends a message to one router, or to all others for Everyone. A message that is too long or can't be sent is lost.
 func (s *Socket) Send(rank int, body string) {
 	if len(body) > s.config.MaxBytes {
 		return
 	}
-	for i, at := range s.addresses {
+	for i, address := range s.addresses {
 		if i != s.config.Rank && (rank == Everyone || rank == i) {
-			_, _ = s.conn.WriteToUDPAddrPort([]byte(body), at)
+			_, _ = s.conn.WriteToUDPAddrPort([]byte(body), address) // as a datagram lost on the way
 		}
 	}
 }
 
-// Dropped is how many messages came from strangers or were too long.
+// Dropped is the number of messages that came from unknown addresses, were too long or could not be received.
 func (s *Socket) Dropped() uint64 { return s.dropped.Load() }
 
-// Close ends it; nothing is heard after.
+// Close closes the socket and waits until no message is handled any more.
 func (s *Socket) Close() {
-	_ = s.conn.Close()
+	_ = s.conn.Close() // fails only if it is closed already
 	<-s.done
 }
--- a/internal/gossip/socket_test.go
+++ b/internal/gossip/socket_test.go
@@ -10,17 +10,18 @@
 )
 
 func freeAddress(t *testing.T) string {
+	t.Helper()
 	c, err := net.ListenPacket("udp", "127.0.0.1:0")
 	require.NoError(t, err)
-	defer c.Close()
+	defer func() { _ = c.Close() }()
 	return c.LocalAddr().String()
 }
 
-func TestListedRoutersAreHeardAndStrangersAndLongMessagesDropped(t *testing.T) {
+func TestSocketDropsMessagesFromUnknownAddressesAndLongOnes(t *testing.T) {
 	addresses := []string{freeAddress(t), freeAddress(t), freeAddress(t)}
-	heard := make(chan string, 10)
+	received := make(chan string, 10)
 	a, err := Open(Config{Rank: 0, MaxBytes: 16, Addresses: addresses}, func(rank int, body string) {
-		heard <- string(rune('0'+rank)) + body
+		received <- string(rune('0'+rank)) + body
 	})
 	require.NoError(t, err)
 	defer a.Close()
@@ -28,21 +29,21 @@
 	require.NoError(t, err)
 	defer b.Close()
 
-	stranger, err := net.Dial("udp", addresses[0])
+	unknown, err := net.Dial("udp", addresses[0])
 	require.NoError(t, err)
-	defer stranger.Close()
-	_, err = stranger.Write([]byte("stranger"))
+	defer func() { _ = unknown.Close() }()
+	_, err = unknown.Write([]byte("stranger"))
 	require.NoError(t, err)
 	b.Send(0, strings.Repeat("x", 17))
 	require.Eventually(t, func() bool { return a.Dropped() == 2 }, 10*time.Second, time.Millisecond)
 	b.Send(Everyone, "word")
-	require.Equal(t, "1word", <-heard)
-	b.Send(2, "no one listens there")
+	require.Equal(t, "1word", <-received)
+	b.Send(2, "nobody listens there")
 	b.Send(0, "more")
-	require.Equal(t, "1more", <-heard)
+	require.Equal(t, "1more", <-received)
 }
 
-func TestAddressesAreChecked(t *testing.T) {
+func TestInvalidAddressesAreRejected(t *testing.T) {
 	_, err := Open(Config{Rank: 0, MaxBytes: 16, Addresses: []string{"here:1"}}, nil)
 	require.ErrorContains(t, err, `"here:1"`)
 	_, err = Open(Config{Rank: 3, MaxBytes: 16, Addresses: []string{"127.0.0.1:1"}}, nil)
