--- a/internal/simadapter/adapter.go
+++ b/internal/simadapter/adapter.go
@@ -1,5 +1,5 @@
-// Package simadapter is the simulator's door to the router library: lines of its wire become events, and actions become
-// lines; microseconds become tenths of a millisecond. It decides nothing.
+// Package simadapter connects the router library to the simulator: events of the simulator's wire become the router's
+// events, and the router's actions become lines of the wire. It takes no decisions.
 package simadapter
 
 import (
@@ -14,12 +14,10 @@
 	"dapplefront/router"
 )
 
-const tenth = 100 // microseconds
-
-// Run answers batches until input ends.
+// Run answers batches from in on out until input ends between two batches. An error of the input names its line.
 func Run(in io.Reader, out io.Writer) error {
 	r, w := simwire.NewReader(in), simwire.NewWriter(out)
-	seats := map[int]*instance{}
+	instances := map[int]*instance{}
 	for {
 		b, err := r.Batch()
 		if errors.Is(err, io.EOF) {
@@ -28,17 +26,8 @@
 		if err != nil {
 			return err
 		}
-		for _, e := range b.Events {
-			s := seats[e.Instance]
-			if l, ok := e.Body.(simwire.Launch); ok {
-				seats[e.Instance] = launch(e.Instance, w, platformsettings.FromMicroseconds(b.Now), l)
-			} else if _, ok := e.Body.(simwire.Kill); ok {
-				delete(seats, e.Instance)
-			} else if s != nil {
-				if err := s.handle(platformsettings.FromMicroseconds(b.Now), e.Body); err != nil {
-					return fmt.Errorf("batch %d: %w", b.Number, err)
-				}
-			}
+		if err := handleBatch(instances, w, b); err != nil {
+			return fmt.Errorf("batch %d: %w", b.Number, err)
 		}
 		if err := w.End(b.Number); err != nil {
 			return err
@@ -46,122 +35,80 @@
 	}
 }
 
-// instance is where one instance sits: its router, and what it was told at start of reports and counts.
+// handleBatch hands the events of a batch to their instances. Events of an instance that is not running are dropped.
+func handleBatch(instances map[int]*instance, out *simwire.Writer, b simwire.Batch) error {
+	now := platformsettings.FromMicroseconds(b.Now)
+	for _, e := range b.Events {
+		switch body := e.Body.(type) {
+		case simwire.Launch:
+			instances[e.Instance] = launch(e.Instance, out, now, body)
+		case simwire.Kill:
+			delete(instances, e.Instance)
+		default:
+			i := instances[e.Instance]
+			if i == nil {
+				continue
+			}
+			if err := i.handle(now, body); err != nil {
+				return err
+			}
+		}
+	}
+	return nil
+}
+
+// instance is a running router, with the settings that its events are read by.
 type instance struct {
 	id           int
 	out          *simwire.Writer
 	router       *router.Router
-	actions      []router.Action
+	actions      []router.Action // of the last event; its memory is used again
 	reportFields platformsettings.ReportFields
-	statsWindow  policy.Time // the span of the desk's counts
+	statsWindow  policy.Time // the time that statistics cover
 }
 
 func launch(id int, out *simwire.Writer, now policy.Time, l simwire.Launch) *instance {
-	s := &instance{id: id, out: out}
-	t := platformsettings.Read(l.Params, l.Prng)
-	s.reportFields, s.statsWindow = t.Report, t.StatsWindow
-	s.router, s.actions = router.New(now, t.Router)
-	s.flushActions()
-	return s
+	s := platformsettings.Read(l.Params, l.Prng)
+	i := &instance{id: id, out: out, reportFields: s.Report, statsWindow: s.StatsWindow}
+	i.router, i.actions = router.New(now, s.Router)
+	i.printActions()
+	return i
 }
 
-// handle passes an event on and prints what follows.
-func (s *instance) handle(now policy.Time, body any) error {
-	e := s.routerEvent(body)
+// handle hands an event to the router and prints the actions that follow.
+func (i *instance) handle(now policy.Time, body any) error {
+	e := i.routerEvent(body)
 	if e == nil {
 		return nil
 	}
 	var err error
-	s.actions, err = s.router.Handle(now, e, s.actions[:0])
-	s.flushActions()
+	i.actions, err = i.router.Handle(now, e, i.actions[:0])
+	i.printActions()
 	return err
 }
 
-// routerEvent is the router's word for an event of the wire; nil where it has none.
-func (s *instance) routerEvent(body any) router.Event {
-	switch e := body.(type) {
-	case simwire.View:
-		if e.How == "X" {
-			return router.EndpointsUnavailable{}
-		}
-		return router.EndpointsChanged{Complete: e.How != "D", Hosts: hosts(e.Entries)}
-	case simwire.Incoming:
-		t := router.RequestArrived{RequestID: e.Ticket, Class: e.Qos, Tenant: e.Owner, Key: e.Resource,
-			Timeout: platformsettings.FromMicroseconds(e.PatienceLeftUs), ClientRetry: e.Marks&2 != 0}
-		if e.Marks&1 != 0 {
-			t.ExpectedWork = platformsettings.FromMicroseconds(e.WorkHintUs)
-		}
-		return t
-	case simwire.Ended:
-		return router.AttemptEnded{RequestID: e.Ticket, Attempt: e.N, Outcome: outcomes[e.Code], Latency: platformsettings.FromMicroseconds(e.RttUs), Done: e.Done,
-			Load: s.reportFields.FromValues(e.Metrics)}
-	case simwire.TimedOutClient:
-		return router.ClientGone{RequestID: e.Ticket}
-	case simwire.AckFirst:
-		return router.ResponseStarted{RequestID: e.Ticket, Attempt: e.N}
-	case simwire.Due:
-		return router.TimerFired{Timer: e.Mark}
-	case simwire.PhaseTold:
-		n := policy.ReleaseStatus{Build: e.Image, Stage: e.Tranche, Phase: policy.Phase(e.Standing), ExposureCap: e.Allowed,
-			Age: platformsettings.FromMicroseconds(e.AgeUs)}
-		if e.Asked {
-			n.VoteResult = voteResults[e.Code]
-		}
-		return router.ReleaseChanged{Status: n}
-	case simwire.CountsByBuild:
-		return router.StatsReported{Build: e.Image, Class: e.Qos, Failures: e.Bad, Samples: e.Samples, MeanLatency: platformsettings.FromMicroseconds(e.RttUs),
-			Age: platformsettings.FromMicroseconds(e.AgeUs), Window: s.statsWindow}
-	case simwire.FromPeer:
-		return router.GossipReceived{Peer: e.Author, Body: string(e.Body)}
-	case simwire.HealthResult:
-		return router.HealthChecked{Host: e.Host, Outcome: outcomes[e.Code], Latency: platformsettings.FromMicroseconds(e.RttUs), Load: s.reportFields.FromValues(e.Metrics)}
-	case simwire.BadAnswer:
-		return router.ComplaintReceived{Host: e.Host, Class: e.Qos, Age: platformsettings.FromMicroseconds(e.AgeUs)}
-	}
-	return nil
-}
-
-var outcomes = map[string]policy.Outcome{"served": policy.Succeeded, "server_error": policy.Failed,
-	"turned_away": policy.Rejected, "no_answer": policy.TimedOut, "no_connection": policy.ConnectFailed,
-	"connection_lost": policy.ConnectionLost, "called_off": policy.Canceled, "not_sent": policy.NotSent}
-
-var voteResults = map[string]policy.VoteResult{"served": policy.VoteAccepted, "not_sent": policy.VoteStale,
-	"turned_away": policy.VoteRejected, "server_error": policy.VoteRejected, "no_answer": policy.VoteUnknown}
-
-var endpointStates = map[string]policy.EndpointState{"in_service": policy.Serving, "terminating": policy.Draining,
-	"terminated": policy.Removed}
-
-func hosts(entries []simwire.Entry) []router.Host {
-	out := make([]router.Host, 0, len(entries))
-	for _, e := range entries {
-		out = append(out, router.Host{ID: e.Host, Zone: e.Site, Cell: int(e.Cell), State: endpointStates[e.Mode],
-			Build: e.Release, Weight: e.PowerHint, StartedAt: platformsettings.FromMicroseconds(e.UpSinceUs)})
-	}
-	return out
-}
-
-// flushActions prints what the router wants done.
-func (s *instance) flushActions() {
-	for _, a := range s.actions {
+// printActions prints the router's actions as lines of the wire, by "Requests" in the operators' page.
+func (i *instance) printActions() {
+	for _, a := range i.actions {
 		switch a.Kind {
 		case router.SendAttempt:
-			s.out.Act(s.id, "TRY", a.RequestID, a.Host, int64(a.Duration)*tenth)
+			i.out.Act(i.id, "TRY", a.RequestID, a.Host, platformsettings.ToMicroseconds(a.Duration))
 		case router.Reject:
-			s.out.Act(s.id, "DECLINE", a.RequestID, int64(a.Duration)*tenth)
+			i.out.Act(i.id, "DECLINE", a.RequestID, platformsettings.ToMicroseconds(a.Duration))
 		case router.Fail:
-			s.out.Act(s.id, "FINISH_ERROR", a.RequestID)
+			i.out.Act(i.id, "FINISH_ERROR", a.RequestID)
 		case router.SetTimer:
-			s.out.Act(s.id, "SET_ALARM", int64(a.Duration)*tenth, a.Timer)
+			i.out.Act(i.id, "SET_ALARM", platformsettings.ToMicroseconds(a.Duration), a.Timer)
 		case router.WatchEndpoints:
-			s.out.Act(s.id, "STREAM_CHANGES", 1)
+			i.out.Act(i.id, "STREAM_CHANGES", 1)
 		case router.CastVote:
-			s.out.Act(s.id, "JUDGE", a.Build, a.Stage, int(a.Choice))
+			i.out.Act(i.id, "JUDGE", a.Build, a.Stage, int(a.Choice))
 		case router.SendGossip:
-			s.out.Act(s.id, "PUBLISH", a.Peer, base64.StdEncoding.EncodeToString([]byte(a.Body)))
+			i.out.Act(i.id, "PUBLISH", a.Peer, base64.StdEncoding.EncodeToString([]byte(a.Body)))
 		case router.CheckHealth:
-			s.out.Act(s.id, "PING", a.Host)
+			i.out.Act(i.id, "PING", a.Host)
 		case router.Log:
-			s.out.Act(s.id, "LOG", a.Text)
+			i.out.Act(i.id, "LOG", a.Text)
 		}
 	}
 }
