--- a/internal/atomicfile/atomicfile.go
+++ b/internal/atomicfile/atomicfile.go
@@ -1,4 +1,4 @@
-// Package atomicfile writes files whole or not at all: under a temporary name beside the place, synced, then renamed.
+// Package atomicfile writes files whole or not at all: under a temporary name in the same directory, synced, then renamed.
 package atomicfile
 
 import (
@@ -6,27 +6,36 @@
 	"path/filepath"
 )
 
-// Write puts raw in the place of file, with a mode. After an error the file is as it was.
-func Write(file string, raw []byte, mode os.FileMode) error {
-	tmp, err := os.CreateTemp(filepath.Dir(file), filepath.Base(file)+".*")
-	if err != nil {
-		return err
-	}
-	_, err = tmp.Write(raw)
+// Write replaces the content of file and sets its mode. After an error the file is unchanged. A crash of the machine may
+// leave the former content, never a part of the new one.
+func Write(file string, content []byte, mode os.FileMode) error {
+	temporary, err := writeTemporary(file, content, mode)
 	if err == nil {
-		err = tmp.Chmod(mode)
+		err = os.Rename(temporary, file)
 	}
-	if err == nil {
-		err = tmp.Sync()
+	if err != nil && temporary != "" {
+		_ = os.Remove(temporary) // the first error counts
 	}
-	if err2 := tmp.Close(); err == nil {
-		err = err2
+	return err
+}
+
+// writeTemporary writes a file beside the given one and syncs it. It returns the name of what it created, after an error
+// too.
+func writeTemporary(file string, content []byte, mode os.FileMode) (name string, err error) {
+	f, err := os.CreateTemp(filepath.Dir(file), filepath.Base(file)+".*")
+	if err != nil {
+		return "", err
 	}
-	if err == nil {
-		err = os.Rename(tmp.Name(), file)
+	defer func() {
+		if closeErr := f.Close(); err == nil {
+			err = closeErr
+		}
+	}()
+	if _, err := f.Write(content); err != nil {
+		return f.Name(), err
 	}
-	if err != nil {
-		_ = os.Remove(tmp.Name())
+	if err := f.Chmod(mode); err != nil {
+		return f.Name(), err
 	}
-	return err
+	return f.Name(), f.Sync()
 }
--- a/internal/certs/reload.go
+++ b/internal/certs/reload.go
@@ -1,5 +1,5 @@
-// Package certs holds a program's certificate, its key and the authority that others' certificates must come from, and
-// reads them anew when their files change: connections that stand go on, new ones have the new certificate.
+// Package certs serves a program's certificate, its key and the authority that signs its peers' certificates, for mutual
+// TLS. It reads the files again when they change: open connections go on, new ones use the new certificate.
 package certs
 
 import (
@@ -12,23 +12,24 @@
 	"time"
 )
 
-// Files are where the PEM files are.
+// Files are the names of the PEM files.
 type Files struct{ Certificate, Key, Authority string }
 
-// Ring is what was read from them last. It is safe for concurrent use.
+// Ring is the certificates as last read from the files. It is safe for concurrent use.
 type Ring struct {
-	files       Files
+	files Files
+
 	mu          sync.Mutex
-	modified    [3]time.Time
-	checkedAt   time.Time
+	modified    [3]time.Time // of the files, when they were last read well
+	checkedAt   time.Time    // when the files were last looked at
 	certificate *tls.Certificate
 	roots       *x509.CertPool
 }
 
-// minCheckInterval is how often files are looked at, at most: far below the time in which anyone replaces them.
+// minCheckInterval is the time between two looks at the files, at least: far below the time between two renewals.
 const minCheckInterval = 200 * time.Millisecond
 
-// Open reads the files; an error names the one that makes no sense.
+// Open reads the files; an error names the file that is missing or invalid.
 func Open(f Files) (*Ring, error) {
 	r := &Ring{files: f}
 	if err := r.load(); err != nil {
@@ -38,7 +39,7 @@
 }
 
 func (r *Ring) load() error {
-	own, err := tls.LoadX509KeyPair(r.files.Certificate, r.files.Key)
+	certificate, err := tls.LoadX509KeyPair(r.files.Certificate, r.files.Key)
 	if err != nil {
 		return fmt.Errorf("certificate %s with key %s: %w", r.files.Certificate, r.files.Key, err)
 	}
@@ -50,11 +51,12 @@
 	if !roots.AppendCertsFromPEM(text) {
 		return fmt.Errorf("authority %s: no certificate in it", r.files.Authority)
 	}
-	r.certificate, r.roots = &own, roots
+	r.certificate, r.roots = &certificate, roots
 	return nil
 }
 
-// current are the present ones. Files that can't be read while they are being replaced leave the last good ones in use.
+// current returns the certificate and the authority in use. Files that can't be read, as while they are being replaced,
+// leave the last valid ones in use; they are read again at the next look.
 func (r *Ring) current() (*tls.Certificate, *x509.CertPool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -62,47 +64,62 @@
 		return r.certificate, r.roots
 	}
 	r.checkedAt = time.Now()
-	var seen [3]time.Time
-	for i, f := range []string{r.files.Certificate, r.files.Key, r.files.Authority} {
-		if s, err := os.Stat(f); err == nil {
-			seen[i] = s.ModTime()
-		}
+	if modified := r.files.modified(); modified != r.modified && r.load() == nil {
+		r.modified = modified
 	}
-	if seen != r.modified {
-		if r.load() == nil {
-			r.modified = seen
+	return r.certificate, r.roots
+}
+
+// modified returns when each file was last modified; the zero time for one that is missing.
+func (f Files) modified() (times [3]time.Time) {
+	for i, name := range []string{f.Certificate, f.Key, f.Authority} {
+		if info, err := os.Stat(name); err == nil {
+			times[i] = info.ModTime()
 		}
 	}
-	return r.certificate, r.roots
+	return times
 }
 
-// Server is the settings of a server that asks everyone for a certificate.
+// Server is the configuration of a server that requires a certificate of the authority from each client. Each handshake
+// uses the current files.
 func (r *Ring) Server() *tls.Config {
-	own, roots := r.current()
-	base := &tls.Config{MinVersion: tls.VersionTLS13, ClientAuth: tls.RequireAndVerifyClientCert, Certificates: []tls.Certificate{*own}, ClientCAs: roots}
+	base := r.serverConfig()
 	base.GetConfigForClient = func(*tls.ClientHelloInfo) (*tls.Config, error) {
-		own, roots := r.current()
-		return &tls.Config{MinVersion: tls.VersionTLS13, ClientAuth: tls.RequireAndVerifyClientCert, Certificates: []tls.Certificate{*own},
-			ClientCAs: roots, NextProtos: base.NextProtos}, nil
+		c := r.serverConfig()
+		c.NextProtos = base.NextProtos // which an HTTP server sets on base
+		return c, nil
 	}
 	return base
 }
 
-// Client is the settings of a client. Servers must have a certificate of the authority for the name they are reached by.
+func (r *Ring) serverConfig() *tls.Config {
+	certificate, roots := r.current()
+	return &tls.Config{MinVersion: tls.VersionTLS13, ClientAuth: tls.RequireAndVerifyClientCert,
+		Certificates: []tls.Certificate{*certificate}, ClientCAs: roots}
+}
+
+// Client is the configuration of a client. A server must have a certificate of the authority for the name that it is
+// reached by. Each handshake uses the current files.
 func (r *Ring) Client() *tls.Config {
 	return &tls.Config{MinVersion: tls.VersionTLS13,
-		GetClientCertificate: func(*tls.CertificateRequestInfo) (*tls.Certificate, error) { own, _ := r.current(); return own, nil },
-		InsecureSkipVerify:   true, // VerifyConnection does it, with roots that may change
-		VerifyConnection: func(s tls.ConnectionState) error {
-			if len(s.PeerCertificates) == 0 {
-				return errors.New("the server shows no certificate")
-			}
-			_, roots := r.current()
-			more := x509.NewCertPool()
-			for _, c := range s.PeerCertificates[1:] {
-				more.AddCert(c)
-			}
-			_, err := s.PeerCertificates[0].Verify(x509.VerifyOptions{Roots: roots, Intermediates: more, DNSName: s.ServerName})
-			return err
-		}}
+		GetClientCertificate: func(*tls.CertificateRequestInfo) (*tls.Certificate, error) {
+			certificate, _ := r.current()
+			return certificate, nil
+		},
+		InsecureSkipVerify: true, // verifyServer does it, as the authority may change
+		VerifyConnection:   r.verifyServer}
+}
+
+// verifyServer checks a server's certificate against the current authority.
+func (r *Ring) verifyServer(s tls.ConnectionState) error {
+	if len(s.PeerCertificates) == 0 {
+		return errors.New("the server shows no certificate")
+	}
+	_, roots := r.current()
+	intermediates := x509.NewCertPool()
+	for _, c := range s.PeerCertificates[1:] {
+		intermediates.AddCert(c)
+	}
+	_, err := s.PeerCertificates[0].Verify(x509.VerifyOptions{Roots: roots, Intermediates: intermediates, DNSName: s.ServerName})
+	return err
 }
--- a/internal/orca/orca.go
+++ b/internal/orca/orca.go
@@ -1,6 +1,6 @@
-// Package orca reads load reports in the form of the open request cost aggregation (ORCA): the response header
-// endpoint-load-metrics in its three forms, TEXT, JSON and BIN, and endpoint-load-metrics-bin. The message is
-// xds.data.orca.v3.OrcaLoadReport of the cncf/xds repository.
+// Package orca reads load reports of Open Request Cost Aggregation (ORCA): the response header endpoint-load-metrics in
+// its three forms, TEXT, JSON and BIN, and endpoint-load-metrics-bin. The message is xds.data.orca.v3.OrcaLoadReport of
+// the cncf/xds repository.
 package orca
 
 import (
@@ -17,19 +17,25 @@
 	"dapplefront/policy"
 )
 
-// Names of the header, and of the named metrics that carry what the report has no field of its own for.
+// Names of the headers.
 const (
 	Header    = "Endpoint-Load-Metrics"
 	BinHeader = "Endpoint-Load-Metrics-Bin"
+)
 
-	Active  = "active"     // tasks in hand
-	Waiting = "waiting"    // tasks in the queue
-	Service = "service_ms" // recent time of a task without waiting, in milliseconds
+// Named metrics for what the report has no field of its own for.
+const (
+	Active  = "active"     // requests in progress
+	Waiting = "waiting"    // requests in the queue
+	Service = "service_ms" // recent mean time of a request without queueing, in milliseconds
 )
 
-const maxReportBytes = 4096 // bytes of a report: a few dozen named metrics
+const (
+	maxReportBytes      = 4096 // a few dozen named metrics
+	ticksPerMillisecond = 10   // of policy.Time
+)
 
-// Parse reads the value of the header Header. An error says which part is wrong; nothing of such a report counts.
+// Parse reads the value of Header. An error says which part is wrong; the report is not to be used then.
 func Parse(value string) (*orcav3.OrcaLoadReport, error) {
 	if len(value) > maxReportBytes {
 		return nil, fmt.Errorf("load report: longer than %d bytes", maxReportBytes)
@@ -50,11 +56,12 @@
 	return nil, fmt.Errorf("load report: TEXT, JSON or BIN expected first, not %.20q", form)
 }
 
-// ParseBin reads the value of the header BinHeader.
+// ParseBin reads the value of BinHeader, in base64 with or without padding.
 func ParseBin(value string) (*orcav3.OrcaLoadReport, error) {
-	raw, err := base64.StdEncoding.DecodeString(strings.TrimSpace(value))
+	value = strings.TrimSpace(value)
+	raw, err := base64.StdEncoding.DecodeString(value)
 	if err != nil {
-		raw, err = base64.RawStdEncoding.DecodeString(strings.TrimSpace(value))
+		raw, err = base64.RawStdEncoding.DecodeString(value)
 	}
 	r := &orcav3.OrcaLoadReport{}
 	if err == nil {
@@ -66,6 +73,7 @@
 	return r, validate(r)
 }
 
+// parseText reads name=number or name:number, with commas between them.
 func parseText(text string) (*orcav3.OrcaLoadReport, error) {
 	r := &orcav3.OrcaLoadReport{}
 	for part := range strings.SplitSeq(text, ",") {
@@ -74,55 +82,47 @@
 			name, value, ok = strings.Cut(part, ":")
 		}
 		name = strings.TrimSpace(name)
-		figure, err := strconv.ParseFloat(strings.TrimSpace(value), 64)
+		number, err := strconv.ParseFloat(strings.TrimSpace(value), 64)
 		if !ok || name == "" || err != nil {
 			return nil, fmt.Errorf("load report: name=number expected, not %.40q", part)
 		}
 		switch name {
 		case "cpu_utilization":
-			r.CpuUtilization = figure
+			r.CpuUtilization = number
 		case "mem_utilization":
-			r.MemUtilization = figure
+			r.MemUtilization = number
 		case "application_utilization":
-			r.ApplicationUtilization = figure
+			r.ApplicationUtilization = number
 		case "rps", "rps_fractional":
-			r.RpsFractional = figure
+			r.RpsFractional = number
 		case "eps":
-			r.Eps = figure
+			r.Eps = number
 		default:
 			if r.NamedMetrics == nil {
 				r.NamedMetrics = map[string]float64{}
 			}
-			r.NamedMetrics[strings.TrimPrefix(name, "named_metrics.")] = figure
+			r.NamedMetrics[strings.TrimPrefix(name, "named_metrics.")] = number
 		}
 	}
 	return r, validate(r)
 }
 
-// validate turns away figures that no host can mean.
+// validate rejects numbers that are negative, infinite or not a number, in the fields that Load uses.
 func validate(r *orcav3.OrcaLoadReport) error {
-	wrong := func(name string, v float64) error {
-		if math.IsNaN(v) || math.IsInf(v, 0) || v < 0 {
-			return fmt.Errorf("load report: %s is %v, a number from 0 expected", name, v)
-		}
-		return nil
-	}
-	for name, v := range map[string]float64{"cpu_utilization": r.CpuUtilization, "rps": r.RpsFractional,
-		"application_utilization": r.ApplicationUtilization} {
-		if err := wrong(name, v); err != nil {
-			return err
-		}
-	}
-	for name, v := range r.NamedMetrics {
-		if err := wrong(name, v); err != nil {
-			return err
+	fields := map[string]float64{"cpu_utilization": r.CpuUtilization, "rps": r.RpsFractional,
+		"application_utilization": r.ApplicationUtilization}
+	for _, metrics := range []map[string]float64{fields, r.NamedMetrics} {
+		for name, v := range metrics {
+			if math.IsNaN(v) || math.IsInf(v, 0) || v < 0 {
+				return fmt.Errorf("load report: %s is %v, a number from 0 expected", name, v)
+			}
 		}
 	}
 	return nil
 }
 
-// Load is a report in the module's words; what was not reported is negative. The form can't tell a busy share or a
-// rate of 0 from none, so 0 counts as not reported there.
+// Load is the report in the policy's terms; what is not reported is negative. The message doesn't distinguish a
+// utilization or a rate of 0 from an absent one, so 0 counts as not reported there.
 func Load(r *orcav3.OrcaLoadReport) *policy.LoadReport {
 	l := &policy.LoadReport{ActiveRequests: -1, QueuedRequests: -1, CPUUtilization: -1, MeanLatency: -1, RequestsPerSecond: -1}
 	if v, ok := r.NamedMetrics[Active]; ok {
@@ -132,7 +132,7 @@
 		l.QueuedRequests = v
 	}
 	if v, ok := r.NamedMetrics[Service]; ok {
-		l.MeanLatency = v * 10
+		l.MeanLatency = v * ticksPerMillisecond
 	}
 	if l.CPUUtilization = r.ApplicationUtilization; l.CPUUtilization == 0 {
 		l.CPUUtilization = r.CpuUtilization
--- a/internal/sse/sse.go
+++ b/internal/sse/sse.go
@@ -1,5 +1,4 @@
-// Package sse reads server-sent events (the WHATWG's event stream format) and takes a broken stream up again where it
-// ended.
+// Package sse reads server-sent events (the WHATWG's event stream format) and resumes a broken stream where it ended.
 package sse
 
 import (
@@ -16,101 +15,110 @@
 )
 
 const (
-	minBackoff    = 100 * time.Millisecond // before a broken stream is taken up again, then twice as long each time
-	maxBackoff    = 3 * time.Second        // a server that is back is heard of within this
-	idleTimeout   = 20 * time.Second       // several times what servers repeat themselves in
-	maxEventBytes = 1 << 20                // bytes of an event; the largest is a release with a long trace
+	minBackoff    = 100 * time.Millisecond // before a broken stream is opened again; doubled each time
+	maxBackoff    = 3 * time.Second        // a server that is back is found within this
+	idleTimeout   = 20 * time.Second       // several times the interval at which servers repeat themselves
+	maxEventBytes = 1 << 20                // the largest event is a release with a long trace
+	lineBuffer    = 4096                   // bytes at the start; it grows to maxEventBytes
 )
 
-// Follow reads a stream until ctx ends, and takes it up again when it breaks, by Last-Event-ID and not all clients at
-// once. It calls tell for each event, and trouble for what went wrong, its error or the stream's; neither at once.
-func Follow(ctx context.Context, client *http.Client, url string, tell func(event string, data []byte) error,
-	trouble func(error)) {
-	FollowAny(ctx, client, func() string { return url }, tell, trouble)
-}
-
-// Dropped is the event that tell hears, with no data, when the server has dropped events that were still to come; the
-// stream goes on from now.
+// Dropped is the event that is handled, with no data, when the server no longer has the events that followed the last
+// one; the stream goes on with new events.
 const Dropped = "dropped"
 
-// FollowAny is Follow of a stream that several servers have, with the same ids: where names the one to ask next.
-func FollowAny(ctx context.Context, client *http.Client, where func() string, tell func(event string, data []byte) error,
-	trouble func(error)) {
-	wait, last := minBackoff, ""
+var errTooLarge = errors.New("an event is too large")
+
+// FollowAny reads a stream until ctx ends. When it breaks, it is opened again after a random backoff, from the last event
+// on by Last-Event-ID. Several servers may have the stream, with the same ids: where names the URL to open next. handle is
+// called for each event, failed for each error of handle or of the stream; never two calls at once.
+func FollowAny(ctx context.Context, client *http.Client, where func() string, handle func(event string, data []byte) error,
+	failed func(error)) {
+	r := reader{client: client, handle: handle, failed: failed}
+	backoff := minBackoff
 	for ctx.Err() == nil {
 		began, url := time.Now(), where()
-		err := readStream(ctx, client, url, &last, tell, trouble)
+		err := r.readStream(ctx, url)
 		if ctx.Err() != nil {
 			return
 		}
-		trouble(fmt.Errorf("the watch of %s ended: %w", url, err))
+		failed(fmt.Errorf("the watch of %s ended: %w", url, err))
 		if time.Since(began) > maxBackoff {
-			wait = minBackoff
+			backoff = minBackoff
 		}
 		select {
 		case <-ctx.Done():
-		case <-time.After(wait/2 + rand.N(wait)):
+		case <-time.After(backoff/2 + rand.N(backoff)): // so that not all clients return at once
 		}
-		wait = min(2*wait, maxBackoff)
+		backoff = min(2*backoff, maxBackoff)
 	}
 }
 
-// readStream reads one stream to its end.
-func readStream(ctx context.Context, client *http.Client, url string, last *string, tell func(string, []byte) error,
-	trouble func(error)) error {
+// reader reads one stream after another.
+type reader struct {
+	client      *http.Client
+	handle      func(event string, data []byte) error
+	failed      func(error)
+	lastEventID string
+}
+
+// readStream reads one stream to its end. A stream that is silent for idleTimeout ends.
+func (r *reader) readStream(ctx context.Context, url string) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	ask, err := http.NewRequestWithContext(ctx, "GET", url, nil)
+	request, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
 	if err != nil {
 		return err
 	}
-	ask.Header.Set("Accept", "text/event-stream")
-	if *last != "" {
-		ask.Header.Set("Last-Event-ID", *last)
+	request.Header.Set("Accept", "text/event-stream")
+	if r.lastEventID != "" {
+		request.Header.Set("Last-Event-ID", r.lastEventID)
 	}
-	quiet := time.AfterFunc(idleTimeout, cancel)
-	defer quiet.Stop()
-	got, err := client.Do(ask)
+	idle := time.AfterFunc(idleTimeout, cancel)
+	defer idle.Stop()
+	response, err := r.client.Do(request)
 	if err != nil {
 		return err
 	}
-	defer got.Body.Close()
-	if got.StatusCode == http.StatusGone {
-		*last = ""
-		if err := tell(Dropped, nil); err != nil {
-			trouble(err)
-		}
+	defer func() { _ = response.Body.Close() }() // its end is of no interest
+	if response.StatusCode == http.StatusGone {
+		r.lastEventID = ""
+		r.dispatch(Dropped, nil)
 	}
-	if got.StatusCode != http.StatusOK {
-		return fmt.Errorf("status %s", got.Status)
+	if response.StatusCode != http.StatusOK {
+		return fmt.Errorf("status %s", response.Status)
 	}
-	lines := bufio.NewScanner(got.Body)
-	lines.Buffer(make([]byte, 4096), maxEventBytes)
+	return r.readEvents(response.Body, func() { idle.Reset(idleTimeout) })
+}
+
+// readEvents reads events to the end of a stream, which is io.EOF, and calls onLine at each line.
+func (r *reader) readEvents(body io.Reader, onLine func()) error {
+	lines := bufio.NewScanner(body)
+	lines.Buffer(make([]byte, lineBuffer), maxEventBytes)
 	var event, id string
 	var data bytes.Buffer
 	for lines.Scan() {
-		quiet.Reset(idleTimeout)
-		name, value, _ := strings.Cut(lines.Text(), ":")
-		value = strings.TrimPrefix(value, " ")
-		switch {
-		case lines.Text() == "":
+		onLine()
+		if lines.Text() == "" { // the end of an event
 			if data.Len() > 0 {
-				if err := tell(event, bytes.TrimSuffix(data.Bytes(), []byte("\n"))); err != nil {
-					trouble(err)
-				}
+				r.dispatch(event, bytes.TrimSuffix(data.Bytes(), []byte("\n")))
 			}
 			if id != "" {
-				*last = id
+				r.lastEventID = id
 			}
 			event, id = "", ""
 			data.Reset()
-		case name == "event":
+			continue
+		}
+		field, value, _ := strings.Cut(lines.Text(), ":")
+		value = strings.TrimPrefix(value, " ")
+		switch field {
+		case "event":
 			event = value
-		case name == "id":
+		case "id":
 			id = value
-		case name == "data":
+		case "data":
 			if data.Len()+len(value) > maxEventBytes {
-				return errors.New("an event is too large")
+				return errTooLarge
 			}
 			data.WriteString(value)
 			data.WriteByte('\n')
@@ -121,3 +129,10 @@
 	}
 	return io.EOF
 }
+
+// dispatch has an event handled and reports an error of that.
+func (r *reader) dispatch(event string, data []byte) {
+	if err := r.handle(event, data); err != nil {
+		r.failed(err)
+	}
+}
