--- a/internal/controlclient/report.go
+++ b/internal/controlclient/report.go
@@ -31,8 +31,8 @@
 
 func (c *Client) sendReportWithRetries(build int, body []byte) error {
 	for range reportAttempts {
-		retriable, err := c.sendReport(build, body)
-		if !retriable {
+		retry, err := c.sendReport(build, body)
+		if !retry {
 			return err
 		}
 		time.Sleep(reportBackoff)
@@ -40,8 +40,8 @@
 	return nil
 }
 
-// sendReport sends a report once; retriable says that it surely was not counted and may be sent again.
-func (c *Client) sendReport(build int, body []byte) (retriable bool, err error) {
+// sendReport sends a report once; retry says that it surely was not counted and may be sent again.
+func (c *Client) sendReport(build int, body []byte) (retry bool, err error) {
 	ctx, cancel := c.withTimeout()
 	defer cancel()
 	current := c.current.Load()
--- a/internal/inifile/section.go
+++ b/internal/inifile/section.go
@@ -12,14 +12,14 @@
 	"time"
 )
 
-// required is the default of a key that has to be in the file.
-const required = "!"
+// Required is the default of a key that has to be in the file.
+const Required = "!"
 
 // errUnexpected makes parseValue report what was expected.
 var errUnexpected = errors.New("other")
 
 // Section is one section of a file. Its methods that read a key return the value, or the default where the key is absent;
-// the default "!" makes an absent key a mistake. After a mistake they return the zero value, and File.Done reports it.
+// the default Required makes an absent key a mistake. After a mistake they return the zero value, and File.Done reports it.
 type Section struct {
 	file *File
 	name string
@@ -45,7 +45,7 @@
 	at := position{s.name, key}
 	s.file.requested[at] = true
 	if s.file.lines[at] == 0 {
-		if byDefault == required {
+		if byDefault == Required {
 			s.AddError("", "%s is missing", key)
 			return ""
 		}
--- a/internal/platform/protocol.go
+++ b/internal/platform/protocol.go
@@ -49,7 +49,7 @@
 // voteRequest is a vote. Its fields are in the order in which earlier versions wrote them.
 type voteRequest struct {
 	Build  int    `json:"release"`
-	Choice string `json:"ruling"` // a value of voteWords
+	Choice string `json:"ruling"` // a value of choiceNames
 	Stage  int    `json:"tranche"`
 }
 
@@ -67,17 +67,17 @@
 	"recalled":  policy.RolledBack,
 }
 
-// voteWords maps votes to the platform's rulings.
-var voteWords = map[policy.VoteChoice]string{
+// choiceNames maps votes to the platform's rulings.
+var choiceNames = map[policy.VoteChoice]string{
 	policy.Abstain:  "blank",
 	policy.Promote:  "go",
 	policy.Hold:     "stay",
 	policy.Rollback: "stop",
 }
 
-// voteErrors are the answers that say that a vote was not counted, by status: the error's word, and the vote's result.
+// voteErrors are the answers that say that a vote was not counted, by status: the error code and the result of the vote.
 var voteErrors = map[int]struct {
-	word   string
+	code   string
 	result policy.VoteResult
 }{
 	http.StatusTooManyRequests:     {"too_many_calls", policy.VoteRejected},
@@ -127,7 +127,7 @@
 		}
 		return status, policy.VoteAccepted, nil
 	}
-	if e, ok := voteErrors[response.StatusCode]; ok && e.word == body.Error {
+	if e, ok := voteErrors[response.StatusCode]; ok && e.code == body.Error {
 		return policy.ReleaseStatus{}, e.result, fmt.Errorf("status %s, %s", response.Status, body.Error)
 	}
 	return policy.ReleaseStatus{}, policy.VoteUnknown, fmt.Errorf("status %s, %.100s", response.Status, text)
--- a/internal/platform/vote.go
+++ b/internal/platform/vote.go
@@ -55,7 +55,7 @@
 }
 
 func (c *Client) newVoteRequest(ctx context.Context, build, stage int, choice policy.VoteChoice) (*http.Request, error) {
-	body, err := json.Marshal(voteRequest{Build: build, Choice: voteWords[choice], Stage: stage})
+	body, err := json.Marshal(voteRequest{Build: build, Choice: choiceNames[choice], Stage: stage})
 	if err != nil {
 		return nil, err
 	}
--- a/internal/routerconfig/sections.go
+++ b/internal/routerconfig/sections.go
@@ -19,8 +19,7 @@
 )
 
 // This file maps sections and keys of the INI file to the configuration, a function for each section. Nothing else knows
-// their names. required is the default of a key that has to be in the file.
-const required = "!"
+// their names.
 
 // Values of [category NAME] repeat, of its group, and of [desk] control, that stand for something else than the default.
 const (
@@ -49,10 +48,10 @@
 func ticks(d time.Duration) policy.Time { return eventloop.FromDuration(d) }
 
 func (c *Config) readRouter(p inifile.Section) {
-	c.Name, c.Listen, c.EndpointCache = p.Text("name", required), p.Address("listen", "127.0.0.1:8080"), p.Text("last-list", "")
+	c.Name, c.Listen, c.EndpointCache = p.Text("name", inifile.Required), p.Address("listen", "127.0.0.1:8080"), p.Text("last-list", "")
 	c.DrainTimeout = p.Duration("drain", "10s")
 	c.Router = router.Config{Seed: p.Seed("seed", "1"), Routers: p.Int("routers", "1", 1, 100_000),
-		Rank: p.Int("rank", "0", 0, 99_999), Zone: p.Text("location", required)}
+		Rank: p.Int("rank", "0", 0, 99_999), Zone: p.Text("location", inifile.Required)}
 	if c.Router.Rank >= c.Router.Routers {
 		p.AddError("rank", "rank = %d: less than routers (%d) expected", c.Router.Rank, c.Router.Routers)
 	}
@@ -79,7 +78,7 @@
 }
 
 func (c *Config) readDiscovery(p inifile.Section) {
-	c.Discovery = Discovery{Address: p.Address("address", required), Resources: p.List("names", required),
+	c.Discovery = Discovery{Address: p.Address("address", inifile.Required), Resources: p.List("names", inifile.Required),
 		Incremental: p.OneOf("ask", "changes", "changes", "whole") == "changes"}
 	c.Router.Limits.PollInterval = ticks(p.Duration("ask-within", "10s"))
 	c.Router.Limits.PushedDiscovery = p.Bool("pushed", "off")
@@ -105,7 +104,7 @@
 		return
 	}
 	c.Router.Limits.HealthChecks = true
-	c.HealthCheck = HealthCheck{Path: p.Text("path", required), Timeout: p.Duration("within", "250ms")}
+	c.HealthCheck = HealthCheck{Path: p.Text("path", inifile.Required), Timeout: p.Duration("within", "250ms")}
 	if !strings.HasPrefix(c.HealthCheck.Path, "/") || strings.ContainsAny(c.HealthCheck.Path, " \t") {
 		p.AddError("path", "path = %s: a path such as /probe expected", c.HealthCheck.Path)
 	}
@@ -118,7 +117,7 @@
 	if !p.Has() {
 		return
 	}
-	c.Gossip = &gossip.Config{Rank: c.Router.Rank, MaxBytes: p.Int("most", "256", 32, 1200), Addresses: p.List("addresses", required)}
+	c.Gossip = &gossip.Config{Rank: c.Router.Rank, MaxBytes: p.Int("most", "256", 32, 1200), Addresses: p.List("addresses", inifile.Required)}
 	c.Router.Limits.MaxGossipBytes = c.Gossip.MaxBytes
 	if n := len(c.Gossip.Addresses); n != c.Router.Routers {
 		p.AddError("addresses", "addresses: one for each of the %d routers expected, by rank; there are %d", c.Router.Routers, n)
@@ -134,7 +133,7 @@
 	if !p.Has() {
 		return
 	}
-	c.Records = &record.Config{Dir: p.Text("folder", required), Name: c.Name, MaxFileBytes: int64(p.Bytes("size", "64MiB")),
+	c.Records = &record.Config{Dir: p.Text("folder", inifile.Required), Name: c.Name, MaxFileBytes: int64(p.Bytes("size", "64MiB")),
 		MaxFileAge: p.Duration("age", "1h"), MaxBytes: int64(p.Bytes("most", "1GiB"))}
 	if c.Records.MaxBytes < 2*c.Records.MaxFileBytes {
 		p.AddError("most", "most: at least twice size expected")
@@ -142,7 +141,7 @@
 }
 
 func (c *Config) readControlPlane(p inifile.Section) {
-	c.ControlPlane.URLs = p.List("url", required)
+	c.ControlPlane.URLs = p.List("url", inifile.Required)
 	for _, u := range c.ControlPlane.URLs {
 		if !strings.HasPrefix(u, "http://") && !strings.HasPrefix(u, "https://") {
 			p.AddError("url", "url = %s: http://HOST:PORT expected, with commas between several", u)
@@ -194,19 +193,19 @@
 }
 
 func (c *Config) readClass(p inifile.Section, name string) {
-	repeat := p.OneOf("repeat", required, repeatRetriable, repeatFingerprinted, repeatBinding)
+	repeat := p.OneOf("repeat", inifile.Required, repeatRetriable, repeatFingerprinted, repeatBinding)
 	class := router.Class{
 		Name:             name,
-		LatencyObjective: ticks(p.Duration("promised", required)),
+		LatencyObjective: ticks(p.Duration("promised", inifile.Required)),
 		PriorityWeight:   p.Float("earnings", "1", 0, 1e9),
 		LateValueShare:   p.Share("late-share", "0%"),
 		Idempotency:      idempotencies[repeat],
 		DedupScope:       dedupScopes[p.OneOf("group", groupEverywhere, groupEverywhere, groupLocation, groupCell)],
 	}
 	if repeat == repeatFingerprinted {
-		class.DedupWindow = ticks(p.Duration("memory", required))
+		class.DedupWindow = ticks(p.Duration("memory", inifile.Required))
 	}
-	timeout := ticks(p.Duration("patience", required))
+	timeout := ticks(p.Duration("patience", inifile.Required))
 	if timeout < class.LatencyObjective {
 		p.AddError("patience", "patience: at least the promised time expected")
 	}
@@ -219,7 +218,7 @@
 	sections, names := f.Sections("customer")
 	for i, p := range sections {
 		c.Router.Tenants = append(c.Router.Tenants, router.Tenant{Name: names[i],
-			QuotaPerSecond: p.Float("per-second", required, 0.001, 1e9)})
+			QuotaPerSecond: p.Float("per-second", inifile.Required, 0.001, 1e9)})
 		for _, n := range p.Networks("networks", "") {
 			c.Downstream.Networks = append(c.Downstream.Networks, downstream.Network{Prefix: n, Tenant: names[i]})
 		}
--- a/internal/simwire/body.go
+++ b/internal/simwire/body.go
@@ -17,7 +17,7 @@
 	"LAUNCH": readLaunch,
 	"VIEW":   (*Reader).readView,
 	"INCOMING": func(_ *Reader, p *lineParser) any {
-		return Incoming{p.required("a request id"), p.required("a class"), p.word(), p.word(),
+		return Incoming{p.required("a request id"), p.required("a class"), p.part(), p.part(),
 			p.integer("the patience left"), p.integer("a work hint"), p.integer("marks")}
 	},
 	"ACK_FIRST": func(_ *Reader, p *lineParser) any {
@@ -76,7 +76,7 @@
 }
 
 func readLaunch(_ *Reader, p *lineParser) any {
-	seed, err := strconv.ParseUint(p.word(), 10, 64)
+	seed, err := strconv.ParseUint(p.part(), 10, 64)
 	if err != nil {
 		p.fail("a seed")
 	}
@@ -94,7 +94,7 @@
 
 func readFromPeer(_ *Reader, p *lineParser) any {
 	author := int(p.integer("a peer"))
-	body, err := base64.StdEncoding.DecodeString(p.word())
+	body, err := base64.StdEncoding.DecodeString(p.part())
 	if err != nil {
 		p.fail("a body in base64")
 	}
--- a/internal/simwire/line.go
+++ b/internal/simwire/line.go
@@ -30,32 +30,32 @@
 	}
 }
 
-// word takes the next part; an absent one is empty.
-func (p *lineParser) word() string {
-	word, rest, _ := strings.Cut(p.rest, " ")
+// part takes the next part; an absent one is empty.
+func (p *lineParser) part() string {
+	part, rest, _ := strings.Cut(p.rest, " ")
 	p.rest = rest
-	if word == "-" {
+	if part == "-" {
 		return ""
 	}
-	return word
+	return part
 }
 
 // required takes the next part, which must not be absent.
 func (p *lineParser) required(what string) string {
-	word := p.word()
-	if word == "" {
+	part := p.part()
+	if part == "" {
 		p.fail(what)
 	}
-	return word
+	return part
 }
 
 // integer takes a whole number; an absent one is 0.
 func (p *lineParser) integer(what string) int64 {
-	word := p.word()
-	if word == "" {
+	part := p.part()
+	if part == "" {
 		return 0
 	}
-	n, err := strconv.ParseInt(word, 10, 64)
+	n, err := strconv.ParseInt(part, 10, 64)
 	if err != nil {
 		p.fail(what + ", a whole number,")
 	}
@@ -64,11 +64,11 @@
 
 // float takes a number; an absent one is 0.
 func (p *lineParser) float(what string) float64 {
-	word := p.word()
-	if word == "" {
+	part := p.part()
+	if part == "" {
 		return 0
 	}
-	n, err := strconv.ParseFloat(word, 64)
+	n, err := strconv.ParseFloat(part, 64)
 	if err != nil {
 		p.fail(what + ", a number,")
 	}
@@ -76,7 +76,7 @@
 }
 
 func (p *lineParser) host() uint32 {
-	n, err := strconv.ParseUint(p.word(), 10, 32)
+	n, err := strconv.ParseUint(p.part(), 10, 32)
 	if err != nil {
 		p.fail("a host's number")
 	}
@@ -87,21 +87,21 @@
 func (p *lineParser) bool() bool { return p.oneOf("1 or 0", "", "0", "1") == "1" }
 
 func (p *lineParser) oneOf(what string, allowed ...string) string {
-	word := p.word()
-	if !slices.Contains(allowed, word) {
+	part := p.part()
+	if !slices.Contains(allowed, part) {
 		p.fail(what + " (" + strings.Trim(strings.Join(allowed, ", "), ", ") + ")")
 	}
-	return word
+	return part
 }
 
 // numbers takes numbers with commas between them; one that is not given is -1. An absent list is nil.
 func (p *lineParser) numbers() []float64 {
-	word := p.word()
-	if word == "" {
+	list := p.part()
+	if list == "" {
 		return nil
 	}
 	var numbers []float64
-	for part := range strings.SplitSeq(word, ",") {
+	for part := range strings.SplitSeq(list, ",") {
 		n, err := strconv.ParseFloat(part, 64)
 		if err != nil {
 			n = -1
--- a/internal/simwire/reader.go
+++ b/internal/simwire/reader.go
@@ -48,7 +48,7 @@
 	if err != nil {
 		return Batch{}, err
 	}
-	if name := p.word(); name != "BEGIN_BATCH" {
+	if name := p.part(); name != "BEGIN_BATCH" {
 		return Batch{}, p.expected("BEGIN_BATCH")
 	}
 	b := Batch{Now: p.integer("the clock"), Number: p.integer("the batch's number")}
@@ -70,7 +70,7 @@
 		if err != nil {
 			return err
 		}
-		switch name := p.word(); name {
+		switch name := p.part(); name {
 		case "EOF_BATCH":
 			return p.err
 		case "SELECT":
@@ -120,10 +120,10 @@
 	if err != nil {
 		return Entry{}, fmt.Errorf("line %d: input ended inside a list: M expected", r.line+1)
 	}
-	if p.word() != "M" {
+	if p.part() != "M" {
 		return Entry{}, p.expected("M, an entry of the list")
 	}
-	e := Entry{Host: p.host(), Site: p.word(), FamilyType: p.word(), Cell: p.integer("a cell")}
+	e := Entry{Host: p.host(), Site: p.part(), FamilyType: p.part(), Cell: p.integer("a cell")}
 	e.Mode = p.oneOf("a mode", ModeInService, ModeTerminating, ModeTerminated)
 	e.Release, e.PowerHint = int(p.float("a build")), p.float("a size")
 	e.UpSinceUs = p.integer("a start time")
