--- a/internal/node/config_test.go
+++ b/internal/node/config_test.go
@@ -22,15 +22,16 @@
 }
 
 func TestInvalidConfigurationNamesFileAndField(t *testing.T) {
-	read := func(text string) error {
+	read := func(t *testing.T, text string) error {
+		t.Helper()
 		file := filepath.Join(t.TempDir(), "config.json")
 		require.NoError(t, os.WriteFile(file, []byte(text), 0o600))
 		_, err := Read(file)
 		require.ErrorContains(t, err, file)
 		return err
 	}
-	require.ErrorContains(t, read(`{"name":"n0",`), "byte")
-	require.Error(t, read(`[]`))
+	require.ErrorContains(t, read(t, `{"name":"n0",`), "byte")
+	require.Error(t, read(t, `[]`))
 	for where, change := range map[string]func(map[string]any){
 		"name":                func(b map[string]any) { b["name"] = "" },
 		"listen":              func(b map[string]any) { b["listen"] = "here" },
@@ -45,9 +46,11 @@
 		"settings.MyZone":     func(b map[string]any) { delete(b["settings"].(map[string]any), "MyZone") },
 		"settings.Rank":       func(b map[string]any) { b["settings"].(map[string]any)["Rank"] = 7 },
 	} {
-		b := configJSON("127.0.0.1:1", "127.0.0.1:2")
-		change(b)
-		require.ErrorContains(t, read(encode(t, b)), where)
+		t.Run(where, func(t *testing.T) {
+			b := configJSON("127.0.0.1:1", "127.0.0.1:2")
+			change(b)
+			require.ErrorContains(t, read(t, encode(t, b)), where)
+		})
 	}
 	p := parseConfig(t, configJSON("127.0.0.1:1", "127.0.0.1:2"))
 	p.Router.Listen = "127.0.0.1:99999"
@@ -91,10 +94,12 @@
 			settingsAt(b)["Parties"] = []any{map[string]any{"Name": "a", "QuotaPerS": -3}}
 		},
 	} {
-		b := configJSON("127.0.0.1:1", "127.0.0.1:2")
-		change(b)
-		_, err := parse([]byte(encode(t, b)))
-		require.ErrorContains(t, err, where)
+		t.Run(where, func(t *testing.T) {
+			b := configJSON("127.0.0.1:1", "127.0.0.1:2")
+			change(b)
+			_, err := parse([]byte(encode(t, b)))
+			require.ErrorContains(t, err, where)
+		})
 	}
 	b := configJSON("127.0.0.1:1", "127.0.0.1:2")
 	classSettings(b, 0)["AimUs"], classSettings(b, 1)["AimUs"] = -1, "x"
--- a/internal/node/lifecycle_test.go
+++ b/internal/node/lifecycle_test.go
@@ -151,9 +151,11 @@
 		"limits":                           func(b map[string]any) { b["limits"].(map[string]any)["sockets"] = 300 },
 		"settings.Permissions.ConnIdleUs":  func(b map[string]any) { settingsAt(b, "Permissions")["ConnIdleUs"] = 9000000 },
 	} {
-		b := configJSON(next.address(), next.address())
-		change(b)
-		require.ErrorContains(t, r.node.Reload(parseConfig(t, b)), where)
+		t.Run(where, func(t *testing.T) {
+			b := configJSON(next.address(), next.address())
+			change(b)
+			require.ErrorContains(t, r.node.Reload(parseConfig(t, b)), where)
+		})
 	}
 	require.Equal(t, r.platform.address(), r.node.watch.Address())
 	require.Zero(t, next.streams.Load())
