--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -59,7 +59,6 @@
 		return err
 	}
 	next.Router.Router.Seed = n.config.Router.Router.Seed
-	next.Router.Upstream.Protocol = n.config.Router.Upstream.Protocol // the same report fields, by checkChange
 	if !reflect.DeepEqual(next.Router, n.config.Router) {
 		if err := n.instance.UpdateConfig(next.Router); err != nil {
 			return err
--- a/internal/node/router_config.go
+++ b/internal/node/router_config.go
@@ -8,6 +8,7 @@
 	"dapplefront/internal/downstream"
 	"dapplefront/internal/eventloop"
 	"dapplefront/internal/http1"
+	"dapplefront/internal/platformsettings"
 	"dapplefront/internal/routerconfig"
 	"dapplefront/internal/upstream"
 	"dapplefront/policy"
@@ -47,6 +48,20 @@
 	IdempotencyKey: "Idempotency-Key", Key: "Affinity-Key", ExpectedWork: "Work-Hint", ClientRetry: "Client-Retry", ID: "Request-Id", Strict: true,
 	WorkUnitsPerTick: 100, DecimalRetryAfter: true, ReadinessPath: "/ready"}
 
+// upstreamProtocol names the headers of "Routers to hosts" in the operators' protocol page.
+var upstreamProtocol = &upstream.Protocol{Timeout: "Request-Timeout-Ms", NotStarted: "Not-Started",
+	NotStartedStatuses: []int{http.StatusServiceUnavailable, http.StatusGatewayTimeout}, OnlyStatusOK: true, StartsWhenComplete: true,
+	Load: loadReport}
+
+// loadReport reads the load report that any response may carry; nil for none.
+func loadReport(m *http1.Message) (*policy.LoadReport, error) {
+	text, ok := m.Lookup("Server-Load")
+	if !ok {
+		return nil, nil
+	}
+	return platformsettings.ParseReport(text)
+}
+
 // routerConfig derives the router's configuration from the file's limits and settings.
 func (c *Config) routerConfig() *routerconfig.Config {
 	sockets := c.Limits.Sockets - reservedSockets
@@ -57,7 +72,7 @@
 	r.Upstream = upstream.Config{ConnectTimeout: max(c.duration("Permissions.ConnectTimeoutUs"), minConnectTimeout),
 		IdleTimeout:           max(idle-idleMargin, idle/2, minUpstreamIdleTimeout),
 		MaxConnectionsPerHost: sockets, MaxConnections: maxUpstream,
-		Limits: http1.Limits{Head: maxHeadBytes, Body: maxResponseBytes, Framed: true}, Protocol: c.upstreamProtocol()}
+		Limits: http1.Limits{Head: maxHeadBytes, Body: maxResponseBytes, Framed: true}, Protocol: upstreamProtocol}
 	r.Downstream = downstream.Config{RouterName: c.Name, TransferTimeout: transferTimeout, IdleTimeout: clientIdleTimeout,
 		FirstRequestTimeout: firstRequestTimeout, ReclaimIdleAfter: reclaimIdleAfter, MaxConnections: sockets - maxUpstream, MaxPipelined: 1,
 		Limits: http1.Limits{Head: maxHeadBytes, Body: maxRequestBodyBytes}, Protocol: downstreamProtocol}
@@ -91,17 +106,3 @@
 	}
 	return d
 }
-
-// upstreamProtocol names the headers of "Routers to hosts" in the operators' protocol page. Any response may carry a load
-// report.
-func (c *Config) upstreamProtocol() *upstream.Protocol {
-	return &upstream.Protocol{Timeout: "Request-Timeout-Ms", NotStarted: "Not-Started",
-		NotStartedStatuses: []int{http.StatusServiceUnavailable, http.StatusGatewayTimeout}, OnlyStatusOK: true, StartsWhenComplete: true,
-		Load: func(m *http1.Message) (*policy.LoadReport, error) {
-			text, ok := m.Lookup("Server-Load")
-			if !ok {
-				return nil, nil
-			}
-			return c.settings.Report.Parse(text)
-		}}
-}
--- a/internal/platformsettings/report.go
+++ b/internal/platformsettings/report.go
@@ -25,9 +25,9 @@
 	return r
 }
 
-// Parse reads a report of names with values, such as "active=7,rps=2.5", of any known fields. A part that can't be read is
-// an error, and nothing of the report counts then.
-func (f ReportFields) Parse(text string) (*policy.LoadReport, error) {
+// ParseReport reads a report of names with values, such as "active=7,rps=2.5", of any known fields. A part that can't be
+// read is an error, and nothing of the report counts then.
+func ParseReport(text string) (*policy.LoadReport, error) {
 	const maxQuoted = 100 // bytes of the report in the error
 	r := emptyReport()
 	for pair := range strings.SplitSeq(text, ",") {
--- a/internal/platformsettings/settings_test.go
+++ b/internal/platformsettings/settings_test.go
@@ -50,12 +50,12 @@
 
 func TestInvalidLoadReportIsRejectedWhole(t *testing.T) {
 	r := ReportFields{"rps", "avg_ms", "active"}
-	got, err := r.Parse("active=7, rps=2.5,avg_ms=40")
+	got, err := ParseReport("active=7, rps=2.5,avg_ms=40")
 	require.NoError(t, err)
 	require.Equal(t, r.FromValues([]float64{2.5, 40, 7}), got)
 	require.Equal(t, &policy.LoadReport{ActiveRequests: 7, QueuedRequests: -1, CPUUtilization: -1, MeanLatency: 400, RequestsPerSecond: 2.5}, got)
 	for _, text := range []string{"", "active", "active=", "active=x", "active=NaN", "active=-1", "active=1,,", "active=+Inf", "\x00"} {
-		_, err := r.Parse(text)
+		_, err := ParseReport(text)
 		require.Error(t, err, text)
 	}
 	require.Nil(t, r.FromValues(nil))
