--- a/client/client.go
+++ b/client/client.go
@@ -198,8 +198,8 @@
 	return r, err
 }
 
-// Withdraw takes a build back.
-func (c *Client) Withdraw(ctx context.Context, build int) (r api.ReleaseObject, err error) {
+// RollBack takes a build back.
+func (c *Client) RollBack(ctx context.Context, build int) (r api.ReleaseObject, err error) {
 	_, err = c.call(ctx, "POST", release(build)+"/withdraw", nil, nil, &r, true)
 	return r, err
 }
@@ -216,26 +216,26 @@
 	return r, err
 }
 
-// Carried tells that an order has been carried out: "ready" or "gone".
-func (c *Client) Carried(ctx context.Context, build int, order string) error {
+// CompleteOrder tells that an order has been carried out: "ready" or "gone".
+func (c *Client) CompleteOrder(ctx context.Context, build int, order string) error {
 	_, err := c.call(ctx, "PUT", release(build)+"/orders/"+order, nil, nil, nil, true)
 	return err
 }
 
-// Order gives a host's agent an order and returns its number.
-func (c *Client) Order(ctx context.Context, agent string, o api.Order) (number uint64, err error) {
+// OrderAgent gives a host's agent an order and returns its number.
+func (c *Client) OrderAgent(ctx context.Context, agent string, o api.Order) (number uint64, err error) {
 	_, err = c.call(ctx, "POST", "/v1/agents/"+url.PathEscape(agent)+"/orders", nil, o, &o, false)
 	return o.Number, err
 }
 
-// Counts passes on what was counted of a build and category.
-func (c *Client) Counts(ctx context.Context, a api.Counts) error {
+// ReportCounts passes on what was counted of a build and category.
+func (c *Client) ReportCounts(ctx context.Context, a api.Counts) error {
 	_, err := c.call(ctx, "POST", "/v1/counts", nil, a, nil, false)
 	return err
 }
 
-// Publish publishes a plan's version.
-func (c *Client) Publish(ctx context.Context, version uint64, a api.Published) error {
+// PublishPlan publishes a plan's version.
+func (c *Client) PublishPlan(ctx context.Context, version uint64, a api.Published) error {
 	_, err := c.call(ctx, "PUT", "/v1/plans/"+strconv.FormatUint(version, 10), nil, a, nil, false)
 	return err
 }
@@ -246,14 +246,14 @@
 	return s, err
 }
 
-// Join takes a controller in as a member; Part takes one out.
-func (c *Client) Join(ctx context.Context, name string, a api.Controller) error {
+// AddController takes a controller in as a member; Part takes one out.
+func (c *Client) AddController(ctx context.Context, name string, a api.Controller) error {
 	_, err := c.call(ctx, "PUT", "/v1/controllers/"+url.PathEscape(name), nil, a, nil, true)
 	return err
 }
 
-// Part takes a controller out for good.
-func (c *Client) Part(ctx context.Context, name string) error {
+// RemoveController takes a controller out for good.
+func (c *Client) RemoveController(ctx context.Context, name string) error {
 	_, err := c.call(ctx, "DELETE", "/v1/controllers/"+url.PathEscape(name), nil, nil, nil, true)
 	return err
 }
--- a/cmd/dapplefront/controller.go
+++ b/cmd/dapplefront/controller.go
@@ -43,8 +43,8 @@
 	p := s.Section("controller")
 	o.seat = controller.NodeConfig{Name: p.Text("name", "!"), Dir: p.Text("store", "!"), Listen: p.Address("peers", "127.0.0.1:7400"),
 		Bootstrap: p.Bool("first", "off"), Quick: p.Bool("near", "on"), Build: p.Int("build", "1", 1, 65535)}
-	o.front = controller.ServerConfig{Listen: p.Address("listen", "127.0.0.1:7300"), URL: p.Text("url", ""), VotesASecond: p.Float("votes-a-second", "30", 0.1, 1e6),
-		Watchers: p.Int("watchers", "5000", 1, 1<<20), Bookmark: p.Duration("bookmark", "2s"), Slow: p.Duration("slow", "5s")}
+	o.front = controller.ServerConfig{Listen: p.Address("listen", "127.0.0.1:7300"), URL: p.Text("url", ""), VotesPerSecond: p.Float("votes-a-second", "30", 0.1, 1e6),
+		MaxWatchers: p.Int("watchers", "5000", 1, 1<<20), BookmarkInterval: p.Duration("bookmark", "2s"), WriteTimeout: p.Duration("slow", "5s")}
 	p = s.Section("releases")
 	r := release.Rules{Mode: map[string]policy.PromotionMode{"share": policy.Quorum, "clock": policy.Timed}[p.OneOf("control", "share", "share", "any", "clock")],
 		MinStageTime: eventloop.FromDuration(p.Duration("least-time", "2s")), StageTime: eventloop.FromDuration(p.Duration("clock-time", "10s")), VoteTTL: eventloop.FromDuration(p.Duration("vote-life", "10s")),
@@ -102,7 +102,7 @@
 	if o.files == (certs.Files{}) && len(o.grants) == 0 {
 		return nil
 	}
-	o.front.Guard = &controller.Guard{Grants: o.grants, Peers: o.peers}
+	o.front.Authorizer = &controller.Authorizer{Grants: o.grants, Peers: o.peers}
 	if o.files == (certs.Files{}) {
 		return nil
 	}
@@ -110,8 +110,8 @@
 	if err != nil {
 		return err
 	}
-	o.front.Guard.TLS, o.front.Guard.Client = ring.Server(), ring.Client()
-	o.seat.Streams = controller.Secure(ring, o.peers)
+	o.front.Authorizer.ServerTLS, o.front.Authorizer.ClientTLS = ring.Server(), ring.Client()
+	o.seat.StreamLayer = controller.TLSStreamLayer(ring, o.peers)
 	return nil
 }
 
@@ -148,7 +148,7 @@
 			defer stop()
 			<-ctx.Done()
 			if leads, _ := n.IsLeader(); leads {
-				_ = n.StepDown() // another takes over at once, where there is one
+				_ = n.TransferLeadership() // another takes over at once, where there is one
 			}
 			s.Close()
 			return n.Close()
@@ -347,7 +347,7 @@
 		if err != nil {
 			return err
 		}
-		r, err := k.Withdraw(ctx, n)
+		r, err := k.RollBack(ctx, n)
 		if err != nil {
 			return err
 		}
@@ -402,10 +402,10 @@
 		return e.Encode(s)
 	})
 	run("join NAME ADDRESS", "Take a controller in as a member, which runs with an empty store", cobra.ExactArgs(2), func(ctx context.Context, _ *cobra.Command, k *client.Client, args []string) error {
-		return k.Join(ctx, args[0], api.Controller{Address: args[1]})
+		return k.AddController(ctx, args[0], api.Controller{Address: args[1]})
 	})
 	run("part NAME", "Take a controller out for good", cobra.ExactArgs(1), func(ctx context.Context, _ *cobra.Command, k *client.Client, args []string) error {
-		return k.Part(ctx, args[0])
+		return k.RemoveController(ctx, args[0])
 	})
 	return root
 }
--- a/internal/controller/agents.go
+++ b/internal/controller/agents.go
@@ -64,16 +64,16 @@
 	w.Header().Set("Content-Type", "text/event-stream")
 	w.Header().Set("Cache-Control", "no-store")
 	rc := http.NewResponseController(w)
-	mark := time.NewTicker(s.front.Bookmark)
+	mark := time.NewTicker(s.config.BookmarkInterval)
 	defer mark.Stop()
 	for first := true; ; first = false {
-		changed := s.node.Watch()
+		changed := s.node.Changed()
 		var some []control.Order
 		s.node.Read(func(st *control.State, _ policy.Time) { some = slices.Clone(st.Orders(r.PathValue("name"), after)) })
-		if _, still := s.front.fault(); still {
+		if _, still := s.config.fault(); still {
 			some = nil
 		}
-		_ = rc.SetWriteDeadline(time.Now().Add(s.front.Slow))
+		_ = rc.SetWriteDeadline(time.Now().Add(s.config.WriteTimeout))
 		for _, x := range some {
 			var o api.Order
 			if err := json.Unmarshal(x.Body, &o); err != nil {
--- a/internal/controller/bench_test.go
+++ b/internal/controller/bench_test.go
@@ -32,7 +32,7 @@
 		x, err := Open(NodeConfig{Name: fmt.Sprintf("c%d", i+1), Dir: b.TempDir(), Listen: "127.0.0.1:0", Quick: true, Control: figures, Build: 1}, slog.New(slog.DiscardHandler))
 		require.NoError(b, err)
 		b.Cleanup(func() { _ = x.Close() })
-		require.NoError(b, first.Add(x.seat.Name, x.Address()))
+		require.NoError(b, first.AddMember(x.config.Name, x.Address()))
 	}
 	return first.Node
 }
@@ -86,7 +86,7 @@
 	for _, n := range []int{1, 100, 2000} {
 		b.Run(fmt.Sprintf("watchers=%d", n), func(b *testing.B) {
 			a, err := StartStandalone(NodeConfig{Name: "c1", Dir: b.TempDir(), Listen: "127.0.0.1:0", Quick: true, Control: figures, Build: 1},
-				ServerConfig{Listen: "127.0.0.1:0", Bookmark: time.Minute}, slog.New(slog.DiscardHandler))
+				ServerConfig{Listen: "127.0.0.1:0", BookmarkInterval: time.Minute}, slog.New(slog.DiscardHandler))
 			require.NoError(b, err)
 			defer func() { _ = a.Stop() }()
 			ctx, cancel := context.WithCancel(context.Background())
--- a/internal/controller/controller_test.go
+++ b/internal/controller/controller_test.go
@@ -42,7 +42,7 @@
 		g.nodes, g.fronts, g.urls = append(g.nodes, nil), append(g.fronts, nil), append(g.urls, "127.0.0.1:0")
 		g.open(i, "127.0.0.1:0", "127.0.0.1:0")
 		if i > 0 {
-			require.Eventually(t, func() bool { return g.nodes[0].Add(g.name(i), g.nodes[i].Address()) == nil }, 10*time.Second, 20*time.Millisecond)
+			require.Eventually(t, func() bool { return g.nodes[0].AddMember(g.name(i), g.nodes[i].Address()) == nil }, 10*time.Second, 20*time.Millisecond)
 		} else {
 			g.leader()
 		}
@@ -61,7 +61,7 @@
 func (g *group) open(i int, raftAt, restAt string) {
 	n, err := Open(NodeConfig{Name: g.name(i), Dir: g.dirs[i], Listen: raftAt, Bootstrap: i == 0, Quick: true, Control: figures, Build: 1}, slog.New(slog.DiscardHandler))
 	require.NoError(g.t, err)
-	s, err := Serve(n, ServerConfig{Listen: restAt, VotesASecond: 1000, Bookmark: 50 * time.Millisecond}, slog.New(slog.DiscardHandler))
+	s, err := Serve(n, ServerConfig{Listen: restAt, VotesPerSecond: 1000, BookmarkInterval: 50 * time.Millisecond}, slog.New(slog.DiscardHandler))
 	require.NoError(g.t, err)
 	g.mu.Lock()
 	g.nodes[i], g.fronts[i], g.urls[i] = n, s, s.URL()
--- a/internal/controller/cuts_test.go
+++ b/internal/controller/cuts_test.go
@@ -35,7 +35,7 @@
 		w.mu.Lock()
 		w.names[l.Addr().String()] = name
 		w.mu.Unlock()
-		return wire{plain{l}, w, name}, nil
+		return wire{tcpStreamLayer{l}, w, name}, nil
 	}
 }
 
@@ -57,7 +57,7 @@
 }
 
 type wire struct {
-	plain
+	tcpStreamLayer
 	all  *wires
 	name string
 }
@@ -70,7 +70,7 @@
 	if cut {
 		return nil, errors.New("cut")
 	}
-	c, err := w.plain.Dial(a, within)
+	c, err := w.tcpStreamLayer.Dial(a, within)
 	if err == nil {
 		w.all.mu.Lock()
 		w.all.open[c] = ends
@@ -84,19 +84,19 @@
 	g := &group{t: t}
 	for i := range 3 {
 		name := fmt.Sprintf("c%d", i+1)
-		seat := NodeConfig{Name: name, Dir: t.TempDir(), Listen: "127.0.0.1:0", Bootstrap: i == 0, Quick: true, Control: figures, Build: 1, Streams: w.streams(name)}
+		seat := NodeConfig{Name: name, Dir: t.TempDir(), Listen: "127.0.0.1:0", Bootstrap: i == 0, Quick: true, Control: figures, Build: 1, StreamLayer: w.streams(name)}
 		if disk != nil {
-			seat.Disk = func(l raft.LogStore, s raft.StableStore) (raft.LogStore, raft.StableStore) { return disk(i, l), s }
+			seat.WrapStores = func(l raft.LogStore, s raft.StableStore) (raft.LogStore, raft.StableStore) { return disk(i, l), s }
 		}
 		n, err := Open(seat, slog.New(slog.DiscardHandler))
 		require.NoError(t, err)
-		s, err := Serve(n, ServerConfig{Listen: "127.0.0.1:0", VotesASecond: 1000, Bookmark: 50 * time.Millisecond}, slog.New(slog.DiscardHandler))
+		s, err := Serve(n, ServerConfig{Listen: "127.0.0.1:0", VotesPerSecond: 1000, BookmarkInterval: 50 * time.Millisecond}, slog.New(slog.DiscardHandler))
 		require.NoError(t, err)
 		g.nodes, g.fronts, g.urls = append(g.nodes, n), append(g.fronts, s), append(g.urls, s.URL())
 		if i == 0 {
 			g.leader()
 		} else {
-			require.Eventually(t, func() bool { return g.nodes[0].Add(name, n.Address()) == nil }, 10*time.Second, 20*time.Millisecond)
+			require.Eventually(t, func() bool { return g.nodes[0].AddMember(name, n.Address()) == nil }, 10*time.Second, 20*time.Millisecond)
 		}
 	}
 	t.Cleanup(g.close)
--- a/internal/controller/described_test.go
+++ b/internal/controller/described_test.go
@@ -255,7 +255,7 @@
 		status, _ := d.call("PUT", u, "/v1/releases/1/votes/r1", `{"stage":0,"voice":"none"}`)
 		require.Contains(t, []int{200, 409}, status)
 	}
-	g.fronts[lead].votes.SetBurst(0)
+	g.fronts[lead].voteLimiter.SetBurst(0)
 	do(429, "PUT", "/v1/releases/1/votes/r1", `{"stage":0,"voice":"on"}`)
 	for i := range 500 {
 		g.nodes[lead].Propose(control.Command{Kind: control.EmitEvent, Name: "counts", Body: []byte(fmt.Sprintf(`{"build":1,"category":"c","bad":0,"samples":%d,"meanMs":0,"ageMs":0}`, i))})
@@ -278,11 +278,11 @@
 	}
 	f := g.fronts[lead]
 	f.mu.Lock()
-	f.front.Watchers = 0
+	f.config.MaxWatchers = 0
 	f.mu.Unlock()
 	do(503, "GET", "/v1/watch", "")
 	f.mu.Lock()
-	f.front.Watchers = 100
+	f.config.MaxWatchers = 100
 	f.mu.Unlock()
 	for i, kind := range kinds {
 		require.NotNil(t, at(d.async, "components", "messages", kind), "the event %s is not documented", kind)
@@ -294,14 +294,14 @@
 	_, _, status := dial(t, u, "", "")
 	require.Equal(t, 101, status)
 	d.seen["watch 101"] = true
-	closed, err := Serve(g.nodes[lead], ServerConfig{Listen: "127.0.0.1:0", URL: u, Guard: &Guard{}}, slog.New(slog.DiscardHandler))
+	closed, err := Serve(g.nodes[lead], ServerConfig{Listen: "127.0.0.1:0", URL: u, Authorizer: &Authorizer{}}, slog.New(slog.DiscardHandler))
 	require.NoError(t, err)
 	defer closed.Close()
 	named := strings.NewReplacer("{build}", "1", "{router}", "r1", "{step}", "one", "{order}", "ready", "{version}", "9", "{name}", "c2", "{location}", "north")
 	for template, methods := range d.open["paths"].(map[string]any) {
 		for method := range methods.(map[string]any) {
 			if method != "parameters" {
-				status, text := d.call(strings.ToUpper(method), "http://"+closed.listen.Addr().String(), named.Replace(template), "")
+				status, text := d.call(strings.ToUpper(method), "http://"+closed.listener.Addr().String(), named.Replace(template), "")
 				require.Equal(t, 403, status, text)
 			}
 		}
@@ -424,7 +424,7 @@
 func TestDrawnRequestsGetADocumentedAnswerEach(t *testing.T) {
 	d := describe(t)
 	a, err := StartStandalone(NodeConfig{Name: "c1", Dir: t.TempDir(), Listen: "127.0.0.1:0", Quick: true, Control: figures, Build: 1},
-		ServerConfig{Listen: "127.0.0.1:0", VotesASecond: 1e6}, slog.New(slog.DiscardHandler))
+		ServerConfig{Listen: "127.0.0.1:0", VotesPerSecond: 1e6}, slog.New(slog.DiscardHandler))
 	require.NoError(t, err)
 	defer func() { require.NoError(t, a.Stop()) }()
 	type target struct {
--- a/internal/controller/guard.go
+++ b/internal/controller/guard.go
@@ -14,15 +14,15 @@
 type Role string
 
 const (
-	read        Role = "read"
-	mayVote     Role = "vote"
-	mayRelease  Role = "release"
-	mayWithdraw Role = "withdraw"
-	mayServe    Role = "serve" // run hosts, steps and controllers
+	RoleRead     Role = "read"
+	RoleVote     Role = "vote"
+	RoleRelease  Role = "release"
+	RoleWithdraw Role = "withdraw"
+	RoleServe    Role = "serve" // run hosts, steps and controllers
 )
 
 // Roles are all of them.
-var Roles = []Role{read, mayVote, mayRelease, mayWithdraw, mayServe}
+var Roles = []Role{RoleRead, RoleVote, RoleRelease, RoleWithdraw, RoleServe}
 
 // Grant lets callers do something: those whose certificate's common name fits Names (as path.Match has it) and whose
 // address is in Networks; an empty field fits all.
@@ -32,18 +32,18 @@
 	Roles       []Role
 }
 
-// Guard says who may do what, by certificates and networks.
-type Guard struct {
-	TLS    *tls.Config // of this server; nil for plain HTTP, where no one has a name
-	Client *tls.Config // towards other controllers
-	Grants []Grant
-	Peers  []string // names of controllers, which may speak on behalf of others
+// Authorizer says who may do what, by certificates and networks.
+type Authorizer struct {
+	ServerTLS *tls.Config // of this server; nil for plain HTTP, where no one has a name
+	ClientTLS *tls.Config // towards other controllers
+	Grants    []Grant
+	Peers     []string // names of controllers, which may speak on behalf of others
 }
 
 const onBehalf = "Dapplefront-On-Behalf-Of"
 
 // who is the name of a caller: of its certificate, or as a controller that passes a call on tells it.
-func (g *Guard) who(r *http.Request) string {
+func (g *Authorizer) who(r *http.Request) string {
 	name := ""
 	if r.TLS != nil && len(r.TLS.PeerCertificates) > 0 {
 		name = r.TLS.PeerCertificates[0].Subject.CommonName
@@ -54,12 +54,12 @@
 	return name
 }
 
-func (g *Guard) peer(name string) bool {
+func (g *Authorizer) peer(name string) bool {
 	return slices.ContainsFunc(g.Peers, func(p string) bool { ok, _ := path.Match(p, name); return ok && name != "" })
 }
 
 // may tells whether a caller has a role.
-func (g *Guard) may(r *http.Request, role Role) bool {
+func (g *Authorizer) may(r *http.Request, role Role) bool {
 	name := g.who(r)
 	at, err := netip.ParseAddrPort(r.RemoteAddr)
 	passed := r.Header.Get(onBehalf) != "" // the controller that passed it on has looked at the network
@@ -91,7 +91,7 @@
 // passed on to it.
 func (s *Server) guarded(h handler) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
-		if g := s.front.Guard; g != nil && !g.may(r, h.role) {
+		if g := s.config.Authorizer; g != nil && !g.may(r, h.role) {
 			s.log.Warn("a call is refused", "who", g.who(r), "from", r.RemoteAddr, "call", r.Method+" "+r.URL.Path, "lacks", h.role)
 			problem(w, http.StatusForbidden, "", "the role "+string(h.role)+" is needed")
 			return
--- a/internal/controller/kill_test.go
+++ b/internal/controller/kill_test.go
@@ -151,7 +151,7 @@
 		open := func() {
 			seat := NodeConfig{Name: "c1", Dir: g.dirs[0], Listen: "127.0.0.1:0", Bootstrap: true, Quick: true, Control: figures, Build: 1}
 			if lies {
-				seat.Disk = func(l raft.LogStore, s raft.StableStore) (raft.LogStore, raft.StableStore) {
+				seat.WrapStores = func(l raft.LogStore, s raft.StableStore) (raft.LogStore, raft.StableStore) {
 					return &forgetful{LogStore: l}, s
 				}
 			}
--- a/internal/controller/secure.go
+++ b/internal/controller/secure.go
@@ -15,8 +15,8 @@
 	"dapplefront/internal/certs"
 )
 
-// Secure is the streams between controllers by TLS, both sides with certificates whose names fit peers.
-func Secure(ring *certs.Ring, peers []string) func(net.Listener) (raft.StreamLayer, error) {
+// TLSStreamLayer is the streams between controllers by TLS, both sides with certificates whose names fit peers.
+func TLSStreamLayer(ring *certs.Ring, peers []string) func(net.Listener) (raft.StreamLayer, error) {
 	return func(l net.Listener) (raft.StreamLayer, error) {
 		server, client := ring.Server(), ring.Client()
 		named := func(s tls.ConnectionState) error {
@@ -41,16 +41,16 @@
 		client.VerifyConnection = func(s tls.ConnectionState) error {
 			return errors.Join(verify(s), named(s))
 		}
-		return secure{tls.NewListener(l, server), client}, nil
+		return tlsStreamLayer{tls.NewListener(l, server), client}, nil
 	}
 }
 
-type secure struct {
+type tlsStreamLayer struct {
 	net.Listener
 	client *tls.Config
 }
 
-func (s secure) Dial(a raft.ServerAddress, within time.Duration) (net.Conn, error) {
+func (s tlsStreamLayer) Dial(a raft.ServerAddress, within time.Duration) (net.Conn, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), within)
 	defer cancel()
 	return (&tls.Dialer{Config: s.client}).DialContext(ctx, "tcp", string(a))
--- a/internal/controller/secure_test.go
+++ b/internal/controller/secure_test.go
@@ -47,8 +47,8 @@
 		require.NoError(t, err)
 		return s
 	}
-	grants := []Grant{{CommonNames: []string{"router-*"}, Roles: []Role{read, mayVote}}, {CommonNames: []string{"people-*"}, Roles: []Role{read, mayRelease, mayWithdraw}},
-		{CommonNames: []string{"people-far"}, Networks: nets("10.0.0.0/8"), Roles: []Role{mayServe}}, {CommonNames: []string{"c*"}, Roles: Roles}}
+	grants := []Grant{{CommonNames: []string{"router-*"}, Roles: []Role{RoleRead, RoleVote}}, {CommonNames: []string{"people-*"}, Roles: []Role{RoleRead, RoleRelease, RoleWithdraw}},
+		{CommonNames: []string{"people-far"}, Networks: nets("10.0.0.0/8"), Roles: []Role{RoleServe}}, {CommonNames: []string{"c*"}, Roles: Roles}}
 	var logged pad
 	log := slog.New(slog.NewTextHandler(&logged, nil))
 	var nodes []*Node
@@ -57,15 +57,15 @@
 		name := fmt.Sprintf("c%d", i+1)
 		r := ring(name)
 		n, err := Open(NodeConfig{Name: name, Dir: t.TempDir(), Listen: "127.0.0.1:0", Bootstrap: i == 0, Quick: true, Control: figures, Build: 1,
-			Streams: Secure(r, []string{"c*"})}, log)
+			StreamLayer: TLSStreamLayer(r, []string{"c*"})}, log)
 		require.NoError(t, err)
-		s, err := Serve(n, ServerConfig{Listen: "127.0.0.1:0", Bookmark: 50 * time.Millisecond, Guard: &Guard{TLS: r.Server(), Client: r.Client(), Grants: grants,
+		s, err := Serve(n, ServerConfig{Listen: "127.0.0.1:0", BookmarkInterval: 50 * time.Millisecond, Authorizer: &Authorizer{ServerTLS: r.Server(), ClientTLS: r.Client(), Grants: grants,
 			Peers: []string{"c*"}}}, log)
 		require.NoError(t, err)
 		t.Cleanup(func() { s.Close(); _ = n.Close() })
 		nodes, fronts = append(nodes, n), append(fronts, s)
 		if i > 0 {
-			require.Eventually(t, func() bool { return nodes[0].Add(name, n.Address()) == nil }, 10*time.Second, 20*time.Millisecond)
+			require.Eventually(t, func() bool { return nodes[0].AddMember(name, n.Address()) == nil }, 10*time.Second, 20*time.Millisecond)
 		}
 	}
 	require.Eventually(t, func() bool {
--- a/internal/controller/server.go
+++ b/internal/controller/server.go
@@ -30,18 +30,18 @@
 
 // ServerConfig is how the REST interface behaves.
 type ServerConfig struct {
-	Listen       string
-	URL          string  // under which others reach it; by default http:// and where it listens
-	VotesASecond float64 // at most, from all routers together
-	Watchers     int     // at once at most
-	Bookmark     time.Duration
-	Slow         time.Duration // a watcher that takes nothing for so long is cut off
-	Guard        *Guard        // nil lets everyone do everything
+	Listen           string
+	URL              string  // under which others reach it; by default http:// and where it listens
+	VotesPerSecond   float64 // at most, from all routers together
+	MaxWatchers      int     // at once at most
+	BookmarkInterval time.Duration
+	WriteTimeout     time.Duration // a watcher that takes nothing for so long is cut off
+	Authorizer       *Authorizer   // nil lets everyone do everything
 
 	// Fault and Told are for days and tests: how late events go out and whether the interface stands still, and what
 	// routers are told. A daemon has none.
-	Fault func() (late time.Duration, still bool)
-	Told  func(router string, n api.Release)
+	Fault        func() (late time.Duration, still bool)
+	OnStatusSent func(router string, n api.Release)
 }
 
 // fault is how things stand; a daemon's are always well.
@@ -54,19 +54,19 @@
 
 // Server is the REST interface of one instance.
 type Server struct {
-	node   *Node
-	front  ServerConfig
-	log    *slog.Logger
-	listen net.Listener
-	http   *http.Server
-	votes  *rate.Limiter
-	stop   chan struct{}
-	done   sync.WaitGroup
+	node        *Node
+	config      ServerConfig
+	log         *slog.Logger
+	listener    net.Listener
+	http        *http.Server
+	voteLimiter *rate.Limiter
+	stop        chan struct{}
+	done        sync.WaitGroup
 
-	mu       sync.Mutex
-	watchers int
-	cuts     int // watchers cut off for being slow
-	renewed  map[string]time.Time
+	mu           sync.Mutex
+	watchers     int
+	slowWatchers int // watchers cut off for being slow
+	joinedAt     map[string]time.Time
 }
 
 const largestBody = 16 << 20 // bytes; a plan for 500,000 hosts
@@ -77,59 +77,59 @@
 	if err != nil {
 		return nil, err
 	}
-	if f.Watchers == 0 {
-		f.Watchers = 5000
+	if f.MaxWatchers == 0 {
+		f.MaxWatchers = 5000
 	}
-	if f.Bookmark == 0 {
-		f.Bookmark = 2 * time.Second
+	if f.BookmarkInterval == 0 {
+		f.BookmarkInterval = 2 * time.Second
 	}
-	if f.Slow == 0 {
-		f.Slow = 5 * time.Second
+	if f.WriteTimeout == 0 {
+		f.WriteTimeout = 5 * time.Second
 	}
-	if f.VotesASecond == 0 {
-		f.VotesASecond = 100
+	if f.VotesPerSecond == 0 {
+		f.VotesPerSecond = 100
 	}
 	scheme := "http"
-	if f.Guard != nil && f.Guard.TLS != nil {
+	if f.Authorizer != nil && f.Authorizer.ServerTLS != nil {
 		scheme = "https"
 	}
 	if f.URL == "" {
 		f.URL = scheme + "://" + l.Addr().String()
 	}
-	s := &Server{node: node, front: f, log: logger, listen: l, stop: make(chan struct{}), renewed: map[string]time.Time{},
-		votes: rate.NewLimiter(rate.Limit(f.VotesASecond), max(1, int(2*f.VotesASecond)))}
+	s := &Server{node: node, config: f, log: logger, listener: l, stop: make(chan struct{}), joinedAt: map[string]time.Time{},
+		voteLimiter: rate.NewLimiter(rate.Limit(f.VotesPerSecond), max(1, int(2*f.VotesPerSecond)))}
 	mux := http.NewServeMux()
 	for pattern, h := range map[string]handler{
-		"GET /v1/releases":                         {read, s.list, false},
-		"POST /v1/releases":                        {mayRelease, s.create, true},
-		"GET /v1/releases/{build}":                 {read, s.get, false},
-		"PATCH /v1/releases/{build}":               {mayRelease, s.patch, true},
-		"DELETE /v1/releases/{build}":              {mayRelease, s.delete, true},
-		"POST /v1/releases/{build}/withdraw":       {mayWithdraw, s.withdraw, true},
-		"PUT /v1/releases/{build}/votes/{router}":  {mayVote, s.vote, true},
-		"PUT /v1/releases/{build}/steps/{step}":    {mayServe, s.step, true},
-		"PUT /v1/releases/{build}/orders/{order}":  {mayServe, s.order, true},
-		"POST /v1/releases/{build}/reports":        {mayVote, s.report, true},
-		"GET /v1/watch":                            {read, s.watch, false},
-		"POST /v1/counts":                          {mayServe, s.counts, true},
-		"POST /v1/complaints":                      {read, s.complain, true},
-		"PUT /v1/plans/{version}":                  {mayRelease, s.publish, true},
-		"GET /v1/plans/{version}/for/{location}":   {read, s.planFor, false},
-		"PUT /v1/plans/{version}/routers/{router}": {mayVote, s.heed, true},
-		"PUT /v1/routers/{router}":                 {mayVote, s.join, true},
-		"DELETE /v1/routers/{router}":              {mayVote, s.leave, true},
-		"GET /v1/agents/{name}/orders":             {mayServe, s.orders, false},
-		"POST /v1/agents/{name}/orders":            {mayRelease, s.orderTo, true},
-		"POST /v1/agents/{name}/reports":           {mayServe, s.hearOf, true},
-		"GET /v1/status":                           {read, s.status, false},
-		"PUT /v1/controllers/{name}":               {mayServe, s.addMember, true},
-		"DELETE /v1/controllers/{name}":            {mayServe, s.removeMember, true},
+		"GET /v1/releases":                         {RoleRead, s.list, false},
+		"POST /v1/releases":                        {RoleRelease, s.create, true},
+		"GET /v1/releases/{build}":                 {RoleRead, s.get, false},
+		"PATCH /v1/releases/{build}":               {RoleRelease, s.patch, true},
+		"DELETE /v1/releases/{build}":              {RoleRelease, s.delete, true},
+		"POST /v1/releases/{build}/withdraw":       {RoleWithdraw, s.withdraw, true},
+		"PUT /v1/releases/{build}/votes/{router}":  {RoleVote, s.vote, true},
+		"PUT /v1/releases/{build}/steps/{step}":    {RoleServe, s.step, true},
+		"PUT /v1/releases/{build}/orders/{order}":  {RoleServe, s.order, true},
+		"POST /v1/releases/{build}/reports":        {RoleVote, s.report, true},
+		"GET /v1/watch":                            {RoleRead, s.watch, false},
+		"POST /v1/counts":                          {RoleServe, s.counts, true},
+		"POST /v1/complaints":                      {RoleRead, s.complain, true},
+		"PUT /v1/plans/{version}":                  {RoleRelease, s.publish, true},
+		"GET /v1/plans/{version}/for/{location}":   {RoleRead, s.planFor, false},
+		"PUT /v1/plans/{version}/routers/{router}": {RoleVote, s.heed, true},
+		"PUT /v1/routers/{router}":                 {RoleVote, s.join, true},
+		"DELETE /v1/routers/{router}":              {RoleVote, s.leave, true},
+		"GET /v1/agents/{name}/orders":             {RoleServe, s.orders, false},
+		"POST /v1/agents/{name}/orders":            {RoleRelease, s.orderTo, true},
+		"POST /v1/agents/{name}/reports":           {RoleServe, s.hearOf, true},
+		"GET /v1/status":                           {RoleRead, s.status, false},
+		"PUT /v1/controllers/{name}":               {RoleServe, s.addMember, true},
+		"DELETE /v1/controllers/{name}":            {RoleServe, s.removeMember, true},
 	} {
 		mux.HandleFunc(pattern, s.guarded(h))
 	}
 	s.http = &http.Server{Handler: mux, ErrorLog: log.New(io.Discard, "", 0), ReadHeaderTimeout: 10 * time.Second}
 	if scheme == "https" {
-		s.http.TLSConfig = f.Guard.TLS
+		s.http.TLSConfig = f.Authorizer.ServerTLS
 		go func() { _ = s.http.ServeTLS(l, "", "") }()
 	} else {
 		go func() { _ = s.http.Serve(l) }()
@@ -140,7 +140,7 @@
 }
 
 // URL is where others reach it.
-func (s *Server) URL() string { return s.front.URL }
+func (s *Server) URL() string { return s.config.URL }
 
 // Close ends it and all watches.
 func (s *Server) Close() {
@@ -162,15 +162,17 @@
 		}
 		known, leader := "", ""
 		leads, name := s.node.IsLeader()
-		s.node.Read(func(st *control.State, _ policy.Time) { known, leader = st.ControllerURL(s.node.seat.Name), st.ControllerURL(name) })
-		if known == s.front.URL {
+		s.node.Read(func(st *control.State, _ policy.Time) {
+			known, leader = st.ControllerURL(s.node.config.Name), st.ControllerURL(name)
+		})
+		if known == s.config.URL {
 			continue
 		}
 		if leads {
-			_, _ = s.node.Propose(control.Command{Kind: control.SetMember, Name: s.node.seat.Name, Note: &s.front.URL})
+			_, _ = s.node.Propose(control.Command{Kind: control.SetMember, Name: s.node.config.Name, Note: &s.config.URL})
 		} else if leader != "" {
-			body, _ := json.Marshal(map[string]string{"url": s.front.URL})
-			ask, err := http.NewRequest("PUT", leader+"/v1/controllers/"+url.PathEscape(s.node.seat.Name), bytes.NewReader(body))
+			body, _ := json.Marshal(map[string]string{"url": s.config.URL})
+			ask, err := http.NewRequest("PUT", leader+"/v1/controllers/"+url.PathEscape(s.node.config.Name), bytes.NewReader(body))
 			if err != nil {
 				continue
 			}
@@ -183,8 +185,8 @@
 
 func (s *Server) client() *http.Client {
 	c := &http.Client{Timeout: 2 * time.Second}
-	if s.front.Guard != nil && s.front.Guard.Client != nil {
-		c.Transport = &http.Transport{TLSClientConfig: s.front.Guard.Client}
+	if s.config.Authorizer != nil && s.config.Authorizer.ClientTLS != nil {
+		c.Transport = &http.Transport{TLSClientConfig: s.config.Authorizer.ClientTLS}
 	}
 	return c
 }
@@ -299,7 +301,7 @@
 	to := ""
 	s.node.Read(func(st *control.State, _ policy.Time) { to = st.ControllerURL(name) })
 	const passed = "Dapplefront-Passed" // once is enough: whoever leads may have changed meanwhile
-	if to == "" || name == s.node.seat.Name || r.Header.Get(passed) != "" {
+	if to == "" || name == s.node.config.Name || r.Header.Get(passed) != "" {
 		w.Header().Set("Retry-After", "1")
 		problem(w, http.StatusServiceUnavailable, "", ErrNoLeader.Error())
 		return true
@@ -311,9 +313,9 @@
 	}
 	p := &httputil.ReverseProxy{Rewrite: func(p *httputil.ProxyRequest) {
 		p.SetURL(at)
-		p.Out.Header.Set(passed, s.node.seat.Name)
-		if s.front.Guard != nil {
-			p.Out.Header.Set(onBehalf, s.front.Guard.who(r))
+		p.Out.Header.Set(passed, s.node.config.Name)
+		if s.config.Authorizer != nil {
+			p.Out.Header.Set(onBehalf, s.config.Authorizer.who(r))
 		}
 	}, ErrorLog: log.New(io.Discard, "", 0), Transport: s.client().Transport, ErrorHandler: func(w http.ResponseWriter, _ *http.Request, err error) {
 		var op *net.OpError
@@ -322,7 +324,7 @@
 			problem(w, http.StatusServiceUnavailable, "", ErrNoLeader.Error())
 			return
 		}
-		problem(w, http.StatusGatewayTimeout, "", ErrUnclear.Error())
+		problem(w, http.StatusGatewayTimeout, "", ErrOutcomeUnknown.Error())
 	}}
 	p.ServeHTTP(w, r)
 	return true
@@ -529,12 +531,12 @@
 		problem(w, http.StatusBadRequest, "voice", strings.Join(api.VoteChoices, ", ")+" expected")
 		return
 	}
-	if !s.votes.Allow() {
+	if !s.voteLimiter.Allow() {
 		w.Header().Set("Retry-After", "1")
-		problem(w, http.StatusTooManyRequests, "", fmt.Sprintf("more than %g votes a second from all routers", s.front.VotesASecond))
+		problem(w, http.StatusTooManyRequests, "", fmt.Sprintf("more than %g votes a second from all routers", s.config.VotesPerSecond))
 		return
 	}
-	if _, still := s.front.fault(); still { // every other vote counts; none is answered
+	if _, still := s.config.fault(); still { // every other vote counts; none is answered
 		if rand.IntN(2) == 0 {
 			_, _ = s.node.Propose(control.Command{Kind: control.CastVote, Build: n, Stage: v.Stage, Router: r.PathValue("router"), Choice: policy.VoteChoice(voice)})
 		}
@@ -547,8 +549,8 @@
 	s.change(w, r, control.Command{Kind: control.CastVote, Build: n, Stage: v.Stage, Router: r.PathValue("router"), Choice: policy.VoteChoice(voice)},
 		http.StatusOK, func(c control.Reply) any {
 			o := s.object(c).(api.ReleaseObject).Release
-			if s.front.Told != nil {
-				s.front.Told(r.PathValue("router"), o)
+			if s.config.OnStatusSent != nil {
+				s.config.OnStatusSent(r.PathValue("router"), o)
 			}
 			return o
 		})
@@ -681,12 +683,12 @@
 	if err != nil {
 		members = map[string]string{} // it is ending
 	}
-	out := api.Status{Name: s.node.seat.Name, Leads: leads, Leader: leader, BehindMs: s.node.ReplicationLag().Milliseconds(), Members: members}
+	out := api.Status{Name: s.node.config.Name, Leads: leads, Leader: leader, BehindMs: s.node.ReplicationLag().Milliseconds(), Members: members}
 	s.node.Read(func(st *control.State, _ policy.Time) {
 		out.Version, out.Routers, out.Events = st.Version(), st.RouterCount(), st.LastEvent()
 	})
 	s.mu.Lock()
-	out.Watchers, out.Slow = s.watchers, s.cuts
+	out.Watchers, out.Slow = s.watchers, s.slowWatchers
 	s.mu.Unlock()
 	answer(w, http.StatusOK, out)
 }
@@ -699,7 +701,7 @@
 	}
 	name := r.PathValue("name")
 	if a.Address != "" {
-		if err := s.node.Add(name, a.Address); err != nil {
+		if err := s.node.AddMember(name, a.Address); err != nil {
 			problem(w, http.StatusServiceUnavailable, "address", err.Error())
 			return
 		}
@@ -713,7 +715,7 @@
 
 func (s *Server) removeMember(w http.ResponseWriter, r *http.Request) {
 	name := r.PathValue("name")
-	if err := s.node.Remove(name); err != nil {
+	if err := s.node.RemoveMember(name); err != nil {
 		problem(w, http.StatusServiceUnavailable, "name", err.Error())
 		return
 	}
--- a/internal/controller/socket_test.go
+++ b/internal/controller/socket_test.go
@@ -109,7 +109,7 @@
 	g := start(t, 1)
 	f := g.fronts[0]
 	f.mu.Lock()
-	f.front.Slow = 200 * time.Millisecond
+	f.config.WriteTimeout = 200 * time.Millisecond
 	f.mu.Unlock()
 	c, err := net.Dial("tcp", strings.TrimPrefix(g.urls[0], "http://"))
 	require.NoError(t, err)
@@ -128,5 +128,5 @@
 	require.Eventually(t, watchers(0), 20*time.Second, 5*time.Millisecond)
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	require.Equal(t, 1, f.cuts)
+	require.Equal(t, 1, f.slowWatchers)
 }
--- a/internal/controller/store.go
+++ b/internal/controller/store.go
@@ -100,7 +100,7 @@
 		if l.Type != raft.LogCommand {
 			continue
 		}
-		c, err := unpack(l.Data)
+		c, err := decodeEntry(l.Data)
 		if err != nil {
 			return nil, fmt.Errorf("store %s is damaged: entry %d: %w", file, i, err)
 		}
@@ -161,7 +161,7 @@
 	if err != nil {
 		return err
 	}
-	if err := picture(text).Persist(sink); err != nil {
+	if err := fsmSnapshot(text).Persist(sink); err != nil {
 		return err
 	}
 	return bolt.SetUint64([]byte("CurrentTerm"), 1)
--- a/internal/controller/stored_test.go
+++ b/internal/controller/stored_test.go
@@ -102,9 +102,9 @@
 		if l.Type != raft.LogCommand {
 			continue
 		}
-		c, err := unpack(l.Data)
+		c, err := decodeEntry(l.Data)
 		require.NoError(t, err)
-		again, err := pack(c)
+		again, err := encodeEntry(c)
 		require.NoError(t, err)
 		require.Equal(t, string(l.Data), string(again), "entry %d", i)
 		commands++
--- a/internal/controller/stream.go
+++ b/internal/controller/stream.go
@@ -13,8 +13,8 @@
 	"github.com/lesismal/nbio/nbhttp/websocket"
 )
 
-// told is one event on its way to a watcher.
-type told struct {
+// watchEvent is one event on its way to a watcher.
+type watchEvent struct {
 	id   uint64
 	kind string
 	body []byte
@@ -22,7 +22,7 @@
 
 // stream is the way to one watcher.
 type stream interface {
-	send([]told) error
+	send([]watchEvent) error
 	closed() <-chan struct{} // when the other side has gone; nil where the request's context tells
 	gone() bool
 	end()
@@ -46,7 +46,7 @@
 	text bytes.Buffer
 }
 
-func (s *sseStream) send(all []told) error {
+func (s *sseStream) send(all []watchEvent) error {
 	s.text.Reset()
 	for _, e := range all {
 		fmt.Fprintf(&s.text, "id: %d\nevent: %s\ndata: %s\n\n", e.id, e.kind, e.body)
@@ -62,8 +62,8 @@
 func (*sseStream) gone() bool              { return false }
 func (*sseStream) end()                    {}
 
-// socket is the same events as WebSocket messages (RFC 6455), one JSON object each: id, event, data.
-type socket struct {
+// webSocketStream is the same events as WebSocket messages (RFC 6455), one JSON object each: id, event, data.
+type webSocketStream struct {
 	conn *websocket.Conn
 	slow time.Duration
 	over chan struct{}
@@ -75,7 +75,7 @@
 		problem(w, http.StatusForbidden, "Origin", "programs only: a page of another place must not watch with a person's certificate")
 		return nil, errors.New("a browser")
 	}
-	s := &socket{slow: slow, over: make(chan struct{})}
+	s := &webSocketStream{slow: slow, over: make(chan struct{})}
 	u := websocket.NewUpgrader()
 	u.BlockingModAsyncWrite = false // writes wait, so that a slow watcher is noticed and not queued for
 	u.OnClose(func(*websocket.Conn, error) { s.once.Do(func() { close(s.over) }) })
@@ -87,7 +87,7 @@
 	return s, nil
 }
 
-func (s *socket) send(all []told) error {
+func (s *webSocketStream) send(all []watchEvent) error {
 	for _, e := range all {
 		_ = s.conn.SetWriteDeadline(time.Now().Add(s.slow))
 		body, err := json.Marshal(struct {
@@ -105,9 +105,9 @@
 	return nil
 }
 
-func (s *socket) closed() <-chan struct{} { return s.over }
+func (s *webSocketStream) closed() <-chan struct{} { return s.over }
 
-func (s *socket) gone() bool {
+func (s *webSocketStream) gone() bool {
 	select {
 	case <-s.over:
 		return true
@@ -116,4 +116,4 @@
 	}
 }
 
-func (s *socket) end() { _ = s.conn.Close() }
+func (s *webSocketStream) end() { _ = s.conn.Close() }
--- a/internal/controller/upgrade_test.go
+++ b/internal/controller/upgrade_test.go
@@ -41,7 +41,7 @@
 	}
 	for i := range 3 {
 		if leads, _ := g.nodes[i].IsLeader(); leads {
-			require.NoError(t, g.nodes[i].StepDown())
+			require.NoError(t, g.nodes[i].TransferLeadership())
 		}
 		back := g.kill(i)
 		g.leader()
--- a/internal/controller/watch.go
+++ b/internal/controller/watch.go
@@ -36,18 +36,18 @@
 		}
 	}
 	s.mu.Lock()
-	if s.watchers >= s.front.Watchers {
+	if s.watchers >= s.config.MaxWatchers {
 		s.mu.Unlock()
 		w.Header().Set("Retry-After", "2")
-		problem(w, http.StatusServiceUnavailable, "", fmt.Sprintf("%d watchers are as many as may be", s.front.Watchers))
+		problem(w, http.StatusServiceUnavailable, "", fmt.Sprintf("%d watchers are as many as may be", s.config.MaxWatchers))
 		return
 	}
 	s.watchers++
-	slow := s.front.Slow
+	slow := s.config.WriteTimeout
 	s.mu.Unlock()
 	defer func() { s.mu.Lock(); s.watchers--; s.mu.Unlock() }()
 
-	var out []told
+	var out []watchEvent
 	var oldest uint64
 	gone := false
 	leads, _ := s.node.IsLeader()
@@ -80,7 +80,7 @@
 		out = out[:0]
 		if errors.Is(err, os.ErrDeadlineExceeded) || err != nil && r.Context().Err() == nil && !to.gone() {
 			s.mu.Lock()
-			s.cuts++
+			s.slowWatchers++
 			s.mu.Unlock()
 			s.log.Warn("a watcher is cut off", "router", router, "from", r.RemoteAddr, "reason", err)
 		}
@@ -89,12 +89,12 @@
 	if !flush() {
 		return
 	}
-	mark := time.NewTicker(s.front.Bookmark)
+	mark := time.NewTicker(s.config.BookmarkInterval)
 	defer mark.Stop()
 	for {
-		changed := s.node.Watch()
+		changed := s.node.Changed()
 		more, ok, behind := false, true, false
-		late, still := s.front.fault()
+		late, still := s.config.fault()
 		if still {
 			late += time.Hour
 		}
@@ -149,7 +149,7 @@
 					}
 				})
 			}
-			out = append(out, told{from, "bookmark", []byte("{}")})
+			out = append(out, watchEvent{from, "bookmark", []byte("{}")})
 			if !flush() {
 				return
 			}
@@ -168,14 +168,14 @@
 
 // renew sees that a router which watches stays a member, wherever it watches.
 func (s *Server) renew(router string) {
-	absent := time.Duration(s.node.seat.Control.RouterTimeout) * 100 * time.Microsecond
+	absent := time.Duration(s.node.config.Control.RouterTimeout) * 100 * time.Microsecond
 	if router == "" || absent == 0 {
 		return
 	}
 	s.mu.Lock()
-	due := time.Since(s.renewed[router]) > absent/4
+	due := time.Since(s.joinedAt[router]) > absent/4
 	if due {
-		s.renewed[router] = time.Now()
+		s.joinedAt[router] = time.Now()
 	}
 	s.mu.Unlock()
 	if !due {
@@ -208,7 +208,7 @@
 }
 
 // write adds an event as watchers hear it; ages are as of now.
-func (s *Server) write(out *[]told, router string, e control.Event, now policy.Time) {
+func (s *Server) write(out *[]watchEvent, router string, e control.Event, now policy.Time) {
 	body := []byte(e.Body)
 	age := max(0, int64(now-e.At)/10)
 	switch e.Kind {
@@ -217,8 +217,8 @@
 		if json.Unmarshal(e.Body, &n) == nil {
 			told := api.Release{Build: n.Build, Stage: n.Stage, Phase: api.Phases[n.Phase], ExposureCap: n.ExposureCap,
 				AgeMs: max(0, int64(now-n.Since)/10), Version: int64(e.ID)}
-			if body = encode(told); router != "" && s.front.Told != nil {
-				s.front.Told(router, told)
+			if body = encode(told); router != "" && s.config.OnStatusSent != nil {
+				s.config.OnStatusSent(router, told)
 			}
 		}
 	case control.EventRelease:
@@ -239,7 +239,7 @@
 			body = encode(c)
 		}
 	}
-	*out = append(*out, told{e.ID, e.Kind, body})
+	*out = append(*out, watchEvent{e.ID, e.Kind, body})
 }
 
 func encode(v any) []byte {
--- a/internal/scenario/controllers.go
+++ b/internal/scenario/controllers.go
@@ -91,15 +91,15 @@
 	for i := range n {
 		o := &office{seat: controller.NodeConfig{Name: fmt.Sprintf("c%d", i+1), Dir: filepath.Join(dir, fmt.Sprintf("c%d", i+1)), Listen: "127.0.0.1:0",
 			Bootstrap: i == 0, Quick: true, Build: 1, Control: control.Config{Rules: rules, RouterTimeout: 10 * policy.Second}},
-			front: controller.ServerConfig{Listen: "127.0.0.1:0", VotesASecond: 30, Fault: c.fault, Told: c.told}}
+			front: controller.ServerConfig{Listen: "127.0.0.1:0", VotesPerSecond: 30, Fault: c.fault, OnStatusSent: c.told}}
 		if secure != nil {
 			ring, err := secure.ring(o.seat.Name)
 			if err != nil {
 				c.Stop()
 				return nil, err
 			}
-			o.seat.Streams = controller.Secure(ring, []string{"c?"})
-			o.front.Guard = &controller.Guard{TLS: ring.Server(), Client: ring.Client(), Grants: grants, Peers: []string{"c?"}}
+			o.seat.StreamLayer = controller.TLSStreamLayer(ring, []string{"c?"})
+			o.front.Authorizer = &controller.Authorizer{ServerTLS: ring.Server(), ClientTLS: ring.Client(), Grants: grants, Peers: []string{"c?"}}
 		}
 		c.seats = append(c.seats, o)
 		if err := o.open(log); err != nil {
@@ -111,7 +111,7 @@
 		c.client = client.New(urls, h)
 		if i > 0 {
 			within, cancel := context.WithTimeout(ctx, 10*time.Second)
-			err := c.client.Join(within, o.seat.Name, api.Controller{Address: o.seat.Listen, URL: o.front.URL})
+			err := c.client.AddController(within, o.seat.Name, api.Controller{Address: o.seat.Listen, URL: o.front.URL})
 			cancel()
 			if err != nil {
 				c.Stop()
@@ -279,7 +279,7 @@
 				if t.good > 0 {
 					a.MeanMs = float64(t.took.Microseconds()) / 1000 / float64(t.good)
 				}
-				c.ask(func(ctx context.Context) error { return c.client.Counts(ctx, a) })
+				c.ask(func(ctx context.Context) error { return c.client.ReportCounts(ctx, a) })
 			}
 		}()
 	}
@@ -323,11 +323,11 @@
 			_, err := c.client.Create(ctx, api.CreateRelease{Build: in.Build}, fmt.Sprint("day-", in.Build))
 			return err
 		case release.HostsReady:
-			return c.client.Carried(ctx, in.Build, "ready")
+			return c.client.CompleteOrder(ctx, in.Build, "ready")
 		case release.HostsRemoved:
-			return c.client.Carried(ctx, in.Build, "gone")
+			return c.client.CompleteOrder(ctx, in.Build, "gone")
 		case release.RollBack:
-			_, err := c.client.Withdraw(ctx, in.Build)
+			_, err := c.client.RollBack(ctx, in.Build)
 			return err
 		}
 		return fmt.Errorf("%T is no matter of the fleet's", in)
@@ -385,7 +385,7 @@
 func (c *controllers) Publish(p *plan.Published) {
 	c.note()
 	c.ask(func(ctx context.Context) error {
-		return c.client.Publish(ctx, p.Version, api.Published{Build: p.Build, Stage: p.Stage, ForMs: (4 * time.Second).Milliseconds(), For: p.For})
+		return c.client.PublishPlan(ctx, p.Version, api.Published{Build: p.Build, Stage: p.Stage, ForMs: (4 * time.Second).Milliseconds(), For: p.For})
 	})
 }
 
--- a/internal/scenario/ledger.go
+++ b/internal/scenario/ledger.go
@@ -49,7 +49,7 @@
 // order gives an agent an order.
 func (l *ledger) order(agent string, o api.Order) {
 	l.desk.ask(func(ctx context.Context) error {
-		_, err := l.desk.client.Order(ctx, agent, o)
+		_, err := l.desk.client.OrderAgent(ctx, agent, o)
 		return err
 	})
 }
