--- a/internal/controller/agents.go
+++ b/internal/controller/agents.go
@@ -13,91 +13,126 @@
 	"dapplefront/policy"
 )
 
-// goals are what an agent can be asked for.
-var goals = []string{"stage", "serve", "release", "take-back"}
+// agentGoals are what an agent can be asked for.
+var agentGoals = []string{"stage", "serve", "release", "take-back"}
 
-// orderTo gives an agent an order; the reply has its number.
-func (s *Server) orderTo(w http.ResponseWriter, r *http.Request) {
-	var o api.Order
-	if !decode(w, r, &o) {
-		return
+// orderAgent gives an agent an order; the answer has its number.
+func (s *Server) orderAgent(w http.ResponseWriter, r *http.Request) error {
+	var order api.Order
+	if err := decodeBody(w, r, &order); err != nil {
+		return err
 	}
 	switch {
-	case !slices.Contains(goals, o.Goal):
-		problem(w, http.StatusBadRequest, "goal", fmt.Sprintf("one of %v expected", goals))
-		return
-	case o.Digest == "" || o.Build < 1:
-		problem(w, http.StatusBadRequest, "digest", "a build and the digest of its manifest expected")
-		return
-	case o.Number != 0:
-		problem(w, http.StatusBadRequest, "number", "the controller numbers orders")
-		return
+	case !slices.Contains(agentGoals, order.Goal):
+		return invalid("goal", "one of %v expected", agentGoals)
+	case order.Digest == "" || order.Build < 1:
+		return invalid("digest", "a build and the digest of its manifest expected")
+	case order.Number != 0:
+		return invalid("number", "the controller numbers orders")
 	}
-	body, _ := json.Marshal(o)
-	s.change(w, r, control.Command{Kind: control.OrderAgent, Name: r.PathValue("name"), Body: body}, http.StatusCreated,
-		func(c control.Reply) any { o.Number = c.OrderNumber; return o })
+	body, err := json.Marshal(order)
+	if err != nil {
+		return err
+	}
+	c := control.Command{Kind: control.OrderAgent, Name: r.PathValue("name"), Body: body}
+	return s.propose(w, c, http.StatusCreated, func(reply control.Reply) any {
+		order.Number = reply.OrderNumber
+		return order
+	})
 }
 
-// hearOf takes an agent's reports; those sent again count once.
-func (s *Server) hearOf(w http.ResponseWriter, r *http.Request) {
-	var all []api.AgentReport
-	if !decode(w, r, &all) {
-		return
+// agentReports takes an agent's reports; those sent again count once.
+func (s *Server) agentReports(w http.ResponseWriter, r *http.Request) error {
+	var reports []api.AgentReport
+	if err := decodeBody(w, r, &reports); err != nil {
+		return err
 	}
-	for i, x := range all {
-		if x.Number == 0 {
-			problem(w, http.StatusBadRequest, fmt.Sprintf("[%d].number", i), "a number from 1 expected")
-			return
+	for i, report := range reports {
+		if report.Number == 0 {
+			return invalid(fmt.Sprintf("[%d].number", i), "a number from 1 expected")
 		}
 	}
-	body, _ := json.Marshal(all)
-	s.change(w, r, control.Command{Kind: control.AgentReport, Name: r.PathValue("name"), Body: body}, http.StatusNoContent, nil)
+	body, err := json.Marshal(reports)
+	if err != nil {
+		return err
+	}
+	c := control.Command{Kind: control.AgentReport, Name: r.PathValue("name"), Body: body}
+	return s.propose(w, c, http.StatusNoContent, nil)
 }
 
-// orders streams an agent's orders after Last-Event-ID; their numbers are the ids, the same at every instance.
-func (s *Server) orders(w http.ResponseWriter, r *http.Request) {
-	after, err := strconv.ParseUint(r.Header.Get("Last-Event-ID"), 10, 64)
-	if err != nil && r.Header.Get("Last-Event-ID") != "" {
-		problem(w, http.StatusBadRequest, "Last-Event-ID", "the number of an order expected")
-		return
+// watchAgentOrders streams an agent's orders after Last-Event-ID as server-sent events. Their numbers are the events' ids,
+// the same at every instance.
+func (s *Server) watchAgentOrders(w http.ResponseWriter, r *http.Request) error {
+	last := r.Header.Get("Last-Event-ID")
+	after, err := strconv.ParseUint(last, 10, 64)
+	if err != nil && last != "" {
+		return invalid("Last-Event-ID", "the number of an order expected")
 	}
 	w.Header().Set("Content-Type", "text/event-stream")
 	w.Header().Set("Cache-Control", "no-store")
-	rc := http.NewResponseController(w)
-	mark := time.NewTicker(s.config.BookmarkInterval)
-	defer mark.Stop()
-	for first := true; ; first = false {
+	stream := orderStream{server: s, agent: r.PathValue("name"), w: w, rc: http.NewResponseController(w), after: after}
+	keepAlive := time.NewTicker(s.config.BookmarkInterval)
+	defer keepAlive.Stop()
+	for {
 		changed := s.node.Changed()
-		var some []control.Order
-		s.node.Read(func(st *control.State, _ policy.Time) { some = slices.Clone(st.Orders(r.PathValue("name"), after)) })
-		if _, still := s.config.fault(); still {
-			some = nil
-		}
-		_ = rc.SetWriteDeadline(time.Now().Add(s.config.WriteTimeout))
-		for _, x := range some {
-			var o api.Order
-			if err := json.Unmarshal(x.Body, &o); err != nil {
-				s.log.Error("an order that makes no sense is kept", "agent", r.PathValue("name"), "number", x.Number, "error", err)
-				continue
-			}
-			o.Number, after = x.Number, x.Number
-			if _, err := fmt.Fprintf(w, "id: %d\nevent: order\ndata: %s\n\n", x.Number, encode(o)); err != nil {
-				return
-			}
-		}
-		if (first || len(some) > 0) && rc.Flush() != nil {
-			return
+		if err := stream.sendNew(); err != nil {
+			return errAnswered
 		}
 		select {
 		case <-changed:
-		case <-mark.C: // so that a link that is dead is noticed by both sides
-			if _, err := fmt.Fprint(w, ": still here\n\n"); err != nil || rc.Flush() != nil {
-				return
+		case <-keepAlive.C:
+			if err := stream.sendKeepAlive(); err != nil {
+				return errAnswered
 			}
 		case <-r.Context().Done():
-			return
-		case <-s.stop:
-			return
+			return errAnswered
+		case <-s.ctx.Done():
+			return errAnswered
+		}
+	}
+}
+
+// orderStream is the orders to one agent on their way to it.
+type orderStream struct {
+	server *Server
+	agent  string
+	w      http.ResponseWriter
+	rc     *http.ResponseController
+	after  uint64 // number of the last order sent
+	began  bool   // the headers have been sent
+}
+
+// sendNew sends the orders that came since, the first time the headers at least.
+func (o *orderStream) sendNew() error {
+	s := o.server
+	var orders []control.Order
+	s.node.Read(func(st *control.State, _ policy.Time) { orders = slices.Clone(st.Orders(o.agent, o.after)) })
+	if _, hangs := s.config.injectedFault(); hangs {
+		orders = nil
+	}
+	_ = o.rc.SetWriteDeadline(time.Now().Add(s.config.WriteTimeout)) // without one, writes may wait for longer
+	for _, stored := range orders {
+		var order api.Order
+		if err := json.Unmarshal(stored.Body, &order); err != nil {
+			s.log.Error("a stored order can't be read", "agent", o.agent, "number", stored.Number, "error", err)
+			continue
+		}
+		order.Number, o.after = stored.Number, stored.Number
+		if _, err := fmt.Fprintf(o.w, "id: %d\nevent: order\ndata: %s\n\n", stored.Number, encode(order)); err != nil {
+			return err
 		}
 	}
+	if o.began && len(orders) == 0 {
+		return nil
+	}
+	o.began = true
+	return o.rc.Flush()
+}
+
+// sendKeepAlive lets both sides notice a dead connection.
+func (o *orderStream) sendKeepAlive() error {
+	if _, err := fmt.Fprint(o.w, ": still here\n\n"); err != nil {
+		return err
+	}
+	return o.rc.Flush()
 }
--- a/internal/controller/store.go
+++ b/internal/controller/store.go
@@ -3,7 +3,6 @@
 import (
 	"errors"
 	"fmt"
-	"io"
 	"os"
 	"path/filepath"
 	"time"
@@ -15,11 +14,27 @@
 	"dapplefront/control"
 )
 
+// lockTimeout is how long opening a store waits while another process uses it.
+const lockTimeout = time.Second
+
+func logFile(dir string) string { return filepath.Join(dir, "log.db") }
+
+func readOnly() *bbolt.Options { return &bbolt.Options{ReadOnly: true, Timeout: lockTimeout} }
+
+// openLogStore opens Raft's log, term and vote; nil options are bbolt's defaults.
+func openLogStore(file string, options *bbolt.Options) (*raftboltdb.BoltStore, error) {
+	store, err := raftboltdb.New(raftboltdb.Options{Path: file, BoltOptions: options, MsgpackUseNewTimeFormat: true})
+	if err != nil {
+		return nil, fmt.Errorf("store %s: %w", file, err)
+	}
+	return store, nil
+}
+
 // CheckStore goes through a controller's store without changing it: every page of the log's file, every entry, and the
-// newest snapshot. A missing store is no error. It tells all that is wrong.
-func CheckStore(dir string, f control.Config) (err error) {
-	file := filepath.Join(dir, "log.db")
-	if _, e := os.Stat(file); os.IsNotExist(e) {
+// newest snapshot. A missing store is no error. The error tells all that is wrong.
+func CheckStore(dir string, config control.Config) (err error) {
+	file := logFile(dir)
+	if _, statErr := os.Stat(file); os.IsNotExist(statErr) {
 		return nil
 	}
 	defer func() { // bbolt panics on some damage
@@ -27,197 +42,93 @@
 			err = fmt.Errorf("store %s is damaged: %v", file, r)
 		}
 	}()
-	db, err := bbolt.Open(file, 0o600, &bbolt.Options{ReadOnly: true, Timeout: time.Second})
+	if err := checkPages(file); err != nil {
+		return err
+	}
+	_, err = replay(dir, config, nil)
+	return err
+}
+
+func checkPages(file string) error {
+	db, err := bbolt.Open(file, 0o600, readOnly())
 	if err != nil {
 		return fmt.Errorf("store %s is damaged or in use: %w", file, err)
 	}
-	var all []error
+	var found []error
 	err = db.View(func(tx *bbolt.Tx) error {
 		for e := range tx.Check() {
-			all = append(all, e)
+			found = append(found, e)
 		}
 		return nil
 	})
-	if e := db.Close(); err == nil {
-		err = e
-	}
-	if err = errors.Join(append(all, err)...); err != nil {
+	if err := errors.Join(append(found, err, db.Close())...); err != nil {
 		return fmt.Errorf("store %s is damaged: %w", file, err)
 	}
-	_, err = replay(dir, f, nil)
-	return err
+	return nil
 }
 
-// replay reads snapshot and log in order and returns the state that they make; each command is passed to seen.
-func replay(dir string, f control.Config, seen func(index uint64, c control.Command)) (*control.State, error) {
-	s := control.New(f, 1)
-	from := uint64(0)
-	snaps, err := raft.NewFileSnapshotStore(dir, 2, io.Discard)
+// replay reads snapshot and log in order and returns the state that they make. Each command is passed to seen, which may be
+// nil, before it is applied.
+func replay(dir string, config control.Config, seen func(index uint64, c control.Command)) (state *control.State, err error) {
+	state, snapshotIndex, err := loadNewestSnapshot(dir, config)
 	if err != nil {
 		return nil, err
 	}
-	list, err := snaps.List()
+	file := logFile(dir)
+	logs, err := openLogStore(file, readOnly())
 	if err != nil {
 		return nil, err
 	}
-	if len(list) > 0 {
-		_, r, err := snaps.Open(list[0].ID)
-		if err != nil {
-			return nil, fmt.Errorf("snapshot %s in %s: %w", list[0].ID, dir, err)
-		}
-		text, err := io.ReadAll(r)
-		_ = r.Close()
-		if err == nil {
-			s, err = control.Load(f, text)
-		}
-		if err != nil {
-			return nil, fmt.Errorf("snapshot %s in %s: %w", list[0].ID, dir, err)
-		}
-		from = list[0].Index
-	}
-	file := filepath.Join(dir, "log.db")
-	bolt, err := raftboltdb.New(raftboltdb.Options{Path: file, BoltOptions: &bbolt.Options{ReadOnly: true, Timeout: time.Second}, MsgpackUseNewTimeFormat: true})
+	defer func() { err = errors.Join(err, logs.Close()) }()
+	first, last, err := logBounds(logs)
 	if err != nil {
 		return nil, fmt.Errorf("store %s: %w", file, err)
 	}
-	defer bolt.Close()
-	first, err := bolt.FirstIndex()
-	if err != nil {
-		return nil, fmt.Errorf("store %s: %w", file, err)
+	if first > snapshotIndex+1 {
+		return nil, fmt.Errorf("store %s: entries %d to %d are missing", file, snapshotIndex+1, first-1)
 	}
-	last, err := bolt.LastIndex()
-	if err != nil {
-		return nil, fmt.Errorf("store %s: %w", file, err)
-	}
-	if first > from+1 {
-		return nil, fmt.Errorf("store %s: entries %d to %d are missing", file, from+1, first-1)
-	}
-	for i := from + 1; i <= last && last > 0; i++ {
-		var l raft.Log
-		if err := bolt.GetLog(i, &l); err != nil || l.Index != i {
-			return nil, fmt.Errorf("store %s is damaged: entry %d: %v", file, i, err)
+	for index := snapshotIndex + 1; index <= last && last > 0; index++ {
+		c, isCommand, err := readCommand(logs, index)
+		if err != nil {
+			return nil, fmt.Errorf("store %s is damaged: entry %d: %w", file, index, err)
 		}
-		if l.Type != raft.LogCommand {
+		if !isCommand {
 			continue
 		}
-		c, err := decodeEntry(l.Data)
-		if err != nil {
-			return nil, fmt.Errorf("store %s is damaged: entry %d: %w", file, i, err)
-		}
 		if seen != nil {
-			seen(i, c)
+			seen(index, c)
 		}
-		_, _ = s.Apply(i, c) // a rejected command is part of the log too
+		_, _ = state.Apply(index, c) // commands that were rejected are in the log too
 	}
-	return s, nil
+	return state, nil
 }
 
-// Export writes the state that a store holds. The store must not be in use. Entries that were never accepted by most
-// instances may be in it, as after any restart.
-func Export(dir string, f control.Config, to io.Writer) error {
-	if _, err := os.Stat(filepath.Join(dir, "log.db")); err != nil {
-		return err
-	}
-	s, err := replay(dir, f, nil)
-	if err != nil {
-		return err
-	}
-	text, err := s.Save()
-	if err != nil {
-		return err
+func logBounds(logs raft.LogStore) (first, last uint64, err error) {
+	if first, err = logs.FirstIndex(); err != nil {
+		return 0, 0, err
 	}
-	_, err = to.Write(append(text, '\n'))
-	return err
+	last, err = logs.LastIndex()
+	return first, last, err
 }
 
-// Import makes a new store of one member out of what Export wrote: a group that lost most of its members starts again
-// from it. The directory must be empty or missing.
-func Import(seat NodeConfig, from io.Reader) error {
-	text, err := io.ReadAll(from)
-	if err != nil {
-		return err
-	}
-	if _, err := control.Load(seat.Control, text); err != nil {
-		return err
-	}
-	if some, err := os.ReadDir(seat.Dir); err == nil && len(some) > 0 {
-		return fmt.Errorf("%s is not empty", seat.Dir)
-	}
-	if err := os.MkdirAll(seat.Dir, 0o700); err != nil {
-		return err
-	}
-	bolt, err := raftboltdb.New(raftboltdb.Options{Path: filepath.Join(seat.Dir, "log.db"), MsgpackUseNewTimeFormat: true})
-	if err != nil {
-		return err
-	}
-	defer bolt.Close()
-	snaps, err := raft.NewFileSnapshotStore(seat.Dir, 2, io.Discard)
-	if err != nil {
-		return err
-	}
-	group := raft.Configuration{Servers: []raft.Server{{ID: raft.ServerID(seat.Name), Address: raft.ServerAddress(seat.Listen)}}}
-	_, trans := raft.NewInmemTransport(raft.ServerAddress(seat.Listen))
-	sink, err := snaps.Create(raft.SnapshotVersionMax, 1, 1, group, 1, trans)
-	if err != nil {
-		return err
+// readEntry reads the log entry at an index.
+func readEntry(logs raft.LogStore, index uint64) (*raft.Log, error) {
+	var entry raft.Log
+	if err := logs.GetLog(index, &entry); err != nil {
+		return nil, err
 	}
-	if err := fsmSnapshot(text).Persist(sink); err != nil {
-		return err
+	if entry.Index != index {
+		return nil, fmt.Errorf("it has the index %d", entry.Index)
 	}
-	return bolt.SetUint64([]byte("CurrentTerm"), 1)
+	return &entry, nil
 }
 
-// Repair copies what can be read of a damaged store's log into a new one beside it, up to the first entry that can't be,
-// and says how far it came. The old file is kept under another name.
-func Repair(dir string) (kept uint64, err error) {
-	file := filepath.Join(dir, "log.db")
-	old := file + ".damaged"
-	if _, err := os.Stat(old); err == nil {
-		return 0, fmt.Errorf("%s is in the way", old)
-	}
-	if err := os.Rename(file, old); err != nil {
-		return 0, err
-	}
-	defer func() {
-		if r := recover(); r != nil && err == nil {
-			err = fmt.Errorf("%s: not even its first pages can be read: %v", old, r)
-		}
-	}()
-	to, err := raftboltdb.New(raftboltdb.Options{Path: file, MsgpackUseNewTimeFormat: true})
-	if err != nil {
-		return 0, err
-	}
-	defer to.Close()
-	from, err := raftboltdb.New(raftboltdb.Options{Path: old, BoltOptions: &bbolt.Options{ReadOnly: true, Timeout: time.Second}, MsgpackUseNewTimeFormat: true})
-	if err != nil {
-		return 0, fmt.Errorf("%s: %w", old, err)
-	}
-	defer from.Close()
-	for _, key := range []string{"CurrentTerm", "LastVoteTerm"} {
-		if v, err := from.GetUint64([]byte(key)); err == nil {
-			if err := to.SetUint64([]byte(key), v); err != nil {
-				return 0, err
-			}
-		}
-	}
-	if v, err := from.Get([]byte("LastVoteCand")); err == nil {
-		if err := to.Set([]byte("LastVoteCand"), v); err != nil {
-			return 0, err
-		}
-	}
-	first, err := from.FirstIndex()
-	if err != nil {
-		return 0, err
-	}
-	for i := first; i > 0; i++ {
-		var l raft.Log
-		if from.GetLog(i, &l) != nil || l.Index != i {
-			break
-		}
-		if err := to.StoreLog(&l); err != nil {
-			return kept, err
-		}
-		kept = i
-	}
-	return kept, nil
+// readCommand reads the command at an index; isCommand is false for entries of Raft's own.
+func readCommand(logs raft.LogStore, index uint64) (c control.Command, isCommand bool, err error) {
+	entry, err := readEntry(logs, index)
+	if err != nil || entry.Type != raft.LogCommand {
+		return c, false, err
+	}
+	c, err = decodeEntry(entry.Data)
+	return c, err == nil, err
 }
--- a/internal/controller/stream.go
+++ b/internal/controller/stream.go
@@ -3,7 +3,6 @@
 import (
 	"bytes"
 	"encoding/json"
-	"errors"
 	"fmt"
 	"net/http"
 	"strings"
@@ -13,45 +12,38 @@
 	"github.com/lesismal/nbio/nbhttp/websocket"
 )
 
-// watchEvent is one event on its way to a watcher.
-type watchEvent struct {
-	id   uint64
-	kind string
-	body []byte
-}
-
-// stream is the way to one watcher.
+// stream carries events to one watcher.
 type stream interface {
 	send([]watchEvent) error
-	closed() <-chan struct{} // when the other side has gone; nil where the request's context tells
-	gone() bool
-	end()
+	closed() <-chan struct{} // closed when the watcher has gone; nil where the request's context tells
+	isClosed() bool
+	close()
 }
 
-// open starts a stream in the form that the request asks for. A write that takes longer than slow fails.
-func open(w http.ResponseWriter, r *http.Request, slow time.Duration) (stream, error) {
+// openStream starts a stream in the form that the request asks for. A write that takes longer than the timeout fails.
+func openStream(w http.ResponseWriter, r *http.Request, writeTimeout time.Duration) (stream, error) {
 	if strings.EqualFold(r.Header.Get("Upgrade"), "websocket") {
-		return openSocket(w, r, slow)
+		return openWebSocket(w, r, writeTimeout)
 	}
 	w.Header().Set("Content-Type", "text/event-stream")
 	w.Header().Set("Cache-Control", "no-store")
-	return &sseStream{w: w, rc: http.NewResponseController(w), slow: slow}, nil
+	return &sseStream{w: w, rc: http.NewResponseController(w), writeTimeout: writeTimeout}, nil
 }
 
 // sseStream is server-sent events (WHATWG HTML, 9.2).
 type sseStream struct {
-	w    http.ResponseWriter
-	rc   *http.ResponseController
-	slow time.Duration
-	text bytes.Buffer
+	w            http.ResponseWriter
+	rc           *http.ResponseController
+	writeTimeout time.Duration
+	text         bytes.Buffer
 }
 
-func (s *sseStream) send(all []watchEvent) error {
+func (s *sseStream) send(events []watchEvent) error {
 	s.text.Reset()
-	for _, e := range all {
+	for _, e := range events {
 		fmt.Fprintf(&s.text, "id: %d\nevent: %s\ndata: %s\n\n", e.id, e.kind, e.body)
 	}
-	_ = s.rc.SetWriteDeadline(time.Now().Add(s.slow))
+	_ = s.rc.SetWriteDeadline(time.Now().Add(s.writeTimeout))
 	if _, err := s.w.Write(s.text.Bytes()); err != nil {
 		return err
 	}
@@ -59,37 +51,37 @@
 }
 
 func (*sseStream) closed() <-chan struct{} { return nil }
-func (*sseStream) gone() bool              { return false }
-func (*sseStream) end()                    {}
+func (*sseStream) isClosed() bool          { return false }
+func (*sseStream) close()                  {} // with the request
 
 // webSocketStream is the same events as WebSocket messages (RFC 6455), one JSON object each: id, event, data.
 type webSocketStream struct {
-	conn *websocket.Conn
-	slow time.Duration
-	over chan struct{}
-	once sync.Once
+	conn         *websocket.Conn
+	writeTimeout time.Duration
+	over         chan struct{} // closed when the connection is
+	once         sync.Once
 }
 
-func openSocket(w http.ResponseWriter, r *http.Request, slow time.Duration) (stream, error) {
+func openWebSocket(w http.ResponseWriter, r *http.Request, writeTimeout time.Duration) (stream, error) {
 	if r.Header.Get("Origin") != "" {
-		problem(w, http.StatusForbidden, "Origin", "programs only: a page of another place must not watch with a person's certificate")
-		return nil, errors.New("a browser")
+		return nil, &problem{status: http.StatusForbidden, field: "Origin",
+			detail: "programs only: a page of another place must not watch with a person's certificate"}
 	}
-	s := &webSocketStream{slow: slow, over: make(chan struct{})}
-	u := websocket.NewUpgrader()
-	u.BlockingModAsyncWrite = false // writes wait, so that a slow watcher is noticed and not queued for
-	u.OnClose(func(*websocket.Conn, error) { s.once.Do(func() { close(s.over) }) })
-	conn, err := u.Upgrade(w, r, nil)
+	s := &webSocketStream{writeTimeout: writeTimeout, over: make(chan struct{})}
+	upgrader := websocket.NewUpgrader()
+	upgrader.BlockingModAsyncWrite = false // writes wait, so that a slow watcher is noticed and not queued for
+	upgrader.OnClose(func(*websocket.Conn, error) { s.once.Do(func() { close(s.over) }) })
+	conn, err := upgrader.Upgrade(w, r, nil)
 	if err != nil {
-		return nil, err
+		return nil, fmt.Errorf("%w: %w", errAnswered, err) // by the upgrader
 	}
 	s.conn = conn
 	return s, nil
 }
 
-func (s *webSocketStream) send(all []watchEvent) error {
-	for _, e := range all {
-		_ = s.conn.SetWriteDeadline(time.Now().Add(s.slow))
+func (s *webSocketStream) send(events []watchEvent) error {
+	for _, e := range events {
+		_ = s.conn.SetWriteDeadline(time.Now().Add(s.writeTimeout))
 		body, err := json.Marshal(struct {
 			ID    uint64          `json:"id"`
 			Event string          `json:"event"`
@@ -107,7 +99,7 @@
 
 func (s *webSocketStream) closed() <-chan struct{} { return s.over }
 
-func (s *webSocketStream) gone() bool {
+func (s *webSocketStream) isClosed() bool {
 	select {
 	case <-s.over:
 		return true
@@ -116,4 +108,4 @@
 	}
 }
 
-func (s *webSocketStream) end() { _ = s.conn.Close() }
+func (s *webSocketStream) close() { _ = s.conn.Close() } // the watcher may have closed it already
--- a/internal/controller/watch.go
+++ b/internal/controller/watch.go
@@ -1,7 +1,6 @@
 package controller
 
 import (
-	"encoding/json"
 	"errors"
 	"fmt"
 	"net/http"
@@ -12,240 +11,225 @@
 	"dapplefront/control"
 	"dapplefront/internal/api"
 	"dapplefront/policy"
-	"dapplefront/release"
 )
 
-// batch is how many events are written to a watcher at once: a slow one holds this many in memory, not the whole log.
-const batch = 128
+const (
+	// watchBatch is how many events are written to a watcher at once: a slow one holds this many in memory, not the log.
+	watchBatch = 128
+	// faultPoll is how often a watch looks whether an injected delay is over.
+	faultPoll = 50 * time.Millisecond
+)
+
+// watchSession is one watch. With a router, it has the events that concern this router, which is a member while it watches.
+type watchSession struct {
+	server *Server
+	router string // "" for all events
+	remote string
+	cursor uint64 // id of the last event that was taken up
+	resume bool   // the caller named the event to go on after
+	ready  []watchEvent
+	stream stream
+}
+
+// watch streams events: all of them, or with ?router=NAME those that concern a router. It starts with the newest release's
+// status, or after Last-Event-ID (or ?after=). Bookmarks move the id on where nothing happens. Every instance numbers events
+// alike, so that a watch may be resumed at any of them.
+func (s *Server) watch(w http.ResponseWriter, r *http.Request) error {
+	session := &watchSession{server: s, router: r.URL.Query().Get("router"), remote: r.RemoteAddr}
+	if err := session.parseCursor(r); err != nil {
+		return err
+	}
+	writeTimeout, err := s.admitWatcher()
+	if err != nil {
+		return err
+	}
+	defer s.releaseWatcher()
+	if oldest, dropped := session.begin(); dropped {
+		w.Header().Set("Dapplefront-Oldest", strconv.FormatUint(oldest, 10))
+		return &problem{status: http.StatusGone, field: "Last-Event-ID",
+			detail: fmt.Sprintf("events up to %d have been dropped; read the releases and watch from now on", oldest-1)}
+	}
+	if session.stream, err = openStream(w, r, writeTimeout); err != nil {
+		return err
+	}
+	defer session.stream.close()
+	session.run(r)
+	return errAnswered
+}
 
-// watch streams events: all of them, or with ?router=NAME those that concern a router, which is a member from then on.
-// It starts with where the newest release stands, or after Last-Event-ID (or ?after=). Bookmarks move the id on where
-// nothing happens. Every instance numbers events alike, so a watch may be taken up again at any of them.
-func (s *Server) watch(w http.ResponseWriter, r *http.Request) {
-	router := r.URL.Query().Get("router")
+func (ws *watchSession) parseCursor(r *http.Request) (err error) {
 	text := r.Header.Get("Last-Event-ID")
 	if text == "" {
 		text = r.URL.Query().Get("after")
 	}
-	var from uint64
-	var err error
-	if text != "" {
-		if from, err = strconv.ParseUint(text, 10, 64); err != nil {
-			problem(w, http.StatusBadRequest, "Last-Event-ID", "the id of an event expected")
-			return
-		}
+	if text == "" {
+		return nil
 	}
+	ws.resume = true
+	if ws.cursor, err = strconv.ParseUint(text, 10, 64); err != nil {
+		return invalid("Last-Event-ID", "the id of an event expected")
+	}
+	return nil
+}
+
+// admitWatcher counts a watcher, and returns how long a write to it may take.
+func (s *Server) admitWatcher() (writeTimeout time.Duration, err error) {
 	s.mu.Lock()
+	defer s.mu.Unlock()
 	if s.watchers >= s.config.MaxWatchers {
-		s.mu.Unlock()
-		w.Header().Set("Retry-After", "2")
-		problem(w, http.StatusServiceUnavailable, "", fmt.Sprintf("%d watchers are as many as may be", s.config.MaxWatchers))
-		return
+		return 0, &problem{status: http.StatusServiceUnavailable, retryAfter: 2,
+			detail: fmt.Sprintf("%d watchers are as many as may be", s.config.MaxWatchers)}
 	}
 	s.watchers++
-	slow := s.config.WriteTimeout
+	return s.config.WriteTimeout, nil
+}
+
+func (s *Server) releaseWatcher() {
+	s.mu.Lock()
+	s.watchers--
 	s.mu.Unlock()
-	defer func() { s.mu.Lock(); s.watchers--; s.mu.Unlock() }()
-
-	var out []watchEvent
-	var oldest uint64
-	gone := false
-	leads, _ := s.node.IsLeader()
-	s.node.Read(func(st *control.State, now policy.Time) {
-		if text == "" {
-			from = st.LastEvent()
-			s.write(&out, router, control.Event{ID: from, Kind: api.EventRelease, At: st.Status().Since, Body: encode(st.Status())}, now)
+}
+
+// begin gets the first events ready: for a new watch, the status and the plan in force. For one that is resumed, dropped
+// tells that events after its cursor are gone, and oldest is the first one kept.
+func (ws *watchSession) begin() (oldest uint64, dropped bool) {
+	isLeader, _ := ws.server.node.IsLeader()
+	ws.server.node.Read(func(st *control.State, now policy.Time) {
+		if !ws.resume {
+			ws.cursor = st.LastEvent()
+			ws.addStatus(st, now)
 			if p, left := st.ActivePlan(now); p != nil && left > 0 {
-				s.write(&out, router, control.Event{ID: from, Kind: api.EventPlan, Body: encode(api.PlanNotice{Version: p.Version})}, now)
+				ws.add(control.Event{ID: ws.cursor, Kind: control.EventPlan, Body: encode(api.PlanNotice{Version: p.Version})}, now)
 			}
 			return
 		}
-		if _, ok := st.EventsSince(from, router, 1); !ok {
-			// An id beyond the newest: this instance is behind, and the watch waits for it; the one that leads knows all.
-			oldest, gone = st.OldestEvent(), from <= st.LastEvent() || leads
+		if _, ok := st.EventsSince(ws.cursor, ws.router, 1); !ok {
+			// A follower may be behind an id that it does not know, and the watch waits for it; the leader knows all.
+			oldest, dropped = st.OldestEvent(), ws.cursor <= st.LastEvent() || isLeader
 		}
 	})
-	if gone {
-		w.Header().Set("Dapplefront-Oldest", strconv.FormatUint(oldest, 10))
-		problem(w, http.StatusGone, "Last-Event-ID", fmt.Sprintf("events up to %d have been dropped; read the releases and watch from now on", oldest-1))
-		return
-	}
-	to, err := open(w, r, slow)
-	if err != nil {
-		return // whoever asked has been answered
-	}
-	defer to.end()
-	flush := func() bool {
-		err := to.send(out)
-		out = out[:0]
-		if errors.Is(err, os.ErrDeadlineExceeded) || err != nil && r.Context().Err() == nil && !to.gone() {
-			s.mu.Lock()
-			s.slowWatchers++
-			s.mu.Unlock()
-			s.log.Warn("a watcher is cut off", "router", router, "from", r.RemoteAddr, "reason", err)
-		}
-		return err == nil
-	}
-	if !flush() {
+	return oldest, dropped
+}
+
+// run sends events until the watcher or the server goes, or the watcher is too slow.
+func (ws *watchSession) run(r *http.Request) {
+	if !ws.flush(r) {
 		return
 	}
-	mark := time.NewTicker(s.config.BookmarkInterval)
-	defer mark.Stop()
+	s := ws.server
+	bookmarks := time.NewTicker(s.config.BookmarkInterval)
+	defer bookmarks.Stop()
 	for {
 		changed := s.node.Changed()
-		more, ok, behind := false, true, false
-		late, still := s.config.fault()
-		if still {
-			late += time.Hour
-		}
-		var young <-chan time.Time
-		s.node.Read(func(st *control.State, now policy.Time) {
-			var some []control.Event
-			if behind = from > st.LastEvent(); behind {
-				return
-			}
-			if some, ok = st.EventsSince(from, router, batch); !ok {
-				return
-			}
-			more = len(some) == batch
-			upto := st.LastEvent()
-			if more {
-				upto = some[batch-1].ID
-			}
-			for _, e := range some {
-				if age := time.Duration(now-e.At) * 100 * time.Microsecond; age < late {
-					upto, more = e.ID-1, false
-					young = time.After(min(late-age, 50*time.Millisecond))
-					break
-				}
-				if router == "" || forRouters[e.Kind] {
-					s.write(&out, router, e, now)
-				}
-			}
-			from = max(from, upto)
-		})
-		if !ok {
-			s.log.Warn("a watcher is cut off", "router", router, "from", r.RemoteAddr, "reason", "too slow for the events kept")
+		round := ws.collect()
+		if round.dropped {
+			s.log.Warn("a watcher is cut off", "router", ws.router, "from", ws.remote, "reason", "too slow for the events kept")
 			return
 		}
-		if len(out) > 0 && !flush() {
+		if len(ws.ready) > 0 && !ws.flush(r) {
 			return
 		}
-		s.renew(router)
-		if more {
+		s.renewMembership(ws.router)
+		if round.more {
 			continue
 		}
 		select {
 		case <-changed:
-		case <-young:
-		case <-mark.C:
-			if behind || young != nil {
+		case <-round.delayed:
+		case <-bookmarks.C:
+			if round.behind || round.delayed != nil {
 				continue
 			}
-			if router != "" { // routers like to hear that all is as it was
-				s.node.Read(func(st *control.State, now policy.Time) {
-					if from == st.LastEvent() {
-						s.write(&out, router, control.Event{ID: from, Kind: api.EventRelease, At: st.Status().Since, Body: encode(st.Status())}, now)
-					}
-				})
-			}
-			out = append(out, watchEvent{from, "bookmark", []byte("{}")})
-			if !flush() {
+			if ws.addBookmark(); !ws.flush(r) {
 				return
 			}
 		case <-r.Context().Done():
 			return
-		case <-to.closed():
+		case <-ws.stream.closed():
 			return
-		case <-s.stop:
+		case <-s.ctx.Done():
 			return
 		}
 	}
 }
 
-// forRouters are the kinds of events that routers hear of.
-var forRouters = map[string]bool{api.EventRelease: true, api.EventCounts: true, api.EventComplaint: true, api.EventPlan: true}
+// watchRound is what collect found.
+type watchRound struct {
+	dropped bool             // events after the cursor are not kept any more
+	behind  bool             // this instance has not reached the cursor yet
+	more    bool             // there may be more events than a batch
+	delayed <-chan time.Time // when to look again for an event that an injected fault delays; nil for none
+}
 
-// renew sees that a router which watches stays a member, wherever it watches.
-func (s *Server) renew(router string) {
-	absent := time.Duration(s.node.config.Control.RouterTimeout) * 100 * time.Microsecond
-	if router == "" || absent == 0 {
-		return
-	}
-	s.mu.Lock()
-	due := time.Since(s.joinedAt[router]) > absent/4
-	if due {
-		s.joinedAt[router] = time.Now()
-	}
-	s.mu.Unlock()
-	if !due {
-		return
-	}
-	go func() {
-		if leads, _ := s.node.IsLeader(); leads {
-			_, _ = s.node.Propose(control.Command{Kind: control.JoinRouter, Router: router})
+// collect gets the next batch of events ready and moves the cursor on.
+func (ws *watchSession) collect() (round watchRound) {
+	late, hangs := ws.server.config.injectedFault()
+	if hangs {
+		late += time.Hour
+	}
+	ws.server.node.Read(func(st *control.State, now policy.Time) {
+		if round.behind = ws.cursor > st.LastEvent(); round.behind {
 			return
 		}
-		s.node.joinThrough(s, router)
-	}()
+		events, ok := st.EventsSince(ws.cursor, ws.router, watchBatch)
+		if !ok {
+			round.dropped = true
+			return
+		}
+		reached := st.LastEvent()
+		if round.more = len(events) == watchBatch; round.more {
+			reached = events[watchBatch-1].ID
+		}
+		for _, e := range events {
+			if age := time.Duration(now-e.At) * clockUnit; age < late {
+				reached, round.more = e.ID-1, false
+				round.delayed = time.After(min(late-age, faultPoll))
+				break
+			}
+			if ws.router == "" || routerEvents[e.Kind] {
+				ws.add(e, now)
+			}
+		}
+		ws.cursor = max(ws.cursor, reached)
+	})
+	return round
 }
 
-// joinThrough tells the leader of a router that watches here.
-func (n *Node) joinThrough(s *Server, router string) {
-	_, name := n.IsLeader()
-	to := ""
-	n.Read(func(st *control.State, _ policy.Time) { to = st.ControllerURL(name) })
-	if to == "" {
-		return
-	}
-	ask, err := http.NewRequest("PUT", to+"/v1/routers/"+router, nil)
-	if err != nil {
-		return
-	}
-	if got, err := s.client().Do(ask); err == nil {
-		_ = got.Body.Close()
-	}
+func (ws *watchSession) add(e control.Event, now policy.Time) {
+	ws.ready = append(ws.ready, ws.server.toWatchEvent(e, ws.router, now))
 }
 
-// write adds an event as watchers hear it; ages are as of now.
-func (s *Server) write(out *[]watchEvent, router string, e control.Event, now policy.Time) {
-	body := []byte(e.Body)
-	age := max(0, int64(now-e.At)/10)
-	switch e.Kind {
-	case api.EventRelease:
-		var n release.Status
-		if json.Unmarshal(e.Body, &n) == nil {
-			told := api.Release{Build: n.Build, Stage: n.Stage, Phase: api.Phases[n.Phase], ExposureCap: n.ExposureCap,
-				AgeMs: max(0, int64(now-n.Since)/10), Version: int64(e.ID)}
-			if body = encode(told); router != "" && s.config.OnStatusSent != nil {
-				s.config.OnStatusSent(router, told)
+// addStatus repeats the newest release's status under the cursor's id.
+func (ws *watchSession) addStatus(st *control.State, now policy.Time) {
+	ws.add(control.Event{ID: ws.cursor, Kind: control.EventStatus, At: st.Status().Since, Body: encode(st.Status())}, now)
+}
+
+// addBookmark says that nothing has happened up to the cursor. Routers are told the status again with it.
+func (ws *watchSession) addBookmark() {
+	if ws.router != "" {
+		ws.server.node.Read(func(st *control.State, now policy.Time) {
+			if ws.cursor == st.LastEvent() {
+				ws.addStatus(st, now)
 			}
-		}
-	case control.EventRelease:
-		var r control.Release
-		if json.Unmarshal(e.Body, &r) == nil {
-			body = encode(shown(&r, now, nil))
-		}
-	case api.EventCounts:
-		var c api.Counts
-		if json.Unmarshal(e.Body, &c) == nil {
-			c.AgeMs += age
-			body = encode(c)
-		}
-	case api.EventComplaint:
-		var c api.Complaint
-		if json.Unmarshal(e.Body, &c) == nil {
-			c.AgeMs += age
-			body = encode(c)
-		}
+		})
 	}
-	*out = append(*out, watchEvent{e.ID, e.Kind, body})
+	ws.ready = append(ws.ready, watchEvent{ws.cursor, "bookmark", []byte("{}")})
 }
 
-func encode(v any) []byte {
-	text, err := json.Marshal(v)
-	if err != nil {
-		panic(err) // types of our own that always encode
+// flush sends what is ready, which for a new watch may be the headers alone; false where the watch has ended. A watcher that
+// was too slow is counted and logged.
+func (ws *watchSession) flush(r *http.Request) bool {
+	err := ws.stream.send(ws.ready)
+	ws.ready = ws.ready[:0]
+	if err == nil {
+		return true
+	}
+	s := ws.server
+	if errors.Is(err, os.ErrDeadlineExceeded) || r.Context().Err() == nil && !ws.stream.isClosed() {
+		s.mu.Lock()
+		s.slowWatchers++
+		s.mu.Unlock()
+		s.log.Warn("a watcher is cut off", "router", ws.router, "from", ws.remote, "reason", err)
 	}
-	return text
+	return false
 }
