--- a/internal/controller/secure_test.go
+++ b/internal/controller/authorization_test.go
@@ -21,16 +21,20 @@
 	"dapplefront/policy"
 )
 
-// pad is a log that tests read.
-type pad struct {
+// logBuffer is a log that tests read.
+type logBuffer struct {
 	mu   sync.Mutex
 	text bytes.Buffer
 }
 
-func (p *pad) Write(b []byte) (int, error) { p.mu.Lock(); defer p.mu.Unlock(); return p.text.Write(b) }
-func (p *pad) String() string              { p.mu.Lock(); defer p.mu.Unlock(); return p.text.String() }
+func (p *logBuffer) Write(b []byte) (int, error) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	return p.text.Write(b)
+}
+func (p *logBuffer) String() string { p.mu.Lock(); defer p.mu.Unlock(); return p.text.String() }
 
-func TestRolesByCertificateAndNetworkAndCertificatesThatChange(t *testing.T) {
+func TestAuthorization_ByCertificateAndNetworkWhileCertificatesRotate(t *testing.T) {
 	authority, err := testbed.NewAuthority(t.TempDir())
 	require.NoError(t, err)
 	ring := func(name string) *certs.Ring {
@@ -49,14 +53,14 @@
 	}
 	grants := []Grant{{CommonNames: []string{"router-*"}, Roles: []Role{RoleRead, RoleVote}}, {CommonNames: []string{"people-*"}, Roles: []Role{RoleRead, RoleRelease, RoleWithdraw}},
 		{CommonNames: []string{"people-far"}, Networks: nets("10.0.0.0/8"), Roles: []Role{RoleServe}}, {CommonNames: []string{"c*"}, Roles: Roles}}
-	var logged pad
+	var logged logBuffer
 	log := slog.New(slog.NewTextHandler(&logged, nil))
 	var nodes []*Node
 	var fronts []*Server
 	for i := range 3 {
 		name := fmt.Sprintf("c%d", i+1)
 		r := ring(name)
-		n, err := Open(NodeConfig{Name: name, Dir: t.TempDir(), Listen: "127.0.0.1:0", Bootstrap: i == 0, Quick: true, Control: figures, Build: 1,
+		n, err := Open(NodeConfig{Name: name, Dir: t.TempDir(), Listen: "127.0.0.1:0", Bootstrap: i == 0, Quick: true, Control: testConfig, Build: 1,
 			StreamLayer: TLSStreamLayer(r, []string{"c*"})}, log)
 		require.NoError(t, err)
 		s, err := Serve(n, ServerConfig{Listen: "127.0.0.1:0", BookmarkInterval: 50 * time.Millisecond, Authorizer: &Authorizer{ServerTLS: r.Server(), ClientTLS: r.Client(), Grants: grants,
@@ -111,15 +115,15 @@
 
 	// Certificates change while a watch stands; new connections have the new one.
 	h := &http.Client{Transport: &http.Transport{TLSClientConfig: people}}
-	r, err := http.NewRequest("GET", fronts[0].URL()+"/v1/watch", nil)
+	r, err := http.NewRequest(http.MethodGet, fronts[0].URL()+"/v1/watch", nil)
 	require.NoError(t, err)
 	got, err := h.Do(r)
 	require.NoError(t, err)
-	defer got.Body.Close()
+	defer func() { _ = got.Body.Close() }()
 	serial := func() string {
 		c, err := tls.Dial("tcp", strings.TrimPrefix(fronts[0].URL(), "https://"), people)
 		require.NoError(t, err)
-		defer c.Close()
+		defer func() { _ = c.Close() }()
 		return c.ConnectionState().PeerCertificates[0].SerialNumber.String()
 	}
 	before := serial()
--- a/internal/controller/bench_test.go
+++ b/internal/controller/bench_test.go
@@ -22,14 +22,15 @@
 	"dapplefront/internal/api"
 )
 
-// several starts a group for a benchmark and returns the one that leads.
-func several(b *testing.B, n int) *Node {
-	first, err := StartStandalone(NodeConfig{Name: "c1", Dir: b.TempDir(), Listen: "127.0.0.1:0", Quick: true, Control: figures, Build: 1}, ServerConfig{Listen: "127.0.0.1:0"},
+// startBenchmarkCluster starts a group of n nodes and returns the leader.
+func startBenchmarkCluster(b *testing.B, n int) *Node {
+	b.Helper()
+	first, err := StartStandalone(NodeConfig{Name: "c1", Dir: b.TempDir(), Listen: "127.0.0.1:0", Quick: true, Control: testConfig, Build: 1}, ServerConfig{Listen: "127.0.0.1:0"},
 		slog.New(slog.DiscardHandler))
 	require.NoError(b, err)
 	b.Cleanup(func() { _ = first.Stop() })
 	for i := 1; i < n; i++ {
-		x, err := Open(NodeConfig{Name: fmt.Sprintf("c%d", i+1), Dir: b.TempDir(), Listen: "127.0.0.1:0", Quick: true, Control: figures, Build: 1}, slog.New(slog.DiscardHandler))
+		x, err := Open(NodeConfig{Name: fmt.Sprintf("c%d", i+1), Dir: b.TempDir(), Listen: "127.0.0.1:0", Quick: true, Control: testConfig, Build: 1}, slog.New(slog.DiscardHandler))
 		require.NoError(b, err)
 		b.Cleanup(func() { _ = x.Close() })
 		require.NoError(b, first.AddMember(x.config.Name, x.Address()))
@@ -40,6 +41,7 @@
 // BenchmarkWrites compares accepted changes with bare bbolt that syncs as often, by 1 and 32 writers at once.
 func BenchmarkWrites(b *testing.B) {
 	writers := func(b *testing.B, n int, do func(i int64) error) {
+		b.Helper()
 		var next atomic.Int64
 		b.SetParallelism(max(1, n/4)) // times GOMAXPROCS
 		b.RunParallel(func(p *testing.PB) {
@@ -55,7 +57,7 @@
 		b.Run(fmt.Sprintf("bbolt/writers=%d", n), func(b *testing.B) {
 			db, err := bbolt.Open(filepath.Join(b.TempDir(), "x.db"), 0o600, nil)
 			require.NoError(b, err)
-			defer db.Close()
+			defer func() { require.NoError(b, db.Close()) }()
 			db.MaxBatchDelay = 500 * time.Microsecond // its usual 10 ms would be most of the figure
 			writers(b, n, func(i int64) error {
 				return db.Batch(func(tx *bbolt.Tx) error {
@@ -69,7 +71,7 @@
 		})
 		for _, nodes := range []int{1, 3} {
 			b.Run(fmt.Sprintf("controllers=%d/writers=%d", nodes, n), func(b *testing.B) {
-				node := several(b, nodes)
+				node := startBenchmarkCluster(b, nodes)
 				note := strings.Repeat("x", 60)
 				b.ResetTimer()
 				writers(b, n, func(int64) error {
@@ -81,28 +83,28 @@
 	}
 }
 
-// BenchmarkWatchers measures events to many watchers, and the time from a change to the last watcher's hearing of it.
+// BenchmarkWatchers measures events to many watchers, and the time from a change to its event at the last watcher.
 func BenchmarkWatchers(b *testing.B) {
 	for _, n := range []int{1, 100, 2000} {
 		b.Run(fmt.Sprintf("watchers=%d", n), func(b *testing.B) {
-			a, err := StartStandalone(NodeConfig{Name: "c1", Dir: b.TempDir(), Listen: "127.0.0.1:0", Quick: true, Control: figures, Build: 1},
+			a, err := StartStandalone(NodeConfig{Name: "c1", Dir: b.TempDir(), Listen: "127.0.0.1:0", Quick: true, Control: testConfig, Build: 1},
 				ServerConfig{Listen: "127.0.0.1:0", BookmarkInterval: time.Minute}, slog.New(slog.DiscardHandler))
 			require.NoError(b, err)
 			defer func() { _ = a.Stop() }()
 			ctx, cancel := context.WithCancel(context.Background())
 			defer cancel()
-			heard := make(chan int64, 1<<20)
+			arrived := make(chan int64, 1<<20)
 			var up sync.WaitGroup
 			h := &http.Client{Transport: &http.Transport{}}
 			for range n {
 				up.Add(1)
 				go func() {
-					r, _ := http.NewRequestWithContext(ctx, "GET", a.URL()+"/v1/watch", nil)
+					r, _ := http.NewRequestWithContext(ctx, http.MethodGet, a.URL()+"/v1/watch", nil)
 					got, err := h.Do(r)
 					if err != nil {
 						return
 					}
-					defer got.Body.Close()
+					defer func() { _ = got.Body.Close() }()
 					in := bufio.NewScanner(got.Body)
 					first := true
 					for in.Scan() {
@@ -113,7 +115,7 @@
 						if text, ok := strings.CutPrefix(in.Text(), "data: "); ok && strings.Contains(text, "samples") {
 							var c api.Counts
 							if json.Unmarshal([]byte(text), &c) == nil {
-								heard <- int64(c.Samples)
+								arrived <- int64(c.Samples)
 							}
 						}
 					}
@@ -128,7 +130,7 @@
 				_, err := a.Propose(control.Command{Kind: control.EmitEvent, Name: api.EventCounts, Body: body})
 				require.NoError(b, err)
 				for range n {
-					<-heard
+					<-arrived
 				}
 				lasts = append(lasts, time.Since(began))
 			}
@@ -141,14 +143,14 @@
 }
 
 // BenchmarkRecovery measures how long an instance takes from its start until it leads, by the length of its log, with
-// and without a snapshot of it.
+// and without a snapshot.
 func BenchmarkRecovery(b *testing.B) {
 	for _, n := range []int{100, 1000, 4000} {
 		for _, snapshot := range []bool{false, true} {
 			b.Run(fmt.Sprintf("changes=%d/snapshot=%v", n, snapshot), func(b *testing.B) {
 				dir := b.TempDir()
-				seat := NodeConfig{Name: "c1", Dir: dir, Listen: "127.0.0.1:0", Quick: true, Control: figures, Build: 1}
-				a, err := StartStandalone(seat, ServerConfig{Listen: "127.0.0.1:0"}, slog.New(slog.DiscardHandler))
+				config := NodeConfig{Name: "c1", Dir: dir, Listen: "127.0.0.1:0", Quick: true, Control: testConfig, Build: 1}
+				a, err := StartStandalone(config, ServerConfig{Listen: "127.0.0.1:0"}, slog.New(slog.DiscardHandler))
 				require.NoError(b, err)
 				var wait sync.WaitGroup
 				for w := range 16 {
@@ -165,7 +167,7 @@
 				}
 				require.NoError(b, a.Stop())
 				for b.Loop() {
-					a, err := StartStandalone(seat, ServerConfig{Listen: "127.0.0.1:0"}, slog.New(slog.DiscardHandler))
+					a, err := StartStandalone(config, ServerConfig{Listen: "127.0.0.1:0"}, slog.New(slog.DiscardHandler))
 					require.NoError(b, err)
 					b.StopTimer()
 					require.NoError(b, a.Stop())
--- a/internal/controller/link_test.go
+++ b/internal/controller/controlclient_test.go
@@ -14,40 +14,40 @@
 	"dapplefront/release"
 )
 
-func TestARoutersLinkHearsNewsAndItsVotesAreAnswered(t *testing.T) {
-	still := make(chan bool, 1)
-	is := false
+func TestControlClient_HearsStatusesAndHasItsVotesAnswered(t *testing.T) {
+	hang := make(chan bool, 1)
+	hangs := false
 	a, err := StartStandalone(NodeConfig{Name: "c", Dir: t.TempDir(), Listen: "127.0.0.1:0", Quick: true, Build: 1, Control: control.Config{
 		Rules: release.Rules{Mode: policy.Quorum, PromoteQuorum: 2, RollbackQuorum: 1, VoteTTL: 5 * policy.Second, Stages: []release.Stage{{HostShare: .1, ExposureCap: .1}, {HostShare: 1, ExposureCap: 1}}}}},
 		ServerConfig{Listen: "127.0.0.1:0", VotesPerSecond: 2, Fault: func() (time.Duration, bool) {
 			select {
-			case is = <-still:
+			case hangs = <-hang:
 			default:
 			}
-			return 0, is
+			return 0, hangs
 		}}, slog.New(slog.DiscardHandler))
 	require.NoError(t, err)
 	defer func() { require.NoError(t, a.Stop()) }()
-	news, complaints := make(chan policy.ReleaseStatus, 64), make(chan api.Complaint, 64)
-	link := controlclient.Open([]string{"http://127.0.0.1:1", a.URL()}, "r1", "here", nil, time.Second, controlclient.Handler{Release: func(n policy.ReleaseStatus) { news <- n },
+	statuses, complaints := make(chan policy.ReleaseStatus, 64), make(chan api.Complaint, 64)
+	client := controlclient.Open([]string{"http://127.0.0.1:1", a.URL()}, "r1", "here", nil, time.Second, controlclient.Handler{Release: func(n policy.ReleaseStatus) { statuses <- n },
 		Counts: func(api.Counts) {}, Complaint: func(c api.Complaint) { complaints <- c }, Failed: func(error) {}})
-	defer link.Close()
+	defer client.Close()
 	next := func() policy.ReleaseStatus {
 		select {
-		case n := <-news:
+		case n := <-statuses:
 			return n
 		case <-time.After(10 * time.Second):
-			t.Fatal("no news")
+			t.Fatal("no status")
 			return policy.ReleaseStatus{}
 		}
 	}
 	require.Equal(t, policy.Released, next().Phase)
 	_, err = a.Handle(release.Offer{Build: 2})
 	require.NoError(t, err)
-	for next().ExposureCap != 0.1 { // it is told again and again how things stand
+	for next().ExposureCap != 0.1 { // the status is repeated with each bookmark
 	}
 	for i := range 30 {
-		status, _, text := call(t, "POST", a.URL()+"/v1/complaints", `{"router":"r1","host":`+string(rune('0'+i%10))+`,"category":"quote","ageMs":0}`)
+		status, _, text := request(t, "POST", a.URL()+"/v1/complaints", `{"router":"r1","host":`+string(rune('0'+i%10))+`,"category":"quote","ageMs":0}`)
 		require.Equal(t, 202, status, text)
 	}
 	for i := range 30 {
@@ -60,7 +60,7 @@
 	}
 	vote := func(build, stage int, v policy.VoteChoice) policy.VoteResult {
 		got := make(chan policy.ReleaseStatus, 1)
-		link.Vote(build, stage, v, func(n policy.ReleaseStatus) { got <- n })
+		client.Vote(build, stage, v, func(n policy.ReleaseStatus) { got <- n })
 		return (<-got).VoteResult
 	}
 	require.Equal(t, policy.VoteAccepted, vote(2, 0, policy.Promote))
@@ -71,7 +71,7 @@
 		seen[vote(2, 0, policy.Promote)] = true
 	}
 	require.True(t, seen[policy.VoteRejected], "more than the allowance")
-	still <- true
+	hang <- true
 	time.Sleep(600 * time.Millisecond) // one more is allowed
 	require.Contains(t, []policy.VoteResult{policy.VoteUnknown, policy.VoteRejected}, vote(2, 0, policy.Promote))
 }
--- a/internal/controller/damage_test.go
+++ b/internal/controller/corruption_test.go
@@ -13,8 +13,8 @@
 	"dapplefront/control"
 )
 
-// damage overwrites the pages of a file beyond its first two with noise.
-func damage(t *testing.T, file string) {
+// corruptPages overwrites the pages of a file beyond its first two with noise.
+func corruptPages(t *testing.T, file string) {
 	t.Helper()
 	text, err := os.ReadFile(file)
 	require.NoError(t, err)
@@ -25,11 +25,11 @@
 	require.NoError(t, os.WriteFile(file, text, 0o600))
 }
 
-// TestAFlippedBitInAnyPageIsFoundOrHarmless flips one bit in each page, at several places: the store is refused, or it
-// holds the very state that it held.
-func TestAFlippedBitInAnyPageIsFoundOrHarmless(t *testing.T) {
+// TestCheckStore_FindsAFlippedBitUnlessItIsHarmless flips one bit in each page, at several places: the store is refused, or it
+// has exactly the state that it had.
+func TestCheckStore_FindsAFlippedBitUnlessItIsHarmless(t *testing.T) {
 	dir := t.TempDir()
-	a, err := StartStandalone(NodeConfig{Name: "c1", Dir: dir, Listen: "127.0.0.1:0", Quick: true, Control: figures, Build: 1}, ServerConfig{Listen: "127.0.0.1:0"},
+	a, err := StartStandalone(NodeConfig{Name: "c1", Dir: dir, Listen: "127.0.0.1:0", Quick: true, Control: testConfig, Build: 1}, ServerConfig{Listen: "127.0.0.1:0"},
 		slog.New(slog.DiscardHandler))
 	require.NoError(t, err)
 	for i := range 60 {
@@ -39,22 +39,22 @@
 	}
 	require.NoError(t, a.Stop())
 	var before bytes.Buffer
-	require.NoError(t, Export(dir, figures, &before))
-	whole, err := os.ReadFile(filepath.Join(dir, "log.db"))
+	require.NoError(t, Export(dir, testConfig, &before))
+	undamaged, err := os.ReadFile(filepath.Join(dir, "log.db"))
 	require.NoError(t, err)
 	page, found, harmless := os.Getpagesize(), 0, 0
-	for p := range len(whole) / page {
+	for p := range len(undamaged) / page {
 		for _, at := range []int{9, page / 5, page / 2, page - 700} {
-			hurt := t.TempDir()
-			text := bytes.Clone(whole)
+			flipped := t.TempDir()
+			text := bytes.Clone(undamaged)
 			text[p*page+at] ^= 0x10
-			require.NoError(t, os.WriteFile(filepath.Join(hurt, "log.db"), text, 0o600))
-			if err := CheckStore(hurt, figures); err != nil {
+			require.NoError(t, os.WriteFile(filepath.Join(flipped, "log.db"), text, 0o600))
+			if err := CheckStore(flipped, testConfig); err != nil {
 				found++
 				continue
 			}
 			var after bytes.Buffer
-			require.NoError(t, Export(hurt, figures, &after))
+			require.NoError(t, Export(flipped, testConfig, &after))
 			require.Equal(t, before.String(), after.String(), "page %d, byte %d: damage that no one noticed", p, at)
 			harmless++
 		}
--- a/internal/controller/kill_test.go
+++ b/internal/controller/crash_test.go
@@ -25,7 +25,7 @@
 	if dir == "" {
 		os.Exit(m.Run())
 	}
-	a, err := StartStandalone(NodeConfig{Name: "c1", Dir: dir, Listen: "127.0.0.1:0", Quick: true, Control: figures, Build: 1}, ServerConfig{Listen: "127.0.0.1:0"},
+	a, err := StartStandalone(NodeConfig{Name: "c1", Dir: dir, Listen: "127.0.0.1:0", Quick: true, Control: testConfig, Build: 1}, ServerConfig{Listen: "127.0.0.1:0"},
 		slog.New(slog.DiscardHandler))
 	if err != nil {
 		fmt.Println("error", err)
@@ -35,8 +35,8 @@
 	select {}
 }
 
-// process starts a controller of its own and returns its URL.
-func process(t *testing.T, dir string) (*exec.Cmd, string) {
+// startProcess starts a controller of its own and returns its URL.
+func startProcess(t *testing.T, dir string) (*exec.Cmd, string) {
 	t.Helper()
 	c := exec.Command(os.Args[0])
 	c.Env = append(os.Environ(), "DAPPLEFRONT_CONTROLLER="+dir)
@@ -46,14 +46,14 @@
 	require.NoError(t, c.Start())
 	in := bufio.NewScanner(out)
 	require.True(t, in.Scan(), "it ended at once")
-	word, rest, _ := strings.Cut(in.Text(), " ")
-	require.Equal(t, "url", word, rest)
+	first, rest, _ := strings.Cut(in.Text(), " ")
+	require.Equal(t, "url", first, rest)
 	return c, rest
 }
 
-// TestNoAcceptedChangeIsLostByKill9 kills a controller in the midst of writes, again and again; CONTROL_KILLS asks for
+// TestNode_KeepsAcceptedChangesThroughSIGKILL kills a controller with SIGKILL while it writes, several times; CONTROL_KILLS asks for
 // more (docs/controller.md).
-func TestNoAcceptedChangeIsLostByKill9(t *testing.T) {
+func TestNode_KeepsAcceptedChangesThroughSIGKILL(t *testing.T) {
 	kills := 4
 	if n, err := strconv.Atoi(os.Getenv("CONTROL_KILLS")); err == nil {
 		kills = n
@@ -61,9 +61,9 @@
 	dir := t.TempDir()
 	var accepted, tried atomic.Int64
 	for run := range kills {
-		c, url := process(t, dir)
-		_, _, text := call(t, "GET", url+"/v1/releases/1?fresh=1", "")
-		n, _ := strconv.ParseInt(object(t, text).Note, 10, 64)
+		c, url := startProcess(t, dir)
+		_, _, text := request(t, "GET", url+"/v1/releases/1?fresh=1", "")
+		n, _ := strconv.ParseInt(decodeRelease(t, text).Note, 10, 64)
 		require.GreaterOrEqual(t, n, accepted.Load(), "run %d: an accepted change is lost", run)
 		require.LessOrEqual(t, n, tried.Load(), "run %d: a change that no one asked for", run)
 		end := make(chan struct{})
@@ -84,7 +84,7 @@
 		<-end
 	}
 	require.Positive(t, accepted.Load())
-	require.NoError(t, CheckStore(dir, figures))
+	require.NoError(t, CheckStore(dir, testConfig))
 	t.Logf("%d kills, %d changes accepted, none lost", kills, accepted.Load())
 }
 
@@ -94,31 +94,31 @@
 			err = fmt.Errorf("%v", r)
 		}
 	}()
-	status, _, _ = call(quietly{}, "PATCH", url+"/v1/releases/1", fmt.Sprintf(`{"note":"%d"}`, n))
+	status, _, _ = request(panicOnFailure{}, "PATCH", url+"/v1/releases/1", fmt.Sprintf(`{"note":"%d"}`, n))
 	return status, nil
 }
 
-// quietly turns a failed requirement into a panic, for calls that may fail.
-type quietly struct{}
+// panicOnFailure turns a failed requirement into a panic, for calls that may fail.
+type panicOnFailure struct{}
 
-func (quietly) Errorf(string, ...any) {}
-func (quietly) FailNow()              { panic("failed") }
+func (panicOnFailure) Errorf(string, ...any) {}
+func (panicOnFailure) FailNow()              { panic("failed") }
 
-// forgetful is a disk that answers before it has synced: what it took last is lost when it is opened again.
-type forgetful struct {
+// unsyncedDisk is a disk that answers before it has synced: what it took last is lost when it is opened again.
+type unsyncedDisk struct {
 	raft.LogStore
-	late []*raft.Log
+	unsynced []*raft.Log
 }
 
-func (f *forgetful) LastIndex() (uint64, error) {
-	if n := len(f.late); n > 0 {
-		return f.late[n-1].Index, nil
+func (f *unsyncedDisk) LastIndex() (uint64, error) {
+	if n := len(f.unsynced); n > 0 {
+		return f.unsynced[n-1].Index, nil
 	}
 	return f.LogStore.LastIndex()
 }
 
-func (f *forgetful) GetLog(i uint64, l *raft.Log) error {
-	for _, x := range f.late {
+func (f *unsyncedDisk) GetLog(i uint64, l *raft.Log) error {
+	for _, x := range f.unsynced {
 		if x.Index == i {
 			*l = *x
 			return nil
@@ -127,63 +127,63 @@
 	return f.LogStore.GetLog(i, l)
 }
 
-func (f *forgetful) StoreLog(l *raft.Log) error { return f.StoreLogs([]*raft.Log{l}) }
+func (f *unsyncedDisk) StoreLog(l *raft.Log) error { return f.StoreLogs([]*raft.Log{l}) }
 
-func (f *forgetful) StoreLogs(all []*raft.Log) error {
+func (f *unsyncedDisk) StoreLogs(all []*raft.Log) error {
 	const unsynced = 2
 	for _, l := range all {
 		c := *l
-		f.late = append(f.late, &c)
+		f.unsynced = append(f.unsynced, &c)
 	}
-	if n := len(f.late) - unsynced; n > 0 {
-		if err := f.LogStore.StoreLogs(f.late[:n]); err != nil {
+	if n := len(f.unsynced) - unsynced; n > 0 {
+		if err := f.LogStore.StoreLogs(f.unsynced[:n]); err != nil {
 			return err
 		}
-		f.late = f.late[n:]
+		f.unsynced = f.unsynced[n:]
 	}
 	return nil
 }
 
-func TestADiskThatAnswersBeforeItHasSyncedIsFound(t *testing.T) {
+func TestNoteModel_FindsADiskThatAnswersBeforeItSyncs(t *testing.T) {
 	for _, lies := range []bool{false, true} {
-		g := &group{t: t, dirs: []string{t.TempDir()}, nodes: make([]*Node, 1), fronts: make([]*Server, 1), urls: make([]string, 1)}
+		g := &cluster{t: t, dirs: []string{t.TempDir()}, nodes: make([]*Node, 1), servers: make([]*Server, 1), urls: make([]string, 1)}
 		t.Cleanup(g.close)
 		open := func() {
-			seat := NodeConfig{Name: "c1", Dir: g.dirs[0], Listen: "127.0.0.1:0", Bootstrap: true, Quick: true, Control: figures, Build: 1}
+			config := NodeConfig{Name: "c1", Dir: g.dirs[0], Listen: "127.0.0.1:0", Bootstrap: true, Quick: true, Control: testConfig, Build: 1}
 			if lies {
-				seat.WrapStores = func(l raft.LogStore, s raft.StableStore) (raft.LogStore, raft.StableStore) {
-					return &forgetful{LogStore: l}, s
+				config.WrapStores = func(l raft.LogStore, s raft.StableStore) (raft.LogStore, raft.StableStore) {
+					return &unsyncedDisk{LogStore: l}, s
 				}
 			}
-			a, err := StartStandalone(seat, ServerConfig{Listen: "127.0.0.1:0"}, slog.New(slog.DiscardHandler))
+			a, err := StartStandalone(config, ServerConfig{Listen: "127.0.0.1:0"}, slog.New(slog.DiscardHandler))
 			require.NoError(t, err)
-			g.nodes[0], g.fronts[0], g.urls[0] = a.Node, a.Server, a.URL()
+			g.nodes[0], g.servers[0], g.urls[0] = a.Node, a.Server, a.URL()
 		}
 		open()
 		began := time.Now()
 		var all []porcupine.Operation
-		do := func(n note) {
+		do := func(n noteOperation) {
 			from := time.Since(began)
 			method, path, body := "GET", "/v1/releases/1?fresh=1", ""
 			if n.write {
 				method, path, body = "PATCH", "/v1/releases/1", fmt.Sprintf(`{"note":%q}`, n.value)
 			}
-			status, _, text := ask(t, method, g.urls[0]+path, body)
+			status, _, text := requestOnceLed(t, method, g.urls[0]+path, body)
 			require.Equal(t, 200, status, text)
-			o := object(t, text)
-			all = append(all, porcupine.Operation{Input: n, Call: int64(from), Output: noted{value: o.Note, version: uint64(o.Version)}, Return: int64(time.Since(began))})
+			o := decodeRelease(t, text)
+			all = append(all, porcupine.Operation{Input: n, Call: int64(from), Output: noteResult{value: o.Note, version: uint64(o.Version)}, Return: int64(time.Since(began))})
 		}
 		for i := range 5 {
-			do(note{write: true, value: fmt.Sprint(i)})
+			do(noteOperation{write: true, value: fmt.Sprint(i)})
 		}
-		g.fronts[0].Close()
+		g.servers[0].Close()
 		require.NoError(t, g.nodes[0].Close())
 		open()
-		do(note{})
+		do(noteOperation{})
 		want := porcupine.Ok
 		if lies {
 			want = porcupine.Illegal
 		}
-		require.Equal(t, want, porcupine.CheckOperationsTimeout(notes, all, 10*time.Second))
+		require.Equal(t, want, porcupine.CheckOperationsTimeout(noteModel, all, 10*time.Second))
 	}
 }
--- a/internal/controller/described_test.go
+++ b/internal/controller/description_test.go
@@ -20,11 +20,12 @@
 
 	descriptions "dapplefront/api"
 	"dapplefront/control"
+	"dapplefront/internal/api"
 	"dapplefront/policy"
 )
 
-// described is both descriptions, as trees.
-type described struct {
+// description is the OpenAPI and AsyncAPI descriptions as trees, and what of them has occurred.
+type description struct {
 	t       *testing.T
 	open    map[string]any
 	async   map[string]any
@@ -34,8 +35,9 @@
 	fields  map[string]bool // "schema.field" as replies and events had them
 }
 
-func describe(t *testing.T) *described {
-	d := &described{t: t, seen: map[string]bool{}, fields: map[string]bool{}, schemas: jsonschema.NewCompiler()}
+func loadDescription(t *testing.T) *description {
+	t.Helper()
+	d := &description{t: t, seen: map[string]bool{}, fields: map[string]bool{}, schemas: jsonschema.NewCompiler()}
 	require.NoError(t, yaml.Unmarshal(descriptions.OpenAPI, &d.open))
 	require.NoError(t, yaml.Unmarshal(descriptions.AsyncAPI, &d.async))
 	for name, tree := range map[string]map[string]any{"openapi.yaml": d.open, "asyncapi.yaml": d.async} {
@@ -48,7 +50,7 @@
 	return d
 }
 
-func at(tree any, path ...string) any {
+func lookup(tree any, path ...string) any {
 	for _, p := range path {
 		m, ok := tree.(map[string]any)
 		if !ok {
@@ -60,16 +62,16 @@
 }
 
 // resolve follows a reference within the OpenAPI description.
-func (d *described) resolve(x any) map[string]any {
+func (d *description) resolve(x any) map[string]any {
 	m, _ := x.(map[string]any)
 	if ref, ok := m["$ref"].(string); ok {
-		m, _ = at(d.open, strings.Split(strings.TrimPrefix(ref, "#/"), "/")...).(map[string]any)
+		m, _ = lookup(d.open, strings.Split(strings.TrimPrefix(ref, "#/"), "/")...).(map[string]any)
 	}
 	return m
 }
 
 // operation is the documented operation that a request is for.
-func (d *described) operation(method, path string) (map[string]any, string) {
+func (d *description) operation(method, path string) (map[string]any, string) {
 	path, _, _ = strings.Cut(path, "?")
 	parts := strings.Split(path, "/")
 	best, bestFixed := "", -1
@@ -93,14 +95,14 @@
 			best, bestFixed = template, fixed
 		}
 	}
-	op, _ := at(d.open, "paths", best, strings.ToLower(method)).(map[string]any)
+	op, _ := lookup(d.open, "paths", best, strings.ToLower(method)).(map[string]any)
 	return op, best
 }
 
-// fits checks a value against a schema by its place in a description; "" where it does.
-func (d *described) fits(place string, body []byte) string {
+// fits checks a value against a schema by its JSON pointer in a description; "" where it does.
+func (d *description) fits(pointer string, body []byte) string {
 	d.mu.Lock()
-	s, err := d.schemas.Compile(place)
+	s, err := d.schemas.Compile(pointer)
 	d.mu.Unlock()
 	if err != nil {
 		return err.Error()
@@ -112,7 +114,7 @@
 	if err := s.Validate(v); err != nil {
 		return err.Error()
 	}
-	name := place[strings.LastIndex(place, "/")+1:]
+	name := pointer[strings.LastIndex(pointer, "/")+1:]
 	if m, ok := v.(map[string]any); ok {
 		d.mu.Lock()
 		for k := range m {
@@ -124,12 +126,12 @@
 }
 
 // reply checks an answer against what is documented for its request; "" where it is as documented.
-func (d *described) reply(method, path string, status int, h http.Header, body string) string {
+func (d *description) reply(method, path string, status int, h http.Header, body string) string {
 	op, template := d.operation(method, path)
 	if op == nil {
 		return fmt.Sprintf("%s %s is not documented", method, path)
 	}
-	documented := at(op, "responses", fmt.Sprint(status))
+	documented := lookup(op, "responses", fmt.Sprint(status))
 	if documented == nil {
 		return fmt.Sprintf("%s %s: the status %d is not documented: %s", method, template, status, body)
 	}
@@ -145,7 +147,7 @@
 		return ""
 	}
 	kind, _, _ := strings.Cut(h.Get("Content-Type"), ";")
-	schema, _ := at(content, kind, "schema").(map[string]any)
+	schema, _ := lookup(content, kind, "schema").(map[string]any)
 	if schema == nil {
 		return fmt.Sprintf("%s %s, %d: the type %q is not documented", method, template, status, kind)
 	}
@@ -158,24 +160,24 @@
 	return ""
 }
 
-// call asks, and fails unless the answer is documented.
-func (d *described) call(method, url, path, body string, headers ...string) (int, string) {
+// call sends a request and requires a documented answer.
+func (d *description) call(method, url, path, body string, headers ...string) (int, string) {
 	d.t.Helper()
-	status, h, text := call(d.t, method, url+path, body, headers...)
+	status, h, text := request(d.t, method, url+path, body, headers...)
 	require.Empty(d.t, d.reply(method, path, status, h, text))
 	return status, text
 }
 
-func TestEveryDocumentedReplyAndEventIsGivenAndNoOther(t *testing.T) {
-	was := figures
-	figures.MaxEvents = 400
-	defer func() { figures = was }()
-	d := describe(t)
-	g := start(t, 3)
+func TestDescription_EveryReplyAndEventOccursAndNoOther(t *testing.T) {
+	was := testConfig
+	testConfig.MaxEvents = 400
+	defer func() { testConfig = was }()
+	d := loadDescription(t)
+	g := startCluster(t, 3)
 	lead := g.leader()
 	u := g.urls[lead]
-	all := follow(t, u+"/v1/watch", "")
-	own := follow(t, u+"/v1/watch?router=r1", "")
+	all := followWatch(t, u+"/v1/watch", "")
+	own := followWatch(t, u+"/v1/watch?router=r1", "")
 	do := func(want int, method, path, body string, headers ...string) string {
 		t.Helper()
 		status, text := d.call(method, u, path, body, headers...)
@@ -189,7 +191,7 @@
 	do(200, "GET", "/v1/releases?limit=1", "")
 	do(400, "GET", "/v1/releases?phase=x", "")
 	do(200, "GET", "/v1/releases/2?fresh=1", "")
-	_, h, _ := call(t, "GET", u+"/v1/releases/2", "")
+	_, h, _ := request(t, "GET", u+"/v1/releases/2", "")
 	do(304, "GET", "/v1/releases/2", "", "If-None-Match", h.Get("ETag"))
 	do(400, "GET", "/v1/releases/x", "")
 	do(404, "GET", "/v1/releases/9", "")
@@ -226,7 +228,7 @@
 	do(409, "PUT", "/v1/plans/4/routers/r1", `{"followed":true}`)
 	do(204, "PUT", "/v1/routers/r9", "")
 	do(204, "DELETE", "/v1/routers/r9", "")
-	mine := follow(t, u+"/v1/agents/h1/orders", "")
+	mine := followWatch(t, u+"/v1/agents/h1/orders", "")
 	do(400, "GET", "/v1/agents/h1/orders", "", "Last-Event-ID", "x")
 	do(201, "POST", "/v1/agents/h1/orders", `{"digest":"d","build":2,"goal":"stage"}`)
 	do(400, "POST", "/v1/agents/h1/orders", `{"digest":"d","build":2,"goal":"sit"}`)
@@ -255,10 +257,12 @@
 		status, _ := d.call("PUT", u, "/v1/releases/1/votes/r1", `{"stage":0,"voice":"none"}`)
 		require.Contains(t, []int{200, 409}, status)
 	}
-	g.fronts[lead].voteLimiter.SetBurst(0)
+	g.servers[lead].voteLimiter.SetBurst(0)
 	do(429, "PUT", "/v1/releases/1/votes/r1", `{"stage":0,"voice":"on"}`)
 	for i := range 500 {
-		g.nodes[lead].Propose(control.Command{Kind: control.EmitEvent, Name: "counts", Body: []byte(fmt.Sprintf(`{"build":1,"category":"c","bad":0,"samples":%d,"meanMs":0,"ageMs":0}`, i))})
+		_, err := g.nodes[lead].Propose(control.Command{Kind: control.EmitEvent, Name: api.EventCounts,
+			Body: fmt.Appendf(nil, `{"build":1,"category":"c","bad":0,"samples":%d,"meanMs":0,"ageMs":0}`, i)})
+		require.NoError(t, err)
 	}
 	do(410, "GET", "/v1/watch", "", "Last-Event-ID", "1")
 	d.mu.Lock()
@@ -271,12 +275,12 @@
 	var kinds, data []string
 	require.Eventually(t, func() bool { return mine.count("order") == 1 && all.count("agent") == 1 }, 10*time.Second, 10*time.Millisecond)
 	d.seen["orders 200"] = true // follow has checked it
-	for _, w := range []*watcher{all, own, mine} {
+	for _, w := range []*watchReader{all, own, mine} {
 		w.mu.Lock()
 		kinds, data = append(kinds, w.kind...), append(data, w.data...)
 		w.mu.Unlock()
 	}
-	f := g.fronts[lead]
+	f := g.servers[lead]
 	f.mu.Lock()
 	f.config.MaxWatchers = 0
 	f.mu.Unlock()
@@ -285,13 +289,13 @@
 	f.config.MaxWatchers = 100
 	f.mu.Unlock()
 	for i, kind := range kinds {
-		require.NotNil(t, at(d.async, "components", "messages", kind), "the event %s is not documented", kind)
+		require.NotNil(t, lookup(d.async, "components", "messages", kind), "the event %s is not documented", kind)
 		require.Empty(t, d.fits("asyncapi.yaml#/components/messages/"+kind+"/payload", []byte(data[i])), kind)
 		d.seen["event "+kind] = true
 	}
 
 	// As WebSocket; and for callers who may do nothing.
-	_, _, status := dial(t, u, "", "")
+	_, _, status := dialWebSocket(t, u, "", "")
 	require.Equal(t, 101, status)
 	d.seen["watch 101"] = true
 	closed, err := Serve(g.nodes[lead], ServerConfig{Listen: "127.0.0.1:0", URL: u, Authorizer: &Authorizer{}}, slog.New(slog.DiscardHandler))
@@ -310,13 +314,13 @@
 	// Without a leader.
 	for i := range g.nodes {
 		if i != lead {
-			g.kill(i)
+			g.stop(i)
 		}
 	}
 	require.Eventually(t, func() bool { leads, _ := g.nodes[lead].IsLeader(); return !leads }, 10*time.Second, 5*time.Millisecond)
 	for template, methods := range d.open["paths"].(map[string]any) {
 		for method, op := range methods.(map[string]any) {
-			if method == "parameters" || at(op, "responses", "503") == nil {
+			if method == "parameters" || lookup(op, "responses", "503") == nil {
 				continue
 			}
 			path := named.Replace(template)
@@ -341,21 +345,21 @@
 			if method == "parameters" {
 				continue
 			}
-			for status := range at(op, "responses").(map[string]any) {
-				if k := fmt.Sprintf("%s %s", at(op, "operationId"), status); status != "504" && !d.seen[k] {
+			for status := range lookup(op, "responses").(map[string]any) {
+				if k := fmt.Sprintf("%s %s", lookup(op, "operationId"), status); status != "504" && !d.seen[k] {
 					never = append(never, k)
 				}
 			}
 		}
 	}
-	for kind := range at(d.async, "components", "messages").(map[string]any) {
+	for kind := range lookup(d.async, "components", "messages").(map[string]any) {
 		if !d.seen["event "+kind] {
 			never = append(never, "event "+kind)
 		}
 	}
 	for _, name := range []string{"ReleaseObject", "ReleaseList", "News", "Plan", "Status", "Problem"} {
-		for f := range at(d.open, "components", "schemas", name, "properties").(map[string]any) {
-			if !d.fields[name+"."+f] && !(name == "ReleaseObject" && d.fields["payload."+f]) {
+		for f := range lookup(d.open, "components", "schemas", name, "properties").(map[string]any) {
+			if !d.fields[name+"."+f] && (name != "ReleaseObject" || !d.fields["payload."+f]) {
 				never = append(never, name+"."+f)
 			}
 		}
@@ -364,8 +368,8 @@
 	require.Empty(t, never, "documented, but never given")
 }
 
-func TestTheDescriptionsCheckFindsWhatIsNotInThem(t *testing.T) {
-	d := describe(t)
+func TestDescription_CheckFindsWhatIsNotDocumented(t *testing.T) {
+	d := loadDescription(t)
 	json := http.Header{"Content-Type": {"application/json"}}
 	require.Contains(t, d.reply("GET", "/v1/nothing", 200, json, ""), "not documented")
 	require.Contains(t, d.reply("GET", "/v1/status", 418, json, "{}"), "the status 418 is not documented")
@@ -376,7 +380,7 @@
 }
 
 // drawValue draws a value of a schema; now and then one that does not fit.
-func (d *described) drawValue(r *rand.Rand, schema any, depth int) any {
+func (d *description) drawValue(r *rand.Rand, schema any, depth int) any {
 	s := d.resolve(schema)
 	if r.IntN(25) == 0 || s == nil {
 		return []any{nil, -1, "x", 1.5, true, []any{}, map[string]any{"odd": 1}}[r.IntN(7)]
@@ -421,9 +425,9 @@
 	return nil
 }
 
-func TestDrawnRequestsGetADocumentedAnswerEach(t *testing.T) {
-	d := describe(t)
-	a, err := StartStandalone(NodeConfig{Name: "c1", Dir: t.TempDir(), Listen: "127.0.0.1:0", Quick: true, Control: figures, Build: 1},
+func TestDescription_DrawnRequestsGetDocumentedReplies(t *testing.T) {
+	d := loadDescription(t)
+	a, err := StartStandalone(NodeConfig{Name: "c1", Dir: t.TempDir(), Listen: "127.0.0.1:0", Quick: true, Control: testConfig, Build: 1},
 		ServerConfig{Listen: "127.0.0.1:0", VotesPerSecond: 1e6}, slog.New(slog.DiscardHandler))
 	require.NoError(t, err)
 	defer func() { require.NoError(t, a.Stop()) }()
@@ -434,7 +438,7 @@
 	var all []target
 	for template, methods := range d.open["paths"].(map[string]any) {
 		for method, op := range methods.(map[string]any) {
-			if method != "parameters" && template != "/v1/watch" && !(method == "get" && strings.HasSuffix(template, "/orders")) && !strings.HasPrefix(template, "/v1/controllers") {
+			if method != "parameters" && template != "/v1/watch" && (method != "get" || !strings.HasSuffix(template, "/orders")) && !strings.HasPrefix(template, "/v1/controllers") {
 				all = append(all, target{strings.ToUpper(method), template, op})
 			}
 		}
@@ -454,7 +458,7 @@
 				path := strings.NewReplacer("{build}", pick("1", "2", "3", "9", "0", "x"), "{router}", pick("r1", "r2"), "{step}", pick("a", "r1"),
 					"{order}", pick("ready", "gone"), "{version}", pick("1", "2", "3", "1000"), "{location}", "north", "{name}", "h1").Replace(x.template)
 				body := ""
-				if s := at(x.op, "requestBody", "content", "application/json", "schema"); s != nil {
+				if s := lookup(x.op, "requestBody", "content", "application/json", "schema"); s != nil {
 					text, err := json.Marshal(d.drawValue(r, s, 0))
 					if err != nil {
 						continue
--- a/internal/controller/events.go
+++ b/internal/controller/events.go
@@ -85,12 +85,12 @@
 }
 
 func (s *Server) statusBody(id uint64, status release.Status, router string, now policy.Time) []byte {
-	sent := api.Release{Build: status.Build, Stage: status.Stage, Phase: api.Phases[status.Phase], ExposureCap: status.ExposureCap,
+	shown := api.Release{Build: status.Build, Stage: status.Stage, Phase: api.Phases[status.Phase], ExposureCap: status.ExposureCap,
 		AgeMs: max(0, toMs(now-status.Since)), Version: int64(id)}
 	if router != "" && s.config.OnStatusSent != nil {
-		s.config.OnStatusSent(router, sent)
+		s.config.OnStatusSent(router, shown)
 	}
-	return encode(sent)
+	return encode(shown)
 }
 
 // encode is the JSON of types that always have one.
--- a/internal/controller/history_test.go
+++ b/internal/controller/linearizability_test.go
@@ -19,26 +19,26 @@
 	"dapplefront/internal/api"
 )
 
-// note is one operation on a release's note: a write, with or without a version, or a read.
-type note struct {
+// noteOperation is one operation on a release's note: a write, with or without a version, or a read.
+type noteOperation struct {
 	write   bool
 	value   string
 	version uint64 // that the write is for; 0 for any
 }
 
-// noted is its outcome.
-type noted struct {
+// noteResult is its outcome.
+type noteResult struct {
 	value   string
 	version uint64
 	unclear bool // it may have been made
 	stale   bool // it was for another version
 }
 
-// notes is the sequential object that histories are held to: a note that grows a version with every write.
-var notes = porcupine.Model{
-	Init: func() any { return noted{version: 1} },
+// noteModel is the sequential object that histories are held to: a note that grows a version with every write.
+var noteModel = porcupine.Model{
+	Init: func() any { return noteResult{version: 1} },
 	Step: func(state, in, out any) (bool, any) {
-		s, i, o := state.(noted), in.(note), out.(noted)
+		s, i, o := state.(noteResult), in.(noteOperation), out.(noteResult)
 		switch {
 		case !i.write:
 			return o.unclear || s.value == o.value && s.version == o.version, s
@@ -47,14 +47,14 @@
 		case o.stale:
 			return false, s
 		}
-		next := noted{value: i.value, version: s.version + 1}
+		next := noteResult{value: i.value, version: s.version + 1}
 		return o.unclear || o.version == next.version, next
 	},
 	Equal: func(a, b any) bool { return a == b },
 }
 
-// do carries out an operation at an instance. What may or may not have been made is told as such.
-func (n note) do(h *http.Client, url string) (o noted, made bool) {
+// do carries out an operation at an instance. An unclear write counts as made: it may have been.
+func (n noteOperation) do(h *http.Client, url string) (o noteResult, made bool) {
 	method, path, body := "GET", "/v1/releases/1?fresh=1", ""
 	if n.write {
 		method, path, body = "PATCH", "/v1/releases/1", fmt.Sprintf(`{"note":%q}`, n.value)
@@ -68,30 +68,31 @@
 	}
 	got, err := h.Do(r)
 	if err != nil {
-		return noted{unclear: true}, n.write && !strings.Contains(err.Error(), "dial ")
+		return noteResult{unclear: true}, n.write && !strings.Contains(err.Error(), "dial ")
 	}
-	defer got.Body.Close()
+	defer func() { _ = got.Body.Close() }()
 	text, _ := io.ReadAll(got.Body)
 	switch got.StatusCode {
-	case 200:
+	case http.StatusOK:
 		var x api.ReleaseObject
 		if json.Unmarshal(text, &x) != nil {
-			return noted{unclear: true}, n.write
+			return noteResult{unclear: true}, n.write
 		}
-		return noted{value: x.Note, version: uint64(x.Version)}, true
-	case 412:
-		return noted{stale: true}, true
-	case 503:
+		return noteResult{value: x.Note, version: uint64(x.Version)}, true
+	case http.StatusPreconditionFailed:
+		return noteResult{stale: true}, true
+	case http.StatusServiceUnavailable:
 		return o, false
 	}
-	return noted{unclear: true}, n.write
+	return noteResult{unclear: true}, n.write
 }
 
-// history lets some clients write and read while instances are ended and come back, and returns what they saw.
-func history(t *testing.T, seed uint64, lasts time.Duration, bend func(g *group)) []porcupine.Operation {
-	g := start(t, 3)
-	if bend != nil {
-		bend(g)
+// recordHistory lets some clients write and read while instances are ended and come back, and returns what they saw.
+func recordHistory(t *testing.T, seed uint64, lasts time.Duration, prepare func(g *cluster)) []porcupine.Operation {
+	t.Helper()
+	g := startCluster(t, 3)
+	if prepare != nil {
+		prepare(g)
 	}
 	var mu sync.Mutex
 	var all []porcupine.Operation
@@ -104,7 +105,7 @@
 			defer h.CloseIdleConnections()
 			var seen uint64
 			for n := 0; time.Since(began) < lasts; n++ {
-				op := note{write: r.IntN(2) == 0, value: fmt.Sprintf("%d-%d", c, n)}
+				op := noteOperation{write: r.IntN(2) == 0, value: fmt.Sprintf("%d-%d", c, n)}
 				if op.write && r.IntN(3) == 0 {
 					op.version = seen
 				}
@@ -141,7 +142,7 @@
 		if r.IntN(2) == 0 {
 			at = g.leader()
 		}
-		back := g.kill(at)
+		back := g.stop(at)
 		time.Sleep(time.Duration(r.IntN(500)) * time.Millisecond)
 		back()
 	}
@@ -149,8 +150,8 @@
 	return all
 }
 
-// TestHistoriesAreLinearizable takes a few drawn runs; CONTROL_RUNS asks for more (docs/controller.md).
-func TestHistoriesAreLinearizable(t *testing.T) {
+// TestCluster_HistoriesAreLinearizable takes a few drawn runs; CONTROL_RUNS asks for more (docs/controller.md).
+func TestCluster_HistoriesAreLinearizable(t *testing.T) {
 	runs, seed := 3, uint64(1)
 	if n, err := strconv.Atoi(os.Getenv("CONTROL_RUNS")); err == nil {
 		runs, seed = n, uint64(time.Now().UnixNano())
@@ -158,21 +159,21 @@
 	operations := 0
 	for i := range runs {
 		t.Run(fmt.Sprint(i), func(t *testing.T) {
-			all := history(t, seed+uint64(i), 1500*time.Millisecond, nil)
+			all := recordHistory(t, seed+uint64(i), 1500*time.Millisecond, nil)
 			operations += len(all)
-			require.NotEqual(t, porcupine.Illegal, porcupine.CheckOperationsTimeout(notes, all, 20*time.Second), "seed %d", seed+uint64(i))
+			require.NotEqual(t, porcupine.Illegal, porcupine.CheckOperationsTimeout(noteModel, all, 20*time.Second), "seed %d", seed+uint64(i))
 		})
 	}
 	t.Logf("%d runs, %d operations", runs, operations)
 }
 
-func TestAHistoryWithAReadOfOldStateIsFound(t *testing.T) {
-	op := func(c int, from, to int64, in note, out noted) porcupine.Operation {
+func TestNoteModel_RejectsAStaleRead(t *testing.T) {
+	op := func(c int, from, to int64, in noteOperation, out noteResult) porcupine.Operation {
 		return porcupine.Operation{ClientId: c, Input: in, Call: from, Output: out, Return: to}
 	}
-	write := op(1, 0, 10, note{write: true, value: "a"}, noted{value: "a", version: 2})
-	require.Equal(t, porcupine.Ok, porcupine.CheckOperationsTimeout(notes, []porcupine.Operation{write,
-		op(2, 5, 15, note{}, noted{version: 1})}, time.Second), "they overlap")
-	require.Equal(t, porcupine.Illegal, porcupine.CheckOperationsTimeout(notes, []porcupine.Operation{write,
-		op(2, 11, 15, note{}, noted{version: 1})}, time.Second))
+	write := op(1, 0, 10, noteOperation{write: true, value: "a"}, noteResult{value: "a", version: 2})
+	require.Equal(t, porcupine.Ok, porcupine.CheckOperationsTimeout(noteModel, []porcupine.Operation{write,
+		op(2, 5, 15, noteOperation{}, noteResult{version: 1})}, time.Second), "they overlap")
+	require.Equal(t, porcupine.Illegal, porcupine.CheckOperationsTimeout(noteModel, []porcupine.Operation{write,
+		op(2, 11, 15, noteOperation{}, noteResult{version: 1})}, time.Second))
 }
--- a/internal/controller/cuts_test.go
+++ b/internal/controller/partition_test.go
@@ -18,29 +18,29 @@
 	"dapplefront/policy"
 )
 
-// wires are the links between controllers; they can be cut, one way or both.
-type wires struct {
+// network is the connections between controllers, which can be partitioned.
+type network struct {
 	mu    sync.Mutex
 	cut   map[[2]string]bool // from and to, by name
 	names map[string]string  // by address
 	open  map[net.Conn][2]string
 }
 
-func newWires() *wires {
-	return &wires{cut: map[[2]string]bool{}, names: map[string]string{}, open: map[net.Conn][2]string{}}
+func newNetwork() *network {
+	return &network{cut: map[[2]string]bool{}, names: map[string]string{}, open: map[net.Conn][2]string{}}
 }
 
-func (w *wires) streams(name string) func(net.Listener) (raft.StreamLayer, error) {
+func (w *network) streamLayer(name string) func(net.Listener) (raft.StreamLayer, error) {
 	return func(l net.Listener) (raft.StreamLayer, error) {
 		w.mu.Lock()
 		w.names[l.Addr().String()] = name
 		w.mu.Unlock()
-		return wire{tcpStreamLayer{l}, w, name}, nil
+		return networkStreamLayer{tcpStreamLayer{l}, w, name}, nil
 	}
 }
 
-// set cuts or mends the links between two groups.
-func (w *wires) set(cut bool, a, b []string) {
+// set partitions two groups of controllers, or heals the partition.
+func (w *network) set(cut bool, a, b []string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	for _, x := range a {
@@ -56,43 +56,44 @@
 	}
 }
 
-type wire struct {
+type networkStreamLayer struct {
 	tcpStreamLayer
-	all  *wires
-	name string
+	network *network
+	name    string
 }
 
-func (w wire) Dial(a raft.ServerAddress, within time.Duration) (net.Conn, error) {
-	w.all.mu.Lock()
-	ends := [2]string{w.name, w.all.names[string(a)]}
-	cut := w.all.cut[ends]
-	w.all.mu.Unlock()
+func (w networkStreamLayer) Dial(a raft.ServerAddress, within time.Duration) (net.Conn, error) {
+	w.network.mu.Lock()
+	ends := [2]string{w.name, w.network.names[string(a)]}
+	cut := w.network.cut[ends]
+	w.network.mu.Unlock()
 	if cut {
 		return nil, errors.New("cut")
 	}
 	c, err := w.tcpStreamLayer.Dial(a, within)
 	if err == nil {
-		w.all.mu.Lock()
-		w.all.open[c] = ends
-		w.all.mu.Unlock()
+		w.network.mu.Lock()
+		w.network.open[c] = ends
+		w.network.mu.Unlock()
 	}
 	return c, err
 }
 
-// wired starts three instances with wires and disks of the test's.
-func wired(t *testing.T, w *wires, disk func(i int, l raft.LogStore) raft.LogStore) *group {
-	g := &group{t: t}
+// startClusterOn starts three instances on a test network and with test disks.
+func startClusterOn(t *testing.T, w *network, disk func(i int, l raft.LogStore) raft.LogStore) *cluster {
+	t.Helper()
+	g := &cluster{t: t}
 	for i := range 3 {
 		name := fmt.Sprintf("c%d", i+1)
-		seat := NodeConfig{Name: name, Dir: t.TempDir(), Listen: "127.0.0.1:0", Bootstrap: i == 0, Quick: true, Control: figures, Build: 1, StreamLayer: w.streams(name)}
+		config := NodeConfig{Name: name, Dir: t.TempDir(), Listen: "127.0.0.1:0", Bootstrap: i == 0, Quick: true, Control: testConfig, Build: 1, StreamLayer: w.streamLayer(name)}
 		if disk != nil {
-			seat.WrapStores = func(l raft.LogStore, s raft.StableStore) (raft.LogStore, raft.StableStore) { return disk(i, l), s }
+			config.WrapStores = func(l raft.LogStore, s raft.StableStore) (raft.LogStore, raft.StableStore) { return disk(i, l), s }
 		}
-		n, err := Open(seat, slog.New(slog.DiscardHandler))
+		n, err := Open(config, slog.New(slog.DiscardHandler))
 		require.NoError(t, err)
 		s, err := Serve(n, ServerConfig{Listen: "127.0.0.1:0", VotesPerSecond: 1000, BookmarkInterval: 50 * time.Millisecond}, slog.New(slog.DiscardHandler))
 		require.NoError(t, err)
-		g.nodes, g.fronts, g.urls = append(g.nodes, n), append(g.fronts, s), append(g.urls, s.URL())
+		g.nodes, g.servers, g.urls = append(g.nodes, n), append(g.servers, s), append(g.urls, s.URL())
 		if i == 0 {
 			g.leader()
 		} else {
@@ -108,9 +109,9 @@
 	return g
 }
 
-func TestTwoHalvesThatCanNotReachEachOtherThenMeet(t *testing.T) {
-	w := newWires()
-	g := wired(t, w, nil)
+func TestCluster_PartitionedLeaderRejectsChangesAndCatchesUp(t *testing.T) {
+	w := newNetwork()
+	g := startClusterOn(t, w, nil)
 	for range 3 {
 		at := g.leader()
 		var others []string
@@ -122,34 +123,34 @@
 		w.set(true, []string{g.name(at)}, others)
 		require.Eventually(t, func() bool { leads, _ := g.nodes[at].IsLeader(); return !leads }, 10*time.Second, 5*time.Millisecond,
 			"the lease of a leader that reaches no one runs out")
-		status, _, _ := call(t, "PATCH", g.urls[at]+"/v1/releases/1", `{"note":"from the lonely half"}`)
+		status, _, _ := request(t, "PATCH", g.urls[at]+"/v1/releases/1", `{"note":"from the minority"}`)
 		require.Contains(t, []int{503, 504}, status)
-		status, _, _ = call(t, "GET", g.urls[at]+"/v1/releases/1?fresh=1", "")
+		status, _, _ = request(t, "GET", g.urls[at]+"/v1/releases/1?fresh=1", "")
 		require.Equal(t, 503, status)
 		next := g.leader()
 		require.NotEqual(t, at, next)
-		note := fmt.Sprint("from the larger half, ", time.Now().UnixNano())
-		status, _, text := ask(t, "PATCH", g.urls[next]+"/v1/releases/1", fmt.Sprintf(`{"note":%q}`, note))
+		note := fmt.Sprint("from the majority, ", time.Now().UnixNano())
+		status, _, text := requestOnceLed(t, "PATCH", g.urls[next]+"/v1/releases/1", fmt.Sprintf(`{"note":%q}`, note))
 		require.Equal(t, 200, status, text)
 		w.set(false, []string{g.name(at)}, others)
 		require.Eventually(t, func() bool {
-			_, _, text := call(t, "GET", g.urls[at]+"/v1/releases/1", "")
-			return object(t, text).Note == note
-		}, 10*time.Second, 10*time.Millisecond, "the lonely half hears of it")
+			_, _, text := request(t, "GET", g.urls[at]+"/v1/releases/1", "")
+			return decodeRelease(t, text).Note == note
+		}, 10*time.Second, 10*time.Millisecond, "the minority catches up")
 	}
 }
 
-// ill is a disk with troubles.
-type ill struct {
+// faultyDisk is a log store that fails or is slow.
+type faultyDisk struct {
 	raft.LogStore
 	mu    sync.Mutex
 	fails error
 	slow  time.Duration
 }
 
-func (d *ill) StoreLog(l *raft.Log) error { return d.StoreLogs([]*raft.Log{l}) }
+func (d *faultyDisk) StoreLog(l *raft.Log) error { return d.StoreLogs([]*raft.Log{l}) }
 
-func (d *ill) StoreLogs(all []*raft.Log) error {
+func (d *faultyDisk) StoreLogs(all []*raft.Log) error {
 	d.mu.Lock()
 	fails, slow := d.fails, d.slow
 	d.mu.Unlock()
@@ -160,20 +161,20 @@
 	return d.LogStore.StoreLogs(all)
 }
 
-func (d *ill) set(fails error, slow time.Duration) {
+func (d *faultyDisk) set(fails error, slow time.Duration) {
 	d.mu.Lock()
 	d.fails, d.slow = fails, slow
 	d.mu.Unlock()
 }
 
-func TestADiskThatIsFullOrSlow(t *testing.T) {
-	disks := make([]*ill, 3)
-	g := wired(t, newWires(), func(i int, l raft.LogStore) raft.LogStore { disks[i] = &ill{LogStore: l}; return disks[i] })
+func TestCluster_SurvivesAFullOrSlowDisk(t *testing.T) {
+	disks := make([]*faultyDisk, 3)
+	g := startClusterOn(t, newNetwork(), func(i int, l raft.LogStore) raft.LogStore { disks[i] = &faultyDisk{LogStore: l}; return disks[i] })
 	accepted := ""
 	write := func(text string) {
 		for range 400 {
 			at := g.leader()
-			status, _, _ := call(t, "PATCH", g.urls[at]+"/v1/releases/1", fmt.Sprintf(`{"note":%q}`, text))
+			status, _, _ := request(t, "PATCH", g.urls[at]+"/v1/releases/1", fmt.Sprintf(`{"note":%q}`, text))
 			if status == 200 {
 				accepted = text
 				return
@@ -185,7 +186,7 @@
 	write("all is well")
 	at := g.leader()
 	disks[at].set(errors.New("no space left on device"), 0)
-	status, _, _ := call(t, "PATCH", g.urls[at]+"/v1/releases/1", `{"note":"on a full disk"}`)
+	status, _, _ := request(t, "PATCH", g.urls[at]+"/v1/releases/1", `{"note":"on a full disk"}`)
 	require.NotEqual(t, 200, status, "what is on no disk is not accepted")
 	require.Eventually(t, func() bool {
 		for i, n := range g.nodes {
@@ -206,19 +207,19 @@
 	}
 	for i := range g.nodes {
 		require.Eventually(t, func() bool {
-			_, _, text := call(t, "GET", g.urls[i]+"/v1/releases/1", "")
-			return object(t, text).Note == accepted
+			_, _, text := request(t, "GET", g.urls[i]+"/v1/releases/1", "")
+			return decodeRelease(t, text).Note == accepted
 		}, 20*time.Second, 10*time.Millisecond, "%s comes to what was accepted", g.name(i))
 	}
 }
 
-// TestRoutersComeBackSpreadOverTime ends the instance that 86 routers watch and looks at when they arrive elsewhere.
-func TestRoutersComeBackSpreadOverTime(t *testing.T) {
-	g := start(t, 3)
+// TestWatch_RoutersOfADeadInstanceReconnectElsewhere stops the instance that 86 routers watch and sees when they arrive at others.
+func TestWatch_RoutersOfADeadInstanceReconnectElsewhere(t *testing.T) {
+	g := startCluster(t, 3)
 	at := g.leader()
 	const routers = 86
 	var mu sync.Mutex
-	heard := 0
+	received := 0
 	counting := false
 	for i := range routers {
 		order := []string{g.urls[at], g.urls[(at+1)%3], g.urls[(at+2)%3]} // all watch the one that leads
@@ -226,19 +227,19 @@
 			mu.Lock()
 			defer mu.Unlock()
 			if counting {
-				heard++
+				received++
 			}
 		}, Counts: func(api.Counts) {}, Complaint: func(api.Complaint) {}, Failed: func(error) {}, Plan: func(api.Plan) {}})
 		t.Cleanup(l.Close)
 	}
 	watching := func(i int) int {
-		g.fronts[i].mu.Lock()
-		defer g.fronts[i].mu.Unlock()
-		return g.fronts[i].watchers
+		g.servers[i].mu.Lock()
+		defer g.servers[i].mu.Unlock()
+		return g.servers[i].watchers
 	}
 	require.Eventually(t, func() bool { return watching(at) == routers }, 20*time.Second, 5*time.Millisecond)
 	ended := time.Now()
-	back := g.kill(at)
+	back := g.stop(at)
 	type arrival struct {
 		at time.Duration
 		n  int
@@ -274,7 +275,7 @@
 	t.Logf("arrivals in each 50 ms after the end:%s", line)
 	// How they are spread is shown, not judged: a machine that stands still for a moment bunches them.
 	// And they hear what happens from then on.
-	status, _, text := ask(t, "POST", g.urls[(at+1)%3]+"/v1/releases", `{"build":2}`)
+	status, _, text := requestOnceLed(t, "POST", g.urls[(at+1)%3]+"/v1/releases", `{"build":2}`)
 	require.Equal(t, 201, status, text)
-	require.Eventually(t, func() bool { mu.Lock(); defer mu.Unlock(); return heard >= routers }, 20*time.Second, 5*time.Millisecond)
+	require.Eventually(t, func() bool { mu.Lock(); defer mu.Unlock(); return received >= routers }, 20*time.Second, 5*time.Millisecond)
 }
--- a/internal/controller/upgrade_test.go
+++ b/internal/controller/rolling_restart_test.go
@@ -11,10 +11,10 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestInstancesReplacedOneAfterTheOther is a rolling upgrade under load: each instance hands its lead on, ends, and comes
+// TestCluster_RollingRestartUnderLoadKeepsAcceptedChanges is a rolling upgrade under load: each instance transfers its leadership, ends, and comes
 // back with its disk, while clients write and read without a pause.
-func TestInstancesReplacedOneAfterTheOther(t *testing.T) {
-	g := start(t, 3)
+func TestCluster_RollingRestartUnderLoadKeepsAcceptedChanges(t *testing.T) {
+	g := startCluster(t, 3)
 	var stop atomic.Bool
 	var accepted, refused, lost atomic.Int64
 	var wait sync.WaitGroup
@@ -26,7 +26,7 @@
 				g.mu.Lock()
 				url := g.urls[(c+n)%3]
 				g.mu.Unlock()
-				out, made := note{write: true, value: fmt.Sprintf("%d-%d", c, n)}.do(h, url)
+				out, made := noteOperation{write: true, value: fmt.Sprintf("%d-%d", c, n)}.do(h, url)
 				switch {
 				case made && !out.unclear:
 					accepted.Add(1)
@@ -43,7 +43,7 @@
 		if leads, _ := g.nodes[i].IsLeader(); leads {
 			require.NoError(t, g.nodes[i].TransferLeadership())
 		}
-		back := g.kill(i)
+		back := g.stop(i)
 		g.leader()
 		back()
 		require.Eventually(t, func() bool { return g.nodes[i].ReplicationLag() < time.Second }, 10*time.Second, 5*time.Millisecond)
@@ -53,10 +53,9 @@
 	stop.Store(true)
 	wait.Wait()
 	t.Logf("%d writes accepted, %d refused without harm, %d unclear", accepted.Load(), refused.Load(), lost.Load())
-	version := uint64(0)
 	at := g.leader()
-	_, _, text := ask(t, "GET", g.urls[at]+"/v1/releases/1?fresh=1", "")
-	version = uint64(object(t, text).Version)
+	_, _, text := requestOnceLed(t, "GET", g.urls[at]+"/v1/releases/1?fresh=1", "")
+	version := uint64(decodeRelease(t, text).Version)
 	require.GreaterOrEqual(t, version, uint64(accepted.Load())+1, "each accepted write grew the version")
 	require.LessOrEqual(t, version, uint64(accepted.Load()+lost.Load())+1)
 }
--- a/internal/controller/standalone.go
+++ b/internal/controller/standalone.go
@@ -10,26 +10,29 @@
 	"dapplefront/release"
 )
 
-// Standalone is a group of one controller with its interface, as small places and tests have it.
+// Standalone is a group of one controller with its REST interface, for small deployments and tests.
 type Standalone struct {
 	*Node
 	*Server
 }
 
+// leadershipTimeout is how long StartStandalone waits to lead.
+const leadershipTimeout = 10 * time.Second
+
 // StartStandalone starts one and returns once it leads.
-func StartStandalone(seat NodeConfig, front ServerConfig, log *slog.Logger) (*Standalone, error) {
-	seat.Bootstrap = true
-	n, err := Open(seat, log)
+func StartStandalone(node NodeConfig, server ServerConfig, log *slog.Logger) (*Standalone, error) {
+	node.Bootstrap = true
+	n, err := Open(node, log)
 	if err != nil {
 		return nil, err
 	}
-	s, err := Serve(n, front, log)
+	s, err := Serve(n, server, log)
 	if err != nil {
 		return nil, errors.Join(err, n.Close())
 	}
 	a := &Standalone{n, s}
-	for end := time.Now().Add(10 * time.Second); ; time.Sleep(time.Millisecond) {
-		if leads, _ := n.IsLeader(); leads {
+	for end := time.Now().Add(leadershipTimeout); ; time.Sleep(time.Millisecond) {
+		if isLeader, _ := n.IsLeader(); isLeader {
 			return a, nil
 		}
 		if time.Now().After(end) {
@@ -44,7 +47,7 @@
 	return a.Node.Close()
 }
 
-// Handle takes in what happens to a release, as a command.
+// Handle proposes what happens to a release as a command; other inputs than those listed count as release.Tick.
 func (a *Standalone) Handle(in release.Input) (control.Reply, error) {
 	switch in := in.(type) {
 	case release.Offer:
@@ -62,7 +65,7 @@
 }
 
 // Status is where the newest release stands.
-func (a *Standalone) Status() (n release.Status) {
-	a.Read(func(s *control.State, _ policy.Time) { n = s.Status() })
-	return n
+func (a *Standalone) Status() (status release.Status) {
+	a.Read(func(s *control.State, _ policy.Time) { status = s.Status() })
+	return status
 }
--- a/internal/controller/stored_test.go
+++ b/internal/controller/stored_test.go
@@ -24,7 +24,7 @@
 	storedExport = "testdata/export-d72f78e.json"
 )
 
-var storedFigures = control.Config{Rules: release.Rules{Mode: policy.Timed, Stages: []release.Stage{{HostShare: .1, ExposureCap: .05}, {HostShare: .5, ExposureCap: .5}},
+var storedConfig = control.Config{Rules: release.Rules{Mode: policy.Timed, Stages: []release.Stage{{HostShare: .1, ExposureCap: .05}, {HostShare: .5, ExposureCap: .5}},
 	MinStageTime: policy.Second / 20, StageTime: policy.Second / 10, VoteTTL: 60 * policy.Second, PromoteQuorum: 2, RollbackQuorum: 3, HoldQuorum: 2},
 	RouterTimeout: 600 * policy.Second, MaxEvents: 1000, MaxCreationKeys: 10}
 
@@ -42,21 +42,21 @@
 func exported(t *testing.T, dir string) string {
 	t.Helper()
 	var out bytes.Buffer
-	require.NoError(t, Export(dir, storedFigures, &out))
+	require.NoError(t, Export(dir, storedConfig, &out))
 	return out.String()
 }
 
 func TestAStoreOfAnEarlierProgramExportsByteForByteAsItDid(t *testing.T) {
 	dir, want := stored(t)
-	require.NoError(t, CheckStore(dir, storedFigures))
+	require.NoError(t, CheckStore(dir, storedConfig))
 	require.Equal(t, string(want), exported(t, dir))
 }
 
 func TestAnEarlierExportIsImportedAndExportedByteForByte(t *testing.T) {
 	_, want := stored(t)
 	dir := filepath.Join(t.TempDir(), "new")
-	require.NoError(t, Import(NodeConfig{Name: "c1", Dir: dir, Listen: "127.0.0.1:0", Control: storedFigures}, bytes.NewReader(want)))
-	require.NoError(t, CheckStore(dir, storedFigures))
+	require.NoError(t, Import(NodeConfig{Name: "c1", Dir: dir, Listen: "127.0.0.1:0", Control: storedConfig}, bytes.NewReader(want)))
+	require.NoError(t, CheckStore(dir, storedConfig))
 	require.Equal(t, string(want), exported(t, dir))
 }
 
@@ -68,7 +68,7 @@
 	snapshot, err := os.ReadFile(snapshots[0])
 	require.NoError(t, err)
 	for name, want := range map[string][]byte{"export": bytes.TrimSuffix(export, []byte("\n")), "snapshot": snapshot} {
-		s, err := control.Load(storedFigures, want)
+		s, err := control.Load(storedConfig, want)
 		require.NoError(t, err, name)
 		got, err := s.Save()
 		require.NoError(t, err, name)
@@ -81,7 +81,7 @@
 func TestCommandsOfAnEarlierProgramAreReadAndWrittenByteForByte(t *testing.T) {
 	dir, _ := stored(t)
 	seen := map[string]bool{}
-	_, err := replay(dir, storedFigures, func(_ uint64, c control.Command) { seen[string(c.Kind)] = true })
+	_, err := replay(dir, storedConfig, func(_ uint64, c control.Command) { seen[string(c.Kind)] = true })
 	require.NoError(t, err)
 	for _, verb := range []string{"create", "patch", "withdraw", "delete", "vote", "ready", "gone", "step", "report", "tick", "join", "leave",
 		"tell", "publish", "heed", "order", "heard", "member"} {
@@ -90,7 +90,7 @@
 	bolt, err := raftboltdb.New(raftboltdb.Options{Path: filepath.Join(dir, "log.db"),
 		BoltOptions: &bbolt.Options{ReadOnly: true, Timeout: time.Second}, MsgpackUseNewTimeFormat: true})
 	require.NoError(t, err)
-	defer bolt.Close()
+	defer func() { require.NoError(t, bolt.Close()) }()
 	first, err := bolt.FirstIndex()
 	require.NoError(t, err)
 	last, err := bolt.LastIndex()
--- a/internal/controller/socket_test.go
+++ b/internal/controller/websocket_test.go
@@ -15,26 +15,30 @@
 	"github.com/stretchr/testify/require"
 )
 
-// dial opens a WebSocket by hand, as RFC 6455 has it.
-func dial(t *testing.T, url, query, origin string) (net.Conn, *bufio.Reader, int) {
+// dialWebSocket opens a WebSocket by hand, as RFC 6455 has it.
+func dialWebSocket(t *testing.T, url, query, origin string) (net.Conn, *bufio.Reader, int) {
+	t.Helper()
 	address := strings.TrimPrefix(url, "http://")
 	c, err := net.Dial("tcp", address)
 	require.NoError(t, err)
 	t.Cleanup(func() { _ = c.Close() })
-	fmt.Fprintf(c, "GET /v1/watch%s HTTP/1.1\r\nHost: %s\r\nUpgrade: websocket\r\nConnection: Upgrade\r\nSec-WebSocket-Version: 13\r\n"+
+	_, err = fmt.Fprintf(c, "GET /v1/watch%s HTTP/1.1\r\nHost: %s\r\nUpgrade: websocket\r\nConnection: Upgrade\r\nSec-WebSocket-Version: 13\r\n"+
 		"Sec-WebSocket-Key: dGhlIHNhbXBsZSBub25jZQ==\r\n%s\r\n", query, address, origin)
+	require.NoError(t, err)
 	in := bufio.NewReader(c)
 	got, err := http.ReadResponse(in, nil)
 	require.NoError(t, err)
+	require.NoError(t, got.Body.Close())
 	return c, in, got.StatusCode
 }
 
-// message reads one unfragmented frame of a server.
-func message(t *testing.T, c net.Conn, in *bufio.Reader) (m struct {
+// readMessage reads one unfragmented frame of a server.
+func readMessage(t *testing.T, c net.Conn, in *bufio.Reader) (m struct {
 	ID    uint64
 	Event string
 	Data  json.RawMessage
 }) {
+	t.Helper()
 	_ = c.SetReadDeadline(time.Now().Add(10 * time.Second))
 	head := make([]byte, 2)
 	_, err := io.ReadFull(in, head)
@@ -58,19 +62,19 @@
 	return m
 }
 
-func TestAWatchAsWebSocketHearsTheSame(t *testing.T) {
-	d := describe(t)
-	g := start(t, 1)
+func TestWatch_AsWebSocketHasTheSameEvents(t *testing.T) {
+	d := loadDescription(t)
+	g := startCluster(t, 1)
 	u := g.urls[0]
-	c, in, status := dial(t, u, "", "")
+	c, in, status := dialWebSocket(t, u, "", "")
 	require.Equal(t, 101, status)
-	require.Equal(t, "news", message(t, c, in).Event)
-	same := follow(t, u+"/v1/watch", "")
-	call(t, "POST", u+"/v1/releases", `{"build":2}`)
+	require.Equal(t, "news", readMessage(t, c, in).Event)
+	same := followWatch(t, u+"/v1/watch", "")
+	request(t, "POST", u+"/v1/releases", `{"build":2}`)
 	var ids []string
 	last := uint64(0)
 	for {
-		m := message(t, c, in)
+		m := readMessage(t, c, in)
 		require.Empty(t, d.fits("asyncapi.yaml#/components/messages/"+m.Event+"/payload", m.Data))
 		if m.Event == "bookmark" && len(ids) > 0 {
 			break
@@ -81,48 +85,49 @@
 	}
 	require.Eventually(t, func() bool { return same.count("bookmark") > 0 && same.count("release") > 0 }, 10*time.Second, 5*time.Millisecond)
 	same.mu.Lock()
-	var heard []string
+	var received []string
 	for i := range same.ids[1:] {
 		if k := same.kind[i+1]; k != "bookmark" {
-			heard = append(heard, same.ids[i+1]+" "+k)
+			received = append(received, same.ids[i+1]+" "+k)
 		}
 	}
 	same.mu.Unlock()
-	require.Equal(t, heard, ids)
+	require.Equal(t, received, ids)
 	_ = c.Close()
 	require.Eventually(t, func() bool {
-		g.fronts[0].mu.Lock()
-		defer g.fronts[0].mu.Unlock()
-		return g.fronts[0].watchers == 1
-	}, 10*time.Second, 5*time.Millisecond, "one that goes is let go")
-	call(t, "PATCH", u+"/v1/releases/2", `{"note":"while it was away"}`)
-	c, in, status = dial(t, u, fmt.Sprintf("?after=%d", last), "")
+		g.servers[0].mu.Lock()
+		defer g.servers[0].mu.Unlock()
+		return g.servers[0].watchers == 1
+	}, 10*time.Second, 5*time.Millisecond, "a watcher that has gone is released")
+	request(t, "PATCH", u+"/v1/releases/2", `{"note":"while it was away"}`)
+	c, in, status = dialWebSocket(t, u, fmt.Sprintf("?after=%d", last), "")
 	require.Equal(t, 101, status)
-	m := message(t, c, in)
+	m := readMessage(t, c, in)
 	require.Equal(t, "release", m.Event)
 	require.Contains(t, string(m.Data), "while it was away")
-	_, _, status = dial(t, u, "", "Origin: https://elsewhere.example.org\r\n")
+	_, _, status = dialWebSocket(t, u, "", "Origin: https://elsewhere.example.org\r\n")
 	require.Equal(t, 403, status)
 }
 
-func TestAWatcherThatReadsNothingIsCutOff(t *testing.T) {
-	g := start(t, 1)
-	f := g.fronts[0]
+func TestWatch_CutsOffAWatcherThatReadsNothing(t *testing.T) {
+	g := startCluster(t, 1)
+	f := g.servers[0]
 	f.mu.Lock()
 	f.config.WriteTimeout = 200 * time.Millisecond
 	f.mu.Unlock()
 	c, err := net.Dial("tcp", strings.TrimPrefix(g.urls[0], "http://"))
 	require.NoError(t, err)
-	defer c.Close()
+	defer func() { _ = c.Close() }() // the server cuts it off
 	require.NoError(t, c.(*net.TCPConn).SetReadBuffer(4096))
-	fmt.Fprintf(c, "GET /v1/watch HTTP/1.1\r\nHost: x\r\n\r\n")
+	_, err = fmt.Fprintf(c, "GET /v1/watch HTTP/1.1\r\nHost: x\r\n\r\n")
+	require.NoError(t, err)
 	watchers := func(n int) func() bool {
 		return func() bool { f.mu.Lock(); defer f.mu.Unlock(); return f.watchers == n }
 	}
 	require.Eventually(t, watchers(1), 10*time.Second, time.Millisecond)
 	note := strings.Repeat("x", 60_000)
 	for i := range 200 {
-		status, _, _ := call(t, "PATCH", g.urls[0]+"/v1/releases/1", fmt.Sprintf(`{"note":"%d%s"}`, i, note))
+		status, _, _ := request(t, "PATCH", g.urls[0]+"/v1/releases/1", fmt.Sprintf(`{"note":"%d%s"}`, i, note))
 		require.Equal(t, 200, status)
 	}
 	require.Eventually(t, watchers(0), 20*time.Second, 5*time.Millisecond)
