--- a/internal/controller/request.go
+++ b/internal/controller/request.go
@@ -24,14 +24,21 @@
 	if err == nil {
 		return nil
 	}
-	field := "body"
+	field, detail := "body", err.Error()
 	var wrongType *json.UnmarshalTypeError
-	if errors.As(err, &wrongType) && wrongType.Field != "" {
-		field = wrongType.Field
+	if errors.As(err, &wrongType) {
+		detail = typeNamesInDetails.Replace(detail)
+		if wrongType.Field != "" {
+			field = wrongType.Field
+		}
 	}
-	return invalid(field, "%s", err)
+	return invalid(field, "%s", detail)
 }
 
+// typeNamesInDetails gives types in the decoder's errors the names that they first had: clients see them in the details of
+// problems, which stay to the letter.
+var typeNamesInDetails = strings.NewReplacer("CreateRelease", "Creation", "PatchRelease", "Change", "PlanAck", "Heed")
+
 func pathBuild(r *http.Request) (int, error) {
 	build, err := strconv.Atoi(r.PathValue("build"))
 	if err != nil || build < 1 {
