--- a/cmd/dapplefront/controller.go
+++ b/cmd/dapplefront/controller.go
@@ -256,7 +256,7 @@
 		for _, r := range all {
 			on, back := "-", "-"
 			if v := r.Votes; v != nil {
-				on, back = fmt.Sprintf("%d of %d", v.On, v.Needed), fmt.Sprintf("%d of %d", v.Back, v.NeededBack)
+				on, back = fmt.Sprintf("%d of %d", v.Promote, v.PromoteQuorum), fmt.Sprintf("%d of %d", v.Rollback, v.RollbackQuorum)
 			}
 			waits := r.WaitsFor
 			if waits == "" {
@@ -369,7 +369,7 @@
 		if form == "json" {
 			return json.NewEncoder(c.OutOrStdout()).Encode(r.Votes)
 		}
-		fmt.Fprintf(c.OutOrStdout(), "on: %d of %d needed; back: %d of %d needed\n", r.Votes.On, r.Votes.Needed, r.Votes.Back, r.Votes.NeededBack)
+		fmt.Fprintf(c.OutOrStdout(), "on: %d of %d needed; back: %d of %d needed\n", r.Votes.Promote, r.Votes.PromoteQuorum, r.Votes.Rollback, r.Votes.RollbackQuorum)
 		return nil
 	})
 	run("step BUILD NAME", "Report a step done", cobra.ExactArgs(2), func(ctx context.Context, c *cobra.Command, k *client.Client, args []string) error {
--- a/internal/api/plan.go
+++ b/internal/api/plan.go
@@ -8,46 +8,56 @@
 	"dapplefront/plan"
 )
 
-// EventPlan is the watch's event of a new version of a plan: a PlanNotice. The plan itself is read apart, as it may be
-// far larger than an event.
-const EventPlan = "plan"
-
-// PlanNotice says that a version is there.
-type PlanNotice struct {
-	Version uint64 `json:"version"`
-}
+// Units of the plan's whole-number weights.
+const (
+	shadowShareUnits    = 1e6 // Weights.Copies is in millionths
+	crossZoneShareUnits = 1e9 // Weights.Cross is in billionths
+)
 
-// Plan is a version of shares for the routers of one location.
-//
-//	GET /v1/plans/{version}/for/{location}    the plan; 404 for one that isn't in force any more
-//	PUT /v1/plans/{version}/routers/{router}  a Heed: followed, or turned down with the reason
+// Plan is a version of a plan for the routers of one zone.
 type Plan struct {
-	Version uint64 `json:"version"`
-	Build   int    `json:"build,omitempty"` // on trial when it was made
-	ForMs   int64  `json:"forMs"`           // how long it may be followed from now on
+	Version    uint64 `json:"version"`
+	Build      int    `json:"build,omitempty"` // the canary when it was made
+	ValidForMs int64  `json:"forMs"`           // how long it may be followed from now on
 	plan.Weights
 }
 
-// PlanAck is a router's word on a version.
+// Published is a plan's version for all zones.
+type Published struct {
+	Build      int                     `json:"build,omitempty"`
+	Stage      int                     `json:"stage,omitempty"`
+	ValidForMs int64                   `json:"forMs"`
+	For        map[string]plan.Weights `json:"for"` // by zone
+}
+
+// PlanAck is a router's acknowledgement of a version.
 type PlanAck struct {
 	Followed bool   `json:"followed"`
-	Reason   string `json:"reason,omitempty"`
+	Reason   string `json:"reason,omitempty"` // why it is not followed
+}
+
+// Offered is the plan in the terms of package plan. Hosts are named by their ids in decimals; another name is an error.
+func (p Plan) Offered() (plan.Offered, error) {
+	local, err := p.hostWeights(p.Near)
+	if err != nil {
+		return plan.Offered{}, err
+	}
+	remote, err := p.hostWeights(p.Far)
+	if err != nil {
+		return plan.Offered{}, err
+	}
+	return plan.Offered{Version: p.Version, Build: p.Build, ShadowShare: float64(p.Copies) / shadowShareUnits,
+		CrossZoneShare: float64(p.Cross) / crossZoneShareUnits, ValidFor: time.Duration(p.ValidForMs) * time.Millisecond,
+		LocalWeights: local, RemoteWeights: remote}, nil
 }
 
-// Offered is a plan in the library's words. Hosts are named by their ids in decimals.
-func (p Plan) Offered() (o plan.Offered, err error) {
-	o = plan.Offered{Version: p.Version, Build: p.Build, ShadowShare: float64(p.Copies) / 1e6, CrossZoneShare: float64(p.Cross) / 1e9,
-		ValidFor: time.Duration(p.ForMs) * time.Millisecond}
-	parts := func(of map[string]uint64) (out []plan.HostWeight) {
-		for name, w := range of {
-			id, e := strconv.ParseUint(name, 10, 32)
-			if e != nil {
-				err = fmt.Errorf("plan %d: the host %q: a number below 2^32 expected", p.Version, name)
-			}
-			out = append(out, plan.HostWeight{Host: uint32(id), Weight: float64(w)})
+func (p Plan) hostWeights(byName map[string]uint64) (out []plan.HostWeight, err error) {
+	for name, weight := range byName {
+		id, err := strconv.ParseUint(name, 10, 32)
+		if err != nil {
+			return nil, fmt.Errorf("plan %d: the host %q: a number below 2^32 expected", p.Version, name)
 		}
-		return out
+		out = append(out, plan.HostWeight{Host: uint32(id), Weight: float64(weight)})
 	}
-	o.LocalWeights, o.RemoteWeights = parts(p.Near), parts(p.Far)
-	return o, err
+	return out, nil
 }
--- a/internal/api/release.go
+++ b/internal/api/release.go
@@ -1,6 +1,41 @@
 package api
 
-import "dapplefront/plan"
+import (
+	"fmt"
+	"slices"
+
+	"dapplefront/policy"
+)
+
+// Phases and VoteChoices are the names of the policy's constants, by their values.
+var (
+	Phases      = []string{"trial", "going-back", "released", "withdrawn"}
+	VoteChoices = []string{"none", "on", "hold", "back"}
+)
+
+// unitsPerMs is how many units of policy.Time are a millisecond.
+const unitsPerMs = policy.Second / 1000
+
+// Release is the status of a release.
+type Release struct {
+	Build       int     `json:"build"`
+	Stage       int     `json:"stage"`
+	Phase       string  `json:"phase"` // one of Phases
+	ExposureCap float64 `json:"cap"`
+	AgeMs       int64   `json:"ageMs"` // since this status began
+	Version     int64   `json:"version"`
+}
+
+// Status is the release in the policy's terms. An unknown phase or a value out of its range is an error.
+func (r Release) Status() (policy.ReleaseStatus, error) {
+	phase := slices.Index(Phases, r.Phase)
+	validCap := r.ExposureCap >= 0 && r.ExposureCap <= 1 // false for NaN
+	if phase < 0 || r.Build < 1 || r.Stage < 0 || !validCap || r.AgeMs < 0 {
+		return policy.ReleaseStatus{}, fmt.Errorf("news of a release that makes no sense: %+v", r)
+	}
+	return policy.ReleaseStatus{Build: r.Build, Stage: r.Stage, Phase: policy.Phase(phase), ExposureCap: r.ExposureCap,
+		Age: policy.Time(r.AgeMs) * unitsPerMs}, nil
+}
 
 // ReleaseObject is a release as the controller shows it: what was asked for, and how it stands.
 type ReleaseObject struct {
@@ -9,41 +44,41 @@
 	Note      string            `json:"note,omitempty"`
 	Labels    map[string]string `json:"labels,omitempty"`
 	Steps     []Step            `json:"steps,omitempty"`
-	CreatedMs int64             `json:"createdMs"` // of the controllers' time
-	WaitsFor  string            `json:"waits,omitempty"`
+	CreatedMs int64             `json:"createdMs"`       // of the controllers' time
+	WaitsFor  string            `json:"waits,omitempty"` // the step that holds back the present stage's hosts
 	Votes     *Votes            `json:"votes,omitempty"` // of the newest release
-	Tasks     map[string]int    `json:"tasks,omitempty"` // finished, turned back, scrapped
+	Tasks     map[string]int    `json:"tasks,omitempty"` // requests by outcome: finished, turned back, scrapped
 	Hosts     map[string]int    `json:"hosts,omitempty"` // by state
 	History   []HistoryEntry    `json:"trace,omitempty"`
 }
 
-// ReleaseList is a page of releases; Next is what to ask for with ?after= where there are more.
+// ReleaseList is a page of releases, by build.
 type ReleaseList struct {
 	Releases []ReleaseObject `json:"releases"`
-	Next     int             `json:"next,omitempty"`
+	Next     int             `json:"next,omitempty"` // for ?after= where there are more
 }
 
 // Step is something that must be done before a stage's hosts start.
 type Step struct {
 	Name         string `json:"name"`
 	Stage        int    `json:"stage"`
-	Irreversible bool   `json:"final,omitempty"` // it can't be undone
-	WithinMs     int64  `json:"withinMs,omitempty"`
-	State        string `json:"state,omitempty"` // later, waiting, stalled, done
-	By           string `json:"by,omitempty"`
+	Irreversible bool   `json:"final,omitempty"`    // once done, the build can't be rolled back
+	ExpectedMs   int64  `json:"withinMs,omitempty"` // a step that takes longer counts as stalled; 0 for no limit
+	State        string `json:"state,omitempty"`    // later, waiting, stalled, done
+	By           string `json:"by,omitempty"`       // who reported it done
 }
 
-// Votes are those that stand, and how many move the release.
+// Votes are the votes that stand, and the quorums.
 type Votes struct {
-	On         int `json:"on"`
-	Back       int `json:"back"`
-	Needed     int `json:"needed"`
-	NeededBack int `json:"neededBack"`
+	Promote        int `json:"on"`
+	Rollback       int `json:"back"`
+	PromoteQuorum  int `json:"needed"`
+	RollbackQuorum int `json:"neededBack"`
 }
 
-// HistoryEntry is one line of a release's trace.
+// HistoryEntry is one line of a release's history.
 type HistoryEntry struct {
-	AtMs int64  `json:"atMs"`
+	AtMs int64  `json:"atMs"` // of the controllers' time
 	Text string `json:"what"`
 }
 
@@ -56,7 +91,7 @@
 	Steps  []Step            `json:"steps,omitempty"`
 }
 
-// PatchRelease changes a release's note and labels; a label of null goes.
+// PatchRelease changes a release's note and labels; null removes a label.
 type PatchRelease struct {
 	Note   *string            `json:"note,omitempty"`
 	Labels map[string]*string `json:"labels,omitempty"`
@@ -67,45 +102,14 @@
 	By string `json:"by,omitempty"`
 }
 
-// BuildReport adds what became of tasks at a build, and says where its hosts are.
+// Vote is a router's vote on a build.
+type Vote struct {
+	Stage  int    `json:"stage"`
+	Choice string `json:"voice"` // one of VoteChoices
+}
+
+// BuildReport adds requests at a build by their outcome, and replaces its hosts by state.
 type BuildReport struct {
 	Tasks map[string]int `json:"tasks,omitempty"`
 	Hosts map[string]int `json:"hosts,omitempty"`
 }
-
-// Published is a plan's version for all locations.
-type Published struct {
-	Build int                     `json:"build,omitempty"`
-	Stage int                     `json:"stage,omitempty"`
-	ForMs int64                   `json:"forMs"`
-	For   map[string]plan.Weights `json:"for"`
-}
-
-// Status is how a controller stands.
-type Status struct {
-	Name     string            `json:"name"`
-	Leads    bool              `json:"leads"`
-	Leader   string            `json:"leader,omitempty"`
-	BehindMs int64             `json:"behindMs"`
-	Version  uint64            `json:"version"`
-	Events   uint64            `json:"events"`
-	Routers  int               `json:"routers"`
-	Watchers int               `json:"watchers"`
-	Slow     int               `json:"slow"` // watchers cut off
-	Members  map[string]string `json:"members"`
-}
-
-// Controller is where another controller is: its address for controllers, to take it in, and its URL.
-type Controller struct {
-	Address string `json:"address,omitempty"`
-	URL     string `json:"url,omitempty"`
-}
-
-// Problem is an error in the form of RFC 9457, with the field of the request that was wrong.
-type Problem struct {
-	Type   string `json:"type"`
-	Title  string `json:"title"`
-	Status int    `json:"status"`
-	Detail string `json:"detail"`
-	Field  string `json:"field,omitempty"`
-}
--- a/internal/controller/health.go
+++ b/internal/controller/health.go
@@ -15,12 +15,12 @@
 	if err != nil {
 		members = map[string]string{} // the node is closing
 	}
-	out := api.Status{Name: s.node.config.Name, Leads: isLeader, Leader: leader, BehindMs: s.node.ReplicationLag().Milliseconds(), Members: members}
+	out := api.Status{Name: s.node.config.Name, IsLeader: isLeader, Leader: leader, LagMs: s.node.ReplicationLag().Milliseconds(), Members: members}
 	s.node.Read(func(st *control.State, _ policy.Time) {
 		out.Version, out.Routers, out.Events = st.Version(), st.RouterCount(), st.LastEvent()
 	})
 	s.mu.Lock()
-	out.Watchers, out.Slow = s.watchers, s.slowWatchers
+	out.Watchers, out.SlowWatchers = s.watchers, s.slowWatchers
 	s.mu.Unlock()
 	writeJSON(w, http.StatusOK, out)
 	return nil
--- a/internal/controller/plans.go
+++ b/internal/controller/plans.go
@@ -20,7 +20,7 @@
 		return err
 	}
 	published := &plan.Published{Version: version, Build: request.Build, Stage: request.Stage, For: request.For}
-	c := control.Command{Kind: control.PublishPlan, Plan: published, ValidFor: fromMs(request.ForMs)}
+	c := control.Command{Kind: control.PublishPlan, Plan: published, ValidFor: fromMs(request.ValidForMs)}
 	return s.propose(w, c, http.StatusNoContent, nil)
 }
 
@@ -36,7 +36,7 @@
 	if !ok {
 		return notFound("location", "the plan has nothing for this location")
 	}
-	writeJSON(w, http.StatusOK, api.Plan{Version: active.Version, Build: active.Build, ForMs: toMs(left), Weights: weights})
+	writeJSON(w, http.StatusOK, api.Plan{Version: active.Version, Build: active.Build, ValidForMs: toMs(left), Weights: weights})
 	return nil
 }
 
--- a/internal/controller/releases.go
+++ b/internal/controller/releases.go
@@ -126,7 +126,7 @@
 	}
 	for _, step := range request.Steps {
 		c.Steps = append(c.Steps, control.Step{Name: step.Name, Stage: step.Stage, Irreversible: step.Irreversible,
-			ExpectedTime: fromMs(step.WithinMs)})
+			ExpectedTime: fromMs(step.ExpectedMs)})
 	}
 	w.Header().Set("Location", fmt.Sprintf("/v1/releases/%d", request.Build))
 	return s.propose(w, c, http.StatusCreated, s.repliedRelease)
@@ -223,14 +223,14 @@
 	}
 	if st != nil && st.Status().Build == r.Build {
 		o.Votes = &api.Votes{}
-		o.Votes.On, o.Votes.Needed, _ = st.Votes(policy.Promote)
-		o.Votes.Back, _, o.Votes.NeededBack = st.Votes(policy.Rollback)
+		o.Votes.Promote, o.Votes.PromoteQuorum, _ = st.Votes(policy.Promote)
+		o.Votes.Rollback, _, o.Votes.RollbackQuorum = st.Votes(policy.Rollback)
 	}
 	return o
 }
 
 func stepObject(step control.Step, status control.StepStatus) api.Step {
-	o := api.Step{Name: step.Name, Stage: step.Stage, Irreversible: step.Irreversible, WithinMs: toMs(step.ExpectedTime)}
+	o := api.Step{Name: step.Name, Stage: step.Stage, Irreversible: step.Irreversible, ExpectedMs: toMs(step.ExpectedTime)}
 	switch {
 	case status.DoneAt != 0:
 		o.State, o.By = "done", status.DoneBy
--- a/internal/controller/server_test.go
+++ b/internal/controller/server_test.go
@@ -457,7 +457,7 @@
 	needed := func(n int) {
 		require.Eventually(t, func() bool {
 			_, _, text := request(t, "GET", u+"/v1/releases/2", "")
-			return decodeRelease(t, text).Votes.Needed == n
+			return decodeRelease(t, text).Votes.PromoteQuorum == n
 		}, 10*time.Second, 10*time.Millisecond, "%d votes needed", n)
 	}
 	needed(2)
--- a/internal/scenario/controllers.go
+++ b/internal/scenario/controllers.go
@@ -385,7 +385,7 @@
 func (c *controllers) Publish(p *plan.Published) {
 	c.note()
 	c.ask(func(ctx context.Context) error {
-		return c.client.PublishPlan(ctx, p.Version, api.Published{Build: p.Build, Stage: p.Stage, ForMs: (4 * time.Second).Milliseconds(), For: p.For})
+		return c.client.PublishPlan(ctx, p.Version, api.Published{Build: p.Build, Stage: p.Stage, ValidForMs: (4 * time.Second).Milliseconds(), For: p.For})
 	})
 }
 
