--- a/api/api.go
+++ b/api/api.go
@@ -1,15 +1,16 @@
-// Package api holds the descriptions of the release controller's interface: OpenAPI for requests and replies, AsyncAPI
-// for watches. internal/controller's tests hold the running program to them, both ways.
+// Package api has the descriptions of the release controller's interface: OpenAPI for requests and replies, AsyncAPI for the
+// watch. The tests of internal/controller compare them with the running program: nothing occurs that is not described, and
+// nothing is described that does not occur.
 package api
 
 import _ "embed"
 
-// OpenAPI is the description of requests and replies.
+// OpenAPI describes requests and replies, in YAML.
 //
 //go:embed openapi.yaml
 var OpenAPI []byte
 
-// AsyncAPI is the description of watches.
+// AsyncAPI describes the events of the watch, in YAML.
 //
 //go:embed asyncapi.yaml
 var AsyncAPI []byte
--- a/api/pages.go
+++ b/api/pages.go
@@ -11,127 +11,164 @@
 
 // Page is both descriptions as one page to read, in Markdown (docs/interface.md).
 func Page() (string, error) {
-	var open, async map[string]any
-	if err := yaml.Unmarshal(OpenAPI, &open); err != nil {
+	var p page
+	if err := yaml.Unmarshal(OpenAPI, &p.openAPI); err != nil {
 		return "", fmt.Errorf("openapi.yaml: %w", err)
 	}
-	if err := yaml.Unmarshal(AsyncAPI, &async); err != nil {
+	if err := yaml.Unmarshal(AsyncAPI, &p.asyncAPI); err != nil {
 		return "", fmt.Errorf("asyncapi.yaml: %w", err)
 	}
-	var b strings.Builder
-	fmt.Fprintf(&b, "# The release controller's interface\n\nMade from `api/openapi.yaml` and `api/asyncapi.yaml` by `go run ./api/pages`; a test\n"+
-		"holds both to the running program.\n\n%s\n\n## Requests\n\n", text(open, "info", "description"))
-	paths := tree(open, "paths")
-	for _, path := range slices.Sorted(maps.Keys(paths)) {
+	p.printf("# The release controller's interface\n\nMade from `api/openapi.yaml` and `api/asyncapi.yaml` by `go run ./api/pages`; a test\n"+
+		"holds both to the running program.\n\n%s\n\n", text(p.openAPI, "info", "description"))
+	p.writeRequests()
+	p.writeEvents()
+	p.writeObjects()
+	return p.out.String(), nil
+}
+
+// node is a part of a description: a mapping of YAML.
+type node = map[string]any
+
+// page is a page under way.
+type page struct {
+	openAPI, asyncAPI node
+	out               strings.Builder
+}
+
+func (p *page) printf(format string, values ...any) { fmt.Fprintf(&p.out, format, values...) }
+
+func (p *page) writeRequests() {
+	p.printf("## Requests\n\n")
+	paths := subtree(p.openAPI, "paths")
+	for _, path := range sortedKeys(paths) {
 		for _, method := range []string{"get", "post", "put", "patch", "delete"} {
-			op := tree(paths, path, method)
-			if op == nil {
-				continue
-			}
-			fmt.Fprintf(&b, "### %s %s\n\n", strings.ToUpper(method), path)
-			if s := text(op, "summary"); s != "" {
-				fmt.Fprintf(&b, "%s.\n\n", s)
-			}
-			if list, ok := op["parameters"].([]any); ok {
-				for _, p := range list {
-					m := resolve(open, p)
-					fmt.Fprintf(&b, "- `%s` (%s) %s\n", m["name"], m["in"], text(m, "description"))
-				}
-				fmt.Fprintln(&b)
+			if operation := subtree(paths, path, method); operation != nil {
+				p.writeOperation(method, path, operation)
 			}
-			if ref := text(op, "requestBody", "content", "application/json", "schema", "$ref"); ref != "" {
-				fmt.Fprintf(&b, "Body: [%s](#%s)\n\n", last(ref), strings.ToLower(last(ref)))
-			}
-			fmt.Fprintf(&b, "| status | |\n| --- | --- |\n")
-			answers := tree(op, "responses")
-			for _, status := range slices.Sorted(maps.Keys(answers)) {
-				r := resolve(open, answers[status])
-				line := text(r, "description")
-				for _, kind := range slices.Sorted(maps.Keys(tree(r, "content"))) {
-					if ref := text(r, "content", kind, "schema", "$ref"); ref != "" {
-						line += fmt.Sprintf(": [%s](#%s)", last(ref), strings.ToLower(last(ref)))
-					}
-				}
-				fmt.Fprintf(&b, "| %s | %s |\n", status, line)
-			}
-			fmt.Fprintln(&b)
 		}
 	}
-	fmt.Fprintf(&b, "## Events of the watch\n\n%s\n\n| event | | data |\n| --- | --- | --- |\n", text(async, "info", "description"))
-	messages := tree(async, "components", "messages")
-	for _, name := range slices.Sorted(maps.Keys(messages)) {
-		ref := last(text(messages, name, "payload", "$ref"))
-		fmt.Fprintf(&b, "| %s | %s | [%s](#%s) |\n", name, text(messages, name, "summary"), ref, strings.ToLower(ref))
-	}
-	fmt.Fprintf(&b, "\n## Objects\n")
-	schemas := tree(open, "components", "schemas")
-	for _, name := range slices.Sorted(maps.Keys(schemas)) {
-		props := tree(schemas, name, "properties")
-		fmt.Fprintf(&b, "\n### %s\n\n", name)
-		if props == nil {
-			fmt.Fprintf(&b, "%s\n", kind(tree(schemas, name)))
-			continue
+}
+
+func (p *page) writeOperation(method, path string, operation node) {
+	p.printf("### %s %s\n\n", strings.ToUpper(method), path)
+	if summary := text(operation, "summary"); summary != "" {
+		p.printf("%s.\n\n", summary)
+	}
+	if parameters, ok := operation["parameters"].([]any); ok {
+		for _, parameter := range parameters {
+			m := p.resolve(parameter)
+			p.printf("- `%s` (%s) %s\n", m["name"], m["in"], text(m, "description"))
 		}
-		needed, _ := tree(schemas, name)["required"].([]any)
-		fmt.Fprintf(&b, "| field | | |\n| --- | --- | --- |\n")
-		for _, f := range slices.Sorted(maps.Keys(props)) {
-			must := ""
-			if slices.Contains(needed, any(f)) {
-				must = "always"
+		p.printf("\n")
+	}
+	if ref := text(operation, "requestBody", "content", "application/json", "schema", "$ref"); ref != "" {
+		p.printf("Body: %s\n\n", link(ref))
+	}
+	p.printf("| status | |\n| --- | --- |\n")
+	responses := subtree(operation, "responses")
+	for _, status := range sortedKeys(responses) {
+		response := p.resolve(responses[status])
+		line := text(response, "description")
+		for _, contentType := range sortedKeys(subtree(response, "content")) {
+			if ref := text(response, "content", contentType, "schema", "$ref"); ref != "" {
+				line += ": " + link(ref)
 			}
-			p, _ := props[f].(map[string]any)
-			fmt.Fprintf(&b, "| %s | %s | %s |\n", f, kind(p), must)
 		}
+		p.printf("| %s | %s |\n", status, line)
 	}
-	return b.String(), nil
+	p.printf("\n")
 }
 
-func tree(of map[string]any, path ...string) map[string]any {
-	for _, p := range path {
-		of, _ = of[p].(map[string]any)
+func (p *page) writeEvents() {
+	p.printf("## Events of the watch\n\n%s\n\n| event | | data |\n| --- | --- | --- |\n", text(p.asyncAPI, "info", "description"))
+	messages := subtree(p.asyncAPI, "components", "messages")
+	for _, name := range sortedKeys(messages) {
+		p.printf("| %s | %s | %s |\n", name, text(messages, name, "summary"), link(text(messages, name, "payload", "$ref")))
 	}
-	return of
 }
 
-func text(of map[string]any, path ...string) string {
-	s, _ := tree(of, path[:len(path)-1]...)[path[len(path)-1]].(string)
-	return s
+func (p *page) writeObjects() {
+	p.printf("\n## Objects\n")
+	schemas := subtree(p.openAPI, "components", "schemas")
+	for _, name := range sortedKeys(schemas) {
+		p.printf("\n### %s\n\n", name)
+		schema := subtree(schemas, name)
+		if properties := subtree(schema, "properties"); properties != nil {
+			p.writeFields(schema, properties)
+		} else {
+			p.printf("%s\n", describeType(schema))
+		}
+	}
+}
+
+func (p *page) writeFields(schema, properties node) {
+	required, _ := schema["required"].([]any)
+	p.printf("| field | | |\n| --- | --- | --- |\n")
+	for _, field := range sortedKeys(properties) {
+		presence := ""
+		if slices.Contains(required, any(field)) {
+			presence = "always"
+		}
+		p.printf("| %s | %s | %s |\n", field, describeType(subtree(properties, field)), presence)
+	}
 }
 
-func resolve(open map[string]any, x any) map[string]any {
-	m, _ := x.(map[string]any)
+// resolve follows a reference within the OpenAPI description.
+func (p *page) resolve(x any) node {
+	m, _ := x.(node)
 	if ref, ok := m["$ref"].(string); ok {
-		return tree(open, strings.Split(strings.TrimPrefix(ref, "#/"), "/")...)
+		return subtree(p.openAPI, strings.Split(strings.TrimPrefix(ref, "#/"), "/")...)
 	}
 	return m
 }
 
-func last(ref string) string { return ref[strings.LastIndex(ref, "/")+1:] }
+// subtree is the mapping at a path; nil for none.
+func subtree(of node, path ...string) node {
+	for _, name := range path {
+		of, _ = of[name].(node)
+	}
+	return of
+}
+
+// text is the string at a path; empty for none.
+func text(of node, path ...string) string {
+	parent, name := path[:len(path)-1], path[len(path)-1]
+	s, _ := subtree(of, parent...)[name].(string)
+	return s
+}
+
+func sortedKeys(of node) []string { return slices.Sorted(maps.Keys(of)) }
+
+// link is a reference to a schema as a link to its heading on the page.
+func link(ref string) string {
+	name := ref[strings.LastIndex(ref, "/")+1:]
+	return fmt.Sprintf("[%s](#%s)", name, strings.ToLower(name))
+}
 
-// kind says what a schema allows, in a few words.
-func kind(s map[string]any) string {
-	if ref := text(s, "$ref"); ref != "" {
-		return fmt.Sprintf("[%s](#%s)", last(ref), strings.ToLower(last(ref)))
+// describeType says in a few words which values a schema allows.
+func describeType(schema node) string {
+	if ref := text(schema, "$ref"); ref != "" {
+		return link(ref)
 	}
-	out := fmt.Sprint(s["type"])
-	if e, ok := s["enum"].([]any); ok {
-		words := make([]string, len(e))
-		for i, x := range e {
-			words[i] = fmt.Sprint(x)
+	out := fmt.Sprint(schema["type"])
+	if values, ok := schema["enum"].([]any); ok {
+		names := make([]string, len(values))
+		for i, value := range values {
+			names[i] = fmt.Sprint(value)
 		}
-		out = strings.Join(words, ", ")
+		out = strings.Join(names, ", ")
 	}
-	if items, ok := s["items"].(map[string]any); ok {
-		out = "list of " + kind(items)
+	if items, ok := schema["items"].(node); ok {
+		out = "list of " + describeType(items)
 	}
-	if more, ok := s["additionalProperties"].(map[string]any); ok {
-		out = "any names, each " + kind(more)
+	if values, ok := schema["additionalProperties"].(node); ok {
+		out = "any names, each " + describeType(values)
 	}
-	if v, ok := s["minimum"]; ok {
-		out += fmt.Sprintf(", from %v", v)
+	if least, ok := schema["minimum"]; ok {
+		out += fmt.Sprintf(", from %v", least)
 	}
-	if v, ok := s["maximum"]; ok {
-		out += fmt.Sprintf(" to %v", v)
+	if most, ok := schema["maximum"]; ok {
+		out += fmt.Sprintf(" to %v", most)
 	}
 	return out
 }
--- a/api/pages_test.go
+++ b/api/pages_test.go
@@ -7,10 +7,10 @@
 	"github.com/stretchr/testify/require"
 )
 
-func TestThePageIsMadeFromTheDescriptions(t *testing.T) {
+func TestPage_IsWhatTheDocumentationHas(t *testing.T) {
 	page, err := Page()
 	require.NoError(t, err)
-	kept, err := os.ReadFile("../docs/interface.md")
+	written, err := os.ReadFile("../docs/interface.md")
 	require.NoError(t, err)
-	require.Equal(t, page, string(kept), "go run ./api/pages")
+	require.Equal(t, page, string(written), "go run ./api/pages")
 }
