--- a/client/client.go
+++ b/client/client.go
@@ -98,7 +98,7 @@
 		switch {
 		case err == nil:
 			return nil
-		case !call.retriable(err):
+		case !call.retryable(err):
 			return err
 		case isUnanswered(err) && ctx.Err() != nil:
 			return errors.Join(ctx.Err(), last)
@@ -119,9 +119,9 @@
 	}
 }
 
-// retriable tells whether another instance may be asked after an answer: 503 says that nothing was done, 504 that it may
+// retryable tells whether another instance may be asked after an answer: 503 says that nothing was done, 504 that it may
 // have been. Whether a request that was not answered may be repeated is for the caller to see.
-func (call call) retriable(err error) bool {
+func (call call) retryable(err error) bool {
 	var answer *Error
 	if !errors.As(err, &answer) {
 		return true
--- a/release/machine.go
+++ b/release/machine.go
@@ -92,9 +92,9 @@
 
 // Due tells whether a Tick at a time would have an effect.
 func (m *Machine) Due(now policy.Time) bool {
-	trial := *m
-	trial.votes = maps.Clone(m.votes)
-	return len(trial.Handle(now, Tick{})) > 0
+	copied := *m
+	copied.votes = maps.Clone(m.votes)
+	return len(copied.Handle(now, Tick{})) > 0
 }
 
 // SetQuorum changes how many votes promote a stage and roll a build back, as routers join and leave. It has its effect with
--- a/release/machine_test.go
+++ b/release/machine_test.go
@@ -1,6 +1,7 @@
 package release_test
 
 import (
+	"fmt"
 	"testing"
 
 	"github.com/stretchr/testify/require"
@@ -96,3 +97,78 @@
 	}
 	require.Equal(t, 1, m.Status().Stage, "the vote expired after 6 s")
 }
+
+// state returns a machine whose newest release, build 2, is in a state of the package's table.
+func state(t *testing.T, name string) *release.Machine {
+	t.Helper()
+	m := release.New(rules, 1)
+	m.Handle(0, release.Offer{Build: 2})
+	switch name {
+	case "deploying":
+	case "analyzing":
+		m.Handle(0, release.HostsReady{Build: 2})
+	case "analyzing last", "released":
+		m.Handle(0, release.HostsReady{Build: 2})
+		m.Handle(policy.Second, promoteVote("a", 0))
+		m.Handle(policy.Second, promoteVote("b", 0))
+		m.Handle(policy.Second, release.HostsReady{Build: 2})
+		m.Handle(policy.Second, promoteVote("a", 1))
+		if name == "released" {
+			m.Handle(2*policy.Second, promoteVote("b", 1))
+		}
+	case "rolling back":
+		m.Handle(0, release.RollBack{Build: 2})
+	case "rolled back":
+		m.Handle(0, release.RollBack{Build: 2})
+		m.Handle(0, release.HostsRemoved{Build: 2})
+	default:
+		require.Fail(t, "unknown state", name)
+	}
+	return m
+}
+
+func TestMachine_TakesTheTransitionsOfItsTable(t *testing.T) {
+	const now = 2 * policy.Second
+	canary := func(build, stage int) release.Effect {
+		return release.Notify{Status: release.Status{Build: build, Stage: stage, Phase: policy.Canary, ExposureCap: rules.Stages[stage].ExposureCap, Since: now}}
+	}
+	status := func(stage int, phase policy.Phase, exposureCap float64) release.Effect {
+		return release.Notify{Status: release.Status{Build: 2, Stage: stage, Phase: phase, ExposureCap: exposureCap, Since: now}}
+	}
+	deployNewer := []release.Effect{release.Deploy{Build: 3, Share: 0.1}, canary(3, 0)}
+	retire := release.Retire{Build: 2}
+	voteAccepted := release.VoteAnswer{Accepted: true}
+	rollBackTwice := release.Reject{Reason: "it is not the newest release, or it is going back already"}
+	for _, c := range []struct {
+		state   string
+		input   release.Input
+		effects []release.Effect
+	}{
+		{"deploying", release.HostsReady{Build: 2}, nil},
+		{"deploying", release.HostsRemoved{Build: 2}, nil},
+		{"deploying", release.RollBack{Build: 2}, []release.Effect{status(0, policy.RollingBack, 0), retire}},
+		{"deploying", release.Offer{Build: 3}, append([]release.Effect{status(0, policy.RolledBack, 0), retire}, deployNewer...)},
+		{"analyzing", release.HostsReady{Build: 2}, nil},
+		{"analyzing", release.HostsRemoved{Build: 2}, nil},
+		{"analyzing", promoteVote("a", 0), []release.Effect{voteAccepted}},
+		{"analyzing", release.RollBack{Build: 2}, []release.Effect{status(0, policy.RollingBack, 0), retire}},
+		{"analyzing", release.Offer{Build: 3}, append([]release.Effect{status(0, policy.RolledBack, 0), retire}, deployNewer...)},
+		{"analyzing last", promoteVote("b", 1), []release.Effect{voteAccepted, status(1, policy.Released, 1), release.Retire{Build: 1}}},
+		{"released", release.HostsReady{Build: 2}, nil},
+		{"released", release.HostsRemoved{Build: 2}, nil},
+		{"released", release.RollBack{Build: 2}, []release.Effect{release.Deploy{Build: 1, Share: 1}, status(1, policy.RollingBack, 0), retire}},
+		{"released", release.Offer{Build: 3}, deployNewer},
+		{"rolling back", release.HostsReady{Build: 2}, nil},
+		{"rolling back", release.HostsRemoved{Build: 2}, []release.Effect{status(0, policy.RolledBack, 0)}},
+		{"rolling back", release.RollBack{Build: 2}, []release.Effect{rollBackTwice}},
+		{"rolling back", release.Offer{Build: 3}, append([]release.Effect{status(0, policy.RolledBack, 0)}, deployNewer...)},
+		{"rolled back", release.HostsReady{Build: 2}, nil},
+		{"rolled back", release.HostsRemoved{Build: 2}, nil},
+		{"rolled back", release.RollBack{Build: 2}, []release.Effect{rollBackTwice}},
+		{"rolled back", release.Offer{Build: 3}, deployNewer},
+	} {
+		t.Run(fmt.Sprintf("%s %T", c.state, c.input), func(t *testing.T) {
+			require.Equal(t, c.effects, state(t, c.state).Handle(now, c.input))
+		})
+	}
+}
