--- a/control/command.go
+++ b/control/command.go
@@ -26,7 +26,7 @@
 	CastVote        CommandKind = "vote"     // Router, Build, Stage, Choice
 	JoinRouter      CommandKind = "join"     // Router is a member, or still is
 	LeaveRouter     CommandKind = "leave"    // Router
-	SetMember       CommandKind = "member"   // controller Name is reached at the URL in Note; no Note removes it
+	SetController   CommandKind = "member"   // controller Name is reached at the URL in Note; no Note removes it
 	PublishPlan     CommandKind = "publish"  // Plan, ValidFor
 	AckPlan         CommandKind = "heed"     // Router, PlanAck
 	OrderAgent      CommandKind = "order"    // agent Name, Body; the reply has the order's number
@@ -81,7 +81,7 @@
 	CastVote:        (*State).castVote,
 	JoinRouter:      (*State).joinRouter,
 	LeaveRouter:     (*State).leaveRouter,
-	SetMember:       (*State).setMember,
+	SetController:   (*State).setController,
 	PublishPlan:     (*State).publishPlan,
 	AckPlan:         (*State).ackPlan,
 	OrderAgent:      (*State).orderAgent,
--- a/control/members.go
+++ b/control/members.go
@@ -27,7 +27,7 @@
 	return Reply{}, nil
 }
 
-func (s *State) setMember(c Command) (Reply, *Error) {
+func (s *State) setController(c Command) (Reply, *Error) {
 	if c.Note != nil && *c.Note != "" {
 		s.controllerURLs[c.Name] = *c.Note
 	} else {
--- a/internal/controller/members.go
+++ b/internal/controller/members.go
@@ -10,7 +10,6 @@
 
 	"dapplefront/control"
 	"dapplefront/internal/api"
-	"dapplefront/policy"
 )
 
 func (s *Server) joinRouter(w http.ResponseWriter, r *http.Request) error {
@@ -37,7 +36,7 @@
 		w.WriteHeader(http.StatusNoContent)
 		return nil
 	}
-	return s.propose(w, control.Command{Kind: control.SetMember, Name: name, Note: &request.URL}, http.StatusNoContent, nil)
+	return s.propose(w, control.Command{Kind: control.SetController, Name: name, Note: &request.URL}, http.StatusNoContent, nil)
 }
 
 func (s *Server) removeController(w http.ResponseWriter, r *http.Request) error {
@@ -45,7 +44,7 @@
 	if err := s.node.RemoveMember(name); err != nil {
 		return &problem{status: http.StatusServiceUnavailable, field: "name", detail: err.Error()}
 	}
-	return s.propose(w, control.Command{Kind: control.SetMember, Name: name}, http.StatusNoContent, nil)
+	return s.propose(w, control.Command{Kind: control.SetController, Name: name}, http.StatusNoContent, nil)
 }
 
 // announceInterval is how often an instance looks whether the group knows its URL.
@@ -62,14 +61,12 @@
 			return
 		case <-ticker.C:
 		}
-		known := ""
 		isLeader, _ := s.node.IsLeader()
-		s.node.Read(func(st *control.State, _ policy.Time) { known = st.ControllerURL(name) })
-		if known == s.config.URL {
+		if s.node.controllerURL(name) == s.config.URL {
 			continue
 		}
 		if isLeader {
-			_, _ = s.node.Propose(control.Command{Kind: control.SetMember, Name: name, Note: &s.config.URL}) // else at the next tick
+			_, _ = s.node.Propose(control.Command{Kind: control.SetController, Name: name, Note: &s.config.URL}) // else at the next tick
 		} else {
 			s.putToLeader(s.ctx, "/v1/controllers/"+url.PathEscape(name), api.Controller{URL: s.config.URL})
 		}
@@ -103,7 +100,8 @@
 
 // putToLeader sends a request to the leader, if there is one; whoever calls does so again. A nil body is none.
 func (s *Server) putToLeader(ctx context.Context, path string, body any) {
-	leader := s.node.leaderURL()
+	_, name := s.node.IsLeader()
+	leader := s.node.controllerURL(name)
 	if leader == "" {
 		return
 	}
--- a/internal/controller/membership.go
+++ b/internal/controller/membership.go
@@ -70,9 +70,8 @@
 // TransferLeadership hands the leadership to another instance, as before a planned end.
 func (n *Node) TransferLeadership() error { return n.raft.LeadershipTransfer().Error() }
 
-// leaderURL is where the leader's REST interface is reached, as far as this instance knows; "" otherwise.
-func (n *Node) leaderURL() (url string) {
-	_, leader := n.IsLeader()
-	n.Read(func(s *control.State, _ policy.Time) { url = s.ControllerURL(leader) })
+// controllerURL is where an instance's REST interface is reached; "" where that is not known.
+func (n *Node) controllerURL(name string) (url string) {
+	n.Read(func(s *control.State, _ policy.Time) { url = s.ControllerURL(name) })
 	return url
 }
--- a/internal/controller/middleware.go
+++ b/internal/controller/middleware.go
@@ -13,18 +13,26 @@
 	"dapplefront/control"
 )
 
+// answeredBy is which instance answers an operation.
+type answeredBy int
+
+const (
+	anyInstance answeredBy = iota
+	onLeader               // followers forward it to the leader
+)
+
 // operation is one operation of the REST interface.
 type operation struct {
-	role       Role // that the caller needs
-	leaderOnly bool // followers forward it
-	handle     func(w http.ResponseWriter, r *http.Request) error
+	role   Role // that the caller needs
+	by     answeredBy
+	handle func(w http.ResponseWriter, r *http.Request) error
 }
 
 // middleware checks the caller's role, forwards what only the leader can answer, and answers errors as problem documents.
 func (s *Server) middleware(op operation) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		err := s.authorize(r, op.role)
-		if err == nil && op.leaderOnly {
+		if err == nil && op.by == onLeader {
 			err = s.forwardToLeader(w, r)
 		}
 		if err == nil {
@@ -56,7 +64,7 @@
 	if isLeader {
 		return nil
 	}
-	to := s.node.leaderURL()
+	to := s.node.controllerURL(leader)
 	if to == "" || leader == s.node.config.Name || r.Header.Get(headerForwarded) != "" {
 		return ErrNoLeader
 	}
--- a/internal/controller/server.go
+++ b/internal/controller/server.go
@@ -113,40 +113,40 @@
 	return s, nil
 }
 
-// routes has each operation, with the role that it needs and whether followers forward it.
+// routes has each operation, with the role that it needs and which instance answers it.
 func (s *Server) routes() *http.ServeMux {
 	mux := http.NewServeMux()
 	for pattern, op := range map[string]operation{
-		"GET /v1/releases":                        {RoleRead, false, s.listReleases},
-		"POST /v1/releases":                       {RoleRelease, true, s.createRelease},
-		"GET /v1/releases/{build}":                {RoleRead, false, s.getRelease},
-		"PATCH /v1/releases/{build}":              {RoleRelease, true, s.patchRelease},
-		"DELETE /v1/releases/{build}":             {RoleRelease, true, s.deleteRelease},
-		"POST /v1/releases/{build}/withdraw":      {RoleWithdraw, true, s.rollBackRelease},
-		"PUT /v1/releases/{build}/steps/{step}":   {RoleServe, true, s.completeStep},
-		"PUT /v1/releases/{build}/orders/{order}": {RoleServe, true, s.completeOrder},
-		"POST /v1/releases/{build}/reports":       {RoleVote, true, s.reportCounts},
-
-		"PUT /v1/releases/{build}/votes/{router}": {RoleVote, true, s.castVote},
-
-		"GET /v1/watch":       {RoleRead, false, s.watch},
-		"POST /v1/counts":     {RoleServe, true, s.emitCounts},
-		"POST /v1/complaints": {RoleRead, true, s.emitComplaint},
-
-		"PUT /v1/plans/{version}":                  {RoleRelease, true, s.publishPlan},
-		"GET /v1/plans/{version}/for/{location}":   {RoleRead, false, s.getPlan},
-		"PUT /v1/plans/{version}/routers/{router}": {RoleVote, true, s.ackPlan},
-
-		"GET /v1/agents/{name}/orders":   {RoleServe, false, s.watchAgentOrders},
-		"POST /v1/agents/{name}/orders":  {RoleRelease, true, s.orderAgent},
-		"POST /v1/agents/{name}/reports": {RoleServe, true, s.agentReports},
-
-		"PUT /v1/routers/{router}":      {RoleVote, true, s.joinRouter},
-		"DELETE /v1/routers/{router}":   {RoleVote, true, s.leaveRouter},
-		"PUT /v1/controllers/{name}":    {RoleServe, true, s.addController},
-		"DELETE /v1/controllers/{name}": {RoleServe, true, s.removeController},
-
-		"GET /v1/status": {RoleRead, false, s.status},
+		"GET /v1/releases":                        {RoleRead, anyInstance, s.listReleases},
+		"POST /v1/releases":                       {RoleRelease, onLeader, s.createRelease},
+		"GET /v1/releases/{build}":                {RoleRead, anyInstance, s.getRelease},
+		"PATCH /v1/releases/{build}":              {RoleRelease, onLeader, s.patchRelease},
+		"DELETE /v1/releases/{build}":             {RoleRelease, onLeader, s.deleteRelease},
+		"POST /v1/releases/{build}/withdraw":      {RoleWithdraw, onLeader, s.rollBackRelease},
+		"PUT /v1/releases/{build}/steps/{step}":   {RoleServe, onLeader, s.completeStep},
+		"PUT /v1/releases/{build}/orders/{order}": {RoleServe, onLeader, s.completeOrder},
+		"POST /v1/releases/{build}/reports":       {RoleVote, onLeader, s.reportCounts},
+
+		"PUT /v1/releases/{build}/votes/{router}": {RoleVote, onLeader, s.castVote},
+
+		"GET /v1/watch":       {RoleRead, anyInstance, s.watch},
+		"POST /v1/counts":     {RoleServe, onLeader, s.emitCounts},
+		"POST /v1/complaints": {RoleRead, onLeader, s.emitComplaint},
+
+		"PUT /v1/plans/{version}":                  {RoleRelease, onLeader, s.publishPlan},
+		"GET /v1/plans/{version}/for/{location}":   {RoleRead, anyInstance, s.getPlan},
+		"PUT /v1/plans/{version}/routers/{router}": {RoleVote, onLeader, s.ackPlan},
+
+		"GET /v1/agents/{name}/orders":   {RoleServe, anyInstance, s.watchAgentOrders},
+		"POST /v1/agents/{name}/orders":  {RoleRelease, onLeader, s.orderAgent},
+		"POST /v1/agents/{name}/reports": {RoleServe, onLeader, s.agentReports},
+
+		"PUT /v1/routers/{router}":      {RoleVote, onLeader, s.joinRouter},
+		"DELETE /v1/routers/{router}":   {RoleVote, onLeader, s.leaveRouter},
+		"PUT /v1/controllers/{name}":    {RoleServe, onLeader, s.addController},
+		"DELETE /v1/controllers/{name}": {RoleServe, onLeader, s.removeController},
+
+		"GET /v1/status": {RoleRead, anyInstance, s.status},
 	} {
 		mux.HandleFunc(pattern, s.middleware(op))
 	}
