--- a/cmd/dapplefront/controller.go
+++ b/cmd/dapplefront/controller.go
@@ -44,7 +44,7 @@
 	log.Info("listening", "url", server.URL(), "peers", node.Address())
 	awaitTermination()
 	if leads, _ := node.IsLeader(); leads {
-		if err := node.StepDown(); err != nil { // another instance takes over at once, where there is one
+		if err := node.TransferLeadership(); err != nil { // another instance takes over at once, where there is one
 			log.Debug("no other instance to lead", "error", err)
 		}
 	}
--- a/cmd/dapplefront/controller_config.go
+++ b/cmd/dapplefront/controller_config.go
@@ -50,12 +50,12 @@
 		Build:     s.Int("build", "1", 1, 65535),
 	}
 	config.server = controller.ServerConfig{
-		Listen:       s.Address("listen", "127.0.0.1:7300"),
-		URL:          s.Text("url", ""),
-		VotesASecond: s.Float("votes-a-second", "30", 0.1, 1e6),
-		Watchers:     s.Int("watchers", "5000", 1, 1<<20),
-		Bookmark:     s.Duration("bookmark", "2s"),
-		Slow:         s.Duration("slow", "5s"),
+		Listen:           s.Address("listen", "127.0.0.1:7300"),
+		URL:              s.Text("url", ""),
+		VotesPerSecond:   s.Float("votes-a-second", "30", 0.1, 1e6),
+		MaxWatchers:      s.Int("watchers", "5000", 1, 1<<20),
+		BookmarkInterval: s.Duration("bookmark", "2s"),
+		WriteTimeout:     s.Duration("slow", "5s"),
 	}
 }
 
@@ -139,7 +139,7 @@
 	if config.certificates == (certs.Files{}) && len(config.grants) == 0 {
 		return nil
 	}
-	config.server.Guard = &controller.Guard{Grants: config.grants, Peers: config.peers}
+	config.server.Authorizer = &controller.Authorizer{Grants: config.grants, Peers: config.peers}
 	if config.certificates == (certs.Files{}) {
 		return nil
 	}
@@ -147,7 +147,7 @@
 	if err != nil {
 		return err
 	}
-	config.server.Guard.TLS, config.server.Guard.Client = ring.Server(), ring.Client()
-	config.node.Streams = controller.Secure(ring, config.peers)
+	config.server.Authorizer.ServerTLS, config.server.Authorizer.ClientTLS = ring.Server(), ring.Client()
+	config.node.StreamLayer = controller.TLSStreamLayer(ring, config.peers)
 	return nil
 }
--- a/cmd/dapplefront/release.go
+++ b/cmd/dapplefront/release.go
@@ -196,7 +196,7 @@
 			if err != nil {
 				return err
 			}
-			r, err := controllers.Withdraw(ctx, build)
+			r, err := controllers.RollBack(ctx, build)
 			if err != nil {
 				return err
 			}
@@ -226,7 +226,7 @@
 			case o.output == "json":
 				return json.NewEncoder(c.OutOrStdout()).Encode(v)
 			default:
-				c.Printf("on: %d of %d needed; back: %d of %d needed\n", v.On, v.Needed, v.Back, v.NeededBack)
+				c.Printf("on: %d of %d needed; back: %d of %d needed\n", v.Promote, v.PromoteQuorum, v.Rollback, v.RollbackQuorum)
 			}
 			return nil
 		}),
@@ -243,7 +243,7 @@
 			if err != nil {
 				return err
 			}
-			r, err := controllers.StepDone(ctx, build, args[1], "dapplefront release step")
+			r, err := controllers.CompleteStep(ctx, build, args[1], "dapplefront release step")
 			if err != nil {
 				return err
 			}
@@ -291,7 +291,7 @@
 		Short: "Take a controller in as a member, which runs with an empty store",
 		Args:  cobra.ExactArgs(2),
 		RunE: o.run(func(ctx context.Context, _ *cobra.Command, controllers *client.Client, args []string) error {
-			return controllers.Join(ctx, args[0], api.Controller{Address: args[1]})
+			return controllers.AddController(ctx, args[0], api.Controller{Address: args[1]})
 		}),
 	}
 }
@@ -302,7 +302,7 @@
 		Short: "Take a controller out for good",
 		Args:  cobra.ExactArgs(1),
 		RunE: o.run(func(ctx context.Context, _ *cobra.Command, controllers *client.Client, args []string) error {
-			return controllers.Part(ctx, args[0])
+			return controllers.RemoveController(ctx, args[0])
 		}),
 	}
 }
--- a/cmd/dapplefront/release_output.go
+++ b/cmd/dapplefront/release_output.go
@@ -33,8 +33,8 @@
 func printRelease(table io.Writer, r api.ReleaseObject) error {
 	promote, rollback := "-", "-"
 	if v := r.Votes; v != nil {
-		promote = fmt.Sprintf("%d of %d", v.On, v.Needed)
-		rollback = fmt.Sprintf("%d of %d", v.Back, v.NeededBack)
+		promote = fmt.Sprintf("%d of %d", v.Promote, v.PromoteQuorum)
+		rollback = fmt.Sprintf("%d of %d", v.Rollback, v.RollbackQuorum)
 	}
 	waitsFor := r.WaitsFor
 	if waitsFor == "" {
