--- a/internal/journal/journal.go
+++ b/internal/journal/journal.go
@@ -1,5 +1,5 @@
-// Package journal keeps an agent's state on disk (bbolt), with the reports that the controller has not taken yet: each
-// is there before the effects that follow from it are carried out, whole or not at all.
+// Package journal stores a build agent's state on disk (bbolt), with the reports that no controller has accepted yet. Each
+// entry is saved, completely or not at all, before the effects that follow from it are carried out.
 package journal
 
 import (
@@ -14,65 +14,71 @@
 	"dapplefront/internal/api"
 )
 
-// Entry is what is kept.
+// Entry is what is stored.
 type Entry struct {
 	State      agent.State       `json:"state"`
-	Reports    []api.AgentReport `json:"reports,omitempty"` // those taken last may be among them; their numbers tell
-	LastReport uint64            `json:"number"`            // of the last report
+	Reports    []api.AgentReport `json:"reports,omitempty"` // by number; a controller may have accepted the first of them
+	LastReport uint64            `json:"number"`            // the number of the last report so far
 }
 
-// Journal is one file. Only one process may hold it.
+// Journal is a file with one entry. Only one process can use it at a time.
 type Journal struct {
 	db *bbolt.DB
-	// AfterSave is called after each state is on disk, with how many have been written; tests end the process there.
+	// AfterSave, for tests, is called after each entry is on disk, with the number of entries saved so far.
 	AfterSave func(n int)
-	// BeforeSave may make a write fail, by how many have been written; tests let the disk be full there.
+	// BeforeSave, for tests, may make a save fail. It is called with the number of entries saved so far.
 	BeforeSave func(n int) error
-	n          int
+	saved      int
 }
 
-const schema = 1
+const (
+	schemaVersion = 1
+	lockTimeout   = time.Second // for another process to close the file
+)
 
+// Names in the file, which never change.
 var (
-	bucket   = []byte("agent")
-	entryKey = []byte("entry")
-	formKey  = []byte("schema")
+	bucketName = []byte("agent")
+	entryKey   = []byte("entry")
+	schemaKey  = []byte("schema")
 )
 
-// ErrNewerSchema says that the file was written by a later program.
+// ErrNewerSchema says that the file was written by a later version of the program.
 var ErrNewerSchema = errors.New("the journal is of a newer program")
 
-// Open opens or makes a journal. It waits a second for another process to let go of the file.
+// Open opens a journal and creates it if it is missing. It waits a second for another process to close the file.
 func Open(file string) (*Journal, error) {
-	db, err := bbolt.Open(file, 0o600, &bbolt.Options{Timeout: time.Second})
+	db, err := bbolt.Open(file, 0o600, &bbolt.Options{Timeout: lockTimeout})
 	if err != nil {
 		return nil, fmt.Errorf("journal %s: %w", file, err)
 	}
-	err = db.Update(func(tx *bbolt.Tx) error {
-		b, err := tx.CreateBucketIfNotExists(bucket)
-		if err != nil {
-			return err
-		}
-		form := b.Get(formKey)
-		switch {
-		case form == nil:
-			return b.Put(formKey, []byte{schema})
-		case len(form) != 1 || form[0] > schema:
-			return ErrNewerSchema
-		}
-		return nil
-	})
-	if err != nil {
+	if err := db.Update(initialize); err != nil {
 		_ = db.Close()
 		return nil, fmt.Errorf("journal %s: %w", file, err)
 	}
 	return &Journal{db: db}, nil
 }
 
-// Load is the last entry that was saved; the zero Entry where there is none.
+// initialize writes the schema of a new file and checks that of an old one.
+func initialize(tx *bbolt.Tx) error {
+	b, err := tx.CreateBucketIfNotExists(bucketName)
+	if err != nil {
+		return err
+	}
+	version := b.Get(schemaKey)
+	if version == nil {
+		return b.Put(schemaKey, []byte{schemaVersion})
+	}
+	if len(version) != 1 || version[0] > schemaVersion {
+		return ErrNewerSchema
+	}
+	return nil
+}
+
+// Load returns the entry that was saved last; the zero Entry if there is none.
 func (j *Journal) Load() (e Entry, err error) {
 	err = j.db.View(func(tx *bbolt.Tx) error {
-		raw := tx.Bucket(bucket).Get(entryKey)
+		raw := tx.Bucket(bucketName).Get(entryKey)
 		if raw == nil {
 			return nil
 		}
@@ -84,23 +90,23 @@
 	return e, nil
 }
 
-// Save puts an entry on disk, in place of the last.
+// Save replaces the entry and returns once it is on disk.
 func (j *Journal) Save(e Entry) error {
 	raw, err := json.Marshal(e)
 	if err == nil && j.BeforeSave != nil {
-		err = j.BeforeSave(j.n)
+		err = j.BeforeSave(j.saved)
 	}
 	if err == nil {
-		err = j.db.Update(func(tx *bbolt.Tx) error { return tx.Bucket(bucket).Put(entryKey, raw) })
+		err = j.db.Update(func(tx *bbolt.Tx) error { return tx.Bucket(bucketName).Put(entryKey, raw) })
 	}
 	if err != nil {
 		return fmt.Errorf("journal: %w", err)
 	}
-	if j.n++; j.AfterSave != nil {
-		j.AfterSave(j.n)
+	if j.saved++; j.AfterSave != nil {
+		j.AfterSave(j.saved)
 	}
 	return nil
 }
 
-// Close lets go of the file.
+// Close closes the file.
 func (j *Journal) Close() error { return j.db.Close() }
--- a/internal/journal/stored_test.go
+++ b/internal/journal/stored_test.go
@@ -41,7 +41,7 @@
 	require.NoError(t, j.Close())
 	j, err = Open(file)
 	require.NoError(t, err)
-	defer j.Close()
+	t.Cleanup(func() { require.NoError(t, j.Close()) })
 	_, got = loaded(t, j)
 	require.Equal(t, string(want), got)
 }
--- /dev/null
+++ b/internal/process/runner.go
@@ -0,0 +1,128 @@
+package process
+
+import (
+	"errors"
+	"os"
+	"os/exec"
+	"path/filepath"
+	"strconv"
+	"syscall"
+	"time"
+
+	"dapplefront/agent"
+)
+
+// Environment variables of a build's process.
+const (
+	OwnerVariable = "DAPPLEFRONT_BUILD" // the agent and the build that it belongs to
+	PortVariable  = "DAPPLEFRONT_PORT"  // where it is to listen
+	ReadyVariable = "DAPPLEFRONT_READY" // the file that it creates once it is ready
+)
+
+const (
+	stopPollInterval = 5 * time.Millisecond
+	killTimeout      = time.Second // after SIGKILL
+)
+
+// Runner runs the processes of one agent.
+type Runner struct {
+	Owner          string   // names this agent among those of the host
+	OutputDir      string   // for output and ready files
+	Env            []string // added to the agent's own environment
+	MaxOutputBytes int64    // kept of each build's output when it is trimmed
+}
+
+// ownerValue is the value of OwnerVariable.
+func (r Runner) ownerValue(digest string) string { return r.Owner + "/" + digest }
+
+// ReadyFile is the file by which a build declares that it is ready.
+func (r Runner) ReadyFile(digest string) string { return filepath.Join(r.OutputDir, digest+".ready") }
+
+// OutputFile is the file to which a build's output is appended.
+func (r Runner) OutputFile(digest string) string { return filepath.Join(r.OutputDir, digest+".log") }
+
+// Start starts a build in its folder. The first element of command is the path of a file below that folder. The channel
+// receives one error, never nil, when the process ends; the goroutine that waits for it ends then too, as a process may
+// outlive its agent.
+func (r Runner) Start(digest, dir string, command []string, port int) (agent.Process, <-chan error, error) {
+	_ = os.Remove(r.ReadyFile(digest))
+	output, err := os.OpenFile(r.OutputFile(digest), os.O_CREATE|os.O_WRONLY|os.O_APPEND, 0o600)
+	if err != nil {
+		return agent.Process{}, nil, err
+	}
+	defer func() { _ = output.Close() }() // the process has a descriptor of its own
+	c := exec.Command(filepath.Join(dir, filepath.FromSlash(command[0])), command[1:]...)
+	c.Dir = dir
+	c.Stdout, c.Stderr = output, output
+	c.Env = append(append(os.Environ(), r.Env...), OwnerVariable+"="+r.ownerValue(digest),
+		PortVariable+"="+strconv.Itoa(port), ReadyVariable+"="+r.ReadyFile(digest))
+	c.SysProcAttr = &syscall.SysProcAttr{Setpgid: true}
+	if err := c.Start(); err != nil {
+		return agent.Process{}, nil, err
+	}
+	ticks, _ := startTicks(c.Process.Pid)
+	exited := make(chan error, 1)
+	go func() {
+		err := c.Wait()
+		if err == nil {
+			err = errors.New("exit status 0")
+		}
+		exited <- err
+	}()
+	return agent.Process{Pid: c.Process.Pid, StartTicks: ticks, Port: port, StartedAt: time.Now()}, exited, nil
+}
+
+// Stop terminates a build: SIGTERM to its process group and to whatever else bears its owner variable, and SIGKILL where
+// that has not ended within a time. It returns once none of these processes runs, or an error a second after SIGKILL.
+func (r Runner) Stop(digest string, within time.Duration) error {
+	r.signal(digest, syscall.SIGTERM)
+	for end := time.Now().Add(within); time.Now().Before(end); time.Sleep(stopPollInterval) {
+		if len(r.Find(digest)) == 0 {
+			return nil
+		}
+	}
+	for end := time.Now().Add(killTimeout); time.Now().Before(end); time.Sleep(stopPollInterval) {
+		if r.signal(digest, syscall.SIGKILL) == 0 {
+			return nil
+		}
+	}
+	return errors.New("processes of the build are still there after SIGKILL")
+}
+
+// signal sends a signal to a build's processes, by group where one leads its group, and returns their number.
+func (r Runner) signal(digest string, s syscall.Signal) int {
+	found := r.Find(digest)
+	for _, p := range found {
+		if group, err := syscall.Getpgid(p.Pid); err == nil && group == p.Pid {
+			_ = syscall.Kill(-p.Pid, s)
+		} else {
+			_ = syscall.Kill(p.Pid, s)
+		}
+	}
+	return len(found)
+}
+
+// TrimOutput drops the older part of a build's output once it is larger than twice MaxOutputBytes. Output that is written
+// at that moment may be lost.
+func (r Runner) TrimOutput(digest string) (err error) {
+	path := r.OutputFile(digest)
+	info, err := os.Stat(path)
+	if err != nil || info.Size() <= 2*r.MaxOutputBytes {
+		return nil
+	}
+	f, err := os.OpenFile(path, os.O_RDWR, 0o600)
+	if err != nil {
+		return err
+	}
+	defer func() { err = errors.Join(err, f.Close()) }()
+	tail := make([]byte, r.MaxOutputBytes)
+	n, err := f.ReadAt(tail, info.Size()-r.MaxOutputBytes)
+	if err != nil && n == 0 {
+		return err
+	}
+	if err := f.Truncate(0); err != nil { // the process appends, so it continues at the new end
+		return err
+	}
+	_, err = f.WriteAt(tail[:n], 0)
+	return err
+}
