--- a/cmd/dapplefront/plan.go
+++ b/cmd/dapplefront/plan.go
@@ -31,7 +31,7 @@
 				}
 			}
 			for _, s := range p.Steps {
-				if s.Unfit != nil {
+				if s.Infeasible != nil {
 					return exit(1)
 				}
 			}
@@ -57,7 +57,7 @@
 	return c
 }
 
-func solve(file, whatIf string) (*planreport.Outlook, *plan.Plan, error) {
+func solve(file, whatIf string) (*planreport.Report, *plan.Plan, error) {
 	o, err := planreport.Read(file)
 	if err != nil {
 		return nil, nil, err
--- a/cmd/dapplefront/router.go
+++ b/cmd/dapplefront/router.go
@@ -76,7 +76,7 @@
 			case s.Section("controller").Has():
 				readOffice(s)
 			case s.Section("plan").Has():
-				planreport.From(s)
+				planreport.FromFile(s)
 			default:
 				routerconfig.From(s)
 			}
--- a/internal/planreport/plot.go
+++ b/internal/planreport/plot.go
@@ -19,7 +19,7 @@
 
 // Plot draws a plan into a file, .svg or .png: use by location and time, tasks asked, crossing and unserved, and, with a
 // release, how much of each step's demand each stage would leave unserved.
-func (o *Outlook) Plot(file string, p *plan.Plan) error {
+func (o *Report) Plot(file string, p *plan.Plan) error {
 	use, err := o.usePlot(p)
 	if err != nil {
 		return err
@@ -65,7 +65,7 @@
 }
 
 // lines draws one line for each name over the steps.
-func (o *Outlook) lines(title, unit string, p *plan.Plan, names []string, value func(name string, step int) float64) (*plot.Plot, error) {
+func (o *Report) lines(title, unit string, p *plan.Plan, names []string, value func(name string, step int) float64) (*plot.Plot, error) {
 	g := plot.New()
 	g.Title.Text, g.Y.Label.Text, g.X.Label.Text = title, unit, "hours from the plan's start"
 	g.Legend.Top = true
@@ -94,34 +94,34 @@
 	return g, nil
 }
 
-func (o *Outlook) usePlot(p *plan.Plan) (*plot.Plot, error) {
+func (o *Report) usePlot(p *plan.Plan) (*plot.Plot, error) {
 	return o.lines("Use of what hosts can do, less the reserve", "%", p, places(p.Model()), func(name string, n int) float64 {
-		return 100 * p.Steps[n].Use(name)
+		return 100 * p.Steps[n].Utilization(name)
 	})
 }
 
-func (o *Outlook) flowPlot(p *plan.Plan) (*plot.Plot, error) {
+func (o *Report) flowPlot(p *plan.Plan) (*plot.Plot, error) {
 	return o.lines("Tasks a second", "tasks/s", p, []string{"asked", "crossing", "unserved", "copies"}, func(name string, n int) (v float64) {
 		switch s := p.Steps[n]; name {
 		case "asked":
 			for _, d := range p.Model().Forecast[n].Demand {
-				v += max(0, d.Rate+p.Model().Limits.Spreads*d.Spread)
+				v += max(0, d.Rate+p.Model().Limits.StdDevs*d.StdDev)
 			}
 		case "crossing":
-			v = s.Crossing("")
+			v = s.CrossZoneRate("")
 		case "unserved":
-			v = s.Unserved()
+			v = s.UnservedRate()
 		case "copies":
-			for _, c := range s.Copies {
-				v += c.Planned
+			for _, c := range s.Shadows {
+				v += c.PlannedRate
 			}
 		}
 		return v
 	})
 }
 
-func (o *Outlook) stagePlot(p *plan.Plan) (*plot.Plot, error) {
-	fits, err := p.Stages()
+func (o *Report) stagePlot(p *plan.Plan) (*plot.Plot, error) {
+	fits, err := p.CheckStages()
 	if err != nil {
 		return nil, err
 	}
@@ -132,7 +132,7 @@
 	return o.lines("Unserved, were a stage to stand", "tasks/s", p, names, func(name string, n int) float64 {
 		for _, f := range fits {
 			if f.Step == n && fmt.Sprintf("stage %d", f.Stage+1) == name {
-				return f.Unserved
+				return f.UnservedRate
 			}
 		}
 		return 0
--- a/internal/planreport/print.go
+++ b/internal/planreport/print.go
@@ -26,7 +26,7 @@
 }
 
 // Print writes a plan as tables: shares and uses by step, what does not fit and why, losses, stages.
-func (o *Outlook) Print(w io.Writer, p *plan.Plan, hosts bool) error {
+func (o *Report) Print(w io.Writer, p *plan.Plan, hosts bool) error {
 	m := p.Model()
 	all := places(m)
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', tabwriter.AlignRight)
@@ -39,14 +39,14 @@
 	for n, s := range p.Steps {
 		asked, copies := 0.0, 0.0
 		for _, d := range m.Forecast[n].Demand {
-			asked += max(0, d.Rate+m.Limits.Spreads*d.Spread)
+			asked += max(0, d.Rate+m.Limits.StdDevs*d.StdDev)
 		}
-		for _, c := range s.Copies {
-			copies += c.Planned
+		for _, c := range s.Shadows {
+			copies += c.PlannedRate
 		}
-		fmt.Fprintf(t, "%s\t%.1f\t%.1f\t%.1f\t%.1f\t", o.Clock(s.At), asked, s.Crossing(""), s.Unserved(), copies)
+		fmt.Fprintf(t, "%s\t%.1f\t%.1f\t%.1f\t%.1f\t", o.Clock(s.At), asked, s.CrossZoneRate(""), s.UnservedRate(), copies)
 		for _, x := range all {
-			fmt.Fprintf(t, "%.1f%%\t", 100*s.Use(x))
+			fmt.Fprintf(t, "%.1f%%\t", 100*s.Utilization(x))
 		}
 		fmt.Fprintln(t)
 	}
@@ -54,8 +54,8 @@
 		return err
 	}
 	for _, s := range p.Steps {
-		if s.Unfit != nil {
-			fmt.Fprintf(w, "\n%s: %s\n", o.Clock(s.At), s.Unfit)
+		if s.Infeasible != nil {
+			fmt.Fprintf(w, "\n%s: %s\n", o.Clock(s.At), s.Infeasible)
 		}
 	}
 	o.losses(w, p)
@@ -68,25 +68,25 @@
 	return nil
 }
 
-func (o *Outlook) losses(w io.Writer, p *plan.Plan) {
+func (o *Report) losses(w io.Writer, p *plan.Plan) {
 	b := p.Model().Limits
-	if !b.LoseHost && !b.LosePlace {
+	if !b.SurviveHostLoss && !b.SurviveZoneLoss {
 		return
 	}
-	lost := p.Losses()
+	lost := p.UnsurvivedLosses()
 	if len(lost) == 0 {
 		fmt.Fprintln(w, "\nevery loss asked for is survived at every step")
 	}
 	for _, l := range lost {
-		fmt.Fprintf(w, "\n%s: the loss of %s is not survived: %.4g tasks a second unserved", o.Clock(p.Steps[l.Step].At), l.What, l.Unserved)
+		fmt.Fprintf(w, "\n%s: the loss of %s is not survived: %.4g tasks a second unserved", o.Clock(p.Steps[l.Step].At), l.Lost, l.UnservedRate)
 	}
 	if len(lost) > 0 {
 		fmt.Fprintln(w)
 	}
 }
 
-func (o *Outlook) stages(w io.Writer, p *plan.Plan) error {
-	fits, err := p.Stages()
+func (o *Report) stages(w io.Writer, p *plan.Plan) error {
+	fits, err := p.CheckStages()
 	if err != nil || len(fits) == 0 {
 		return err
 	}
@@ -101,13 +101,13 @@
 			if f.Stage != n {
 				continue
 			}
-			count, copies = f.Hosts, max(copies, f.Planned)
-			if !f.Fits() {
-				not = append(not, fmt.Sprintf("%s (%.4g/s unserved)", o.Clock(p.Steps[f.Step].At), f.Unserved))
+			count, copies = f.Hosts, max(copies, f.PlannedRate)
+			if !f.Feasible() {
+				not = append(not, fmt.Sprintf("%s (%.4g/s unserved)", o.Clock(p.Steps[f.Step].At), f.UnservedRate))
 			}
 		}
 		all := len(p.Steps)
-		fmt.Fprintf(t, "%d\t%d\t%.3g%%\t%.1f\t%d of %d\t%s\t\n", n+1, count, 100*s.Cap, copies, all-len(not), all, shorten(not))
+		fmt.Fprintf(t, "%d\t%d\t%.3g%%\t%.1f\t%d of %d\t%s\t\n", n+1, count, 100*s.ShadowCap, copies, all-len(not), all, shorten(not))
 	}
 	return t.Flush()
 }
@@ -125,7 +125,7 @@
 }
 
 // hostTable writes each host's share of each location's tasks at each step.
-func (o *Outlook) hostTable(w io.Writer, p *plan.Plan) error {
+func (o *Report) hostTable(w io.Writer, p *plan.Plan) error {
 	fmt.Fprintln(w)
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', tabwriter.AlignRight)
 	all := places(p.Model())
@@ -148,7 +148,7 @@
 }
 
 // PrintDiff writes what differs between two plans.
-func (o *Outlook) PrintDiff(w io.Writer, changes []plan.Change) error {
+func (o *Report) PrintDiff(w io.Writer, changes []plan.Change) error {
 	if len(changes) == 0 {
 		_, err := fmt.Fprintln(w, "no difference")
 		return err
@@ -161,10 +161,10 @@
 			where = "all"
 		}
 		was, now := c.Was, c.Now
-		if c.What == "use" {
+		if c.Metric == "use" {
 			form, was, now = "%.1f%%", 100*was, 100*now
 		}
-		fmt.Fprintf(t, "%s\t%s\t%s\t"+form+"\t"+form+"\t\n", o.Clock(c.At), c.What, where, was, now)
+		fmt.Fprintf(t, "%s\t%s\t%s\t"+form+"\t"+form+"\t\n", o.Clock(c.At), c.Metric, where, was, now)
 	}
 	return t.Flush()
 }
--- a/internal/planreport/read.go
+++ b/internal/planreport/read.go
@@ -13,14 +13,14 @@
 	"dapplefront/policy"
 )
 
-// Outlook is what a file says.
-type Outlook struct {
+// Report is what a file says.
+type Report struct {
 	Model *plan.Model
 	Start time.Duration // time of day at which the plan starts, for what is printed
 }
 
 // Clock is a moment of the plan as a time of day.
-func (o *Outlook) Clock(at time.Duration) string {
+func (o *Report) Clock(at time.Duration) string {
 	t := (o.Start + at) % (24 * time.Hour)
 	if t%time.Minute != 0 {
 		return fmt.Sprintf("%02d:%02d:%02d", int(t.Hours()), int(t.Minutes())%60, int(t.Seconds())%60)
@@ -29,25 +29,25 @@
 }
 
 // Read reads an outlook; every mistake is told with its file and line.
-func Read(file string) (*Outlook, error) {
+func Read(file string) (*Report, error) {
 	s := inifile.Read(file)
-	o := From(s)
+	o := FromFile(s)
 	if err := s.Done(); err != nil {
 		return nil, err
 	}
-	if err := o.Model.Check(); err != nil {
+	if err := o.Model.Validate(); err != nil {
 		return nil, fmt.Errorf("%s: %w", file, err)
 	}
 	return o, nil
 }
 
-// long is how long ago hosts started where nothing else is said.
-const long = 30 * 24 * time.Hour
+// defaultAge is how long ago hosts started where nothing else is said.
+const defaultAge = 30 * 24 * time.Hour
 
-// From reads an outlook; mistakes are kept by the sheet.
-func From(s *inifile.File) *Outlook {
+// FromFile reads an outlook; mistakes are kept by the sheet.
+func FromFile(s *inifile.File) *Report {
 	p := s.Section("plan")
-	o := &Outlook{Model: &plan.Model{}, Start: clock(p, "start", "00:00")}
+	o := &Report{Model: &plan.Model{}, Start: clock(p, "start", "00:00")}
 	steps, step := p.Int("steps", "1", 1, 1000), p.Duration("step", "1h")
 	if step <= 0 {
 		p.AddError("step", "step: above 0 expected")
@@ -87,17 +87,17 @@
 	return o
 }
 
-func (o *Outlook) hosts(g inifile.Section, name string) {
+func (o *Report) hosts(g inifile.Section, name string) {
 	h := plan.Host{Zone: g.Text("location", name), Build: g.Int("build", "1", 1, 65535), Weight: g.Float("size", "1", 1e-6, 1e7),
-		Most: g.Float("most", "0", 0, 1e7), Leaves: g.Duration("leaves", "0s")}
+		MaxRate: g.Float("most", "0", 0, 1e7), DrainsAt: g.Duration("leaves", "0s")}
 	count := g.Int("count", "1", 0, 100_000)
-	ago, in := g.Duration("started", long.String()), g.Duration("starts", "0s")
-	h.Starts = -ago
+	ago, in := g.Duration("started", defaultAge.String()), g.Duration("starts", "0s")
+	h.StartsAt = -ago
 	if g.Text("starts", "-") != "-" {
 		if g.Text("started", "-") != "-" {
 			g.AddError("starts", "started (so long ago) or starts (so long after the plan's start) expected, not both")
 		}
-		h.Starts = in
+		h.StartsAt = in
 	}
 	for n := range count {
 		h.Name = fmt.Sprintf("%s-%d", name, n+1)
@@ -109,7 +109,7 @@
 }
 
 // demand reads tasks a second by category: one figure for all steps, or one for each.
-func (o *Outlook) demand(d inifile.Section, location string) {
+func (o *Report) demand(d inifile.Section, location string) {
 	spread := d.Share("spread", "0%")
 	for _, c := range o.Model.Classes {
 		words := d.List(c.Name, "0")
@@ -125,26 +125,26 @@
 				break
 			}
 			f := &o.Model.Forecast[n]
-			f.Demand = append(f.Demand, plan.Demand{Zone: location, Class: c.Name, Rate: rate, Spread: spread * rate})
+			f.Demand = append(f.Demand, plan.Demand{Zone: location, Class: c.Name, Rate: rate, StdDev: spread * rate})
 		}
 	}
 }
 
-func (o *Outlook) bounds(b inifile.Section) {
-	o.Model.Limits = plan.Limits{Reserve: b.Share("reserve", "0%"), Cross: b.Share("cross", "100%"),
-		CrossPrice: b.Float("cross-price", "0.02", 0, 1e7), Between: b.Float("between", "0", 0, 1000),
-		Within: b.Float("within", "0", 0, 1000), Spreads: b.Float("spreads", "0", -10, 10),
-		LoseHost: b.Bool("lose-host", "off"), LosePlace: b.Bool("lose-location", "off"),
-		Cold: plan.Cold{Lasts: b.Duration("cold", "5s"), Share: b.Share("cold-share", "33%"), Tasks: b.Float("cold-tasks", "0", 0, 1e7),
+func (o *Report) bounds(b inifile.Section) {
+	o.Model.Limits = plan.Limits{Reserve: b.Share("reserve", "0%"), MaxCrossZone: b.Share("cross", "100%"),
+		CrossZonePrice: b.Float("cross-price", "0.02", 0, 1e7), MaxZoneImbalance: b.Float("between", "0", 0, 1000),
+		MaxHostImbalance: b.Float("within", "0", 0, 1000), StdDevs: b.Float("spreads", "0", -10, 10),
+		SurviveHostLoss: b.Bool("lose-host", "off"), SurviveZoneLoss: b.Bool("lose-location", "off"),
+		SlowStart: plan.SlowStart{Duration: b.Duration("cold", "5s"), InitialCapacity: b.Share("cold-share", "33%"), MaxRequests: b.Float("cold-tasks", "0", 0, 1e7),
 			Window: b.Duration("cold-window", "2s")}}
 	if o.Model.Limits.Reserve > .99 {
 		b.AddError("reserve", "reserve: at most 99%% expected")
 	}
 }
 
-func (o *Outlook) release(r inifile.Section) {
-	out := &plan.Release{Build: r.Int("build", "!", 1, 65535), Guarded: r.Int("guarded-stages", "1", 0, 100),
-		ByCategory: r.Bool("by-category", "off"), Beside: r.Bool("beside", "off"), Released: r.Duration("released", "0s")}
+func (o *Report) release(r inifile.Section) {
+	out := &plan.Release{Build: r.Int("build", "!", 1, 65535), GuardedStages: r.Int("guarded-stages", "1", 0, 100),
+		CapPerClass: r.Bool("by-category", "off"), SideBySide: r.Bool("beside", "off"), ReleasedAt: r.Duration("released", "0s")}
 	shares, caps, at := r.Shares("shares", "!"), r.Shares("caps", "!"), r.List("at", "!")
 	if len(shares) != len(caps) || len(shares) != len(at) {
 		r.AddError("shares", "shares, caps and at: as many of each expected, not %d, %d and %d", len(shares), len(caps), len(at))
@@ -156,7 +156,7 @@
 			r.AddError("at", "at: %s: a time with a unit expected", at[n])
 			return
 		}
-		out.Stages = append(out.Stages, plan.Stage{At: d, Share: shares[n], Cap: caps[n]})
+		out.Stages = append(out.Stages, plan.Stage{At: d, HostShare: shares[n], ShadowCap: caps[n]})
 	}
 	o.Model.Release = out
 }
--- a/internal/scenario/shares.go
+++ b/internal/scenario/shares.go
@@ -38,13 +38,13 @@
 		return nil
 	}
 	p := &PlanTimes{}
-	k := &plan.Keeper{Near: .1, Hold: 2 * time.Second, For: 4 * time.Second}
+	k := &plan.Publisher{Tolerance: .1, HoldTime: 2 * time.Second, ValidFor: 4 * time.Second}
 	if kind != "plan" {
-		k.For = s.plan.Length + time.Minute
+		k.ValidFor = s.plan.Length + time.Minute
 	}
 	began := time.Now()
 	look := func() error {
-		o, err := k.Hear(time.Since(began), s.model(began))
+		o, err := k.Update(time.Since(began), s.model(began))
 		if err != nil || o.Published == nil {
 			return err
 		}
@@ -53,7 +53,7 @@
 		}
 		p.Versions++
 		p.Changed += o.Changed
-		if o.Whole {
+		if o.Recomputed {
 			p.Whole++
 		}
 		s.desk.Publish(o.Published)
@@ -93,8 +93,8 @@
 func (s *stage) model(began time.Time) *plan.Model {
 	f := s.figures
 	now := time.Since(began)
-	m := &plan.Model{Forecast: []plan.Forecast{{At: now}}, Limits: plan.Limits{Cross: 1, CrossPrice: .02, Reserve: .05,
-		Cold: plan.Cold{Lasts: f.cold, Share: f.coldShare}}}
+	m := &plan.Model{Forecast: []plan.Forecast{{At: now}}, Limits: plan.Limits{MaxCrossZone: 1, CrossZonePrice: .02, Reserve: .05,
+		SlowStart: plan.SlowStart{Duration: f.cold, InitialCapacity: f.coldShare}}}
 	for _, w := range wishes {
 		m.Classes = append(m.Classes, plan.Class{Name: w.Name, Work: w.Work.Seconds(), Idempotency: w.Repeat, PriorityWeight: 1})
 	}
@@ -114,9 +114,9 @@
 	}
 	for _, h := range s.fleet.of(0) {
 		x := plan.Host{Name: strconv.FormatUint(uint64(h.ID), 10), Zone: h.Location, Build: h.Build.Number,
-			Weight: float64(h.Cores) * h.Speed, Starts: now - time.Hour}
+			Weight: float64(h.Cores) * h.Speed, StartsAt: now - time.Hour}
 		if !h.Up.IsZero() {
-			x.Starts = min(now, h.Up.Sub(began))
+			x.StartsAt = min(now, h.Up.Sub(began))
 		}
 		if trial != 0 && x.Build == trial {
 			continue // it gets copies, which the cap bounds
@@ -128,7 +128,7 @@
 	for _, w := range wishes {
 		mean += w.Share * w.Work.Seconds()
 	}
-	m.Limits.Cold.Window = f.tipFor
-	m.Limits.Cold.Tasks = math.Floor(.5 * f.tip * f.tipFor.Seconds() / mean)
+	m.Limits.SlowStart.Window = f.tipFor
+	m.Limits.SlowStart.MaxRequests = math.Floor(.5 * f.tip * f.tipFor.Seconds() / mean)
 	return m
 }
--- a/plan/ahead.go
+++ b/plan/ahead.go
@@ -24,16 +24,16 @@
 	if stage < 0 {
 		return m.Hosts, 0, 0
 	}
-	if r.Released != 0 && at >= r.Released {
-		return m.released(), stage, 0
+	if r.ReleasedAt != 0 && at >= r.ReleasedAt {
+		return m.hostsAfterRelease(), stage, 0
 	}
-	return m.staged(stage), stage, r.Build
+	return m.hostsInStage(stage), stage, r.Build
 }
 
-// released are the hosts once the release is over: its build stands at all places, and earlier ones have left.
-func (m *Model) released() (hosts []Host) {
+// hostsAfterRelease are the hosts once the release is over: its build stands at all places, and earlier ones have left.
+func (m *Model) hostsAfterRelease() (hosts []Host) {
 	r := m.Release
-	last := m.staged(len(r.Stages) - 1)
+	last := m.hostsInStage(len(r.Stages) - 1)
 	replaced := map[string]bool{}
 	for _, h := range last[len(m.Hosts):] {
 		replaced[h.Name] = true
@@ -42,30 +42,30 @@
 		switch {
 		case h.Build == r.Build:
 			hosts = append(hosts, h)
-		case !replaced[besideName(h.Name, r.Build)]:
-			h.Build, h.Starts, h.Leaves = r.Build, r.Released, 0
+		case !replaced[sideBySideName(h.Name, r.Build)]:
+			h.Build, h.StartsAt, h.DrainsAt = r.Build, r.ReleasedAt, 0
 			hosts = append(hosts, h)
 		}
 	}
 	return hosts
 }
 
-func besideName(name string, build int) string { return fmt.Sprintf("%s+%d", name, build) }
+func sideBySideName(name string, build int) string { return fmt.Sprintf("%s+%d", name, build) }
 
-// staged are the hosts in a stage of the release: so many places as it says run its build, those of all locations by
+// hostsInStage are the hosts in a stage of the release: so many places as it says run its build, those of all locations by
 // turns. Each started with the stage that brought it.
-func (m *Model) staged(stage int) []Host {
+func (m *Model) hostsInStage(stage int) []Host {
 	r := m.Release
-	order := m.turns()
+	order := m.rolloutOrder()
 	hosts := slices.Clone(m.Hosts)
 	done := 0
 	for n := 0; n <= stage; n++ {
-		upto := int(math.Ceil(r.Stages[n].Share*float64(len(order)) - 1e-9))
+		upto := int(math.Ceil(r.Stages[n].HostShare*float64(len(order)) - 1e-9))
 		for ; done < upto; done++ {
 			h := hosts[order[done]]
-			h.Build, h.Starts, h.Leaves = r.Build, r.Stages[n].At, 0
-			if r.Beside {
-				h.Name = besideName(h.Name, r.Build)
+			h.Build, h.StartsAt, h.DrainsAt = r.Build, r.Stages[n].At, 0
+			if r.SideBySide {
+				h.Name = sideBySideName(h.Name, r.Build)
 				hosts = append(hosts, h)
 			} else {
 				hosts[order[done]] = h
@@ -75,8 +75,8 @@
 	return hosts
 }
 
-// turns is the order in which places get a build: by name, the locations by turns.
-func (m *Model) turns() []int {
+// rolloutOrder is the order in which places get a build: by name, the locations by turns.
+func (m *Model) rolloutOrder() []int {
 	byPlace := map[string][]int{}
 	var places []string
 	for i, h := range m.Hosts {
@@ -100,44 +100,44 @@
 	return out
 }
 
-// StageFit is whether a stage could stand during a step: what of the demand its earlier hosts would leave unserved, and
+// StageFeasibility is whether a stage could stand during a step: what of the demand its earlier hosts would leave unserved, and
 // how many of the copies that its cap allows its hosts could take, all of them warm.
-type StageFit struct {
-	Stage, Step int
-	Hosts       int // that run its build
-	Unserved    float64
-	Allowed     float64
-	Planned     float64
+type StageFeasibility struct {
+	Stage, Step  int
+	Hosts        int // that run its build
+	UnservedRate float64
+	AllowedRate  float64
+	PlannedRate  float64
 }
 
-// Fits tells whether the stage leaves all demand served.
-func (f StageFit) Fits() bool { return f.Unserved == 0 }
+// Feasible tells whether the stage leaves all demand served.
+func (f StageFeasibility) Feasible() bool { return f.UnservedRate == 0 }
 
-// Stages tries every stage of the release at every step, before it starts.
-func (p *Plan) Stages() (out []StageFit, err error) {
+// CheckStages tries every stage of the release at every step, before it starts.
+func (p *Plan) CheckStages() (out []StageFeasibility, err error) {
 	m := p.model
 	if m.Release == nil {
 		return nil, nil
 	}
 	for n := range m.Release.Stages {
-		hosts := m.staged(n)
+		hosts := m.hostsInStage(n)
 		for i, f := range m.Forecast {
 			now := slices.Clone(hosts)
 			count := 0
 			for j := range now {
 				if now[j].Build == m.Release.Build {
-					now[j].Starts = f.At - m.Limits.Cold.Lasts
+					now[j].StartsAt = f.At - m.Limits.SlowStart.Duration
 					count++
 				}
 			}
-			s := &Step{At: f.At, bounds: m.Limits, origins: m.origins(f)}
-			s.place(rooms(now, m.Limits, f.At, m.Release.Build))
-			s.serveOnly()
-			s.copies(m, n)
-			fit := StageFit{Stage: n, Step: i, Hosts: count, Unserved: s.Unserved()}
-			for _, c := range s.Copies {
-				fit.Allowed += c.Allowed
-				fit.Planned += c.Planned
+			s := &Step{At: f.At, limits: m.Limits, demands: m.zoneDemands(f)}
+			s.groupHosts(hostCapacities(now, m.Limits, f.At, m.Release.Build))
+			s.minimizeUnserved()
+			s.planShadows(m, n)
+			fit := StageFeasibility{Stage: n, Step: i, Hosts: count, UnservedRate: s.UnservedRate()}
+			for _, c := range s.Shadows {
+				fit.AllowedRate += c.AllowedRate
+				fit.PlannedRate += c.PlannedRate
 			}
 			out = append(out, fit)
 		}
@@ -145,61 +145,61 @@
 	return out, nil
 }
 
-// serveOnly works out no more than what can be served.
-func (s *Step) serveOnly() {
-	if s.byItself() {
+// minimizeUnserved works out no more than what can be served.
+func (s *Step) minimizeUnserved() {
+	if s.solveLocally() {
 		return
 	}
-	l := s.program(everything, nil)
-	l.serve()
-	l.read(s)
+	l := s.program(everyConstraint, nil)
+	l.minimizeShed()
+	l.readSolution(s)
 }
 
 // Loss is a loss that would not be survived at a step, once routers know of it and follow new shares.
 type Loss struct {
-	Step     int
-	What     string
-	Unserved float64 // tasks a second
+	Step         int
+	Lost         string
+	UnservedRate float64 // tasks a second
 }
 
-// Losses tries the losses that the bounds ask to be survived, at every step: of any one location, whose tasks are then
+// UnsurvivedLosses tries the losses that the bounds ask to be survived, at every step: of any one location, whose tasks are then
 // free to cross, and of the largest host of each kind.
-func (p *Plan) Losses() (out []Loss) {
+func (p *Plan) UnsurvivedLosses() (out []Loss) {
 	m := p.model
 	for i, f := range m.Forecast {
 		hosts, _, trial := m.hostsAt(f.At)
-		try := func(what string, gone func(room) bool, free string) {
-			s := &Step{At: f.At, bounds: m.Limits, origins: m.origins(f)}
-			var left []room
-			for _, r := range rooms(hosts, m.Limits, f.At, trial) {
+		try := func(what string, gone func(hostCapacity) bool, free string) {
+			s := &Step{At: f.At, limits: m.Limits, demands: m.zoneDemands(f)}
+			var left []hostCapacity
+			for _, r := range hostCapacities(hosts, m.Limits, f.At, trial) {
 				if !gone(r) {
 					left = append(left, r)
 				}
 			}
-			s.place(left)
-			if !s.byItself() {
-				l := s.program(func(g group) bool { return g != group{ofCrossing, free} }, nil)
-				l.serve()
-				l.read(s)
+			s.groupHosts(left)
+			if !s.solveLocally() {
+				l := s.program(func(g constraint) bool { return g != constraint{crossZoneConstraint, free} }, nil)
+				l.minimizeShed()
+				l.readSolution(s)
 			}
-			if n := s.Unserved(); n > 0 {
-				out = append(out, Loss{Step: i, What: what, Unserved: n})
+			if n := s.UnservedRate(); n > 0 {
+				out = append(out, Loss{Step: i, Lost: what, UnservedRate: n})
 			}
 		}
 		step := p.Steps[i]
-		if m.Limits.LosePlace {
+		if m.Limits.SurviveZoneLoss {
 			var last string
 			for _, x := range step.pools {
-				if x.place != last {
-					last = x.place
-					try("the location "+last, func(r room) bool { return r.host.Zone == x.place }, last)
+				if x.zone != last {
+					last = x.zone
+					try("the location "+last, func(r hostCapacity) bool { return r.host.Zone == x.zone }, last)
 				}
 			}
 		}
-		if m.Limits.LoseHost {
+		if m.Limits.SurviveHostLoss {
 			for _, x := range step.pools {
-				big := slices.MaxFunc(x.rooms, func(a, b room) int { return cmp.Compare(a.work, b.work) })
-				try("the host "+big.host.Name, func(r room) bool { return r.host.Name == big.host.Name }, "")
+				big := slices.MaxFunc(x.hosts, func(a, b hostCapacity) int { return cmp.Compare(a.work, b.work) })
+				try("the host "+big.host.Name, func(r hostCapacity) bool { return r.host.Name == big.host.Name }, "")
 			}
 		}
 	}
@@ -237,14 +237,14 @@
 			return nil, err
 		}
 		out.Hosts = slices.DeleteFunc(out.Hosts, func(h Host) bool { return h.Zone == words[1] })
-		out.Limits.Cross = 1 // its tasks have nowhere else to go
+		out.Limits.MaxCrossZone = 1 // its tasks have nowhere else to go
 	case len(words) == 2 && words[0] == "cold":
 		if err := known(words[1]); err != nil {
 			return nil, err
 		}
 		for i := range out.Hosts {
 			if out.Hosts[i].Zone == words[1] {
-				out.Hosts[i].Starts = m.Forecast[0].At
+				out.Hosts[i].StartsAt = m.Forecast[0].At
 			}
 		}
 	case (len(words) == 2 || len(words) == 3) && words[0] == "demand" && strings.HasPrefix(words[1], "x"):
@@ -258,7 +258,7 @@
 			for j := range d {
 				if len(words) == 2 || d[j].Zone == words[2] {
 					d[j].Rate *= by
-					d[j].Spread *= by
+					d[j].StdDev *= by
 				}
 			}
 			out.Forecast[i].Demand = d
--- a/plan/diff.go
+++ b/plan/diff.go
@@ -11,7 +11,7 @@
 // Change is one figure in which two plans differ.
 type Change struct {
 	At       time.Duration
-	What     string // unserved, crossing, use, tasks
+	Metric   string // unserved, crossing, use, tasks
 	Zone     string
 	Was, Now float64
 }
@@ -30,14 +30,14 @@
 				out = append(out, Change{s.At, what, location, was, now})
 			}
 		}
-		add("unserved", "", s.Unserved(), t.Unserved())
-		add("crossing", "", s.Crossing(""), t.Crossing(""))
+		add("unserved", "", s.UnservedRate(), t.UnservedRate())
+		add("crossing", "", s.CrossZoneRate(""), t.CrossZoneRate(""))
 		places := map[string]bool{}
 		for _, x := range append(slices.Clone(s.pools), t.pools...) {
-			places[x.place] = true
+			places[x.zone] = true
 		}
 		for _, p := range slices.Sorted(maps.Keys(places)) {
-			add("use", p, s.Use(p), t.Use(p))
+			add("use", p, s.Utilization(p), t.Utilization(p))
 		}
 	}
 	slices.SortStableFunc(out, func(x, y Change) int { return cmp.Compare(x.At, y.At) })
--- a/plan/keeper.go
+++ b/plan/keeper.go
@@ -7,116 +7,116 @@
 	"time"
 )
 
-// Keeper makes versions of weights anew as hosts come and go. It is a state machine without a clock: what it publishes
+// Publisher makes versions of weights anew as hosts come and go. It is a state machine without a clock: what it publishes
 // depends on what it heard alone, so controllers that hear the same publish the same.
 //
 // One host's change moves one weight, its own, in each location's table, as long as the weights of the others still keep
 // every bound and stay near the best; only then is all weighed anew. What is only a little better waits until it has
 // been so for a while.
-type Keeper struct {
-	Near float64       // how much more than the least possible the largest use may be before all is weighed anew
-	Hold time.Duration // how long a better plan must have been better before it is published
-	For  time.Duration // how long a version may be followed
+type Publisher struct {
+	Tolerance float64       // how much more than the least possible the largest use may be before all is weighed anew
+	HoldTime  time.Duration // how long a better plan must have been better before it is published
+	ValidFor  time.Duration // how long a version may be followed
 
-	last  *Published
-	since time.Duration // when the last version first was not near the best
-	worse bool
+	current      *Published
+	outsideSince time.Duration // when the last version first was not near the best
+	outside      bool
 }
 
 // Last is the version in force, nil for none.
-func (k *Keeper) Last() *Published { return k.last }
+func (k *Publisher) Last() *Published { return k.current }
 
 // Restore sets the version in force, as read from where it was kept.
-func (k *Keeper) Restore(p *Published) { k.last, k.worse = p, false }
+func (k *Publisher) Restore(p *Published) { k.current, k.outside = p, false }
 
-// Outcome is what became of a look at the fleet.
-type Outcome struct {
-	Published *Published // nil where the last version stays as it is
-	Changed   int        // weights that differ from the last version
-	Whole     bool       // all was weighed anew, rather than hosts carried over
-	Why       string
-	Unfit     *Unfit
+// Update is what became of a look at the fleet.
+type Update struct {
+	Published  *Published // nil where the last version stays as it is
+	Changed    int        // weights that differ from the last version
+	Recomputed bool       // all was weighed anew, rather than hosts carried over
+	Reason     string
+	Infeasible *Infeasibility
 }
 
-// Hear looks at the fleet as it is now: the model's first step is the present.
-func (k *Keeper) Hear(now time.Duration, m *Model) (Outcome, error) {
-	if err := m.Check(); err != nil {
-		return Outcome{}, err
+// Update looks at the fleet as it is now: the model's first step is the present.
+func (k *Publisher) Update(now time.Duration, m *Model) (Update, error) {
+	if err := m.Validate(); err != nil {
+		return Update{}, err
 	}
 	f := m.Forecast[0]
 	hosts, stage, trial := m.hostsAt(f.At)
-	s := &Step{At: f.At, bounds: m.Limits, origins: m.origins(f)}
-	s.place(rooms(hosts, m.Limits, f.At, trial))
-	if k.last != nil {
+	s := &Step{At: f.At, limits: m.Limits, demands: m.zoneDemands(f)}
+	s.groupHosts(hostCapacities(hosts, m.Limits, f.At, trial))
+	if k.current != nil {
 		carried, v, err := k.carry(s)
-		near := err == nil && v.use <= s.leastUse()*(1+k.Near) && v.cross <= s.leastCrossing()+k.Near*s.asked()
-		due := k.last.Until-now < k.For/2 || k.last.Build != trial || k.last.Stage != stage && trial != 0
+		near := err == nil && v.maxUtilization <= s.minUtilization()*(1+k.Tolerance) && v.crossZoneRate <= s.minCrossZoneRate()+k.Tolerance*s.totalRate()
+		due := k.current.Until-now < k.ValidFor/2 || k.current.Build != trial || k.current.Stage != stage && trial != 0
 		if near {
-			k.worse = false
-		} else if err == nil && !k.worse {
-			k.worse, k.since = true, now
+			k.outside = false
+		} else if err == nil && !k.outside {
+			k.outside, k.outsideSince = true, now
 		}
-		if err == nil && (near || now-k.since < k.Hold) {
-			n := Changed(k.last.For, carried)
+		if err == nil && (near || now-k.outsideSince < k.HoldTime) {
+			n := Changed(k.current.For, carried)
 			if n == 0 && !due {
-				return Outcome{}, nil
+				return Update{}, nil
 			}
-			s.copiesInto(m, stage, trial, carried)
-			return k.publish(now, stage, trial, carried, Outcome{Changed: n, Why: "hosts came, left or warmed"}), nil
+			s.setShadowShares(m, stage, trial, carried)
+			return k.publish(now, stage, trial, carried, Update{Changed: n, Reason: "hosts came, left or warmed"}), nil
 		}
 	}
 	with := *m
-	with.Present = k.present(hosts)
-	with.Limits.Cold.Tasks *= 1 - k.Near/2 // so that the weights of bounded hosts can stay when others come or go
+	with.CurrentShares = k.currentShares(hosts)
+	with.Limits.SlowStart.MaxRequests *= 1 - k.Tolerance/2 // so that the weights of bounded hosts can stay when others come or go
 	full, err := with.step(0)
 	if err != nil {
-		return Outcome{}, err
+		return Update{}, err
 	}
 	weights, err := full.Weights()
 	if err != nil {
-		return Outcome{}, fmt.Errorf("weights: %w", err)
+		return Update{}, fmt.Errorf("weights: %w", err)
 	}
 	n := len(weights)
-	if k.last != nil {
-		n = Changed(k.last.For, weights)
+	if k.current != nil {
+		n = Changed(k.current.For, weights)
 	}
-	k.worse = false
-	if k.last != nil && n == 0 && full.Unfit == nil && k.last.Until-now >= k.For/2 {
-		return Outcome{}, nil
+	k.outside = false
+	if k.current != nil && n == 0 && full.Infeasible == nil && k.current.Until-now >= k.ValidFor/2 {
+		return Update{}, nil
 	}
-	return k.publish(now, stage, trial, weights, Outcome{Changed: n, Whole: true, Why: "weighed anew", Unfit: full.Unfit}), nil
+	return k.publish(now, stage, trial, weights, Update{Changed: n, Recomputed: true, Reason: "weighed anew", Infeasible: full.Infeasible}), nil
 }
 
-func (k *Keeper) publish(now time.Duration, stage, trial int, w map[string]Weights, o Outcome) Outcome {
-	p := &Published{Version: 1, Stage: stage, Build: trial, For: w, Until: now + k.For}
-	if k.last != nil {
-		p.Version = k.last.Version + 1
+func (k *Publisher) publish(now time.Duration, stage, trial int, w map[string]Weights, o Update) Update {
+	p := &Published{Version: 1, Stage: stage, Build: trial, For: w, Until: now + k.ValidFor}
+	if k.current != nil {
+		p.Version = k.current.Version + 1
 	}
-	k.last, o.Published = p, p
+	k.current, o.Published = p, p
 	return o
 }
 
 // carry is the last version for the hosts that there are: others' weights stay, a new host gets what its like have for
 // each second of work, one that is gone has none.
-func (k *Keeper) carry(s *Step) (map[string]Weights, verdict, error) {
+func (k *Publisher) carry(s *Step) (map[string]Weights, evaluation, error) {
 	out := map[string]Weights{}
-	for _, o := range s.origins {
-		w, ok := k.last.For[o.name]
+	for _, o := range s.demands {
+		w, ok := k.current.For[o.zone]
 		if !ok {
-			return nil, verdict{}, fmt.Errorf("%s was asked for nothing before", o.name)
+			return nil, evaluation{}, fmt.Errorf("%s was asked for nothing before", o.zone)
 		}
 		n := Weights{Cross: w.Cross, Copies: w.Copies}
-		n.Near = s.carried(w.Near, func(p pool) bool { return p.place == o.name })
+		n.Near = s.carryWeights(w.Near, func(p pool) bool { return p.zone == o.zone })
 		if w.Far != nil {
-			n.Far = s.carried(w.Far, func(p pool) bool { return p.place != o.name })
+			n.Far = s.carryWeights(w.Far, func(p pool) bool { return p.zone != o.zone })
 		}
-		out[o.name] = n
+		out[o.zone] = n
 	}
-	v, err := s.judge(out)
+	v, err := s.evaluate(out)
 	return out, v, err
 }
 
-func (s *Step) carried(was map[string]uint64, of func(pool) bool) map[string]uint64 {
+func (s *Step) carryWeights(was map[string]uint64, of func(pool) bool) map[string]uint64 {
 	out := make(map[string]uint64, len(was))
 	for _, p := range s.pools {
 		if !of(p) {
@@ -124,12 +124,12 @@
 		}
 		// What hosts of this pool that were weighed before have, for each second of work.
 		var weight, work uint64
-		for _, r := range p.rooms {
+		for _, r := range p.hosts {
 			if w, ok := was[r.host.Name]; ok {
 				weight, work = weight+w, work+uint64(r.work)
 			}
 		}
-		for _, r := range p.rooms {
+		for _, r := range p.hosts {
 			w, ok := was[r.host.Name]
 			if limit := uint64(r.work); ok && w > limit { // it is colder, or smaller, than it was
 				w = limit
@@ -137,11 +137,11 @@
 				w = uint64(float64(weight) / float64(work) * float64(r.work))
 			} else if !ok { // none like it was weighed before: it is bounded, or it gets what it can do
 				w = uint64(r.work)
-				if r.tasks >= 0 {
-					w = s.fits(r, was)
+				if r.maxRate >= 0 {
+					w = s.boundedWeight(r, was)
 				}
-			} else if p.tasks < 0 && !r.cold && work > uint64(r.work) {
-				w = warmed(w, uint64(r.work), weight-w, work-uint64(r.work))
+			} else if p.maxRate < 0 && !r.warmingUp && work > uint64(r.work) {
+				w = warmedUpWeight(w, uint64(r.work), weight-w, work-uint64(r.work))
 			}
 			if w > 0 {
 				out[r.host.Name] = w
@@ -151,9 +151,9 @@
 	return out
 }
 
-// warmed is the weight of a host that was cold when it was weighed: what others like it have for their work, if that is
+// warmedUpWeight is the weight of a host that was cold when it was weighed: what others like it have for their work, if that is
 // far more.
-func warmed(w, work, others, theirs uint64) uint64 {
+func warmedUpWeight(w, work, others, theirs uint64) uint64 {
 	const far = 0.9 // less than this part of what others have: no rounding
 	if like := float64(others) / float64(theirs) * float64(work); float64(w) < far*like {
 		return uint64(math.Round(like))
@@ -161,15 +161,15 @@
 	return w
 }
 
-// fits is a weight that keeps a bounded host within its bound, by the weights that stand.
-func (s *Step) fits(r room, was map[string]uint64) uint64 {
+// boundedWeight is a weight that keeps a bounded host within its bound, by the weights that stand.
+func (s *Step) boundedWeight(r hostCapacity, was map[string]uint64) uint64 {
 	var sum uint64
 	for _, w := range was {
 		sum += w
 	}
 	rate := int64(0)
-	for _, o := range s.origins {
-		if o.name == r.host.Zone {
+	for _, o := range s.demands {
+		if o.zone == r.host.Zone {
 			rate = o.rate
 		}
 	}
@@ -177,20 +177,20 @@
 		return uint64(r.work)
 	}
 	const part = 0.9 // the sum of weights may shrink a little before the next look
-	return min(uint64(r.work), uint64(part*float64(r.tasks)/float64(rate)*float64(sum)))
+	return min(uint64(r.work), uint64(part*float64(r.maxRate)/float64(rate)*float64(sum)))
 }
 
-// present is what the hosts get by the version in force, as shares.
-func (k *Keeper) present(hosts []Host) Present {
-	if k.last == nil {
+// currentShares is what the hosts get by the version in force, as shares.
+func (k *Publisher) currentShares(hosts []Host) Shares {
+	if k.current == nil {
 		return nil
 	}
 	here := map[string]bool{}
 	for _, h := range hosts {
 		here[h.Name] = true
 	}
-	out := Present{}
-	for place, w := range k.last.For {
+	out := Shares{}
+	for place, w := range k.current.For {
 		to := map[string]float64{}
 		add := func(of map[string]uint64, part float64) {
 			var sum uint64
@@ -205,7 +205,7 @@
 				}
 			}
 		}
-		cross := float64(w.Cross) / fine
+		cross := float64(w.Cross) / nano
 		add(w.Near, 1-cross)
 		add(w.Far, cross)
 		out[place] = to
@@ -213,10 +213,10 @@
 	return out
 }
 
-// leastUse is a bound that no share's largest use can be below: all work over all that can be done.
-func (s *Step) leastUse() float64 {
+// minUtilization is a bound that no share's largest use can be below: all work over all that can be done.
+func (s *Step) minUtilization() float64 {
 	var work, can int64
-	for _, o := range s.origins {
+	for _, o := range s.demands {
 		work += o.work
 	}
 	for _, p := range s.pools {
@@ -224,51 +224,51 @@
 	}
 	// Where nothing need cross, each location stands for itself.
 	least := float64(work) / max(1, float64(can))
-	if s.leastCrossing() > 0 {
+	if s.minCrossZoneRate() > 0 {
 		return least
 	}
 	byPlace := map[string]int64{}
 	for _, p := range s.pools {
-		byPlace[p.place] += p.work
+		byPlace[p.zone] += p.work
 	}
-	for _, o := range s.origins {
-		if c := byPlace[o.name]; c > 0 {
+	for _, o := range s.demands {
+		if c := byPlace[o.zone]; c > 0 {
 			least = max(least, float64(o.work)/float64(c))
 		}
 	}
 	return least
 }
 
-// leastCrossing is a bound that no share's crossing can be below, in tasks a second: what a location's hosts can't do.
-func (s *Step) leastCrossing() (sum float64) {
+// minCrossZoneRate is a bound that no share's crossing can be below, in tasks a second: what a location's hosts can't do.
+func (s *Step) minCrossZoneRate() (sum float64) {
 	can := map[string]float64{}
-	for _, o := range s.origins {
+	for _, o := range s.demands {
 		each := float64(o.work) / float64(o.rate)
 		for _, p := range s.pools {
-			if p.place != o.name {
+			if p.zone != o.zone {
 				continue
 			}
 			n := float64(p.work) / each
-			if p.tasks >= 0 {
-				n = min(n, float64(p.tasks))
+			if p.maxRate >= 0 {
+				n = min(n, float64(p.maxRate))
 			}
-			can[o.name] += n
+			can[o.zone] += n
 		}
-		sum += max(0, float64(o.rate)-can[o.name]) / unit
+		sum += max(0, float64(o.rate)-can[o.zone]) / micro
 	}
 	return sum
 }
 
-// asked is the tasks a second of all locations.
-func (s *Step) asked() (sum float64) {
-	for _, o := range s.origins {
-		sum += float64(o.rate) / unit
+// totalRate is the tasks a second of all locations.
+func (s *Step) totalRate() (sum float64) {
+	for _, o := range s.demands {
+		sum += float64(o.rate) / micro
 	}
 	return sum
 }
 
-// copiesInto notes how many copies the stage lets each location make.
-func (s *Step) copiesInto(m *Model, stage, trial int, w map[string]Weights) {
+// setShadowShares notes how many copies the stage lets each location make.
+func (s *Step) setShadowShares(m *Model, stage, trial int, w map[string]Weights) {
 	if trial == 0 {
 		for place, x := range w {
 			x.Copies = 0
@@ -276,14 +276,14 @@
 		}
 		return
 	}
-	s.copies(m, stage)
+	s.planShadows(m, stage)
 	full := maps.Clone(w)
-	for g, o := range s.origins {
-		x := full[o.name]
+	for g, o := range s.demands {
+		x := full[o.zone]
 		x.Copies = 0
-		if c := s.Copies[g]; o.rate > 0 {
-			x.Copies = uint64(c.Planned * unit / float64(o.rate) * unit)
+		if c := s.Shadows[g]; o.rate > 0 {
+			x.Copies = uint64(c.PlannedRate * micro / float64(o.rate) * micro)
 		}
-		w[o.name] = x
+		w[o.zone] = x
 	}
 }
--- a/plan/keeper_test.go
+++ b/plan/keeper_test.go
@@ -9,36 +9,38 @@
 	"github.com/stretchr/testify/require"
 )
 
-func keeper() *Keeper { return &Keeper{Near: .1, Hold: 5 * time.Second, For: time.Minute} }
+func keeper() *Publisher {
+	return &Publisher{Tolerance: .1, HoldTime: 5 * time.Second, ValidFor: time.Minute}
+}
 
 func TestOneHostsChangeMovesOneWeight(t *testing.T) {
 	m := simple(map[string]float64{"north": 100, "south": 100}, several("north", 50, 1), several("south", 50, 1))
 	k := keeper()
-	o, err := k.Hear(0, m)
+	o, err := k.Update(0, m)
 	require.NoError(t, err)
-	require.True(t, o.Whole)
+	require.True(t, o.Recomputed)
 	require.Equal(t, uint64(1), o.Published.Version)
-	o, err = k.Hear(time.Second, m)
+	o, err = k.Update(time.Second, m)
 	require.NoError(t, err)
 	require.Nil(t, o.Published, "nothing new, nothing published")
 
 	gone := *m
 	gone.Hosts = m.Hosts[1:]
-	o, err = k.Hear(2*time.Second, &gone)
+	o, err = k.Update(2*time.Second, &gone)
 	require.NoError(t, err)
-	require.Equal(t, Outcome{Published: o.Published, Changed: 1, Why: "hosts came, left or warmed"}, o)
+	require.Equal(t, Update{Published: o.Published, Changed: 1, Reason: "hosts came, left or warmed"}, o)
 
 	back := *m // it comes back cold: bounded, one weight again
 	back.Hosts = append([]Host{}, m.Hosts...)
-	back.Hosts[0].Starts = 3 * time.Second
+	back.Hosts[0].StartsAt = 3 * time.Second
 	back.Forecast = []Forecast{{At: 3 * time.Second, Demand: m.Forecast[0].Demand}}
-	o, err = k.Hear(3*time.Second, &back)
+	o, err = k.Update(3*time.Second, &back)
 	require.NoError(t, err)
 	require.Equal(t, 1, o.Changed)
 	require.Less(t, o.Published.For["north"].Near["north-0"], uint64(330_001))
 	warm := back
 	warm.Forecast = []Forecast{{At: 9 * time.Second, Demand: m.Forecast[0].Demand}}
-	o, err = k.Hear(9*time.Second, &warm)
+	o, err = k.Update(9*time.Second, &warm)
 	require.NoError(t, err)
 	require.Equal(t, 1, o.Changed)
 	require.Equal(t, uint64(1_000_000), o.Published.For["north"].Near["north-0"])
@@ -47,32 +49,32 @@
 func TestALossThatBreaksABoundIsPublishedAtOnce(t *testing.T) {
 	m := simple(map[string]float64{"north": 100, "south": 100}, several("north", 12, 1), several("south", 20, 1))
 	k := keeper()
-	_, err := k.Hear(0, m)
+	_, err := k.Update(0, m)
 	require.NoError(t, err)
 	gone := *m
 	gone.Hosts = m.Hosts[4:] // eight are left for ten hosts' work
-	o, err := k.Hear(time.Second, &gone)
+	o, err := k.Update(time.Second, &gone)
 	require.NoError(t, err)
-	require.True(t, o.Whole)
+	require.True(t, o.Recomputed)
 	require.Equal(t, uint64(200_000_000), o.Published.For["north"].Cross)
 }
 
 func TestWhatIsALittleBetterWaits(t *testing.T) {
 	m := simple(map[string]float64{"north": 100, "south": 20}, several("north", 8, 1), several("south", 20, 1))
 	k := keeper()
-	_, err := k.Hear(0, m)
+	_, err := k.Update(0, m)
 	require.NoError(t, err)
 	cross := k.Last().For["north"].Cross
 	require.Equal(t, uint64(200_000_000), cross)
 	more := *m // enough hosts now; crossing goes on for a while, lest it flutter
-	more.Hosts = append(append([]Host{}, m.Hosts...), Host{Name: "more", Zone: "north", Build: 1, Weight: 4, Starts: -week})
+	more.Hosts = append(append([]Host{}, m.Hosts...), Host{Name: "more", Zone: "north", Build: 1, Weight: 4, StartsAt: -week})
 	versions := 0
 	for s := 1; s <= 20; s++ {
 		now := &more
 		if s%2 == 0 && s < 8 {
 			now = m
 		}
-		o, err := k.Hear(time.Duration(s)*time.Second, now)
+		o, err := k.Update(time.Duration(s)*time.Second, now)
 		require.NoError(t, err)
 		if o.Published != nil {
 			versions++
@@ -94,15 +96,15 @@
 		now.Forecast = []Forecast{{At: time.Duration(s) * time.Second, Demand: m.Forecast[0].Demand}}
 		now.Hosts = append([]Host{}, m.Hosts...)
 		if s%3 == 1 {
-			now.Hosts[r.IntN(36)].Starts = time.Duration(s) * time.Second
+			now.Hosts[r.IntN(36)].StartsAt = time.Duration(s) * time.Second
 			m = &now
 		}
 		other := now
 		other.Hosts = append([]Host{}, now.Hosts...)
 		r.Shuffle(len(other.Hosts), func(i, j int) { other.Hosts[i], other.Hosts[j] = other.Hosts[j], other.Hosts[i] })
-		x, err := a.Hear(time.Duration(s)*time.Second, &now)
+		x, err := a.Update(time.Duration(s)*time.Second, &now)
 		require.NoError(t, err)
-		y, err := b.Hear(time.Duration(s)*time.Second, &other)
+		y, err := b.Update(time.Duration(s)*time.Second, &other)
 		require.NoError(t, err)
 		require.Equal(t, x, y)
 	}
@@ -112,14 +114,14 @@
 func TestAnInstanceThatTakesOverGoesOnFromWhatIsInForce(t *testing.T) {
 	m := simple(map[string]float64{"north": 100}, several("north", 20, 1))
 	a, b := keeper(), keeper()
-	_, err := a.Hear(0, m)
+	_, err := a.Update(0, m)
 	require.NoError(t, err)
 	b.Restore(a.Last())
 	gone := *m
 	gone.Hosts = m.Hosts[1:]
-	x, err := a.Hear(time.Second, &gone)
+	x, err := a.Update(time.Second, &gone)
 	require.NoError(t, err)
-	y, err := b.Hear(time.Second, &gone)
+	y, err := b.Update(time.Second, &gone)
 	require.NoError(t, err)
 	require.Equal(t, x, y)
 	require.Equal(t, uint64(2), y.Published.Version)
@@ -160,7 +162,7 @@
 func spread(hosts int) *Model {
 	m := simple(nil)
 	r := rand.New(rand.NewPCG(1, 1))
-	m.Limits.Cross, m.Limits.Reserve = .3, .05
+	m.Limits.MaxCrossZone, m.Limits.Reserve = .3, .05
 	m.Classes, m.Forecast = nil, nil
 	for i := range 5 {
 		m.Classes = append(m.Classes, Class{Name: fmt.Sprint("c", i), Work: .02 + .01*float64(i), PriorityWeight: float64(1 + i)})
@@ -168,9 +170,9 @@
 	places := []string{"north", "port", "south"}
 	can := map[string]float64{}
 	for i := range hosts {
-		h := Host{Name: fmt.Sprintf("h%05d", i), Zone: places[i%3], Build: 1, Weight: 1 + r.Float64(), Starts: -week}
+		h := Host{Name: fmt.Sprintf("h%05d", i), Zone: places[i%3], Build: 1, Weight: 1 + r.Float64(), StartsAt: -week}
 		if r.IntN(10) == 0 {
-			h.Starts = -time.Duration(r.IntN(4000)) * time.Millisecond
+			h.StartsAt = -time.Duration(r.IntN(4000)) * time.Millisecond
 		}
 		can[h.Zone] += h.Weight
 		m.Hosts = append(m.Hosts, h)
@@ -228,15 +230,15 @@
 		b.Run(fmt.Sprintf("carried/hosts=%d", n), func(b *testing.B) {
 			k := keeper()
 			for i := 0; b.Loop(); i++ {
-				o, err := k.Hear(0, []*Model{m, &gone}[i%2])
-				if err != nil || i > 0 && (o.Whole || o.Changed != 1) {
+				o, err := k.Update(0, []*Model{m, &gone}[i%2])
+				if err != nil || i > 0 && (o.Recomputed || o.Changed != 1) {
 					b.Fatal(o, err)
 				}
 			}
 		})
 		b.Run(fmt.Sprintf("anew/hosts=%d", n), func(b *testing.B) {
 			for i := 0; b.Loop(); i++ {
-				if _, err := keeper().Hear(0, []*Model{m, &gone}[i%2]); err != nil {
+				if _, err := keeper().Update(0, []*Model{m, &gone}[i%2]); err != nil {
 					b.Fatal(err)
 				}
 			}
--- a/plan/model.go
+++ b/plan/model.go
@@ -21,20 +21,20 @@
 
 // Host is a machine that can get tasks.
 type Host struct {
-	Name   string
-	Zone   string
-	Build  int
-	Weight float64       // seconds of work a second when warm
-	Starts time.Duration // when its process starts, from the plan's start; negative for earlier
-	Leaves time.Duration // when it drains; 0 for never
-	Most   float64       // tasks a second at most, whatever its state; 0 for no such bound
+	Name     string
+	Zone     string
+	Build    int
+	Weight   float64       // seconds of work a second when warm
+	StartsAt time.Duration // when its process starts, from the plan's start; negative for earlier
+	DrainsAt time.Duration // when it drains; 0 for never
+	MaxRate  float64       // tasks a second at most, whatever its state; 0 for no such bound
 }
 
 // Demand is what one location is asked of one category during a step.
 type Demand struct {
 	Zone, Class string
 	Rate        float64 // tasks a second
-	Spread      float64 // of the forecast, one standard deviation in tasks a second
+	StdDev      float64 // of the forecast, one standard deviation in tasks a second
 }
 
 // Forecast is the demand of one step.
@@ -43,64 +43,64 @@
 	Demand []Demand
 }
 
-// Cold is how hosts that have just started are treated.
-type Cold struct {
-	Lasts  time.Duration // until they can do all they can
-	Share  float64       // of their size that they can do at the start; it rises evenly
-	Tasks  float64       // sent to a host of size 1 within any window at most, as far as it has warmed; 0 for no bound
-	Window time.Duration
+// SlowStart is how hosts that have just started are treated.
+type SlowStart struct {
+	Duration        time.Duration // until they can do all they can
+	InitialCapacity float64       // of their size that they can do at the start; it rises evenly
+	MaxRequests     float64       // sent to a host of size 1 within any window at most, as far as it has warmed; 0 for no bound
+	Window          time.Duration
 }
 
 // Limits are what every share must keep.
 type Limits struct {
-	Reserve    float64 // of each host's capacity, kept free
-	Cold       Cold
-	Cross      float64 // of a location's tasks, how many may go to other locations
-	CrossPrice float64 // of a task that crosses, in earnings
-	Between    float64 // no location's use above this many times the fleet's; 0 for no such bound
-	Within     float64 // no host's use above this many times its location's; 0 for no such bound
-	Spreads    float64 // demand planned for is the forecast and so many spreads
-	LoseHost   bool    // the loss of any one host must be survived
-	LosePlace  bool    // and the loss of any one location
+	Reserve          float64 // of each host's capacity, kept free
+	SlowStart        SlowStart
+	MaxCrossZone     float64 // of a location's tasks, how many may go to other locations
+	CrossZonePrice   float64 // of a task that crosses, in earnings
+	MaxZoneImbalance float64 // no location's use above this many times the fleet's; 0 for no such bound
+	MaxHostImbalance float64 // no host's use above this many times its location's; 0 for no such bound
+	StdDevs          float64 // demand planned for is the forecast and so many spreads
+	SurviveHostLoss  bool    // the loss of any one host must be survived
+	SurviveZoneLoss  bool    // and the loss of any one location
 }
 
 // Stage is one stage of a release.
 type Stage struct {
-	At    time.Duration // when its hosts start, from the plan's start
-	Share float64       // of the places
-	Cap   float64       // copies at most, as a share of the tasks taken
+	At        time.Duration // when its hosts start, from the plan's start
+	HostShare float64       // of the places
+	ShadowCap float64       // copies at most, as a share of the tasks taken
 }
 
 // Release is a build that comes in stages during the plan.
 type Release struct {
-	Build      int
-	Stages     []Stage
-	Released   time.Duration // when it is released, so that its hosts carry tasks; 0 for after the plan
-	Guarded    int           // stages that get retriable tasks only
-	ByCategory bool          // the cap holds for each category by itself
-	Beside     bool          // its hosts are further machines, not replacements
+	Build         int
+	Stages        []Stage
+	ReleasedAt    time.Duration // when it is released, so that its hosts carry tasks; 0 for after the plan
+	GuardedStages int           // stages that get retriable tasks only
+	CapPerClass   bool          // the cap holds for each category by itself
+	SideBySide    bool          // its hosts are further machines, not replacements
 }
 
 // Model is all that a plan is made from.
 type Model struct {
-	Classes  []Class
-	Hosts    []Host
-	Forecast []Forecast
-	Limits   Limits
-	Release  *Release
-	Present  Present // what routers follow now; nil for nothing
+	Classes       []Class
+	Hosts         []Host
+	Forecast      []Forecast
+	Limits        Limits
+	Release       *Release
+	CurrentShares Shares // what routers follow now; nil for nothing
 }
 
-// Present is shares in force: by the location where tasks are taken, then by host.
-type Present map[string]map[string]float64
+// Shares is shares in force: by the location where tasks are taken, then by host.
+type Shares map[string]map[string]float64
 
-const unit = 1e6 // figures are whole millionths inside: fine enough for tasks a second, and sums stay exact
+const micro = 1e6 // figures are whole millionths inside: fine enough for tasks a second, and sums stay exact
 
-// most is the largest figure taken in, in its own unit: sums over 100,000 hosts stay within 63 bits.
-const most = 1e7
+// maxValue is the largest figure taken in, in its own unit: sums over 100,000 hosts stay within 63 bits.
+const maxValue = 1e7
 
-// Check tells all that makes no sense in a model. A plan isn't made from such a model.
-func (m *Model) Check() error {
+// Validate tells all that makes no sense in a model. A plan isn't made from such a model.
+func (m *Model) Validate() error {
 	var all []error
 	wrong := func(format string, values ...any) { all = append(all, fmt.Errorf(format, values...)) }
 	number := func(what string, v, low, high float64) {
@@ -115,7 +115,7 @@
 		}
 		cats[c.Name] = true
 		number("category "+c.Name+": work", c.Work, 1e-6, 1e4)
-		number("category "+c.Name+": earnings", c.PriorityWeight, 0, most)
+		number("category "+c.Name+": earnings", c.PriorityWeight, 0, maxValue)
 	}
 	hosts := map[string]bool{}
 	for _, h := range m.Hosts {
@@ -126,10 +126,10 @@
 		if h.Zone == "" {
 			wrong("host %s: a location is missing", h.Name)
 		}
-		number("host "+h.Name+": size", h.Weight, 1e-6, most)
-		number("host "+h.Name+": most", h.Most, 0, most)
-		if h.Leaves != 0 && h.Leaves <= h.Starts {
-			wrong("host %s leaves at %v, before it starts at %v", h.Name, h.Leaves, h.Starts)
+		number("host "+h.Name+": size", h.Weight, 1e-6, maxValue)
+		number("host "+h.Name+": most", h.MaxRate, 0, maxValue)
+		if h.DrainsAt != 0 && h.DrainsAt <= h.StartsAt {
+			wrong("host %s leaves at %v, before it starts at %v", h.Name, h.DrainsAt, h.StartsAt)
 		}
 	}
 	if len(m.Forecast) == 0 {
@@ -150,23 +150,23 @@
 			} else {
 				named[k] = true
 			}
-			number(at, d.Rate, 0, most)
-			number(at+": spread", d.Spread, 0, most)
+			number(at, d.Rate, 0, maxValue)
+			number(at+": spread", d.StdDev, 0, maxValue)
 		}
 	}
 	b := m.Limits
 	number("reserve", b.Reserve, 0, .99)
-	number("crossing", b.Cross, 0, 1)
-	number("price of crossing", b.CrossPrice, 0, most)
-	number("balance between locations", b.Between, 0, 1000)
-	number("balance within locations", b.Within, 0, 1000)
-	number("spreads", b.Spreads, -10, 10)
-	number("share of a cold host", b.Cold.Share, 0, 1)
-	number("tasks for a cold host", b.Cold.Tasks, 0, most)
-	if b.Between > 0 && b.Between < 1 || b.Within > 0 && b.Within < 1 {
+	number("crossing", b.MaxCrossZone, 0, 1)
+	number("price of crossing", b.CrossZonePrice, 0, maxValue)
+	number("balance between locations", b.MaxZoneImbalance, 0, 1000)
+	number("balance within locations", b.MaxHostImbalance, 0, 1000)
+	number("spreads", b.StdDevs, -10, 10)
+	number("share of a cold host", b.SlowStart.InitialCapacity, 0, 1)
+	number("tasks for a cold host", b.SlowStart.MaxRequests, 0, maxValue)
+	if b.MaxZoneImbalance > 0 && b.MaxZoneImbalance < 1 || b.MaxHostImbalance > 0 && b.MaxHostImbalance < 1 {
 		wrong("a balance below 1 can't be: someone's use is above the average")
 	}
-	if b.Cold.Tasks > 0 && b.Cold.Window <= 0 || b.Cold.Lasts < 0 {
+	if b.SlowStart.MaxRequests > 0 && b.SlowStart.Window <= 0 || b.SlowStart.Duration < 0 {
 		wrong("a cold host's budget needs a window, and its time must not be negative")
 	}
 	if r := m.Release; r != nil {
@@ -174,14 +174,14 @@
 			wrong("a release needs a build and at least one stage")
 		}
 		for n, s := range r.Stages {
-			number(fmt.Sprintf("stage %d: share", n+1), s.Share, 1e-6, 1)
-			number(fmt.Sprintf("stage %d: cap", n+1), s.Cap, 0, 1)
-			if n > 0 && (s.At < r.Stages[n-1].At || s.Share < r.Stages[n-1].Share) {
+			number(fmt.Sprintf("stage %d: share", n+1), s.HostShare, 1e-6, 1)
+			number(fmt.Sprintf("stage %d: cap", n+1), s.ShadowCap, 0, 1)
+			if n > 0 && (s.At < r.Stages[n-1].At || s.HostShare < r.Stages[n-1].HostShare) {
 				wrong("stage %d comes earlier or is smaller than the one before", n+1)
 			}
 		}
 	}
-	for from, to := range m.Present {
+	for from, to := range m.CurrentShares {
 		for host, v := range to {
 			number(fmt.Sprintf("present share of %s for %s", host, from), v, 0, 1)
 		}
@@ -189,94 +189,94 @@
 	return errors.Join(all...)
 }
 
-// fix turns a figure into millionths, to the nearest; down and up round to the safe side.
-func fix(v float64) int64  { return int64(math.Round(v * unit)) }
-func down(v float64) int64 { return int64(math.Floor(v*unit + 1e-6)) }
-func up(v float64) int64   { return int64(math.Ceil(v*unit - 1e-6)) }
+// toMicros turns a figure into millionths, to the nearest; down and up round to the safe side.
+func toMicros(v float64) int64    { return int64(math.Round(v * micro)) }
+func floorMicros(v float64) int64 { return int64(math.Floor(v*micro + 1e-6)) }
+func ceilMicros(v float64) int64  { return int64(math.Ceil(v*micro - 1e-6)) }
 
-// origin is where tasks are taken, with what is asked of it during a step, in millionths.
-type origin struct {
-	name  string
-	rate  int64 // tasks a second
-	work  int64 // seconds of work a second
-	worth int64 // earnings a second
-	rates []int64
+// zoneDemand is where tasks are taken, with what is asked of it during a step, in millionths.
+type zoneDemand struct {
+	zone       string
+	rate       int64 // tasks a second
+	work       int64 // seconds of work a second
+	value      int64 // earnings a second
+	classRates []int64
 }
 
-// room is what one host can do during a step, in millionths.
-type room struct {
-	host   *Host
-	work   int64 // seconds of work a second, less the reserve
-	full   int64 // the same with it
-	tasks  int64 // a second; -1 for no bound
-	cold   bool
-	onTest bool // runs the build on trial: it gets copies, not tasks
+// hostCapacity is what one host can do during a step, in millionths.
+type hostCapacity struct {
+	host       *Host
+	work       int64 // seconds of work a second, less the reserve
+	unreserved int64 // the same with it
+	maxRate    int64 // a second; -1 for no bound
+	warmingUp  bool
+	isCanary   bool // runs the build on trial: it gets copies, not tasks
 }
 
-// Strength is the share of its size that a host can do at a moment; 0 before it starts and once it leaves.
+// CapacityFactor is the share of its size that a host can do at a moment; 0 before it starts and once it leaves.
 // It rises evenly over the time that hosts are cold, as the module has it (logic.strength).
-func (c Cold) Strength(h *Host, at time.Duration) float64 {
-	age := at - h.Starts
+func (c SlowStart) CapacityFactor(h *Host, at time.Duration) float64 {
+	age := at - h.StartsAt
 	switch {
-	case age < 0 || h.Leaves != 0 && at >= h.Leaves:
+	case age < 0 || h.DrainsAt != 0 && at >= h.DrainsAt:
 		return 0
-	case age >= c.Lasts:
+	case age >= c.Duration:
 		return 1
 	}
-	return c.Share + (1-c.Share)*float64(age)/float64(c.Lasts)
+	return c.InitialCapacity + (1-c.InitialCapacity)*float64(age)/float64(c.Duration)
 }
 
-// rooms are what the hosts can do at a moment, by name. Those that run the build on trial are told apart.
-func rooms(hosts []Host, b Limits, at time.Duration, trial int) []room {
-	out := make([]room, 0, len(hosts))
+// hostCapacities are what the hosts can do at a moment, by name. Those that run the build on trial are told apart.
+func hostCapacities(hosts []Host, b Limits, at time.Duration, trial int) []hostCapacity {
+	out := make([]hostCapacity, 0, len(hosts))
 	for i := range hosts {
 		h := &hosts[i]
-		strength := b.Cold.Strength(h, at)
+		strength := b.SlowStart.CapacityFactor(h, at)
 		if strength == 0 {
 			continue
 		}
-		r := room{host: h, work: down(h.Weight * strength * (1 - b.Reserve)), full: down(h.Weight * strength), tasks: -1,
-			cold: at-h.Starts < b.Cold.Lasts, onTest: trial != 0 && h.Build == trial}
-		if r.cold && b.Cold.Tasks > 0 {
-			r.tasks = down(b.Cold.Tasks / b.Cold.Window.Seconds() * h.Weight * strength)
+		r := hostCapacity{host: h, work: floorMicros(h.Weight * strength * (1 - b.Reserve)), unreserved: floorMicros(h.Weight * strength), maxRate: -1,
+			warmingUp: at-h.StartsAt < b.SlowStart.Duration, isCanary: trial != 0 && h.Build == trial}
+		if r.warmingUp && b.SlowStart.MaxRequests > 0 {
+			r.maxRate = floorMicros(b.SlowStart.MaxRequests / b.SlowStart.Window.Seconds() * h.Weight * strength)
 		}
-		if h.Most > 0 && (r.tasks < 0 || fix(h.Most) < r.tasks) {
-			r.tasks = fix(h.Most)
+		if h.MaxRate > 0 && (r.maxRate < 0 || toMicros(h.MaxRate) < r.maxRate) {
+			r.maxRate = toMicros(h.MaxRate)
 		}
 		out = append(out, r)
 	}
-	slices.SortFunc(out, func(a, b room) int { return cmp.Compare(a.host.Name, b.host.Name) })
+	slices.SortFunc(out, func(a, b hostCapacity) int { return cmp.Compare(a.host.Name, b.host.Name) })
 	return out
 }
 
-// origins are the locations that are asked for something, by name.
-func (m *Model) origins(f Forecast) []origin {
-	by := map[string]*origin{}
+// zoneDemands are the locations that are asked for something, by name.
+func (m *Model) zoneDemands(f Forecast) []zoneDemand {
+	by := map[string]*zoneDemand{}
 	cats := map[string]int{}
 	for i, c := range m.Classes {
 		cats[c.Name] = i
 	}
 	for _, d := range f.Demand {
-		rate := up(max(0, d.Rate+m.Limits.Spreads*d.Spread))
+		rate := ceilMicros(max(0, d.Rate+m.Limits.StdDevs*d.StdDev))
 		if rate == 0 {
 			continue
 		}
 		o := by[d.Zone]
 		if o == nil {
-			o = &origin{name: d.Zone, rates: make([]int64, len(m.Classes))}
+			o = &zoneDemand{zone: d.Zone, classRates: make([]int64, len(m.Classes))}
 			by[d.Zone] = o
 		}
 		i := cats[d.Class]
 		c := m.Classes[i]
 		o.rate += rate
-		o.rates[i] += rate
-		o.work += up(float64(rate) / unit * c.Work)
-		o.worth += max(1, fix(float64(rate)/unit*c.PriorityWeight)) // what earns nothing is still wanted
+		o.classRates[i] += rate
+		o.work += ceilMicros(float64(rate) / micro * c.Work)
+		o.value += max(1, toMicros(float64(rate)/micro*c.PriorityWeight)) // what earns nothing is still wanted
 	}
-	out := make([]origin, 0, len(by))
+	out := make([]zoneDemand, 0, len(by))
 	for _, o := range by {
 		out = append(out, *o)
 	}
-	slices.SortFunc(out, func(a, b origin) int { return cmp.Compare(a.name, b.name) })
+	slices.SortFunc(out, func(a, b zoneDemand) int { return cmp.Compare(a.zone, b.zone) })
 	return out
 }
--- a/plan/plan_test.go
+++ b/plan/plan_test.go
@@ -32,7 +32,7 @@
 // several makes so many hosts of a size in a location that have long been up.
 func several(location string, n int, size float64) (out []Host) {
 	for i := range n {
-		out = append(out, Host{Name: fmt.Sprintf("%s-%d", location, i), Zone: location, Build: 1, Weight: size, Starts: -week})
+		out = append(out, Host{Name: fmt.Sprintf("%s-%d", location, i), Zone: location, Build: 1, Weight: size, StartsAt: -week})
 	}
 	return out
 }
@@ -48,7 +48,7 @@
 // simple is a model of one category that takes 100 ms.
 func simple(rates map[string]float64, hosts ...[]Host) *Model {
 	return &Model{Classes: []Class{{Name: "quote", Work: .1, PriorityWeight: 1}}, Hosts: slices.Concat(hosts...), Forecast: asked(rates),
-		Limits: Limits{Cross: 1, CrossPrice: .02, Cold: Cold{Lasts: 5 * time.Second, Share: .33, Tasks: 4, Window: 2 * time.Second}}}
+		Limits: Limits{MaxCrossZone: 1, CrossZonePrice: .02, SlowStart: SlowStart{Duration: 5 * time.Second, InitialCapacity: .33, MaxRequests: 4, Window: 2 * time.Second}}}
 }
 
 func solved(t *testing.T, m *Model) *Step {
@@ -61,24 +61,24 @@
 func TestALocationWithOnlyHostsThatHaveJustStarted(t *testing.T) {
 	port := several("port", 10, 2)
 	for i := range port {
-		port[i].Starts = 0
+		port[i].StartsAt = 0
 	}
 	m := simple(map[string]float64{"port": 68, "north": 50}, port, several("north", 10, 2))
 	s := solved(t, m) // 10 hosts x 2 tasks a second x 2 x 0.33 = 13.2 a second
-	require.Nil(t, s.Unfit)
-	require.InDelta(t, 68-13.2, s.Crossing("port"), 1e-6)
+	require.Nil(t, s.Infeasible)
+	require.InDelta(t, 68-13.2, s.CrossZoneRate("port"), 1e-6)
 
-	m.Limits.Cross = .5
+	m.Limits.MaxCrossZone = .5
 	s = solved(t, m)
-	require.InDelta(t, 68-34-13.2, s.Unfit.Unserved, 1e-6)
+	require.InDelta(t, 68-34-13.2, s.Infeasible.UnservedRate, 1e-6)
 	require.Equal(t, []string{"port is asked 68 tasks a second, 6.8 s of work",
 		"port has only hosts started less than 5s ago: 13.2 tasks a second at most",
-		"at most 50% of the tasks of port may cross"}, s.Unfit.Because)
-	text := s.Unfit.String()
+		"at most 50% of the tasks of port may cross"}, s.Infeasible.Conflicts)
+	text := s.Infeasible.String()
 	require.Contains(t, text, "let 80.6% of the tasks of port cross")
 	require.Contains(t, text, "turn back 20.8 tasks a second of port")
 	require.Contains(t, text, "wait until 3.9s") // 40 x (0.33 + 0.67 t/5) reaches 34 a second
-	require.Contains(t, s.Unfit.Ways[0].What, "cross", "the cheapest way comes first")
+	require.Contains(t, s.Infeasible.Relaxations[0].Description, "cross", "the cheapest way comes first")
 	_, err := s.Weights()
 	require.NoError(t, err, "the best that can be done is followed all the same")
 }
@@ -86,14 +86,14 @@
 func TestALocationWithoutAnyHost(t *testing.T) {
 	m := simple(map[string]float64{"port": 30, "north": 10}, several("north", 4, 2))
 	s := solved(t, m)
-	require.Nil(t, s.Unfit)
-	require.InDelta(t, 30, s.Crossing("port"), 1e-9)
-	m.Limits.Cross = .2
+	require.Nil(t, s.Infeasible)
+	require.InDelta(t, 30, s.CrossZoneRate("port"), 1e-9)
+	m.Limits.MaxCrossZone = .2
 	s = solved(t, m)
-	require.InDelta(t, 24, s.Unfit.Unserved, 1e-9)
-	require.Contains(t, s.Unfit.Because, "port has no host, and at most 20% of its tasks may cross")
+	require.InDelta(t, 24, s.Infeasible.UnservedRate, 1e-9)
+	require.Contains(t, s.Infeasible.Conflicts, "port has no host, and at most 20% of its tasks may cross")
 	m = simple(map[string]float64{"port": 30})
-	require.InDelta(t, 30, solved(t, m).Unfit.Unserved, 1e-9)
+	require.InDelta(t, 30, solved(t, m).Infeasible.UnservedRate, 1e-9)
 }
 
 func TestOneHugeHost(t *testing.T) {
@@ -102,36 +102,36 @@
 	s := solved(t, m)
 	share, _ := s.Share("north", "north-0").Float64()
 	require.InDelta(t, 97./99, share, 1e-12)
-	m.Limits.LoseHost = true
+	m.Limits.SurviveHostLoss = true
 	p, err := Solve(m)
 	require.NoError(t, err)
-	lost := p.Losses()
+	lost := p.UnsurvivedLosses()
 	require.Len(t, lost, 1)
-	require.Equal(t, "the host north-0", lost[0].What)
-	require.InDelta(t, 30, lost[0].Unserved, 1e-6)
+	require.Equal(t, "the host north-0", lost[0].Lost)
+	require.InDelta(t, 30, lost[0].UnservedRate, 1e-6)
 }
 
 func TestZeroDemandAndDemandJustAtCapacity(t *testing.T) {
 	m := simple(map[string]float64{"north": 0}, several("north", 3, 1))
 	s := solved(t, m)
-	require.Nil(t, s.Unfit)
-	require.Zero(t, s.Use(""))
+	require.Nil(t, s.Infeasible)
+	require.Zero(t, s.Utilization(""))
 	m = simple(map[string]float64{"north": 30}, several("north", 3, 1))
 	s = solved(t, m)
-	require.Nil(t, s.Unfit)
-	require.Equal(t, 1.0, s.Use("north"))
+	require.Nil(t, s.Infeasible)
+	require.Equal(t, 1.0, s.Utilization("north"))
 	m.Forecast[0].Demand[0].Rate += 1e-5
-	require.NotNil(t, solved(t, m).Unfit)
+	require.NotNil(t, solved(t, m).Infeasible)
 }
 
 func TestACapThatNoNumberOfHostsMeets(t *testing.T) {
 	m := simple(map[string]float64{"north": 60}, several("north", 10, 1))
-	m.Release = &Release{Build: 2, Stages: []Stage{{Share: .03, Cap: .05}}} // one host of ten, yet a twentieth of the tasks
-	m.Limits.Cold = Cold{}
+	m.Release = &Release{Build: 2, Stages: []Stage{{HostShare: .03, ShadowCap: .05}}} // one host of ten, yet a twentieth of the tasks
+	m.Limits.SlowStart = SlowStart{}
 	s := solved(t, m)
-	require.Nil(t, s.Unfit)
-	require.InDelta(t, 3, s.Copies[0].Planned, 1e-9)
-	one, _ := s.CopyShare("north", "north-0").Float64()
+	require.Nil(t, s.Infeasible)
+	require.InDelta(t, 3, s.Shadows[0].PlannedRate, 1e-9)
+	one, _ := s.ShadowShare("north", "north-0").Float64()
 	require.Equal(t, 1.0, one)
 	w, err := s.Weights()
 	require.NoError(t, err)
@@ -141,24 +141,24 @@
 
 func TestAHostOnTrialThatIsColdGetsFewerCopies(t *testing.T) {
 	m := simple(map[string]float64{"north": 600}, several("north", 100, 1))
-	m.Release = &Release{Build: 2, Stages: []Stage{{Share: .02, Cap: .1}}}
+	m.Release = &Release{Build: 2, Stages: []Stage{{HostShare: .02, ShadowCap: .1}}}
 	s := solved(t, m)
-	require.InDelta(t, 60, s.Copies[0].Allowed, 1e-6)
-	require.InDelta(t, 2*2*.33, s.Copies[0].Planned, 1e-6)
+	require.InDelta(t, 60, s.Shadows[0].AllowedRate, 1e-6)
+	require.InDelta(t, 2*2*.33, s.Shadows[0].PlannedRate, 1e-6)
 }
 
 func TestGuardedStagesAndCapsByCategory(t *testing.T) {
 	m := simple(map[string]float64{"north": 60}, several("north", 10, 2))
-	m.Limits.Cold = Cold{}
+	m.Limits.SlowStart = SlowStart{}
 	m.Classes = append(m.Classes, Class{Name: "order", Work: .1, Idempotency: policy.IdempotentWithKey, PriorityWeight: 1},
 		Class{Name: "transfer", Work: .1, Idempotency: policy.NonIdempotent, PriorityWeight: 1})
 	m.Forecast[0].Demand = append(m.Forecast[0].Demand, Demand{"north", "order", 30, 0}, Demand{"north", "transfer", 10, 0})
-	m.Release = &Release{Build: 2, Stages: []Stage{{Share: .1, Cap: .1}}, Guarded: 1, ByCategory: true}
-	require.InDelta(t, 6, solved(t, m).Copies[0].Allowed, 1e-9, "a tenth of the retriable ones")
-	m.Release.Guarded = 0
-	require.InDelta(t, 9, solved(t, m).Copies[0].Allowed, 1e-9, "never of binding ones")
-	m.Release.ByCategory = false
-	require.InDelta(t, 10, solved(t, m).Copies[0].Allowed, 1e-9, "a tenth of all")
+	m.Release = &Release{Build: 2, Stages: []Stage{{HostShare: .1, ShadowCap: .1}}, GuardedStages: 1, CapPerClass: true}
+	require.InDelta(t, 6, solved(t, m).Shadows[0].AllowedRate, 1e-9, "a tenth of the retriable ones")
+	m.Release.GuardedStages = 0
+	require.InDelta(t, 9, solved(t, m).Shadows[0].AllowedRate, 1e-9, "never of binding ones")
+	m.Release.CapPerClass = false
+	require.InDelta(t, 10, solved(t, m).Shadows[0].AllowedRate, 1e-9, "a tenth of all")
 }
 
 func TestSizesThatDifferAThousandfold(t *testing.T) {
@@ -193,7 +193,7 @@
 
 func TestTheLeastChangeFromThePresentDecidesBetweenEqualAnswers(t *testing.T) {
 	m := simple(map[string]float64{"north": 30, "south": 10, "port": 10}, several("north", 2, 1), several("south", 3, 1), several("port", 3, 1))
-	m.Limits.Cross = 1
+	m.Limits.MaxCrossZone = 1
 	far := func(s *Step, place string) (sum float64) {
 		for i := range 3 {
 			v, _ := s.Share("north", fmt.Sprintf("%s-%d", place, i)).Float64()
@@ -207,47 +207,47 @@
 	// Two locations that serve each other: which tasks of which go where is free.
 	m = simple(map[string]float64{"north": 40, "east": 40, "south": 10, "port": 10}, several("north", 2, 1), several("east", 2, 1), several("south", 4, 1), several("port", 4, 1))
 	a := solved(t, m)
-	m.Present = Present{"north": {"south-0": .25, "south-1": .25}, "east": {"port-0": .25, "port-1": .25}}
+	m.CurrentShares = Shares{"north": {"south-0": .25, "south-1": .25}, "east": {"port-0": .25, "port-1": .25}}
 	b := solved(t, m)
 	require.InDelta(t, .375, far(b, "south"), 1e-6, "three of its four hosts")
-	m.Present = Present{"north": {"port-0": .25, "port-1": .25}, "east": {"south-0": .25, "south-1": .25}}
+	m.CurrentShares = Shares{"north": {"port-0": .25, "port-1": .25}, "east": {"south-0": .25, "south-1": .25}}
 	c := solved(t, m)
 	require.InDelta(t, .375, far(c, "port"), 1e-6)
-	require.InDelta(t, a.Use("south"), b.Use("south"), 1e-9)
-	require.InDelta(t, b.Use("south"), c.Use("south"), 1e-9)
+	require.InDelta(t, a.Utilization("south"), b.Utilization("south"), 1e-9)
+	require.InDelta(t, b.Utilization("south"), c.Utilization("south"), 1e-9)
 }
 
 func TestBalanceBetweenAndWithinLocations(t *testing.T) {
 	m := simple(map[string]float64{"north": 18, "south": 2}, several("north", 2, 1), several("south", 2, 1))
-	m.Limits.Between = 1.2
+	m.Limits.MaxZoneImbalance = 1.2
 	s := solved(t, m)
-	require.Nil(t, s.Unfit)
-	require.InDelta(t, .6, s.Use("north"), 1e-6)
-	m.Limits.Cross = .1
+	require.Nil(t, s.Infeasible)
+	require.InDelta(t, .6, s.Utilization("north"), 1e-6)
+	m.Limits.MaxCrossZone = .1
 	s = solved(t, m)
-	require.Contains(t, s.Unfit.Because, "north may be used at most 1.2 times as much as the fleet")
+	require.Contains(t, s.Infeasible.Conflicts, "north may be used at most 1.2 times as much as the fleet")
 	// A cold half: the warm one may be used at most 1.1 times as much as the location.
 	m = simple(map[string]float64{"north": 10}, several("north", 4, 1))
-	m.Hosts[0].Starts, m.Hosts[1].Starts = 0, 0
-	m.Limits.Within = 1.1
+	m.Hosts[0].StartsAt, m.Hosts[1].StartsAt = 0, 0
+	m.Limits.MaxHostImbalance = 1.1
 	s = solved(t, m)
-	require.NotNil(t, s.Unfit)
-	require.Contains(t, s.Unfit.String(), "no host in north may be used more than 1.1 times")
+	require.NotNil(t, s.Infeasible)
+	require.Contains(t, s.Infeasible.String(), "no host in north may be used more than 1.1 times")
 }
 
 func TestALocationLostIsSurvivedOrNot(t *testing.T) {
 	m := simple(map[string]float64{"north": 20, "south": 20, "port": 20}, several("north", 3, 1), several("south", 3, 1), several("port", 3, 1))
-	m.Limits.LosePlace, m.Limits.Cross = true, .1
+	m.Limits.SurviveZoneLoss, m.Limits.MaxCrossZone = true, .1
 	p, err := Solve(m)
 	require.NoError(t, err)
-	require.Empty(t, p.Losses(), "six hosts' worth of work, and six left")
+	require.Empty(t, p.UnsurvivedLosses(), "six hosts' worth of work, and six left")
 	m.Forecast = asked(map[string]float64{"north": 21, "south": 20, "port": 20})
 	p, err = Solve(m)
 	require.NoError(t, err)
-	require.Len(t, p.Losses(), 3)
+	require.Len(t, p.UnsurvivedLosses(), 3)
 	gone, err := m.WhatIf("lose port")
 	require.NoError(t, err)
-	require.InDelta(t, 1, solved(t, gone).Unserved(), 1e-6)
+	require.InDelta(t, 1, solved(t, gone).UnservedRate(), 1e-6)
 	_, err = m.WhatIf("lose nowhere")
 	require.ErrorContains(t, err, "no host stands in nowhere")
 	_, err = m.WhatIf("rain")
@@ -257,36 +257,36 @@
 func TestAStageThatDoesNotFitTheAfternoonPeak(t *testing.T) {
 	m := simple(nil, several("north", 10, 1))
 	m.Forecast = []Forecast{{At: 0, Demand: []Demand{{"north", "quote", 40, 0}}}, {At: time.Hour, Demand: []Demand{{"north", "quote", 80, 0}}}}
-	m.Release = &Release{Build: 2, Stages: []Stage{{At: 0, Share: .1, Cap: .05}, {At: 2 * time.Hour, Share: .5, Cap: .5}}}
+	m.Release = &Release{Build: 2, Stages: []Stage{{At: 0, HostShare: .1, ShadowCap: .05}, {At: 2 * time.Hour, HostShare: .5, ShadowCap: .5}}}
 	p, err := Solve(m)
 	require.NoError(t, err)
-	fits, err := p.Stages()
+	fits, err := p.CheckStages()
 	require.NoError(t, err)
 	var not []string
 	for _, f := range fits {
-		if !f.Fits() {
-			not = append(not, fmt.Sprintf("stage %d step %d: %.4g", f.Stage, f.Step, f.Unserved))
+		if !f.Feasible() {
+			not = append(not, fmt.Sprintf("stage %d step %d: %.4g", f.Stage, f.Step, f.UnservedRate))
 		}
 	}
 	require.Equal(t, []string{"stage 1 step 1: 30"}, not)
-	m.Release.Beside = true
+	m.Release.SideBySide = true
 	p, err = Solve(m)
 	require.NoError(t, err)
-	fits, _ = p.Stages()
+	fits, _ = p.CheckStages()
 	for _, f := range fits {
-		require.True(t, f.Fits(), "further machines take nothing away")
+		require.True(t, f.Feasible(), "further machines take nothing away")
 	}
 }
 
 func TestAForecastThatIsWrongByHalf(t *testing.T) {
 	m := simple(map[string]float64{"north": 40}, several("north", 6, 1), several("south", 6, 1))
-	m.Forecast[0].Demand[0].Spread = 20
-	m.Limits.Spreads = 1
+	m.Forecast[0].Demand[0].StdDev = 20
+	m.Limits.StdDevs = 1
 	s := solved(t, m)
-	require.InDelta(t, 1, s.Use("north"), 1e-6, "planned for half as much again")
-	m.Limits.Spreads = 2
+	require.InDelta(t, 1, s.Utilization("north"), 1e-6, "planned for half as much again")
+	m.Limits.StdDevs = 2
 	s = solved(t, m)
-	require.InDelta(t, 20, s.Crossing(""), 1e-6)
+	require.InDelta(t, 20, s.CrossZoneRate(""), 1e-6)
 }
 
 func TestModelsThatMakeNoSenseAreNamed(t *testing.T) {
@@ -296,14 +296,14 @@
 	require.ErrorContains(t, err, `host "north-0" is listed twice`)
 	for want, spoil := range map[string]func(m *Model){
 		"host north-0: size":         func(m *Model) { m.Hosts[0].Weight = math.NaN() },
-		"leaves at":                  func(m *Model) { m.Hosts[0].Leaves = -2 * week },
+		"leaves at":                  func(m *Model) { m.Hosts[0].DrainsAt = -2 * week },
 		"no category has this name":  func(m *Model) { m.Forecast[0].Demand[0].Class = "?" },
 		"step 1, demand of quote":    func(m *Model) { m.Forecast[0].Demand[0].Rate = -1 },
 		"reserve":                    func(m *Model) { m.Limits.Reserve = 1 },
-		"a balance below 1":          func(m *Model) { m.Limits.Between = .5 },
+		"a balance below 1":          func(m *Model) { m.Limits.MaxZoneImbalance = .5 },
 		"a forecast of at least one": func(m *Model) { m.Forecast = nil },
 		"a release needs":            func(m *Model) { m.Release = &Release{} },
-		"present share":              func(m *Model) { m.Present = Present{"north": {"x": 2}} },
+		"present share":              func(m *Model) { m.CurrentShares = Shares{"north": {"x": 2}} },
 		"not after the step before":  func(m *Model) { m.Forecast = append(m.Forecast, m.Forecast[0]) },
 	} {
 		m := simple(map[string]float64{"north": 1}, several("north", 2, 1))
@@ -315,16 +315,16 @@
 
 func TestTheCheckFindsSharesThatAreWrong(t *testing.T) {
 	m := simple(map[string]float64{"north": 10, "south": 5}, several("north", 2, 1), several("south", 2, 1))
-	m.Limits.Cross, m.Limits.Between, m.Limits.Within = .1, 1.5, 1.2
-	m.Hosts[3].Starts = 0
-	m.Limits.Between = 0
-	m.Limits.Within = 0
+	m.Limits.MaxCrossZone, m.Limits.MaxZoneImbalance, m.Limits.MaxHostImbalance = .1, 1.5, 1.2
+	m.Hosts[3].StartsAt = 0
+	m.Limits.MaxZoneImbalance = 0
+	m.Limits.MaxHostImbalance = 0
 	for name, spoil := range map[string]func(s *Step){
-		"sum up":  func(s *Step) { s.to[0][0] = big.NewRat(9, 10) },
-		"less":    func(s *Step) { s.to[0][0] = big.NewRat(-1, 10) },
-		"cross":   func(s *Step) { s.to[0][0], s.to[0][1] = big.NewRat(1, 2), big.NewRat(1, 2) },
+		"sum up":  func(s *Step) { s.shares[0][0] = big.NewRat(9, 10) },
+		"less":    func(s *Step) { s.shares[0][0] = big.NewRat(-1, 10) },
+		"cross":   func(s *Step) { s.shares[0][0], s.shares[0][1] = big.NewRat(1, 2), big.NewRat(1, 2) },
 		"of work": func(s *Step) { s.pools[0].work /= 3 },
-		"allowed": func(s *Step) { s.to[1][1], s.to[1][2] = big.NewRat(1, 10), big.NewRat(9, 10) },
+		"allowed": func(s *Step) { s.shares[1][1], s.shares[1][2] = big.NewRat(1, 10), big.NewRat(9, 10) },
 	} {
 		s := solved(t, m)
 		require.NoError(t, s.verify(m, m.Hosts, 0, 0))
@@ -337,17 +337,17 @@
 func fleet(t *rapid.T) *Model {
 	m := simple(nil)
 	m.Classes = append(m.Classes, Class{Name: "order", Work: .04, Idempotency: policy.NonIdempotent, PriorityWeight: 3})
-	m.Limits.Cross = rapid.SampledFrom([]float64{0, .1, .5, 1}).Draw(t, "cross")
+	m.Limits.MaxCrossZone = rapid.SampledFrom([]float64{0, .1, .5, 1}).Draw(t, "cross")
 	m.Limits.Reserve = rapid.SampledFrom([]float64{0, .1}).Draw(t, "reserve")
-	m.Limits.Between = rapid.SampledFrom([]float64{0, 0, 1.25}).Draw(t, "between")
-	m.Limits.Within = rapid.SampledFrom([]float64{0, 0, 1.5}).Draw(t, "within")
+	m.Limits.MaxZoneImbalance = rapid.SampledFrom([]float64{0, 0, 1.25}).Draw(t, "between")
+	m.Limits.MaxHostImbalance = rapid.SampledFrom([]float64{0, 0, 1.5}).Draw(t, "within")
 	var d []Demand
 	for _, place := range []string{"north", "port", "south"} {
 		n := rapid.IntRange(0, 6).Draw(t, place)
 		for i, h := range several(place, n, 1) {
 			h.Weight = rapid.SampledFrom([]float64{.5, 1, 2, 40}).Draw(t, fmt.Sprintf("size %d", i))
 			if rapid.IntRange(0, 2).Draw(t, "cold") == 0 {
-				h.Starts = -time.Duration(rapid.IntRange(0, 5).Draw(t, "age")) * time.Second
+				h.StartsAt = -time.Duration(rapid.IntRange(0, 5).Draw(t, "age")) * time.Second
 			}
 			m.Hosts = append(m.Hosts, h)
 		}
@@ -371,22 +371,22 @@
 		before := step(t, m)
 		more := *m
 		more.Hosts = append(slices.Clone(m.Hosts), Host{Name: "more", Zone: rapid.SampledFrom([]string{"north", "port"}).Draw(t, "where"),
-			Build: 1, Weight: 3, Starts: -week})
+			Build: 1, Weight: 3, StartsAt: -week})
 		after := step(t, &more)
 		// A balance between locations is against the fleet's use, which further hosts bring down: it may bind earlier.
-		if m.Limits.Between > 0 || m.Limits.Within > 0 {
+		if m.Limits.MaxZoneImbalance > 0 || m.Limits.MaxHostImbalance > 0 {
 			return
 		}
 		require.LessOrEqual(t, lost(after), lost(before)+1e-9)
-		if before.Unserved() == 0 {
-			require.LessOrEqual(t, after.Crossing(""), before.Crossing("")+1e-9)
+		if before.UnservedRate() == 0 {
+			require.LessOrEqual(t, after.CrossZoneRate(""), before.CrossZoneRate("")+1e-9)
 		}
 	})
 }
 
 func lost(s *Step) (sum float64) {
-	for g, o := range s.origins {
-		v, _ := new(big.Rat).Mul(s.shed[g], big.NewRat(o.worth, unit)).Float64()
+	for g, o := range s.demands {
+		v, _ := new(big.Rat).Mul(s.shed[g], big.NewRat(o.value, micro)).Float64()
 		sum += v
 	}
 	return sum
@@ -400,8 +400,8 @@
 		other.Hosts = rapid.Permutation(m.Hosts).Draw(t, "order")
 		b := step(t, &other)
 		for _, h := range m.Hosts {
-			for _, o := range a.origins {
-				require.Zero(t, a.Share(o.name, h.Name).Cmp(b.Share(o.name, h.Name)))
+			for _, o := range a.demands {
+				require.Zero(t, a.Share(o.zone, h.Name).Cmp(b.Share(o.zone, h.Name)))
 			}
 		}
 	})
@@ -423,11 +423,11 @@
 		}
 		other.Forecast = []Forecast{{Demand: d}}
 		b := step(t, &other)
-		require.InEpsilon(t, 1+by*a.Unserved(), 1+b.Unserved(), 1e-5)
-		if a.Unserved() > 0 {
+		require.InEpsilon(t, 1+by*a.UnservedRate(), 1+b.UnservedRate(), 1e-5)
+		if a.UnservedRate() > 0 {
 			return // of origins that earn alike, either may go without
 		}
-		require.InEpsilon(t, 1+by*a.Crossing(""), 1+b.Crossing(""), 1e-5)
+		require.InEpsilon(t, 1+by*a.CrossZoneRate(""), 1+b.CrossZoneRate(""), 1e-5)
 		for _, h := range m.Hosts { // whose tasks a host gets may differ between equal answers, how many not
 			require.InDelta(t, load(a, h.Name), load(b, h.Name)/by, 1e-4) // capacities are rounded down to millionths
 		}
@@ -437,8 +437,8 @@
 // load is a host's work, in seconds a second.
 func load(s *Step, host string) float64 {
 	sum := new(big.Rat)
-	for _, o := range s.origins {
-		sum.Add(sum, new(big.Rat).Mul(s.Share(o.name, host), big.NewRat(o.work, unit)))
+	for _, o := range s.demands {
+		sum.Add(sum, new(big.Rat).Mul(s.Share(o.zone, host), big.NewRat(o.work, micro)))
 	}
 	v, _ := sum.Float64()
 	return v
@@ -449,19 +449,19 @@
 	rapid.Check(t, func(t *rapid.T) {
 		m := fleet(t)
 		s := step(t, m)
-		if !s.quick {
+		if !s.local {
 			return
 		}
 		quick++
-		l := s.program(everything, nil)
-		l.serve()
-		l.crossLeast()
-		l.evenOut()
+		l := s.program(everyConstraint, nil)
+		l.minimizeShed()
+		l.minimizeCrossZone()
+		l.minimizeUtilization()
 		slow := *s
-		l.read(&slow)
-		for g := range s.to {
-			for p := range s.to[g] {
-				require.Zero(t, s.to[g][p].Cmp(slow.to[g][p]), "%v, %v by programs", s.to, slow.to)
+		l.readSolution(&slow)
+		for g := range s.shares {
+			for p := range s.shares[g] {
+				require.Zero(t, s.shares[g][p].Cmp(slow.shares[g][p]), "%v, %v by programs", s.shares, slow.shares)
 			}
 		}
 	})
--- a/plan/pools.go
+++ b/plan/pools.go
@@ -10,20 +10,20 @@
 // each second of work. What a pool gets is parted by capacity, which uses all its hosts equally; so the pools of a
 // location can do exactly what its hosts can.
 type pool struct {
-	place string
-	rooms []room
-	work  int64 // sums of its hosts'
-	tasks int64 // -1 for no bound
-	cold  bool
+	zone      string
+	hosts     []hostCapacity
+	work      int64 // sums of its hosts'
+	maxRate   int64 // -1 for no bound
+	warmingUp bool
 }
 
-// ratios is how many pools of bounded hosts a location has at most. Where more different ratios are told, the narrower
+// maxBoundedPools is how many pools of bounded hosts a location has at most. Where more different ratios are told, the narrower
 // ones of neighbours count for both, so that a plan may ask less of such hosts than it could, never more.
-const ratios = 6
+const maxBoundedPools = 6
 
-// pools groups rooms, in an order that depends on the hosts alone.
-func pools(all []room) []pool {
-	byPlace := map[string][]room{}
+// groupPools groups rooms, in an order that depends on the hosts alone.
+func groupPools(all []hostCapacity) []pool {
+	byPlace := map[string][]hostCapacity{}
 	for _, r := range all {
 		byPlace[r.host.Zone] = append(byPlace[r.host.Zone], r)
 	}
@@ -36,12 +36,12 @@
 	for _, place := range places {
 		rooms := byPlace[place]
 		// Warm ones first, then by tasks for each second of work, the widest first.
-		slices.SortStableFunc(rooms, func(a, b room) int {
+		slices.SortStableFunc(rooms, func(a, b hostCapacity) int {
 			switch {
-			case a.tasks < 0 || b.tasks < 0:
-				return cmp.Compare(min(b.tasks, 0)*-1, min(a.tasks, 0)*-1)
+			case a.maxRate < 0 || b.maxRate < 0:
+				return cmp.Compare(min(b.maxRate, 0)*-1, min(a.maxRate, 0)*-1)
 			default:
-				return compareRatio(b.tasks, b.work, a.tasks, a.work)
+				return compareRatio(b.maxRate, b.work, a.maxRate, a.work)
 			}
 		})
 		first := len(out)
@@ -50,13 +50,13 @@
 				continue
 			}
 			last := len(out) - 1
-			if last >= first && alike(out[last].rooms[0], r) {
-				out[last].rooms = append(out[last].rooms, r)
+			if last >= first && sameRatio(out[last].hosts[0], r) {
+				out[last].hosts = append(out[last].hosts, r)
 			} else {
-				out = append(out, pool{place: place, rooms: []room{r}})
+				out = append(out, pool{zone: place, hosts: []hostCapacity{r}})
 			}
 		}
-		out = append(out[:first], merged(out[first:])...)
+		out = append(out[:first], mergePools(out[first:])...)
 	}
 	for i := range out {
 		out[i].sum()
@@ -64,11 +64,11 @@
 	return out
 }
 
-func alike(a, b room) bool {
-	if a.tasks < 0 || b.tasks < 0 {
-		return a.tasks < 0 && b.tasks < 0
+func sameRatio(a, b hostCapacity) bool {
+	if a.maxRate < 0 || b.maxRate < 0 {
+		return a.maxRate < 0 && b.maxRate < 0
 	}
-	return compareRatio(a.tasks, a.work, b.tasks, b.work) == 0
+	return compareRatio(a.maxRate, a.work, b.maxRate, b.work) == 0
 }
 
 // compareRatio compares a/b with c/d without a rounding.
@@ -77,9 +77,9 @@
 	return x.Cmp(new(big.Int).Mul(big.NewInt(c), big.NewInt(b)))
 }
 
-// merged joins bounded pools until few are left: always the two neighbours with the fewest hosts.
-func merged(all []pool) []pool {
-	bounded := func(p pool) bool { return p.rooms[0].tasks >= 0 }
+// mergePools joins bounded pools until few are left: always the two neighbours with the fewest hosts.
+func mergePools(all []pool) []pool {
+	bounded := func(p pool) bool { return p.hosts[0].maxRate >= 0 }
 	for {
 		n, best := 0, -1
 		for i, p := range all {
@@ -88,21 +88,21 @@
 			}
 			n++
 			if i > 0 && bounded(all[i-1]) && (best < 0 ||
-				len(p.rooms)+len(all[i-1].rooms) < len(all[best].rooms)+len(all[best-1].rooms)) {
+				len(p.hosts)+len(all[i-1].hosts) < len(all[best].hosts)+len(all[best-1].hosts)) {
 				best = i
 			}
 		}
-		if n <= ratios {
+		if n <= maxBoundedPools {
 			return all
 		}
 		// The narrower ratio stands last in the order; the wider hosts' bounds come down to it.
-		narrow := all[best].rooms[0]
-		joined := slices.Clone(all[best-1].rooms)
+		narrow := all[best].hosts[0]
+		joined := slices.Clone(all[best-1].hosts)
 		for i := range joined {
-			b := new(big.Int).Mul(big.NewInt(joined[i].work), big.NewInt(narrow.tasks))
-			joined[i].tasks = b.Div(b, big.NewInt(narrow.work)).Int64()
+			b := new(big.Int).Mul(big.NewInt(joined[i].work), big.NewInt(narrow.maxRate))
+			joined[i].maxRate = b.Div(b, big.NewInt(narrow.work)).Int64()
 		}
-		all[best-1].rooms = append(joined, all[best].rooms...)
+		all[best-1].hosts = append(joined, all[best].hosts...)
 		all = slices.Delete(all, best, best+1)
 	}
 }
@@ -110,18 +110,18 @@
 // sum adds up its hosts. A bound on tasks is what all hosts together get when each gets its part by capacity and none
 // more than its own bound; equal ratios may differ by a millionth, as figures are whole.
 func (p *pool) sum() {
-	p.tasks = -1
-	for _, r := range p.rooms {
+	p.maxRate = -1
+	for _, r := range p.hosts {
 		p.work += r.work
-		p.cold = p.cold || r.cold
+		p.warmingUp = p.warmingUp || r.warmingUp
 	}
-	for _, r := range p.rooms {
-		if r.tasks < 0 {
+	for _, r := range p.hosts {
+		if r.maxRate < 0 {
 			continue
 		}
-		b := new(big.Int).Mul(big.NewInt(p.work), big.NewInt(r.tasks))
-		if n := b.Div(b, big.NewInt(r.work)).Int64(); p.tasks < 0 || n < p.tasks {
-			p.tasks = n
+		b := new(big.Int).Mul(big.NewInt(p.work), big.NewInt(r.maxRate))
+		if n := b.Div(b, big.NewInt(r.work)).Int64(); p.maxRate < 0 || n < p.maxRate {
+			p.maxRate = n
 		}
 	}
 }
--- a/plan/quick.go
+++ b/plan/quick.go
@@ -5,31 +5,31 @@
 	"slices"
 )
 
-// byItself solves the common shape without a linear program: each location serves what is asked of it, so nothing
+// solveLocally solves the common shape without a linear program: each location serves what is asked of it, so nothing
 // crosses, which no share beats, and the most even use within a location is found by filling its pools to one level,
 // those that reach their bound on tasks first. It reports false, with nothing changed, where some location can't, or
 // where a balance asked for needs more.
-func (s *Step) byItself() bool {
+func (s *Step) solveLocally() bool {
 	byPlace := map[string][]int{}
 	for p, x := range s.pools {
-		byPlace[x.place] = append(byPlace[x.place], p)
+		byPlace[x.zone] = append(byPlace[x.zone], p)
 	}
-	to := make([][]*big.Rat, len(s.origins))
+	to := make([][]*big.Rat, len(s.demands))
 	use, caps := map[string]*big.Rat{}, map[string]int64{}
 	var capAll, workAll int64
 	for _, x := range s.pools {
 		capAll += x.work
 	}
-	for g, o := range s.origins {
+	for g, o := range s.demands {
 		workAll += o.work
-		mine := byPlace[o.name]
+		mine := byPlace[o.zone]
 		some := make([]pool, len(mine))
 		var cap int64
 		for i, p := range mine {
 			some[i] = s.pools[p]
 			cap += s.pools[p].work
 		}
-		shares := fill(some, big.NewRat(o.work, 1), big.NewRat(o.rate, 1))
+		shares := fillPools(some, big.NewRat(o.work, 1), big.NewRat(o.rate, 1))
 		if shares == nil {
 			return false
 		}
@@ -40,36 +40,36 @@
 		for i, p := range mine {
 			to[g][p] = shares[i]
 		}
-		use[o.name], caps[o.name] = big.NewRat(o.work, cap), cap
+		use[o.zone], caps[o.zone] = big.NewRat(o.work, cap), cap
 		for i, p := range mine {
-			if s.bounds.Within == 0 {
+			if s.limits.MaxHostImbalance == 0 {
 				break
 			}
 			level := new(big.Rat).Mul(shares[i], big.NewRat(o.work, s.pools[p].work))
-			if level.Cmp(new(big.Rat).Mul(big.NewRat(fix(s.bounds.Within), unit), use[o.name])) > 0 {
+			if level.Cmp(new(big.Rat).Mul(big.NewRat(toMicros(s.limits.MaxHostImbalance), micro), use[o.zone])) > 0 {
 				return false
 			}
 		}
 	}
-	for _, o := range s.origins {
-		if s.bounds.Between == 0 {
+	for _, o := range s.demands {
+		if s.limits.MaxZoneImbalance == 0 {
 			break
 		}
-		if share(fix(s.bounds.Between), workAll, caps[o.name], capAll).Cmp(big.NewInt(o.work)) < 0 {
+		if scaledShare(toMicros(s.limits.MaxZoneImbalance), workAll, caps[o.zone], capAll).Cmp(big.NewInt(o.work)) < 0 {
 			return false
 		}
 	}
-	s.to = to
-	s.shed = make([]*big.Rat, len(s.origins))
+	s.shares = to
+	s.shed = make([]*big.Rat, len(s.demands))
 	for g := range s.shed {
 		s.shed[g] = new(big.Rat)
 	}
 	return true
 }
 
-// fill shares work and tasks a second out among pools: all to one level of use but those that their bound on tasks
+// fillPools shares work and tasks a second out among pools: all to one level of use but those that their bound on tasks
 // keeps below it. It returns nil where they can't take it all.
-func fill(pools []pool, work, tasks *big.Rat) []*big.Rat {
+func fillPools(pools []pool, work, tasks *big.Rat) []*big.Rat {
 	type bounded struct {
 		pool  int
 		bound *big.Rat // share of the whole
@@ -79,8 +79,8 @@
 	var cap int64
 	for p, x := range pools {
 		cap += x.work
-		if x.tasks >= 0 {
-			b := new(big.Rat).Quo(big.NewRat(x.tasks, 1), tasks)
+		if x.maxRate >= 0 {
+			b := new(big.Rat).Quo(big.NewRat(x.maxRate, 1), tasks)
 			some = append(some, bounded{p, b, new(big.Rat).Quo(new(big.Rat).Mul(b, work), big.NewRat(x.work, 1))})
 		}
 	}
--- a/plan/release_test.go
+++ b/plan/release_test.go
@@ -10,7 +10,7 @@
 func TestTheCourseOfAReleaseBesideAndInPlace(t *testing.T) {
 	for _, beside := range []bool{false, true} {
 		m := simple(nil, several("north", 4, 1), several("south", 4, 1))
-		m.Release = &Release{Build: 2, Stages: []Stage{{time.Hour, .25, .05}, {2 * time.Hour, .5, .5}}, Released: 3 * time.Hour, Beside: beside}
+		m.Release = &Release{Build: 2, Stages: []Stage{{time.Hour, .25, .05}, {2 * time.Hour, .5, .5}}, ReleasedAt: 3 * time.Hour, SideBySide: beside}
 		count := func(at time.Duration) (old, now, trial int) {
 			hosts, _, trial := m.hostsAt(at)
 			for _, h := range hosts {
--- a/plan/search_test.go
+++ b/plan/search_test.go
@@ -247,12 +247,12 @@
 func (c small) model(order []int) *Model {
 	names := []string{"east", "north", "port"}
 	m := &Model{Classes: []Class{{Name: "quote", Work: 1, PriorityWeight: 1}},
-		Limits:   Limits{Cross: float64(c.cross) / 100, Cold: Cold{Lasts: 5 * time.Second, Share: 1}},
+		Limits:   Limits{MaxCrossZone: float64(c.cross) / 100, SlowStart: SlowStart{Duration: 5 * time.Second, InitialCapacity: 1}},
 		Forecast: []Forecast{{}}}
 	for _, h := range order {
-		x := Host{Name: fmt.Sprintf("h%d", h), Zone: names[c.place[h]], Build: 1, Weight: float64(c.can[h]), Starts: -time.Hour}
+		x := Host{Name: fmt.Sprintf("h%d", h), Zone: names[c.place[h]], Build: 1, Weight: float64(c.can[h]), StartsAt: -time.Hour}
 		if c.may[h] >= 0 {
-			x.Starts, x.Most = 0, float64(c.may[h])
+			x.StartsAt, x.MaxRate = 0, float64(c.may[h])
 		}
 		if c.trial[h] {
 			x.Build = 2
@@ -273,13 +273,13 @@
 	trial := 0
 	if slices.Contains(c.trial, true) {
 		trial = 2
-		m.Release = &Release{Build: 2, Stages: []Stage{{Share: 1, Cap: float64(c.capped) / 100}}}
+		m.Release = &Release{Build: 2, Stages: []Stage{{HostShare: 1, ShadowCap: float64(c.capped) / 100}}}
 	}
-	s := &Step{bounds: m.Limits, origins: m.origins(m.Forecast[0])}
-	s.place(rooms(m.Hosts, m.Limits, 0, trial))
+	s := &Step{limits: m.Limits, demands: m.zoneDemands(m.Forecast[0])}
+	s.groupHosts(hostCapacities(m.Hosts, m.Limits, 0, trial))
 	s.solve(nil)
 	if trial != 0 {
-		s.copies(m, 0)
+		s.planShadows(m, 0)
 	}
 	if err := s.verify(m, m.Hosts, 0, trial); err != nil {
 		return all, err.Error()
@@ -288,15 +288,15 @@
 	for _, n := range c.asked {
 		total += n
 	}
-	if got := float64(total) - s.Unserved(); got-float64(want.served) > 1e-9 || float64(want.served)-got > 1e-9 {
+	if got := float64(total) - s.UnservedRate(); got-float64(want.served) > 1e-9 || float64(want.served)-got > 1e-9 {
 		return all, fmt.Sprintf("%g served, %d by search", got, want.served)
 	}
-	if got := s.Crossing(""); got-float64(want.cross) > 1e-9 || float64(want.cross)-got > 1e-9 {
+	if got := s.CrossZoneRate(""); got-float64(want.cross) > 1e-9 || float64(want.cross)-got > 1e-9 {
 		return all, fmt.Sprintf("%g cross, %d by search", got, want.cross)
 	}
 	if want.uses != nil {
 		var got []*big.Rat
-		for _, u := range s.Uses() {
+		for _, u := range s.PoolUtilizations() {
 			for range u.Hosts {
 				got = append(got, u.exact)
 			}
@@ -315,9 +315,9 @@
 		}
 	}
 	for l, name := range []string{"east", "north", "port"}[:len(c.asked)] {
-		for _, x := range s.Copies {
-			if v, _ := want.copies[l].Float64(); x.Place == name && cmp.Compare(x.Planned-v, 1e-9) > 0 || x.Place == name && v-x.Planned > 1e-9 {
-				return all, fmt.Sprintf("%g copies in %s, %g by search", x.Planned, name, v)
+		for _, x := range s.Shadows {
+			if v, _ := want.copies[l].Float64(); x.Zone == name && cmp.Compare(x.PlannedRate-v, 1e-9) > 0 || x.Zone == name && v-x.PlannedRate > 1e-9 {
+				return all, fmt.Sprintf("%g copies in %s, %g by search", x.PlannedRate, name, v)
 			}
 		}
 	}
--- a/plan/simplex.go
+++ b/plan/simplex.go
@@ -14,21 +14,21 @@
 // Goals are met one after the other (lexicographic programming): once a goal is met, columns that would harm it are
 // barred for good, so that later goals move only where all earlier ones stay as they are.
 type simplex struct {
-	rows  [][]*big.Int // the last entry of each is the bound
-	den   *big.Int
-	base  []int // by row, the column that is in the solution
-	at    []int // by column, its row, or -1
-	bar   []bool
-	slack []int // by row, its slack column or -1
-	wide  int
+	rows    [][]*big.Int // the last entry of each is the bound
+	den     *big.Int
+	basis   []int // by row, the column that is in the solution
+	rowOf   []int // by column, its row, or -1
+	barred  []bool
+	slack   []int // by row, its slack column or -1
+	columns int
 
 	t1, t2 big.Int
 }
 
 func newSimplex(columns int) *simplex {
-	s := &simplex{den: big.NewInt(1), wide: columns, at: make([]int, columns), bar: make([]bool, columns)}
-	for i := range s.at {
-		s.at[i] = -1
+	s := &simplex{den: big.NewInt(1), columns: columns, rowOf: make([]int, columns), barred: make([]bool, columns)}
+	for i := range s.rowOf {
+		s.rowOf[i] = -1
 	}
 	return s
 }
@@ -36,47 +36,47 @@
 // term is a column's part of a row.
 type term struct {
 	column int
-	by     *big.Int
+	factor *big.Int
 }
 
-// part is a term with a figure that fits a word.
-func part(column int, by int64) term { return term{column, big.NewInt(by)} }
+// smallTerm is a term with a figure that fits a word.
+func smallTerm(column int, by int64) term { return term{column, big.NewInt(by)} }
 
-// row adds one. With rest at 0 or above, that column takes up what is left of the bound, and must stand nowhere
+// addRow adds one. With rest at 0 or above, that column takes up what is left of the bound, and must stand nowhere
 // else; else a slack does, and the row is an upper bound. It is for use before the first goal only.
-func (s *simplex) row(bound *big.Int, rest int, terms ...term) int {
-	r := make([]*big.Int, s.wide)
+func (s *simplex) addRow(bound *big.Int, rest int, terms ...term) int {
+	r := make([]*big.Int, s.columns)
 	for _, t := range terms {
 		if r[t.column] == nil {
 			r[t.column] = new(big.Int)
 		}
-		r[t.column].Add(r[t.column], t.by)
+		r[t.column].Add(r[t.column], t.factor)
 	}
 	if rest >= 0 {
 		r[rest] = big.NewInt(1)
-		s.at[rest] = len(s.rows)
+		s.rowOf[rest] = len(s.rows)
 	}
 	s.rows = append(s.rows, append(r, new(big.Int).Set(bound)))
-	s.base = append(s.base, rest)
+	s.basis = append(s.basis, rest)
 	s.slack = append(s.slack, -1)
 	return len(s.rows) - 1
 }
 
-// close gives all rows without a rest their slacks.
-func (s *simplex) close() {
-	for i, b := range s.base {
+// addSlacks gives all rows without a rest their slacks.
+func (s *simplex) addSlacks() {
+	for i, b := range s.basis {
 		if b < 0 {
-			s.base[i] = s.wide
-			s.slack[i] = s.wide
-			s.at = append(s.at, i)
-			s.bar = append(s.bar, false)
-			s.wide++
+			s.basis[i] = s.columns
+			s.slack[i] = s.columns
+			s.rowOf = append(s.rowOf, i)
+			s.barred = append(s.barred, false)
+			s.columns++
 		}
 	}
 	for i, r := range s.rows {
-		wide := make([]*big.Int, s.wide+1)
+		wide := make([]*big.Int, s.columns+1)
 		copy(wide, r[:len(r)-1])
-		wide[s.wide] = r[len(r)-1]
+		wide[s.columns] = r[len(r)-1]
 		for j, v := range wide {
 			if v == nil {
 				wide[j] = new(big.Int)
@@ -89,34 +89,34 @@
 	}
 }
 
-// column adds one whose part in each row is given by weights of those rows' slacks (B^-1 a is the same sum of the
+// addColumn adds one whose part in each row is given by weights of those rows' slacks (B^-1 a is the same sum of the
 // slacks' columns). It returns its number.
-func (s *simplex) column(by map[int]int64) int {
-	c := s.wide
+func (s *simplex) addColumn(by map[int]int64) int {
+	c := s.columns
 	for i, r := range s.rows {
 		v := new(big.Int)
 		for row, w := range by {
 			v.Add(v, s.t1.Mul(s.rows[i][s.slack[row]], big.NewInt(w)))
 		}
-		bound := r[s.wide]
-		s.rows[i] = append(r[:s.wide:s.wide], v, bound)
+		bound := r[s.columns]
+		s.rows[i] = append(r[:s.columns:s.columns], v, bound)
 	}
-	s.wide++
-	s.at, s.bar = append(s.at, -1), append(s.bar, false)
+	s.columns++
+	s.rowOf, s.barred = append(s.rowOf, -1), append(s.barred, false)
 	return c
 }
 
-// least brings the sum of cost times column down as far as it goes and bars what would raise it again.
+// minimize brings the sum of cost times column down as far as it goes and bars what would raise it again.
 // The sum must be bounded below.
-func (s *simplex) least(cost map[int]int64) {
+func (s *simplex) minimize(cost map[int]int64) {
 	// The price of each column: its own cost less that of the columns it would push out, times the denominator.
-	price := make([]*big.Int, s.wide+1)
+	price := make([]*big.Int, s.columns+1)
 	for j := range price {
 		v := new(big.Int)
 		if c, ok := cost[j]; ok {
 			v.Mul(big.NewInt(c), s.den)
 		}
-		for i, b := range s.base {
+		for i, b := range s.basis {
 			if c, ok := cost[b]; ok && s.rows[i][j].Sign() != 0 {
 				v.Sub(v, s.t1.Mul(s.rows[i][j], big.NewInt(c)))
 			}
@@ -125,8 +125,8 @@
 	}
 	for {
 		in := -1
-		for j := range s.wide {
-			if !s.bar[j] && s.at[j] < 0 && price[j].Sign() < 0 {
+		for j := range s.columns {
+			if !s.barred[j] && s.rowOf[j] < 0 && price[j].Sign() < 0 {
 				in = j
 				break
 			}
@@ -134,21 +134,21 @@
 		if in < 0 {
 			break
 		}
-		out := s.leaves(in)
+		out := s.leavingRow(in)
 		if out < 0 {
 			panic("plan: a goal without a bound, which the model's rows rule out")
 		}
 		s.pivot(out, in, price)
 	}
-	for j := range s.wide {
-		if s.at[j] < 0 && price[j].Sign() > 0 {
-			s.bar[j] = true
+	for j := range s.columns {
+		if s.rowOf[j] < 0 && price[j].Sign() > 0 {
+			s.barred[j] = true
 		}
 	}
 }
 
-// leaves is the row that binds first as a column grows; of equals, the one whose column has the lowest number.
-func (s *simplex) leaves(in int) (out int) {
+// leavingRow is the row that binds first as a column grows; of equals, the one whose column has the lowest number.
+func (s *simplex) leavingRow(in int) (out int) {
 	out = -1
 	for i, r := range s.rows {
 		if r[in].Sign() <= 0 {
@@ -159,8 +159,8 @@
 			continue
 		}
 		o := s.rows[out]
-		c := s.t1.Mul(r[s.wide], o[in]).Cmp(s.t2.Mul(o[s.wide], r[in]))
-		if c < 0 || c == 0 && s.base[i] < s.base[out] {
+		c := s.t1.Mul(r[s.columns], o[in]).Cmp(s.t2.Mul(o[s.columns], r[in]))
+		if c < 0 || c == 0 && s.basis[i] < s.basis[out] {
 			out = i
 		}
 	}
@@ -192,17 +192,17 @@
 	}
 	change(price)
 	s.den = new(big.Int).Set(p)
-	s.at[s.base[row]] = -1
-	s.base[row], s.at[column] = column, row
+	s.rowOf[s.basis[row]] = -1
+	s.basis[row], s.rowOf[column] = column, row
 }
 
 // value is what a column is in the solution.
 func (s *simplex) value(column int) *big.Rat {
-	if s.at[column] < 0 {
+	if s.rowOf[column] < 0 {
 		return new(big.Rat)
 	}
-	return new(big.Rat).SetFrac(s.rows[s.at[column]][s.wide], s.den)
+	return new(big.Rat).SetFrac(s.rows[s.rowOf[column]][s.columns], s.den)
 }
 
-// tight tells whether a row's bound binds in every solution that meets all goals so far, as far as barring tells.
-func (s *simplex) tight(row int) bool { return s.bar[s.slack[row]] }
+// isTight tells whether a row's bound binds in every solution that meets all goals so far, as far as barring tells.
+func (s *simplex) isTight(row int) bool { return s.barred[s.slack[row]] }
--- a/plan/simplex_test.go
+++ b/plan/simplex_test.go
@@ -111,17 +111,17 @@
 		for i, row := range rows {
 			var terms []term
 			for j, v := range row {
-				terms = append(terms, part(j, v))
+				terms = append(terms, smallTerm(j, v))
 			}
-			s.row(big.NewInt(bounds[i]), -1, terms...)
+			s.addRow(big.NewInt(bounds[i]), -1, terms...)
 		}
-		s.close()
+		s.addSlacks()
 		got := func(cost []int64) *big.Rat {
 			c := map[int]int64{}
 			for j, v := range cost {
 				c[j] = v
 			}
-			s.least(c)
+			s.minimize(c)
 			sum := new(big.Rat)
 			for j, v := range cost {
 				sum.Add(sum, new(big.Rat).Mul(s.value(j), big.NewRat(v, 1)))
--- a/plan/solve.go
+++ b/plan/solve.go
@@ -8,31 +8,31 @@
 
 // Step is the shares of one step of the forecast.
 type Step struct {
-	At     time.Duration
-	Unfit  *Unfit   // nil where all is served
-	Copies []Copies // at the build on trial, by location; empty where none is
+	At         time.Duration
+	Infeasible *Infeasibility  // nil where all is served
+	Shadows    []ShadowTraffic // at the build on trial, by location; empty where none is
 
-	bounds  Limits
-	origins []origin
-	pools   []pool
-	trial   []pool
-	to      [][]*big.Rat // by origin and pool, shares of the origin's tasks
-	shed    []*big.Rat   // by origin
-	poolOf  map[string]place
-	quick   bool
+	limits      Limits
+	demands     []zoneDemand
+	pools       []pool
+	canaryPools []pool
+	shares      [][]*big.Rat // by origin and pool, shares of the origin's tasks
+	shed        []*big.Rat   // by origin
+	members     map[string]poolMember
+	local       bool
 }
 
-// place is where a host stands: its pool, and its part of it.
-type place struct {
-	pool int
-	work int64
-	test bool
+// poolMember is where a host stands: its pool, and its part of it.
+type poolMember struct {
+	pool     int
+	work     int64
+	isCanary bool
 }
 
 // Solve makes a plan: a step for each of the forecast. An error tells what makes no sense in the model; bounds that
 // can't all be kept are no error but told by the step.
 func Solve(m *Model) (*Plan, error) {
-	if err := m.Check(); err != nil {
+	if err := m.Validate(); err != nil {
 		return nil, err
 	}
 	p := &Plan{model: m}
@@ -58,14 +58,14 @@
 func (m *Model) step(n int) (*Step, error) {
 	f := m.Forecast[n]
 	hosts, stage, trial := m.hostsAt(f.At)
-	s := &Step{At: f.At, bounds: m.Limits, origins: m.origins(f)}
-	s.place(rooms(hosts, m.Limits, f.At, trial))
-	s.solve(m.Present)
+	s := &Step{At: f.At, limits: m.Limits, demands: m.zoneDemands(f)}
+	s.groupHosts(hostCapacities(hosts, m.Limits, f.At, trial))
+	s.solve(m.CurrentShares)
 	if trial != 0 {
-		s.copies(m, stage)
+		s.planShadows(m, stage)
 	}
-	if s.Unserved() > 0 {
-		s.Unfit = m.unfit(s, n)
+	if s.UnservedRate() > 0 {
+		s.Infeasible = m.infeasibility(s, n)
 	}
 	if err := s.verify(m, hosts, stage, trial); err != nil {
 		return nil, fmt.Errorf("plan at %v: the shares don't stand up to the check, which is a fault of the solver: %w", f.At, err)
@@ -73,84 +73,84 @@
 	return s, nil
 }
 
-// place groups the hosts into pools.
-func (s *Step) place(all []room) {
-	var ours, theirs []room
+// groupHosts groups the hosts into pools.
+func (s *Step) groupHosts(all []hostCapacity) {
+	var ours, theirs []hostCapacity
 	for _, r := range all {
-		if r.onTest {
+		if r.isCanary {
 			theirs = append(theirs, r)
 		} else {
 			ours = append(ours, r)
 		}
 	}
-	s.pools, s.trial = pools(ours), pools(theirs)
-	s.poolOf = make(map[string]place, len(all))
-	for test, ps := range map[bool][]pool{false: s.pools, true: s.trial} {
+	s.pools, s.canaryPools = groupPools(ours), groupPools(theirs)
+	s.members = make(map[string]poolMember, len(all))
+	for test, ps := range map[bool][]pool{false: s.pools, true: s.canaryPools} {
 		for i, p := range ps {
-			for _, r := range p.rooms {
-				s.poolOf[r.host.Name] = place{i, r.work, test}
+			for _, r := range p.hosts {
+				s.members[r.host.Name] = poolMember{i, r.work, test}
 			}
 		}
 	}
 }
 
 // solve finds the shares: at once where each location can serve itself, else by linear programs.
-func (s *Step) solve(present Present) {
-	if s.quick = s.byItself(); s.quick {
+func (s *Step) solve(present Shares) {
+	if s.local = s.solveLocally(); s.local {
 		return
 	}
-	l := s.program(everything, present)
-	l.serve()
-	l.crossLeast()
-	l.evenOut()
-	l.changeLeast()
-	l.read(s)
+	l := s.program(everyConstraint, present)
+	l.minimizeShed()
+	l.minimizeCrossZone()
+	l.minimizeUtilization()
+	l.minimizeChange()
+	l.readSolution(s)
 }
 
-// group is a kind of bound that can be left out, to see which contradict each other.
-type group struct {
-	kind  groupKind
-	place string
+// constraint is a kind of bound that can be left out, to see which contradict each other.
+type constraint struct {
+	kind constraintKind
+	zone string
 }
 
-type groupKind int
+type constraintKind int
 
 const (
-	ofDemand groupKind = iota
-	ofCapacity
-	ofCold
-	ofCrossing
-	ofBetween
-	ofWithin
+	demandConstraint constraintKind = iota
+	capacityConstraint
+	rateConstraint
+	crossZoneConstraint
+	zoneBalanceConstraint
+	hostBalanceConstraint
 )
 
-// everything leaves no bound out.
-func everything(group) bool { return true }
+// everyConstraint leaves no bound out.
+func everyConstraint(constraint) bool { return true }
 
-// program is the linear program of one step. Columns: for each origin what is shed and, for each pool, the share that it
+// linearProgram is the linear program of one step. Columns: for each origin what is shed and, for each pool, the share that it
 // gets, parted in what it has already and more; then the largest use.
-type program struct {
+type linearProgram struct {
 	*simplex
-	origins []origin
-	pools   []pool
-	shed    []int
-	has     [][]int // by origin and pool; -1 where it has nothing at present
-	more    [][]int
-	use     int
-	useRows []int
+	demands         []zoneDemand
+	pools           []pool
+	shed            []int
+	kept            [][]int // by origin and pool; -1 where it has nothing at present
+	added           [][]int
+	maxUtilization  int
+	utilizationRows []int
 }
 
-func (s *Step) program(keeps func(group) bool, present Present) *program {
-	l := &program{pools: s.pools, useRows: make([]int, len(s.pools))}
-	for _, o := range s.origins {
-		if keeps(group{ofDemand, o.name}) {
-			l.origins = append(l.origins, o)
+func (s *Step) program(keeps func(constraint) bool, present Shares) *linearProgram {
+	l := &linearProgram{pools: s.pools, utilizationRows: make([]int, len(s.pools))}
+	for _, o := range s.demands {
+		if keeps(constraint{demandConstraint, o.zone}) {
+			l.demands = append(l.demands, o)
 		}
 	}
-	now := l.present(present)
+	now := l.currentShares(present)
 	columns := 0
 	next := func() int { columns++; return columns - 1 }
-	for g := range l.origins {
+	for g := range l.demands {
 		l.shed = append(l.shed, next())
 		has, more := make([]int, len(l.pools)), make([]int, len(l.pools))
 		for p := range l.pools {
@@ -159,201 +159,201 @@
 			}
 			more[p] = next()
 		}
-		l.has, l.more = append(l.has, has), append(l.more, more)
+		l.kept, l.added = append(l.kept, has), append(l.added, more)
 	}
-	l.use = next()
+	l.maxUtilization = next()
 	l.simplex = newSimplex(columns)
 
 	// Each origin's tasks are all shared out or shed.
-	for g := range l.origins {
+	for g := range l.demands {
 		var all []term
 		for p := range l.pools {
-			all = l.each(all, g, p, big.NewInt(1))
+			all = l.appendShare(all, g, p, big.NewInt(1))
 		}
-		l.row(big.NewInt(1), l.shed[g], all...)
+		l.addRow(big.NewInt(1), l.shed[g], all...)
 	}
 	var workAll, capAll int64
 	capOf := map[string]int64{}
-	for _, o := range l.origins {
+	for _, o := range l.demands {
 		workAll += o.work
 	}
 	for _, p := range l.pools {
 		capAll += p.work
-		capOf[p.place] += p.work
+		capOf[p.zone] += p.work
 	}
 	works := func(pools ...int) (all []term) { // the work that some pools get
 		for _, p := range pools {
-			for g, o := range l.origins {
-				all = l.each(all, g, p, big.NewInt(o.work))
+			for g, o := range l.demands {
+				all = l.appendShare(all, g, p, big.NewInt(o.work))
 			}
 		}
 		return all
 	}
 	inPlace := map[string][]int{}
 	for p, x := range l.pools {
-		inPlace[x.place] = append(inPlace[x.place], p)
-		if keeps(group{ofCapacity, x.place}) {
-			l.row(big.NewInt(x.work), -1, works(p)...)
+		inPlace[x.zone] = append(inPlace[x.zone], p)
+		if keeps(constraint{capacityConstraint, x.zone}) {
+			l.addRow(big.NewInt(x.work), -1, works(p)...)
 		}
-		if x.tasks >= 0 && keeps(group{ofCold, x.place}) {
+		if x.maxRate >= 0 && keeps(constraint{rateConstraint, x.zone}) {
 			var all []term
-			for g, o := range l.origins {
-				all = l.each(all, g, p, big.NewInt(o.rate))
+			for g, o := range l.demands {
+				all = l.appendShare(all, g, p, big.NewInt(o.rate))
 			}
-			l.row(big.NewInt(x.tasks), -1, all...)
+			l.addRow(big.NewInt(x.maxRate), -1, all...)
 		}
-		l.useRows[p] = l.row(new(big.Int), -1, append(works(p), part(l.use, -x.work))...)
+		l.utilizationRows[p] = l.addRow(new(big.Int), -1, append(works(p), smallTerm(l.maxUtilization, -x.work))...)
 	}
-	if s.bounds.Cross < 1 {
-		for g, o := range l.origins {
-			if !keeps(group{ofCrossing, o.name}) {
+	if s.limits.MaxCrossZone < 1 {
+		for g, o := range l.demands {
+			if !keeps(constraint{crossZoneConstraint, o.zone}) {
 				continue
 			}
 			var all []term
 			for p, x := range l.pools {
-				if x.place != o.name {
-					all = l.each(all, g, p, big.NewInt(unit))
+				if x.zone != o.zone {
+					all = l.appendShare(all, g, p, big.NewInt(micro))
 				}
 			}
-			l.row(big.NewInt(fix(s.bounds.Cross)), -1, all...)
+			l.addRow(big.NewInt(toMicros(s.limits.MaxCrossZone)), -1, all...)
 		}
 	}
 	for p, x := range l.pools {
-		if s.bounds.Between > 0 && inPlace[x.place][0] == p && keeps(group{ofBetween, x.place}) {
-			l.row(share(fix(s.bounds.Between), workAll, capOf[x.place], capAll), -1, works(inPlace[x.place]...)...)
+		if s.limits.MaxZoneImbalance > 0 && inPlace[x.zone][0] == p && keeps(constraint{zoneBalanceConstraint, x.zone}) {
+			l.addRow(scaledShare(toMicros(s.limits.MaxZoneImbalance), workAll, capOf[x.zone], capAll), -1, works(inPlace[x.zone]...)...)
 		}
-		if s.bounds.Within > 0 && keeps(group{ofWithin, x.place}) {
+		if s.limits.MaxHostImbalance > 0 && keeps(constraint{hostBalanceConstraint, x.zone}) {
 			// work of the pool x capacity of the place <= within x capacity of the pool x work of the place
 			var all []term
-			for _, q := range inPlace[x.place] {
-				by := new(big.Int).Mul(big.NewInt(-fix(s.bounds.Within)), big.NewInt(x.work))
+			for _, q := range inPlace[x.zone] {
+				by := new(big.Int).Mul(big.NewInt(-toMicros(s.limits.MaxHostImbalance)), big.NewInt(x.work))
 				if q == p {
-					by.Add(by, new(big.Int).Mul(big.NewInt(unit), big.NewInt(capOf[x.place])))
+					by.Add(by, new(big.Int).Mul(big.NewInt(micro), big.NewInt(capOf[x.zone])))
 				}
-				for g, o := range l.origins {
-					all = l.each(all, g, q, new(big.Int).Mul(by, big.NewInt(o.work)))
+				for g, o := range l.demands {
+					all = l.appendShare(all, g, q, new(big.Int).Mul(by, big.NewInt(o.work)))
 				}
 			}
-			l.row(new(big.Int), -1, all...)
+			l.addRow(new(big.Int), -1, all...)
 		}
 	}
-	for g := range l.origins {
+	for g := range l.demands {
 		for p := range l.pools {
-			if l.has[g][p] >= 0 {
-				l.row(big.NewInt(now[g][p]), -1, part(l.has[g][p], unit))
+			if l.kept[g][p] >= 0 {
+				l.addRow(big.NewInt(now[g][p]), -1, smallTerm(l.kept[g][p], micro))
 			}
 		}
 	}
-	l.close()
+	l.addSlacks()
 	return l
 }
 
-// share is by/unit x a x b / c, rounded down.
-func share(by, a, b, c int64) *big.Int {
+// scaledShare is by/unit x a x b / c, rounded down.
+func scaledShare(by, a, b, c int64) *big.Int {
 	v := new(big.Int).Mul(big.NewInt(by), big.NewInt(a))
 	v.Mul(v, big.NewInt(b))
 	if c == 0 {
 		return new(big.Int)
 	}
-	return v.Div(v, new(big.Int).Mul(big.NewInt(c), big.NewInt(unit)))
+	return v.Div(v, new(big.Int).Mul(big.NewInt(c), big.NewInt(micro)))
 }
 
-// each adds what a pool gets of an origin's tasks.
-func (l *program) each(all []term, g, p int, by *big.Int) []term {
-	if c := l.has[g][p]; c >= 0 {
+// appendShare adds what a pool gets of an origin's tasks.
+func (l *linearProgram) appendShare(all []term, g, p int, by *big.Int) []term {
+	if c := l.kept[g][p]; c >= 0 {
 		all = append(all, term{c, by})
 	}
-	return append(all, term{l.more[g][p], by})
+	return append(all, term{l.added[g][p], by})
 }
 
-// present is what pools get now of each origin's tasks, in millionths.
-func (l *program) present(now Present) [][]int64 {
+// currentShares is what pools get now of each origin's tasks, in millionths.
+func (l *linearProgram) currentShares(now Shares) [][]int64 {
 	if now == nil {
 		return nil
 	}
-	out := make([][]int64, len(l.origins))
-	for g, o := range l.origins {
+	out := make([][]int64, len(l.demands))
+	for g, o := range l.demands {
 		out[g] = make([]int64, len(l.pools))
 		for p, x := range l.pools {
-			for _, r := range x.rooms {
-				out[g][p] += fix(now[o.name][r.host.Name])
+			for _, r := range x.hosts {
+				out[g][p] += toMicros(now[o.zone][r.host.Name])
 			}
 		}
 	}
 	return out
 }
 
-// serve is the first goal: as few earnings shed as can be.
-func (l *program) serve() {
+// minimizeShed is the first goal: as few earnings shed as can be.
+func (l *linearProgram) minimizeShed() {
 	cost := map[int]int64{}
-	for g, o := range l.origins {
-		cost[l.shed[g]] = o.worth
+	for g, o := range l.demands {
+		cost[l.shed[g]] = o.value
 	}
-	l.least(cost)
+	l.minimize(cost)
 }
 
-// crossLeast is the second.
-func (l *program) crossLeast() {
+// minimizeCrossZone is the second.
+func (l *linearProgram) minimizeCrossZone() {
 	cost := map[int]int64{}
-	for g, o := range l.origins {
+	for g, o := range l.demands {
 		for p, x := range l.pools {
-			if x.place == o.name {
+			if x.zone == o.zone {
 				continue
 			}
-			cost[l.more[g][p]] = o.rate
-			if c := l.has[g][p]; c >= 0 {
+			cost[l.added[g][p]] = o.rate
+			if c := l.kept[g][p]; c >= 0 {
 				cost[c] = o.rate
 			}
 		}
 	}
-	l.least(cost)
+	l.minimize(cost)
 }
 
-// evenOut is the third: the largest use as small as can be, then that of those that are not held to it, and so on. Each
+// minimizeUtilization is the third: the largest use as small as can be, then that of those that are not held to it, and so on. Each
 // round, a further column stands for how far below the last use the rest can stay (the lexicographic optimum of flows
 // with several sources: Megiddo, Optimal Flows in Networks with Multiple Sources and Sinks, 1974).
-func (l *program) evenOut() {
-	l.least(map[int]int64{l.use: 1})
+func (l *linearProgram) minimizeUtilization() {
+	l.minimize(map[int]int64{l.maxUtilization: 1})
 	for range l.pools {
 		below := map[int]int64{}
-		for p, row := range l.useRows {
-			if !l.tight(row) {
+		for p, row := range l.utilizationRows {
+			if !l.isTight(row) {
 				below[row] = l.pools[p].work
 			}
 		}
 		if len(below) == 0 {
 			return
 		}
-		l.least(map[int]int64{l.column(below): -1})
+		l.minimize(map[int]int64{l.addColumn(below): -1})
 	}
 }
 
-// changeLeast is the last: as much as can be stays where it is.
-func (l *program) changeLeast() {
+// minimizeChange is the last: as much as can be stays where it is.
+func (l *linearProgram) minimizeChange() {
 	cost := map[int]int64{}
-	for g, o := range l.origins {
-		for _, c := range l.has[g] {
+	for g, o := range l.demands {
+		for _, c := range l.kept[g] {
 			if c >= 0 {
 				cost[c] = -o.rate
 			}
 		}
 	}
 	if len(cost) > 0 {
-		l.least(cost)
+		l.minimize(cost)
 	}
 }
 
-// read takes the shares out of the solution.
-func (l *program) read(s *Step) {
-	s.to, s.shed = nil, nil
-	for g := range l.origins {
+// readSolution takes the shares out of the solution.
+func (l *linearProgram) readSolution(s *Step) {
+	s.shares, s.shed = nil, nil
+	for g := range l.demands {
 		to := make([]*big.Rat, len(l.pools))
 		for p := range l.pools {
-			to[p] = l.value(l.more[g][p])
-			if c := l.has[g][p]; c >= 0 {
+			to[p] = l.value(l.added[g][p])
+			if c := l.kept[g][p]; c >= 0 {
 				to[p].Add(to[p], l.value(c))
 			}
 		}
-		s.to, s.shed = append(s.to, to), append(s.shed, l.value(l.shed[g]))
+		s.shares, s.shed = append(s.shares, to), append(s.shed, l.value(l.shed[g]))
 	}
 }
--- a/plan/weights.go
+++ b/plan/weights.go
@@ -19,7 +19,7 @@
 	Copies uint64 `json:"copies,omitempty"`
 }
 
-const fine = 1e9 // so that what a rounding adds stays far below what any host may get
+const nano = 1e9 // so that what a rounding adds stays far below what any host may get
 
 // Published is a numbered version of weights for all locations.
 type Published struct {
@@ -33,39 +33,39 @@
 // Weights turns a step's exact shares into whole numbers, and checks these anew.
 func (s *Step) Weights() (map[string]Weights, error) {
 	out := map[string]Weights{}
-	for g, o := range s.origins {
+	for g, o := range s.demands {
 		w := Weights{Near: map[string]uint64{}}
-		s.weigh(g, o, w.Near, func(p pool) bool { return p.place == o.name })
+		s.weighPools(g, o, w.Near, func(p pool) bool { return p.zone == o.zone })
 		cross := new(big.Rat)
 		for p, x := range s.pools {
-			if x.place != o.name {
-				cross.Add(cross, s.to[g][p])
+			if x.zone != o.zone {
+				cross.Add(cross, s.shares[g][p])
 			}
 		}
 		if cross.Sign() > 0 {
 			w.Far = map[string]uint64{}
-			s.weigh(g, o, w.Far, func(p pool) bool { return p.place != o.name })
-			w.Cross = wholeOf(cross.Quo(cross, new(big.Rat).Sub(big.NewRat(1, 1), s.shed[g])), fine) // of what is served
+			s.weighPools(g, o, w.Far, func(p pool) bool { return p.zone != o.zone })
+			w.Cross = scaleDown(cross.Quo(cross, new(big.Rat).Sub(big.NewRat(1, 1), s.shed[g])), nano) // of what is served
 		}
-		for _, c := range s.Copies {
-			if c.Place == o.name {
-				w.Copies = wholeOf(new(big.Rat).Quo(c.rate, big.NewRat(o.rate, 1)), unit)
+		for _, c := range s.Shadows {
+			if c.Zone == o.zone {
+				w.Copies = scaleDown(new(big.Rat).Quo(c.rate, big.NewRat(o.rate, 1)), micro)
 			}
 		}
-		out[o.name] = w
+		out[o.zone] = w
 	}
-	_, err := s.judge(out)
+	_, err := s.evaluate(out)
 	return out, err
 }
 
-// weigh gives each host of some pools its weight: what it can do, times how far its pool is used against the most used
+// weighPools gives each host of some pools its weight: what it can do, times how far its pool is used against the most used
 // of them.
-func (s *Step) weigh(g int, o origin, to map[string]uint64, of func(pool) bool) {
+func (s *Step) weighPools(g int, o zoneDemand, to map[string]uint64, of func(pool) bool) {
 	most := new(big.Rat)
 	level := make([]*big.Rat, len(s.pools))
 	for p, x := range s.pools {
 		if of(x) {
-			level[p] = new(big.Rat).Quo(s.to[g][p], big.NewRat(x.work, 1))
+			level[p] = new(big.Rat).Quo(s.shares[g][p], big.NewRat(x.work, 1))
 			if level[p].Cmp(most) > 0 {
 				most = level[p]
 			}
@@ -79,55 +79,55 @@
 			continue
 		}
 		by := new(big.Rat).Quo(level[p], most)
-		for _, r := range x.rooms {
-			if w := wholeOf(by, r.work); w > 0 {
+		for _, r := range x.hosts {
+			if w := scaleDown(by, r.work); w > 0 {
 				to[r.host.Name] = w
 			}
 		}
 	}
 }
 
-// wholeOf is v times n, rounded down.
-func wholeOf(v *big.Rat, n int64) uint64 {
+// scaleDown is v times n, rounded down.
+func scaleDown(v *big.Rat, n int64) uint64 {
 	x := new(big.Int).Mul(v.Num(), big.NewInt(n))
 	return x.Div(x, v.Denom()).Uint64()
 }
 
 // worth of weights: what following them would bring.
-type verdict struct {
-	use   float64 // of the most used host, of what it can do less the reserve
-	cross float64 // tasks a second
+type evaluation struct {
+	maxUtilization float64 // of the most used host, of what it can do less the reserve
+	crossZoneRate  float64 // tasks a second
 }
 
-// judge works out what each host would get from routers that follow weights, in whole numbers, and tells the bounds that
+// evaluate works out what each host would get from routers that follow weights, in whole numbers, and tells the bounds that
 // this would break. Whole weights can't meet shares exactly: a millionth of a bound is let pass, which is less than
 // routers can count; capacity is judged with the reserve as far as one is kept.
-func (s *Step) judge(all map[string]Weights) (verdict, error) {
+func (s *Step) evaluate(all map[string]Weights) (evaluation, error) {
 	type side struct {
 		of         map[string]uint64
 		work, rate *big.Int // for each unit of weight, over the common denominator
 	}
-	var v verdict
-	common := big.NewInt(fine)
-	sums := make([][2]uint64, len(s.origins))
+	var v evaluation
+	common := big.NewInt(nano)
+	sums := make([][2]uint64, len(s.demands))
 	var wrong []error
-	for g, o := range s.origins {
-		w := all[o.name]
+	for g, o := range s.demands {
+		w := all[o.zone]
 		for name, x := range w.Near {
-			if at, ok := s.poolOf[name]; !ok || at.test {
-				wrong = append(wrong, fmt.Errorf("%s has a weight for %s, but can't get tasks", name, o.name))
+			if at, ok := s.members[name]; !ok || at.isCanary {
+				wrong = append(wrong, fmt.Errorf("%s has a weight for %s, but can't get tasks", name, o.zone))
 			}
 			sums[g][0] += x
 		}
 		for name, x := range w.Far {
-			if at, ok := s.poolOf[name]; !ok || at.test {
-				wrong = append(wrong, fmt.Errorf("%s has a weight for %s, but can't get tasks", name, o.name))
+			if at, ok := s.members[name]; !ok || at.isCanary {
+				wrong = append(wrong, fmt.Errorf("%s has a weight for %s, but can't get tasks", name, o.zone))
 			}
 			sums[g][1] += x
 		}
-		if sums[g][0] == 0 && w.Cross < fine || sums[g][1] == 0 && w.Cross > 0 {
+		if sums[g][0] == 0 && w.Cross < nano || sums[g][1] == 0 && w.Cross > 0 {
 			if s.shed == nil || s.shed[g].Cmp(big.NewRat(1, 1)) < 0 {
-				wrong = append(wrong, fmt.Errorf("no host has a weight for tasks taken in %s", o.name))
+				wrong = append(wrong, fmt.Errorf("no host has a weight for tasks taken in %s", o.zone))
 			}
 			continue
 		}
@@ -136,18 +136,18 @@
 				common = new(big.Int).Mul(common, new(big.Int).SetUint64(n))
 			}
 		}
-		part := big.NewRat(int64(w.Cross), fine)
+		part := big.NewRat(int64(w.Cross), nano)
 		if s.shed != nil {
 			part.Mul(part, new(big.Rat).Sub(big.NewRat(1, 1), s.shed[g]))
 		}
-		if s.bounds.Cross < 1 && part.Cmp(big.NewRat(fix(s.bounds.Cross), unit)) > 0 {
-			wrong = append(wrong, fmt.Errorf("%.4g%% of the tasks of %s cross", float64(w.Cross)/fine*100, o.name))
+		if s.limits.MaxCrossZone < 1 && part.Cmp(big.NewRat(toMicros(s.limits.MaxCrossZone), micro)) > 0 {
+			wrong = append(wrong, fmt.Errorf("%.4g%% of the tasks of %s cross", float64(w.Cross)/nano*100, o.zone))
 		}
-		v.cross += float64(w.Cross) / fine * float64(o.rate) / unit
+		v.crossZoneRate += float64(w.Cross) / nano * float64(o.rate) / micro
 	}
 	var sides []side
-	for g, o := range s.origins {
-		w := all[o.name]
+	for g, o := range s.demands {
+		w := all[o.zone]
 		served := big.NewRat(1, 1)
 		if s.shed != nil {
 			served.Sub(served, s.shed[g])
@@ -157,22 +157,22 @@
 			if n == 0 {
 				continue
 			}
-			part := []uint64{fine - min(fine, w.Cross), w.Cross}[i]
+			part := []uint64{nano - min(nano, w.Cross), w.Cross}[i]
 			k := new(big.Int).Div(common, new(big.Int).SetUint64(n))
 			k.Mul(k, new(big.Int).SetUint64(part))
 			k.Mul(k, served.Num())
-			k.Div(k, new(big.Int).Mul(served.Denom(), big.NewInt(fine)))
+			k.Div(k, new(big.Int).Mul(served.Denom(), big.NewInt(nano)))
 			sides = append(sides, side{of, new(big.Int).Mul(k, big.NewInt(o.work)), new(big.Int).Mul(k, big.NewInt(o.rate))})
 		}
 	}
 	var work, rate, t, bound big.Int
 	check := func(got *big.Int, may, slack int64) bool { // got/common <= may and its slack
 		bound.Mul(big.NewInt(may), common)
-		bound.Add(&bound, t.Div(t.Mul(big.NewInt(may+slack), common), big.NewInt(unit)))
+		bound.Add(&bound, t.Div(t.Mul(big.NewInt(may+slack), common), big.NewInt(micro)))
 		return got.Cmp(&bound) <= 0
 	}
 	for _, x := range s.pools {
-		for _, r := range x.rooms {
+		for _, r := range x.hosts {
 			work.SetInt64(0)
 			rate.SetInt64(0)
 			for _, d := range sides {
@@ -183,15 +183,15 @@
 					rate.Add(&rate, t.Mul(d.rate, &t))
 				}
 			}
-			if !check(&work, r.full, unit) {
+			if !check(&work, r.unreserved, micro) {
 				wrong = append(wrong, fmt.Errorf("%s would get more work than it can do", r.host.Name))
 			}
-			if r.tasks >= 0 && !check(&rate, r.tasks, unit) {
+			if r.maxRate >= 0 && !check(&rate, r.maxRate, micro) {
 				wrong = append(wrong, fmt.Errorf("%s would get more than the %.4g tasks a second that it may", r.host.Name,
-					float64(r.tasks)/unit))
+					float64(r.maxRate)/micro))
 			}
 			use, _ := new(big.Rat).SetFrac(&work, new(big.Int).Mul(common, big.NewInt(max(1, r.work)))).Float64()
-			v.use = max(v.use, use)
+			v.maxUtilization = max(v.maxUtilization, use)
 		}
 	}
 	return v, errors.Join(wrong...)
