--- /dev/null
+++ b/plan/carry.go
@@ -0,0 +1,171 @@
+package plan
+
+import (
+	"fmt"
+	"maps"
+	"math"
+)
+
+// carry returns the weights in force for the hosts of a step: hosts keep their weights, a new one gets what others of its
+// pool have for each second of work, one that is gone has none.
+func (p *Publisher) carry(s *Step) (map[string]Weights, evaluation, error) {
+	carried := map[string]Weights{}
+	for _, d := range s.demands {
+		w, ok := p.current.For[d.zone]
+		if !ok {
+			return nil, evaluation{}, fmt.Errorf("%s was asked for nothing before", d.zone)
+		}
+		n := Weights{Cross: w.Cross, Copies: w.Copies}
+		n.Near = s.carryWeights(w.Near, func(p pool) bool { return p.zone == d.zone })
+		if w.Far != nil {
+			n.Far = s.carryWeights(w.Far, func(p pool) bool { return p.zone != d.zone })
+		}
+		carried[d.zone] = n
+	}
+	v, err := s.evaluate(carried)
+	return carried, v, err
+}
+
+// carryWeights carries the weights of the hosts of some pools.
+func (s *Step) carryWeights(last map[string]uint64, include func(pool) bool) map[string]uint64 {
+	carried := make(map[string]uint64, len(last))
+	for _, p := range s.pools {
+		if !include(p) {
+			continue
+		}
+		var weight, work uint64 // of the hosts of this pool that had a weight
+		for _, h := range p.hosts {
+			if w, ok := last[h.host.Name]; ok {
+				weight, work = weight+w, work+uint64(h.work)
+			}
+		}
+		for _, h := range p.hosts {
+			if w := s.carryWeight(p, h, last, weight, work); w > 0 {
+				carried[h.host.Name] = w
+			}
+		}
+	}
+	return carried
+}
+
+// carryWeight returns the weight of one host. weight and work are the sums of the hosts of its pool that had a weight.
+func (s *Step) carryWeight(p pool, h hostCapacity, last map[string]uint64, weight, work uint64) uint64 {
+	w, ok := last[h.host.Name]
+	capacity := uint64(h.work)
+	switch {
+	case ok && w > capacity: // it has less capacity than it had
+		return capacity
+	case !ok && work > 0:
+		return uint64(float64(weight) / float64(work) * float64(h.work))
+	case !ok && h.maxRate >= 0:
+		return s.boundedWeight(h, last)
+	case !ok:
+		return capacity
+	case p.maxRate < 0 && !h.warmingUp && work > capacity:
+		return warmedUpWeight(w, capacity, weight-w, work-capacity)
+	}
+	return w
+}
+
+// warmedUpWeight returns the weight of a host that may have got it while it warmed up: that of the others of its pool for
+// its work, where this is far more.
+func warmedUpWeight(w, work, othersWeight, othersWork uint64) uint64 {
+	const far = 0.9 // below this part of the others' weight it isn't a rounding error
+	if expected := float64(othersWeight) / float64(othersWork) * float64(work); float64(w) < far*expected {
+		return uint64(math.Round(expected))
+	}
+	return w
+}
+
+// boundedWeight returns a weight that keeps a host within the bound on its rate, given the weights of all others.
+func (s *Step) boundedWeight(h hostCapacity, last map[string]uint64) uint64 {
+	const margin = 0.9 // the sum of weights may shrink a little before the next update
+	var sum uint64
+	for _, w := range last {
+		sum += w
+	}
+	rate := int64(0)
+	for _, d := range s.demands {
+		if d.zone == h.host.Zone {
+			rate = d.rate
+		}
+	}
+	if rate == 0 {
+		return uint64(h.work)
+	}
+	return min(uint64(h.work), uint64(margin*float64(h.maxRate)/float64(rate)*float64(sum)))
+}
+
+// minUtilization is a lower bound of the largest utilization of any shares: all work over all capacity, and that of each
+// zone by itself where no requests need go to other zones.
+func (s *Step) minUtilization() float64 {
+	var work, capacity int64
+	for _, d := range s.demands {
+		work += d.work
+	}
+	zoneCapacity := map[string]int64{}
+	for _, p := range s.pools {
+		capacity += p.work
+		zoneCapacity[p.zone] += p.work
+	}
+	least := float64(work) / max(1, float64(capacity))
+	if s.minCrossZoneRate() > 0 {
+		return least
+	}
+	for _, d := range s.demands {
+		if c := zoneCapacity[d.zone]; c > 0 {
+			least = max(least, float64(d.work)/float64(c))
+		}
+	}
+	return least
+}
+
+// minCrossZoneRate is a lower bound, in requests a second, of the traffic between zones of any shares: what the hosts of
+// each zone can't serve.
+func (s *Step) minCrossZoneRate() (sum float64) {
+	for _, d := range s.demands {
+		capacity := 0.0
+		workPerRequest := float64(d.work) / float64(d.rate)
+		for _, p := range s.pools {
+			if p.zone != d.zone {
+				continue
+			}
+			rate := float64(p.work) / workPerRequest
+			if p.maxRate >= 0 {
+				rate = min(rate, float64(p.maxRate))
+			}
+			capacity += rate
+		}
+		sum += max(0, float64(d.rate)-capacity) / micro
+	}
+	return sum
+}
+
+// totalRate is the demand of all zones in requests a second.
+func (s *Step) totalRate() (sum float64) {
+	for _, d := range s.demands {
+		sum += float64(d.rate) / micro
+	}
+	return sum
+}
+
+// setShadowShares sets how many shadow requests the stage allows in each zone.
+func (s *Step) setShadowShares(m *Model, stage, canary int, weights map[string]Weights) {
+	if canary == 0 {
+		for zone, w := range weights {
+			w.Copies = 0
+			weights[zone] = w
+		}
+		return
+	}
+	s.planShadows(m, stage)
+	last := maps.Clone(weights)
+	for g, d := range s.demands {
+		w := last[d.zone]
+		w.Copies = 0
+		if t := s.Shadows[g]; d.rate > 0 {
+			w.Copies = uint64(t.PlannedRate * micro / float64(d.rate) * micro)
+		}
+		weights[d.zone] = w
+	}
+}
--- a/plan/diff.go
+++ b/plan/diff.go
@@ -11,13 +11,16 @@
 // Change is one figure in which two plans differ.
 type Change struct {
 	At       time.Duration
-	Metric   string // unserved, crossing, use, tasks
-	Zone     string
+	Metric   string // unserved, crossing (both in requests a second) or use (a share of the capacity)
+	Zone     string // "" for all
 	Was, Now float64
 }
 
-// Diff are the differences between two plans, step by step as far as both have the same moments: what is served, what
-// crosses, and how each location is used, by more than a thousandth.
+// minChange is the least relative change that is reported, and the least change of figures below 1.
+const minChange = 1e-3
+
+// Diff returns the differences between two plans in the steps that both have: unserved requests, traffic between zones and
+// the utilization of each zone.
 func Diff(a, b *Plan) (out []Change) {
 	for _, s := range a.Steps {
 		i := slices.IndexFunc(b.Steps, func(t *Step) bool { return t.At == s.At })
@@ -25,19 +28,19 @@
 			continue
 		}
 		t := b.Steps[i]
-		add := func(what, location string, was, now float64) {
-			if math.Abs(was-now) > 1e-3*max(1, math.Abs(was)) {
-				out = append(out, Change{s.At, what, location, was, now})
+		add := func(metric, zone string, was, now float64) {
+			if math.Abs(was-now) > minChange*max(1, math.Abs(was)) {
+				out = append(out, Change{s.At, metric, zone, was, now})
 			}
 		}
 		add("unserved", "", s.UnservedRate(), t.UnservedRate())
 		add("crossing", "", s.CrossZoneRate(""), t.CrossZoneRate(""))
-		places := map[string]bool{}
-		for _, x := range append(slices.Clone(s.pools), t.pools...) {
-			places[x.zone] = true
+		zones := map[string]bool{}
+		for _, p := range slices.Concat(s.pools, t.pools) {
+			zones[p.zone] = true
 		}
-		for _, p := range slices.Sorted(maps.Keys(places)) {
-			add("use", p, s.Utilization(p), t.Utilization(p))
+		for _, zone := range slices.Sorted(maps.Keys(zones)) {
+			add("use", zone, s.Utilization(zone), t.Utilization(zone))
 		}
 	}
 	slices.SortStableFunc(out, func(x, y Change) int { return cmp.Compare(x.At, y.At) })
--- a/plan/doc.go
+++ b/plan/doc.go
@@ -1,21 +1,25 @@
-// Package plan works traffic shares out ahead: how much of each location's tasks each host should get, step by step of a
-// forecast, so that capacity, cold budgets, the bound on crossing and the balance asked for hold.
+// Package plan computes traffic shares ahead of time: which share of each zone's requests each host should get in each
+// step of a forecast, so that capacity, slow start, the limit on traffic between zones and the limits on imbalance are
+// kept.
 //
-// It has no I/O and no clock. A Model is what is known (hosts, demand, bounds); Solve gives a Plan of one Step for each
-// step of the forecast, or says which bounds contradict each other and what relaxing each would cost:
+// It has no I/O and no clock. A Model is what is known: hosts, demand, limits. Solve returns a Plan with one Step for each
+// step of the forecast; a step that can't serve all demand says which constraints contradict each other and what relaxing
+// each would cost:
 //
-//	p, err := plan.Solve(&m)          // err: the model makes no sense
+//	p, err := plan.Solve(&m) // err: the model is invalid
 //	for _, s := range p.Steps {
-//		if s.Unfit != nil { fmt.Println(s.Unfit) }
-//		share := s.Share("north", "host-7") // exact, of the tasks taken in north
+//		if s.Infeasible != nil {
+//			fmt.Println(s.Infeasible)
+//		}
+//		share := s.Share("north", "host-7") // exact, of the zone's requests
 //	}
 //
-// Goals, in strict order: serve all demand (by earnings); cross least; use hosts most evenly (the largest use, then the
-// next largest, and so on); change least from the present shares. The solver is exact: linear programs over integers,
-// without a rounding, and every step is checked again host by host in exact rationals before it is handed out. The same
-// model gives the same plan whatever the order of its hosts.
+// The goals are met in strict order: to serve all demand, by priority weight; least traffic between zones; most even
+// utilization (the largest, then the next largest, and so on); least change of the present shares. The solver is exact: it
+// solves linear programs over integers without rounding, and verifies every step host by host in exact rationals. The same
+// model gives the same plan in whatever order its hosts are listed.
 //
-// A Keeper makes plans anew as hosts come and go and holds back what would only flutter. Follower is the routers' part:
-// it turns versions down that are older, out of date, or would break a cap. The model with its formulas and sources is
-// in docs/plan.md.
+// A Publisher makes new versions of weights as hosts come and go, and suppresses small changes. A Follower is the router's
+// part: it rejects versions that are older, expired, or would break a cap. docs/plan.md has the model with its formulas
+// and sources.
 package plan
--- /dev/null
+++ b/plan/evaluate.go
@@ -0,0 +1,155 @@
+package plan
+
+import (
+	"errors"
+	"fmt"
+	"math/big"
+)
+
+// evaluation is what routers that follow weights would bring about.
+type evaluation struct {
+	maxUtilization float64 // of any host, of its capacity less the reserve
+	crossZoneRate  float64 // requests a second
+}
+
+// evaluate computes in integers what each host would get from routers that follow weights, and returns the limits that
+// this would break as an error. Integer weights can't meet shares exactly: a millionth beyond a limit is accepted, which
+// is less than routers can count, and hosts may use the reserve.
+func (s *Step) evaluate(weights map[string]Weights) (evaluation, error) {
+	e := evaluator{step: s, weights: weights, denominator: big.NewInt(nano), sums: make([]weightSums, len(s.demands))}
+	for g, d := range s.demands {
+		e.addDemand(g, d)
+	}
+	for g, d := range s.demands {
+		e.addLoads(g, d)
+	}
+	for _, p := range s.pools {
+		for _, h := range p.hosts {
+			e.addHost(h)
+		}
+	}
+	return e.result, errors.Join(e.errs...)
+}
+
+// evaluator evaluates weights. Rates and work are integers over a common denominator.
+type evaluator struct {
+	step        *Step
+	weights     map[string]Weights
+	denominator *big.Int
+	sums        []weightSums // by demand
+	loads       []tableLoad
+	result      evaluation
+	errs        []error
+
+	work, rate, product, bound big.Int // buffers
+}
+
+// weightSums are the sums of the weights in a zone's table.
+type weightSums struct{ near, far uint64 }
+
+// tableLoad is what one table of weights brings to a host.
+type tableLoad struct {
+	weights    map[string]uint64
+	work, rate *big.Int // for each unit of weight
+}
+
+func (e *evaluator) fail(format string, values ...any) {
+	e.errs = append(e.errs, fmt.Errorf(format, values...))
+}
+
+// addDemand checks the weights of a zone and extends the denominator by their sums.
+func (e *evaluator) addDemand(g int, d zoneDemand) {
+	w := e.weights[d.zone]
+	e.sums[g] = weightSums{near: e.sum(d, w.Near), far: e.sum(d, w.Far)}
+	sums := e.sums[g]
+	if sums.near == 0 && w.Cross < nano || sums.far == 0 && w.Cross > 0 {
+		if e.served(g).Sign() > 0 {
+			e.fail("no host has a weight for tasks taken in %s", d.zone)
+		}
+		return
+	}
+	for _, n := range []uint64{sums.near, sums.far} {
+		if n > 0 {
+			e.denominator = new(big.Int).Mul(e.denominator, new(big.Int).SetUint64(n))
+		}
+	}
+	crossZone := big.NewRat(int64(w.Cross), nano)
+	crossZone.Mul(crossZone, e.served(g))
+	if limit := e.step.limits.MaxCrossZone; limit < 1 && crossZone.Cmp(big.NewRat(toMicros(limit), micro)) > 0 {
+		e.fail("%.4g%% of the tasks of %s cross", float64(w.Cross)/nano*100, d.zone)
+	}
+	e.result.crossZoneRate += float64(w.Cross) / nano * float64(d.rate) / micro
+}
+
+// sum adds up weights and checks that their hosts can get requests.
+func (e *evaluator) sum(d zoneDemand, weights map[string]uint64) (sum uint64) {
+	for name, w := range weights {
+		if m, ok := e.step.members[name]; !ok || m.isCanary {
+			e.fail("%s has a weight for %s, but can't get tasks", name, d.zone)
+		}
+		sum += w
+	}
+	return sum
+}
+
+// served is the share of a zone's requests that is not shed; all of them in a step that was not solved.
+func (e *evaluator) served(g int) *big.Rat {
+	served := big.NewRat(1, 1)
+	if e.step.shed != nil {
+		served.Sub(served, e.step.shed[g])
+	}
+	return served
+}
+
+// addLoads adds what both tables of a zone bring to hosts.
+func (e *evaluator) addLoads(g int, d zoneDemand) {
+	w := e.weights[d.zone]
+	e.addLoad(g, d, w.Near, e.sums[g].near, nano-min(nano, w.Cross))
+	e.addLoad(g, d, w.Far, e.sums[g].far, w.Cross)
+}
+
+// addLoad adds what a table brings that gets a part of a zone's requests, in billionths.
+func (e *evaluator) addLoad(g int, d zoneDemand, weights map[string]uint64, sum, part uint64) {
+	if sum == 0 {
+		return
+	}
+	served := e.served(g)
+	perWeight := new(big.Int).Div(e.denominator, new(big.Int).SetUint64(sum))
+	perWeight.Mul(perWeight, new(big.Int).SetUint64(part))
+	perWeight.Mul(perWeight, served.Num())
+	perWeight.Div(perWeight, new(big.Int).Mul(served.Denom(), big.NewInt(nano)))
+	e.loads = append(e.loads, tableLoad{
+		weights, new(big.Int).Mul(perWeight, big.NewInt(d.work)), new(big.Int).Mul(perWeight, big.NewInt(d.rate)),
+	})
+}
+
+// addHost adds up what a host gets and checks its limits.
+func (e *evaluator) addHost(h hostCapacity) {
+	e.work.SetInt64(0)
+	e.rate.SetInt64(0)
+	for _, l := range e.loads {
+		if w := l.weights[h.host.Name]; w > 0 {
+			e.product.SetUint64(w)
+			e.work.Add(&e.work, new(big.Int).Mul(l.work, &e.product))
+			e.rate.Add(&e.rate, e.product.Mul(l.rate, &e.product))
+		}
+	}
+	if !e.within(&e.work, h.unreserved) {
+		e.fail("%s would get more work than it can do", h.host.Name)
+	}
+	if h.maxRate >= 0 && !e.within(&e.rate, h.maxRate) {
+		e.fail("%s would get more than the %.4g tasks a second that it may", h.host.Name, float64(h.maxRate)/micro)
+	}
+	capacity := new(big.Int).Mul(e.denominator, big.NewInt(max(1, h.work)))
+	utilization, _ := new(big.Rat).SetFrac(&e.work, capacity).Float64()
+	e.result.maxUtilization = max(e.result.maxUtilization, utilization)
+}
+
+// within reports whether a figure is at most a limit, with a millionth of it, or of a unit, beyond.
+func (e *evaluator) within(got *big.Int, limit int64) bool {
+	const unit = micro // a second of work or a request, in millionths
+	e.bound.Mul(big.NewInt(limit), e.denominator)
+	e.product.Mul(big.NewInt(limit+unit), e.denominator)
+	e.bound.Add(&e.bound, e.product.Div(&e.product, big.NewInt(micro)))
+	return got.Cmp(&e.bound) <= 0
+}
--- /dev/null
+++ b/plan/follower.go
@@ -0,0 +1,130 @@
+package plan
+
+import (
+	"fmt"
+	"time"
+)
+
+// Offered is a version of weights as a router receives it.
+type Offered struct {
+	Version        uint64
+	Build          int           // the canary build that it was made for; 0 for none
+	ShadowShare    float64       // shadow requests to that build, as a share of the requests
+	CrossZoneShare float64       // share of the requests that go to other zones
+	LocalWeights   []HostWeight  // of hosts of the router's zone
+	RemoteWeights  []HostWeight  // of hosts of other zones
+	ValidFor       time.Duration // from its receipt
+}
+
+// HostWeight is the weight of a host.
+type HostWeight struct {
+	Host   uint32
+	Weight float64
+}
+
+// Known is what the router knows of a host.
+type Known struct {
+	Near  bool    // it is in the router's zone
+	Size  float64 // its weight in endpoint discovery; 0 for unknown
+	Age   time.Duration
+	Trial bool // it runs the canary build
+}
+
+// Fleet is what a router knows when it receives a version.
+type Fleet struct {
+	Hosts map[uint32]Known
+	Build int           // the canary build; 0 for none
+	Cap   float64       // of the shadow requests to it, as a share of the requests
+	Cold  time.Duration // of slow start
+}
+
+// Follower accepts or rejects versions of weights for a router. The last accepted version stays in force when a later one
+// is rejected. Routers use weights as a hint and decide on requests themselves.
+type Follower struct{ last uint64 }
+
+// Held returns the number of the version in force; 0 for none.
+func (f *Follower) Held() uint64 { return f.last }
+
+// Offer accepts a version or returns the reason why it is rejected, which the controller is told: it is not newer, has
+// expired, is malformed, would break the cap of the canary build, favors hosts in slow start, or is about other hosts.
+func (f *Follower) Offer(o Offered, fleet Fleet) error {
+	if err := f.checkVersion(o, fleet); err != nil {
+		return err
+	}
+	largest := largestWarmedUp(o, fleet)
+	known, sum := 0, 0.0
+	for i, side := range [][]HostWeight{o.LocalWeights, o.RemoteWeights} {
+		for _, w := range side {
+			isKnown, err := fleet.checkWeight(o.Version, w, i == 0, largest)
+			if err != nil {
+				return err
+			}
+			sum += w.Weight
+			if isKnown {
+				known++
+			}
+		}
+	}
+	all := len(o.LocalWeights) + len(o.RemoteWeights)
+	if sum == 0 || 2*known < all {
+		return fmt.Errorf("version %d speaks of other hosts: %d of %d are known here", o.Version, known, all)
+	}
+	f.last = o.Version
+	return nil
+}
+
+const (
+	maxHostWeight = 1e18
+	tolerance     = 1e-6 // of shares and weights that were rounded
+)
+
+// checkVersion checks all of a version but its weights.
+func (f *Follower) checkVersion(o Offered, fleet Fleet) error {
+	switch {
+	case o.Version == f.last:
+		return fmt.Errorf("version %d is in force already", o.Version)
+	case o.Version < f.last:
+		return fmt.Errorf("version %d is older than version %d, which is in force", o.Version, f.last)
+	case o.ValidFor <= 0:
+		return fmt.Errorf("version %d is out of date", o.Version)
+	case !(o.CrossZoneShare >= 0 && o.CrossZoneShare <= 1) || !(o.ShadowShare >= 0 && o.ShadowShare <= 1):
+		return fmt.Errorf("version %d: shares from 0 to 1 expected, not %g and %g", o.Version, o.CrossZoneShare, o.ShadowShare)
+	case o.Build != 0 && o.Build == fleet.Build && o.ShadowShare > fleet.Cap+tolerance:
+		return fmt.Errorf("version %d would break the cap: %.3g%% of the tasks to build %d, %.3g%% are allowed", o.Version,
+			100*o.ShadowShare, o.Build, 100*fleet.Cap)
+	}
+	return nil
+}
+
+// checkWeight checks the weight of one host. It reports whether the router knows the host: the version may be made from a
+// newer endpoint list.
+func (f Fleet) checkWeight(version uint64, w HostWeight, isLocal bool, largestWarmedUp float64) (known bool, err error) {
+	if !(w.Weight >= 0 && w.Weight < maxHostWeight) {
+		return false, fmt.Errorf("version %d: host %d has the weight %g", version, w.Host, w.Weight)
+	}
+	host, known := f.Hosts[w.Host]
+	switch {
+	case !known:
+		return false, nil
+	case host.Trial && w.Weight > 0:
+		return true, fmt.Errorf("version %d gives tasks to host %d, which runs a build on trial", version, w.Host)
+	case isLocal && f.favors(host, w, largestWarmedUp):
+		return true, fmt.Errorf("version %d weighs host %d, which has just started, more than warm ones of its size", version, w.Host)
+	}
+	return true, nil
+}
+
+// largestWarmedUp returns the largest weight, relative to its size, of a local host that has warmed up; 0 for none.
+func largestWarmedUp(o Offered, fleet Fleet) (largest float64) {
+	for _, w := range o.LocalWeights {
+		if host, ok := fleet.Hosts[w.Host]; ok && host.Age >= fleet.Cold && host.Size > 0 {
+			largest = max(largest, w.Weight/host.Size)
+		}
+	}
+	return largest
+}
+
+// favors reports whether a host in slow start has more weight, relative to its size, than any that has warmed up.
+func (f Fleet) favors(host Known, w HostWeight, largestWarmedUp float64) bool {
+	return host.Age < f.Cold && largestWarmedUp > 0 && host.Size > 0 && w.Weight/host.Size > largestWarmedUp*(1+tolerance)
+}
--- a/plan/plan_test.go
+++ b/plan/plan_test.go
@@ -119,7 +119,7 @@
 	m = simple(map[string]float64{"north": 30}, several("north", 3, 1))
 	s = solved(t, m)
 	require.Nil(t, s.Infeasible)
-	require.Equal(t, 1.0, s.Utilization("north"))
+	require.InDelta(t, 1.0, s.Utilization("north"), 0)
 	m.Forecast[0].Demand[0].Rate += 1e-5
 	require.NotNil(t, solved(t, m).Infeasible)
 }
@@ -132,7 +132,7 @@
 	require.Nil(t, s.Infeasible)
 	require.InDelta(t, 3, s.Shadows[0].PlannedRate, 1e-9)
 	one, _ := s.ShadowShare("north", "north-0").Float64()
-	require.Equal(t, 1.0, one)
+	require.InDelta(t, 1.0, one, 0)
 	w, err := s.Weights()
 	require.NoError(t, err)
 	require.Equal(t, uint64(50_000), w["north"].Copies)
--- a/plan/pools.go
+++ b/plan/pools.go
@@ -2,68 +2,65 @@
 
 import (
 	"cmp"
+	"maps"
 	"math/big"
 	"slices"
 )
 
-// pool is the hosts of a location that are alike but for their size: no bound on tasks, or the same number of tasks for
-// each second of work. What a pool gets is parted by capacity, which uses all its hosts equally; so the pools of a
-// location can do exactly what its hosts can.
+// pool is the hosts of a zone that differ in their weights only: they have no bound on their rate, or the same bound for
+// each second of work. A pool's requests are divided among its hosts by capacity, which gives all the same utilization,
+// so that the pools of a zone can do exactly what its hosts can.
 type pool struct {
 	zone      string
 	hosts     []hostCapacity
-	work      int64 // sums of its hosts'
-	maxRate   int64 // -1 for no bound
-	warmingUp bool
+	work      int64 // millionths of a second of work a second, of all hosts
+	maxRate   int64 // millionths of a request a second, of all hosts; -1 for no bound
+	warmingUp bool  // some of them are
 }
 
-// maxBoundedPools is how many pools of bounded hosts a location has at most. Where more different ratios are told, the narrower
-// ones of neighbours count for both, so that a plan may ask less of such hosts than it could, never more.
+// maxBoundedPools is the largest number of pools of bounded hosts in a zone. Beyond it neighbors are merged and the
+// narrower bound counts for both, so that a plan may give such hosts less than they can take, never more.
 const maxBoundedPools = 6
 
-// groupPools groups rooms, in an order that depends on the hosts alone.
-func groupPools(all []hostCapacity) []pool {
-	byPlace := map[string][]hostCapacity{}
-	for _, r := range all {
-		byPlace[r.host.Zone] = append(byPlace[r.host.Zone], r)
+// groupPools groups hosts into pools, in an order that depends on the hosts only.
+func groupPools(hosts []hostCapacity) []pool {
+	byZone := map[string][]hostCapacity{}
+	for _, h := range hosts {
+		byZone[h.host.Zone] = append(byZone[h.host.Zone], h)
 	}
-	places := make([]string, 0, len(byPlace))
-	for p := range byPlace {
-		places = append(places, p)
+	var pools []pool
+	for _, zone := range slices.Sorted(maps.Keys(byZone)) {
+		pools = append(pools, mergePools(zonePools(zone, byZone[zone]))...)
 	}
-	slices.Sort(places)
-	var out []pool
-	for _, place := range places {
-		rooms := byPlace[place]
-		// Warm ones first, then by tasks for each second of work, the widest first.
-		slices.SortStableFunc(rooms, func(a, b hostCapacity) int {
-			switch {
-			case a.maxRate < 0 || b.maxRate < 0:
-				return cmp.Compare(min(b.maxRate, 0)*-1, min(a.maxRate, 0)*-1)
-			default:
-				return compareRatio(b.maxRate, b.work, a.maxRate, a.work)
-			}
-		})
-		first := len(out)
-		for _, r := range rooms {
-			if r.work == 0 {
-				continue
-			}
-			last := len(out) - 1
-			if last >= first && sameRatio(out[last].hosts[0], r) {
-				out[last].hosts = append(out[last].hosts, r)
-			} else {
-				out = append(out, pool{zone: place, hosts: []hostCapacity{r}})
-			}
-		}
-		out = append(out[:first], mergePools(out[first:])...)
+	for i := range pools {
+		pools[i].addUp()
 	}
-	for i := range out {
-		out[i].sum()
+	return pools
+}
+
+// zonePools groups the hosts of one zone: unbounded ones first, then by their bound for each second of work, the widest
+// first.
+func zonePools(zone string, hosts []hostCapacity) (pools []pool) {
+	slices.SortStableFunc(hosts, func(a, b hostCapacity) int {
+		if a.maxRate < 0 || b.maxRate < 0 {
+			return cmp.Compare(min(b.maxRate, 0)*-1, min(a.maxRate, 0)*-1)
+		}
+		return compareRatio(b.maxRate, b.work, a.maxRate, a.work)
+	})
+	for _, h := range hosts {
+		if h.work == 0 {
+			continue
+		}
+		if last := len(pools) - 1; last >= 0 && sameRatio(pools[last].hosts[0], h) {
+			pools[last].hosts = append(pools[last].hosts, h)
+		} else {
+			pools = append(pools, pool{zone: zone, hosts: []hostCapacity{h}})
+		}
 	}
-	return out
+	return pools
 }
 
+// sameRatio reports whether two hosts have the same bound for each second of work, or both none.
 func sameRatio(a, b hostCapacity) bool {
 	if a.maxRate < 0 || b.maxRate < 0 {
 		return a.maxRate < 0 && b.maxRate < 0
@@ -71,56 +68,62 @@
 	return compareRatio(a.maxRate, a.work, b.maxRate, b.work) == 0
 }
 
-// compareRatio compares a/b with c/d without a rounding.
+// compareRatio compares a/b with c/d exactly.
 func compareRatio(a, b, c, d int64) int {
 	x := new(big.Int).Mul(big.NewInt(a), big.NewInt(d))
 	return x.Cmp(new(big.Int).Mul(big.NewInt(c), big.NewInt(b)))
 }
 
-// mergePools joins bounded pools until few are left: always the two neighbours with the fewest hosts.
-func mergePools(all []pool) []pool {
-	bounded := func(p pool) bool { return p.hosts[0].maxRate >= 0 }
+// mergePools merges bounded pools until there are few enough: always the two neighbors with the fewest hosts.
+func mergePools(pools []pool) []pool {
 	for {
-		n, best := 0, -1
-		for i, p := range all {
-			if !bounded(p) {
+		count, best := 0, -1
+		for i, p := range pools {
+			if !p.bounded() {
 				continue
 			}
-			n++
-			if i > 0 && bounded(all[i-1]) && (best < 0 ||
-				len(p.hosts)+len(all[i-1].hosts) < len(all[best].hosts)+len(all[best-1].hosts)) {
+			count++
+			if i > 0 && pools[i-1].bounded() && (best < 0 || mergedHosts(pools, i) < mergedHosts(pools, best)) {
 				best = i
 			}
 		}
-		if n <= maxBoundedPools {
-			return all
+		if count <= maxBoundedPools {
+			return pools
 		}
-		// The narrower ratio stands last in the order; the wider hosts' bounds come down to it.
-		narrow := all[best].hosts[0]
-		joined := slices.Clone(all[best-1].hosts)
-		for i := range joined {
-			b := new(big.Int).Mul(big.NewInt(joined[i].work), big.NewInt(narrow.maxRate))
-			joined[i].maxRate = b.Div(b, big.NewInt(narrow.work)).Int64()
-		}
-		all[best-1].hosts = append(joined, all[best].hosts...)
-		all = slices.Delete(all, best, best+1)
+		pools[best-1].hosts = joinNarrower(pools[best-1].hosts, pools[best].hosts)
+		pools = slices.Delete(pools, best, best+1)
+	}
+}
+
+func (p pool) bounded() bool { return p.hosts[0].maxRate >= 0 }
+
+// mergedHosts is the number of hosts of a pool and the one before it.
+func mergedHosts(pools []pool, i int) int { return len(pools[i].hosts) + len(pools[i-1].hosts) }
+
+// joinNarrower joins hosts with a wide bound and hosts with a narrow one, which then counts for all.
+func joinNarrower(wide, narrow []hostCapacity) []hostCapacity {
+	joined := slices.Clone(wide)
+	for i := range joined {
+		b := new(big.Int).Mul(big.NewInt(joined[i].work), big.NewInt(narrow[0].maxRate))
+		joined[i].maxRate = b.Div(b, big.NewInt(narrow[0].work)).Int64()
 	}
+	return append(joined, narrow...)
 }
 
-// sum adds up its hosts. A bound on tasks is what all hosts together get when each gets its part by capacity and none
-// more than its own bound; equal ratios may differ by a millionth, as figures are whole.
-func (p *pool) sum() {
+// addUp sets the pool's capacity. Its bound is the rate at which the first of its hosts reaches its own bound, as requests
+// are divided by capacity; equal ratios may differ by a millionth because figures are integers.
+func (p *pool) addUp() {
 	p.maxRate = -1
-	for _, r := range p.hosts {
-		p.work += r.work
-		p.warmingUp = p.warmingUp || r.warmingUp
+	for _, h := range p.hosts {
+		p.work += h.work
+		p.warmingUp = p.warmingUp || h.warmingUp
 	}
-	for _, r := range p.hosts {
-		if r.maxRate < 0 {
+	for _, h := range p.hosts {
+		if h.maxRate < 0 {
 			continue
 		}
-		b := new(big.Int).Mul(big.NewInt(p.work), big.NewInt(r.maxRate))
-		if n := b.Div(b, big.NewInt(r.work)).Int64(); p.maxRate < 0 || n < p.maxRate {
+		b := new(big.Int).Mul(big.NewInt(p.work), big.NewInt(h.maxRate))
+		if n := b.Div(b, big.NewInt(h.work)).Int64(); p.maxRate < 0 || n < p.maxRate {
 			p.maxRate = n
 		}
 	}
--- /dev/null
+++ b/plan/shares.go
@@ -0,0 +1,107 @@
+package plan
+
+import "math/big"
+
+// Share is the exact share of a zone's requests that a host gets; 0 for a zone or host that the step doesn't know.
+func (s *Step) Share(zone, host string) *big.Rat {
+	m, ok := s.members[host]
+	if !ok || m.isCanary {
+		return new(big.Rat)
+	}
+	for g, d := range s.demands {
+		if d.zone == zone {
+			return new(big.Rat).Mul(s.shares[g][m.pool], big.NewRat(m.work, s.pools[m.pool].work))
+		}
+	}
+	return new(big.Rat)
+}
+
+// ShadowShare is the exact share of a zone's shadow requests that a canary host gets; 0 for all others.
+func (s *Step) ShadowShare(zone, host string) *big.Rat {
+	m, ok := s.members[host]
+	if !ok || !m.isCanary {
+		return new(big.Rat)
+	}
+	for _, t := range s.Shadows {
+		if t.Zone == zone {
+			return new(big.Rat).Mul(t.shares[m.pool], big.NewRat(m.work, s.canaryPools[m.pool].work))
+		}
+	}
+	return new(big.Rat)
+}
+
+// UnservedRate is the requests a second that are shed.
+func (s *Step) UnservedRate() float64 {
+	sum := new(big.Rat)
+	for g, d := range s.demands {
+		sum.Add(sum, new(big.Rat).Mul(s.shed[g], big.NewRat(d.rate, micro)))
+	}
+	v, _ := sum.Float64()
+	return v
+}
+
+// CrossZoneRate is the requests a second of a zone, or of all with "", that go to other zones.
+func (s *Step) CrossZoneRate(zone string) float64 {
+	sum := new(big.Rat)
+	for g, d := range s.demands {
+		for p, x := range s.pools {
+			if x.zone != d.zone && (zone == "" || zone == d.zone) {
+				sum.Add(sum, new(big.Rat).Mul(s.shares[g][p], big.NewRat(d.rate, micro)))
+			}
+		}
+	}
+	v, _ := sum.Float64()
+	return v
+}
+
+// Utilization is the planned share of the capacity, less the reserve, of a zone's hosts, or of all with "".
+func (s *Step) Utilization(zone string) float64 {
+	sum, capacity := new(big.Rat), int64(0)
+	for p, x := range s.pools {
+		if zone != "" && x.zone != zone {
+			continue
+		}
+		capacity += x.work
+		for g, d := range s.demands {
+			sum.Add(sum, new(big.Rat).Mul(s.shares[g][p], big.NewRat(d.work, 1)))
+		}
+	}
+	if capacity == 0 {
+		return 0
+	}
+	v, _ := sum.Quo(sum, big.NewRat(capacity, 1)).Float64()
+	return v
+}
+
+// PoolUtilization is the utilization of hosts of one zone that differ in their weights only.
+type PoolUtilization struct {
+	Zone        string
+	Hosts       int
+	WarmingUp   bool    // some of them are
+	Capacity    float64 // seconds of work a second, less the reserve
+	MaxRate     float64 // requests a second; -1 for no bound
+	Rate        float64 // requests a second
+	Utilization float64 // share of Capacity
+	exact       *big.Rat
+}
+
+// PoolUtilizations returns the utilizations of all pools that can serve requests, by zone.
+func (s *Step) PoolUtilizations() (out []PoolUtilization) {
+	for p, x := range s.pools {
+		utilization, rate := new(big.Rat), new(big.Rat)
+		for g, d := range s.demands {
+			utilization.Add(utilization, new(big.Rat).Mul(s.shares[g][p], big.NewRat(d.work, x.work)))
+			rate.Add(rate, new(big.Rat).Mul(s.shares[g][p], big.NewRat(d.rate, micro)))
+		}
+		u := PoolUtilization{
+			Zone: x.zone, Hosts: len(x.hosts), WarmingUp: x.warmingUp, Capacity: float64(x.work) / micro, MaxRate: -1, exact: utilization,
+		}
+		if x.maxRate >= 0 {
+			u.MaxRate = float64(x.maxRate) / micro
+		}
+		u.Utilization, _ = utilization.Float64()
+		u.Rate, _ = rate.Float64()
+		out = append(out, u)
+	}
+	return out
+}
--- a/plan/simplex.go
+++ b/plan/simplex.go
@@ -2,31 +2,31 @@
 
 import "math/big"
 
-// simplex is a linear program in whole numbers, solved without a rounding: the tableau holds integers over one common
+// simplex is a linear program in integers, solved without rounding: the tableau holds integers over one common
 // denominator, and each pivot divides by the last pivot, which leaves no remainder (Bareiss, Sylvester's Identity and
-// Multistep Integer-Preserving Gaussian Elimination, 1968; for the tableau: Edmonds and Maurras, 1997). Pivots go by
-// Bland's rule (New Finite Pivoting Rules for the Simplex Method, 1977), so that it always ends, and the outcome depends
-// on the order of rows and columns alone, not on the scale of the figures.
+// Multistep Integer-Preserving Gaussian Elimination, 1968; for the tableau: Edmonds and Maurras, 1997). Pivots follow
+// Bland's rule (New Finite Pivoting Rules for the Simplex Method, 1977), so that it always ends, and the result depends
+// only on the order of rows and columns, not on the scale of the figures.
 //
-// Its rows are sums that must stay at or below a bound of 0 or more, or equal it where a column that stands in that
-// row alone takes the rest; so all columns at 0 is a solution to start from.
+// A row is a sum that must be at most a bound of 0 or more, or equal to it where a column that is in no other row takes
+// the rest. So all columns at 0 is a feasible start.
 //
-// Goals are met one after the other (lexicographic programming): once a goal is met, columns that would harm it are
-// barred for good, so that later goals move only where all earlier ones stay as they are.
+// Goals are met one after the other (lexicographic programming): once a goal is met, columns that would harm it are barred
+// for good, so that later goals change only what leaves all earlier ones as they are.
 type simplex struct {
-	rows    [][]*big.Int // the last entry of each is the bound
-	den     *big.Int
-	basis   []int // by row, the column that is in the solution
-	rowOf   []int // by column, its row, or -1
-	barred  []bool
-	slack   []int // by row, its slack column or -1
-	columns int
-
-	t1, t2 big.Int
+	rows        [][]*big.Int // the last entry of each is the bound
+	denominator *big.Int
+	basis       []int  // by row, the column that is in the solution
+	rowOf       []int  // by column, its row in the basis, or -1
+	barred      []bool // by column
+	slack       []int  // by row, its slack column or -1
+	columns     int
+
+	product1, product2 big.Int // buffers
 }
 
 func newSimplex(columns int) *simplex {
-	s := &simplex{den: big.NewInt(1), columns: columns, rowOf: make([]int, columns), barred: make([]bool, columns)}
+	s := &simplex{denominator: big.NewInt(1), columns: columns, rowOf: make([]int, columns), barred: make([]bool, columns)}
 	for i := range s.rowOf {
 		s.rowOf[i] = -1
 	}
@@ -39,33 +39,33 @@
 	factor *big.Int
 }
 
-// smallTerm is a term with a figure that fits a word.
-func smallTerm(column int, by int64) term { return term{column, big.NewInt(by)} }
+// smallTerm is a term whose factor fits 64 bits.
+func smallTerm(column int, factor int64) term { return term{column, big.NewInt(factor)} }
 
-// addRow adds one. With rest at 0 or above, that column takes up what is left of the bound, and must stand nowhere
-// else; else a slack does, and the row is an upper bound. It is for use before the first goal only.
+// addRow adds a row and returns its number. A column rest of 0 or above takes what is left of the bound and must be in no
+// other row; with a negative rest a slack does, and the row is an upper bound. All rows are added before addSlacks.
 func (s *simplex) addRow(bound *big.Int, rest int, terms ...term) int {
-	r := make([]*big.Int, s.columns)
+	row := make([]*big.Int, s.columns)
 	for _, t := range terms {
-		if r[t.column] == nil {
-			r[t.column] = new(big.Int)
+		if row[t.column] == nil {
+			row[t.column] = new(big.Int)
 		}
-		r[t.column].Add(r[t.column], t.factor)
+		row[t.column].Add(row[t.column], t.factor)
 	}
 	if rest >= 0 {
-		r[rest] = big.NewInt(1)
+		row[rest] = big.NewInt(1)
 		s.rowOf[rest] = len(s.rows)
 	}
-	s.rows = append(s.rows, append(r, new(big.Int).Set(bound)))
+	s.rows = append(s.rows, append(row, new(big.Int).Set(bound)))
 	s.basis = append(s.basis, rest)
 	s.slack = append(s.slack, -1)
 	return len(s.rows) - 1
 }
 
-// addSlacks gives all rows without a rest their slacks.
+// addSlacks gives all rows without a rest their slacks. It is called once, before the first goal.
 func (s *simplex) addSlacks() {
-	for i, b := range s.basis {
-		if b < 0 {
+	for i, column := range s.basis {
+		if column < 0 {
 			s.basis[i] = s.columns
 			s.slack[i] = s.columns
 			s.rowOf = append(s.rowOf, i)
@@ -73,10 +73,10 @@
 			s.columns++
 		}
 	}
-	for i, r := range s.rows {
+	for i, row := range s.rows {
 		wide := make([]*big.Int, s.columns+1)
-		copy(wide, r[:len(r)-1])
-		wide[s.columns] = r[len(r)-1]
+		copy(wide, row[:len(row)-1])
+		wide[s.columns] = row[len(row)-1]
 		for j, v := range wide {
 			if v == nil {
 				wide[j] = new(big.Int)
@@ -89,120 +89,135 @@
 	}
 }
 
-// addColumn adds one whose part in each row is given by weights of those rows' slacks (B^-1 a is the same sum of the
-// slacks' columns). It returns its number.
-func (s *simplex) addColumn(by map[int]int64) int {
-	c := s.columns
+// addColumn adds a column whose part in each row is given by factors of rows' slacks (B^-1 a is the same sum of the
+// slacks' columns), and returns its number.
+func (s *simplex) addColumn(factors map[int]int64) int {
+	column := s.columns
 	for i, r := range s.rows {
 		v := new(big.Int)
-		for row, w := range by {
-			v.Add(v, s.t1.Mul(s.rows[i][s.slack[row]], big.NewInt(w)))
+		for row, factor := range factors {
+			v.Add(v, s.product1.Mul(s.rows[i][s.slack[row]], big.NewInt(factor)))
 		}
 		bound := r[s.columns]
 		s.rows[i] = append(r[:s.columns:s.columns], v, bound)
 	}
 	s.columns++
 	s.rowOf, s.barred = append(s.rowOf, -1), append(s.barred, false)
-	return c
+	return column
 }
 
-// minimize brings the sum of cost times column down as far as it goes and bars what would raise it again.
-// The sum must be bounded below.
+// minimize minimizes the sum of cost times column and bars the columns that would raise it again. The sum must be bounded
+// below.
 func (s *simplex) minimize(cost map[int]int64) {
-	// The price of each column: its own cost less that of the columns it would push out, times the denominator.
+	price := s.prices(cost)
+	for {
+		entering := s.enteringColumn(price)
+		if entering < 0 {
+			break
+		}
+		leaving := s.leavingRow(entering)
+		if leaving < 0 {
+			panic("plan: a goal without a bound, which the model's rows rule out")
+		}
+		s.pivot(leaving, entering, price)
+	}
+	for j := range s.columns {
+		if s.rowOf[j] < 0 && price[j].Sign() > 0 {
+			s.barred[j] = true
+		}
+	}
+}
+
+// prices returns the price of each column, times the denominator: its own cost less that of the columns that it would
+// push out.
+func (s *simplex) prices(cost map[int]int64) []*big.Int {
 	price := make([]*big.Int, s.columns+1)
 	for j := range price {
 		v := new(big.Int)
 		if c, ok := cost[j]; ok {
-			v.Mul(big.NewInt(c), s.den)
+			v.Mul(big.NewInt(c), s.denominator)
 		}
-		for i, b := range s.basis {
-			if c, ok := cost[b]; ok && s.rows[i][j].Sign() != 0 {
-				v.Sub(v, s.t1.Mul(s.rows[i][j], big.NewInt(c)))
+		for i, column := range s.basis {
+			if c, ok := cost[column]; ok && s.rows[i][j].Sign() != 0 {
+				v.Sub(v, s.product1.Mul(s.rows[i][j], big.NewInt(c)))
 			}
 		}
 		price[j] = v
 	}
-	for {
-		in := -1
-		for j := range s.columns {
-			if !s.barred[j] && s.rowOf[j] < 0 && price[j].Sign() < 0 {
-				in = j
-				break
-			}
-		}
-		if in < 0 {
-			break
-		}
-		out := s.leavingRow(in)
-		if out < 0 {
-			panic("plan: a goal without a bound, which the model's rows rule out")
-		}
-		s.pivot(out, in, price)
-	}
+	return price
+}
+
+// enteringColumn returns the first column that lowers the cost; -1 for none.
+func (s *simplex) enteringColumn(price []*big.Int) int {
 	for j := range s.columns {
-		if s.rowOf[j] < 0 && price[j].Sign() > 0 {
-			s.barred[j] = true
+		if !s.barred[j] && s.rowOf[j] < 0 && price[j].Sign() < 0 {
+			return j
 		}
 	}
+	return -1
 }
 
-// leavingRow is the row that binds first as a column grows; of equals, the one whose column has the lowest number.
-func (s *simplex) leavingRow(in int) (out int) {
-	out = -1
+// leavingRow returns the row that binds first as a column grows, of equals the one whose column has the lowest number; -1
+// for none.
+func (s *simplex) leavingRow(entering int) int {
+	best := -1
 	for i, r := range s.rows {
-		if r[in].Sign() <= 0 {
+		if r[entering].Sign() <= 0 {
 			continue
 		}
-		if out < 0 {
-			out = i
+		if best < 0 {
+			best = i
 			continue
 		}
-		o := s.rows[out]
-		c := s.t1.Mul(r[s.columns], o[in]).Cmp(s.t2.Mul(o[s.columns], r[in]))
-		if c < 0 || c == 0 && s.basis[i] < s.basis[out] {
-			out = i
+		b := s.rows[best]
+		order := s.product1.Mul(r[s.columns], b[entering]).Cmp(s.product2.Mul(b[s.columns], r[entering]))
+		if order < 0 || order == 0 && s.basis[i] < s.basis[best] {
+			best = i
 		}
 	}
-	return out
+	return best
 }
 
+// pivot puts a column into the basis in place of a row's.
 func (s *simplex) pivot(row, column int, price []*big.Int) {
-	r := s.rows[row]
-	p := r[column]
-	one := s.den.Cmp(big.NewInt(1)) == 0
-	change := func(x []*big.Int) {
-		f := new(big.Int).Set(x[column])
-		for j, v := range x {
-			if v.Sign() != 0 {
-				v.Mul(v, p)
-			}
-			if f.Sign() != 0 && r[j].Sign() != 0 {
-				v.Sub(v, s.t1.Mul(f, r[j]))
-			}
-			if !one && v.Sign() != 0 {
-				v.Quo(v, s.den)
-			}
-		}
-	}
-	for i, x := range s.rows {
+	pivotRow := s.rows[row]
+	for i, r := range s.rows {
 		if i != row {
-			change(x)
+			s.eliminate(r, pivotRow, column)
 		}
 	}
-	change(price)
-	s.den = new(big.Int).Set(p)
+	s.eliminate(price, pivotRow, column)
+	s.denominator = new(big.Int).Set(pivotRow[column])
 	s.rowOf[s.basis[row]] = -1
 	s.basis[row], s.rowOf[column] = column, row
 }
 
-// value is what a column is in the solution.
+// eliminate removes a column from a row, by multiples of the pivot row. The division leaves no remainder.
+func (s *simplex) eliminate(row, pivotRow []*big.Int, column int) {
+	pivot := pivotRow[column]
+	divide := s.denominator.Cmp(big.NewInt(1)) != 0
+	factor := new(big.Int).Set(row[column])
+	for j, v := range row {
+		if v.Sign() != 0 {
+			v.Mul(v, pivot)
+		}
+		if factor.Sign() != 0 && pivotRow[j].Sign() != 0 {
+			v.Sub(v, s.product1.Mul(factor, pivotRow[j]))
+		}
+		if divide && v.Sign() != 0 {
+			v.Quo(v, s.denominator)
+		}
+	}
+}
+
+// value returns a column's value in the solution.
 func (s *simplex) value(column int) *big.Rat {
 	if s.rowOf[column] < 0 {
 		return new(big.Rat)
 	}
-	return new(big.Rat).SetFrac(s.rows[s.rowOf[column]][s.columns], s.den)
+	return new(big.Rat).SetFrac(s.rows[s.rowOf[column]][s.columns], s.denominator)
 }
 
-// isTight tells whether a row's bound binds in every solution that meets all goals so far, as far as barring tells.
+// isTight reports whether a row's bound is reached in every solution that meets all goals so far, as far as barred columns
+// show it.
 func (s *simplex) isTight(row int) bool { return s.barred[s.slack[row]] }
