--- a/plan/release_test.go
+++ b/plan/release_test.go
@@ -7,9 +7,9 @@
 	"github.com/stretchr/testify/require"
 )
 
-func TestTheCourseOfAReleaseBesideAndInPlace(t *testing.T) {
+func TestHostsDuringAReleaseSideBySideAndInPlace(t *testing.T) {
 	for _, beside := range []bool{false, true} {
-		m := simple(nil, several("north", 4, 1), several("south", 4, 1))
+		m := singleClassModel(nil, hostsIn("north", 4, 1), hostsIn("south", 4, 1))
 		m.Release = &Release{Build: 2, Stages: []Stage{{time.Hour, .25, .05}, {2 * time.Hour, .5, .5}}, ReleasedAt: 3 * time.Hour, SideBySide: beside}
 		count := func(at time.Duration) (old, now, trial int) {
 			hosts, _, trial := m.hostsAt(at)
--- a/plan/search_test.go
+++ b/plan/search_test.go
@@ -17,71 +17,73 @@
 	"github.com/stretchr/testify/require"
 )
 
-// small is a case of the exhaustive search: up to eight hosts in up to three locations, whole numbers throughout, one
-// task is one unit of work. It shares no code with the solver.
-type small struct {
-	place  []int // of each host
-	can    []int // tasks a second that it can do
-	may    []int // that it may be sent, as it is cold; -1 for warm
-	trial  []bool
-	asked  []int // by location
-	cross  int   // percent that may cross
-	capped int   // percent of the tasks that may be copied to the build on trial
+// exhaustiveCase is a case of the exhaustive search: up to eight hosts in up to three zones, with integers throughout, and
+// requests of one unit of work. It shares no code with the solver.
+type exhaustiveCase struct {
+	zoneOf       []int // of each host
+	capacity     []int // requests a second
+	maxRate      []int // requests a second in slow start; -1 for a host that has warmed up
+	canary       []bool
+	demand       []int // requests a second, by zone
+	maxCrossZone int   // percent of a zone's requests
+	shadowCap    int   // shadow requests, in percent of a zone's requests
 }
 
-// searched is what the search finds: the most that can be served and the least crossing with it, by trying every way to
-// hand out whole tasks; the uses of all hosts, by trying every set of demands that could be the tightest; and copies.
-type searched struct {
-	served, cross int
-	uses          []*big.Rat
-	copies        []*big.Rat // by location
+// searchResult is what the search finds: the most that can be served and the least traffic between zones with it, by trying
+// every assignment of requests to hosts; the utilizations of all hosts, by trying every set of demands that could be the
+// tightest; and the shadow requests.
+type searchResult struct {
+	served, crossZone int
+	utilizations      []*big.Rat
+	shadows           []*big.Rat // by zone
 }
 
-func (c small) search() searched {
-	out := c.handOut()
+func (c exhaustiveCase) search() searchResult {
+	out := c.assign()
 	total := 0
-	for _, n := range c.asked {
+	for _, n := range c.demand {
 		total += n
 	}
 	if out.served == total {
-		out.uses = c.level()
+		out.utilizations = c.level()
 	}
-	for l, n := range c.asked {
-		allowed := big.NewRat(int64(n*c.capped), 100)
+	for l, n := range c.demand {
+		allowed := big.NewRat(int64(n*c.shadowCap), 100)
 		room := 0
-		for h := range c.place {
-			if c.trial[h] && c.place[h] == l {
+		for h := range c.zoneOf {
+			if c.canary[h] && c.zoneOf[h] == l {
 				room += c.limit(h)
 			}
 		}
 		if r := big.NewRat(int64(room), 1); r.Cmp(allowed) < 0 {
 			allowed = r
 		}
-		out.copies = append(out.copies, allowed)
+		out.shadows = append(out.shadows, allowed)
 	}
 	return out
 }
 
-func (c small) limit(h int) int {
-	if c.may[h] >= 0 {
-		return min(c.can[h], c.may[h])
+func (c exhaustiveCase) limit(h int) int {
+	if c.maxRate[h] >= 0 {
+		return min(c.capacity[h], c.maxRate[h])
 	}
-	return c.can[h]
+	return c.capacity[h]
 }
 
-// handOut tries every way: the state is what each host has got, four bits each, and for each state the least crossing.
-// A task of a location goes to any host with room, or to none.
-func (c small) handOut() searched {
+// assign tries every assignment: the state is what each host has got, four bits each, with the least traffic between zones
+// for each state.
+// A request of a zone goes to any host that can take it, or to none.
+func (c exhaustiveCase) assign() searchResult {
 	const leftAt, crossedAt = 32, 36
 	states := map[uint64]int8{0: 0}
-	for l, n := range c.asked {
+	for l, n := range c.demand {
 		// Tasks of one location are alike: hosts in order, each with any number of what is left.
 		now := make(map[uint64]int8, len(states))
 		for s, x := range states {
 			now[s|uint64(n)<<leftAt] = x
 		}
-		for h := range c.place {
-			if c.trial[h] {
+		for h := range c.zoneOf {
+			if c.canary[h] {
 				continue
 			}
 			next := make(map[uint64]int8, 2*len(now))
@@ -89,8 +91,8 @@
 				left, crossed, got := int(s>>leftAt&15), int(s>>crossedAt&15), int(s>>(4*h)&15)
 				for k := 0; k <= left && got+k <= c.limit(h); k++ {
 					t, y := s+uint64(k)<<(4*h)-uint64(k)<<leftAt, x
-					if c.place[h] != l {
-						if 100*(crossed+k) > c.cross*n {
+					if c.zoneOf[h] != l {
+						if 100*(crossed+k) > c.maxCrossZone*n {
 							break
 						}
 						t += uint64(k) << crossedAt
@@ -111,14 +113,14 @@
 			}
 		}
 	}
-	best := searched{served: -1}
+	best := searchResult{served: -1}
 	for s, x := range states {
 		served := 0
-		for h := range c.place {
+		for h := range c.zoneOf {
 			served += int(s >> (4 * h) & 15)
 		}
-		if served > best.served || served == best.served && int(x) < best.cross {
-			best.served, best.cross = served, int(x)
+		if served > best.served || served == best.served && int(x) < best.crossZone {
+			best.served, best.crossZone = served, int(x)
 		}
 	}
 	return best
@@ -127,19 +129,19 @@
 // level finds the uses of the most even share with all served and the least crossing: what a location can't do itself
 // crosses. For every set of demands, the hosts that may take it must stay at some level of use to hold it; the set that
 // asks for the highest level fixes its hosts there, and the rest follow among themselves.
-func (c small) level() []*big.Rat {
+func (c exhaustiveCase) level() []*big.Rat {
 	type demand struct {
 		hosts []int
 		n     int
 	}
 	var demands []demand
-	for l, n := range c.asked {
+	for l, n := range c.demand {
 		var here, there []int
 		room := 0
-		for h := range c.place {
+		for h := range c.zoneOf {
 			switch {
-			case c.trial[h]:
-			case c.place[h] == l:
+			case c.canary[h]:
+			case c.zoneOf[h] == l:
 				here = append(here, h)
 				room += c.limit(h)
 			default:
@@ -190,8 +192,8 @@
 		demands = rest
 	}
 	var out []*big.Rat
-	for h := range c.place {
-		if c.trial[h] || c.limit(h) == 0 && c.may[h] < 0 {
+	for h := range c.zoneOf {
+		if c.canary[h] || c.limit(h) == 0 && c.maxRate[h] < 0 {
 			continue
 		}
 		if uses[h] == nil {
@@ -203,9 +205,9 @@
 }
 
 // useAt is a host's use when all are filled to a level and a bound holds it below.
-func (c small) useAt(h int, level *big.Rat) *big.Rat {
-	if c.may[h] >= 0 {
-		if b := big.NewRat(int64(c.may[h]), int64(c.can[h])); b.Cmp(level) < 0 {
+func (c exhaustiveCase) useAt(h int, level *big.Rat) *big.Rat {
+	if c.maxRate[h] >= 0 {
+		if b := big.NewRat(int64(c.maxRate[h]), int64(c.capacity[h])); b.Cmp(level) < 0 {
 			return b
 		}
 	}
@@ -213,11 +215,11 @@
 }
 
 // levelOf is the level at which hosts hold n tasks: between which two of their bounds it lies is tried out.
-func (c small) levelOf(hosts map[int]bool, n int) *big.Rat {
+func (c exhaustiveCase) levelOf(hosts map[int]bool, n int) *big.Rat {
 	marks := []*big.Rat{big.NewRat(1, 1)}
 	for h := range hosts {
-		if c.may[h] >= 0 {
-			marks = append(marks, big.NewRat(int64(c.may[h]), int64(c.can[h])))
+		if c.maxRate[h] >= 0 {
+			marks = append(marks, big.NewRat(int64(c.maxRate[h]), int64(c.capacity[h])))
 		}
 	}
 	slices.SortFunc(marks, (*big.Rat).Cmp)
@@ -225,10 +227,10 @@
 	for _, high := range marks {
 		fixed, free := new(big.Rat), 0
 		for h := range hosts {
-			if c.may[h] >= 0 && big.NewRat(int64(c.may[h]), int64(c.can[h])).Cmp(low) <= 0 {
-				fixed.Add(fixed, big.NewRat(int64(c.may[h]), 1))
+			if c.maxRate[h] >= 0 && big.NewRat(int64(c.maxRate[h]), int64(c.capacity[h])).Cmp(low) <= 0 {
+				fixed.Add(fixed, big.NewRat(int64(c.maxRate[h]), 1))
 			} else {
-				free += c.can[h]
+				free += c.capacity[h]
 			}
 		}
 		if free > 0 {
@@ -243,37 +245,37 @@
 	return low // they hold it only when full
 }
 
-// model is the same case in the solver's words.
-func (c small) model(order []int) *Model {
+// model returns the same case as a model.
+func (c exhaustiveCase) model(order []int) *Model {
 	names := []string{"east", "north", "port"}
 	m := &Model{Classes: []Class{{Name: "quote", Work: 1, PriorityWeight: 1}},
-		Limits:   Limits{MaxCrossZone: float64(c.cross) / 100, SlowStart: SlowStart{Duration: 5 * time.Second, InitialCapacity: 1}},
+		Limits:   Limits{MaxCrossZone: float64(c.maxCrossZone) / 100, SlowStart: SlowStart{Duration: 5 * time.Second, InitialCapacity: 1}},
 		Forecast: []Forecast{{}}}
 	for _, h := range order {
-		x := Host{Name: fmt.Sprintf("h%d", h), Zone: names[c.place[h]], Build: 1, Weight: float64(c.can[h]), StartsAt: -time.Hour}
-		if c.may[h] >= 0 {
-			x.StartsAt, x.MaxRate = 0, float64(c.may[h])
+		x := Host{Name: fmt.Sprintf("h%d", h), Zone: names[c.zoneOf[h]], Build: 1, Weight: float64(c.capacity[h]), StartsAt: -time.Hour}
+		if c.maxRate[h] >= 0 {
+			x.StartsAt, x.MaxRate = 0, float64(c.maxRate[h])
 		}
-		if c.trial[h] {
+		if c.canary[h] {
 			x.Build = 2
 		}
 		m.Hosts = append(m.Hosts, x)
 	}
-	for l, n := range c.asked {
+	for l, n := range c.demand {
 		m.Forecast[0].Demand = append(m.Forecast[0].Demand, Demand{Zone: names[l], Class: "quote", Rate: float64(n)})
 	}
 	return m
 }
 
-// compare holds the solver to the search: no difference where they agree. all tells whether all can be served.
-func (c small) compare(r *rand.Rand) (all bool, differs string) {
+// compare compares the solver with the search. It returns whether all demand can be served, and how they differ.
+func (c exhaustiveCase) compare(r *rand.Rand) (all bool, differs string) {
 	want := c.search()
-	all = want.uses != nil
-	m := c.model(r.Perm(len(c.place)))
+	all = want.utilizations != nil
+	m := c.model(r.Perm(len(c.zoneOf)))
 	trial := 0
-	if slices.Contains(c.trial, true) {
+	if slices.Contains(c.canary, true) {
 		trial = 2
-		m.Release = &Release{Build: 2, Stages: []Stage{{HostShare: 1, ShadowCap: float64(c.capped) / 100}}}
+		m.Release = &Release{Build: 2, Stages: []Stage{{HostShare: 1, ShadowCap: float64(c.shadowCap) / 100}}}
 	}
 	s := &Step{limits: m.Limits, demands: m.zoneDemands(m.Forecast[0])}
 	s.groupHosts(hostCapacities(m.Hosts, m.Limits, 0, trial))
@@ -285,16 +287,16 @@
 		return all, err.Error()
 	}
 	total := 0
-	for _, n := range c.asked {
+	for _, n := range c.demand {
 		total += n
 	}
 	if got := float64(total) - s.UnservedRate(); got-float64(want.served) > 1e-9 || float64(want.served)-got > 1e-9 {
 		return all, fmt.Sprintf("%g served, %d by search", got, want.served)
 	}
-	if got := s.CrossZoneRate(""); got-float64(want.cross) > 1e-9 || float64(want.cross)-got > 1e-9 {
-		return all, fmt.Sprintf("%g cross, %d by search", got, want.cross)
+	if got := s.CrossZoneRate(""); got-float64(want.crossZone) > 1e-9 || float64(want.crossZone)-got > 1e-9 {
+		return all, fmt.Sprintf("%g cross, %d by search", got, want.crossZone)
 	}
-	if want.uses != nil {
+	if want.utilizations != nil {
 		var got []*big.Rat
 		for _, u := range s.PoolUtilizations() {
 			for range u.Hosts {
@@ -303,7 +305,7 @@
 		}
 		slices.SortFunc(got, (*big.Rat).Cmp)
 		// Hosts that may do nothing at all stand in no pool of the solver's.
-		uses := want.uses
+		uses := want.utilizations
 		slices.SortFunc(uses, (*big.Rat).Cmp)
 		if len(got) != len(uses) {
 			return all, fmt.Sprintf("%d uses, %d by search", len(got), len(uses))
@@ -314,9 +316,9 @@
 			}
 		}
 	}
-	for l, name := range []string{"east", "north", "port"}[:len(c.asked)] {
+	for l, name := range []string{"east", "north", "port"}[:len(c.demand)] {
 		for _, x := range s.Shadows {
-			if v, _ := want.copies[l].Float64(); x.Zone == name && cmp.Compare(x.PlannedRate-v, 1e-9) > 0 || x.Zone == name && v-x.PlannedRate > 1e-9 {
+			if v, _ := want.shadows[l].Float64(); x.Zone == name && cmp.Compare(x.PlannedRate-v, 1e-9) > 0 || x.Zone == name && v-x.PlannedRate > 1e-9 {
 				return all, fmt.Sprintf("%g copies in %s, %g by search", x.PlannedRate, name, v)
 			}
 		}
@@ -324,30 +326,30 @@
 	return all, ""
 }
 
-// drawn is a case of the grid: sizes 1 to 4 (at times far larger), warm or with a bound, up to three
+// drawCase is a case of the grid: sizes 1 to 4 (at times far larger), warm or with a bound, up to three
 // locations, at times one without hosts, builds on trial, bounds on crossing and caps.
-func drawn(r *rand.Rand) small {
+func drawCase(r *rand.Rand) exhaustiveCase {
 	n := 1 + r.IntN(8)
 	places := 1 + r.IntN(3)
-	c := small{cross: []int{0, 25, 50, 100}[r.IntN(4)], capped: []int{0, 5, 10, 50, 100}[r.IntN(5)]}
+	c := exhaustiveCase{maxCrossZone: []int{0, 25, 50, 100}[r.IntN(4)], shadowCap: []int{0, 5, 10, 50, 100}[r.IntN(5)]}
 	tests := r.IntN(3) == 0
 	for range n {
-		c.place = append(c.place, r.IntN(places))
+		c.zoneOf = append(c.zoneOf, r.IntN(places))
 		size := 1 + r.IntN(4)
 		if r.IntN(20) == 0 {
 			size = 12
 		}
-		c.can = append(c.can, size)
+		c.capacity = append(c.capacity, size)
 		may := -1
 		if r.IntN(3) == 0 {
 			may = 1 + r.IntN(2)
 		}
-		c.may = append(c.may, may)
-		c.trial = append(c.trial, tests && r.IntN(4) == 0)
+		c.maxRate = append(c.maxRate, may)
+		c.canary = append(c.canary, tests && r.IntN(4) == 0)
 	}
 	for range places {
 		n := r.IntN(9)
-		c.asked = append(c.asked, n-n%map[int]int{0: 1, 25: 4, 50: 2, 100: 1}[c.cross]) // so that whole tasks meet the bound
+		c.demand = append(c.demand, n-n%map[int]int{0: 1, 25: 4, 50: 2, 100: 1}[c.maxCrossZone]) // so that whole tasks meet the bound
 	}
 	return c
 }
@@ -365,7 +367,7 @@
 		wait.Go(func() {
 			r := rand.New(rand.NewPCG(seed, uint64(w)))
 			for i := range n / workers {
-				c := drawn(r)
+				c := drawCase(r)
 				all, differs := c.compare(r)
 				if !assert.Empty(t, differs, "seed %d, worker %d, case %d: %+v", seed, w, i, c) {
 					return
@@ -381,14 +383,14 @@
 }
 
 func TestTheSearchFindsAWrongSolver(t *testing.T) {
-	c := small{place: []int{0, 0}, can: []int{2, 2}, may: []int{-1, 1}, trial: []bool{false, false}, asked: []int{3}, cross: 100}
+	c := exhaustiveCase{zoneOf: []int{0, 0}, capacity: []int{2, 2}, maxRate: []int{-1, 1}, canary: []bool{false, false}, demand: []int{3}, maxCrossZone: 100}
 	r := rand.New(rand.NewPCG(1, 1))
 	_, differs := c.compare(r)
 	require.Empty(t, differs)
 	wrong := c
-	wrong.can = []int{1, 2} // as if the solver had left a host's second core out
+	wrong.capacity = []int{1, 2} // as if the solver had left a host's second core out
 	require.NotEqual(t, wrong.search().served, c.search().served)
 	want := c.search()
 	require.Equal(t, 3, want.served)
-	require.Equal(t, "1/2", want.uses[1].RatString())
+	require.Equal(t, "1/2", want.utilizations[1].RatString())
 }
--- a/plan/simplex_test.go
+++ b/plan/simplex_test.go
@@ -8,9 +8,9 @@
 	"github.com/stretchr/testify/require"
 )
 
-// corners finds the least value of two goals, one after the other, over all corners of a set of rows sum <= bound with
+// bestCorner finds the least value of two goals, one after the other, over all corners of a set of rows sum <= bound with
 // columns of 0 or more: each choice of as many tight bounds as there are columns is solved for where they meet.
-func corners(rows [][]int64, bounds []int64, first, second []int64) (a, b *big.Rat) {
+func bestCorner(rows [][]int64, bounds []int64, first, second []int64) (a, b *big.Rat) {
 	n := len(first)
 	all := append([][]int64{}, rows...)
 	right := append([]int64{}, bounds...)
@@ -29,7 +29,7 @@
 	var pick func(from int, some []int)
 	pick = func(from int, some []int) {
 		if len(some) == n {
-			x := meet(all, right, some)
+			x := intersection(all, right, some)
 			if x == nil {
 				return
 			}
@@ -52,8 +52,8 @@
 	return a, b
 }
 
-// meet is the point where the rows are all tight; nil if there is not exactly one.
-func meet(rows [][]int64, right []int64, some []int) []*big.Rat {
+// intersection is the point where the rows are all tight; nil if there is not exactly one.
+func intersection(rows [][]int64, right []int64, some []int) []*big.Rat {
 	n := len(some)
 	m := make([][]*big.Rat, n)
 	for i, r := range some {
@@ -106,7 +106,7 @@
 			all[j], first[j], second[j] = 1, int64(r.IntN(7)-3), int64(r.IntN(7)-3)
 		}
 		rows, bounds = append(rows, all), append(bounds, 10)
-		a, b := corners(rows, bounds, first, second)
+		a, b := bestCorner(rows, bounds, first, second)
 		s := newSimplex(n)
 		for i, row := range rows {
 			var terms []term
