--- a/internal/planreport/plot.go
+++ b/internal/planreport/plot.go
@@ -1,7 +1,9 @@
 package planreport
 
 import (
+	"errors"
 	"fmt"
+	"io"
 	"os"
 	"path/filepath"
 	"strings"
@@ -17,67 +19,83 @@
 	"dapplefront/plan"
 )
 
-// Plot draws a plan into a file, .svg or .png: use by location and time, tasks asked, crossing and unserved, and, with a
-// release, how much of each step's demand each stage would leave unserved.
-func (o *Report) Plot(file string, p *plan.Plan) error {
-	use, err := o.usePlot(p)
+// Plot draws a plan into a file, .svg or .png: utilization by zone and step, the rates of requests and, with a release,
+// how much of each step's demand each stage would leave unserved.
+func (r *Report) Plot(file string, p *plan.Plan) error {
+	plots, err := r.plots(p)
 	if err != nil {
 		return err
 	}
-	flow, err := o.flowPlot(p)
-	if err != nil {
-		return err
-	}
-	all := [][]*plot.Plot{{use}, {flow}}
-	if p.Model().Release != nil {
-		stages, err := o.stagePlot(p)
-		if err != nil {
-			return err
-		}
-		all = append(all, []*plot.Plot{stages})
-	}
-	width, height := 22*vg.Centimeter, vg.Length(len(all))*8*vg.Centimeter
+	width, height := plotWidth, vg.Length(len(plots))*plotHeight
 	var canvas vg.CanvasSizer
-	var write func(*os.File) error
+	var write func(io.Writer) error
 	switch ending := strings.ToLower(filepath.Ext(file)); ending {
 	case ".svg":
 		c := vgsvg.New(width, height)
-		canvas, write = c, func(f *os.File) error { _, err := c.WriteTo(f); return err }
+		canvas, write = c, func(w io.Writer) error { _, err := c.WriteTo(w); return err }
 	case ".png":
 		c := vgimg.New(width, height)
-		canvas, write = c, func(f *os.File) error { _, err := vgimg.PngCanvas{Canvas: c}.WriteTo(f); return err }
+		canvas, write = c, func(w io.Writer) error { _, err := vgimg.PngCanvas{Canvas: c}.WriteTo(w); return err }
 	default:
 		return fmt.Errorf("%s: a picture ends with .svg or .png, not %q", file, ending)
 	}
-	tiles := draw.Tiles{Rows: len(all), Cols: 1, PadY: 5 * vg.Millimeter}
-	for i, c := range plot.Align(all, tiles, draw.New(canvas)) {
-		all[i][0].Draw(c[0])
+	tiles := draw.Tiles{Rows: len(plots), Cols: 1, PadY: 5 * vg.Millimeter}
+	for i, c := range plot.Align(plots, tiles, draw.New(canvas)) {
+		plots[i][0].Draw(c[0])
 	}
+	return writeFile(file, write)
+}
+
+// Size of each plot.
+const (
+	plotWidth  = 22 * vg.Centimeter
+	plotHeight = 8 * vg.Centimeter
+)
+
+func writeFile(file string, write func(io.Writer) error) error {
 	f, err := os.Create(file)
 	if err != nil {
 		return err
 	}
-	if err := write(f); err != nil {
-		_ = f.Close()
-		return err
+	return errors.Join(write(f), f.Close())
+}
+
+// plots returns one plot a row.
+func (r *Report) plots(p *plan.Plan) ([][]*plot.Plot, error) {
+	utilization, err := utilizationPlot(p)
+	if err != nil {
+		return nil, err
+	}
+	rates, err := ratePlot(p)
+	if err != nil {
+		return nil, err
+	}
+	plots := [][]*plot.Plot{{utilization}, {rates}}
+	if p.Model().Release != nil {
+		stages, err := stagePlot(p)
+		if err != nil {
+			return nil, err
+		}
+		plots = append(plots, []*plot.Plot{stages})
 	}
-	return f.Close()
+	return plots, nil
 }
 
-// lines draws one line for each name over the steps.
-func (o *Report) lines(title, unit string, p *plan.Plan, names []string, value func(name string, step int) float64) (*plot.Plot, error) {
+// stepPlot draws one line for each name over the steps.
+func stepPlot(title, unit string, p *plan.Plan, names []string, value func(name string, step int) float64) (*plot.Plot, error) {
+	const legendSpace = 1.25 // times the largest value
 	g := plot.New()
 	g.Title.Text, g.Y.Label.Text, g.X.Label.Text = title, unit, "hours from the plan's start"
 	g.Legend.Top = true
 	for i, name := range names {
-		var at plotter.XYs
+		var points plotter.XYs
 		for n, s := range p.Steps {
-			at = append(at, plotter.XY{X: s.At.Hours(), Y: value(name, n)})
+			points = append(points, plotter.XY{X: s.At.Hours(), Y: value(name, n)})
 		}
 		if n := len(p.Steps); n > 1 { // the last step lasts as long as the one before
-			at = append(at, plotter.XY{X: 2*at[n-1].X - at[n-2].X, Y: at[n-1].Y})
+			points = append(points, plotter.XY{X: 2*points[n-1].X - points[n-2].X, Y: points[n-1].Y})
 		}
-		l, err := plotter.NewLine(at)
+		l, err := plotter.NewLine(points)
 		if err != nil {
 			return nil, err
 		}
@@ -86,55 +104,52 @@
 		g.Legend.Add(name, l)
 	}
 	g.Add(plotter.NewGrid())
-	const above = 1.25 // room for the legend
 	if g.Y.Min = 0; g.Y.Max <= 0 {
 		g.Y.Max = 1
 	}
-	g.Y.Max *= above
+	g.Y.Max *= legendSpace
 	return g, nil
 }
 
-func (o *Report) usePlot(p *plan.Plan) (*plot.Plot, error) {
-	return o.lines("Use of what hosts can do, less the reserve", "%", p, places(p.Model()), func(name string, n int) float64 {
-		return 100 * p.Steps[n].Utilization(name)
+func utilizationPlot(p *plan.Plan) (*plot.Plot, error) {
+	return stepPlot("Use of what hosts can do, less the reserve", "%", p, zones(p.Model()), func(zone string, step int) float64 {
+		return 100 * p.Steps[step].Utilization(zone)
 	})
 }
 
-func (o *Report) flowPlot(p *plan.Plan) (*plot.Plot, error) {
-	return o.lines("Tasks a second", "tasks/s", p, []string{"asked", "crossing", "unserved", "copies"}, func(name string, n int) (v float64) {
-		switch s := p.Steps[n]; name {
+func ratePlot(p *plan.Plan) (*plot.Plot, error) {
+	return stepPlot("Tasks a second", "tasks/s", p, []string{"asked", "crossing", "unserved", "copies"}, func(name string, step int) float64 {
+		s := p.Steps[step]
+		switch name {
 		case "asked":
-			for _, d := range p.Model().Forecast[n].Demand {
-				v += max(0, d.Rate+p.Model().Limits.StdDevs*d.StdDev)
-			}
+			return plannedRate(p.Model(), step)
 		case "crossing":
-			v = s.CrossZoneRate("")
+			return s.CrossZoneRate("")
 		case "unserved":
-			v = s.UnservedRate()
-		case "copies":
-			for _, c := range s.Shadows {
-				v += c.PlannedRate
-			}
+			return s.UnservedRate()
 		}
-		return v
+		return shadowRate(s)
 	})
 }
 
-func (o *Report) stagePlot(p *plan.Plan) (*plot.Plot, error) {
-	fits, err := p.CheckStages()
+func stagePlot(p *plan.Plan) (*plot.Plot, error) {
+	results, err := p.CheckStages()
 	if err != nil {
 		return nil, err
 	}
 	var names []string
+	unserved := map[string]map[int]float64{} // by stage's name and step
 	for n := range p.Model().Release.Stages {
-		names = append(names, fmt.Sprintf("stage %d", n+1))
-	}
-	return o.lines("Unserved, were a stage to stand", "tasks/s", p, names, func(name string, n int) float64 {
-		for _, f := range fits {
-			if f.Step == n && fmt.Sprintf("stage %d", f.Stage+1) == name {
-				return f.UnservedRate
+		name := fmt.Sprintf("stage %d", n+1)
+		names = append(names, name)
+		unserved[name] = map[int]float64{}
+		for _, f := range results {
+			if f.Stage == n {
+				unserved[name][f.Step] = f.UnservedRate
 			}
 		}
-		return 0
+	}
+	return stepPlot("Unserved, were a stage to stand", "tasks/s", p, names, func(name string, step int) float64 {
+		return unserved[name][step]
 	})
 }
--- a/internal/planreport/outlook_test.go
+++ b/internal/planreport/report_test.go
@@ -12,7 +12,7 @@
 	"dapplefront/plan"
 )
 
-func TestEveryMistakeIsToldWithItsLine(t *testing.T) {
+func TestEveryInvalidSettingIsReportedWithItsLine(t *testing.T) {
 	s := inifile.Parse("plan.ini", "[plan]\nstart = 25:00\nsteps = 3\nstep = 1h\n[category quote]\nwork = 30\nrepeat = retriable\n"+
 		"[hosts north]\ncount = -1\n[demand north]\nquote = 1, 2\n[bounds]\nreserve = 100%\n[release]\nbuild = 2\nshares = 1%\ncaps = 1%, 2%\nat = 1h\n")
 	FromFile(s)
