--- a/cmd/dapplefront/check.go
+++ b/cmd/dapplefront/check.go
@@ -37,7 +37,7 @@
 	case file.Section("controller").Has():
 		readControllerConfig(file)
 	case file.Section("plan").Has():
-		planreport.From(file)
+		planreport.FromFile(file)
 	default:
 		routerconfig.From(file)
 	}
--- a/cmd/dapplefront/plan.go
+++ b/cmd/dapplefront/plan.go
@@ -33,7 +33,7 @@
 				}
 			}
 			for _, step := range solution.Steps {
-				if step.Unfit != nil {
+				if step.Infeasible != nil {
 					return exitCode(exitFailed)
 				}
 			}
@@ -70,7 +70,7 @@
 }
 
 // solvePlan reads a fleet and its forecast, changes them as whatIf says, and solves the plan.
-func solvePlan(file, whatIf string) (*planreport.Outlook, *plan.Plan, error) {
+func solvePlan(file, whatIf string) (*planreport.Report, *plan.Plan, error) {
 	report, err := planreport.Read(file)
 	if err != nil {
 		return nil, nil, err
--- a/plan/pools.go
+++ b/plan/pools.go
@@ -2,126 +2,129 @@
 
 import (
 	"cmp"
+	"maps"
 	"math/big"
 	"slices"
 )
 
-// pool is the hosts of a location that are alike but for their size: no bound on tasks, or the same number of tasks for
-// each second of work. What a pool gets is parted by capacity, which uses all its hosts equally; so the pools of a
-// location can do exactly what its hosts can.
+// pool is the hosts of a zone that differ in their weights only: they have no bound on their rate, or the same bound for
+// each second of work. A pool's requests are divided among its hosts by capacity, which gives all the same utilization,
+// so that the pools of a zone can do exactly what its hosts can.
 type pool struct {
-	place string
-	rooms []room
-	work  int64 // sums of its hosts'
-	tasks int64 // -1 for no bound
-	cold  bool
+	zone      string
+	hosts     []hostCapacity
+	work      int64 // millionths of a second of work a second, of all hosts
+	maxRate   int64 // millionths of a request a second, of all hosts; -1 for no bound
+	warmingUp bool  // some of them are
 }
 
-// ratios is how many pools of bounded hosts a location has at most. Where more different ratios are told, the narrower
-// ones of neighbours count for both, so that a plan may ask less of such hosts than it could, never more.
-const ratios = 6
+// maxBoundedPools is the largest number of pools of bounded hosts in a zone. Beyond it neighbors are merged and the
+// narrower bound counts for both, so that a plan may give such hosts less than they can take, never more.
+const maxBoundedPools = 6
 
-// pools groups rooms, in an order that depends on the hosts alone.
-func pools(all []room) []pool {
-	byPlace := map[string][]room{}
-	for _, r := range all {
-		byPlace[r.host.Zone] = append(byPlace[r.host.Zone], r)
+// groupPools groups hosts into pools, in an order that depends on the hosts only.
+func groupPools(hosts []hostCapacity) []pool {
+	byZone := map[string][]hostCapacity{}
+	for _, h := range hosts {
+		byZone[h.host.Zone] = append(byZone[h.host.Zone], h)
 	}
-	places := make([]string, 0, len(byPlace))
-	for p := range byPlace {
-		places = append(places, p)
+	var pools []pool
+	for _, zone := range slices.Sorted(maps.Keys(byZone)) {
+		pools = append(pools, mergePools(zonePools(zone, byZone[zone]))...)
 	}
-	slices.Sort(places)
-	var out []pool
-	for _, place := range places {
-		rooms := byPlace[place]
-		// Warm ones first, then by tasks for each second of work, the widest first.
-		slices.SortStableFunc(rooms, func(a, b room) int {
-			switch {
-			case a.tasks < 0 || b.tasks < 0:
-				return cmp.Compare(min(b.tasks, 0)*-1, min(a.tasks, 0)*-1)
-			default:
-				return compareRatio(b.tasks, b.work, a.tasks, a.work)
-			}
-		})
-		first := len(out)
-		for _, r := range rooms {
-			if r.work == 0 {
-				continue
-			}
-			last := len(out) - 1
-			if last >= first && alike(out[last].rooms[0], r) {
-				out[last].rooms = append(out[last].rooms, r)
-			} else {
-				out = append(out, pool{place: place, rooms: []room{r}})
-			}
-		}
-		out = append(out[:first], merged(out[first:])...)
+	for i := range pools {
+		pools[i].addUp()
 	}
-	for i := range out {
-		out[i].sum()
+	return pools
+}
+
+// zonePools groups the hosts of one zone: unbounded ones first, then by their bound for each second of work, the widest
+// first.
+func zonePools(zone string, hosts []hostCapacity) (pools []pool) {
+	slices.SortStableFunc(hosts, func(a, b hostCapacity) int {
+		if a.maxRate < 0 || b.maxRate < 0 {
+			return cmp.Compare(min(b.maxRate, 0)*-1, min(a.maxRate, 0)*-1)
+		}
+		return compareRatio(b.maxRate, b.work, a.maxRate, a.work)
+	})
+	for _, h := range hosts {
+		if h.work == 0 {
+			continue
+		}
+		if last := len(pools) - 1; last >= 0 && sameRatio(pools[last].hosts[0], h) {
+			pools[last].hosts = append(pools[last].hosts, h)
+		} else {
+			pools = append(pools, pool{zone: zone, hosts: []hostCapacity{h}})
+		}
 	}
-	return out
+	return pools
 }
 
-func alike(a, b room) bool {
-	if a.tasks < 0 || b.tasks < 0 {
-		return a.tasks < 0 && b.tasks < 0
+// sameRatio reports whether two hosts have the same bound for each second of work, or both none.
+func sameRatio(a, b hostCapacity) bool {
+	if a.maxRate < 0 || b.maxRate < 0 {
+		return a.maxRate < 0 && b.maxRate < 0
 	}
-	return compareRatio(a.tasks, a.work, b.tasks, b.work) == 0
+	return compareRatio(a.maxRate, a.work, b.maxRate, b.work) == 0
 }
 
-// compareRatio compares a/b with c/d without a rounding.
+// compareRatio compares a/b with c/d exactly.
 func compareRatio(a, b, c, d int64) int {
 	x := new(big.Int).Mul(big.NewInt(a), big.NewInt(d))
 	return x.Cmp(new(big.Int).Mul(big.NewInt(c), big.NewInt(b)))
 }
 
-// merged joins bounded pools until few are left: always the two neighbours with the fewest hosts.
-func merged(all []pool) []pool {
-	bounded := func(p pool) bool { return p.rooms[0].tasks >= 0 }
+// mergePools merges bounded pools until there are few enough: always the two neighbors with the fewest hosts.
+func mergePools(pools []pool) []pool {
 	for {
-		n, best := 0, -1
-		for i, p := range all {
-			if !bounded(p) {
+		count, best := 0, -1
+		for i, p := range pools {
+			if !p.bounded() {
 				continue
 			}
-			n++
-			if i > 0 && bounded(all[i-1]) && (best < 0 ||
-				len(p.rooms)+len(all[i-1].rooms) < len(all[best].rooms)+len(all[best-1].rooms)) {
+			count++
+			if i > 0 && pools[i-1].bounded() && (best < 0 || mergedHosts(pools, i) < mergedHosts(pools, best)) {
 				best = i
 			}
 		}
-		if n <= ratios {
-			return all
+		if count <= maxBoundedPools {
+			return pools
 		}
-		// The narrower ratio stands last in the order; the wider hosts' bounds come down to it.
-		narrow := all[best].rooms[0]
-		joined := slices.Clone(all[best-1].rooms)
-		for i := range joined {
-			b := new(big.Int).Mul(big.NewInt(joined[i].work), big.NewInt(narrow.tasks))
-			joined[i].tasks = b.Div(b, big.NewInt(narrow.work)).Int64()
-		}
-		all[best-1].rooms = append(joined, all[best].rooms...)
-		all = slices.Delete(all, best, best+1)
+		pools[best-1].hosts = joinNarrower(pools[best-1].hosts, pools[best].hosts)
+		pools = slices.Delete(pools, best, best+1)
+	}
+}
+
+func (p pool) bounded() bool { return p.hosts[0].maxRate >= 0 }
+
+// mergedHosts is the number of hosts of a pool and the one before it.
+func mergedHosts(pools []pool, i int) int { return len(pools[i].hosts) + len(pools[i-1].hosts) }
+
+// joinNarrower joins hosts with a wide bound and hosts with a narrow one, which then counts for all.
+func joinNarrower(wide, narrow []hostCapacity) []hostCapacity {
+	joined := slices.Clone(wide)
+	for i := range joined {
+		b := new(big.Int).Mul(big.NewInt(joined[i].work), big.NewInt(narrow[0].maxRate))
+		joined[i].maxRate = b.Div(b, big.NewInt(narrow[0].work)).Int64()
 	}
+	return append(joined, narrow...)
 }
 
-// sum adds up its hosts. A bound on tasks is what all hosts together get when each gets its part by capacity and none
-// more than its own bound; equal ratios may differ by a millionth, as figures are whole.
-func (p *pool) sum() {
-	p.tasks = -1
-	for _, r := range p.rooms {
-		p.work += r.work
-		p.cold = p.cold || r.cold
+// addUp sets the pool's capacity. Its bound is the rate at which the first of its hosts reaches its own bound, as requests
+// are divided by capacity; equal ratios may differ by a millionth because figures are integers.
+func (p *pool) addUp() {
+	p.maxRate = -1
+	for _, h := range p.hosts {
+		p.work += h.work
+		p.warmingUp = p.warmingUp || h.warmingUp
 	}
-	for _, r := range p.rooms {
-		if r.tasks < 0 {
+	for _, h := range p.hosts {
+		if h.maxRate < 0 {
 			continue
 		}
-		b := new(big.Int).Mul(big.NewInt(p.work), big.NewInt(r.tasks))
-		if n := b.Div(b, big.NewInt(r.work)).Int64(); p.tasks < 0 || n < p.tasks {
-			p.tasks = n
+		b := new(big.Int).Mul(big.NewInt(p.work), big.NewInt(h.maxRate))
+		if n := b.Div(b, big.NewInt(h.work)).Int64(); p.maxRate < 0 || n < p.maxRate {
+			p.maxRate = n
 		}
 	}
 }
