--- a/internal/node/fixture_test.go
+++ b/internal/node/fixture_test.go
@@ -26,11 +26,12 @@
 	votes     atomic.Int64
 	streams   atomic.Int64 // opened: watches and feeds
 	changes   chan string  // lines of the watch after its first
+	closing   chan bool    // closed before the server is: streams end
 }
 
 func newFakePlatform(t *testing.T, endpoints ...string) *fakePlatform {
 	t.Helper()
-	p := &fakePlatform{endpoints: endpoints, changes: make(chan string, 10)}
+	p := &fakePlatform{endpoints: endpoints, changes: make(chan string, 10), closing: make(chan bool)}
 	p.Server = httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		say := func(text string) { _, _ = fmt.Fprint(w, text+"\n"); w.(http.Flusher).Flush() }
 		switch r.URL.Path {
@@ -47,21 +48,33 @@
 					say("")
 				case <-r.Context().Done():
 					return
+				case <-p.closing:
+					return
 				}
 			}
 		case "/apis/fleet/feed":
 			p.streams.Add(1)
 			say(`{"type":"stage","object":` + releaseStatus + `}`)
-			for r.Context().Err() == nil {
+			for {
 				say("{}")
-				time.Sleep(100 * time.Millisecond)
+				select {
+				case <-time.After(100 * time.Millisecond):
+				case <-r.Context().Done():
+					return
+				case <-p.closing:
+					return
+				}
 			}
 		default:
 			p.votes.Add(1)
 			_, _ = fmt.Fprint(w, releaseStatus)
 		}
 	}))
-	t.Cleanup(func() { p.CloseClientConnections(); p.Close() })
+	t.Cleanup(func() {
+		close(p.closing) // a node that still runs may open streams anew until the listener is closed
+		p.CloseClientConnections()
+		p.Close()
+	})
 	return p
 }
 
