--- a/internal/controller/partition_test.go
+++ b/internal/controller/partition_test.go
@@ -71,12 +71,17 @@
 		return nil, errors.New("cut")
 	}
 	c, err := w.tcpStreamLayer.Dial(a, within)
-	if err == nil {
-		w.network.mu.Lock()
-		w.network.open[c] = ends
-		w.network.mu.Unlock()
+	if err != nil {
+		return nil, err
 	}
-	return c, err
+	w.network.mu.Lock()
+	defer w.network.mu.Unlock()
+	if w.network.cut[ends] { // partitioned while the connection was being made
+		_ = c.Close()
+		return nil, errors.New("cut")
+	}
+	w.network.open[c] = ends
+	return c, nil
 }
 
 // startClusterOn starts three instances on a test network and with test disks.
