--- a/internal/agentd/run.go
+++ b/internal/agentd/run.go
@@ -69,7 +69,7 @@
 			a.wakeReports()
 			return true
 		}
-		a.log.Error("state not saved; nothing is carried out", "error", saveErr)
+		a.log.Error("the state can't be written down; nothing is done", "error", saveErr)
 		if err = a.restore(before); err == nil && !sleep(a.ctx, saveRetryDelay) {
 			return false
 		}
