--- a/internal/scenario/shares.go
+++ b/internal/scenario/shares.go
@@ -38,7 +38,7 @@
 		return nil
 	}
 	p := &PlanTimes{}
-	k := &plan.Publisher{Tolerance: .1, HoldTime: 2 * time.Second, ValidFor: 4 * time.Second}
+	k := &plan.Publisher{Tolerance: .1, RecomputeDelay: 2 * time.Second, ValidFor: 4 * time.Second}
 	if kind != "plan" {
 		k.ValidFor = s.plan.Length + time.Minute
 	}
--- a/plan/conflict.go
+++ b/plan/conflict.go
@@ -65,7 +65,7 @@
 	return all
 }
 
-// contradict reports whether demand is left unserved under some constraints alone.
+// contradict reports whether demand is left unserved under some constraints only.
 func (s *Step) contradict(some []constraint) bool {
 	l := s.program(func(c constraint) bool { return slices.Contains(some, c) }, nil)
 	l.minimizeShed()
--- a/plan/plan_test.go
+++ b/plan/plan_test.go
@@ -66,7 +66,7 @@
 		port[i].StartsAt = 0
 	}
 	m := singleClassModel(map[string]float64{"port": 68, "north": 50}, port, hostsIn("north", 10, 2))
-	s := solveFirstStep(t, m) // 10 hosts x 2 tasks a second x 2 x 0.33 = 13.2 a second
+	s := solveFirstStep(t, m) // 10 hosts x 2 requests a second x 2 x 0.33 = 13.2 a second
 	require.Nil(t, s.Infeasible)
 	require.InDelta(t, 68-13.2, s.CrossZoneRate("port"), 1e-6)
 
@@ -128,7 +128,7 @@
 
 func TestOneCanaryHostTakesTheWholeShadowCap(t *testing.T) {
 	m := singleClassModel(map[string]float64{"north": 60}, hostsIn("north", 10, 1))
-	m.Release = &Release{Build: 2, Stages: []Stage{{HostShare: .03, ShadowCap: .05}}} // one host of ten, yet a twentieth of the tasks
+	m.Release = &Release{Build: 2, Stages: []Stage{{HostShare: .03, ShadowCap: .05}}} // one host of ten, yet a twentieth of the requests
 	m.Limits.SlowStart = SlowStart{}
 	s := solveFirstStep(t, m)
 	require.Nil(t, s.Infeasible)
@@ -206,7 +206,7 @@
 	s := solveFirstStep(t, m)
 	require.InDelta(t, 1./3, far(s, "south")+far(s, "port"), 1e-9)
 	require.InDelta(t, far(s, "south"), far(s, "port"), 1e-9, "evenly, as both are used alike")
-	// Two locations that serve each other: which tasks of which go where is free.
+	// Two zones that serve each other: which requests of which go where makes no difference.
 	m = singleClassModel(map[string]float64{"north": 40, "east": 40, "south": 10, "port": 10}, hostsIn("north", 2, 1), hostsIn("east", 2, 1), hostsIn("south", 4, 1), hostsIn("port", 4, 1))
 	a := solveFirstStep(t, m)
 	m.CurrentShares = Shares{"north": {"south-0": .25, "south-1": .25}, "east": {"port-0": .25, "port-1": .25}}
@@ -228,7 +228,7 @@
 	m.Limits.MaxCrossZone = .1
 	s = solveFirstStep(t, m)
 	require.Contains(t, s.Infeasible.Conflicts, "north may be used at most 1.2 times as much as the fleet")
-	// A cold half: the warm one may be used at most 1.1 times as much as the location.
+	// One half is in slow start: the other's utilization may be at most 1.1 times the zone's.
 	m = singleClassModel(map[string]float64{"north": 10}, hostsIn("north", 4, 1))
 	m.Hosts[0].StartsAt, m.Hosts[1].StartsAt = 0, 0
 	m.Limits.MaxHostImbalance = 1.1
@@ -376,7 +376,7 @@
 		more.Hosts = append(slices.Clone(m.Hosts), Host{Name: "more", Zone: rapid.SampledFrom([]string{"north", "port"}).Draw(t, "where"),
 			Build: 1, Weight: 3, StartsAt: -week})
 		after := solveDrawn(t, &more)
-		// A balance between locations is against the fleet's use, which further hosts bring down: it may bind earlier.
+		// The limit on imbalance is relative to the fleet's utilization, which further hosts lower: it may bind earlier.
 		if m.Limits.MaxZoneImbalance > 0 || m.Limits.MaxHostImbalance > 0 {
 			return
 		}
@@ -432,7 +432,7 @@
 			return // of origins that earn alike, either may go without
 		}
 		require.InEpsilon(t, 1+by*a.CrossZoneRate(""), 1+b.CrossZoneRate(""), 1e-5)
-		for _, h := range m.Hosts { // whose tasks a host gets may differ between equal answers, how many not
+		for _, h := range m.Hosts { // whose requests a host gets may differ between equal solutions, how many not
 			require.InDelta(t, hostWork(a, h.Name), hostWork(b, h.Name)/by, 1e-4) // capacities are rounded down to millionths
 		}
 	})
--- a/plan/publisher.go
+++ b/plan/publisher.go
@@ -9,12 +9,12 @@
 // depends only on the models that it is given, so that controllers with the same models publish the same.
 //
 // A change of one host moves one weight in each zone's table, its own, as long as the weights of the others keep every
-// limit and stay within Tolerance of the optimum. Only then are all weights recomputed, and where the present ones still
-// keep the limits, only after HoldTime outside the tolerance.
+// limit and remain within Tolerance of the optimum. Only then are all weights recomputed, and where the present ones still
+// keep the limits, only after RecomputeDelay outside the tolerance.
 type Publisher struct {
-	Tolerance float64       // relative to the least possible utilization and traffic between zones
-	HoldTime  time.Duration // outside the tolerance before all weights are recomputed
-	ValidFor  time.Duration // of a version
+	Tolerance      float64       // relative to the least possible utilization and traffic between zones
+	RecomputeDelay time.Duration // outside the tolerance before all weights are recomputed
+	ValidFor       time.Duration // of a version
 
 	current      *Published
 	outside      bool // the weights in force are outside the tolerance
@@ -60,7 +60,7 @@
 }
 
 // carryOver returns the weights in force for the present hosts. It reports false where they break a limit, or have been
-// outside the tolerance for HoldTime.
+// outside the tolerance for RecomputeDelay.
 func (p *Publisher) carryOver(now time.Duration, s *Step) (map[string]Weights, bool) {
 	weights, v, err := p.carry(s)
 	if err != nil {
@@ -73,7 +73,7 @@
 	case !p.outside:
 		p.outside, p.outsideSince = true, now
 	}
-	return weights, now-p.outsideSince < p.HoldTime
+	return weights, now-p.outsideSince < p.RecomputeDelay
 }
 
 func (p *Publisher) withinTolerance(s *Step, v evaluation) bool {
--- a/plan/publisher_test.go
+++ b/plan/publisher_test.go
@@ -9,7 +9,7 @@
 )
 
 func newPublisher() *Publisher {
-	return &Publisher{Tolerance: .1, HoldTime: 5 * time.Second, ValidFor: time.Minute}
+	return &Publisher{Tolerance: .1, RecomputeDelay: 5 * time.Second, ValidFor: time.Minute}
 }
 
 func TestPublisherMovesOneWeightWhenOneHostChanges(t *testing.T) {
@@ -29,7 +29,7 @@
 	require.NoError(t, err)
 	require.Equal(t, Update{Published: o.Published, Changed: 1, Reason: "hosts came, left or warmed"}, o)
 
-	back := *m // it comes back cold: bounded, one weight again
+	back := *m // it comes back in slow start: bounded, one weight again
 	back.Hosts = append([]Host{}, m.Hosts...)
 	back.Hosts[0].StartsAt = 3 * time.Second
 	back.Forecast = []Forecast{{At: 3 * time.Second, Demand: m.Forecast[0].Demand}}
--- a/plan/search_test.go
+++ b/plan/search_test.go
@@ -77,7 +77,7 @@
 	const leftAt, crossedAt = 32, 36
 	states := map[uint64]int8{0: 0}
 	for l, n := range c.demand {
-		// Tasks of one location are alike: hosts in order, each with any number of what is left.
+		// Requests of one zone are alike: hosts in order, each with any number of what is left.
 		now := make(map[uint64]int8, len(states))
 		for s, x := range states {
 			now[s|uint64(n)<<leftAt] = x
@@ -126,9 +126,9 @@
 	return best
 }
 
-// level finds the uses of the most even share with all served and the least crossing: what a location can't do itself
-// crosses. For every set of demands, the hosts that may take it must stay at some level of use to hold it; the set that
-// asks for the highest level fixes its hosts there, and the rest follow among themselves.
+// level finds the utilizations of the most even shares with all demand served and the least traffic between zones: what a
+// zone can't serve itself goes to others. For every set of demands, the hosts that may serve it need some utilization; the
+// set that needs the highest fixes that of its hosts, and the others follow among themselves.
 func (c exhaustiveCase) level() []*big.Rat {
 	type demand struct {
 		hosts []int
@@ -204,7 +204,7 @@
 	return out
 }
 
-// useAt is a host's use when all are filled to a level and a bound holds it below.
+// useAt is a host's utilization when all are filled to a level, which its bound may keep it below.
 func (c exhaustiveCase) useAt(h int, level *big.Rat) *big.Rat {
 	if c.maxRate[h] >= 0 {
 		if b := big.NewRat(int64(c.maxRate[h]), int64(c.capacity[h])); b.Cmp(level) < 0 {
@@ -214,7 +214,7 @@
 	return level
 }
 
-// levelOf is the level at which hosts hold n tasks: between which two of their bounds it lies is tried out.
+// levelOf is the level at which hosts serve n requests: between which two of their bounds it lies is tried out.
 func (c exhaustiveCase) levelOf(hosts map[int]bool, n int) *big.Rat {
 	marks := []*big.Rat{big.NewRat(1, 1)}
 	for h := range hosts {
@@ -272,18 +272,18 @@
 	want := c.search()
 	all = want.utilizations != nil
 	m := c.model(r.Perm(len(c.zoneOf)))
-	trial := 0
+	canary := 0
 	if slices.Contains(c.canary, true) {
-		trial = 2
+		canary = 2
 		m.Release = &Release{Build: 2, Stages: []Stage{{HostShare: 1, ShadowCap: float64(c.shadowCap) / 100}}}
 	}
 	s := &Step{limits: m.Limits, demands: m.zoneDemands(m.Forecast[0])}
-	s.groupHosts(hostCapacities(m.Hosts, m.Limits, 0, trial))
+	s.groupHosts(hostCapacities(m.Hosts, m.Limits, 0, canary))
 	s.solve(nil)
-	if trial != 0 {
+	if canary != 0 {
 		s.planShadows(m, 0)
 	}
-	if err := s.verify(m, m.Hosts, 0, trial); err != nil {
+	if err := s.verify(m, m.Hosts, 0, canary); err != nil {
 		return all, err.Error()
 	}
 	total := 0
@@ -326,15 +326,15 @@
 	return all, ""
 }
 
-// drawCase is a case of the grid: sizes 1 to 4 (at times far larger), warm or with a bound, up to three
-// locations, at times one without hosts, builds on trial, bounds on crossing and caps.
+// drawCase draws a case of the grid: weights 1 to 4 (at times far larger), with a bound or without, up to three zones, at
+// times one without hosts, canary builds, limits on traffic between zones and caps.
 func drawCase(r *rand.Rand) exhaustiveCase {
 	n := 1 + r.IntN(8)
-	places := 1 + r.IntN(3)
+	zones := 1 + r.IntN(3)
 	c := exhaustiveCase{maxCrossZone: []int{0, 25, 50, 100}[r.IntN(4)], shadowCap: []int{0, 5, 10, 50, 100}[r.IntN(5)]}
 	tests := r.IntN(3) == 0
 	for range n {
-		c.zoneOf = append(c.zoneOf, r.IntN(places))
+		c.zoneOf = append(c.zoneOf, r.IntN(zones))
 		size := 1 + r.IntN(4)
 		if r.IntN(20) == 0 {
 			size = 12
@@ -347,14 +347,14 @@
 		c.maxRate = append(c.maxRate, may)
 		c.canary = append(c.canary, tests && r.IntN(4) == 0)
 	}
-	for range places {
+	for range zones {
 		n := r.IntN(9)
-		c.demand = append(c.demand, n-n%map[int]int{0: 1, 25: 4, 50: 2, 100: 1}[c.maxCrossZone]) // so that whole tasks meet the bound
+		c.demand = append(c.demand, n-n%map[int]int{0: 1, 25: 4, 50: 2, 100: 1}[c.maxCrossZone]) // so that whole requests meet the bound
 	}
 	return c
 }
 
-// TestSmallCasesEqualAnExhaustiveSearch takes a drawn part of the grid; PLAN_CASES asks for more (docs/plan.md).
+// TestSmallCasesEqualAnExhaustiveSearch takes a part of the grid at random; PLAN_CASES sets how many cases (docs/plan.md).
 func TestSmallCasesEqualAnExhaustiveSearch(t *testing.T) {
 	n, seed := 2000, uint64(1)
 	if v, err := strconv.Atoi(os.Getenv("PLAN_CASES")); err == nil {
