--- /dev/null
+++ b/internal/testbed/client_conn.go
@@ -0,0 +1,105 @@
+package testbed
+
+import (
+	"bufio"
+	"errors"
+	"net"
+	"time"
+)
+
+const (
+	connectTimeout = time.Second
+	// connectRetryAfter is how long a client waits for a router that it could not connect to.
+	connectRetryAfter = 200 * time.Millisecond
+)
+
+// clientConn is a client's connection to a router.
+type clientConn struct {
+	net.Conn
+	reader *bufio.Reader
+}
+
+// Move tells clients that a router listens at another address from now on. Idle connections to the old one are closed.
+func (c *Clients) Move(name, address string) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	for _, target := range c.targets {
+		if target.Name == name {
+			for _, conn := range c.idle[target.Address] {
+				closeAndLog("idle connection", conn)
+			}
+			delete(c.idle, target.Address)
+			target.Address = address
+		}
+	}
+}
+
+// addressOf is where a target listens at present.
+func (c *Clients) addressOf(target *Target) string {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return target.Address
+}
+
+// connect returns an idle connection to an address, or a new one. Idle connections that have ended are closed.
+func (c *Clients) connect(address string) (*clientConn, error) {
+	for conn := c.takeIdle(address); conn != nil; conn = c.takeIdle(address) {
+		if conn.isIdle() {
+			return conn, nil
+		}
+		closeAndLog("ended connection", conn)
+	}
+	conn, err := net.DialTimeout("tcp", address, connectTimeout)
+	if err != nil {
+		return nil, err
+	}
+	return &clientConn{conn, bufio.NewReader(conn)}, nil
+}
+
+// takeIdle removes the most recently used idle connection to an address; nil if there is none.
+func (c *Clients) takeIdle(address string) *clientConn {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	idle := c.idle[address]
+	if len(idle) == 0 {
+		return nil
+	}
+	conn := idle[len(idle)-1]
+	c.idle[address] = idle[:len(idle)-1]
+	return conn
+}
+
+// release makes a connection idle after a complete response, or closes it if the router is about to.
+func (c *Clients) release(address string, conn *clientConn, closes bool) {
+	if closes {
+		closeAndLog("used connection", conn)
+		return
+	}
+	c.mu.Lock()
+	c.idle[address] = append(c.idle[address], conn)
+	c.mu.Unlock()
+}
+
+// closeIdle closes all idle connections.
+func (c *Clients) closeIdle() {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	for _, idle := range c.idle {
+		for _, conn := range idle {
+			closeAndLog("idle connection", conn)
+		}
+	}
+	clear(c.idle)
+}
+
+// isIdle tells whether the connection is open and nothing unexpected has come. It leaves a read deadline in the past.
+func (c *clientConn) isIdle() bool {
+	_ = c.SetReadDeadline(time.Now().Add(-time.Second)) // fails only if closed, which Peek sees
+	_, err := c.reader.Peek(1)
+	return isTimeout(err)
+}
+
+func isTimeout(err error) bool {
+	var netErr net.Error
+	return errors.As(err, &netErr) && netErr.Timeout()
+}
--- a/internal/testbed/controller.go
+++ b/internal/testbed/controller.go
@@ -4,7 +4,6 @@
 	"encoding/json"
 	"fmt"
 	"io"
-	"log"
 	"net"
 	"net/http"
 	"slices"
@@ -15,101 +14,109 @@
 	"dapplefront/internal/api"
 )
 
-// Controller is a stand-in for the release controller's side of agents: it hands out orders and hears reports.
+const maxReportBytes = 4 << 20
+
+// Controller is the agents' side of a release controller: it streams orders and takes reports.
 type Controller struct {
-	server *http.Server
-	listen net.Listener
-	stop   chan struct{}
+	server   *httpServer
+	listener net.Listener
+	stopped  chan struct{} // closed by Stop
 	// OnReport is called for each report, once and in order; it may be nil.
 	OnReport func(agent string, r api.AgentReport)
 
-	mu         sync.Mutex
-	orders     map[string][]api.Order
-	reports    map[string][]api.AgentReport
-	lastReport map[string]uint64
-	number     uint64
-	changed    chan struct{}
-	down       bool
+	mu               sync.Mutex
+	orders           map[string][]api.Order       // by agent
+	reports          map[string][]api.AgentReport // by agent, each once
+	lastReportNumber map[string]uint64            // by agent
+	lastOrderNumber  uint64
+	changed          chan struct{} // closed and replaced at each change
+	down             bool
 }
 
-// StartController starts one.
+// StartController starts a controller without orders.
 func StartController(address string) (*Controller, error) {
-	l, err := net.Listen("tcp", address)
+	listener, err := net.Listen("tcp", address)
 	if err != nil {
 		return nil, fmt.Errorf("controller: %w", err)
 	}
-	c := &Controller{listen: l, stop: make(chan struct{}), orders: map[string][]api.Order{},
-		reports: map[string][]api.AgentReport{}, lastReport: map[string]uint64{}, changed: make(chan struct{})}
+	c := &Controller{
+		listener: listener, stopped: make(chan struct{}), orders: map[string][]api.Order{},
+		reports: map[string][]api.AgentReport{}, lastReportNumber: map[string]uint64{}, changed: make(chan struct{}),
+	}
 	mux := http.NewServeMux()
-	mux.HandleFunc("GET /v1/agents/{name}/orders", c.watch)
+	mux.HandleFunc("GET /v1/agents/{name}/orders", c.streamOrders)
 	mux.HandleFunc("POST /v1/agents/{name}/reports", c.receiveReports)
-	c.server = &http.Server{Handler: mux, ErrorLog: log.New(io.Discard, "", 0)}
-	go func() { _ = c.server.Serve(l) }()
+	c.server = startHTTPServer(listener, mux)
 	return c, nil
 }
 
-// URL is where it is.
-func (c *Controller) URL() string { return "http://" + c.listen.Addr().String() }
+// URL is the base of its URLs, without a slash at the end.
+func (c *Controller) URL() string { return "http://" + c.listener.Addr().String() }
 
-// Stop ends it.
+// Stop closes it with all its connections. It must be called once.
 func (c *Controller) Stop() {
-	close(c.stop)
-	_ = c.server.Close()
+	close(c.stopped)
+	c.server.stop()
 }
 
-// SetDown cuts agents off, or lets them in again.
+// SetDown ends all streams and refuses reports, or accepts both again.
 func (c *Controller) SetDown(down bool) {
 	c.mu.Lock()
+	defer c.mu.Unlock()
 	c.down = down
-	close(c.changed)
-	c.changed = make(chan struct{})
-	c.mu.Unlock()
+	c.notifyChange()
 }
 
-// Order gives an agent an order; its number is the next one, unless it has one.
+// Order gives an agent an order. Its number is the next one, unless it has one.
 func (c *Controller) Order(agent string, o api.Order) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if o.Number == 0 {
-		c.number++
-		o.Number = c.number
+		c.lastOrderNumber++
+		o.Number = c.lastOrderNumber
 	}
 	c.orders[agent] = append(c.orders[agent], o)
+	c.notifyChange()
+}
+
+// notifyChange wakes all that wait for a change; c.mu is held.
+func (c *Controller) notifyChange() {
 	close(c.changed)
 	c.changed = make(chan struct{})
 }
 
-// Reports are an agent's reports so far.
+// Reports returns an agent's reports so far.
 func (c *Controller) Reports(agent string) []api.AgentReport {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return append([]api.AgentReport(nil), c.reports[agent]...)
 }
 
-// Await waits until an agent has reported a build in a phase, or for too long.
-func (c *Controller) Await(agent, digest, phase string, within time.Duration) bool {
-	return c.AwaitAfter(agent, 0, digest, within, phase) != ""
+// Await waits until an agent has reported a build in a phase. It returns false after the timeout or once the controller
+// is stopped.
+func (c *Controller) Await(agent, digest, phase string, timeout time.Duration) bool {
+	return c.AwaitAfter(agent, 0, digest, timeout, phase) != ""
 }
 
-// ReportCount is how many reports an agent has made, for AwaitAfter.
+// ReportCount is the number of an agent's reports so far, for AwaitAfter.
 func (c *Controller) ReportCount(agent string) int { return len(c.Reports(agent)) }
 
-// AwaitAfter waits until an agent has reported a build in one of some phases, after its first reports up to a mark, and
-// returns that phase; empty if that takes too long.
-func (c *Controller) AwaitAfter(agent string, mark int, digest string, within time.Duration, phases ...string) string {
-	for end := time.Now().Add(within); ; {
+// AwaitAfter waits until an agent has reported a build in one of some phases, not counting its first reports, and returns
+// that phase. It returns an empty string after the timeout or once the controller is stopped.
+func (c *Controller) AwaitAfter(agent string, first int, digest string, timeout time.Duration, phases ...string) string {
+	for end := time.Now().Add(timeout); ; {
 		c.mu.Lock()
 		changed := c.changed
-		all := c.reports[agent]
+		reports := c.reports[agent]
 		c.mu.Unlock()
-		for _, r := range all[min(mark, len(all)):] {
-			if r.Digest == digest && slices.Contains(phases, r.To) {
-				return r.To
+		for _, report := range reports[min(first, len(reports)):] {
+			if report.Digest == digest && slices.Contains(phases, report.To) {
+				return report.To
 			}
 		}
 		select {
 		case <-changed:
-		case <-c.stop:
+		case <-c.stopped:
 			return ""
 		case <-time.After(time.Until(end)):
 			return ""
@@ -117,32 +124,35 @@
 	}
 }
 
-// watch hands out the orders after Last-Event-ID; all of them to an agent that has none.
-func (c *Controller) watch(w http.ResponseWriter, r *http.Request) {
-	from, _ := strconv.Atoi(r.Header.Get("Last-Event-ID"))
+// streamOrders sends an agent the orders after Last-Event-ID, or all if it has none, and then each new one.
+func (c *Controller) streamOrders(w http.ResponseWriter, r *http.Request) {
+	sent, _ := strconv.Atoi(r.Header.Get("Last-Event-ID")) // absent for none
 	flusher, ok := w.(http.Flusher)
 	if !ok {
-		problem(w, 500, "no streaming")
+		writeProblem(w, http.StatusInternalServerError, "no streaming")
 		return
 	}
 	w.Header().Set("Content-Type", "text/event-stream")
 	for {
 		c.mu.Lock()
-		all, changed, down := c.orders[r.PathValue("name")], c.changed, c.down
+		orders, changed, down := c.orders[r.PathValue("name")], c.changed, c.down
 		c.mu.Unlock()
 		if down {
 			panic(http.ErrAbortHandler)
 		}
-		for ; from < len(all); from++ {
-			body, _ := json.Marshal(all[from])
-			if _, err := fmt.Fprintf(w, "id: %d\nevent: order\ndata: %s\n\n", from+1, body); err != nil {
-				return
+		for ; sent < len(orders); sent++ {
+			body, err := json.Marshal(orders[sent])
+			if err != nil {
+				panic(err) // a struct of our own
+			}
+			if _, err := fmt.Fprintf(w, "id: %d\nevent: order\ndata: %s\n\n", sent+1, body); err != nil {
+				return // the agent is gone
 			}
 		}
 		flusher.Flush()
 		select {
 		case <-changed:
-		case <-c.stop:
+		case <-c.stopped:
 			return
 		case <-r.Context().Done():
 			return
@@ -150,42 +160,57 @@
 	}
 }
 
+// receiveReports takes an agent's reports. One that is sent again counts once.
 func (c *Controller) receiveReports(w http.ResponseWriter, r *http.Request) {
-	var all []api.AgentReport
-	if err := json.NewDecoder(io.LimitReader(r.Body, 4<<20)).Decode(&all); err != nil {
-		problem(w, 400, "a list of reports expected: "+err.Error())
+	var sent []api.AgentReport
+	if err := json.NewDecoder(io.LimitReader(r.Body, maxReportBytes)).Decode(&sent); err != nil {
+		writeProblem(w, http.StatusBadRequest, "a list of reports expected: "+err.Error())
 		return
 	}
-	name := r.PathValue("name")
-	c.mu.Lock()
-	if c.down {
-		c.mu.Unlock()
-		problem(w, 503, "out of reach")
+	agent := r.PathValue("name")
+	reports, onReport, ok := c.addReports(agent, sent)
+	if !ok {
+		writeProblem(w, http.StatusServiceUnavailable, "out of reach")
 		return
 	}
-	var fresh []api.AgentReport
-	for _, x := range all { // one that is sent again counts once
-		if x.Number > c.lastReport[name] {
-			c.lastReport[name] = x.Number
-			fresh = append(fresh, x)
+	if onReport != nil {
+		for _, report := range reports {
+			onReport(agent, report)
 		}
 	}
-	c.reports[name] = append(c.reports[name], fresh...)
-	heard := c.OnReport
-	close(c.changed)
-	c.changed = make(chan struct{})
-	c.mu.Unlock()
-	for _, x := range fresh {
-		if heard != nil {
-			heard(name, x)
+	w.WriteHeader(http.StatusNoContent)
+}
+
+// addReports adds the reports that are new and returns them with the present OnReport. It fails while the controller is
+// down.
+func (c *Controller) addReports(agent string, sent []api.AgentReport) (
+	added []api.AgentReport, onReport func(string, api.AgentReport), ok bool) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if c.down {
+		return nil, nil, false
+	}
+	for _, report := range sent {
+		if report.Number > c.lastReportNumber[agent] {
+			c.lastReportNumber[agent] = report.Number
+			added = append(added, report)
 		}
 	}
-	w.WriteHeader(204)
+	c.reports[agent] = append(c.reports[agent], added...)
+	c.notifyChange()
+	return added, c.OnReport, true
+}
+
+// problem is a problem document (RFC 9457).
+type problem struct {
+	Detail string `json:"detail"`
+	Status int    `json:"status"`
+	Title  string `json:"title"`
 }
 
-// problem answers in the form of RFC 9457.
-func problem(w http.ResponseWriter, status int, detail string) {
+func writeProblem(w http.ResponseWriter, status int, detail string) {
 	w.Header().Set("Content-Type", "application/problem+json")
 	w.WriteHeader(status)
-	_ = json.NewEncoder(w).Encode(map[string]any{"title": http.StatusText(status), "status": status, "detail": detail})
+	// An error means that the agent is gone.
+	_ = json.NewEncoder(w).Encode(problem{Detail: detail, Status: status, Title: http.StatusText(status)})
 }
--- /dev/null
+++ b/internal/testbed/discovery_stream.go
@@ -0,0 +1,281 @@
+package testbed
+
+import (
+	"maps"
+	"strconv"
+	"time"
+
+	discoveryv3 "github.com/envoyproxy/go-control-plane/envoy/service/discovery/v3"
+	edsv3 "github.com/envoyproxy/go-control-plane/envoy/service/endpoint/v3"
+	rpcstatus "google.golang.org/genproto/googleapis/rpc/status"
+	"google.golang.org/protobuf/proto"
+
+	"dapplefront/internal/eds"
+	"dapplefront/policy"
+)
+
+// endpointStates are states of endpoints by the id of the backend.
+type endpointStates map[uint32]policy.EndpointState
+
+// openStream registers a stream, which closeStream ends. It fails with errUnreachable while the server is down.
+func (s *DiscoveryServer) openStream() (*stream, error) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if s.unreachable {
+		return nil, errUnreachable
+	}
+	open := &stream{changed: make(chan struct{}, 1), cut: make(chan struct{})}
+	s.streams[open] = true
+	return open, nil
+}
+
+func (s *DiscoveryServer) closeStream(open *stream) {
+	s.mu.Lock()
+	delete(s.streams, open)
+	s.mu.Unlock()
+}
+
+// StreamEndpoints serves the state-of-the-world protocol: each response has all resources that the router asks for.
+func (s *DiscoveryServer) StreamEndpoints(rpc edsv3.EndpointDiscoveryService_StreamEndpointsServer) error {
+	open, err := s.openStream()
+	if err != nil {
+		return err
+	}
+	defer s.closeStream(open)
+	requests := receiveAll(s, rpc.Context().Done(), rpc.Recv)
+	subscription := worldSubscription{server: s, version: -1}
+	for {
+		select {
+		case <-open.cut:
+			return errUnreachable
+		case request, ok := <-requests:
+			if !ok {
+				return nil
+			}
+			if subscription.handle(request) {
+				continue
+			}
+		case <-open.changed:
+		}
+		response := subscription.nextResponse()
+		if response == nil {
+			continue
+		}
+		if err := rpc.Send(response); err != nil {
+			return err
+		}
+	}
+}
+
+// worldSubscription is what one router has asked for and been sent by the state-of-the-world protocol.
+type worldSubscription struct {
+	server       *DiscoveryServer
+	router       string
+	names        []string // of resources; nil before the first request
+	nonce        string   // of the last response
+	version      int      // of the last response; -1 before the first
+	sent         endpointStates
+	acknowledged endpointStates
+}
+
+// handle takes in a request and tells whether that only acknowledges or rejects the last response.
+func (w *worldSubscription) handle(request *discoveryv3.DiscoveryRequest) (answersLast bool) {
+	if request.GetNode() != nil {
+		w.router = request.GetNode().GetId()
+	}
+	w.names = request.GetResourceNames()
+	if request.GetResponseNonce() == "" || request.GetResponseNonce() != w.nonce {
+		return false
+	}
+	if problem := request.GetErrorDetail(); problem != nil {
+		w.server.addRejection(problem)
+		return true
+	}
+	w.server.recordAcknowledgement(w.router, w.sent, w.acknowledged)
+	w.acknowledged = w.sent
+	return true
+}
+
+// nextResponse is the present list, or nil if the router has been sent it or has asked for nothing yet.
+func (w *worldSubscription) nextResponse() *discoveryv3.DiscoveryResponse {
+	if w.names == nil {
+		return nil
+	}
+	w.server.mu.Lock()
+	defer w.server.mu.Unlock()
+	if w.server.version == w.version {
+		return nil
+	}
+	w.version = w.server.version
+	versionInfo := strconv.Itoa(w.version)
+	w.nonce = newNonce(versionInfo)
+	response := &discoveryv3.DiscoveryResponse{VersionInfo: versionInfo, TypeUrl: eds.TypeURL, Nonce: w.nonce}
+	w.sent = endpointStates{}
+	for _, name := range w.names {
+		resource, states := w.server.resource(name)
+		response.Resources = append(response.Resources, resource)
+		maps.Copy(w.sent, states)
+	}
+	return response
+}
+
+// DeltaEndpoints serves the incremental protocol: each response has the resources that have changed. There is one
+// response at a time that the router hasn't acknowledged or rejected.
+func (s *DiscoveryServer) DeltaEndpoints(rpc edsv3.EndpointDiscoveryService_DeltaEndpointsServer) error {
+	open, err := s.openStream()
+	if err != nil {
+		return err
+	}
+	defer s.closeStream(open)
+	requests := receiveAll(s, rpc.Context().Done(), rpc.Recv)
+	subscription := deltaSubscription{
+		server: s, names: map[string]bool{}, versions: map[string]int{}, acknowledged: map[string]endpointStates{},
+	}
+	for {
+		select {
+		case <-open.cut:
+			return errUnreachable
+		case request, ok := <-requests:
+			if !ok {
+				return nil
+			}
+			if subscription.handle(request) {
+				continue
+			}
+		case <-open.changed:
+		}
+		response := subscription.nextResponse()
+		if response == nil {
+			continue
+		}
+		if err := rpc.Send(response); err != nil {
+			return err
+		}
+	}
+}
+
+// deltaSubscription is what one router has asked for and been sent by the incremental protocol.
+type deltaSubscription struct {
+	server       *DiscoveryServer
+	router       string
+	names        map[string]bool           // of resources
+	versions     map[string]int            // by resource: the version that the router has or was sent
+	nonce        string                    // of the response that the router hasn't answered; empty for none
+	responded    bool                      // a first response was sent
+	sent         map[string]endpointStates // by resource, in the last response
+	acknowledged map[string]endpointStates // by resource
+}
+
+// handle takes in a request, which may acknowledge or reject the last response. It tells whether the request answers an
+// earlier response than that.
+func (d *deltaSubscription) handle(request *discoveryv3.DeltaDiscoveryRequest) (stale bool) {
+	if request.GetNode() != nil {
+		d.router = request.GetNode().GetId()
+	}
+	for _, name := range request.GetResourceNamesSubscribe() {
+		d.names[name] = true
+	}
+	for name, version := range request.GetInitialResourceVersions() {
+		d.versions[name], _ = strconv.Atoi(version) // one that is not of this server is older than all
+	}
+	if request.GetResponseNonce() == "" {
+		return false
+	}
+	if request.GetResponseNonce() != d.nonce {
+		return true
+	}
+	d.nonce = ""
+	if problem := request.GetErrorDetail(); problem != nil {
+		d.server.addRejection(problem)
+		return false
+	}
+	for name, states := range d.sent {
+		d.server.recordAcknowledgement(d.router, states, d.acknowledged[name])
+		d.acknowledged[name] = states
+	}
+	return false
+}
+
+// nextResponse is what has changed for the router, or nil if there is nothing or a response is not answered yet. The
+// first response is sent even if it is empty.
+func (d *deltaSubscription) nextResponse() *discoveryv3.DeltaDiscoveryResponse {
+	if d.nonce != "" || len(d.names) == 0 {
+		return nil
+	}
+	response := d.changes()
+	if len(response.Resources) == 0 && d.responded {
+		return nil
+	}
+	d.responded = true
+	d.nonce = newNonce(response.SystemVersionInfo)
+	response.Nonce = d.nonce
+	return response
+}
+
+// changes are the resources whose present version the router doesn't have.
+func (d *deltaSubscription) changes() *discoveryv3.DeltaDiscoveryResponse {
+	d.server.mu.Lock()
+	defer d.server.mu.Unlock()
+	response := &discoveryv3.DeltaDiscoveryResponse{
+		TypeUrl: eds.TypeURL, SystemVersionInfo: strconv.Itoa(d.server.version),
+	}
+	d.sent = map[string]endpointStates{}
+	for name := range d.names {
+		present := d.server.changedAt[name]
+		if version, ok := d.versions[name]; ok && version == present {
+			continue
+		}
+		resource, states := d.server.resource(name)
+		response.Resources = append(response.Resources, &discoveryv3.Resource{
+			Name: name, Version: strconv.Itoa(present), Resource: resource,
+		})
+		d.versions[name], d.sent[name] = present, states
+	}
+	return response
+}
+
+// recordAcknowledgement records that a router has acknowledged these states in place of earlier ones.
+func (s *DiscoveryServer) recordAcknowledgement(router string, states, earlier endpointStates) {
+	if s.recorder == nil {
+		return
+	}
+	known := map[uint32]policy.EndpointState{}
+	for id := range earlier {
+		known[id] = policy.Removed
+	}
+	maps.Copy(known, states)
+	s.recorder.EndpointsAcknowledged(router, known)
+}
+
+func (s *DiscoveryServer) addRejection(problem *rpcstatus.Status) {
+	s.mu.Lock()
+	s.rejected = append(s.rejected, problem.GetMessage())
+	s.mu.Unlock()
+}
+
+// newNonce is a nonce that no earlier response has.
+func newNonce(version string) string {
+	return "n" + version + "-" + strconv.FormatInt(time.Now().UnixNano(), 10)
+}
+
+// receiveAll receives a stream's requests in a goroutine of the server. The channel is closed when the stream ends.
+func receiveAll[T proto.Message](s *DiscoveryServer, done <-chan struct{}, receive func() (T, error)) <-chan T {
+	requests := make(chan T)
+	s.receivers.Add(1)
+	go func() {
+		defer s.receivers.Done()
+		defer close(requests)
+		for {
+			request, err := receive()
+			if err != nil {
+				return
+			}
+			select {
+			case requests <- request:
+			case <-done:
+				return
+			}
+		}
+	}()
+	return requests
+}
--- /dev/null
+++ b/internal/testbed/http_server.go
@@ -0,0 +1,47 @@
+package testbed
+
+import (
+	"errors"
+	"io"
+	"log"
+	"log/slog"
+	"net"
+	"net/http"
+)
+
+// anyLoopbackPort lets the system choose a port.
+const anyLoopbackPort = "127.0.0.1:0"
+
+// httpServer is an HTTP server on a socket with the goroutine that accepts its connections.
+type httpServer struct {
+	*http.Server
+	served chan struct{} // closed when no more connections are accepted
+}
+
+// startHTTPServer serves a listener until stop or Shutdown, which close it.
+func startHTTPServer(l net.Listener, handler http.Handler) *httpServer {
+	s := &httpServer{
+		Server: &http.Server{Handler: handler, ErrorLog: log.New(io.Discard, "", 0)},
+		served: make(chan struct{}),
+	}
+	go func() {
+		defer close(s.served)
+		if err := s.Serve(l); !errors.Is(err, http.ErrServerClosed) {
+			slog.Warn("testbed: server ended", "address", l.Addr(), "error", err)
+		}
+	}()
+	return s
+}
+
+// stop closes the listener and all connections.
+func (s *httpServer) stop() {
+	closeAndLog("server", s)
+	<-s.served
+}
+
+// closeAndLog closes something whose owner can't return the error. What is closed already is no error.
+func closeAndLog(subject string, c io.Closer) {
+	if err := c.Close(); err != nil && !errors.Is(err, net.ErrClosed) {
+		slog.Warn("testbed: close", "subject", subject, "error", err)
+	}
+}
--- /dev/null
+++ b/internal/testbed/score.go
@@ -0,0 +1,49 @@
+package testbed
+
+import "time"
+
+// Score counts the outcomes of requests as clients see them; all attempts of a request count as one.
+type Score struct {
+	Asked    int `json:"Asked"`      // all requests
+	InTime   int `json:"InTime"`     // succeeded within the latency objective
+	Late     int `json:"Late"`       // succeeded after it
+	Rejected int `json:"TurnedBack"` // by the router
+	Failed   int `json:"Scrapped"`   // by a backend
+	Refused  int `json:"Refused"`    // no connection, or a response without a known outcome
+	Lost     int `json:"Lost"`       // the connection ended before the response
+	TimedOut int `json:"Left"`       // the client gave up
+	Wrong    int `json:"Wrong"`      // succeeded with a wrong body; counted in InTime or Late too
+}
+
+// Add adds another score.
+func (s *Score) Add(o Score) {
+	s.Asked += o.Asked
+	s.InTime += o.InTime
+	s.Late += o.Late
+	s.Rejected += o.Rejected
+	s.Failed += o.Failed
+	s.Refused += o.Refused
+	s.Lost += o.Lost
+	s.TimedOut += o.TimedOut
+	s.Wrong += o.Wrong
+}
+
+// Scores returns the totals by class, and the latencies of the requests that succeeded.
+func (c *Clients) Scores() (map[string]Score, map[string][]time.Duration) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	scores, latencies := map[string]Score{}, map[string][]time.Duration{}
+	for class, score := range c.scores {
+		scores[class], latencies[class] = *score, append([]time.Duration(nil), c.latencies[class]...)
+	}
+	return scores, latencies
+}
+
+// SinceLast returns what has ended since its last call, and the number of requests in flight.
+func (c *Clients) SinceLast() (Score, int) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	score := c.sinceLast
+	c.sinceLast = Score{}
+	return score, c.inFlight
+}
