--- a/internal/testbed/authority.go
+++ b/internal/testbed/authority.go
@@ -7,6 +7,7 @@
 	"crypto/x509"
 	"crypto/x509/pkix"
 	"encoding/pem"
+	"fmt"
 	"math/big"
 	"net"
 	"path/filepath"
@@ -17,6 +18,7 @@
 )
 
 const (
+	privateFileMode   = 0o600
 	serialBits        = 100
 	authorityValidity = 24 * time.Hour
 	clockTolerance    = time.Hour // certificates are valid this long before they are issued
@@ -31,27 +33,17 @@
 
 // NewAuthority makes an authority with a new key and writes its certificate into a directory, which must exist.
 func NewAuthority(dir string) (*Authority, error) {
-	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
-	if err != nil {
-		return nil, err
+	template := &x509.Certificate{
+		Subject: pkix.Name{CommonName: "authority"}, NotAfter: time.Now().Add(authorityValidity), IsCA: true,
+		BasicConstraintsValid: true, KeyUsage: x509.KeyUsageCertSign,
 	}
-	cert := &x509.Certificate{SerialNumber: serial(), Subject: pkix.Name{CommonName: "authority"}, NotBefore: time.Now().Add(-clockTolerance),
-		NotAfter: time.Now().Add(authorityValidity), IsCA: true, BasicConstraintsValid: true, KeyUsage: x509.KeyUsageCertSign}
-	raw, err := x509.CreateCertificate(rand.Reader, cert, cert, &key.PublicKey, key)
+	a := &Authority{dir: dir, cert: template}
+	key, raw, err := a.sign(template)
 	if err != nil {
 		return nil, err
 	}
-	a := &Authority{dir: dir, key: key, cert: cert}
-	return a, atomicfile.Write(a.File(), pem.EncodeToMemory(&pem.Block{Type: "CERTIFICATE", Bytes: raw}), 0o600)
-}
-
-// serial is a random serial number of a certificate.
-func serial() *big.Int {
-	n, err := rand.Int(rand.Reader, new(big.Int).Lsh(big.NewInt(1), serialBits))
-	if err != nil {
-		panic(err) // no randomness: nothing can go on
-	}
-	return n
+	a.key = key
+	return a, writePEM(a.File(), "CERTIFICATE", raw)
 }
 
 // File is the path of the authority's own certificate, in PEM.
@@ -60,24 +52,47 @@
 // Issue writes a certificate and its key for a name and 127.0.0.1, for clients and servers, which expires after validity.
 // It replaces the name's earlier files.
 func (a *Authority) Issue(name string, validity time.Duration) (certs.Files, error) {
-	files := certs.Files{Certificate: filepath.Join(a.dir, name+".pem"), Key: filepath.Join(a.dir, name+".key"), Authority: a.File()}
-	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
-	if err != nil {
-		return files, err
+	files := certs.Files{
+		Certificate: filepath.Join(a.dir, name+".pem"), Key: filepath.Join(a.dir, name+".key"), Authority: a.File(),
 	}
-	cert := &x509.Certificate{SerialNumber: serial(), Subject: pkix.Name{CommonName: name}, NotBefore: time.Now().Add(-clockTolerance),
-		NotAfter: time.Now().Add(validity), KeyUsage: x509.KeyUsageDigitalSignature, IPAddresses: []net.IP{net.IPv4(127, 0, 0, 1)},
-		DNSNames: []string{name}, ExtKeyUsage: []x509.ExtKeyUsage{x509.ExtKeyUsageClientAuth, x509.ExtKeyUsageServerAuth}}
-	raw, err := x509.CreateCertificate(rand.Reader, cert, a.cert, &key.PublicKey, a.key)
+	key, raw, err := a.sign(&x509.Certificate{
+		Subject: pkix.Name{CommonName: name}, NotAfter: time.Now().Add(validity), KeyUsage: x509.KeyUsageDigitalSignature,
+		IPAddresses: []net.IP{net.IPv4(127, 0, 0, 1)}, DNSNames: []string{name},
+		ExtKeyUsage: []x509.ExtKeyUsage{x509.ExtKeyUsageClientAuth, x509.ExtKeyUsageServerAuth},
+	})
 	if err != nil {
 		return files, err
 	}
 	der, err := x509.MarshalECPrivateKey(key)
 	if err != nil {
-		return files, err
+		return files, fmt.Errorf("issue %s: %w", name, err)
 	}
-	if err := atomicfile.Write(files.Key, pem.EncodeToMemory(&pem.Block{Type: "EC PRIVATE KEY", Bytes: der}), 0o600); err != nil {
+	if err := writePEM(files.Key, "EC PRIVATE KEY", der); err != nil {
 		return files, err
 	}
-	return files, atomicfile.Write(files.Certificate, pem.EncodeToMemory(&pem.Block{Type: "CERTIFICATE", Bytes: raw}), 0o600)
+	return files, writePEM(files.Certificate, "CERTIFICATE", raw)
+}
+
+// sign makes a key and a certificate for it from a template, which it completes. The authority's own, made before it has
+// a key, is signed with the new one.
+func (a *Authority) sign(template *x509.Certificate) (key *ecdsa.PrivateKey, certificate []byte, err error) {
+	if key, err = ecdsa.GenerateKey(elliptic.P256(), rand.Reader); err != nil {
+		return nil, nil, fmt.Errorf("key of %s: %w", template.Subject, err)
+	}
+	if template.SerialNumber, err = rand.Int(rand.Reader, new(big.Int).Lsh(big.NewInt(1), serialBits)); err != nil {
+		return nil, nil, fmt.Errorf("serial number of %s: %w", template.Subject, err)
+	}
+	template.NotBefore = time.Now().Add(-clockTolerance)
+	signer := a.key
+	if signer == nil {
+		signer = key
+	}
+	if certificate, err = x509.CreateCertificate(rand.Reader, template, a.cert, &key.PublicKey, signer); err != nil {
+		return nil, nil, fmt.Errorf("certificate of %s: %w", template.Subject, err)
+	}
+	return key, certificate, nil
+}
+
+func writePEM(file, kind string, der []byte) error {
+	return atomicfile.Write(file, pem.EncodeToMemory(&pem.Block{Type: kind, Bytes: der}), privateFileMode)
 }
