--- a/internal/testbed/backend.go
+++ b/internal/testbed/backend.go
@@ -68,14 +68,17 @@
 	EffectRan(h *audit.Host, requestID string)
 }
 
+// RequestCounter is called for each response of a backend, concurrently.
+type RequestCounter func(build int, class string, latency time.Duration, failed bool)
+
 // Environment is what the backends of a group share.
 type Environment struct {
 	Listen       string           // address to listen on; empty for any port of 127.0.0.1
 	Observer     Observer         // nil for none
 	Classes      map[string]Class // by name
 	Keys         Deduplicator
-	CountRequest func(build int, class string, latency time.Duration, failed bool) // called for each response; nil for none
-	Slowdown     func() float64                                                    // how many times slower all backends are now; nil for never
+	CountRequest RequestCounter // nil for none
+	Slowdown     func() float64 // how many times slower all backends are now; nil for never
 }
 
 // Backend is one server process on a machine: it works on requests by sleeping, one per core at a time, in the order of
@@ -89,7 +92,7 @@
 	observer     Observer
 	classes      map[string]Class
 	keys         Deduplicator
-	countRequest func(build int, class string, latency time.Duration, failed bool)
+	countRequest RequestCounter
 	slowdown     func() float64
 	server       *httpServer // nil for a RemoteBackend
 	address      string
--- a/internal/testbed/discovery_stream.go
+++ b/internal/testbed/discovery_stream.go
@@ -1,6 +1,7 @@
 package testbed
 
 import (
+	"context"
 	"maps"
 	"strconv"
 	"time"
@@ -8,7 +9,6 @@
 	discoveryv3 "github.com/envoyproxy/go-control-plane/envoy/service/discovery/v3"
 	edsv3 "github.com/envoyproxy/go-control-plane/envoy/service/endpoint/v3"
 	rpcstatus "google.golang.org/genproto/googleapis/rpc/status"
-	"google.golang.org/protobuf/proto"
 
 	"dapplefront/internal/eds"
 	"dapplefront/policy"
@@ -35,15 +35,31 @@
 	s.mu.Unlock()
 }
 
-// StreamEndpoints serves the state-of-the-world protocol: each response has all resources that the router asks for.
-func (s *DiscoveryServer) StreamEndpoints(rpc edsv3.EndpointDiscoveryService_StreamEndpointsServer) error {
+// xdsStream is a stream of one of the two protocols.
+type xdsStream[Request, Response any] interface {
+	Context() context.Context
+	Recv() (Request, error)
+	Send(Response) error
+}
+
+// subscription is what one router has asked for and been sent on a stream.
+type subscription[Request, Response any] interface {
+	// handle takes in a request and tells whether it needs no response for now.
+	handle(request Request) (done bool)
+	// nextResponse returns what the router is to be sent now; ok is false for nothing.
+	nextResponse() (response Response, ok bool)
+}
+
+// serveStream sends what a subscription has for its router, after requests and after changes of the list, until the
+// stream ends.
+func serveStream[Request, Response any](s *DiscoveryServer, rpc xdsStream[Request, Response],
+	router subscription[Request, Response]) error {
 	open, err := s.openStream()
 	if err != nil {
 		return err
 	}
 	defer s.closeStream(open)
-	requests := receiveAll(s, rpc.Context().Done(), rpc.Recv)
-	subscription := worldSubscription{server: s, version: -1}
+	requests := receiveAll(s, rpc)
 	for {
 		select {
 		case <-open.cut:
@@ -52,21 +68,46 @@
 			if !ok {
 				return nil
 			}
-			if subscription.handle(request) {
+			if router.handle(request) {
 				continue
 			}
 		case <-open.changed:
 		}
-		response := subscription.nextResponse()
-		if response == nil {
-			continue
-		}
-		if err := rpc.Send(response); err != nil {
-			return err
+		if response, ok := router.nextResponse(); ok {
+			if err := rpc.Send(response); err != nil {
+				return err
+			}
 		}
 	}
 }
 
+// receiveAll receives a stream's requests in a goroutine of the server. The channel is closed when the stream ends.
+func receiveAll[Request, Response any](s *DiscoveryServer, rpc xdsStream[Request, Response]) <-chan Request {
+	requests := make(chan Request)
+	s.receivers.Add(1)
+	go func() {
+		defer s.receivers.Done()
+		defer close(requests)
+		for {
+			request, err := rpc.Recv()
+			if err != nil {
+				return
+			}
+			select {
+			case requests <- request:
+			case <-rpc.Context().Done():
+				return
+			}
+		}
+	}()
+	return requests
+}
+
+// StreamEndpoints serves the state-of-the-world protocol: each response has all resources that the router asks for.
+func (s *DiscoveryServer) StreamEndpoints(rpc edsv3.EndpointDiscoveryService_StreamEndpointsServer) error {
+	return serveStream(s, rpc, &worldSubscription{server: s, version: -1})
+}
+
 // worldSubscription is what one router has asked for and been sent by the state-of-the-world protocol.
 type worldSubscription struct {
 	server       *DiscoveryServer
@@ -78,8 +119,8 @@
 	acknowledged endpointStates
 }
 
-// handle takes in a request and tells whether that only acknowledges or rejects the last response.
-func (w *worldSubscription) handle(request *discoveryv3.DiscoveryRequest) (answersLast bool) {
+// handle takes in a request. One that acknowledges or rejects the last response needs none.
+func (w *worldSubscription) handle(request *discoveryv3.DiscoveryRequest) (done bool) {
 	if request.GetNode() != nil {
 		w.router = request.GetNode().GetId()
 	}
@@ -96,15 +137,15 @@
 	return true
 }
 
-// nextResponse is the present list, or nil if the router has been sent it or has asked for nothing yet.
-func (w *worldSubscription) nextResponse() *discoveryv3.DiscoveryResponse {
+// nextResponse is the present list, unless the router has been sent it or has asked for nothing yet.
+func (w *worldSubscription) nextResponse() (*discoveryv3.DiscoveryResponse, bool) {
 	if w.names == nil {
-		return nil
+		return nil, false
 	}
 	w.server.mu.Lock()
 	defer w.server.mu.Unlock()
 	if w.server.version == w.version {
-		return nil
+		return nil, false
 	}
 	w.version = w.server.version
 	versionInfo := strconv.Itoa(w.version)
@@ -116,42 +157,15 @@
 		response.Resources = append(response.Resources, resource)
 		maps.Copy(w.sent, states)
 	}
-	return response
+	return response, true
 }
 
 // DeltaEndpoints serves the incremental protocol: each response has the resources that have changed. There is one
 // response at a time that the router hasn't acknowledged or rejected.
 func (s *DiscoveryServer) DeltaEndpoints(rpc edsv3.EndpointDiscoveryService_DeltaEndpointsServer) error {
-	open, err := s.openStream()
-	if err != nil {
-		return err
-	}
-	defer s.closeStream(open)
-	requests := receiveAll(s, rpc.Context().Done(), rpc.Recv)
-	subscription := deltaSubscription{
+	return serveStream(s, rpc, &deltaSubscription{
 		server: s, names: map[string]bool{}, versions: map[string]int{}, acknowledged: map[string]endpointStates{},
-	}
-	for {
-		select {
-		case <-open.cut:
-			return errUnreachable
-		case request, ok := <-requests:
-			if !ok {
-				return nil
-			}
-			if subscription.handle(request) {
-				continue
-			}
-		case <-open.changed:
-		}
-		response := subscription.nextResponse()
-		if response == nil {
-			continue
-		}
-		if err := rpc.Send(response); err != nil {
-			return err
-		}
-	}
+	})
 }
 
 // deltaSubscription is what one router has asked for and been sent by the incremental protocol.
@@ -166,9 +180,9 @@
 	acknowledged map[string]endpointStates // by resource
 }
 
-// handle takes in a request, which may acknowledge or reject the last response. It tells whether the request answers an
-// earlier response than that.
-func (d *deltaSubscription) handle(request *discoveryv3.DeltaDiscoveryRequest) (stale bool) {
+// handle takes in a request, which may acknowledge or reject the last response. One that answers an earlier response
+// needs none.
+func (d *deltaSubscription) handle(request *discoveryv3.DeltaDiscoveryRequest) (done bool) {
 	if request.GetNode() != nil {
 		d.router = request.GetNode().GetId()
 	}
@@ -196,20 +210,20 @@
 	return false
 }
 
-// nextResponse is what has changed for the router, or nil if there is nothing or a response is not answered yet. The
-// first response is sent even if it is empty.
-func (d *deltaSubscription) nextResponse() *discoveryv3.DeltaDiscoveryResponse {
+// nextResponse is what has changed for the router, unless there is nothing or a response is not answered yet. The first
+// response is sent even if it is empty.
+func (d *deltaSubscription) nextResponse() (*discoveryv3.DeltaDiscoveryResponse, bool) {
 	if d.nonce != "" || len(d.names) == 0 {
-		return nil
+		return nil, false
 	}
 	response := d.changes()
 	if len(response.Resources) == 0 && d.responded {
-		return nil
+		return nil, false
 	}
 	d.responded = true
 	d.nonce = newNonce(response.SystemVersionInfo)
 	response.Nonce = d.nonce
-	return response
+	return response, true
 }
 
 // changes are the resources whose present version the router doesn't have.
@@ -257,25 +271,3 @@
 func newNonce(version string) string {
 	return "n" + version + "-" + strconv.FormatInt(time.Now().UnixNano(), 10)
 }
-
-// receiveAll receives a stream's requests in a goroutine of the server. The channel is closed when the stream ends.
-func receiveAll[T proto.Message](s *DiscoveryServer, done <-chan struct{}, receive func() (T, error)) <-chan T {
-	requests := make(chan T)
-	s.receivers.Add(1)
-	go func() {
-		defer s.receivers.Done()
-		defer close(requests)
-		for {
-			request, err := receive()
-			if err != nil {
-				return
-			}
-			select {
-			case requests <- request:
-			case <-done:
-				return
-			}
-		}
-	}()
-	return requests
-}
--- a/internal/testbed/observer.go
+++ b/internal/testbed/observer.go
@@ -130,7 +130,7 @@
 	listener     net.Listener
 	recorder     *audit.Recorder
 	keys         *KeyStore
-	countRequest func(build int, class string, latency time.Duration, failed bool)
+	countRequest RequestCounter
 	hostID       func(address string) uint32
 
 	accepted    sync.WaitGroup // the goroutine that accepts connections
@@ -142,7 +142,7 @@
 
 // StartObserverServer starts a server that enters events into the recorder and calls countRequest for each response.
 // hostID gives the id of the backend at an address.
-func StartObserverServer(recorder *audit.Recorder, keys *KeyStore, countRequest func(int, string, time.Duration, bool),
+func StartObserverServer(recorder *audit.Recorder, keys *KeyStore, countRequest RequestCounter,
 	hostID func(string) uint32) (*ObserverServer, error) {
 	listener, err := net.Listen("tcp", anyLoopbackPort)
 	if err != nil {
