--- a/internal/scenario/agents.go
+++ b/internal/scenario/agents.go
@@ -212,7 +212,7 @@
 
 // heard takes in an agent's report: what is to be listed, and builds that it refuses.
 func (c *crew) heard(name string, r api.AgentReport) {
-	if r.Listing != "" && r.Address != "" {
+	if r.EndpointState != "" && r.Address != "" {
 		id := c.id(r.Address)
 		c.mu.Lock()
 		h := c.hosts[id]
@@ -220,11 +220,11 @@
 			m := c.place(name)
 			m.ID = id
 			h = testbed.RemoteBackend(r.Address, m, c.numbers[r.Digest])
-			h.StartedAt = time.UnixMilli(r.UpMs)
+			h.StartedAt = time.UnixMilli(r.StartedAtMs)
 			c.hosts[id] = h
 		}
 		c.mu.Unlock()
-		standing := map[string]policy.EndpointState{string(agent.EndpointDraining): policy.Draining, string(agent.EndpointRemoved): policy.Removed}[r.Listing]
+		standing := map[string]policy.EndpointState{string(agent.EndpointDraining): policy.Draining, string(agent.EndpointRemoved): policy.Removed}[r.EndpointState]
 		c.listings <- listing{time.Now().Add(c.stage.figures.listLate), testbed.Endpoint{Backend: h, State: standing}}
 	}
 	if r.To == string(agent.Failed) {
@@ -337,7 +337,7 @@
 	c.mu.Lock()
 	digest, o := c.digests[number], api.Order{Digest: c.digests[n.Build], Build: n.Build, Goal: "release"}
 	if n.Build == number {
-		o = api.Order{Digest: digest, Build: number, Goal: "take-back", To: c.digests[earlier], ToNum: earlier}
+		o = api.Order{Digest: digest, Build: number, Goal: "take-back", ReplacementDigest: c.digests[earlier], ReplacementBuild: earlier}
 	} else if n.Phase != policy.Released { // overtaken on trial
 		o = api.Order{Digest: digest, Build: number, Goal: "take-back"}
 	}
--- a/internal/scenario/controllers.go
+++ b/internal/scenario/controllers.go
@@ -90,7 +90,7 @@
 	}
 	for i := range n {
 		o := &office{seat: controller.NodeConfig{Name: fmt.Sprintf("c%d", i+1), Dir: filepath.Join(dir, fmt.Sprintf("c%d", i+1)), Listen: "127.0.0.1:0",
-			Bootstrap: i == 0, Quick: true, Build: 1, Control: control.Config{Rules: rules, RouterTimeout: 10 * policy.Second}},
+			Bootstrap: i == 0, FastElections: true, InitialBuild: 1, Control: control.Config{Rules: rules, RouterTimeout: 10 * policy.Second}},
 			front: controller.ServerConfig{Listen: "127.0.0.1:0", VotesPerSecond: 30, Fault: c.fault, OnStatusSent: c.told}}
 		if secure != nil {
 			ring, err := secure.ring(o.seat.Name)
@@ -233,7 +233,7 @@
 			return err
 		}
 		go fleet.Retire(r.Build)
-	case api.EventRelease:
+	case api.EventReleaseStatus:
 		var r api.Release
 		if err := json.Unmarshal(data, &r); err != nil {
 			return err
@@ -385,7 +385,7 @@
 func (c *controllers) Publish(p *plan.Published) {
 	c.note()
 	c.ask(func(ctx context.Context) error {
-		return c.client.PublishPlan(ctx, p.Version, api.Published{Build: p.Build, Stage: p.Stage, ValidForMs: (4 * time.Second).Milliseconds(), For: p.For})
+		return c.client.PublishPlan(ctx, p.Version, api.Published{Build: p.Build, Stage: p.Stage, ValidForMs: (4 * time.Second).Milliseconds(), For: p.ByZone})
 	})
 }
 
--- a/internal/scenario/day.go
+++ b/internal/scenario/day.go
@@ -362,7 +362,7 @@
 	x.mu.Unlock()
 	if i != nil {
 		s.book.RouterStopping(x.name)
-		i.Kill()
+		i.Close()
 	}
 }
 
@@ -408,7 +408,7 @@
 	for _, x := range s.routers {
 		x.mu.Lock()
 		if x.instance != nil {
-			x.instance.Kill()
+			x.instance.Close()
 			x.instance = nil
 		}
 		x.mu.Unlock()
--- a/internal/scenario/day_test.go
+++ b/internal/scenario/day_test.go
@@ -66,7 +66,7 @@
 func TestAScriptIsCheckedAsAWhole(t *testing.T) {
 	s := inifile.Parse("day.ini", "[day]\nlength = 2h\nhosts = 2\n[build 1]\nat = 5\n[trouble x]\nkind = rain\nat = 1s\nfor = 1s\n")
 	From(s)
-	err := s.Done()
+	err := s.Err()
 	for _, want := range []string{"day.ini:2: [day] length: from 1s to 1h", "day.ini:3: [day] each location needs", "day.ini:5: [build 1] at = 5",
 		"day.ini:7: [trouble x] kind = rain"} {
 		require.ErrorContains(t, err, want)
@@ -107,7 +107,7 @@
 	require.Positive(t, r.Planned.Followed)
 	finished := 0
 	for _, x := range r.Releases {
-		finished += x.Tasks["finished"]
+		finished += x.Requests["finished"]
 	}
 	require.Positive(t, finished, "routers have reported")
 	files, err := filepath.Glob(filepath.Join(p.Records, "*.rec"))
--- a/internal/scenario/plan.go
+++ b/internal/scenario/plan.go
@@ -155,7 +155,7 @@
 func Read(file string) (Plan, error) {
 	s := inifile.Read(file)
 	p := From(s)
-	return p, s.Done()
+	return p, s.Err()
 }
 
 // From reads a plan; mistakes are kept by the sheet.
--- a/internal/scenario/report.go
+++ b/internal/scenario/report.go
@@ -72,7 +72,7 @@
 	}
 	for _, x := range r.Releases {
 		fmt.Fprintf(w, "build %d, as the controllers were told: %d finished, %d turned back, %d scrapped; %d lines of trace\n", x.Build,
-			x.Tasks["finished"], x.Tasks["turned back"], x.Tasks["scrapped"], len(x.History))
+			x.Requests["finished"], x.Requests["turned back"], x.Requests["scrapped"], len(x.History))
 	}
 	if p := r.Planned; p != nil {
 		fmt.Fprintf(w, "plans: %d versions, %.1f weights changed in each, %d weighed anew; %d words of routers that follow, %d turned down\n",
--- a/internal/scenario/shares.go
+++ b/internal/scenario/shares.go
@@ -81,11 +81,11 @@
 
 // absurd gives nearly all to one host of each location.
 func absurd(p *plan.Published) {
-	for _, w := range p.For {
+	for _, w := range p.ByZone {
 		first := true
-		for name := range w.Near {
-			if w.Near[name] = 1; first {
-				w.Near[name] = 1_000_000_000
+		for name := range w.Local {
+			if w.Local[name] = 1; first {
+				w.Local[name] = 1_000_000_000
 			}
 			first = false
 		}
--- a/internal/scenario/trust.go
+++ b/internal/scenario/trust.go
@@ -30,7 +30,7 @@
 // files are a certificate for a name, made anew.
 func (t *trust) files(name string) (certs.Files, error) { return t.authority.Issue(name, 2*time.Hour) }
 
-func (t *trust) ring(name string) (*certs.Ring, error) {
+func (t *trust) ring(name string) (*certs.Reloader, error) {
 	f, err := t.files(name)
 	if err != nil {
 		return nil, err
--- a/internal/testbed/discovery.go
+++ b/internal/testbed/discovery.go
@@ -132,8 +132,8 @@
 func (s *DiscoveryServer) SetWeights(p *plan.Published) {
 	s.changeAll(func() {
 		s.weights = map[string]uint64{}
-		for _, w := range p.For {
-			for id, weight := range w.Near {
+		for _, w := range p.ByZone {
+			for id, weight := range w.Local {
 				s.weights[id] = weight
 			}
 		}
--- a/internal/testbed/discovery_test.go
+++ b/internal/testbed/discovery_test.go
@@ -32,7 +32,7 @@
 	w := &watcher{states: map[uint32]policy.EndpointState{}}
 	var err error
 	w.Watch, err = eds.New(server.Address(), "r1", server.Resources([]string{"here", "there"}), incremental, eds.Handler{
-		Listed: func(complete bool, hosts []eds.Host) {
+		Updated: func(complete bool, hosts []eds.Host) {
 			w.mu.Lock()
 			defer w.mu.Unlock()
 			if complete {
--- a/internal/testbed/load_report.go
+++ b/internal/testbed/load_report.go
@@ -31,8 +31,8 @@
 	var text string
 	switch b.ID % 3 {
 	case 0:
-		text = fmt.Sprintf("TEXT rps_fractional=%g,named_metrics.%s=%g,named_metrics.%s=%g", report.RpsFractional, orca.Active,
-			report.NamedMetrics[orca.Active], orca.Service, report.NamedMetrics[orca.Service])
+		text = fmt.Sprintf("TEXT rps_fractional=%g,named_metrics.%s=%g,named_metrics.%s=%g", report.RpsFractional, orca.MetricActive,
+			report.NamedMetrics[orca.MetricActive], orca.MetricService, report.NamedMetrics[orca.MetricService])
 	case 1:
 		raw, err := protojson.MarshalOptions{Multiline: false}.Marshal(report.OrcaLoadReport)
 		if err != nil {
@@ -58,7 +58,7 @@
 		b.loadReports = append(b.loadReports, loadReport{now, &orcav3.OrcaLoadReport{
 			RpsFractional: float64(b.served) / max(1, now.Sub(b.createdAt).Seconds()),
 			NamedMetrics: map[string]float64{
-				orca.Active: float64(b.active), orca.Service: float64(b.serviceTimeAvg.Milliseconds()),
+				orca.MetricActive: float64(b.active), orca.MetricService: float64(b.serviceTimeAvg.Milliseconds()),
 			},
 		}})
 		if len(b.loadReports) > maxLoadReports {
--- a/plan/shadow_test.go
+++ b/plan/shadow_test.go
@@ -19,8 +19,8 @@
 	require.InDelta(t, 1.0, one, 0)
 	w, err := s.Weights()
 	require.NoError(t, err)
-	require.Equal(t, uint64(50_000), w["north"].Copies)
-	require.NotContains(t, w["north"].Near, "north-0", "originals stay with the earlier build")
+	require.Equal(t, uint64(50_000), w["north"].ShadowShare)
+	require.NotContains(t, w["north"].Local, "north-0", "originals stay with the earlier build")
 }
 
 func TestACanaryHostInSlowStartGetsFewerShadowRequests(t *testing.T) {
--- a/plan/solve_test.go
+++ b/plan/solve_test.go
@@ -85,7 +85,7 @@
 	require.InDelta(t, 1000, a/b, 1e-6)
 	w, err := s.Weights()
 	require.NoError(t, err)
-	require.Equal(t, uint64(1000), w["north"].Near["north-0"]/w["north"].Near["south-0"])
+	require.Equal(t, uint64(1000), w["north"].Local["north-0"]/w["north"].Local["south-0"])
 }
 
 func TestTiesAreBrokenTheSameWayInAnyOrderOfHosts(t *testing.T) {
