--- a/internal/scenario/report_test.go
+++ b/internal/scenario/report_test.go
@@ -6,8 +6,11 @@
 	"reflect"
 	"strconv"
 	"testing"
+	"time"
 
 	"github.com/stretchr/testify/require"
+
+	"dapplefront/policy"
 )
 
 // testdata/report.json was written by the program at commit d72f78e from a result with every field set.
@@ -60,3 +63,22 @@
 		v.SetFloat(float64(*count) / 8)
 	}
 }
+
+// testdata/report.txt was printed by the program before its parts were renamed, from a result with every field set.
+func TestThePrintedReportKeepsItsForm(t *testing.T) {
+	var r Result
+	count := 0
+	setFields(reflect.ValueOf(&r).Elem(), &count)
+	for _, score := range r.Scores {
+		r.Scores["quote"] = score
+	}
+	r.Times["quote"] = []time.Duration{30 * time.Millisecond, 10 * time.Millisecond, 20 * time.Millisecond}
+	r.Stages[0].Phase, r.Moves[0].Phase = policy.Released, policy.Released
+	r.Moves[0].Build, r.Moves[0].Stage = r.Stages[0].Build, r.Stages[0].Stage
+	r.Agents.Phases["fetching"] = []time.Duration{3 * time.Second, time.Second}
+	var got bytes.Buffer
+	r.Print(&got)
+	want, err := os.ReadFile("testdata/report.txt")
+	require.NoError(t, err)
+	require.Equal(t, string(want), got.String())
+}
