--- a/cmd/dapplefront/check.go
+++ b/cmd/dapplefront/check.go
@@ -31,7 +31,7 @@
 func readAny(file *inifile.File) {
 	switch {
 	case file.Section("day").Has():
-		scenario.From(file)
+		scenario.Parse(file)
 	case file.Section("agent").Has():
 		readAgentConfig(file)
 	case file.Section("controller").Has():
--- a/cmd/dapplefront/scenario.go
+++ b/cmd/dapplefront/scenario.go
@@ -81,39 +81,39 @@
 }
 
 // plan reads or draws what is to be played.
-func (o *scenarioOptions) plan(args []string) (p scenario.Plan, err error) {
+func (o *scenarioOptions) plan(args []string) (p scenario.Spec, err error) {
 	if len(args) == 1 {
-		p, err = scenario.Read(args[0])
+		p, err = scenario.ReadFile(args[0])
 	} else {
-		p, err = scenario.Draw(o.kind, o.seed, time.Duration(o.seconds)*time.Second)
+		p, err = scenario.Generate(o.kind, o.seed, time.Duration(o.seconds)*time.Second)
 	}
 	if err != nil {
 		return p, err
 	}
 	if o.shares != "" {
-		if !slices.Contains(scenario.Shares, o.shares) {
-			return p, fmt.Errorf("--shares %s: %s expected", o.shares, strings.Join(scenario.Shares, ", "))
+		if !slices.Contains(scenario.TrafficPlans, o.shares) {
+			return p, fmt.Errorf("--shares %s: %s expected", o.shares, strings.Join(scenario.TrafficPlans, ", "))
 		}
-		p.Shares = o.shares
+		p.TrafficPlan = o.shares
 	}
 	if o.controllers > 0 {
 		p.Controllers = o.controllers
 	}
 	p.Records = o.records
-	p.Breach = o.breach
-	p.Secure = p.Secure || o.secure
+	p.Violation = o.breach
+	p.TLS = p.TLS || o.secure
 	p.Agents = p.Agents || o.agents
 	return p, nil
 }
 
-func (o *scenarioOptions) play(c *cobra.Command, plan scenario.Plan, log *slog.Logger) error {
+func (o *scenarioOptions) play(c *cobra.Command, plan scenario.Spec, log *slog.Logger) error {
 	ctx, stop := interruptContext()
 	defer stop()
 	var progress io.Writer
 	if !o.quiet {
 		progress = c.OutOrStdout()
 	}
-	result, err := scenario.Play(ctx, plan, log, progress)
+	result, err := scenario.Run(ctx, plan, log, progress)
 	if err != nil {
 		return err
 	}
@@ -122,8 +122,10 @@
 			return err
 		}
 	}
-	result.Print(c.OutOrStdout())
-	if code := result.Exit(); code != 0 {
+	if err := result.Print(c.OutOrStdout()); err != nil {
+		return err
+	}
+	if code := result.ExitCode(); code != 0 {
 		return exitCode(code)
 	}
 	return nil
--- a/internal/scenario/controllers.go
+++ b/internal/scenario/controllers.go
@@ -3,12 +3,14 @@
 import (
 	"context"
 	"encoding/json"
+	"errors"
 	"fmt"
 	"log/slog"
 	"math/rand/v2"
 	"net/http"
 	"os"
 	"path/filepath"
+	"slices"
 	"strings"
 	"sync"
 	"time"
@@ -23,401 +25,506 @@
 	"dapplefront/release"
 )
 
-// Fleet carries out what a release asks for, and tells by Ready and Gone when it is done.
-type Fleet interface {
-	Place(build int, share float64)
-	Retire(build int)
+const (
+	controllerTimeout = 10 * time.Second // for a controller to join and for an election, at the start
+	callTimeout       = 5 * time.Second  // for a call of the controllers
+	planValidFor      = 4 * time.Second  // of a published traffic plan
+)
+
+// deployer carries out the orders of a release. Both methods return when the order is complete or the context ends;
+// they tell the controllers of a completed order.
+type deployer interface {
+	deploy(ctx context.Context, build int, share float64)
+	retire(ctx context.Context, build int)
 }
 
-// Move is one step of a release, for the report.
-type Move struct {
-	At    time.Duration `json:"At"`
+// Transition is a change of a release's stage or phase.
+type Transition struct {
+	At    time.Duration `json:"At"` // from the scenario's start
 	Build int           `json:"Build"`
 	Stage int           `json:"Stage"`
 	Phase policy.Phase  `json:"Phase"`
 }
 
-// controllers are the day's release controllers: one, three or five instances of the real one, on loopback.
-type controllers struct {
-	log     *slog.Logger
-	book    *audit.Recorder
-	figures figures
-	dir     string
-	client  *client.Client
-	seats   []*office
-	stop    context.CancelFunc
-	done    sync.WaitGroup
+// RestartCounts counts the controllers that were ended and started again.
+type RestartCounts struct {
+	All     int
+	Leaders int // of them, those that led
+}
+
+// controllerGroup is the scenario's release controllers: one, three or five instances of the real one, on loopback.
+type controllerGroup struct {
+	log       *slog.Logger
+	recorder  *audit.Recorder
+	params    parameters
+	dir       string
+	client    *client.Client
+	instances []*controllerInstance
+
+	ctx        context.Context // ends with stopBackground
+	cancel     context.CancelFunc
+	background sync.WaitGroup // the watch, orders of releases, counts and restarts
+
+	mu          sync.Mutex
+	deployer    deployer
+	agents      *agentReports // nil without agents
+	transitions []Transition
+	extraDelay  time.Duration // injected fault: status and counts are late
+	stalled     bool          // injected fault: no call is answered
+	counts      map[countKey]*requestCounts
+	acks        map[uint64]map[string]api.PlanAck // by version of the traffic plan and router
+	restarts    RestartCounts
+}
 
-	mu     sync.Mutex
-	fleet  Fleet
-	ledger *ledger // of agents, nil without
-	moves  []Move
-	late   time.Duration
-	still  bool
-	counts map[[2]string]*tally
-	heeds  map[uint64]map[string]api.PlanAck
-	kills  [2]int // instances ended while the day was played, and of them those that led
-}
-
-// office is one instance's place.
-type office struct {
-	seat  controller.NodeConfig
-	front controller.ServerConfig
-	mu    sync.Mutex
-	node  *controller.Node
-	serve *controller.Server
-}
-
-type tally struct {
-	build, bad, samples, good int
-	category                  string
-	took                      time.Duration
-}
-
-// startControllers starts so many at which build 1 has been released.
-func startControllers(n int, rules release.Rules, f figures, dir string, secure *trust, book *audit.Recorder, log *slog.Logger) (*controllers, error) {
-	ctx, stop := context.WithCancel(context.Background())
-	c := &controllers{log: log, book: book, figures: f, dir: dir, stop: stop, counts: map[[2]string]*tally{}, heeds: map[uint64]map[string]api.PlanAck{}}
+// countKey is what requests are counted by.
+type countKey struct {
+	build int
+	class string
+}
+
+// requestCounts are the responses of a build's backends in one class since they were last sent to the controllers.
+type requestCounts struct {
+	failures, samples, successes int
+	latency                      time.Duration // sum over the successes
+}
+
+// controllerOptions are what a group of controllers is started with.
+type controllerOptions struct {
+	count    int
+	rules    release.Rules
+	params   parameters
+	dir      string
+	issuer   *certificateIssuer // nil without TLS
+	recorder *audit.Recorder
+	log      *slog.Logger
+}
+
+// startControllers starts the controllers, at which build 1 counts as released, and waits until one leads.
+func startControllers(o controllerOptions) (*controllerGroup, error) {
+	ctx, cancel := context.WithCancel(context.Background())
+	g := &controllerGroup{log: o.log, recorder: o.recorder, params: o.params, dir: o.dir, ctx: ctx, cancel: cancel,
+		counts: map[countKey]*requestCounts{}, acks: map[uint64]map[string]api.PlanAck{}}
+	if err := g.startInstances(o); err != nil {
+		g.stop()
+		return nil, err
+	}
+	g.background.Go(func() { g.client.Watch(ctx, g.handleEvent, func(error) {}) })
+	g.background.Go(g.emitCounts)
+	return g, nil
+}
+
+func (g *controllerGroup) startInstances(o controllerOptions) error {
+	clientTLS, err := o.issuer.clientTLS("day")
+	if err != nil {
+		return err
+	}
+	var httpClient *http.Client // the default one without TLS
+	if clientTLS != nil {
+		httpClient = &http.Client{Transport: &http.Transport{TLSClientConfig: clientTLS}}
+	}
 	var urls []string
-	var h *http.Client
-	if secure != nil {
-		ring, err := secure.ring("day")
+	for i := range o.count {
+		instance, err := g.newInstance(i, o)
 		if err != nil {
-			stop()
-			return nil, err
+			return err
 		}
-		h = &http.Client{Transport: &http.Transport{TLSClientConfig: ring.Client()}}
-	}
-	for i := range n {
-		o := &office{seat: controller.NodeConfig{Name: fmt.Sprintf("c%d", i+1), Dir: filepath.Join(dir, fmt.Sprintf("c%d", i+1)), Listen: "127.0.0.1:0",
-			Bootstrap: i == 0, Quick: true, Build: 1, Control: control.Config{Rules: rules, RouterTimeout: 10 * policy.Second}},
-			front: controller.ServerConfig{Listen: "127.0.0.1:0", VotesPerSecond: 30, Fault: c.fault, OnStatusSent: c.told}}
-		if secure != nil {
-			ring, err := secure.ring(o.seat.Name)
-			if err != nil {
-				c.Stop()
-				return nil, err
-			}
-			o.seat.StreamLayer = controller.TLSStreamLayer(ring, []string{"c?"})
-			o.front.Authorizer = &controller.Authorizer{ServerTLS: ring.Server(), ClientTLS: ring.Client(), Grants: grants, Peers: []string{"c?"}}
+		g.instances = append(g.instances, instance)
+		if err := instance.start(o.log); err != nil {
+			return fmt.Errorf("start controller %s: %w", instance.nodeConfig.Name, err)
 		}
-		c.seats = append(c.seats, o)
-		if err := o.open(log); err != nil {
-			c.Stop()
-			return nil, err
+		instance.keepAddresses()
+		urls = append(urls, instance.serverConfig.URL)
+		g.client = client.New(urls, httpClient)
+		if i == 0 {
+			continue
 		}
-		o.seat.Listen, o.front.Listen, o.front.URL = o.node.Address(), o.serve.URL()[strings.Index(o.serve.URL(), "//")+2:], o.serve.URL()
-		urls = append(urls, o.serve.URL())
-		c.client = client.New(urls, h)
-		if i > 0 {
-			within, cancel := context.WithTimeout(ctx, 10*time.Second)
-			err := c.client.AddController(within, o.seat.Name, api.Controller{Address: o.seat.Listen, URL: o.front.URL})
-			cancel()
-			if err != nil {
-				c.Stop()
-				return nil, err
-			}
+		if err := g.addMember(instance); err != nil {
+			return fmt.Errorf("add controller %s: %w", instance.nodeConfig.Name, err)
 		}
 	}
-	for end := time.Now().Add(10 * time.Second); c.leader() == nil; time.Sleep(5 * time.Millisecond) {
-		if time.Now().After(end) {
-			c.Stop()
-			return nil, fmt.Errorf("controllers: none leads")
+	for deadline := time.Now().Add(controllerTimeout); g.leader() == nil; time.Sleep(5 * time.Millisecond) {
+		if time.Now().After(deadline) {
+			return errors.New("no controller leads")
 		}
 	}
-	c.done.Add(2)
-	go func() { defer c.done.Done(); c.client.Watch(ctx, c.hear, func(error) {}) }()
-	go c.tell(ctx)
-	return c, nil
+	return nil
 }
 
-func (o *office) open(log *slog.Logger) (err error) {
-	o.mu.Lock()
-	defer o.mu.Unlock()
-	if o.node, err = controller.Open(o.seat, log); err != nil {
-		o.node = nil
-		return err
+// newInstance configures a controller; the first one bootstraps the group.
+func (g *controllerGroup) newInstance(index int, o controllerOptions) (*controllerInstance, error) {
+	name := fmt.Sprintf("c%d", index+1)
+	instance := &controllerInstance{
+		nodeConfig: controller.NodeConfig{Name: name, Dir: filepath.Join(o.dir, name), Listen: "127.0.0.1:0", Bootstrap: index == 0, Quick: true, Build: 1,
+			Control: control.Config{Rules: o.rules, RouterTimeout: 10 * policy.Second}},
+		serverConfig: controller.ServerConfig{Listen: "127.0.0.1:0", VotesPerSecond: maxVotesPerSecond, Fault: g.injectedFault, OnStatusSent: g.recordStatus},
 	}
-	if o.serve, err = controller.Serve(o.node, o.front, log); err != nil {
-		_ = o.node.Close()
-		o.node = nil
+	if o.issuer == nil {
+		return instance, nil
 	}
-	return err
+	ring, err := o.issuer.ring(name)
+	if err != nil {
+		return nil, err
+	}
+	peers := []string{"c?"}
+	instance.nodeConfig.StreamLayer = controller.TLSStreamLayer(ring, peers)
+	instance.serverConfig.Authorizer = &controller.Authorizer{ServerTLS: ring.Server(), ClientTLS: ring.Client(), Grants: grants, Peers: peers}
+	return instance, nil
+}
+
+func (g *controllerGroup) addMember(instance *controllerInstance) error {
+	ctx, cancel := context.WithTimeout(g.ctx, controllerTimeout)
+	defer cancel()
+	return g.client.AddController(ctx, instance.nodeConfig.Name, api.Controller{Address: instance.nodeConfig.Listen, URL: instance.serverConfig.URL})
 }
 
-func (o *office) close() {
-	o.mu.Lock()
-	defer o.mu.Unlock()
-	if o.node != nil {
-		o.serve.Close()
-		_ = o.node.Close()
-		o.node = nil
+// stopBackground ends the watch and all work on orders, and waits for it. The controllers still answer.
+func (g *controllerGroup) stopBackground() {
+	g.cancel()
+	g.background.Wait()
+}
+
+// stop stops all: background work first, then the controllers, whose stores it removes.
+func (g *controllerGroup) stop() {
+	g.stopBackground()
+	for _, instance := range g.instances {
+		instance.stop(g.log)
+	}
+	if err := os.RemoveAll(g.dir); err != nil {
+		g.log.Warn("controllers' stores not removed", "folder", g.dir, "error", err)
 	}
 }
 
-func (c *controllers) leader() *office {
-	for _, o := range c.seats {
-		o.mu.Lock()
-		leads := false
-		if o.node != nil {
-			leads, _ = o.node.IsLeader()
-		}
-		o.mu.Unlock()
-		if leads {
-			return o
+// leader is the instance that leads; nil if there is none.
+func (g *controllerGroup) leader() *controllerInstance {
+	for _, instance := range g.instances {
+		if instance.leads() {
+			return instance
 		}
 	}
 	return nil
 }
 
-// kill ends an instance, the one that leads or another, and starts it again with its old disk after a while.
-func (c *controllers) kill(lead bool) {
-	if len(c.seats) < 3 {
+// restartInstance ends the leader or another instance, and starts it again with its old store after a while.
+func (g *controllerGroup) restartInstance(ofLeader bool) {
+	if len(g.instances) < 3 {
 		return
 	}
-	x := c.leader()
-	if x == nil {
+	leader := g.leader()
+	if leader == nil {
 		return
 	}
-	if !lead {
-		for _, o := range c.seats {
-			if o != x {
-				x = o
-				break
-			}
-		}
+	chosen := leader
+	if !ofLeader {
+		chosen = g.instances[slices.IndexFunc(g.instances, func(i *controllerInstance) bool { return i != leader })]
 	}
-	c.mu.Lock()
-	if c.kills[0]++; lead {
-		c.kills[1]++
+	g.mu.Lock()
+	if g.restarts.All++; ofLeader {
+		g.restarts.Leaders++
 	}
-	c.mu.Unlock()
-	x.close()
+	g.mu.Unlock()
+	chosen.stop(g.log)
 	time.Sleep(time.Duration(400+rand.IntN(400)) * time.Millisecond)
-	if err := x.open(c.log); err != nil {
-		c.log.Error("a controller does not come back", "controller", x.seat.Name, "error", err)
+	if err := chosen.start(g.log); err != nil {
+		g.log.Error("controller does not restart", "controller", chosen.nodeConfig.Name, "error", err)
 	}
 }
 
-func (c *controllers) killed() [2]int { c.mu.Lock(); defer c.mu.Unlock(); return c.kills }
+func (g *controllerGroup) restartCounts() RestartCounts {
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	return g.restarts
+}
+
+// injectedFault is asked by the controllers' servers: how late status is sent, and whether calls go unanswered.
+func (g *controllerGroup) injectedFault() (delay time.Duration, stalled bool) {
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	return g.params.statusDelay + g.extraDelay, g.stalled
+}
+
+func (g *controllerGroup) setExtraDelay(d time.Duration) {
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	g.extraDelay = d
+}
 
-func (c *controllers) fault() (time.Duration, bool) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	return c.figures.deskLate + c.late, c.still
+func (g *controllerGroup) setStalled(stalled bool) {
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	g.stalled = stalled
 }
 
-func (c *controllers) told(router string, n api.Release) {
-	c.book.ReleaseAnnounced(router, audit.ReleaseStatus{Build: n.Build, Stage: n.Stage, Released: n.Phase == api.Phases[policy.Released], ExposureCap: n.ExposureCap})
+func (g *controllerGroup) setDeployer(d deployer) {
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	g.deployer = d
 }
 
-// hear is the fleet's watch: orders are carried out, and moves are noted.
-func (c *controllers) hear(event string, data []byte) error {
-	c.mu.Lock()
-	fleet, agents := c.fleet, c.ledger
-	c.mu.Unlock()
+func (g *controllerGroup) setAgentReports(reports *agentReports) {
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	g.agents = reports
+}
+
+func (g *controllerGroup) recordStatus(router string, r api.Release) {
+	g.recorder.ReleaseAnnounced(router, audit.ReleaseStatus{Build: r.Build, Stage: r.Stage, Released: r.Phase == api.Phases[policy.Released], ExposureCap: r.ExposureCap})
+}
+
+// handleEvent takes in an event of the watch: orders are carried out in the background, and transitions recorded.
+func (g *controllerGroup) handleEvent(event string, data []byte) error {
+	g.mu.Lock()
+	d, agents := g.deployer, g.agents
+	g.mu.Unlock()
 	switch event {
 	case "agent":
 		if agents != nil {
-			return agents.hear(data)
+			return agents.handleEvent(data)
 		}
 	case "place":
-		var p control.DeployOrder
-		if err := json.Unmarshal(data, &p); err != nil {
-			return err
+		var order control.DeployOrder
+		if err := json.Unmarshal(data, &order); err != nil {
+			return fmt.Errorf("event %s: %w", event, err)
 		}
-		go fleet.Place(p.Build, p.Share)
+		g.background.Go(func() { d.deploy(g.ctx, order.Build, order.Share) })
 	case "retire":
-		var r control.RetireOrder
-		if err := json.Unmarshal(data, &r); err != nil {
-			return err
+		var order control.RetireOrder
+		if err := json.Unmarshal(data, &order); err != nil {
+			return fmt.Errorf("event %s: %w", event, err)
 		}
-		go fleet.Retire(r.Build)
+		g.background.Go(func() { d.retire(g.ctx, order.Build) })
 	case api.EventRelease:
 		var r api.Release
 		if err := json.Unmarshal(data, &r); err != nil {
-			return err
+			return fmt.Errorf("event %s: %w", event, err)
 		}
-		n, err := r.Status()
+		status, err := r.Status()
 		if err != nil {
-			return err
+			return fmt.Errorf("event %s: %w", event, err)
 		}
-		c.moved(n)
+		g.recordTransition(status)
 	}
 	return nil
 }
 
-// moved notes a move, once; every stage costs one instance, two of them the one that leads.
-func (c *controllers) moved(n policy.ReleaseStatus) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	if k := len(c.moves); n.Build == 1 || k > 0 && c.moves[k-1].Build == n.Build && c.moves[k-1].Stage == n.Stage && c.moves[k-1].Phase == n.Phase {
+// recordTransition records a transition, once. Each stage of a canary costs one instance; in stages 1 and 2 the leader.
+func (g *controllerGroup) recordTransition(status policy.ReleaseStatus) {
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	if status.Build == 1 {
 		return
 	}
-	c.moves = append(c.moves, Move{At: c.book.Now(), Build: n.Build, Stage: n.Stage, Phase: n.Phase})
-	if n.Phase == policy.Canary {
-		lead := n.Stage == 1 || n.Stage == 2
-		c.done.Add(1)
-		go func() { defer c.done.Done(); c.kill(lead) }()
+	if n := len(g.transitions); n > 0 {
+		last := g.transitions[n-1]
+		if last.Build == status.Build && last.Stage == status.Stage && last.Phase == status.Phase {
+			return
+		}
+	}
+	g.transitions = append(g.transitions, Transition{At: g.recorder.Now(), Build: status.Build, Stage: status.Stage, Phase: status.Phase})
+	if status.Phase == policy.Canary {
+		ofLeader := status.Stage == 1 || status.Stage == 2
+		g.background.Go(func() { g.restartInstance(ofLeader) })
 	}
 }
 
-// tell posts counts now and then, about as late as the day's desk is.
-func (c *controllers) tell(ctx context.Context) {
-	defer c.done.Done()
-	for sleep(ctx, 2*time.Second) {
-		c.mu.Lock()
-		counts, late := c.counts, time.Second+c.late
-		c.counts = map[[2]string]*tally{}
-		c.mu.Unlock()
-		go func() {
-			if !sleep(ctx, late) {
+func (g *controllerGroup) listTransitions() []Transition {
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	return append([]Transition(nil), g.transitions...)
+}
+
+// emitCounts sends the counts of requests every two seconds, each time a second late and the injected delay more.
+func (g *controllerGroup) emitCounts() {
+	for sleep(g.ctx, 2*time.Second) {
+		g.mu.Lock()
+		counts, delay := g.counts, time.Second+g.extraDelay
+		g.counts = map[countKey]*requestCounts{}
+		g.mu.Unlock()
+		g.background.Go(func() {
+			if !sleep(g.ctx, delay) {
 				return
 			}
-			for _, t := range counts {
-				a := api.Counts{Build: t.build, Class: t.category, Failures: t.bad, Samples: t.samples, AgeMs: late.Milliseconds()}
-				if t.good > 0 {
-					a.MeanMs = float64(t.took.Microseconds()) / 1000 / float64(t.good)
+			for key, c := range counts {
+				message := api.Counts{Build: key.build, Class: key.class, Failures: c.failures, Samples: c.samples, AgeMs: delay.Milliseconds()}
+				if c.successes > 0 {
+					message.MeanMs = float64(c.latency.Microseconds()) / 1000 / float64(c.successes)
 				}
-				c.ask(func(ctx context.Context) error { return c.client.EmitCounts(ctx, a) })
+				g.call(func(ctx context.Context) error { return g.client.EmitCounts(ctx, message) })
 			}
-		}()
+		})
 	}
 }
 
-func (c *controllers) ask(do func(ctx context.Context) error) {
-	ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
-	defer cancel()
-	if err := do(ctx); err != nil {
-		c.log.Warn("controllers", "error", err)
-	}
-}
-
-// Count takes in one send that a host has answered.
-func (c *controllers) Count(build int, category string, took time.Duration, bad bool) {
-	const counted = .4
-	if rand.Float64() >= counted {
+// countRequest counts a request that a backend has answered; a share of them is counted, drawn by chance.
+func (g *controllerGroup) countRequest(build int, class string, latency time.Duration, failed bool) {
+	if rand.Float64() >= countedShare {
 		return
 	}
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	k := [2]string{fmt.Sprint(build), category}
-	t := c.counts[k]
-	if t == nil {
-		t = &tally{build: build, category: category}
-		c.counts[k] = t
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	key := countKey{build, class}
+	c := g.counts[key]
+	if c == nil {
+		c = &requestCounts{}
+		g.counts[key] = c
 	}
-	if t.samples++; bad {
-		t.bad++
+	if c.samples++; failed {
+		c.failures++
 	} else {
-		t.good++
-		t.took += took
+		c.successes++
+		c.latency += latency
 	}
 }
 
-// Hear passes on what happened to the fleet or was offered; votes come from routers by themselves.
-func (c *controllers) Hear(in release.Input) {
-	c.ask(func(ctx context.Context) error {
-		switch in := in.(type) {
+// call calls the controllers; an error is logged.
+func (g *controllerGroup) call(do func(ctx context.Context) error) {
+	ctx, cancel := context.WithTimeout(g.ctx, callTimeout)
+	defer cancel()
+	if err := do(ctx); err != nil {
+		g.log.Warn("call of the controllers failed", "error", err)
+	}
+}
+
+// submit passes on what happened to the fleet or was offered; routers submit their votes themselves.
+func (g *controllerGroup) submit(input release.Input) {
+	g.call(func(ctx context.Context) error {
+		switch in := input.(type) {
 		case release.Offer:
-			_, err := c.client.Create(ctx, api.CreateRelease{Build: in.Build}, fmt.Sprint("day-", in.Build))
+			_, err := g.client.Create(ctx, api.CreateRelease{Build: in.Build}, fmt.Sprint("day-", in.Build))
 			return err
 		case release.HostsReady:
-			return c.client.CompleteOrder(ctx, in.Build, "ready")
+			return g.client.CompleteOrder(ctx, in.Build, "ready")
 		case release.HostsRemoved:
-			return c.client.CompleteOrder(ctx, in.Build, "gone")
+			return g.client.CompleteOrder(ctx, in.Build, "gone")
 		case release.RollBack:
-			_, err := c.client.RollBack(ctx, in.Build)
+			_, err := g.client.RollBack(ctx, in.Build)
 			return err
 		}
-		return fmt.Errorf("%T is no matter of the fleet's", in)
+		return fmt.Errorf("%T can't be submitted by the fleet", input)
 	})
 }
 
-// state reads from any instance, the one that leads if there is one.
-func (c *controllers) state(f func(*control.State)) {
-	seats := append([]*office{c.leader()}, c.seats...)
-	for _, o := range seats {
-		if o == nil {
-			continue
-		}
-		o.mu.Lock()
-		n := o.node
-		if n != nil {
-			n.Read(func(s *control.State, _ policy.Time) { f(s) })
-		}
-		o.mu.Unlock()
-		if n != nil {
+// read reads the state of the leader or, without one, of any instance that runs.
+func (g *controllerGroup) read(f func(*control.State)) {
+	for _, instance := range append([]*controllerInstance{g.leader()}, g.instances...) {
+		if instance != nil && instance.read(f) {
 			return
 		}
 	}
 }
 
-func (c *controllers) News() (n release.Status) {
-	c.state(func(s *control.State) { n = s.Status() })
-	return n
+func (g *controllerGroup) status() (status release.Status) {
+	g.read(func(s *control.State) { status = s.Status() })
+	return status
 }
 
-func (c *controllers) Earlier() (n int) {
-	c.state(func(s *control.State) { n = s.PreviousBuild() })
-	return n
+func (g *controllerGroup) previousBuild() (build int) {
+	g.read(func(s *control.State) { build = s.PreviousBuild() })
+	return build
 }
 
-func (c *controllers) Moves() []Move {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	return append([]Move(nil), c.moves...)
-}
-
-func (c *controllers) Lateness(d time.Duration) { c.mu.Lock(); c.late = d; c.mu.Unlock() }
-func (c *controllers) Still(still bool)         { c.mu.Lock(); c.still = still; c.mu.Unlock() }
-func (c *controllers) SetFleet(f Fleet)         { c.mu.Lock(); c.fleet = f; c.mu.Unlock() }
-
-// URL names all instances, with commas between them.
-func (c *controllers) URL() string {
+// urls are the addresses of all instances, with commas between them.
+func (g *controllerGroup) urls() string {
 	var all []string
-	for _, o := range c.seats {
-		all = append(all, o.front.URL)
+	for _, instance := range g.instances {
+		all = append(all, instance.serverConfig.URL)
 	}
 	return strings.Join(all, ", ")
 }
 
-func (c *controllers) Publish(p *plan.Published) {
-	c.note()
-	c.ask(func(ctx context.Context) error {
-		return c.client.PublishPlan(ctx, p.Version, api.Published{Build: p.Build, Stage: p.Stage, ValidForMs: (4 * time.Second).Milliseconds(), For: p.For})
+func (g *controllerGroup) publishPlan(p *plan.Published) {
+	g.recordPlanAcks()
+	g.call(func(ctx context.Context) error {
+		return g.client.PublishPlan(ctx, p.Version, api.Published{Build: p.Build, Stage: p.Stage, ValidForMs: planValidFor.Milliseconds(), For: p.For})
 	})
 }
 
-// note keeps what routers said of the plan in force, before the next one takes its place.
-func (c *controllers) note() {
-	c.state(func(s *control.State) {
+// recordPlanAcks keeps the routers' acknowledgements of the active plan, before the next one takes its place.
+func (g *controllerGroup) recordPlanAcks() {
+	g.read(func(s *control.State) {
 		active, _ := s.ActivePlan(s.Clock())
 		if active == nil {
 			return
 		}
-		by := map[string]api.PlanAck{}
-		for r, h := range s.PlanAcks() {
-			by[r] = api.PlanAck{Followed: h.Reason == "", Reason: h.Reason}
+		byRouter := map[string]api.PlanAck{}
+		for router, ack := range s.PlanAcks() {
+			byRouter[router] = api.PlanAck{Followed: ack.Reason == "", Reason: ack.Reason}
 		}
-		c.mu.Lock()
-		c.heeds[active.Version] = by
-		c.mu.Unlock()
+		g.mu.Lock()
+		g.acks[active.Version] = byRouter
+		g.mu.Unlock()
 	})
 }
 
-func (c *controllers) Heeds() map[uint64]map[string]api.PlanAck {
-	c.note()
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	return c.heeds
+// planAcks are the acknowledgements of all plans so far, by version and router.
+func (g *controllerGroup) planAcks() map[uint64]map[string]api.PlanAck {
+	g.recordPlanAcks()
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	return g.acks
+}
+
+// controllerInstance is one controller. Its configuration and store outlive restarts.
+type controllerInstance struct {
+	nodeConfig   controller.NodeConfig
+	serverConfig controller.ServerConfig
+
+	mu     sync.Mutex
+	node   *controller.Node // nil while it is down
+	server *controller.Server
+}
+
+func (i *controllerInstance) start(log *slog.Logger) (err error) {
+	i.mu.Lock()
+	defer i.mu.Unlock()
+	if i.node, err = controller.Open(i.nodeConfig, log); err != nil {
+		i.node = nil
+		return err
+	}
+	if i.server, err = controller.Serve(i.node, i.serverConfig, log); err != nil {
+		err = errors.Join(err, i.node.Close())
+		i.node = nil
+	}
+	return err
+}
+
+// keepAddresses lets later starts listen where the first one does.
+func (i *controllerInstance) keepAddresses() {
+	url := i.server.URL()
+	i.nodeConfig.Listen = i.node.Address()
+	i.serverConfig.Listen = url[strings.Index(url, "//")+2:]
+	i.serverConfig.URL = url
+}
+
+func (i *controllerInstance) stop(log *slog.Logger) {
+	i.mu.Lock()
+	defer i.mu.Unlock()
+	if i.node == nil {
+		return
+	}
+	i.server.Close()
+	if err := i.node.Close(); err != nil {
+		log.Warn("controller not closed", "controller", i.nodeConfig.Name, "error", err)
+	}
+	i.node = nil
+}
+
+func (i *controllerInstance) leads() bool {
+	i.mu.Lock()
+	defer i.mu.Unlock()
+	if i.node == nil {
+		return false
+	}
+	leads, _ := i.node.IsLeader()
+	return leads
 }
 
-func (c *controllers) Stop() {
-	c.stop()
-	c.done.Wait()
-	for _, o := range c.seats {
-		o.close()
+// read reads the instance's state; false while it is down.
+func (i *controllerInstance) read(f func(*control.State)) bool {
+	i.mu.Lock()
+	defer i.mu.Unlock()
+	if i.node == nil {
+		return false
 	}
-	_ = os.RemoveAll(c.dir)
+	i.node.Read(func(s *control.State, _ policy.Time) { f(s) })
+	return true
 }
--- a/internal/scenario/report.go
+++ b/internal/scenario/report.go
@@ -14,175 +14,170 @@
 	"dapplefront/internal/testbed"
 )
 
-// Print writes what a person reads at a glance. The last line says how many rules were kept.
-func (r *Result) Print(w io.Writer) {
-	fmt.Fprintf(w, "\nday: %s; %v with %d routers, %d hosts in %d locations, %g tasks a second for each router\n", r.Plan.Name,
-		r.Plan.Length.Round(time.Second), r.Plan.Routers, r.Plan.Hosts, r.Plan.Locations, r.Plan.Rate)
-	for _, o := range r.Plan.Offers {
-		fmt.Fprintf(w, "  build offered at %5.1f s: %s\n", o.At.Seconds(), o.Kind)
-	}
-	for _, t := range r.Plan.Troubles {
-		fmt.Fprintf(w, "  trouble at %5.1f s for %4.1f s: %s", t.At.Seconds(), t.For.Seconds(), t.Kind)
-		if t.Share > 0 {
-			fmt.Fprintf(w, ", share %.0f%%", 100*t.Share)
+// phaseNames are the names of a release's phases in reports, by policy.Phase.
+var phaseNames = []string{"on trial", "going back", "released", "withdrawn"}
+
+// Print writes the report for people, in the operators' words. Its last line is the summary.
+func (r *Result) Print(w io.Writer) error {
+	var b strings.Builder
+	r.printSpec(&b)
+	r.printClasses(&b)
+	r.printStages(&b)
+	if r.Agents != nil {
+		r.Agents.print(&b)
+	}
+	r.printTotals(&b)
+	r.printVerdicts(&b)
+	_, err := io.WriteString(w, b.String())
+	return err
+}
+
+func (r *Result) printSpec(b *strings.Builder) {
+	fmt.Fprintf(b, "\nday: %s; %v with %d routers, %d hosts in %d locations, %g tasks a second for each router\n", r.Spec.Name,
+		r.Spec.Length.Round(time.Second), r.Spec.Routers, r.Spec.Hosts, r.Spec.Zones, r.Spec.RequestRate)
+	for _, rollout := range r.Spec.Rollouts {
+		fmt.Fprintf(b, "  build offered at %5.1f s: %s\n", rollout.At.Seconds(), rollout.Kind)
+	}
+	for _, fault := range r.Spec.Faults {
+		fmt.Fprintf(b, "  trouble at %5.1f s for %4.1f s: %s", fault.At.Seconds(), fault.Duration.Seconds(), fault.Kind)
+		if fault.Share > 0 {
+			fmt.Fprintf(b, ", share %.0f%%", 100*fault.Share)
 		}
-		if t.Size > 0 {
-			fmt.Fprintf(w, ", size %.2g", t.Size)
+		if fault.Magnitude > 0 {
+			fmt.Fprintf(b, ", size %.2g", fault.Magnitude)
 		}
-		fmt.Fprintln(w)
+		b.WriteByte('\n')
 	}
-	fmt.Fprintf(w, "\n%-10s %7s %8s %6s %12s %9s %8s %6s %6s %8s %8s\n", "category", "asked", "in time", "late", "turned back",
+}
+
+func (r *Result) printClasses(b *strings.Builder) {
+	fmt.Fprintf(b, "\n%-10s %7s %8s %6s %12s %9s %8s %6s %6s %8s %8s\n", "category", "asked", "in time", "late", "turned back",
 		"scrapped", "refused", "lost", "wrong", "p50", "p99")
-	for _, wish := range wishes {
-		s, t := r.Scores[wish.Name], r.Times[wish.Name]
-		slices.Sort(t)
-		fmt.Fprintf(w, "%-10s %7d %7.2f%% %6d %12d %9d %8d %6d %6d %8s %8s\n", wish.Name, s.Asked,
-			100*float64(s.InTime)/max(1, float64(s.Asked)), s.Late, s.Rejected, s.Failed, s.Refused, s.Lost+s.TimedOut, s.Wrong,
-			at(t, .5), at(t, .99))
-	}
-	fmt.Fprintf(w, "\n%-30s %8s %8s %8s %6s %12s %9s\n", "release", "moment", "asked", "in time", "late", "turned back", "scrapped")
-	for _, x := range r.Stages {
+	for _, class := range requestClasses {
+		score, latencies := r.Scores[class.Name], r.Latencies[class.Name]
+		slices.Sort(latencies)
+		fmt.Fprintf(b, "%-10s %7d %7.2f%% %6d %12d %9d %8d %6d %6d %8s %8s\n", class.Name, score.Asked, inTimePercent(score),
+			score.Late, score.Rejected, score.Failed, score.Refused, score.Lost+score.TimedOut, score.Wrong,
+			percentile(latencies, .5), percentile(latencies, .99))
+	}
+}
+
+func (r *Result) printStages(b *strings.Builder) {
+	fmt.Fprintf(b, "\n%-30s %8s %8s %8s %6s %12s %9s\n", "release", "moment", "asked", "in time", "late", "turned back", "scrapped")
+	for _, s := range r.Stages {
 		moment := "-"
-		for _, m := range r.Moves {
-			if m.Build == x.Build && m.Stage == x.Stage && m.Phase == x.Phase {
-				moment = fmt.Sprintf("%.1f s", m.At.Seconds())
+		for _, t := range r.Transitions {
+			if t.Build == s.Build && t.Stage == s.Stage && t.Phase == s.Phase {
+				moment = fmt.Sprintf("%.1f s", t.At.Seconds())
 			}
 		}
-		fmt.Fprintf(w, "%-30s %8s %8d %7.2f%% %6d %12d %9d\n", fmt.Sprintf("build %d, stage %d, %s", x.Build, x.Stage, phases[x.Phase]),
-			moment, x.Asked, 100*float64(x.InTime)/max(1, float64(x.Asked)), x.Late, x.Rejected, x.Failed)
-	}
-	if a := r.Agents; a != nil {
-		fmt.Fprintf(w, "\n%-10s %6s %8s %8s\n", "agents", "times", "p50", "p99")
-		for _, p := range []agent.Phase{agent.Fetching, agent.Verifying, agent.Staged, agent.Starting, agent.WarmingUp, agent.Draining, agent.Stopping} {
-			if t := a.Phases[string(p)]; len(t) > 0 {
-				slices.Sort(t)
-				fmt.Fprintf(w, "%-10s %6d %8s %8s\n", p, len(t), at(t, .5), at(t, .99))
-			}
-		}
-		if slices.Sort(a.Serving); len(a.Serving) > 0 {
-			fmt.Fprintf(w, "from order to serving: p50 %s, p99 %s\n", at(a.Serving, .5), at(a.Serving, .99))
-		}
-		for _, n := range slices.Sorted(maps.Keys(a.Retired)) {
-			fmt.Fprintf(w, "build %d: last task %s after its taking off was ordered\n", n, a.Retired[n].Round(time.Millisecond))
+		fmt.Fprintf(b, "%-30s %8s %8d %7.2f%% %6d %12d %9d\n", fmt.Sprintf("build %d, stage %d, %s", s.Build, s.Stage, phaseNames[s.Phase]),
+			moment, s.Asked, inTimePercent(s.Score), s.Late, s.Rejected, s.Failed)
+	}
+}
+
+func (s *AgentStatistics) print(b *strings.Builder) {
+	fmt.Fprintf(b, "\n%-10s %6s %8s %8s\n", "agents", "times", "p50", "p99")
+	for _, phase := range []agent.Phase{agent.Fetching, agent.Verifying, agent.Staged, agent.Starting, agent.WarmingUp, agent.Draining, agent.Stopping} {
+		if durations := s.PhaseDurations[string(phase)]; len(durations) > 0 {
+			slices.Sort(durations)
+			fmt.Fprintf(b, "%-10s %6d %8s %8s\n", phase, len(durations), percentile(durations, .5), percentile(durations, .99))
 		}
 	}
-	fmt.Fprintf(w, "\nsends that crossed locations: %.2f%%; most of a cold host's budget used: %.0f%%\n", 100*r.Crossed, 100*r.cold())
-	if r.Killed[0] > 0 {
-		fmt.Fprintf(w, "controllers ended and started again: %d, of them %d that led\n", r.Killed[0], r.Killed[1])
+	if slices.Sort(s.OrderToReady); len(s.OrderToReady) > 0 {
+		fmt.Fprintf(b, "from order to serving: p50 %s, p99 %s\n", percentile(s.OrderToReady, .5), percentile(s.OrderToReady, .99))
 	}
-	for _, x := range r.Releases {
-		fmt.Fprintf(w, "build %d, as the controllers were told: %d finished, %d turned back, %d scrapped; %d lines of trace\n", x.Build,
-			x.Tasks["finished"], x.Tasks["turned back"], x.Tasks["scrapped"], len(x.History))
+	for _, build := range slices.Sorted(maps.Keys(s.TrafficAfterRemoval)) {
+		fmt.Fprintf(b, "build %d: last task %s after its taking off was ordered\n", build, s.TrafficAfterRemoval[build].Round(time.Millisecond))
 	}
-	if p := r.Planned; p != nil {
-		fmt.Fprintf(w, "plans: %d versions, %.1f weights changed in each, %d weighed anew; %d words of routers that follow, %d turned down\n",
-			p.Versions, float64(p.Changed)/max(1, float64(p.Versions)), p.Whole, p.Followed, p.TurnedDown)
+}
+
+func (r *Result) printTotals(b *strings.Builder) {
+	fmt.Fprintf(b, "\nsends that crossed locations: %.2f%%; most of a cold host's budget used: %.0f%%\n", 100*r.CrossZoneShare, 100*r.maxColdShare())
+	if restarts := r.ControllerRestarts; restarts.All > 0 {
+		fmt.Fprintf(b, "controllers ended and started again: %d, of them %d that led\n", restarts.All, restarts.Leaders)
+	}
+	for _, release := range r.Releases {
+		fmt.Fprintf(b, "build %d, as the controllers were told: %d finished, %d turned back, %d scrapped; %d lines of trace\n", release.Build,
+			release.Tasks["finished"], release.Tasks["turned back"], release.Tasks["scrapped"], len(release.History))
+	}
+	if p := r.Plans; p != nil {
+		fmt.Fprintf(b, "plans: %d versions, %.1f weights changed in each, %d weighed anew; %d words of routers that follow, %d turned down\n",
+			p.Versions, float64(p.ChangedWeights)/max(1, float64(p.Versions)), p.Recomputed, p.Followed, p.Rejected)
 		if p.Reason != "" {
-			fmt.Fprintf(w, "  last reason: %s\n", p.Reason)
+			fmt.Fprintf(b, "  last reason: %s\n", p.Reason)
 		}
 	}
-	fmt.Fprintf(w, "\n%-10s %9s  %s\n", "rule", "checked", "verdict")
-	for _, v := range r.Verdicts {
-		fmt.Fprintf(w, "%-10s %9d  %s\n", v.Rule, v.Checked, sentence(v))
-	}
-	fmt.Fprintln(w)
-	fmt.Fprintln(w, r.Last())
 }
 
-// cold is the largest share of a cold host's budget that was used.
-func (r *Result) cold() (most float64) {
+func (r *Result) printVerdicts(b *strings.Builder) {
+	fmt.Fprintf(b, "\n%-10s %9s  %s\n", "rule", "checked", "verdict")
 	for _, v := range r.Verdicts {
-		most = max(most, v.MaxShare)
+		fmt.Fprintf(b, "%-10s %9d  %s\n", v.Rule, v.Checked, describeVerdict(v))
 	}
-	return most
+	fmt.Fprintf(b, "\n%s\n", r.Summary())
 }
 
-func at(sorted []time.Duration, share float64) string {
+// inTimePercent is how many percent of the requests succeeded within their latency objective.
+func inTimePercent(s testbed.Score) float64 {
+	return 100 * float64(s.InTime) / max(1, float64(s.Asked))
+}
+
+// percentile is the duration at a share of a sorted list, for people; "-" for an empty one.
+func percentile(sorted []time.Duration, share float64) string {
 	if len(sorted) == 0 {
 		return "-"
 	}
 	return sorted[int(share*float64(len(sorted)-1))].Round(time.Millisecond).String()
 }
 
-func sentence(v audit.Verdict) string {
-	var out []string
+func describeVerdict(v audit.Verdict) string {
+	var parts []string
 	if n := len(v.Broken); n > 0 {
-		out = append(out, fmt.Sprintf("broken %d times, first at %.2f s: %s", n, v.Broken[0].At.Seconds(), v.Broken[0].Text))
+		parts = append(parts, fmt.Sprintf("broken %d times, first at %.2f s: %s", n, v.Broken[0].At.Seconds(), v.Broken[0].Text))
 	}
 	if n := len(v.Doubtful); n > 0 {
-		out = append(out, fmt.Sprintf("can't tell %d times, as the machine stood still, first at %.2f s: %s", n,
+		parts = append(parts, fmt.Sprintf("can't tell %d times, as the machine stood still, first at %.2f s: %s", n,
 			v.Doubtful[0].At.Seconds(), v.Doubtful[0].Text))
 	}
-	if len(out) == 0 {
+	if len(parts) == 0 {
 		return "kept"
 	}
-	return strings.Join(out, "; ")
-}
-
-// Last is the last line: what became of the rules, with those that were not kept and the first moment of each.
-func (r *Result) Last() string {
-	kept, _ := r.Kept()
-	var broken, doubtful []string
-	for _, v := range r.Verdicts {
-		if len(v.Broken) > 0 {
-			broken = append(broken, fmt.Sprintf("%s at %.2f s", v.Rule, v.Broken[0].At.Seconds()))
-		} else if len(v.Doubtful) > 0 {
-			doubtful = append(doubtful, fmt.Sprintf("%s at %.2f s", v.Rule, v.Doubtful[0].At.Seconds()))
-		}
-	}
-	line := fmt.Sprintf("rules kept: %d of %d", kept, len(r.Verdicts))
-	if len(broken) > 0 {
-		line += "; broken: " + strings.Join(broken, ", ")
-	}
-	if len(doubtful) > 0 {
-		line += "; can't tell: " + strings.Join(doubtful, ", ")
-	}
-	return line
-}
-
-// Exit is the day's exit code: 0 when all rules were kept, 1 when one broke, 2 when the audit can't tell.
-func (r *Result) Exit() int {
-	kept, first := r.Kept()
-	switch {
-	case kept == len(r.Verdicts):
-		return 0
-	case len(first.Broken) > 0:
-		return 1
-	}
-	return 2
+	return strings.Join(parts, "; ")
 }
 
-// WriteJSON writes the same for programs.
+// WriteJSON writes the report for programs. Its keys are stable.
 func (r *Result) WriteJSON(w io.Writer) error {
-	type figure struct {
+	type classReport struct {
 		testbed.Score
 		P50Ms float64 `json:"P50Ms"`
 		P99Ms float64 `json:"P99Ms"`
 	}
-	out := struct {
-		Plan       Plan              `json:"Plan"`
-		TookMs     int64             `json:"TookMs"`
-		Categories map[string]figure `json:"Categories"`
-		Moves      []Move            `json:"Moves"`
-		Stages     []StageScore      `json:"Stages"`
-		Agents     *AgentTimes       `json:"Agents,omitempty"`
-		Routers    any               `json:"Routers"`
-		Rules      []audit.Verdict   `json:"Rules"`
-		Crossed    float64           `json:"Crossed"`
-		Cold       float64           `json:"Cold"`
-		Planned    *PlanTimes        `json:"Planned,omitempty"`
-		Last       string            `json:"Last"`
-	}{r.Plan, r.Took.Milliseconds(), map[string]figure{}, r.Moves, r.Stages, r.Agents, r.Counts, r.Verdicts, r.Crossed, r.cold(), r.Planned, r.Last()}
-	for name, s := range r.Scores {
-		t := slices.Clone(r.Times[name])
-		slices.Sort(t)
-		f := figure{Score: s}
-		if n := len(t); n > 0 {
-			f.P50Ms, f.P99Ms = t[n/2].Seconds()*1000, t[int(.99*float64(n-1))].Seconds()*1000
+	report := struct {
+		Spec           Spec                   `json:"Plan"`
+		ElapsedMs      int64                  `json:"TookMs"`
+		Classes        map[string]classReport `json:"Categories"`
+		Transitions    []Transition           `json:"Moves"`
+		Stages         []StageScore           `json:"Stages"`
+		Agents         *AgentStatistics       `json:"Agents,omitempty"`
+		Routers        any                    `json:"Routers"`
+		Rules          []audit.Verdict        `json:"Rules"`
+		CrossZoneShare float64                `json:"Crossed"`
+		MaxColdShare   float64                `json:"Cold"`
+		Plans          *PlanStatistics        `json:"Planned,omitempty"`
+		Summary        string                 `json:"Last"`
+	}{r.Spec, r.Elapsed.Milliseconds(), map[string]classReport{}, r.Transitions, r.Stages, r.Agents, r.Counts, r.Verdicts,
+		r.CrossZoneShare, r.maxColdShare(), r.Plans, r.Summary()}
+	for class, score := range r.Scores {
+		latencies := slices.Clone(r.Latencies[class])
+		slices.Sort(latencies)
+		c := classReport{Score: score}
+		if n := len(latencies); n > 0 {
+			c.P50Ms, c.P99Ms = latencies[n/2].Seconds()*1000, latencies[int(.99*float64(n-1))].Seconds()*1000
 		}
-		out.Categories[name] = f
+		report.Classes[class] = c
 	}
-	e := json.NewEncoder(w)
-	e.SetIndent("", "  ")
-	return e.Encode(out)
+	encoder := json.NewEncoder(w)
+	encoder.SetIndent("", "  ")
+	return encoder.Encode(report)
 }
--- a/internal/scenario/report_test.go
+++ b/internal/scenario/report_test.go
@@ -14,7 +14,7 @@
 )
 
 // testdata/report.json was written by the program at commit d72f78e from a result with every field set.
-func TestTheJSONReportKeepsItsForm(t *testing.T) {
+func TestWriteJSON_KeepsItsForm(t *testing.T) {
 	var r Result
 	count := 0
 	setFields(reflect.ValueOf(&r).Elem(), &count)
@@ -25,7 +25,7 @@
 	require.Equal(t, string(want), got.String())
 }
 
-// setFields sets every exported field of a value, and of all that it holds, to a value of its own.
+// setFields sets every exported field of a value, and of all its parts, to a value of its own.
 func setFields(v reflect.Value, count *int) {
 	*count++
 	switch v.Kind() {
@@ -65,19 +65,19 @@
 }
 
 // testdata/report.txt was printed by the program before its parts were renamed, from a result with every field set.
-func TestThePrintedReportKeepsItsForm(t *testing.T) {
+func TestPrint_KeepsItsForm(t *testing.T) {
 	var r Result
 	count := 0
 	setFields(reflect.ValueOf(&r).Elem(), &count)
 	for _, score := range r.Scores {
 		r.Scores["quote"] = score
 	}
-	r.Times["quote"] = []time.Duration{30 * time.Millisecond, 10 * time.Millisecond, 20 * time.Millisecond}
-	r.Stages[0].Phase, r.Moves[0].Phase = policy.Released, policy.Released
-	r.Moves[0].Build, r.Moves[0].Stage = r.Stages[0].Build, r.Stages[0].Stage
-	r.Agents.Phases["fetching"] = []time.Duration{3 * time.Second, time.Second}
+	r.Latencies["quote"] = []time.Duration{30 * time.Millisecond, 10 * time.Millisecond, 20 * time.Millisecond}
+	r.Stages[0].Phase, r.Transitions[0].Phase = policy.Released, policy.Released
+	r.Transitions[0].Build, r.Transitions[0].Stage = r.Stages[0].Build, r.Stages[0].Stage
+	r.Agents.PhaseDurations["fetching"] = []time.Duration{3 * time.Second, time.Second}
 	var got bytes.Buffer
-	r.Print(&got)
+	require.NoError(t, r.Print(&got))
 	want, err := os.ReadFile("testdata/report.txt")
 	require.NoError(t, err)
 	require.Equal(t, string(want), got.String())
--- /dev/null
+++ b/internal/scenario/traffic_plan.go
@@ -0,0 +1,154 @@
+package scenario
+
+import (
+	"context"
+	"math"
+	"strconv"
+	"time"
+
+	"dapplefront/internal/api"
+	"dapplefront/plan"
+	"dapplefront/policy"
+)
+
+// TrafficPlans are the ways in which routers can get traffic plans: none, plans that are kept up to date, one plan from
+// the start that is never renewed, or one that gives nearly all traffic to one host of each zone.
+var TrafficPlans = []string{noPlan, currentPlan, "stale", skewedPlan}
+
+const (
+	noPlan      = "none"
+	currentPlan = "plan"
+	skewedPlan  = "absurd"
+)
+
+// planInterval is how often the plan is updated: a fraction of what a start or an endpoint update takes.
+const planInterval = 200 * time.Millisecond
+
+// PlanStatistics counts traffic plans and what routers made of them.
+type PlanStatistics struct {
+	Versions       int    `json:"Versions"`
+	ChangedWeights int    `json:"Changed"`
+	Recomputed     int    `json:"Whole"`      // versions that were computed anew rather than adjusted
+	Followed       int    `json:"Followed"`   // acknowledgements of routers that follow a version
+	Rejected       int    `json:"TurnedDown"` // acknowledgements of routers that don't
+	Reason         string `json:"Reason"`     // of a rejection
+}
+
+// countAcks counts acknowledgements by version and router.
+func (s *PlanStatistics) countAcks(acks map[uint64]map[string]api.PlanAck) {
+	for _, byRouter := range acks {
+		for _, ack := range byRouter {
+			if ack.Followed {
+				s.Followed++
+			} else {
+				s.Rejected++
+				s.Reason = ack.Reason
+			}
+		}
+	}
+}
+
+// publishPlans publishes traffic plans in the background until the context ends. The statistics may be read after that;
+// they are nil for a scenario without plans.
+func (r *run) publishPlans(ctx context.Context) *PlanStatistics {
+	if r.spec.TrafficPlan == "" || r.spec.TrafficPlan == noPlan {
+		return nil
+	}
+	statistics := &PlanStatistics{}
+	publisher := &plan.Publisher{Tolerance: .1, HoldTime: 2 * time.Second, ValidFor: planValidFor}
+	if r.spec.TrafficPlan != currentPlan {
+		publisher.ValidFor = r.spec.Length + time.Minute
+	}
+	started := time.Now()
+	r.background.Go(func() {
+		for {
+			if err := r.publishPlan(publisher, started, statistics); err != nil {
+				r.log.Error("traffic plan not published", "error", err)
+			}
+			if r.spec.TrafficPlan != currentPlan || !sleep(ctx, planInterval) {
+				return
+			}
+		}
+	})
+	return statistics
+}
+
+// publishPlan updates the plan and publishes it to controllers and discovery if it has changed.
+func (r *run) publishPlan(publisher *plan.Publisher, started time.Time, statistics *PlanStatistics) error {
+	update, err := publisher.Update(time.Since(started), r.planModel(started))
+	if err != nil || update.Published == nil {
+		return err
+	}
+	if r.spec.TrafficPlan == skewedPlan {
+		skewWeights(update.Published)
+	}
+	statistics.Versions++
+	statistics.ChangedWeights += update.Changed
+	if update.Recomputed {
+		statistics.Recomputed++
+	}
+	r.controllers.publishPlan(update.Published)
+	r.discovery.SetWeights(update.Published)
+	return nil
+}
+
+// skewWeights gives nearly all traffic to one host of each zone.
+func skewWeights(p *plan.Published) {
+	for _, weights := range p.For {
+		first := true
+		for host := range weights.Near {
+			if weights.Near[host] = 1; first {
+				weights.Near[host] = 1_000_000_000
+			}
+			first = false
+		}
+	}
+}
+
+// planModel is the fleet with the usual demand: surges can't be planned for.
+func (r *run) planModel(started time.Time) *plan.Model {
+	now := time.Since(started)
+	model := &plan.Model{
+		Forecast: []plan.Forecast{{At: now, Demand: r.planDemand()}},
+		Limits: plan.Limits{MaxCrossZone: 1, CrossZonePrice: .02, Reserve: .05,
+			SlowStart: plan.SlowStart{Duration: r.params.slowStart, InitialCapacity: r.params.coldCapacity}},
+	}
+	meanWork := 0.0 // seconds
+	for _, class := range requestClasses {
+		model.Classes = append(model.Classes, plan.Class{Name: class.Name, Work: class.Work.Seconds(), Idempotency: class.Idempotency, PriorityWeight: 1})
+		meanWork += class.Share * class.Work.Seconds()
+	}
+	canary := 0
+	if status := r.controllers.status(); status.Phase != policy.Released {
+		canary = status.Build
+	}
+	for _, h := range r.localFleet.active(0) {
+		host := plan.Host{Name: strconv.FormatUint(uint64(h.ID), 10), Zone: h.Zone, Build: h.Build.Number,
+			Weight: float64(h.Cores) * h.Speed, StartsAt: now - time.Hour}
+		if !h.StartedAt.IsZero() {
+			host.StartsAt = min(now, h.StartedAt.Sub(started))
+		}
+		if canary != 0 && host.Build == canary {
+			continue // its traffic is bounded by the exposure cap
+		}
+		model.Hosts = append(model.Hosts, host)
+	}
+	// The rule's budget as far as one router sees it, less a part for bursts.
+	model.Limits.SlowStart.Window = r.params.coldOverloadWindow
+	model.Limits.SlowStart.MaxRequests = math.Floor(.5 * r.params.coldOverloadFactor * r.params.coldOverloadWindow.Seconds() / meanWork)
+	return model
+}
+
+// planDemand is the demand of all zones and classes, in requests a second.
+func (r *run) planDemand() (demand []plan.Demand) {
+	rates := map[string]float64{}
+	for i := range r.routers {
+		rates[r.params.routerZone(i)] += r.spec.RequestRate
+	}
+	for _, zone := range r.params.zones {
+		for _, class := range requestClasses {
+			demand = append(demand, plan.Demand{Zone: zone, Class: class.Name, Rate: rates[zone] * class.Share})
+		}
+	}
+	return demand
+}
