--- a/internal/scenario/agent_fleet.go
+++ b/internal/scenario/agent_fleet.go
@@ -139,8 +139,8 @@
 // handleReport takes in an agent's report: endpoints to list, and builds that failed, which are rolled back.
 func (f *agentFleet) handleReport(name string, r api.AgentReport) {
 	if r.Listing != "" && r.Address != "" {
-		state := map[string]policy.EndpointState{string(agent.EndpointDraining): policy.Draining, string(agent.EndpointRemoved): policy.Removed}[r.Listing]
-		f.updates <- endpointUpdate{time.Now().Add(f.run.params.endpointDelay), testbed.Endpoint{Backend: f.host(name, r), State: state}}
+		endpoint := testbed.Endpoint{Backend: f.host(name, r), State: endpointState(r.Listing)}
+		f.updates <- endpointUpdate{due: time.Now().Add(f.run.params.endpointDelay), endpoint: endpoint}
 	}
 	if r.To != string(agent.Failed) {
 		return
@@ -154,6 +154,17 @@
 	}
 }
 
+// endpointState is the state for discovery of an endpoint that an agent reports.
+func endpointState(reported string) policy.EndpointState {
+	switch reported {
+	case string(agent.EndpointDraining):
+		return policy.Draining
+	case string(agent.EndpointRemoved):
+		return policy.Removed
+	}
+	return policy.Serving
+}
+
 // host is the host of which an agent reports.
 func (f *agentFleet) host(agentName string, r api.AgentReport) *testbed.Backend {
 	id := f.hostID(r.Address)
--- a/internal/scenario/controllers.go
+++ b/internal/scenario/controllers.go
@@ -9,7 +9,6 @@
 	"math/rand/v2"
 	"net/http"
 	"os"
-	"path/filepath"
 	"slices"
 	"strings"
 	"sync"
@@ -19,7 +18,6 @@
 	"dapplefront/control"
 	"dapplefront/internal/api"
 	"dapplefront/internal/audit"
-	"dapplefront/internal/controller"
 	"dapplefront/plan"
 	"dapplefront/policy"
 	"dapplefront/release"
@@ -150,31 +148,11 @@
 	return nil
 }
 
-// newInstance configures a controller; the first one bootstraps the group.
-func (g *controllerGroup) newInstance(index int, o controllerOptions) (*controllerInstance, error) {
-	name := fmt.Sprintf("c%d", index+1)
-	instance := &controllerInstance{
-		nodeConfig: controller.NodeConfig{Name: name, Dir: filepath.Join(o.dir, name), Listen: "127.0.0.1:0", Bootstrap: index == 0, Quick: true, Build: 1,
-			Control: control.Config{Rules: o.rules, RouterTimeout: 10 * policy.Second}},
-		serverConfig: controller.ServerConfig{Listen: "127.0.0.1:0", VotesPerSecond: maxVotesPerSecond, Fault: g.injectedFault, OnStatusSent: g.recordStatus},
-	}
-	if o.issuer == nil {
-		return instance, nil
-	}
-	ring, err := o.issuer.ring(name)
-	if err != nil {
-		return nil, err
-	}
-	peers := []string{"c?"}
-	instance.nodeConfig.StreamLayer = controller.TLSStreamLayer(ring, peers)
-	instance.serverConfig.Authorizer = &controller.Authorizer{ServerTLS: ring.Server(), ClientTLS: ring.Client(), Grants: grants, Peers: peers}
-	return instance, nil
-}
-
 func (g *controllerGroup) addMember(instance *controllerInstance) error {
 	ctx, cancel := context.WithTimeout(g.ctx, controllerTimeout)
 	defer cancel()
-	return g.client.AddController(ctx, instance.nodeConfig.Name, api.Controller{Address: instance.nodeConfig.Listen, URL: instance.serverConfig.URL})
+	member := api.Controller{Address: instance.nodeConfig.Listen, URL: instance.serverConfig.URL}
+	return g.client.AddController(ctx, instance.nodeConfig.Name, member)
 }
 
 // stopBackground ends the watch and all work on orders, and waits for it. The controllers still answer.
@@ -235,7 +213,7 @@
 	return g.restarts
 }
 
-// injectedFault is asked by the controllers' servers: how late status is sent, and whether calls go unanswered.
+// injectedFault is the fault that the controllers' servers show: how late they notify, and whether calls go unanswered.
 func (g *controllerGroup) injectedFault() (delay time.Duration, stalled bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -266,8 +244,10 @@
 	g.agents = reports
 }
 
+// recordStatus tells the audit which status was sent to a router.
 func (g *controllerGroup) recordStatus(router string, r api.Release) {
-	g.recorder.ReleaseAnnounced(router, audit.ReleaseStatus{Build: r.Build, Stage: r.Stage, Released: r.Phase == api.Phases[policy.Released], ExposureCap: r.ExposureCap})
+	released := r.Phase == api.Phases[policy.Released]
+	g.recorder.ReleaseAnnounced(router, audit.ReleaseStatus{Build: r.Build, Stage: r.Stage, Released: released, ExposureCap: r.ExposureCap})
 }
 
 // handleEvent takes in an event of the watch: orders are carried out in the background, and transitions recorded.
@@ -422,6 +402,9 @@
 	return build
 }
 
+// firstURL is the address of the first instance.
+func (g *controllerGroup) firstURL() string { return g.instances[0].serverConfig.URL }
+
 // urls are the addresses of all instances, with commas between them.
 func (g *controllerGroup) urls() string {
 	var all []string
@@ -434,7 +417,8 @@
 func (g *controllerGroup) publishPlan(p *plan.Published) {
 	g.recordPlanAcks()
 	g.call(func(ctx context.Context) error {
-		return g.client.PublishPlan(ctx, p.Version, api.Published{Build: p.Build, Stage: p.Stage, ValidForMs: planValidFor.Milliseconds(), For: p.For})
+		published := api.Published{Build: p.Build, Stage: p.Stage, ValidForMs: planValidFor.Milliseconds(), For: p.For}
+		return g.client.PublishPlan(ctx, p.Version, published)
 	})
 }
 
@@ -462,69 +446,3 @@
 	defer g.mu.Unlock()
 	return g.acks
 }
-
-// controllerInstance is one controller. Its configuration and store outlive restarts.
-type controllerInstance struct {
-	nodeConfig   controller.NodeConfig
-	serverConfig controller.ServerConfig
-
-	mu     sync.Mutex
-	node   *controller.Node // nil while it is down
-	server *controller.Server
-}
-
-func (i *controllerInstance) start(log *slog.Logger) (err error) {
-	i.mu.Lock()
-	defer i.mu.Unlock()
-	if i.node, err = controller.Open(i.nodeConfig, log); err != nil {
-		i.node = nil
-		return err
-	}
-	if i.server, err = controller.Serve(i.node, i.serverConfig, log); err != nil {
-		err = errors.Join(err, i.node.Close())
-		i.node = nil
-	}
-	return err
-}
-
-// keepAddresses lets later starts listen where the first one does.
-func (i *controllerInstance) keepAddresses() {
-	url := i.server.URL()
-	i.nodeConfig.Listen = i.node.Address()
-	i.serverConfig.Listen = url[strings.Index(url, "//")+2:]
-	i.serverConfig.URL = url
-}
-
-func (i *controllerInstance) stop(log *slog.Logger) {
-	i.mu.Lock()
-	defer i.mu.Unlock()
-	if i.node == nil {
-		return
-	}
-	i.server.Close()
-	if err := i.node.Close(); err != nil {
-		log.Warn("controller not closed", "controller", i.nodeConfig.Name, "error", err)
-	}
-	i.node = nil
-}
-
-func (i *controllerInstance) leads() bool {
-	i.mu.Lock()
-	defer i.mu.Unlock()
-	if i.node == nil {
-		return false
-	}
-	leads, _ := i.node.IsLeader()
-	return leads
-}
-
-// read reads the instance's state; false while it is down.
-func (i *controllerInstance) read(f func(*control.State)) bool {
-	i.mu.Lock()
-	defer i.mu.Unlock()
-	if i.node == nil {
-		return false
-	}
-	i.node.Read(func(s *control.State, _ policy.Time) { f(s) })
-	return true
-}
--- a/internal/scenario/fault_injection.go
+++ b/internal/scenario/fault_injection.go
@@ -68,8 +68,10 @@
 
 // observe notes the release's status and the hosts that drain.
 func (i *faultInjector) observe(now policy.Time, event router.Event, hosts map[uint32]eds.Host) {
-	if e, ok := event.(router.ReleaseChanged); ok && e.Status.Build > 0 && (e.Status.VoteResult == policy.Unsolicited || e.Status.VoteResult == policy.VoteAccepted) {
-		i.status = e.Status
+	if e, ok := event.(router.ReleaseChanged); ok && e.Status.Build > 0 {
+		if result := e.Status.VoteResult; result == policy.Unsolicited || result == policy.VoteAccepted {
+			i.status = e.Status
+		}
 	}
 	for id, h := range hosts {
 		if h.State == policy.Draining && i.drainingSince[id] == 0 {
--- a/internal/scenario/local_fleet.go
+++ b/internal/scenario/local_fleet.go
@@ -45,7 +45,8 @@
 	draining bool // or killed: no longer chosen for anything
 }
 
-func newLocalFleet(spec Spec, params parameters, environment testbed.Environment, discovery *testbed.DiscoveryServer, controllers *controllerGroup) *localFleet {
+func newLocalFleet(spec Spec, params parameters, environment testbed.Environment, discovery *testbed.DiscoveryServer,
+	controllers *controllerGroup) *localFleet {
 	f := &localFleet{discovery: discovery, controllers: controllers, params: params, builds: map[int]testbed.Build{1: {Number: 1}},
 		rand: rand.New(rand.NewPCG(spec.Seed, 3))}
 	f.machines = newMachines(spec, params, f.rand)
@@ -174,17 +175,17 @@
 // deploy lets a share of the machines run a build (deployer).
 func (f *localFleet) deploy(ctx context.Context, build int, share float64) {
 	want := machinesFor(share, len(f.machines))
-	taken := map[int]bool{}
+	occupied := map[int]bool{}
 	for _, h := range f.active(build) {
-		taken[h.machine] = true
+		occupied[h.machine] = true
 	}
 	var starts sync.WaitGroup
-	for i := 0; i < len(f.machines) && len(taken) < want; i++ {
+	for i := 0; i < len(f.machines) && len(occupied) < want; i++ {
 		machine := spreadMachine(i, build, len(f.machines))
-		if taken[machine] {
+		if occupied[machine] {
 			continue
 		}
-		taken[machine] = true
+		occupied[machine] = true
 		starts.Go(func() { f.deployOn(ctx, machine, build) })
 	}
 	starts.Wait()
--- a/internal/scenario/report.go
+++ b/internal/scenario/report.go
@@ -78,7 +78,8 @@
 
 func (s *AgentStatistics) print(b *strings.Builder) {
 	fmt.Fprintf(b, "\n%-10s %6s %8s %8s\n", "agents", "times", "p50", "p99")
-	for _, phase := range []agent.Phase{agent.Fetching, agent.Verifying, agent.Staged, agent.Starting, agent.WarmingUp, agent.Draining, agent.Stopping} {
+	phases := []agent.Phase{agent.Fetching, agent.Verifying, agent.Staged, agent.Starting, agent.WarmingUp, agent.Draining, agent.Stopping}
+	for _, phase := range phases {
 		if durations := s.PhaseDurations[string(phase)]; len(durations) > 0 {
 			slices.Sort(durations)
 			fmt.Fprintf(b, "%-10s %6d %8s %8s\n", phase, len(durations), percentile(durations, .5), percentile(durations, .99))
--- a/internal/scenario/run.go
+++ b/internal/scenario/run.go
@@ -8,7 +8,6 @@
 	"math/rand/v2"
 	"os"
 	"path/filepath"
-	"strings"
 	"sync"
 	"time"
 
@@ -141,7 +140,7 @@
 	}
 	behavior := testbed.Behavior{RateFactor: 1, MaxRetries: defaultClientRetries, RetryDelay: defaultClientRetryDelay, HonorsRetryAfter: true,
 		AbandonRate: .003, ComplaintRate: .3}
-	r.clients = testbed.NewClients(requestClasses, targets, behavior, r.recorder, strings.Split(r.controllers.urls(), ", ")[0], clientTLS, r.spec.Seed)
+	r.clients = testbed.NewClients(requestClasses, targets, behavior, r.recorder, r.controllers.firstURL(), clientTLS, r.spec.Seed)
 	return nil
 }
 
--- a/internal/scenario/traffic_plan.go
+++ b/internal/scenario/traffic_plan.go
@@ -115,7 +115,8 @@
 	}
 	meanWork := 0.0 // seconds
 	for _, class := range requestClasses {
-		model.Classes = append(model.Classes, plan.Class{Name: class.Name, Work: class.Work.Seconds(), Idempotency: class.Idempotency, PriorityWeight: 1})
+		model.Classes = append(model.Classes, plan.Class{Name: class.Name, Work: class.Work.Seconds(), Idempotency: class.Idempotency,
+			PriorityWeight: 1})
 		meanWork += class.Share * class.Work.Seconds()
 	}
 	canary := 0
