--- a/client/operations.go
+++ b/client/operations.go
@@ -128,7 +128,7 @@
 // is called with each event; where it fails, or the watch breaks, onError is called and the watch goes on.
 func (c *Client) Watch(ctx context.Context, onEvent func(event string, data []byte) error, onError func(error)) {
 	watchURL := func() string { return c.url(c.current.Load()) + "/v1/watch" }
-	sse.FollowAny(ctx, c.http, watchURL, onEvent, func(err error) {
+	sse.Follow(ctx, c.http, watchURL, onEvent, func(err error) {
 		c.current.Add(1)
 		onError(err)
 	})
--- a/cmd/dapplefront/agent.go
+++ b/cmd/dapplefront/agent.go
@@ -22,7 +22,7 @@
 			}
 			file := inifile.Read(args[0])
 			config := readAgentConfig(file)
-			if err := file.Done(); err != nil {
+			if err := file.Err(); err != nil {
 				return err
 			}
 			agent, err := agentd.Start(config, log)
--- a/cmd/dapplefront/check.go
+++ b/cmd/dapplefront/check.go
@@ -17,7 +17,7 @@
 		RunE: func(c *cobra.Command, args []string) error {
 			file := inifile.Read(args[0])
 			readAny(file)
-			if err := file.Done(); err != nil {
+			if err := file.Err(); err != nil {
 				c.PrintErrln(err)
 				return exitCode(exitFailed)
 			}
--- a/cmd/dapplefront/controller_config.go
+++ b/cmd/dapplefront/controller_config.go
@@ -27,7 +27,7 @@
 func openControllerConfig(name string) (controllerConfig, error) {
 	file := inifile.Read(name)
 	config := readControllerConfig(file)
-	return config, file.Done()
+	return config, file.Err()
 }
 
 // readControllerConfig reads a controller's settings; mistakes are kept by the file.
@@ -42,12 +42,12 @@
 
 func (config *controllerConfig) readNode(s inifile.Section) {
 	config.node = controller.NodeConfig{
-		Name:      s.Text("name", "!"),
-		Dir:       s.Text("store", "!"),
-		Listen:    s.Address("peers", "127.0.0.1:7400"),
-		Bootstrap: s.Bool("first", "off"),
-		Quick:     s.Bool("near", "on"),
-		Build:     s.Int("build", "1", 1, 65535),
+		Name:          s.Text("name", "!"),
+		Dir:           s.Text("store", "!"),
+		Listen:        s.Address("peers", "127.0.0.1:7400"),
+		Bootstrap:     s.Bool("first", "off"),
+		FastElections: s.Bool("near", "on"),
+		InitialBuild:  s.Int("build", "1", 1, 65535),
 	}
 	config.server = controller.ServerConfig{
 		Listen:           s.Address("listen", "127.0.0.1:7300"),
--- a/control/plans.go
+++ b/control/plans.go
@@ -44,10 +44,10 @@
 	if p.Build != status.Build || status.Phase != policy.Canary {
 		return nil
 	}
-	for zone, weights := range p.For {
-		if float64(weights.Copies) > status.ExposureCap*1e6+1 { // Copies are millionths; one for rounding
+	for zone, weights := range p.ByZone {
+		if float64(weights.ShadowShare) > status.ExposureCap*1e6+1 { // Copies are millionths; one for rounding
 			return reject(ErrConflict, "for."+zone+".copies", "%.3g%% of the tasks would go to build %d, %.3g%% are allowed",
-				float64(weights.Copies)/1e4, status.Build, 100*status.ExposureCap)
+				float64(weights.ShadowShare)/1e4, status.Build, 100*status.ExposureCap)
 		}
 	}
 	return nil
--- a/internal/agentd/controller.go
+++ b/internal/agentd/controller.go
@@ -30,7 +30,7 @@
 
 // followOrders watches the stream of orders until the agent ends.
 func (a *Agent) followOrders() {
-	sse.FollowAny(a.ctx, a.http, func() string { return a.agentURL() + "/orders" }, a.receiveOrder, func(err error) {
+	sse.Follow(a.ctx, a.http, func() string { return a.agentURL() + "/orders" }, a.receiveOrder, func(err error) {
 		a.useNextController()
 		a.log.Warn("watch of orders failed", "error", err)
 	})
@@ -46,12 +46,12 @@
 		return fmt.Errorf("order: %w", err)
 	}
 	goal := agent.ParseGoal(o.Goal)
-	if goal == 0 || !isDigest(o.Digest) || o.To != "" && !isDigest(o.To) {
+	if goal == 0 || !isDigest(o.Digest) || o.ReplacementDigest != "" && !isDigest(o.ReplacementDigest) {
 		return fmt.Errorf("an order that makes no sense: %s", data)
 	}
 	a.submit(agent.Order{
-		Number: o.Number, Digest: o.Digest, Build: o.Build, Goal: goal, AllowBelowMinVersion: o.Old, RollbackTo: o.To,
-		RollbackToBuild: o.ToNum,
+		Number: o.Number, Digest: o.Digest, Build: o.Build, Goal: goal, AllowBelowMinVersion: o.AllowOlder, RollbackTo: o.ReplacementDigest,
+		RollbackToBuild: o.ReplacementBuild,
 	})
 	return nil
 }
--- a/internal/agentd/reports.go
+++ b/internal/agentd/reports.go
@@ -43,9 +43,9 @@
 
 // endpointReport describes an instance's endpoint. The caller holds a.mu.
 func (a *Agent) endpointReport(e agent.PublishEndpoint) api.AgentReport {
-	r := api.AgentReport{Digest: e.Digest, Listing: string(e.State), AtMs: time.Now().UnixMilli()}
+	r := api.AgentReport{Digest: e.Digest, EndpointState: string(e.State), AtMs: time.Now().UnixMilli()}
 	if i := a.machine.State.Instance(e.Digest); i != nil {
-		r.Build, r.UpMs = i.Build, i.Process.StartedAt.UnixMilli()
+		r.Build, r.StartedAtMs = i.Build, i.Process.StartedAt.UnixMilli()
 		r.Address = net.JoinHostPort("127.0.0.1", strconv.Itoa(i.Process.Port))
 	}
 	return r
--- a/internal/api/events.go
+++ b/internal/api/events.go
@@ -2,10 +2,10 @@
 
 // Kinds of the watch's events that routers are sent.
 const (
-	EventRelease   = "news"      // Release: the newest release's status
-	EventCounts    = "counts"    // Counts
-	EventComplaint = "complaint" // Complaint
-	EventPlan      = "plan"      // PlanNotice
+	EventReleaseStatus = "news"      // Release: the newest release's status
+	EventCounts        = "counts"    // Counts
+	EventComplaint     = "complaint" // Complaint
+	EventPlan          = "plan"      // PlanNotice
 )
 
 // Counts is what was counted of one build and class.
--- a/internal/api/plan.go
+++ b/internal/api/plan.go
@@ -37,17 +37,17 @@
 }
 
 // Offered is the plan in the terms of package plan. Hosts are named by their ids in decimals; another name is an error.
-func (p Plan) Offered() (plan.Offered, error) {
-	local, err := p.hostWeights(p.Near)
+func (p Plan) Offered() (plan.Offer, error) {
+	local, err := p.hostWeights(p.Local)
 	if err != nil {
-		return plan.Offered{}, err
+		return plan.Offer{}, err
 	}
-	remote, err := p.hostWeights(p.Far)
+	remote, err := p.hostWeights(p.Remote)
 	if err != nil {
-		return plan.Offered{}, err
+		return plan.Offer{}, err
 	}
-	return plan.Offered{Version: p.Version, Build: p.Build, ShadowShare: float64(p.Copies) / shadowShareUnits,
-		CrossZoneShare: float64(p.Cross) / crossZoneShareUnits, ValidFor: time.Duration(p.ValidForMs) * time.Millisecond,
+	return plan.Offer{Version: p.Version, Build: p.Build, ShadowShare: float64(p.ShadowShare) / shadowShareUnits,
+		CrossZoneShare: float64(p.CrossZoneShare) / crossZoneShareUnits, ValidFor: time.Duration(p.ValidForMs) * time.Millisecond,
 		LocalWeights: local, RemoteWeights: remote}, nil
 }
 
--- a/internal/api/release.go
+++ b/internal/api/release.go
@@ -47,7 +47,7 @@
 	CreatedMs int64             `json:"createdMs"`       // of the controllers' time
 	WaitsFor  string            `json:"waits,omitempty"` // the step that holds back the present stage's hosts
 	Votes     *Votes            `json:"votes,omitempty"` // of the newest release
-	Tasks     map[string]int    `json:"tasks,omitempty"` // requests by outcome: finished, turned back, scrapped
+	Requests  map[string]int    `json:"tasks,omitempty"` // requests by outcome: finished, turned back, scrapped
 	Hosts     map[string]int    `json:"hosts,omitempty"` // by state
 	History   []HistoryEntry    `json:"trace,omitempty"`
 }
@@ -110,6 +110,6 @@
 
 // BuildReport adds requests at a build by their outcome, and replaces its hosts by state.
 type BuildReport struct {
-	Tasks map[string]int `json:"tasks,omitempty"`
-	Hosts map[string]int `json:"hosts,omitempty"`
+	Requests map[string]int `json:"tasks,omitempty"`
+	Hosts    map[string]int `json:"hosts,omitempty"`
 }
--- a/internal/certs/reload.go
+++ b/internal/certs/reload.go
@@ -15,8 +15,8 @@
 // Files are the names of the PEM files.
 type Files struct{ Certificate, Key, Authority string }
 
-// Ring is the certificates as last read from the files. It is safe for concurrent use.
-type Ring struct {
+// Reloader is the certificates as last read from the files. It is safe for concurrent use.
+type Reloader struct {
 	files Files
 
 	mu          sync.Mutex
@@ -30,15 +30,15 @@
 const minCheckInterval = 200 * time.Millisecond
 
 // Open reads the files; an error names the file that is missing or invalid.
-func Open(f Files) (*Ring, error) {
-	r := &Ring{files: f}
+func Open(f Files) (*Reloader, error) {
+	r := &Reloader{files: f}
 	if err := r.load(); err != nil {
 		return nil, err
 	}
 	return r, nil
 }
 
-func (r *Ring) load() error {
+func (r *Reloader) load() error {
 	certificate, err := tls.LoadX509KeyPair(r.files.Certificate, r.files.Key)
 	if err != nil {
 		return fmt.Errorf("certificate %s with key %s: %w", r.files.Certificate, r.files.Key, err)
@@ -57,7 +57,7 @@
 
 // current returns the certificate and the authority in use. Files that can't be read, as while they are being replaced,
 // leave the last valid ones in use; they are read again at the next look.
-func (r *Ring) current() (*tls.Certificate, *x509.CertPool) {
+func (r *Reloader) current() (*tls.Certificate, *x509.CertPool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if time.Since(r.checkedAt) < minCheckInterval {
@@ -82,7 +82,7 @@
 
 // Server is the configuration of a server that requires a certificate of the authority from each client. Each handshake
 // uses the current files.
-func (r *Ring) Server() *tls.Config {
+func (r *Reloader) Server() *tls.Config {
 	base := r.serverConfig()
 	base.GetConfigForClient = func(*tls.ClientHelloInfo) (*tls.Config, error) {
 		c := r.serverConfig()
@@ -92,7 +92,7 @@
 	return base
 }
 
-func (r *Ring) serverConfig() *tls.Config {
+func (r *Reloader) serverConfig() *tls.Config {
 	certificate, roots := r.current()
 	return &tls.Config{MinVersion: tls.VersionTLS13, ClientAuth: tls.RequireAndVerifyClientCert,
 		Certificates: []tls.Certificate{*certificate}, ClientCAs: roots}
@@ -100,7 +100,7 @@
 
 // Client is the configuration of a client. A server must have a certificate of the authority for the name that it is
 // reached by. Each handshake uses the current files.
-func (r *Ring) Client() *tls.Config {
+func (r *Reloader) Client() *tls.Config {
 	return &tls.Config{MinVersion: tls.VersionTLS13,
 		GetClientCertificate: func(*tls.CertificateRequestInfo) (*tls.Certificate, error) {
 			certificate, _ := r.current()
@@ -111,7 +111,7 @@
 }
 
 // verifyServer checks a server's certificate against the current authority.
-func (r *Ring) verifyServer(s tls.ConnectionState) error {
+func (r *Reloader) verifyServer(s tls.ConnectionState) error {
 	if len(s.PeerCertificates) == 0 {
 		return errors.New("the server shows no certificate")
 	}
--- a/internal/controlclient/report.go
+++ b/internal/controlclient/report.go
@@ -19,7 +19,7 @@
 // present one can't be reached, as long as it surely was not counted; one that may have been counted is not.
 func (c *Client) Report(build int, outcomes map[string]int) {
 	go func() {
-		body, err := json.Marshal(api.BuildReport{Tasks: outcomes})
+		body, err := json.Marshal(api.BuildReport{Requests: outcomes})
 		if err == nil {
 			err = c.sendReportWithRetries(build, body)
 		}
--- a/internal/controlclient/vote.go
+++ b/internal/controlclient/vote.go
@@ -13,9 +13,9 @@
 
 const maxReplyBytes = 64 << 10
 
-// VoteResult casts a vote in the background by the given function and calls done once with its result; an error is
+// CastVote casts a vote in the background by the given function and calls done once with its result; an error is
 // reported as well.
-func (h Handler) VoteResult(build int, vote func() (policy.ReleaseStatus, error), done func(policy.ReleaseStatus)) {
+func (h Handler) CastVote(build int, vote func() (policy.ReleaseStatus, error), done func(policy.ReleaseStatus)) {
 	go func() {
 		status, err := vote()
 		if err != nil {
@@ -27,7 +27,7 @@
 
 // Vote casts a vote in the background and calls done once with its result and, if it was accepted, the release status.
 func (c *Client) Vote(build, stage int, choice policy.VoteChoice, done func(policy.ReleaseStatus)) {
-	c.handler.VoteResult(build, func() (policy.ReleaseStatus, error) { return c.vote(build, stage, choice) }, done)
+	c.handler.CastVote(build, func() (policy.ReleaseStatus, error) { return c.vote(build, stage, choice) }, done)
 }
 
 // vote casts a vote. It was surely not counted if it could not be sent; without a response its result is unknown.
--- a/internal/controlclient/watch.go
+++ b/internal/controlclient/watch.go
@@ -13,7 +13,7 @@
 func (c *Client) watch(ctx context.Context) {
 	defer close(c.done)
 	where := func() string { return c.baseURL() + "/v1/watch?router=" + url.QueryEscape(c.name) }
-	sse.FollowAny(ctx, c.http, where, c.handleEvent, func(err error) {
+	sse.Follow(ctx, c.http, where, c.handleEvent, func(err error) {
 		c.current.Add(1)
 		c.handler.Failed(err)
 	})
@@ -22,7 +22,7 @@
 // handleEvent reads an event and reports it. Events of kinds that it doesn't know are of later controllers.
 func (c *Client) handleEvent(event string, data []byte) error {
 	switch event {
-	case api.EventRelease:
+	case api.EventReleaseStatus:
 		return c.handleRelease(event, data)
 	case api.EventCounts:
 		return c.handleCounts(event, data)
--- a/internal/controller/authorization_test.go
+++ b/internal/controller/authorization_test.go
@@ -37,7 +37,7 @@
 func TestAuthorization_ByCertificateAndNetworkWhileCertificatesRotate(t *testing.T) {
 	authority, err := testbed.NewAuthority(t.TempDir())
 	require.NoError(t, err)
-	ring := func(name string) *certs.Ring {
+	ring := func(name string) *certs.Reloader {
 		f, err := authority.Issue(name, time.Hour)
 		require.NoError(t, err)
 		r, err := certs.Open(f)
@@ -60,7 +60,7 @@
 	for i := range 3 {
 		name := fmt.Sprintf("c%d", i+1)
 		r := ring(name)
-		n, err := Open(NodeConfig{Name: name, Dir: t.TempDir(), Listen: "127.0.0.1:0", Bootstrap: i == 0, Quick: true, Control: testConfig, Build: 1,
+		n, err := Open(NodeConfig{Name: name, Dir: t.TempDir(), Listen: "127.0.0.1:0", Bootstrap: i == 0, FastElections: true, Control: testConfig, InitialBuild: 1,
 			StreamLayer: TLSStreamLayer(r, []string{"c*"})}, log)
 		require.NoError(t, err)
 		s, err := Serve(n, ServerConfig{Listen: "127.0.0.1:0", BookmarkInterval: 50 * time.Millisecond, Authorizer: &Authorizer{ServerTLS: r.Server(), ClientTLS: r.Client(), Grants: grants,
--- a/internal/controller/bench_test.go
+++ b/internal/controller/bench_test.go
@@ -25,12 +25,12 @@
 // startBenchmarkCluster starts a group of n nodes and returns the leader.
 func startBenchmarkCluster(b *testing.B, n int) *Node {
 	b.Helper()
-	first, err := StartStandalone(NodeConfig{Name: "c1", Dir: b.TempDir(), Listen: "127.0.0.1:0", Quick: true, Control: testConfig, Build: 1}, ServerConfig{Listen: "127.0.0.1:0"},
+	first, err := StartStandalone(NodeConfig{Name: "c1", Dir: b.TempDir(), Listen: "127.0.0.1:0", FastElections: true, Control: testConfig, InitialBuild: 1}, ServerConfig{Listen: "127.0.0.1:0"},
 		slog.New(slog.DiscardHandler))
 	require.NoError(b, err)
 	b.Cleanup(func() { _ = first.Stop() })
 	for i := 1; i < n; i++ {
-		x, err := Open(NodeConfig{Name: fmt.Sprintf("c%d", i+1), Dir: b.TempDir(), Listen: "127.0.0.1:0", Quick: true, Control: testConfig, Build: 1}, slog.New(slog.DiscardHandler))
+		x, err := Open(NodeConfig{Name: fmt.Sprintf("c%d", i+1), Dir: b.TempDir(), Listen: "127.0.0.1:0", FastElections: true, Control: testConfig, InitialBuild: 1}, slog.New(slog.DiscardHandler))
 		require.NoError(b, err)
 		b.Cleanup(func() { _ = x.Close() })
 		require.NoError(b, first.AddMember(x.config.Name, x.Address()))
@@ -87,7 +87,7 @@
 func BenchmarkWatchers(b *testing.B) {
 	for _, n := range []int{1, 100, 2000} {
 		b.Run(fmt.Sprintf("watchers=%d", n), func(b *testing.B) {
-			a, err := StartStandalone(NodeConfig{Name: "c1", Dir: b.TempDir(), Listen: "127.0.0.1:0", Quick: true, Control: testConfig, Build: 1},
+			a, err := StartStandalone(NodeConfig{Name: "c1", Dir: b.TempDir(), Listen: "127.0.0.1:0", FastElections: true, Control: testConfig, InitialBuild: 1},
 				ServerConfig{Listen: "127.0.0.1:0", BookmarkInterval: time.Minute}, slog.New(slog.DiscardHandler))
 			require.NoError(b, err)
 			defer func() { _ = a.Stop() }()
@@ -149,7 +149,7 @@
 		for _, snapshot := range []bool{false, true} {
 			b.Run(fmt.Sprintf("changes=%d/snapshot=%v", n, snapshot), func(b *testing.B) {
 				dir := b.TempDir()
-				config := NodeConfig{Name: "c1", Dir: dir, Listen: "127.0.0.1:0", Quick: true, Control: testConfig, Build: 1}
+				config := NodeConfig{Name: "c1", Dir: dir, Listen: "127.0.0.1:0", FastElections: true, Control: testConfig, InitialBuild: 1}
 				a, err := StartStandalone(config, ServerConfig{Listen: "127.0.0.1:0"}, slog.New(slog.DiscardHandler))
 				require.NoError(b, err)
 				var wait sync.WaitGroup
--- a/internal/controller/controlclient_test.go
+++ b/internal/controller/controlclient_test.go
@@ -17,7 +17,7 @@
 func TestControlClient_HearsStatusesAndHasItsVotesAnswered(t *testing.T) {
 	hang := make(chan bool, 1)
 	hangs := false
-	a, err := StartStandalone(NodeConfig{Name: "c", Dir: t.TempDir(), Listen: "127.0.0.1:0", Quick: true, Build: 1, Control: control.Config{
+	a, err := StartStandalone(NodeConfig{Name: "c", Dir: t.TempDir(), Listen: "127.0.0.1:0", FastElections: true, InitialBuild: 1, Control: control.Config{
 		Rules: release.Rules{Mode: policy.Quorum, PromoteQuorum: 2, RollbackQuorum: 1, VoteTTL: 5 * policy.Second, Stages: []release.Stage{{HostShare: .1, ExposureCap: .1}, {HostShare: 1, ExposureCap: 1}}}}},
 		ServerConfig{Listen: "127.0.0.1:0", VotesPerSecond: 2, Fault: func() (time.Duration, bool) {
 			select {
--- a/internal/controller/corruption_test.go
+++ b/internal/controller/corruption_test.go
@@ -29,7 +29,7 @@
 // has exactly the state that it had.
 func TestCheckStore_FindsAFlippedBitUnlessItIsHarmless(t *testing.T) {
 	dir := t.TempDir()
-	a, err := StartStandalone(NodeConfig{Name: "c1", Dir: dir, Listen: "127.0.0.1:0", Quick: true, Control: testConfig, Build: 1}, ServerConfig{Listen: "127.0.0.1:0"},
+	a, err := StartStandalone(NodeConfig{Name: "c1", Dir: dir, Listen: "127.0.0.1:0", FastElections: true, Control: testConfig, InitialBuild: 1}, ServerConfig{Listen: "127.0.0.1:0"},
 		slog.New(slog.DiscardHandler))
 	require.NoError(t, err)
 	for i := range 60 {
--- a/internal/controller/crash_test.go
+++ b/internal/controller/crash_test.go
@@ -25,7 +25,7 @@
 	if dir == "" {
 		os.Exit(m.Run())
 	}
-	a, err := StartStandalone(NodeConfig{Name: "c1", Dir: dir, Listen: "127.0.0.1:0", Quick: true, Control: testConfig, Build: 1}, ServerConfig{Listen: "127.0.0.1:0"},
+	a, err := StartStandalone(NodeConfig{Name: "c1", Dir: dir, Listen: "127.0.0.1:0", FastElections: true, Control: testConfig, InitialBuild: 1}, ServerConfig{Listen: "127.0.0.1:0"},
 		slog.New(slog.DiscardHandler))
 	if err != nil {
 		fmt.Println("error", err)
@@ -149,7 +149,7 @@
 		g := &cluster{t: t, dirs: []string{t.TempDir()}, nodes: make([]*Node, 1), servers: make([]*Server, 1), urls: make([]string, 1)}
 		t.Cleanup(g.close)
 		open := func() {
-			config := NodeConfig{Name: "c1", Dir: g.dirs[0], Listen: "127.0.0.1:0", Bootstrap: true, Quick: true, Control: testConfig, Build: 1}
+			config := NodeConfig{Name: "c1", Dir: g.dirs[0], Listen: "127.0.0.1:0", Bootstrap: true, FastElections: true, Control: testConfig, InitialBuild: 1}
 			if lies {
 				config.WrapStores = func(l raft.LogStore, s raft.StableStore) (raft.LogStore, raft.StableStore) {
 					return &unsyncedDisk{LogStore: l}, s
--- a/internal/controller/description_test.go
+++ b/internal/controller/description_test.go
@@ -427,7 +427,7 @@
 
 func TestDescription_DrawnRequestsGetDocumentedReplies(t *testing.T) {
 	d := loadDescription(t)
-	a, err := StartStandalone(NodeConfig{Name: "c1", Dir: t.TempDir(), Listen: "127.0.0.1:0", Quick: true, Control: testConfig, Build: 1},
+	a, err := StartStandalone(NodeConfig{Name: "c1", Dir: t.TempDir(), Listen: "127.0.0.1:0", FastElections: true, Control: testConfig, InitialBuild: 1},
 		ServerConfig{Listen: "127.0.0.1:0", VotesPerSecond: 1e6}, slog.New(slog.DiscardHandler))
 	require.NoError(t, err)
 	defer func() { require.NoError(t, a.Stop()) }()
--- a/internal/controller/events.go
+++ b/internal/controller/events.go
@@ -44,7 +44,7 @@
 }
 
 // routerEvents are the kinds of events that routers are notified of.
-var routerEvents = map[string]bool{api.EventRelease: true, api.EventCounts: true, api.EventComplaint: true, api.EventPlan: true}
+var routerEvents = map[string]bool{api.EventReleaseStatus: true, api.EventCounts: true, api.EventComplaint: true, api.EventPlan: true}
 
 // watchEvent is one event in the form of the watch.
 type watchEvent struct {
--- a/internal/controller/node.go
+++ b/internal/controller/node.go
@@ -21,15 +21,15 @@
 
 // NodeConfig configures one instance's member of the Raft group.
 type NodeConfig struct {
-	Name        string // of its own in the group
-	Dir         string // of its store; nothing else may write there
-	Listen      string // address for the other controllers
-	Bootstrap   bool   // starts a new group of one, where the store is empty
-	Quick       bool   // short timeouts for loopback: a leader is missed after half a second
-	Control     control.Config
-	Build       int                                                                     // that serves when a group starts
-	StreamLayer func(net.Listener) (raft.StreamLayer, error)                            // nil for plain TCP
-	WrapStores  func(raft.LogStore, raft.StableStore) (raft.LogStore, raft.StableStore) // for fault injection in tests; nil for none
+	Name          string // of its own in the group
+	Dir           string // of its store; nothing else may write there
+	Listen        string // address for the other controllers
+	Bootstrap     bool   // starts a new group of one, where the store is empty
+	FastElections bool   // short timeouts for loopback: a leader is missed after half a second
+	Control       control.Config
+	InitialBuild  int                                                                     // that serves when a group starts
+	StreamLayer   func(net.Listener) (raft.StreamLayer, error)                            // nil for plain TCP
+	WrapStores    func(raft.LogStore, raft.StableStore) (raft.LogStore, raft.StableStore) // for fault injection in tests; nil for none
 }
 
 const (
@@ -89,7 +89,7 @@
 		return nil, err
 	}
 	n := &Node{config: config, log: log.With("controller", config.Name), bolt: bolt, changed: make(chan struct{}), stop: make(chan struct{}),
-		state: control.New(config.Control, config.Build), started: time.Now()}
+		state: control.New(config.Control, config.InitialBuild), started: time.Now()}
 	if err := n.startRaft(); err != nil {
 		return nil, errors.Join(err, bolt.Close())
 	}
@@ -144,7 +144,7 @@
 	c.LocalID = raft.ServerID(n.config.Name)
 	c.Logger = hclog.NewNullLogger()
 	c.SnapshotThreshold, c.TrailingLogs = snapshotThreshold, trailingLogs
-	if n.config.Quick { // loopback answers within a millisecond; these are hundreds of it
+	if n.config.FastElections { // loopback answers within a millisecond; these are hundreds of it
 		c.HeartbeatTimeout, c.ElectionTimeout = 300*time.Millisecond, 300*time.Millisecond
 		c.LeaderLeaseTimeout, c.CommitTimeout = 200*time.Millisecond, 5*time.Millisecond
 	}
--- a/internal/controller/partition_test.go
+++ b/internal/controller/partition_test.go
@@ -85,7 +85,7 @@
 	g := &cluster{t: t}
 	for i := range 3 {
 		name := fmt.Sprintf("c%d", i+1)
-		config := NodeConfig{Name: name, Dir: t.TempDir(), Listen: "127.0.0.1:0", Bootstrap: i == 0, Quick: true, Control: testConfig, Build: 1, StreamLayer: w.streamLayer(name)}
+		config := NodeConfig{Name: name, Dir: t.TempDir(), Listen: "127.0.0.1:0", Bootstrap: i == 0, FastElections: true, Control: testConfig, InitialBuild: 1, StreamLayer: w.streamLayer(name)}
 		if disk != nil {
 			config.WrapStores = func(l raft.LogStore, s raft.StableStore) (raft.LogStore, raft.StableStore) { return disk(i, l), s }
 		}
--- a/internal/controller/plans.go
+++ b/internal/controller/plans.go
@@ -19,7 +19,7 @@
 	if err := decodeBody(w, r, &request); err != nil {
 		return err
 	}
-	published := &plan.Published{Version: version, Build: request.Build, Stage: request.Stage, For: request.For}
+	published := &plan.Published{Version: version, Build: request.Build, Stage: request.Stage, ByZone: request.For}
 	c := control.Command{Kind: control.PublishPlan, Plan: published, ValidFor: fromMs(request.ValidForMs)}
 	return s.propose(w, c, http.StatusNoContent, nil)
 }
@@ -32,7 +32,7 @@
 	if active == nil || strconv.FormatUint(active.Version, 10) != r.PathValue("version") {
 		return notFound("version", "this version is not in force")
 	}
-	weights, ok := active.For[r.PathValue("location")]
+	weights, ok := active.ByZone[r.PathValue("location")]
 	if !ok {
 		return notFound("location", "the plan has nothing for this location")
 	}
--- a/internal/controller/releases.go
+++ b/internal/controller/releases.go
@@ -198,7 +198,7 @@
 	if err := decodeBody(w, r, &request); err != nil {
 		return err
 	}
-	c := control.Command{Kind: control.ReportCounts, Build: build, Counts: request.Tasks, Hosts: request.Hosts}
+	c := control.Command{Kind: control.ReportCounts, Build: build, Counts: request.Requests, Hosts: request.Hosts}
 	return s.propose(w, c, http.StatusNoContent, nil)
 }
 
@@ -214,7 +214,7 @@
 func releaseObject(r *control.Release, now policy.Time, st *control.State) api.ReleaseObject {
 	o := api.ReleaseObject{Release: api.Release{Build: r.Build, Stage: r.Stage, Phase: api.Phases[r.Phase], ExposureCap: r.ExposureCap,
 		AgeMs: max(0, toMs(now-r.Since)), Version: int64(r.Version)}, Digest: r.Digest, Note: r.Note, Labels: r.Labels,
-		CreatedMs: toMs(r.Created), WaitsFor: r.WaitsFor, Tasks: r.Counts, Hosts: r.Hosts}
+		CreatedMs: toMs(r.Created), WaitsFor: r.WaitsFor, Requests: r.Counts, Hosts: r.Hosts}
 	for i, step := range r.Steps {
 		o.Steps = append(o.Steps, stepObject(step, r.StepStatuses[i]))
 	}
--- a/internal/controller/server_test.go
+++ b/internal/controller/server_test.go
@@ -60,7 +60,7 @@
 func (g *cluster) name(i int) string { return fmt.Sprintf("c%d", i+1) }
 
 func (g *cluster) open(i int, raftAt, restAt string) {
-	n, err := Open(NodeConfig{Name: g.name(i), Dir: g.dirs[i], Listen: raftAt, Bootstrap: i == 0, Quick: true, Control: testConfig, Build: 1}, slog.New(slog.DiscardHandler))
+	n, err := Open(NodeConfig{Name: g.name(i), Dir: g.dirs[i], Listen: raftAt, Bootstrap: i == 0, FastElections: true, Control: testConfig, InitialBuild: 1}, slog.New(slog.DiscardHandler))
 	require.NoError(g.t, err)
 	s, err := Serve(n, ServerConfig{Listen: restAt, VotesPerSecond: 1000, BookmarkInterval: 50 * time.Millisecond}, slog.New(slog.DiscardHandler))
 	require.NoError(g.t, err)
--- a/internal/controller/transport.go
+++ b/internal/controller/transport.go
@@ -36,7 +36,7 @@
 
 // TLSStreamLayer connects controllers by TLS, where both sides need a certificate whose common name matches one of the
 // patterns (path.Match) in peers. Certificates may change while it runs.
-func TLSStreamLayer(ring *certs.Ring, peers []string) func(net.Listener) (raft.StreamLayer, error) {
+func TLSStreamLayer(ring *certs.Reloader, peers []string) func(net.Listener) (raft.StreamLayer, error) {
 	verifyName := func(s tls.ConnectionState) error {
 		if len(s.PeerCertificates) == 0 {
 			return errors.New("no certificate")
--- a/internal/discovery/fixture_test.go
+++ b/internal/discovery/fixture_test.go
@@ -56,7 +56,7 @@
 func openTestWatch(t *testing.T, d *fakeDiscovery, known EndpointList) (*Watch, []eds.Host, *events) {
 	t.Helper()
 	h := &events{make(chan []eds.Host, 20), make(chan bool, 20), make(chan error, 20), make(chan error, 20)}
-	w, first := Open(d.address(), known, eds.Handler{Listed: func(complete bool, hosts []eds.Host) {
+	w, first := Open(d.address(), known, eds.Handler{Updated: func(complete bool, hosts []eds.Host) {
 		if !complete && len(hosts) == 0 {
 			h.keepAlives <- true
 			return
--- a/internal/discovery/watch.go
+++ b/internal/discovery/watch.go
@@ -90,9 +90,9 @@
 		}
 		stale := w.isStale(l, first, from)
 		if first = false; stale {
-			w.handler.Listed(false, nil) // nothing new, but discovery can be reached
+			w.handler.Updated(false, nil) // nothing new, but discovery can be reached
 		} else {
-			w.handler.Listed(l.Complete, w.apply(l))
+			w.handler.Updated(l.Complete, w.apply(l))
 		}
 		return nil
 	}
--- a/internal/eds/stream.go
+++ b/internal/eds/stream.go
@@ -34,7 +34,7 @@
 			w.handler.Rejected(fmt.Errorf("version %q: %w", response.GetVersionInfo(), err))
 		} else {
 			acceptedVersion = response.GetVersionInfo()
-			w.handler.Listed(true, w.list.all())
+			w.handler.Updated(true, w.list.all())
 		}
 		request.VersionInfo = acceptedVersion
 	}
@@ -86,7 +86,7 @@
 		if first {
 			hosts = w.list.all() // the caller must not miss what left before the stream was opened
 		}
-		w.handler.Listed(first, hosts)
+		w.handler.Updated(first, hosts)
 		first = false
 	}
 }
--- a/internal/eds/watch.go
+++ b/internal/eds/watch.go
@@ -16,7 +16,7 @@
 
 // Handler handles the events of a watch.
 type Handler struct {
-	Listed   func(complete bool, hosts []Host) // a version was accepted; called before it is acknowledged (ACK)
+	Updated  func(complete bool, hosts []Host) // a version was accepted; called before it is acknowledged (ACK)
 	Rejected func(err error)                   // a version was rejected
 	Failed   func(err error)                   // the stream has ended
 }
--- a/internal/inifile/file.go
+++ b/internal/inifile/file.go
@@ -123,9 +123,9 @@
 	f.errs = append(f.errs, SyntaxError{f.name, line, fmt.Sprintf(format, values...)})
 }
 
-// Done returns all mistakes so far, each a SyntaxError, joined in the order of their lines; nil if there are none. Keys
+// Err returns all mistakes so far, each a SyntaxError, joined in the order of their lines; nil if there are none. Keys
 // and sections that have not been read by then are mistakes. It starts anew after that.
-func (f *File) Done() error {
+func (f *File) Err() error {
 	for at, line := range f.lines {
 		if f.requested[at] {
 			continue
--- a/internal/inifile/file_test.go
+++ b/internal/inifile/file_test.go
@@ -38,7 +38,7 @@
 	p.Networks("nets", "")
 	p.Text("needed", "!")
 	require.Equal(t, 1, s.Section("c").Int("x", "0", 0, 5))
-	text := s.Done().Error()
+	text := s.Err().Error()
 	for _, want := range []string{"f.ini:3: [a] span = 5: a time with a unit", "f.ini:4: [a] share = 120%: a share",
 		"f.ini:5: share stands on line 4 already", "f.ini:6: [a] rate = fast: a number from 0 to 10 expected", "f.ini:7: [a] size",
 		"f.ini:8: [a] where", "f.ini:9: [a] word = other: one or two expected", "f.ini:10: [a] on = yes: on or off expected",
@@ -58,12 +58,12 @@
 	require.Equal(t, time.Second, p.Duration("other", "1s"))
 	_, names := s.Sections("kind")
 	require.Equal(t, []string{"one", "two"}, names)
-	require.NoError(t, s.Done())
+	require.NoError(t, s.Err())
 }
 
 func TestMissingFileIsAMistake(t *testing.T) {
 	s := Read(filepath.Join(t.TempDir(), "none.ini"))
 	s.Section("a").Text("b", "!")
 	require.ErrorIs(t, func() error { _, err := os.Stat("none"); return err }(), os.ErrNotExist)
-	require.ErrorContains(t, s.Done(), "can't be read")
+	require.ErrorContains(t, s.Err(), "can't be read")
 }
--- a/internal/node/lifecycle_test.go
+++ b/internal/node/lifecycle_test.go
@@ -64,7 +64,7 @@
 	ended := make(chan int)
 	n := r.node
 	r.node = nil
-	n.instance.Bow(time.Minute)
+	n.instance.StartDraining(time.Minute)
 	text, _ = requestText("GET", "quote")
 	_, _ = io.WriteString(idle, text)
 	got := idle.read()
@@ -133,7 +133,7 @@
 			require.Equal(t, 503, r.readiness(), "no response of the feed")
 			feed.responses <- say[1]
 			r.eventually(func() bool { return r.readiness() == 200 })
-			n.instance.Bow(time.Minute)
+			n.instance.StartDraining(time.Minute)
 			require.Equal(t, 503, r.readiness(), "not ready during a shutdown")
 		})
 	}
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -37,13 +37,13 @@
 func Start(c *Config, log *slog.Logger) (*Node, error) {
 	n := &Node{config: c, log: log}
 	var err error
-	n.instance, err = proxy.StartBy(proxy.Protocols{
+	n.instance, err = proxy.StartWith(proxy.Protocols{
 		Discovery: func(handler eds.Handler) (proxy.Discovery, []eds.Host, error) {
 			var hosts []eds.Host
 			n.watch, hosts = discovery.Open(c.Discovery, c.Endpoints, handler)
 			return n.watch, hosts, nil
 		},
-		Release: func(handler controlclient.Handler) (proxy.ReleaseClient, error) {
+		ReleaseController: func(handler controlclient.Handler) (proxy.ReleaseClient, error) {
 			handler.Release(c.Release)
 			n.platform = platform.Open(c.Platform.Address, eventloop.Duration(c.Router.Router.Release.VoteTimeout), n.watch.HostID, handler)
 			return n.platform, nil
@@ -76,13 +76,13 @@
 // requests were canceled.
 func (n *Node) Shutdown(abort <-chan struct{}) int {
 	drainTimeout := n.config.Router.DrainTimeout - shutdownMargin
-	n.instance.Bow(lameDuckTime + drainTimeout - lastResponseGrace)
+	n.instance.StartDraining(lameDuckTime + drainTimeout - lastResponseGrace)
 	select {
 	case <-time.After(lameDuckTime):
 	case <-abort:
 	}
-	return n.instance.Drain(drainTimeout, abort)
+	return n.instance.Shutdown(drainTimeout, abort)
 }
 
 // Close ends the router at once.
-func (n *Node) Close() { n.instance.Kill() }
+func (n *Node) Close() { n.instance.Close() }
--- a/internal/orca/orca.go
+++ b/internal/orca/orca.go
@@ -25,9 +25,9 @@
 
 // Named metrics for what the report has no field of its own for.
 const (
-	Active  = "active"     // requests in progress
-	Waiting = "waiting"    // requests in the queue
-	Service = "service_ms" // recent mean time of a request without queueing, in milliseconds
+	MetricActive  = "active"     // requests in progress
+	MetricWaiting = "waiting"    // requests in the queue
+	MetricService = "service_ms" // recent mean time of a request without queueing, in milliseconds
 )
 
 const (
@@ -125,13 +125,13 @@
 // utilization or a rate of 0 from an absent one, so 0 counts as not reported there.
 func Load(r *orcav3.OrcaLoadReport) *policy.LoadReport {
 	l := &policy.LoadReport{ActiveRequests: -1, QueuedRequests: -1, CPUUtilization: -1, MeanLatency: -1, RequestsPerSecond: -1}
-	if v, ok := r.NamedMetrics[Active]; ok {
+	if v, ok := r.NamedMetrics[MetricActive]; ok {
 		l.ActiveRequests = v
 	}
-	if v, ok := r.NamedMetrics[Waiting]; ok {
+	if v, ok := r.NamedMetrics[MetricWaiting]; ok {
 		l.QueuedRequests = v
 	}
-	if v, ok := r.NamedMetrics[Service]; ok {
+	if v, ok := r.NamedMetrics[MetricService]; ok {
 		l.MeanLatency = v * ticksPerMillisecond
 	}
 	if l.CPUUtilization = r.ApplicationUtilization; l.CPUUtilization == 0 {
--- a/internal/orca/orca_test.go
+++ b/internal/orca/orca_test.go
@@ -13,7 +13,7 @@
 
 func TestAllFormsGiveTheSameReport(t *testing.T) {
 	raw, err := proto.Marshal(&orcav3.OrcaLoadReport{CpuUtilization: .25, RpsFractional: 12.5,
-		NamedMetrics: map[string]float64{Active: 3, Service: 20, Waiting: 0}})
+		NamedMetrics: map[string]float64{MetricActive: 3, MetricService: 20, MetricWaiting: 0}})
 	require.NoError(t, err)
 	want := &policy.LoadReport{ActiveRequests: 3, QueuedRequests: 0, CPUUtilization: .25, MeanLatency: 200, RequestsPerSecond: 12.5}
 	for _, text := range []string{
--- a/internal/planreport/report.go
+++ b/internal/planreport/report.go
@@ -20,7 +20,7 @@
 func Read(file string) (*Report, error) {
 	f := inifile.Read(file)
 	r := FromFile(f)
-	if err := f.Done(); err != nil {
+	if err := f.Err(); err != nil {
 		return nil, err
 	}
 	if err := r.Model.Validate(); err != nil {
--- a/internal/planreport/report_test.go
+++ b/internal/planreport/report_test.go
@@ -16,7 +16,7 @@
 	s := inifile.Parse("plan.ini", "[plan]\nstart = 25:00\nsteps = 3\nstep = 1h\n[category quote]\nwork = 30\nrepeat = retriable\n"+
 		"[hosts north]\ncount = -1\n[demand north]\nquote = 1, 2\n[bounds]\nreserve = 100%\n[release]\nbuild = 2\nshares = 1%\ncaps = 1%, 2%\nat = 1h\n")
 	FromFile(s)
-	err := s.Done()
+	err := s.Err()
 	for _, want := range []string{"plan.ini:2: [plan] start = 25:00", "plan.ini:6: [category quote] work = 30", "plan.ini:9: [hosts north] count = -1",
 		"plan.ini:11: [demand north] quote: one figure, or one for each of 3 steps expected, not 2", "plan.ini:13: [bounds] reserve",
 		"plan.ini:16: [release] shares, caps and at: as many of each"} {
--- a/internal/platform/vote.go
+++ b/internal/platform/vote.go
@@ -16,7 +16,7 @@
 
 // Vote casts a vote in the background and calls done once with its result and, if it was accepted, the release status.
 func (c *Client) Vote(build, stage int, choice policy.VoteChoice, done func(policy.ReleaseStatus)) {
-	c.handler.VoteResult(build, func() (policy.ReleaseStatus, error) { return c.vote(build, stage, choice) }, done)
+	c.handler.CastVote(build, func() (policy.ReleaseStatus, error) { return c.vote(build, stage, choice) }, done)
 }
 
 // vote casts a vote. It was surely not counted if it could not be written whole, or if the platform says so.
--- a/internal/platformsettings/settings.go
+++ b/internal/platformsettings/settings.go
@@ -94,12 +94,12 @@
 		ColdOverloadWindow:  v.time("Obligations.OverloadForUs"),
 		PollInterval:        v.time("Obligations.AskWithinUs"),
 		MaxAttempts:         int(v.Int("Permissions.MaxAttempts")),
-		MaxOpen:             int(v.Int("Permissions.MaxOpen")),
+		MaxRequestsInFlight: int(v.Int("Permissions.MaxOpen")),
 		AllowHedging:        v.Bool("Permissions.SecondCopies"),
 		HealthChecks:        v.Bool("Permissions.Probes"),
 		PushedDiscovery:     v["RegistryMode"] == registryPushed,
 		CrossZonePrice:      v.Float("Prices.CrossZone"),
-		WastePrice:          v.Float("Prices.Waste"),
+		UnusedAttemptPrice:  v.Float("Prices.Waste"),
 		OverQuotaValueShare: v.Float("OverShareWorth"),
 	}
 	if v.Bool("Permissions.Peers") {
--- a/internal/proxy/benchmark_test.go
+++ b/internal/proxy/benchmark_test.go
@@ -38,7 +38,7 @@
 	case "router":
 		s := inifile.Parse("bench", os.Getenv("DAPPLEFRONT_CHARTER"))
 		c := routerconfig.From(s)
-		if err := s.Done(); err != nil {
+		if err := s.Err(); err != nil {
 			fmt.Println("error", err)
 			os.Exit(2)
 		}
@@ -178,7 +178,7 @@
 	discovery, err := testbed.StartDiscovery("127.0.0.1:0", "shop", nil)
 	require.NoError(b, err)
 	b.Cleanup(discovery.Stop)
-	release, err := controller.StartStandalone(controller.NodeConfig{Name: "c", Dir: b.TempDir(), Listen: "127.0.0.1:0", Quick: true, Build: 1},
+	release, err := controller.StartStandalone(controller.NodeConfig{Name: "c", Dir: b.TempDir(), Listen: "127.0.0.1:0", FastElections: true, InitialBuild: 1},
 		controller.ServerConfig{Listen: "127.0.0.1:0"}, slog.New(slog.DiscardHandler))
 	require.NoError(b, err)
 	b.Cleanup(func() { _ = release.Stop() })
--- a/internal/proxy/config.go
+++ b/internal/proxy/config.go
@@ -14,7 +14,7 @@
 func (p *Proxy) UpdateConfig(c *routerconfig.Config) error {
 	p.configMu.Lock()
 	defer p.configMu.Unlock()
-	if err := p.config.Changes(c); err != nil {
+	if err := p.config.CheckChange(c); err != nil {
 		return err
 	}
 	sameGossip := reflect.DeepEqual(p.config.Gossip, c.Gossip)
--- a/internal/proxy/config_test.go
+++ b/internal/proxy/config_test.go
@@ -24,7 +24,7 @@
 	text = strings.NewReplacer(change...).Replace(text)
 	s := inifile.Parse("other", text)
 	c := routerconfig.From(s)
-	require.NoError(r, s.Done())
+	require.NoError(r, s.Err())
 	return c
 }
 
@@ -159,7 +159,7 @@
 most = 9
 `))
 	routerconfig.From(s)
-	err := s.Done()
+	err := s.Err()
 	for _, what := range []string{"path = probe", "one for each of the 1 routers", "here:1", "most = 9", "f:"} {
 		require.ErrorContains(t, err, what)
 	}
--- a/internal/proxy/endpoints_test.go
+++ b/internal/proxy/endpoints_test.go
@@ -94,7 +94,7 @@
 	c := r.dial()
 	c.post("/quote", "")
 	r.eventually(func() bool { return h.requests.Load() == 1 })
-	r.router.Kill()
+	r.router.Close()
 	c.requireClosed()
 	r.discovery.SetDown(true)
 	r.start()
--- a/internal/proxy/protocols.go
+++ b/internal/proxy/protocols.go
@@ -31,8 +31,8 @@
 // Protocols open the connections to endpoint discovery and the release controllers.
 type Protocols struct {
 	// Discovery opens the watch; known are endpoints that are known before its first answer.
-	Discovery func(eds.Handler) (_ Discovery, known []eds.Host, _ error)
-	Release   func(controlclient.Handler) (ReleaseClient, error)
+	Discovery         func(eds.Handler) (_ Discovery, known []eds.Host, _ error)
+	ReleaseController func(controlclient.Handler) (ReleaseClient, error)
 	// Ready reports whether the readiness path answers 200; nil for always.
 	Ready func() bool
 }
@@ -44,7 +44,7 @@
 			w, err := eds.New(c.Discovery.Address, c.Name, c.Discovery.Resources, c.Discovery.Incremental, handler)
 			return w, nil, err
 		},
-		Release: func(handler controlclient.Handler) (ReleaseClient, error) {
+		ReleaseController: func(handler controlclient.Handler) (ReleaseClient, error) {
 			var tlsConfig *tls.Config
 			if c.ControlPlane.Certificates != (certs.Files{}) {
 				keyring, err := certs.Open(c.ControlPlane.Certificates)
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -91,12 +91,12 @@
 // Start starts a router that reaches discovery and the controllers by this project's own protocols; it listens when
 // Start returns. faults is nil but in tests.
 func Start(c *routerconfig.Config, log *slog.Logger, faults FaultInjector) (*Proxy, error) {
-	return StartBy(defaultProtocols(c), c, log, faults)
+	return StartWith(defaultProtocols(c), c, log, faults)
 }
 
-// StartBy starts a router that reaches discovery and the controllers by the protocols given; it listens when StartBy
+// StartWith starts a router that reaches discovery and the controllers by the protocols given; it listens when StartWith
 // returns. Errors name the router.
-func StartBy(protocols Protocols, c *routerconfig.Config, log *slog.Logger, faults FaultInjector) (_ *Proxy, err error) {
+func StartWith(protocols Protocols, c *routerconfig.Config, log *slog.Logger, faults FaultInjector) (_ *Proxy, err error) {
 	p := &Proxy{config: c, log: log.With("router", c.Name), loop: eventloop.New(), faults: faults, requests: map[string]*request{},
 		endpoints: map[uint32]eds.Host{}, outcomes: map[int]map[string]int{}, budget: http1.NewBudget(int64(c.MaxBodyBytes)),
 		cacheUpdates: make(chan []eds.Host, 1), cacheWriterDone: make(chan struct{}), protocol: c.Upstream.ProtocolOrDefault()}
@@ -132,7 +132,7 @@
 	}
 	go p.writeEndpointCache(c.EndpointCache)
 	p.loop.Do(p.startRouter)
-	if p.releases, err = protocols.Release(p.releaseHandler()); err != nil {
+	if p.releases, err = protocols.ReleaseController(p.releaseHandler()); err != nil {
 		return nil, err
 	}
 	p.loop.Do(p.reportOutcomes)
@@ -144,7 +144,7 @@
 
 func (p *Proxy) discoveryHandler() eds.Handler {
 	return eds.Handler{
-		Listed:   func(complete bool, hosts []eds.Host) { p.loop.Do(func() { p.endpointsChanged(complete, hosts) }) },
+		Updated:  func(complete bool, hosts []eds.Host) { p.loop.Do(func() { p.endpointsChanged(complete, hosts) }) },
 		Rejected: func(err error) { p.log.Warn("endpoint list rejected", "error", err) },
 		Failed: func(err error) {
 			p.log.Warn("endpoint discovery failed", "error", err)
--- a/internal/proxy/request.go
+++ b/internal/proxy/request.go
@@ -29,7 +29,7 @@
 // requestArrived admits a request, or rejects it where too many are open or its time is up.
 func (p *Proxy) requestArrived(d *downstream.Request) {
 	limits := &p.config.Router.Limits
-	if limits.MaxOpen > 0 && len(p.requests) >= limits.MaxOpen || d.Timeout <= 0 {
+	if limits.MaxRequestsInFlight > 0 && len(p.requests) >= limits.MaxRequestsInFlight || d.Timeout <= 0 {
 		d.Message.Drop()
 		p.counts.Rejected++
 		d.Reject(limits.MaxRetryAfter/4, "this router holds as many tasks as it may")
--- a/internal/proxy/shutdown.go
+++ b/internal/proxy/shutdown.go
@@ -9,16 +9,16 @@
 // drainPollInterval is how often Drain looks whether all requests have been responded to.
 const drainPollInterval = 10 * time.Millisecond
 
-// Bow is the first step of a graceful shutdown: the router goes on serving, but reports that it is not ready, each
+// StartDraining is the first step of a graceful shutdown: the router goes on serving, but reports that it is not ready, each
 // response closes its connection, and requests that come from now on are responded to within the time given.
-func (p *Proxy) Bow(within time.Duration) {
+func (p *Proxy) StartDraining(within time.Duration) {
 	p.loop.Do(func() { p.server.StartDraining(p.loop.Now() + eventloop.FromDuration(within)) })
 }
 
-// Drain is the second step of a graceful shutdown: it takes no new connections, rejects new requests, waits until those
+// Shutdown is the second step of a graceful shutdown: it takes no new connections, rejects new requests, waits until those
 // in flight have had their response and their clients have read it, at most for the time given or until abort is
 // closed, and closes the router. It returns how many requests were left without a response.
-func (p *Proxy) Drain(within time.Duration, abort <-chan struct{}) (left int) {
+func (p *Proxy) Shutdown(within time.Duration, abort <-chan struct{}) (left int) {
 	p.engine.CloseListeners()
 	timeout := time.After(within)
 	p.loop.Do(p.server.Close)
@@ -36,14 +36,14 @@
 		}
 	}
 	c := p.Counts()
-	p.Kill()
+	p.Close()
 	p.log.Info("closed", "cut_off", left, "received", c.Received, "succeeded", c.Succeeded, "rejected", c.Rejected,
 		"failed", c.Failed, "clients_gone", c.ClientsGone)
 	return left
 }
 
-// Kill closes the router at once and waits for its goroutines; requests in flight get no response.
-func (p *Proxy) Kill() {
+// Close closes the router at once and waits for its goroutines; requests in flight get no response.
+func (p *Proxy) Close() {
 	p.loop.Close()
 	p.engine.Stop()
 	p.discovery.Close()
--- a/internal/proxy/shutdown_test.go
+++ b/internal/proxy/shutdown_test.go
@@ -15,7 +15,7 @@
 	c.post("/quote", "")
 	r.eventually(func() bool { return h.requests.Load() == 1 })
 	done := make(chan int)
-	go func() { done <- r.router.Drain(5*time.Second, nil) }()
+	go func() { done <- r.router.Shutdown(5*time.Second, nil) }()
 	_, outcome, _ := c.response()
 	require.Equal(t, "finished", outcome)
 	c.requireClosed()
@@ -34,6 +34,6 @@
 	r.eventually(func() bool { return h.requests.Load() >= 1 })
 	cut := make(chan struct{})
 	close(cut)
-	require.Equal(t, 1, r.router.Drain(5*time.Second, cut))
+	require.Equal(t, 1, r.router.Shutdown(5*time.Second, cut))
 	r.router = nil
 }
--- a/internal/proxy/testbench_test.go
+++ b/internal/proxy/testbench_test.go
@@ -145,7 +145,7 @@
 	r.discovery, err = testbed.StartDiscovery("127.0.0.1:0", "shop", nil)
 	require.NoError(t, err)
 	t.Cleanup(r.discovery.Stop)
-	r.controller, err = controller.StartStandalone(controller.NodeConfig{Name: "c", Dir: t.TempDir(), Listen: "127.0.0.1:0", Quick: true, Build: 1,
+	r.controller, err = controller.StartStandalone(controller.NodeConfig{Name: "c", Dir: t.TempDir(), Listen: "127.0.0.1:0", FastElections: true, InitialBuild: 1,
 		Control: control.Config{Rules: release.Rules{Mode: policy.Quorum, Stages: []release.Stage{{HostShare: 1, ExposureCap: 1}}, PromoteQuorum: 1,
 			RollbackQuorum: 1, VoteTTL: 5 * policy.Second}}}, controller.ServerConfig{Listen: "127.0.0.1:0"}, slog.New(slog.DiscardHandler))
 	require.NoError(t, err)
@@ -155,11 +155,11 @@
 	}
 	s := inifile.Parse("testbench", fmt.Sprintf(configTemplate, filepath.Join(t.TempDir(), "list"), r.discovery.Address(), r.controller.URL(), ""))
 	r.config = routerconfig.From(s)
-	require.NoError(t, s.Done())
+	require.NoError(t, s.Err())
 	r.start()
 	t.Cleanup(func() {
 		if r.router != nil {
-			r.router.Kill()
+			r.router.Close()
 		}
 	})
 	return r
--- a/internal/routerconfig/change.go
+++ b/internal/routerconfig/change.go
@@ -6,11 +6,11 @@
 	"reflect"
 )
 
-// Changes checks whether a running router can apply another configuration. The error joins one for each section that
+// CheckChange checks whether a running router can apply another configuration. The error joins one for each section that
 // differs in something that a running router can't change. What may change: routers and rank, all of [rules], [peers] and
 // [probes], all of [desk] but how to reach it and vote-timeout, the register's pushed and ask-within, the promised time,
 // earnings and late share of categories, and the quotas of customers.
-func (c *Config) Changes(next *Config) error {
+func (c *Config) CheckChange(next *Config) error {
 	var errs []error
 	fixed := func(what string, a, b any) {
 		if !reflect.DeepEqual(a, b) {
--- a/internal/routerconfig/config.go
+++ b/internal/routerconfig/config.go
@@ -56,7 +56,7 @@
 func Read(file string) (*Config, error) {
 	f := inifile.Read(file)
 	c := From(f)
-	return c, f.Done()
+	return c, f.Err()
 }
 
 // From reads a router's configuration; mistakes are kept by the file.
--- a/internal/routerconfig/sections.go
+++ b/internal/routerconfig/sections.go
@@ -68,7 +68,7 @@
 	if c.MaxBodyBytes < 2*c.Downstream.Limits.Body {
 		p.AddError("held", "held: at least twice largest-body expected")
 	}
-	c.Router.Limits.MaxOpen = p.Int("open", "20000", 1, 1<<24)
+	c.Router.Limits.MaxRequestsInFlight = p.Int("open", "20000", 1, 1<<24)
 }
 
 func (c *Config) readHosts(p inifile.Section) {
@@ -95,7 +95,7 @@
 	l.AllowHedging = p.Bool("two-at-once", "on")
 	l.MaxRetryAfter = ticks(p.Duration("longest-stay", "2s"))
 	l.CrossZonePrice = p.Float("cross-price", "0.02", 0, 1)
-	l.WastePrice = p.Float("waste-price", "0.03", 0, 1)
+	l.UnusedAttemptPrice = p.Float("waste-price", "0.03", 0, 1)
 	l.OverQuotaValueShare = p.Share("over-share", "10%")
 }
 
--- a/internal/scenario/agent_fleet.go
+++ b/internal/scenario/agent_fleet.go
@@ -138,8 +138,8 @@
 
 // handleReport takes in an agent's report: endpoints to list, and builds that failed, which are rolled back.
 func (f *agentFleet) handleReport(name string, r api.AgentReport) {
-	if r.Listing != "" && r.Address != "" {
-		endpoint := testbed.Endpoint{Backend: f.host(name, r), State: endpointState(r.Listing)}
+	if r.EndpointState != "" && r.Address != "" {
+		endpoint := testbed.Endpoint{Backend: f.host(name, r), State: endpointState(r.EndpointState)}
 		f.updates <- endpointUpdate{due: time.Now().Add(f.run.params.endpointDelay), endpoint: endpoint}
 	}
 	if r.To != string(agent.Failed) {
@@ -174,7 +174,7 @@
 		machine := f.machine(agentName)
 		machine.ID = id
 		host := testbed.RemoteBackend(r.Address, machine, f.builds[r.Digest])
-		host.StartedAt = time.UnixMilli(r.UpMs)
+		host.StartedAt = time.UnixMilli(r.StartedAtMs)
 		f.hosts[id] = host
 	}
 	return f.hosts[id]
@@ -280,7 +280,7 @@
 	digest := f.digests[build]
 	order := api.Order{Digest: f.digests[status.Build], Build: status.Build, Goal: "release"}
 	if status.Build == build {
-		order = api.Order{Digest: digest, Build: build, Goal: "take-back", To: f.digests[previous], ToNum: previous}
+		order = api.Order{Digest: digest, Build: build, Goal: "take-back", ReplacementDigest: f.digests[previous], ReplacementBuild: previous}
 	} else if status.Phase != policy.Released { // a canary that a newer one has replaced
 		order = api.Order{Digest: digest, Build: build, Goal: "take-back"}
 	}
--- a/internal/scenario/certificates.go
+++ b/internal/scenario/certificates.go
@@ -41,7 +41,7 @@
 }
 
 // ring issues a certificate and reads it back, as a program does at its start.
-func (i *certificateIssuer) ring(name string) (*certs.Ring, error) {
+func (i *certificateIssuer) ring(name string) (*certs.Reloader, error) {
 	files, err := i.issue(name)
 	if err != nil {
 		return nil, err
--- a/internal/scenario/controller_instance.go
+++ b/internal/scenario/controller_instance.go
@@ -28,13 +28,13 @@
 	name := fmt.Sprintf("c%d", index+1)
 	instance := &controllerInstance{
 		nodeConfig: controller.NodeConfig{
-			Name:      name,
-			Dir:       filepath.Join(o.dir, name),
-			Listen:    "127.0.0.1:0",
-			Bootstrap: index == 0,
-			Quick:     true,
-			Build:     1,
-			Control:   control.Config{Rules: o.rules, RouterTimeout: 10 * policy.Second},
+			Name:          name,
+			Dir:           filepath.Join(o.dir, name),
+			Listen:        "127.0.0.1:0",
+			Bootstrap:     index == 0,
+			FastElections: true,
+			InitialBuild:  1,
+			Control:       control.Config{Rules: o.rules, RouterTimeout: 10 * policy.Second},
 		},
 		serverConfig: controller.ServerConfig{
 			Listen:         "127.0.0.1:0",
--- a/internal/scenario/controllers.go
+++ b/internal/scenario/controllers.go
@@ -272,7 +272,7 @@
 			return fmt.Errorf("event %s: %w", event, err)
 		}
 		g.background.Go(func() { d.retire(g.ctx, order.Build) })
-	case api.EventRelease:
+	case api.EventReleaseStatus:
 		var r api.Release
 		if err := json.Unmarshal(data, &r); err != nil {
 			return fmt.Errorf("event %s: %w", event, err)
@@ -417,7 +417,7 @@
 func (g *controllerGroup) publishPlan(p *plan.Published) {
 	g.recordPlanAcks()
 	g.call(func(ctx context.Context) error {
-		published := api.Published{Build: p.Build, Stage: p.Stage, ValidForMs: planValidFor.Milliseconds(), For: p.For}
+		published := api.Published{Build: p.Build, Stage: p.Stage, ValidForMs: planValidFor.Milliseconds(), For: p.ByZone}
 		return g.client.PublishPlan(ctx, p.Version, published)
 	})
 }
--- a/internal/scenario/report.go
+++ b/internal/scenario/report.go
@@ -100,7 +100,7 @@
 	}
 	for _, release := range r.Releases {
 		fmt.Fprintf(b, "build %d, as the controllers were told: %d finished, %d turned back, %d scrapped; %d lines of trace\n", release.Build,
-			release.Tasks["finished"], release.Tasks["turned back"], release.Tasks["scrapped"], len(release.History))
+			release.Requests["finished"], release.Requests["turned back"], release.Requests["scrapped"], len(release.History))
 	}
 	if p := r.Plans; p != nil {
 		fmt.Fprintf(b, "plans: %d versions, %.1f weights changed in each, %d weighed anew; %d words of routers that follow, %d turned down\n",
--- a/internal/scenario/routers.go
+++ b/internal/scenario/routers.go
@@ -147,7 +147,7 @@
 func (r *run) killRouter(router *routerInstance) {
 	if p := router.detach(); p != nil {
 		r.recorder.RouterStopping(router.name)
-		p.Kill()
+		p.Close()
 	}
 }
 
--- a/internal/scenario/run.go
+++ b/internal/scenario/run.go
@@ -210,7 +210,7 @@
 func (r *run) close() {
 	for _, router := range r.routers {
 		if p := router.detach(); p != nil {
-			p.Kill()
+			p.Close()
 		}
 	}
 	if r.controllers != nil {
--- a/internal/scenario/run_test.go
+++ b/internal/scenario/run_test.go
@@ -66,7 +66,7 @@
 func TestParse_ReportsAllErrorsOfAScript(t *testing.T) {
 	file := inifile.Parse("day.ini", "[day]\nlength = 2h\nhosts = 2\n[build 1]\nat = 5\n[trouble x]\nkind = rain\nat = 1s\nfor = 1s\n")
 	Parse(file)
-	err := file.Done()
+	err := file.Err()
 	for _, want := range []string{"day.ini:2: [day] length: from 1s to 1h", "day.ini:3: [day] each location needs", "day.ini:5: [build 1] at = 5",
 		"day.ini:7: [trouble x] kind = rain"} {
 		require.ErrorContains(t, err, want)
@@ -107,7 +107,7 @@
 	require.Positive(t, result.Plans.Followed)
 	finished := 0
 	for _, x := range result.Releases {
-		finished += x.Tasks["finished"]
+		finished += x.Requests["finished"]
 	}
 	require.Positive(t, finished, "routers have reported")
 	files, err := filepath.Glob(filepath.Join(spec.Records, "*.rec"))
--- a/internal/scenario/spec.go
+++ b/internal/scenario/spec.go
@@ -55,7 +55,7 @@
 func ReadFile(file string) (Spec, error) {
 	f := inifile.Read(file)
 	spec := Parse(f)
-	return spec, f.Done()
+	return spec, f.Err()
 }
 
 // Parse reads a specification; f keeps the errors.
--- a/internal/scenario/traffic_plan.go
+++ b/internal/scenario/traffic_plan.go
@@ -94,11 +94,11 @@
 
 // skewWeights gives nearly all traffic to one host of each zone.
 func skewWeights(p *plan.Published) {
-	for _, weights := range p.For {
+	for _, weights := range p.ByZone {
 		first := true
-		for host := range weights.Near {
-			if weights.Near[host] = 1; first {
-				weights.Near[host] = 1_000_000_000
+		for host := range weights.Local {
+			if weights.Local[host] = 1; first {
+				weights.Local[host] = 1_000_000_000
 			}
 			first = false
 		}
--- a/internal/sse/sse.go
+++ b/internal/sse/sse.go
@@ -28,10 +28,10 @@
 
 var errTooLarge = errors.New("an event is too large")
 
-// FollowAny reads a stream until ctx ends. When it breaks, it is opened again after a random backoff, from the last event
+// Follow reads a stream until ctx ends. When it breaks, it is opened again after a random backoff, from the last event
 // on by Last-Event-ID. Several servers may have the stream, with the same ids: where names the URL to open next. handle is
 // called for each event, failed for each error of handle or of the stream; never two calls at once.
-func FollowAny(ctx context.Context, client *http.Client, where func() string, handle func(event string, data []byte) error,
+func Follow(ctx context.Context, client *http.Client, where func() string, handle func(event string, data []byte) error,
 	failed func(error)) {
 	r := reader{client: client, handle: handle, failed: failed}
 	backoff := minBackoff
--- a/internal/testbed/host.go
+++ b/internal/testbed/host.go
@@ -400,7 +400,7 @@
 	if n := len(h.reports); n == 0 || now.Sub(h.reports[n-1].at) > 100*time.Millisecond {
 		h.reports = append(h.reports, loadReport{now, &orcav3.OrcaLoadReport{
 			RpsFractional: float64(h.served) / max(1, now.Sub(h.createdAt).Seconds()),
-			NamedMetrics:  map[string]float64{orca.Active: float64(h.active), orca.Service: float64(h.service.Milliseconds())}}})
+			NamedMetrics:  map[string]float64{orca.MetricActive: float64(h.active), orca.MetricService: float64(h.service.Milliseconds())}}})
 		if len(h.reports) > 64 {
 			h.reports = h.reports[1:]
 		}
@@ -415,8 +415,8 @@
 	text := ""
 	switch h.ID % 3 {
 	case 0:
-		text = fmt.Sprintf("TEXT rps_fractional=%g,named_metrics.%s=%g,named_metrics.%s=%g", r.RpsFractional, orca.Active,
-			r.NamedMetrics[orca.Active], orca.Service, r.NamedMetrics[orca.Service])
+		text = fmt.Sprintf("TEXT rps_fractional=%g,named_metrics.%s=%g,named_metrics.%s=%g", r.RpsFractional, orca.MetricActive,
+			r.NamedMetrics[orca.MetricActive], orca.MetricService, r.NamedMetrics[orca.MetricService])
 	case 1:
 		raw, _ := protojson.MarshalOptions{Multiline: false}.Marshal(r.OrcaLoadReport)
 		text = "JSON " + string(raw)
--- a/internal/testbed/register.go
+++ b/internal/testbed/register.go
@@ -104,8 +104,8 @@
 	defer r.mu.Unlock()
 	r.version++
 	r.weights = map[string]uint64{}
-	for _, w := range p.For {
-		for name, n := range w.Near {
+	for _, w := range p.ByZone {
+		for name, n := range w.Local {
 			r.weights[name] = n
 		}
 	}
--- a/internal/testbed/stand_test.go
+++ b/internal/testbed/stand_test.go
@@ -26,7 +26,7 @@
 	f := &watcher{hosts: map[uint32]policy.EndpointState{}}
 	var err error
 	f.Watch, err = eds.New(r.Address(), "r1", r.Resources([]string{"here", "there"}), changes, eds.Handler{
-		Listed: func(whole bool, hosts []eds.Host) {
+		Updated: func(whole bool, hosts []eds.Host) {
 			f.mu.Lock()
 			defer f.mu.Unlock()
 			if whole {
--- a/plan/carry.go
+++ b/plan/carry.go
@@ -11,14 +11,14 @@
 func (p *Publisher) carry(s *Step) (map[string]Weights, evaluation, error) {
 	carried := map[string]Weights{}
 	for _, d := range s.demands {
-		w, ok := p.current.For[d.zone]
+		w, ok := p.current.ByZone[d.zone]
 		if !ok {
 			return nil, evaluation{}, fmt.Errorf("%s was asked for nothing before", d.zone)
 		}
-		n := Weights{Cross: w.Cross, Copies: w.Copies}
-		n.Near = s.carryWeights(w.Near, func(p pool) bool { return p.zone == d.zone })
-		if w.Far != nil {
-			n.Far = s.carryWeights(w.Far, func(p pool) bool { return p.zone != d.zone })
+		n := Weights{CrossZoneShare: w.CrossZoneShare, ShadowShare: w.ShadowShare}
+		n.Local = s.carryWeights(w.Local, func(p pool) bool { return p.zone == d.zone })
+		if w.Remote != nil {
+			n.Remote = s.carryWeights(w.Remote, func(p pool) bool { return p.zone != d.zone })
 		}
 		carried[d.zone] = n
 	}
@@ -153,7 +153,7 @@
 func (s *Step) setShadowShares(m *Model, stage, canary int, weights map[string]Weights) {
 	if canary == 0 {
 		for zone, w := range weights {
-			w.Copies = 0
+			w.ShadowShare = 0
 			weights[zone] = w
 		}
 		return
@@ -162,9 +162,9 @@
 	last := maps.Clone(weights)
 	for g, d := range s.demands {
 		w := last[d.zone]
-		w.Copies = 0
+		w.ShadowShare = 0
 		if t := s.Shadows[g]; d.rate > 0 {
-			w.Copies = uint64(t.PlannedRate * micro / float64(d.rate) * micro)
+			w.ShadowShare = uint64(t.PlannedRate * micro / float64(d.rate) * micro)
 		}
 		weights[d.zone] = w
 	}
--- a/plan/evaluate.go
+++ b/plan/evaluate.go
@@ -60,9 +60,9 @@
 // addDemand checks the weights of a zone and extends the denominator by their sums.
 func (e *evaluator) addDemand(g int, d zoneDemand) {
 	w := e.weights[d.zone]
-	e.sums[g] = weightSums{near: e.sum(d, w.Near), far: e.sum(d, w.Far)}
+	e.sums[g] = weightSums{near: e.sum(d, w.Local), far: e.sum(d, w.Remote)}
 	sums := e.sums[g]
-	if sums.near == 0 && w.Cross < nano || sums.far == 0 && w.Cross > 0 {
+	if sums.near == 0 && w.CrossZoneShare < nano || sums.far == 0 && w.CrossZoneShare > 0 {
 		if e.served(g).Sign() > 0 {
 			e.fail("no host has a weight for tasks taken in %s", d.zone)
 		}
@@ -73,12 +73,12 @@
 			e.denominator = new(big.Int).Mul(e.denominator, new(big.Int).SetUint64(n))
 		}
 	}
-	crossZone := big.NewRat(int64(w.Cross), nano)
+	crossZone := big.NewRat(int64(w.CrossZoneShare), nano)
 	crossZone.Mul(crossZone, e.served(g))
 	if limit := e.step.limits.MaxCrossZone; limit < 1 && crossZone.Cmp(big.NewRat(toMicros(limit), micro)) > 0 {
-		e.fail("%.4g%% of the tasks of %s cross", float64(w.Cross)/nano*100, d.zone)
+		e.fail("%.4g%% of the tasks of %s cross", float64(w.CrossZoneShare)/nano*100, d.zone)
 	}
-	e.result.crossZoneRate += float64(w.Cross) / nano * float64(d.rate) / micro
+	e.result.crossZoneRate += float64(w.CrossZoneShare) / nano * float64(d.rate) / micro
 }
 
 // sum adds up weights and checks that their hosts can get requests.
@@ -104,8 +104,8 @@
 // addLoads adds what both tables of a zone bring to hosts.
 func (e *evaluator) addLoads(g int, d zoneDemand) {
 	w := e.weights[d.zone]
-	e.addLoad(g, d, w.Near, e.sums[g].near, nano-min(nano, w.Cross))
-	e.addLoad(g, d, w.Far, e.sums[g].far, w.Cross)
+	e.addLoad(g, d, w.Local, e.sums[g].near, nano-min(nano, w.CrossZoneShare))
+	e.addLoad(g, d, w.Remote, e.sums[g].far, w.CrossZoneShare)
 }
 
 // addLoad adds what a table brings that gets a part of a zone's requests, in billionths.
--- a/plan/follower.go
+++ b/plan/follower.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// Offered is a version of weights as a router receives it.
-type Offered struct {
+// Offer is a version of weights as a router receives it.
+type Offer struct {
 	Version        uint64
 	Build          int           // the canary build that it was made for; 0 for none
 	ShadowShare    float64       // shadow requests to that build, as a share of the requests
@@ -22,20 +22,20 @@
 	Weight float64
 }
 
-// Known is what the router knows of a host.
-type Known struct {
-	Near  bool    // it is in the router's zone
-	Size  float64 // its weight in endpoint discovery; 0 for unknown
-	Age   time.Duration
-	Trial bool // it runs the canary build
+// KnownHost is what the router knows of a host.
+type KnownHost struct {
+	IsLocal  bool    // it is in the router's zone
+	Weight   float64 // its weight in endpoint discovery; 0 for unknown
+	Age      time.Duration
+	IsCanary bool // it runs the canary build
 }
 
 // Fleet is what a router knows when it receives a version.
 type Fleet struct {
-	Hosts map[uint32]Known
-	Build int           // the canary build; 0 for none
-	Cap   float64       // of the shadow requests to it, as a share of the requests
-	Cold  time.Duration // of slow start
+	Hosts       map[uint32]KnownHost
+	CanaryBuild int           // the canary build; 0 for none
+	ShadowCap   float64       // of the shadow requests to it, as a share of the requests
+	SlowStart   time.Duration // of slow start
 }
 
 // Follower accepts or rejects versions of weights for a router. The last accepted version stays in force when a later one
@@ -47,7 +47,7 @@
 
 // Offer accepts a version or returns the reason why it is rejected, which the controller is told: it is not newer, has
 // expired, is malformed, would break the cap of the canary build, favors hosts in slow start, or is about other hosts.
-func (f *Follower) Offer(o Offered, fleet Fleet) error {
+func (f *Follower) Offer(o Offer, fleet Fleet) error {
 	if err := f.checkVersion(o, fleet); err != nil {
 		return err
 	}
@@ -79,7 +79,7 @@
 )
 
 // checkVersion checks all of a version but its weights.
-func (f *Follower) checkVersion(o Offered, fleet Fleet) error {
+func (f *Follower) checkVersion(o Offer, fleet Fleet) error {
 	switch {
 	case o.Version == f.last:
 		return fmt.Errorf("version %d is in force already", o.Version)
@@ -89,9 +89,9 @@
 		return fmt.Errorf("version %d is out of date", o.Version)
 	case !(o.CrossZoneShare >= 0 && o.CrossZoneShare <= 1) || !(o.ShadowShare >= 0 && o.ShadowShare <= 1):
 		return fmt.Errorf("version %d: shares from 0 to 1 expected, not %g and %g", o.Version, o.CrossZoneShare, o.ShadowShare)
-	case o.Build != 0 && o.Build == fleet.Build && o.ShadowShare > fleet.Cap+tolerance:
+	case o.Build != 0 && o.Build == fleet.CanaryBuild && o.ShadowShare > fleet.ShadowCap+tolerance:
 		return fmt.Errorf("version %d would break the cap: %.3g%% of the tasks to build %d, %.3g%% are allowed", o.Version,
-			100*o.ShadowShare, o.Build, 100*fleet.Cap)
+			100*o.ShadowShare, o.Build, 100*fleet.ShadowCap)
 	}
 	return nil
 }
@@ -106,7 +106,7 @@
 	switch {
 	case !known:
 		return false, nil
-	case host.Trial && w.Weight > 0:
+	case host.IsCanary && w.Weight > 0:
 		return true, fmt.Errorf("version %d gives tasks to host %d, which runs a build on trial", version, w.Host)
 	case isLocal && f.favors(host, w, largestWarmedUp):
 		return true, fmt.Errorf("version %d weighs host %d, which has just started, more than warm ones of its size", version, w.Host)
@@ -115,16 +115,16 @@
 }
 
 // largestWarmedUp returns the largest weight, relative to its size, of a local host that has warmed up; 0 for none.
-func largestWarmedUp(o Offered, fleet Fleet) (largest float64) {
+func largestWarmedUp(o Offer, fleet Fleet) (largest float64) {
 	for _, w := range o.LocalWeights {
-		if host, ok := fleet.Hosts[w.Host]; ok && host.Age >= fleet.Cold && host.Size > 0 {
-			largest = max(largest, w.Weight/host.Size)
+		if host, ok := fleet.Hosts[w.Host]; ok && host.Age >= fleet.SlowStart && host.Weight > 0 {
+			largest = max(largest, w.Weight/host.Weight)
 		}
 	}
 	return largest
 }
 
 // favors reports whether a host in slow start has more weight, relative to its size, than any that has warmed up.
-func (f Fleet) favors(host Known, w HostWeight, largestWarmedUp float64) bool {
-	return host.Age < f.Cold && largestWarmedUp > 0 && host.Size > 0 && w.Weight/host.Size > largestWarmedUp*(1+tolerance)
+func (f Fleet) favors(host KnownHost, w HostWeight, largestWarmedUp float64) bool {
+	return host.Age < f.SlowStart && largestWarmedUp > 0 && host.Weight > 0 && w.Weight/host.Weight > largestWarmedUp*(1+tolerance)
 }
--- a/plan/plan_test.go
+++ b/plan/plan_test.go
@@ -137,8 +137,8 @@
 	require.InDelta(t, 1.0, one, 0)
 	w, err := s.Weights()
 	require.NoError(t, err)
-	require.Equal(t, uint64(50_000), w["north"].Copies)
-	require.NotContains(t, w["north"].Near, "north-0", "originals stay with the earlier build")
+	require.Equal(t, uint64(50_000), w["north"].ShadowShare)
+	require.NotContains(t, w["north"].Local, "north-0", "originals stay with the earlier build")
 }
 
 func TestACanaryHostInSlowStartGetsFewerShadowRequests(t *testing.T) {
@@ -174,7 +174,7 @@
 	require.InDelta(t, 1000, a/b, 1e-6)
 	w, err := s.Weights()
 	require.NoError(t, err)
-	require.Equal(t, uint64(1000), w["north"].Near["north-0"]/w["north"].Near["south-0"])
+	require.Equal(t, uint64(1000), w["north"].Local["north-0"]/w["north"].Local["south-0"])
 }
 
 func TestTiesAreBrokenTheSameWayInAnyOrderOfHosts(t *testing.T) {
--- a/plan/publisher.go
+++ b/plan/publisher.go
@@ -47,12 +47,12 @@
 	if p.current != nil {
 		s := m.newStep(f, hostCapacities(hosts, m.Limits, f.At, canary))
 		if weights, ok := p.carryOver(now, s); ok {
-			changed := Changed(p.current.For, weights)
+			changed := Changed(p.current.ByZone, weights)
 			if changed == 0 && !p.isDue(now, next) {
 				return Update{}, nil
 			}
 			s.setShadowShares(m, stage, canary, weights)
-			next.For = weights
+			next.ByZone = weights
 			return p.publish(now, next, Update{Changed: changed, Reason: "hosts came, left or warmed"}), nil
 		}
 	}
@@ -101,13 +101,13 @@
 	}
 	changed := len(weights)
 	if p.current != nil {
-		changed = Changed(p.current.For, weights)
+		changed = Changed(p.current.ByZone, weights)
 	}
 	p.outside = false
 	if p.current != nil && changed == 0 && s.Infeasible == nil && p.current.Until-now >= p.ValidFor/2 {
 		return Update{}, nil
 	}
-	next.For = weights
+	next.ByZone = weights
 	return p.publish(now, next, Update{Changed: changed, Recomputed: true, Reason: "weighed anew", Infeasible: s.Infeasible}), nil
 }
 
@@ -131,11 +131,11 @@
 		present[h.Name] = true
 	}
 	shares := Shares{}
-	for zone, w := range p.current.For {
-		crossZone := float64(w.Cross) / nano
+	for zone, w := range p.current.ByZone {
+		crossZone := float64(w.CrossZoneShare) / nano
 		shares[zone] = map[string]float64{}
-		addShares(shares[zone], w.Near, present, 1-crossZone)
-		addShares(shares[zone], w.Far, present, crossZone)
+		addShares(shares[zone], w.Local, present, 1-crossZone)
+		addShares(shares[zone], w.Remote, present, crossZone)
 	}
 	return shares
 }
--- a/plan/publisher_test.go
+++ b/plan/publisher_test.go
@@ -36,13 +36,13 @@
 	o, err = k.Update(3*time.Second, &back)
 	require.NoError(t, err)
 	require.Equal(t, 1, o.Changed)
-	require.Less(t, o.Published.For["north"].Near["north-0"], uint64(330_001))
+	require.Less(t, o.Published.ByZone["north"].Local["north-0"], uint64(330_001))
 	warm := back
 	warm.Forecast = []Forecast{{At: 9 * time.Second, Demand: m.Forecast[0].Demand}}
 	o, err = k.Update(9*time.Second, &warm)
 	require.NoError(t, err)
 	require.Equal(t, 1, o.Changed)
-	require.Equal(t, uint64(1_000_000), o.Published.For["north"].Near["north-0"])
+	require.Equal(t, uint64(1_000_000), o.Published.ByZone["north"].Local["north-0"])
 }
 
 func TestPublisherRecomputesAtOnceWhenALossBreaksALimit(t *testing.T) {
@@ -55,7 +55,7 @@
 	o, err := k.Update(time.Second, &gone)
 	require.NoError(t, err)
 	require.True(t, o.Recomputed)
-	require.Equal(t, uint64(200_000_000), o.Published.For["north"].Cross)
+	require.Equal(t, uint64(200_000_000), o.Published.ByZone["north"].CrossZoneShare)
 }
 
 func TestPublisherHoldsBackASmallImprovement(t *testing.T) {
@@ -63,7 +63,7 @@
 	k := newPublisher()
 	_, err := k.Update(0, m)
 	require.NoError(t, err)
-	cross := k.Last().For["north"].Cross
+	cross := k.Last().ByZone["north"].CrossZoneShare
 	require.Equal(t, uint64(200_000_000), cross)
 	more := *m // enough hosts now; crossing goes on for a while, lest it flutter
 	more.Hosts = append(append([]Host{}, m.Hosts...), Host{Name: "more", Zone: "north", Build: 1, Weight: 4, StartsAt: -week})
@@ -79,10 +79,10 @@
 			versions++
 		}
 		if s < 8 {
-			require.Equal(t, cross, k.Last().For["north"].Cross, "second %d", s)
+			require.Equal(t, cross, k.Last().ByZone["north"].CrossZoneShare, "second %d", s)
 		}
 	}
-	require.Zero(t, k.Last().For["north"].Cross, "it has been better for long enough")
+	require.Zero(t, k.Last().ByZone["north"].CrossZoneShare, "it has been better for long enough")
 	require.LessOrEqual(t, versions, 9, "one for each coming and going, one for the better plan")
 }
 
--- a/plan/weights.go
+++ b/plan/weights.go
@@ -10,10 +10,10 @@
 // Weights are what the routers of one zone follow: integers in the same unit for all hosts, so that a host that comes or
 // goes changes no other's.
 type Weights struct {
-	Near   map[string]uint64 `json:"near"`             // hosts of the zone, in millionths of a second of work a second
-	Far    map[string]uint64 `json:"far,omitempty"`    // hosts of other zones
-	Cross  uint64            `json:"cross,omitempty"`  // share of the requests that go to other zones, in billionths
-	Copies uint64            `json:"copies,omitempty"` // planned shadow requests, in millionths of the requests
+	Local          map[string]uint64 `json:"near"`             // hosts of the zone, in millionths of a second of work a second
+	Remote         map[string]uint64 `json:"far,omitempty"`    // hosts of other zones
+	CrossZoneShare uint64            `json:"cross,omitempty"`  // share of the requests that go to other zones, in billionths
+	ShadowShare    uint64            `json:"copies,omitempty"` // planned shadow requests, in millionths of the requests
 }
 
 // nano is the precision of Weights.Cross, at which rounding adds far less than any host may get.
@@ -24,7 +24,7 @@
 	Version uint64             `json:"version"`
 	Stage   int                `json:"stage"` // of the release
 	Build   int                `json:"build"` // the canary build; 0 for none
-	For     map[string]Weights `json:"for"`   // by zone
+	ByZone  map[string]Weights `json:"for"`   // by zone
 	Until   time.Duration      `json:"-"`     // when it expires, on the publisher's clock
 }
 
@@ -40,8 +40,8 @@
 }
 
 func (s *Step) zoneWeights(g int, d zoneDemand) Weights {
-	w := Weights{Near: map[string]uint64{}}
-	s.weighPools(g, w.Near, func(p pool) bool { return p.zone == d.zone })
+	w := Weights{Local: map[string]uint64{}}
+	s.weighPools(g, w.Local, func(p pool) bool { return p.zone == d.zone })
 	crossZone := new(big.Rat)
 	for p, x := range s.pools {
 		if x.zone != d.zone {
@@ -49,14 +49,14 @@
 		}
 	}
 	if crossZone.Sign() > 0 {
-		w.Far = map[string]uint64{}
-		s.weighPools(g, w.Far, func(p pool) bool { return p.zone != d.zone })
+		w.Remote = map[string]uint64{}
+		s.weighPools(g, w.Remote, func(p pool) bool { return p.zone != d.zone })
 		served := new(big.Rat).Sub(big.NewRat(1, 1), s.shed[g])
-		w.Cross = scaleDown(crossZone.Quo(crossZone, served), nano)
+		w.CrossZoneShare = scaleDown(crossZone.Quo(crossZone, served), nano)
 	}
 	for _, t := range s.Shadows {
 		if t.Zone == d.zone {
-			w.Copies = scaleDown(new(big.Rat).Quo(t.rate, big.NewRat(d.rate, 1)), micro)
+			w.ShadowShare = scaleDown(new(big.Rat).Quo(t.rate, big.NewRat(d.rate, 1)), micro)
 		}
 	}
 	return w
@@ -107,8 +107,8 @@
 		zones[zone] = true
 	}
 	for _, zone := range slices.Sorted(maps.Keys(zones)) {
-		n += changedWeights(a[zone].Near, b[zone].Near) + changedWeights(a[zone].Far, b[zone].Far)
-		if a[zone].Cross != b[zone].Cross {
+		n += changedWeights(a[zone].Local, b[zone].Local) + changedWeights(a[zone].Remote, b[zone].Remote)
+		if a[zone].CrossZoneShare != b[zone].CrossZoneShare {
 			n++
 		}
 	}
--- a/policy/balancing.go
+++ b/policy/balancing.go
@@ -30,9 +30,9 @@
 
 // WeightPlan is a plan of weights that was worked out ahead. It is a hint: what the router observes goes before it.
 type WeightPlan struct {
-	Weights map[*Host]float64 // within a locality, in one unit
-	Cross   float64           // share of the requests that start in another zone
-	Until   Time              // it is not followed from then on
+	Weights        map[*Host]float64 // within a locality, in one unit
+	CrossZoneShare float64           // share of the requests that start in another zone
+	Until          Time              // it is not followed from then on
 }
 
 // PlanOffered replaces the plan. Hosts that it doesn't name have no weight.
@@ -283,7 +283,7 @@
 // planCrosses draws whether a request starts in another zone, while a plan is active.
 func (r *Router) planCrosses() bool {
 	plan := &r.balancer.plan
-	return plan.isActive(r.now) && plan.Cross > 0 && float64(r.random.intN(drawGrain)) < plan.Cross*drawGrain
+	return plan.isActive(r.now) && plan.CrossZoneShare > 0 && float64(r.random.intN(drawGrain)) < plan.CrossZoneShare*drawGrain
 }
 
 // recentlyConnected are the hosts to which a connection was up after a moment. The slice holds until the next call.
--- a/policy/config.go
+++ b/policy/config.go
@@ -20,14 +20,14 @@
 	ColdOverloadWindow  Time    // over which that is counted
 	PollInterval        Time    // of the endpoint list
 	MaxAttempts         int     // of one request
-	MaxOpen             int     // requests in flight at the router; 0 for no limit
+	MaxRequestsInFlight int     // requests in flight at the router; 0 for no limit
 	AllowHedging        bool    // two attempts of a request may be in flight at once
 	MaxRetryAfter       Time    // longest Retry-After of a rejection; 0 for none
 	PushedDiscovery     bool    // endpoint updates come without a poll
 	MaxGossipBytes      int     // of a message to another router; 0 where there is no gossip
 	HealthChecks        bool    // hosts may be probed
 	CrossZonePrice      float64 // of a request served in another zone, in units of a request's value
-	WastePrice          float64 // of an attempt whose response is not used
+	UnusedAttemptPrice  float64 // of an attempt whose response is not used
 	OverQuotaValueShare float64 // share of its value that a request beyond its tenant's quota keeps
 }
 
--- a/record/helpers_test.go
+++ b/record/helpers_test.go
@@ -67,7 +67,7 @@
 	}
 	handle(router.EndpointsChanged{Complete: true, Hosts: hosts})
 	handle(router.ReleaseChanged{Status: policy.ReleaseStatus{Build: 2, Phase: policy.Canary, ExposureCap: .05}})
-	handle(router.PlanOffered{Offer: plan.Offered{Version: 1, ValidFor: time.Minute, LocalWeights: []plan.HostWeight{{Host: 1, Weight: 2}, {Host: 3, Weight: 1}}, RemoteWeights: []plan.HostWeight{{Host: 2, Weight: 1}}, CrossZoneShare: .1}})
+	handle(router.PlanOffered{Offer: plan.Offer{Version: 1, ValidFor: time.Minute, LocalWeights: []plan.HostWeight{{Host: 1, Weight: 2}, {Host: 3, Weight: 1}}, RemoteWeights: []plan.HostWeight{{Host: 2, Weight: 1}}, CrossZoneShare: .1}})
 	for i := range requests {
 		now += policy.Time(random.IntN(200)) // at times several events at one moment
 		slices.SortStableFunc(pending, func(a, b pendingEvent) int { return int(a.at - b.at) })
--- a/record/stored_config.go
+++ b/record/stored_config.go
@@ -161,8 +161,8 @@
 func toStoredLimits(l policy.Limits) storedLimits {
 	return storedLimits{
 		DrainGrace: l.DrainGrace, WarmUp: l.WarmUp, ColdCapacity: l.ColdCapacity, ColdOverloadFactor: l.ColdOverloadFactor, ColdOverloadWindow: l.ColdOverloadWindow, PollInterval: l.PollInterval,
-		MaxAttempts: l.MaxAttempts, MaxOpen: l.MaxOpen, AllowHedging: l.AllowHedging, MaxRetryAfter: l.MaxRetryAfter,
-		PushedDiscovery: l.PushedDiscovery, MaxGossipBytes: l.MaxGossipBytes, HealthChecks: l.HealthChecks, CrossZonePrice: l.CrossZonePrice, WastePrice: l.WastePrice,
+		MaxAttempts: l.MaxAttempts, MaxOpen: l.MaxRequestsInFlight, AllowHedging: l.AllowHedging, MaxRetryAfter: l.MaxRetryAfter,
+		PushedDiscovery: l.PushedDiscovery, MaxGossipBytes: l.MaxGossipBytes, HealthChecks: l.HealthChecks, CrossZonePrice: l.CrossZonePrice, WastePrice: l.UnusedAttemptPrice,
 		OverQuotaValueShare: l.OverQuotaValueShare,
 	}
 }
@@ -170,8 +170,8 @@
 func (s storedLimits) limits() policy.Limits {
 	return policy.Limits{
 		DrainGrace: s.DrainGrace, WarmUp: s.WarmUp, ColdCapacity: s.ColdCapacity, ColdOverloadFactor: s.ColdOverloadFactor, ColdOverloadWindow: s.ColdOverloadWindow, PollInterval: s.PollInterval,
-		MaxAttempts: s.MaxAttempts, MaxOpen: s.MaxOpen, AllowHedging: s.AllowHedging, MaxRetryAfter: s.MaxRetryAfter,
-		PushedDiscovery: s.PushedDiscovery, MaxGossipBytes: s.MaxGossipBytes, HealthChecks: s.HealthChecks, CrossZonePrice: s.CrossZonePrice, WastePrice: s.WastePrice,
+		MaxAttempts: s.MaxAttempts, MaxRequestsInFlight: s.MaxOpen, AllowHedging: s.AllowHedging, MaxRetryAfter: s.MaxRetryAfter,
+		PushedDiscovery: s.PushedDiscovery, MaxGossipBytes: s.MaxGossipBytes, HealthChecks: s.HealthChecks, CrossZonePrice: s.CrossZonePrice, UnusedAttemptPrice: s.WastePrice,
 		OverQuotaValueShare: s.OverQuotaValueShare,
 	}
 }
--- a/router/events.go
+++ b/router/events.go
@@ -88,7 +88,7 @@
 type ConfigChanged struct{ Config Config }
 
 // PlanOffered is a version of a weight plan. An AcknowledgePlan action tells whether it is followed.
-type PlanOffered struct{ Offer plan.Offered }
+type PlanOffered struct{ Offer plan.Offer }
 
 func (RequestArrived) event()       {}
 func (AttemptEnded) event()         {}
--- a/router/plan.go
+++ b/router/plan.go
@@ -11,7 +11,7 @@
 const policyTick = 100 * time.Microsecond
 
 // planOffered follows a version of a weight plan or rejects it, and acknowledges it.
-func (r *Router) planOffered(now policy.Time, offer plan.Offered) {
+func (r *Router) planOffered(now policy.Time, offer plan.Offer) {
 	ack := Action{Kind: AcknowledgePlan, PlanVersion: offer.Version}
 	if err := r.planFollower.Offer(offer, r.planFleet(now)); err != nil {
 		ack.Text = err.Error()
@@ -25,9 +25,9 @@
 // planFleet is what a plan is checked against: the known hosts, and the canary build with its exposure cap.
 func (r *Router) planFleet(now policy.Time) plan.Fleet {
 	warmUp := r.config.Limits.WarmUp
-	fleet := plan.Fleet{Hosts: make(map[uint32]plan.Known, len(r.hosts)), Cold: time.Duration(warmUp) * policyTick}
+	fleet := plan.Fleet{Hosts: make(map[uint32]plan.KnownHost, len(r.hosts)), SlowStart: time.Duration(warmUp) * policyTick}
 	if r.releaseStatus.Phase == policy.Canary {
-		fleet.Build, fleet.Cap = r.releaseStatus.Build, r.releaseStatus.ExposureCap
+		fleet.CanaryBuild, fleet.ShadowCap = r.releaseStatus.Build, r.releaseStatus.ExposureCap
 	}
 	local := r.zone(r.config.Zone)
 	for id, h := range r.hosts {
@@ -36,8 +36,8 @@
 		if p.StartedAt == 0 {
 			age = warmUp // started long ago
 		}
-		fleet.Hosts[id] = plan.Known{Near: p.Zone == local, Size: p.Weight, Age: time.Duration(max(0, age)) * policyTick,
-			Trial: fleet.Build != 0 && p.Build == fleet.Build}
+		fleet.Hosts[id] = plan.KnownHost{IsLocal: p.Zone == local, Weight: p.Weight, Age: time.Duration(max(0, age)) * policyTick,
+			IsCanary: fleet.CanaryBuild != 0 && p.Build == fleet.CanaryBuild}
 	}
 	return fleet
 }
@@ -45,7 +45,7 @@
 // weightPlan is the plan in force, for the hosts that are known.
 func (r *Router) weightPlan() policy.WeightPlan {
 	w := policy.WeightPlan{Weights: make(map[*policy.Host]float64, len(r.plan.LocalWeights)+len(r.plan.RemoteWeights)),
-		Cross: r.plan.CrossZoneShare, Until: r.planValidUntil}
+		CrossZoneShare: r.plan.CrossZoneShare, Until: r.planValidUntil}
 	for _, weights := range [][]plan.HostWeight{r.plan.LocalWeights, r.plan.RemoteWeights} {
 		for _, hw := range weights {
 			if h := r.hosts[hw.Host]; h != nil {
--- a/router/plan_test.go
+++ b/router/plan_test.go
@@ -33,7 +33,7 @@
 }
 
 // offerPlan offers a version of a plan and returns the reason for which it was rejected, if it was.
-func offerPlan(t *testing.T, r *router.Router, now policy.Time, offer plan.Offered) string {
+func offerPlan(t *testing.T, r *router.Router, now policy.Time, offer plan.Offer) string {
 	t.Helper()
 	actions, err := r.Handle(now, router.PlanOffered{Offer: offer}, nil)
 	require.NoError(t, err)
@@ -62,7 +62,7 @@
 	require.InDelta(t, 250, even[1], 60)
 	require.Zero(t, even[5], "nothing crosses zones without need")
 
-	require.Empty(t, offerPlan(t, r, now, plan.Offered{Version: 1, ValidFor: 30 * time.Second, CrossZoneShare: .2, LocalWeights: []plan.HostWeight{{Host: 1, Weight: 5}, {Host: 2, Weight: 5}},
+	require.Empty(t, offerPlan(t, r, now, plan.Offer{Version: 1, ValidFor: 30 * time.Second, CrossZoneShare: .2, LocalWeights: []plan.HostWeight{{Host: 1, Weight: 5}, {Host: 2, Weight: 5}},
 		RemoteWeights: []plan.HostWeight{{Host: 5, Weight: 1}}}))
 	planned := countAttempts(t, r, 1000, &now, 1000)
 	require.Greater(t, planned[1]+planned[2], planned[3]+planned[4]+200, "the first of two choices goes by the plan")
@@ -71,8 +71,8 @@
 	drained := host(1, "north")
 	drained.State = policy.Draining
 	handle(router.EndpointsChanged{Hosts: []router.Host{drained}})
-	require.Contains(t, offerPlan(t, r, now, plan.Offered{Version: 1, ValidFor: time.Minute}), "in force already")
-	require.Empty(t, offerPlan(t, r, now, plan.Offered{Version: 2, ValidFor: 4 * time.Second, LocalWeights: []plan.HostWeight{{Host: 1, Weight: 9}, {Host: 2, Weight: 1}, {Host: 77, Weight: 1}}}),
+	require.Contains(t, offerPlan(t, r, now, plan.Offer{Version: 1, ValidFor: time.Minute}), "in force already")
+	require.Empty(t, offerPlan(t, r, now, plan.Offer{Version: 2, ValidFor: 4 * time.Second, LocalWeights: []plan.HostWeight{{Host: 1, Weight: 9}, {Host: 2, Weight: 1}, {Host: 77, Weight: 1}}}),
 		"made before the drain was known")
 	after := countAttempts(t, r, 2000, &now, 1000)
 	require.Zero(t, after[1], "a draining host gets nothing, whatever the plan says")
@@ -86,5 +86,5 @@
 	require.Zero(t, past[5])
 
 	handle(router.ReleaseChanged{Status: policy.ReleaseStatus{Build: 2, Phase: policy.Canary, ExposureCap: .05}})
-	require.Contains(t, offerPlan(t, r, now, plan.Offered{Version: 3, Build: 2, ShadowShare: .2, ValidFor: time.Second, LocalWeights: []plan.HostWeight{{Host: 2, Weight: 1}}}), "would break the cap")
+	require.Contains(t, offerPlan(t, r, now, plan.Offer{Version: 3, Build: 2, ShadowShare: .2, ValidFor: time.Second, LocalWeights: []plan.HostWeight{{Host: 2, Weight: 1}}}), "would break the cap")
 }
--- a/router/router.go
+++ b/router/router.go
@@ -36,7 +36,7 @@
 	lastTimer int64
 
 	planFollower   plan.Follower
-	plan           plan.Offered
+	plan           plan.Offer
 	planValidUntil policy.Time
 }
 
