--- a/cmd/dapplefront/release.go
+++ b/cmd/dapplefront/release.go
@@ -91,6 +91,20 @@
 	return &http.Client{Transport: &http.Transport{TLSClientConfig: ring.Client()}}, nil
 }
 
+// buildAction is what a release command does whose first argument is a build.
+type buildAction func(ctx context.Context, c *cobra.Command, controllers *client.Client, build int, args []string) error
+
+// runForBuild reads the build and does an action within the timeout.
+func (o *releaseOptions) runForBuild(do buildAction) func(*cobra.Command, []string) error {
+	return o.run(func(ctx context.Context, c *cobra.Command, controllers *client.Client, args []string) error {
+		build, err := parseBuild(args[0])
+		if err != nil {
+			return err
+		}
+		return do(ctx, c, controllers, build, args[1:])
+	})
+}
+
 func parseBuild(text string) (int, error) {
 	n, err := strconv.Atoi(text)
 	if err != nil || n < 1 {
@@ -103,11 +117,7 @@
 	var key, note, digest string
 	var labels, steps []string
 	c := &cobra.Command{Use: "create BUILD", Short: "Ask for a release", Args: cobra.ExactArgs(1)}
-	c.RunE = o.run(func(ctx context.Context, c *cobra.Command, controllers *client.Client, args []string) error {
-		build, err := parseBuild(args[0])
-		if err != nil {
-			return err
-		}
+	c.RunE = o.runForBuild(func(ctx context.Context, c *cobra.Command, controllers *client.Client, build int, _ []string) error {
 		request := api.CreateRelease{Build: build, Digest: digest, Note: note, Labels: map[string]string{}}
 		for _, text := range labels {
 			name, value, ok := strings.Cut(text, "=")
@@ -152,11 +162,7 @@
 		Use:   "get BUILD",
 		Short: "Show a release with its steps and its history",
 		Args:  cobra.ExactArgs(1),
-		RunE: o.run(func(ctx context.Context, c *cobra.Command, controllers *client.Client, args []string) error {
-			build, err := parseBuild(args[0])
-			if err != nil {
-				return err
-			}
+		RunE: o.runForBuild(func(ctx context.Context, c *cobra.Command, controllers *client.Client, build int, _ []string) error {
 			r, err := controllers.Get(ctx, build, true)
 			if err != nil {
 				return err
@@ -191,11 +197,7 @@
 		Use:   "withdraw BUILD",
 		Short: "Roll a build back",
 		Args:  cobra.ExactArgs(1),
-		RunE: o.run(func(ctx context.Context, c *cobra.Command, controllers *client.Client, args []string) error {
-			build, err := parseBuild(args[0])
-			if err != nil {
-				return err
-			}
+		RunE: o.runForBuild(func(ctx context.Context, c *cobra.Command, controllers *client.Client, build int, _ []string) error {
 			r, err := controllers.RollBack(ctx, build)
 			if err != nil {
 				return err
@@ -210,11 +212,7 @@
 		Use:   "votes BUILD",
 		Short: "Tell how the votes stand",
 		Args:  cobra.ExactArgs(1),
-		RunE: o.run(func(ctx context.Context, c *cobra.Command, controllers *client.Client, args []string) error {
-			build, err := parseBuild(args[0])
-			if err != nil {
-				return err
-			}
+		RunE: o.runForBuild(func(ctx context.Context, c *cobra.Command, controllers *client.Client, build int, _ []string) error {
 			r, err := controllers.Get(ctx, build, true)
 			if err != nil {
 				return err
@@ -238,12 +236,8 @@
 		Use:   "step BUILD NAME",
 		Short: "Report a step done",
 		Args:  cobra.ExactArgs(2),
-		RunE: o.run(func(ctx context.Context, c *cobra.Command, controllers *client.Client, args []string) error {
-			build, err := parseBuild(args[0])
-			if err != nil {
-				return err
-			}
-			r, err := controllers.CompleteStep(ctx, build, args[1], "dapplefront release step")
+		RunE: o.runForBuild(func(ctx context.Context, c *cobra.Command, controllers *client.Client, build int, args []string) error {
+			r, err := controllers.CompleteStep(ctx, build, args[0], "dapplefront release step")
 			if err != nil {
 				return err
 			}
