--- a/cmd/dapplefront/endpoints.go
+++ b/cmd/dapplefront/endpoints.go
@@ -39,7 +39,7 @@
 					zones = append(zones, zone)
 				}
 			}
-			log.Info("register", "address", discovery.Address(), "names", strings.Join(discovery.Resources(zones), ", "))
+			log.Info("endpoint discovery", "address", discovery.Address(), "resources", strings.Join(discovery.Resources(zones), ", "))
 			awaitTermination()
 			discovery.Stop()
 			return nil
--- a/cmd/dapplefront/loadgen.go
+++ b/cmd/dapplefront/loadgen.go
@@ -42,11 +42,11 @@
 }
 
 func (o *loadOptions) run(c *cobra.Command, address string) error {
-	book := audit.NewRecorder()
-	defer book.Close()
-	wish := testbed.RequestClass{Class: testbed.Class{Name: o.class}, Path: o.path, Share: 1, LatencyObjective: o.objective, Timeout: o.timeout}
-	door := testbed.Target{Name: "router", Address: address, Rate: o.rate}
-	clients := testbed.NewClients([]testbed.RequestClass{wish}, []testbed.Target{door}, testbed.Behavior{RateFactor: 1}, book, "", nil,
+	recorder := audit.NewRecorder()
+	defer recorder.Close()
+	class := testbed.RequestClass{Class: testbed.Class{Name: o.class}, Path: o.path, Share: 1, LatencyObjective: o.objective, Timeout: o.timeout}
+	target := testbed.Target{Name: "router", Address: address, Rate: o.rate}
+	clients := testbed.NewClients([]testbed.RequestClass{class}, []testbed.Target{target}, testbed.Behavior{RateFactor: 1}, recorder, "", nil,
 		uint64(time.Now().UnixNano()))
 	ctx, stop := interruptContext()
 	defer stop()
