--- a/policy/admission.go
+++ b/policy/admission.go
@@ -2,30 +2,30 @@
 
 import "math"
 
-// admissionState is the work that each locality completed lately.
+// admissionState is the work that each locality completed recently.
 type admissionState struct {
 	completed [2]completedWork
 }
 
-// completedWork is what a locality completed lately; the sums are worked out once for each moment.
+// completedWork is the work that a locality completed recently. Its sums are computed once for each point in time.
 type completedWork struct {
 	responses responseCounter
 
 	computedAt Time
-	span       Time    // that work was completed in
-	work       float64 // usual latencies of the responses of the span, added up; one request's at the least
-	slowdown   float64 // actual latencies over usual ones; infinite where there are too few responses
+	span       Time    // period in which the work was completed
+	work       float64 // sum of the usual latencies of the responses in the span; at least one request's usual latency
+	slowdown   float64 // ratio of actual to usual latencies; infinite if there are too few responses
 }
 
-// responseCounter keeps a locality's last successes, with running sums of those in a window. The sums are of integers,
-// so that their order doesn't matter.
+// responseCounter keeps the last successes of a locality, with running sums over those in a window. The sums are
+// integers, so that the order of additions doesn't matter.
 type responseCounter struct {
 	responses             []countedResponse
 	windowStart           int // index of the first response in the window
 	usualLatency, latency Time
 }
 
-// countedResponse is one success; sequence is its number among all attempts that ended.
+// countedResponse is one success; sequence is its number among all ended attempts.
 type countedResponse struct {
 	sequence                  int
 	at, usualLatency, latency Time
@@ -36,8 +36,8 @@
 	c.usualLatency, c.latency = c.usualLatency+response.usualLatency, c.latency+response.latency
 }
 
-// advance moves the window's start to a moment and drops responses that ended before the oldest moment or have a lower
-// sequence number than the first one kept. It returns the number of responses in the window.
+// advance moves the start of the window to from. It drops responses that ended before oldest or whose sequence number is
+// lower than firstKept, and returns the number of responses in the window.
 func (c *responseCounter) advance(from, oldest Time, firstKept int) int {
 	shrink := func() {
 		leaving := &c.responses[c.windowStart]
@@ -60,11 +60,11 @@
 	return len(c.responses) - c.windowStart
 }
 
-// recentWork is the work that a locality completed in the last two seconds, or in up to eight as far as that takes to find
-// enough responses.
+// recentWork is the work that a locality completed in the last two seconds. If they hold too few responses, the span
+// grows until it holds enough, up to eight seconds.
 func (r *Router) recentWork(at locality) *completedWork {
 	const short, long = 2 * Second, 8 * Second
-	const enough, enoughForSlowdown = 20, 5
+	const minResponses, minForSlowdown = 20, 5
 	completed := &r.admission.completed[at]
 	if completed.computedAt == r.now {
 		return completed
@@ -73,18 +73,18 @@
 	completed.computedAt, completed.span, completed.slowdown = r.now, min(short, age), math.Inf(1)
 	n := completed.responses.advance(r.now-short, r.now-long, r.traffic.endedBase)
 	completed.work = float64(completed.responses.usualLatency)
-	if n >= enoughForSlowdown {
+	if n >= minForSlowdown {
 		completed.slowdown = float64(completed.responses.latency) / completed.work
 	}
 	for i := completed.responses.windowStart - 1; i >= 0; i-- {
 		response := completed.responses.responses[i]
-		since := r.now - response.at
-		if since > completed.span && n >= enough {
+		elapsed := r.now - response.at
+		if elapsed > completed.span && n >= minResponses {
 			break
 		}
-		n, completed.work, completed.span = n+1, completed.work+float64(response.usualLatency), max(completed.span, since)
+		n, completed.work, completed.span = n+1, completed.work+float64(response.usualLatency), max(completed.span, elapsed)
 	}
-	if n < enough {
+	if n < minResponses {
 		completed.span = min(long, age)
 	}
 	for _, class := range r.classes {
@@ -93,14 +93,14 @@
 	return completed
 }
 
-// meanInFlight is the mean number of attempts in flight at a locality's healthy baseline hosts over a span that ends now,
-// or their number now for no span, and the number of these hosts.
-func (r *Router) meanInFlight(at locality, over Time) (inFlight, hosts float64) {
-	if over == 0 {
+// meanInFlight is the mean number of attempts in flight at a locality's healthy baseline hosts over the span that ends
+// now, and the number of these hosts. If the span is 0, it counts the attempts in flight now.
+func (r *Router) meanInFlight(at locality, span Time) (inFlight, hosts float64) {
+	if span == 0 {
 		fleet := r.snapshot()
 		return float64(fleet.inFlight[at]), float64(fleet.healthy[at])
 	}
-	share := func(t Time) float64 { return float64(max(0, min(t, over))) / float64(max(1, over)) }
+	share := func(t Time) float64 { return float64(max(0, min(t, span))) / float64(max(1, span)) }
 	for _, host := range r.hosts {
 		if host.health != healthy || !r.isBaseline(host) || r.localityOf(host) != at {
 			continue
@@ -110,45 +110,47 @@
 			inFlight += share(r.now - attempt.sentAt)
 		}
 	}
-	for i := len(r.traffic.ended) - 1; i >= 0 && r.traffic.ended[i].at > r.now-over; i-- {
+	for i := len(r.traffic.ended) - 1; i >= 0 && r.traffic.ended[i].at > r.now-span; i-- {
 		if event := &r.traffic.ended[i]; event.locality == at {
-			inFlight += share(min(event.latency, over-(r.now-event.at)))
+			inFlight += share(min(event.latency, span-(r.now-event.at)))
 		}
 	}
 	return inFlight, hosts
 }
 
-// Of the expected slowdown, by one locality or by one class.
+// Constants of the expected slowdown of a locality or a class.
 const (
-	chanceSpreads    = 0.5 // standard deviations of the number in flight that are put down to chance
-	maxLagOfSlowdown = 3.0 // times the slowdown of responses, at the most: this router can't see a host hang
+	chanceDeviations = 0.5 // standard deviations of the number of attempts in flight that are attributed to chance
+	maxSlowdownRatio = 3.0 // upper limit, as a multiple of the slowdown of responses: this router can't tell that a host hangs
 )
 
-// expectedSlowdown is how many times longer than usual a locality's hosts take to answer: what is in flight at healthy
-// ones, by the rate at which work was completed. It falls as that drains, and is 0 while this router's attempts are fewer
-// than its share of the hosts, so that these are never left idle. One of many routers has little in flight, by chance more
-// or less: it takes a mean over the time of some responses.
+// expectedSlowdown is how many times longer than usual the hosts of a locality are expected to take to answer: the
+// attempts in flight at healthy hosts, divided by the rate at which work was completed. It falls as these attempts
+// complete. It is 0 while this router has fewer attempts in flight than its share of the hosts, so that hosts are never
+// left idle. One of many routers has few attempts in flight, and their number varies by chance, so it uses the mean over
+// the time of several responses.
 func (r *Router) expectedSlowdown(at locality) float64 {
-	const responses, longest = 10, Second // to take the mean over
-	const routersThatSeeAll = 4           // each of so few sees enough at each moment
+	const responses, longest = 10, Second // the mean covers the time of this many responses, up to the longest span
+	const routersThatSeeAll = 4           // in a fleet of up to this many routers, each sees enough attempts at any time
 	completed := r.recentWork(at)
 	slowdown := completed.slowdown
-	unseen := max(0, 1-routersThatSeeAll/float64(r.routers))
-	over := Time(unseen * float64(min(longest, responses*r.meanCompletionInterval(responses))))
-	inFlight, hosts := r.meanInFlight(at, over)
-	if inFlight -= chanceSpreads * math.Sqrt(inFlight*unseen); inFlight*float64(r.routers) <= hosts {
+	unseenShare := max(0, 1-routersThatSeeAll/float64(r.routers))
+	span := Time(unseenShare * float64(min(longest, responses*r.meanCompletionInterval(responses))))
+	inFlight, hosts := r.meanInFlight(at, span)
+	if inFlight -= chanceDeviations * math.Sqrt(inFlight*unseenShare); inFlight*float64(r.routers) <= hosts {
 		return 0
 	}
-	if unseen == 0 {
+	if unseenShare == 0 {
 		slowdown = math.Inf(1)
 	}
-	return min(inFlight*float64(completed.span)/completed.work, maxLagOfSlowdown*slowdown)
+	return min(inFlight*float64(completed.span)/completed.work, maxSlowdownRatio*slowdown)
 }
 
-// expectedClassSlowdown is the same for one class, as this router and its peers see it together: one of hundreds has one
-// attempt in flight or none, and a class that waits by itself at all hosts is no overload of the others.
+// expectedClassSlowdown is the expected slowdown of one class, from what this router and its peers observe together: one
+// of hundreds of routers has at most one attempt in flight, and a class that is slow at all hosts for a reason of its own
+// is no overload of the other classes.
 func (r *Router) expectedClassSlowdown(class *Class) float64 {
-	const usualResponses = 10 // as if so many more were as usual
+	const usualResponses = 10 // responses of usual latency that are added to the observed ones
 	inFlight, hosts := 0.0, float64(r.snapshot().healthy[localZone]+r.snapshot().healthy[remoteZones])
 	r.countInFlight()
 	for _, other := range r.classes {
@@ -161,11 +163,12 @@
 	usual := usualResponses * float64(class.usualLatency)
 	work, latency := own.usualLatency+peers.usualLatency+usual, own.latency+peers.latency+usual
 	inFlight = float64(class.inFlight) + peers.inFlight
-	inFlight = max(0, inFlight-chanceSpreads*math.Sqrt(inFlight))
-	return min((inFlight*float64(decayTime)+usual)/work, maxLagOfSlowdown*latency/work)
+	inFlight = max(0, inFlight-chanceDeviations*math.Sqrt(inFlight))
+	return min((inFlight*float64(decayTime)+usual)/work, maxSlowdownRatio*latency/work)
 }
 
-// leastExpectedSlowdown is that of the class where there is gossip, else that of the less busy locality of those with hosts.
+// leastExpectedSlowdown is the expected slowdown of the class where there is gossip, otherwise that of the less busy
+// locality of those with healthy hosts.
 func (r *Router) leastExpectedSlowdown(class *Class) float64 {
 	if r.limits.MaxGossipBytes > 0 {
 		return r.expectedClassSlowdown(class)
@@ -180,52 +183,53 @@
 	return min(r.expectedSlowdown(localZone), r.expectedSlowdown(remoteZones))
 }
 
-// shedsLoad rejects a request early when the hosts of the chosen one's locality would answer it too late. Where all routers
-// know the same by gossip, requests are rejected by chance around the limit, as not all must do so at once.
+// shedsLoad reports whether to reject a request early because hosts in the locality of the chosen host are expected to
+// answer it too late. Where gossip gives all routers the same view, requests around the limit are rejected at random,
+// because not all routers should reject theirs at once.
 func (r *Router) shedsLoad(request *Request, host *Host) bool {
-	const firstAt, allAt = 0.4, 0.8 // of the limit: latency at which the first and all requests are rejected
+	const rejectFirstAt, rejectAllAt = 0.4, 0.8 // expected latency at which the first and all requests are rejected, over the limit
 	class := request.Class
 	limit := r.latencyLimit(request)
 	if r.limits.MaxGossipBytes == 0 {
 		return r.expectedSlowdown(r.localityOf(host))*float64(class.usualLatency) > limit
 	}
 	expected := r.expectedClassSlowdown(class) * float64(class.usualLatency)
-	return r.random.chance(1000 * (expected/limit - firstAt) / (allAt - firstAt))
+	return r.random.chance(1000 * (expected/limit - rejectFirstAt) / (rejectAllAt - rejectFirstAt))
 }
 
-// latencyLimit is the expected latency beyond which a request is rejected: a share of its latency objective or timeout that
-// falls with its class's priority by the time it takes, beyond its tenant's quota and as more of the last responses came
-// late.
+// latencyLimit is the expected latency beyond which a request is rejected. It is a share of the request's latency
+// objective or timeout, whichever is shorter. The share is lower for a class whose priority is low relative to its usual
+// latency and for a tenant beyond its quota, and it falls as more of the last responses were late.
 func (r *Router) latencyLimit(request *Request) float64 {
-	const highPriority, lowPriority = 1.0, 0.8 // the tail is longer than the mean
+	const highPriority, lowPriority = 1.0, 0.8 // shares of the objective or timeout; the tail of latencies is longer than their mean
 	const overQuota = 0.5
-	const quotaWindow, burst = 2 * Second, 1.2 // that requests are counted over; times the quota
-	const lastEnded, leastOnTime = 30, 0.4     // attempts; share that the limit keeps at the least
-	class, limit, better := request.Class, highPriority, 0
+	const quotaWindow, burst = 2 * Second, 1.2 // window in which a tenant's requests are counted; allowed multiple of the quota
+	const lastEnded, minOnTime = 30, 0.4       // number of ended attempts considered; least share that the limit keeps
+	class, limit, ranksHigher := request.Class, highPriority, 0
 	for _, other := range r.classes {
 		if other.PriorityWeight*float64(class.usualLatency) > class.PriorityWeight*float64(other.usualLatency) {
-			better++
+			ranksHigher++
 		}
 	}
-	if 2*better >= len(r.classes) {
+	if 2*ranksHigher >= len(r.classes) {
 		limit = lowPriority
 	}
 	if tenant := request.Tenant; tenant != nil &&
 		countSince(tenant.arrivals, r.now-quotaWindow, nil) > 2*burst*tenant.QuotaPerSecond/float64(r.routers) {
 		limit *= overQuota
 	}
-	limit *= max(leastOnTime, 1-r.lateShare(class, lastEnded))
+	limit *= max(minOnTime, 1-r.lateShare(class, lastEnded))
 	return limit * float64(min(class.LatencyObjective, request.Timeout))
 }
 
-// lateShare is the share of late ones among the last attempts that ended: of the class where there is gossip, with others that
-// were on time, as one of hundreds of routers sees few.
+// lateShare is the share of late attempts among the last that ended. Where there is gossip, it counts only attempts of
+// the class and adds some that were on time, because one of hundreds of routers sees few attempts of a class.
 func (r *Router) lateShare(class *Class, last int) float64 {
-	const onTimeShare = 3 // the last by so much, as on time
+	const attemptsPerOnTime = 3 // one on-time attempt is added for this many of the last attempts
 	if r.limits.MaxGossipBytes == 0 {
 		return r.traffic.endedShare(last, func(event trafficEvent) bool { return event.late })
 	}
-	late, n := 0.0, float64(last)/onTimeShare
+	late, n := 0.0, float64(last)/attemptsPerOnTime
 	for _, event := range r.traffic.ended[max(0, len(r.traffic.ended)-last):] {
 		if event.class == class {
 			if n++; event.late {
@@ -236,7 +240,8 @@
 	return late / n
 }
 
-// admissionStats adds up a class's attempts, decayed: those in flight, and the usual and actual latencies of successes.
+// admissionStats are decayed sums over the attempts of a class: the number in flight, and the usual and actual latencies
+// of successes.
 type admissionStats struct {
 	at                              Time
 	inFlight, usualLatency, latency float64
@@ -252,8 +257,8 @@
 	*s = admissionStats{y.at, y.inFlight + x.inFlight, y.usualLatency + x.usualLatency, y.latency + x.latency}
 }
 
-// countInFlight counts each class's attempts in flight at healthy hosts, over network paths that are not degraded: what is
-// stuck on these is no overload.
+// countInFlight counts the attempts of each class that are in flight at healthy hosts over network paths that are not
+// degraded: an attempt stuck on a degraded path is no sign of overload.
 func (r *Router) countInFlight() {
 	for _, class := range r.classes {
 		class.inFlight = 0
--- a/policy/attempt.go
+++ b/policy/attempt.go
@@ -8,17 +8,17 @@
 // Outcomes; their values are stored.
 const (
 	Pending        Outcome = iota // still in flight
-	Succeeded                     // a response
-	Failed                        // an error response; the request may have been executed
-	Rejected                      // refused by the host before execution
-	TimedOut                      // no response in time; it may have been executed
-	ConnectFailed                 // no connection in time; it was not executed
-	ConnectionLost                // the connection dropped; it may have been executed
-	Canceled                      // the router stopped waiting; it may have been executed
-	NotSent                       // it never left the router
+	Succeeded                     // the host gave a successful response
+	Failed                        // the host gave an error response; the request may have been executed
+	Rejected                      // the host rejected the attempt before executing it
+	TimedOut                      // no response in time; the request may have been executed
+	ConnectFailed                 // no connection in time; the request was not executed
+	ConnectionLost                // the connection dropped; the request may have been executed
+	Canceled                      // the router stopped waiting; the request may have been executed
+	NotSent                       // the attempt never left the router
 )
 
-// Attempt is one try of a request at a host.
+// Attempt is one attempt to have a host execute a request.
 type Attempt struct {
 	Request *Request
 	Host    *Host
@@ -26,56 +26,57 @@
 	outcome         Outcome
 	role            attemptRole
 	sentAt          Time
-	build           int  // that the host ran
-	hostStartedAt   Time // of the process that got it
-	hostLoad        float64
-	shadowTimeout   Time // what a shadow attempt before its primary one would be given
+	build           int     // build that the host ran when the attempt started
+	hostStartedAt   Time    // start of the host process that the attempt was sent to
+	hostLoad        float64 // requests in flight at the host when the attempt started, as estimated
+	shadowTimeout   Time    // timeout of a shadow attempt that is sent before its primary attempt
 	responseStarted bool
 }
 
-// IsShadow reports whether the attempt was made to judge the canary, beside the primary attempt or before it.
+// IsShadow reports whether the attempt was made to judge the canary, alongside the primary attempt or before it.
 func (a *Attempt) IsShadow() bool { return a.role == shadowAttempt || a.role == shadowFirstAttempt }
 
 type attemptRole int
 
 const (
 	primaryAttempt     attemptRole = iota
-	shadowAttempt                  // at the canary, beside the primary one
-	shadowFirstAttempt             // before the primary one, where two at once are not allowed or the class is not idempotent
+	shadowAttempt                  // at the canary, alongside the primary attempt
+	shadowFirstAttempt             // before the primary attempt, if two at once are not allowed or the class is not idempotent
 	retryAttempt                   // a retry or a hedged attempt
 )
 
-// send starts an attempt with its timeout, and the timer of a hedged one where that is allowed.
+// send starts an attempt with its timeout. Where hedging is allowed, it also sets the timer after which the attempt
+// counts as slow and is hedged.
 func (r *Router) send(request *Request, host *Host, role attemptRole) {
 	class := request.Class
 	attempt := r.startAttempt(request, host, role)
-	within := request.arrivedAt + request.Timeout - r.now
+	timeout := request.arrivedAt + request.Timeout - r.now
 	slowAfter := class.slowAfter()
-	attempt.shadowTimeout = min(within, Time(float64(max(slowAfter, class.LatencyObjective/3))/r.capacityFactor(host)))
+	attempt.shadowTimeout = min(timeout, Time(float64(max(slowAfter, class.LatencyObjective/3))/r.capacityFactor(host)))
 	switch {
 	case !class.repeatsSafely():
 	case r.limits.AllowHedging && role != shadowAttempt:
 		r.effects.SetTimer(slowAfter, &Timer{attempt: attempt})
 	case r.limits.AllowHedging || len(request.Attempts) >= r.limits.MaxAttempts:
-	case role == shadowFirstAttempt: // it leaves the primary attempt the time to answer; a cold host is slow
-		within = attempt.shadowTimeout
+	case role == shadowFirstAttempt: // leaves time for the primary attempt; a cold host is slow and gets longer
+		timeout = attempt.shadowTimeout
 	case request.arrivedAt+class.LatencyObjective-r.now-class.usualLatency > slowAfter && r.retryBudgetAllows(class):
-		within = min(within, slowAfter)
+		timeout = min(timeout, slowAfter)
 	}
-	r.effects.Send(attempt, within)
+	r.effects.Send(attempt, timeout)
 }
 
-// slowAfter is the age at which an attempt counts as slow: beyond 19 in 20 successes, with some slack.
+// slowAfter is the age at which an attempt counts as slow: longer than 19 in 20 successes took, with some slack.
 func (c *Class) slowAfter() Time {
-	const enough, tail = 40, 0.05 // fewer latencies show no tail
+	const minLatencies, tail = 40, 0.05 // fewer latencies don't show the tail of their distribution
 	slowest := c.LatencyObjective / 2
-	if len(c.latencies) >= enough {
+	if len(c.latencies) >= minLatencies {
 		slowest = upperQuantile(c.latencies, tail)
 	}
 	return max(slowest*3/2, c.usualLatency*2)
 }
 
-// startAttempt notes a new attempt.
+// startAttempt creates an attempt and records it at its request and host and in the traffic history.
 func (r *Router) startAttempt(request *Request, host *Host, role attemptRole) *Attempt {
 	attempt := &Attempt{Request: request, Host: host, role: role, sentAt: r.now, build: host.Build,
 		hostStartedAt: host.StartedAt, hostLoad: r.hostLoad(host)}
@@ -93,13 +94,13 @@
 	return attempt
 }
 
-// ResponseStarted says that the first byte of an attempt's response has come: it is not hedged any more.
+// ResponseStarted records that the first byte of an attempt's response has arrived: the attempt is no longer hedged.
 func (r *Router) ResponseStarted(now Time, attempt *Attempt) {
 	r.now, attempt.responseStarted = now, true
 }
 
-// AttemptEnded says how an attempt ended and how long it took. done says that the request is over, by this attempt or
-// before it; load is what the host reported with it, nil for nothing.
+// AttemptEnded records how an attempt ended and how long it took. done is true if the request is complete, through this
+// attempt or an earlier one. load is the load report that came with the response, or nil.
 func (r *Router) AttemptEnded(now Time, attempt *Attempt, outcome Outcome, latency Time, done bool, load *LoadReport) {
 	request := attempt.Request
 	r.now = now
@@ -121,24 +122,24 @@
 	r.handleRequestEvent(request, event)
 }
 
-// twoBuildsServe reports whether a key could go from one build to another.
+// twoBuildsServe reports whether a sticky key could move from one build to another.
 func (r *Router) twoBuildsServe() bool {
 	fleet := r.snapshot()
 	return r.release.status.Phase == Canary || fleet.newestBaselineHosts < fleet.baselineHosts
 }
 
-// finishAttempt notes the end of an attempt.
+// finishAttempt records the end of an attempt at its host and class and in the traffic history.
 func (r *Router) finishAttempt(attempt *Attempt, outcome Outcome, load *LoadReport) {
 	host, class := attempt.Host, attempt.Request.Class
 	attempt.outcome = outcome
 	if outcome == Succeeded {
 		class.ownStats.add(admissionStats{at: r.now, usualLatency: float64(class.usualLatency), latency: float64(r.now - attempt.sentAt)})
 	}
-	was := len(host.inFlight)
+	before := len(host.inFlight)
 	host.inFlight = slices.DeleteFunc(host.inFlight, func(x *Attempt) bool { return x == attempt })
 	counts := host.health == healthy && r.isBaseline(host)
 	if counts {
-		r.fleet.inFlight[r.localityOf(host)] -= was - len(host.inFlight)
+		r.fleet.inFlight[r.localityOf(host)] -= before - len(host.inFlight)
 	}
 	if load != nil {
 		if host.load, host.loadAt = load, r.now; load.ActiveRequests >= 0 {
@@ -159,7 +160,8 @@
 	r.recordEnd(event)
 }
 
-// recordEnd takes the end of an attempt into the history, the state of its network path and the work completed.
+// recordEnd adds the end of an attempt to the traffic history, to the state of its network path and to the completed
+// work.
 func (r *Router) recordEnd(event trafficEvent) {
 	path := healthStats{at: r.now, attempts: 1}
 	if event.late || event.outcome == TimedOut || event.outcome == ConnectFailed || event.outcome == ConnectionLost {
--- a/policy/balancing.go
+++ b/policy/balancing.go
@@ -7,18 +7,19 @@
 	"gonum.org/v1/gonum/stat"
 )
 
-// keptLoadReports is how many of the last load reports give the usual load of a host.
+// keptLoadReports is the number of recent load reports that give the usual load of a host.
 const keptLoadReports = 64
 
-// loadEstimate is what is known of how much hosts have in flight and what that costs.
+// loadEstimate is what is known about the requests in flight at hosts and the latency that they add.
 type loadEstimate struct {
-	reported        []float64       // requests in flight, as hosts last reported
-	counted         float64         // requests in flight at a host, by the release controller's last statistics
-	concurrencyCost float64         // what each request in flight at a host adds to the latency of the next, as a share
+	reported        []float64       // requests in flight that hosts last reported
+	counted         float64         // mean requests in flight at a host, from the release controller's last statistics
+	concurrencyCost float64         // share that each request in flight at a host adds to the latency of the next one
 	baselineSamples []attemptSample // last successes at the baseline
 }
 
-// balancer holds the plan that is followed and buffers that choices among hosts reuse, so that they allocate nothing.
+// balancer holds the current plan, and buffers that are reused whenever a host is chosen so that a choice allocates
+// nothing.
 type balancer struct {
 	plan           WeightPlan
 	localHosts     []*Host
@@ -28,14 +29,15 @@
 	planWeights    []float64
 }
 
-// WeightPlan is a plan of weights that was worked out ahead. It is a hint: what the router observes goes before it.
+// WeightPlan is a plan of weights that was computed ahead of time. It is a hint: the router's own observations take
+// precedence.
 type WeightPlan struct {
-	Weights        map[*Host]float64 // within a locality, in one unit
-	CrossZoneShare float64           // share of the requests that start in another zone
-	Until          Time              // it is not followed from then on
+	Weights        map[*Host]float64 // of the hosts in a locality, all in the same unit
+	CrossZoneShare float64           // share of the requests that are sent to another zone first
+	Until          Time              // the plan is not followed from this time on
 }
 
-// PlanOffered replaces the plan. Hosts that it doesn't name have no weight.
+// PlanOffered replaces the plan. Hosts that the plan doesn't name have weight 0.
 func (r *Router) PlanOffered(now Time, plan WeightPlan) {
 	r.now = now
 	r.balancer.plan = plan
@@ -46,14 +48,15 @@
 
 func (p *WeightPlan) isActive(now Time) bool { return now < p.Until }
 
-// hostLoad estimates a host's requests in flight: what it reported, with the attempts sent since, which decays to what hosts
-// have on average; else this router's own attempts for each router. Request rates that hosts report are not used: they
-// would lead all routers to one host at once.
+// hostLoad estimates the requests in flight at a host. The estimate is the host's last report plus the attempts sent
+// since then; as the report ages, the estimate decays to the mean of all hosts. Without reports, it comes from the
+// release controller's statistics, or it is this router's own attempts times the number of routers. Request rates that
+// hosts report are not used: they would lead all routers to the same host at once.
 func (r *Router) hostLoad(host *Host) float64 {
-	const reportDecay = Second // about what it takes a queue to turn over
+	const reportDecay = Second // about the time in which a queue turns over
 	own := float64(len(host.inFlight))
 	if len(r.load.reported) == 0 && r.statsOutweighOwn() {
-		return r.load.counted + own // a few own attempts times the number of routers would scatter too much
+		return r.load.counted + own // the few attempts of one router times the number of routers would vary too much
 	}
 	if len(r.load.reported) == 0 {
 		return own * float64(r.routers)
@@ -66,8 +69,8 @@
 	return usual
 }
 
-// typicalLoad is the median of the loads that hosts reported, else the mean that the release controller's statistics or own
-// attempts give.
+// typicalLoad is the median of the loads that hosts reported. Without reports, it is the mean from the release
+// controller's statistics or from this router's own attempts.
 func (r *Router) typicalLoad() float64 {
 	switch fleet := r.snapshot(); {
 	case len(r.load.reported) > 0:
@@ -80,11 +83,11 @@
 	}
 }
 
-// hostSlowdown is how many times longer than usual a host's last attempts took, given its load; attempts in flight count
-// with their age once it is unusual. As few attempts prove little, some usual ones are added.
+// hostSlowdown is how many times longer than usual a host's last attempts took, given its load. An attempt in flight
+// counts with its age once that is unusual. Attempts of usual latency are added, because a few attempts prove little.
 func (r *Router) hostSlowdown(host *Host) float64 {
 	const usualAttempts, forgetAfter = 8.0, 10 * Second
-	const unusual = 2.0 // times the usual latency
+	const unusual = 2.0 // multiple of the usual latency
 	slowdown, n := usualAttempts, usualAttempts
 	for _, sample := range host.samples {
 		if r.now-sample.at < forgetAfter {
@@ -100,13 +103,14 @@
 	return slowdown / n
 }
 
-// fitConcurrencyCost fits, by a line through the last successes, how much each request in flight at a host adds to the
-// latency of the next: near 1 where hosts work on one request at a time, little where they have cores to spare.
+// fitConcurrencyCost fits a line through the last successes to learn how much each request in flight at a host adds to
+// the latency of the next one. The result is near 1 where hosts process one request at a time and small where they have
+// spare cores.
 func (r *Router) fitConcurrencyCost() {
-	const minSamples = 40     // fewer make no line
-	const slowdownLimit = 6.0 // one very long attempt says little
+	const minSamples = 40     // fewer samples don't determine a line
+	const slowdownLimit = 6.0 // a single very long attempt says little
 	const minCost, maxCost = 0.02, 1.5
-	const minUsual = 0.1 // slowdown of an idle host
+	const minUsual = 0.1 // least slowdown that is assumed for an idle host
 	if len(r.load.baselineSamples) < minSamples {
 		return
 	}
@@ -120,12 +124,12 @@
 	}
 }
 
-// pickHost draws a host of a kind in each locality and chooses between the two; nil where there is none.
-func (r *Router) pickHost(request *Request, fits func(*Host) bool) *Host {
-	local, remote := r.splitByLocality(func(host *Host) bool { return fits(host) && r.isEligible(request, host) })
+// pickHost draws a matching host in each locality and chooses between the two; it returns nil if there is none.
+func (r *Router) pickHost(request *Request, matches func(*Host) bool) *Host {
+	local, remote := r.splitByLocality(func(host *Host) bool { return matches(host) && r.isEligible(request, host) })
 	if r.mergesZones() {
 		local, remote = append(local, remote...), nil
-		r.balancer.localHosts = local // so that the grown buffer is kept
+		r.balancer.localHosts = local // keeps the grown buffer
 	}
 	scarce := r.connectionsAreScarce()
 	localBest := r.drawBest(local, scarce)
@@ -133,31 +137,32 @@
 	return r.chooseLocality(request, localBest, remoteBest)
 }
 
-// chooseLocality takes the host in another zone only if the latency objective is so much likelier to be met there that it
-// is worth half the price of crossing (a miss costs more than its request's value), or if the plan crosses and that is not
-// much worse. Either host may be nil.
+// chooseLocality picks the host in another zone in two cases: the latency objective is so much more likely to be met
+// there that this is worth half the cost of crossing on average (a miss costs more than its request's value), or the plan
+// crosses and a miss is not much more likely there. Either host may be nil.
 func (r *Router) chooseLocality(request *Request, local, remote *Host) *Host {
-	const lowestPercent, percents = 25, 50 // the price is drawn from a band, lest all routers cross at once
+	const lowestPercent, percents = 25, 50 // percentage of the cost, drawn from a band so that not all routers cross at once
 	if local != nil && r.crossesCheaply() {
-		return local // the path is degraded: what may be lost there costs more than a wait
+		return local // the zones are separate only while the path is degraded: attempts lost on it cost more than a wait
 	}
-	price := r.limits.CrossZonePrice * float64(lowestPercent+r.random.intN(percents)) / 100
+	cost := r.limits.CrossZonePrice * float64(lowestPercent+r.random.intN(percents)) / 100
 	if local != nil && remote != nil && r.planCrosses() &&
-		r.missProbability(request, remoteZones)-r.missProbability(request, localZone) <= price {
+		r.missProbability(request, remoteZones)-r.missProbability(request, localZone) <= cost {
 		return remote
 	}
-	if local == nil || remote != nil && r.missProbability(request, localZone)-r.missProbability(request, remoteZones) > price {
+	if local == nil || remote != nil && r.missProbability(request, localZone)-r.missProbability(request, remoteZones) > cost {
 		return remote
 	}
 	return local
 }
 
-// drawBest draws two hosts by weight and takes the less busy one. Most hosts of a large fleet were last observed long ago,
-// so some of those that answered this router lately are drawn too. While connections are scarce only these are.
+// drawBest draws two hosts by weight and picks the less busy one. Most hosts of a large fleet were last observed long
+// ago, so some of the hosts that recently answered this router are drawn too. While connections are scarce, only these
+// are drawn.
 func (r *Router) drawBest(from []*Host, scarce bool) (best *Host) {
-	const lately = Second           // for as long as a load report says much
-	const choices, connected = 2, 3 // few, lest one host draws all routers
-	recent := r.recentlyConnected(from, r.now-lately)
+	const recentSpan = Second       // time for which a load report is informative
+	const choices, connected = 2, 3 // few draws, so that one host doesn't attract all routers
+	recent := r.recentlyConnected(from, r.now-recentSpan)
 	if !scarce || len(recent) == 0 {
 		best = r.drawLessBusy(from, choices, nil)
 	}
@@ -167,7 +172,7 @@
 	return best
 }
 
-// drawLessBusy draws so many hosts and takes the least busy of them and the best so far, which may be nil.
+// drawLessBusy draws the given number of hosts and returns the least busy one of these and best, which may be nil.
 func (r *Router) drawLessBusy(from []*Host, draws int, best *Host) *Host {
 	weights := r.drawWeights(from)
 	for range min(draws, len(from)) {
@@ -178,20 +183,21 @@
 	return best
 }
 
-// busyness is proportional to the latency to be expected at a host.
+// busyness is proportional to the expected latency at a host.
 func (r *Router) busyness(host *Host) float64 { return r.hostSlowdown(host) * (1 + r.hostLoad(host)) }
 
-// connectionsAreScarce reports whether more than a few hosts take no connections, as after failures that the endpoint list has
-// not reported, or where connections are limited.
+// connectionsAreScarce reports whether more than a few attempts found no connection, as after failures of hosts that the
+// endpoint list has not reported, or where connections are limited.
 func (r *Router) connectionsAreScarce() bool {
 	const lastEnded, failedShare = 20, 0.2
 	return r.traffic.endedShare(lastEnded, func(event trafficEvent) bool { return event.outcome == ConnectFailed }) > failedShare
 }
 
-// isEligible keeps requests off hosts that they have tried, that warm up beyond their budget or that back off, and those
-// with an idempotency key among the hosts that would drop a repeat.
+// isEligible reports whether a request may go to a host. It excludes hosts that the request has tried already, hosts
+// beyond their warm-up budget and hosts that are backing off. Once the request may have been executed, one with an
+// idempotency key stays among the hosts that would drop a repeat, and a non-idempotent one is not eligible anywhere.
 func (r *Router) isEligible(request *Request, host *Host) bool {
-	const margin = Second / 20 // of the deduplication window, for the way to the host
+	const margin = Second / 20 // deducted from the dedup window for the network delay to the host
 	if slices.ContainsFunc(request.Attempts, func(attempt *Attempt) bool { return attempt.Host == host }) ||
 		!r.withinWarmUpBudget(host) || host.health == backingOff && r.now < host.backoffUntil {
 		return false
@@ -207,8 +213,9 @@
 	return sameZone || class.DedupScope == FleetScope
 }
 
-// pickBaseline picks a host for a request's primary attempt: of the newest baseline build, else of any baseline build, else
-// whatever exposure allows. A sticky key stays with the build that answered it, or a later one.
+// pickBaseline picks a host for a request's primary attempt or a retry: of the newest baseline build, otherwise of any
+// baseline build, otherwise of any build within its exposure limit. A request with a sticky key stays with the build that
+// answered that key before, or a later one.
 func (r *Router) pickBaseline(request *Request) *Host {
 	const newestOnly, anyBaseline, anyExposed = 0, 1, 2
 	stickyBuild, fleet, phase := 0, r.snapshot(), r.release.status.Phase
@@ -217,7 +224,7 @@
 	}
 	step, newest := newestOnly, fleet.newestBaseline
 	if 3*fleet.newestBaselineHosts < fleet.baselineHosts {
-		step = anyBaseline // too few known to carry all, as while endpoint discovery is down
+		step = anyBaseline // too few hosts of the newest build are known to carry all requests, as while endpoint discovery is down
 	}
 	for ; step <= anyExposed; step++ {
 		if host := r.pickHost(request, func(host *Host) bool {
@@ -230,8 +237,8 @@
 	return nil
 }
 
-// drawHost draws a host by its weight; the first of a draw by the plan, while one is active. The second is not, so that a
-// plan that has become wrong is corrected by how busy the two are.
+// drawHost draws a host by weight. While a plan is active, the first of two draws uses the plan's weights. The second
+// does not, so that comparing how busy the two hosts are corrects a plan that has become wrong.
 func (r *Router) drawHost(from []*Host, weights []float64, first bool) *Host {
 	if first && r.balancer.plan.isActive(r.now) && slices.ContainsFunc(from, func(host *Host) bool { return host.planWeight > 0 }) {
 		weights = r.hostPlanWeights(from)
@@ -239,9 +246,9 @@
 	return r.drawWeighted(from, weights)
 }
 
-// drawWeights are the hosts' capacities, less the slowdown that peers report: most routers meet a host too seldom to
-// learn it. Between two hosts drawn that doesn't count, or all routers would take the same one at once. The slice holds until
-// the next call.
+// drawWeights returns the capacities of the hosts, reduced by the slowdown that peers report: most routers meet a host
+// too seldom to observe it themselves. The reduction doesn't count when two drawn hosts are compared, because all routers
+// would then choose the same one at once. The slice is valid until the next call.
 func (r *Router) drawWeights(from []*Host) []float64 {
 	const usualAttempts = 4
 	r.balancer.weights = r.balancer.weights[:0]
@@ -253,7 +260,7 @@
 	return r.balancer.weights
 }
 
-// hostPlanWeights are the hosts' weights by the plan. The slice holds until the next call.
+// hostPlanWeights returns the weights of the hosts in the plan. The slice is valid until the next call.
 func (r *Router) hostPlanWeights(from []*Host) []float64 {
 	r.balancer.planWeights = r.balancer.planWeights[:0]
 	for _, host := range from {
@@ -262,16 +269,16 @@
 	return r.balancer.planWeights
 }
 
-// drawGrain is the number of steps that weighted draws are made in, finer than any share that matters.
-const drawGrain = 1 << 20
+// drawResolution is the number of steps in which weighted draws are made. The steps are finer than any share that matters.
+const drawResolution = 1 << 20
 
-// drawWeighted draws a host, each as often as its weight says.
+// drawWeighted draws a host with a probability proportional to its weight.
 func (r *Router) drawWeighted(from []*Host, weights []float64) *Host {
 	sum := 0.0
 	for _, weight := range weights {
 		sum += weight
 	}
-	at := float64(r.random.intN(drawGrain)) / drawGrain * sum
+	at := float64(r.random.intN(drawResolution)) / drawResolution * sum
 	for i, weight := range weights {
 		if at -= weight; at < 0 {
 			return from[i]
@@ -280,13 +287,14 @@
 	return from[len(from)-1]
 }
 
-// planCrosses draws whether a request starts in another zone, while a plan is active.
+// planCrosses draws whether the active plan sends a request to another zone; it is false without an active plan.
 func (r *Router) planCrosses() bool {
 	plan := &r.balancer.plan
-	return plan.isActive(r.now) && plan.CrossZoneShare > 0 && float64(r.random.intN(drawGrain)) < plan.CrossZoneShare*drawGrain
+	return plan.isActive(r.now) && plan.CrossZoneShare > 0 && float64(r.random.intN(drawResolution)) < plan.CrossZoneShare*drawResolution
 }
 
-// recentlyConnected are the hosts to which a connection was up after a moment. The slice holds until the next call.
+// recentlyConnected returns the hosts to which a connection was up after the given time. The slice is valid until the next
+// call.
 func (r *Router) recentlyConnected(all []*Host, from Time) []*Host {
 	some := r.balancer.connectedHosts[:0]
 	for _, host := range all {
--- a/policy/doc.go
+++ b/policy/doc.go
@@ -1,13 +1,13 @@
-// Package policy decides where requests go while a fleet's build is being replaced: choice of host, admission, retries,
-// shadow attempts, exposure of the canary and votes on its release. It is pure: a Router takes each event with its time
-// and answers through its Effects before the call returns; it does no I/O and reads no clock. The same configuration and
-// events give the same decisions, so that recorded ones can be replayed.
+// Package policy makes the routing decisions while a fleet moves from one build to the next: choice of host, admission,
+// retries, shadow attempts, exposure of the canary and votes on its release. It is pure: a Router receives each event
+// together with its time and calls its Effects before the call returns; it does no I/O and reads no clock. The same
+// configuration and events give the same decisions, so recorded decisions can be replayed.
 //
-// A request (RequestArrived) is dispatched: a shadow attempt goes to the canary if exposure allows it and one is due, the
-// primary attempt to the baseline, unless the fleet is overloaded. How an attempt ends (AttemptEnded) decides on a retry
-// and counts for the host's health, the class's usual latency and the build's sample window. A timer (TimerFired)
-// reviews hosts, sends gossip and, by the evidence for and against the canary, votes on its release.
+// RequestArrived dispatches a request: a shadow attempt goes to the canary if the exposure limit allows one and one is due,
+// and the primary attempt goes to the baseline unless the fleet is overloaded. AttemptEnded decides whether to retry, and
+// adds the outcome to the host's health, the class's usual latency and the build's sample window. TimerFired reviews the
+// health of hosts, sends gossip and votes on the canary's release, depending on the evidence for and against the canary.
 //
-// The baseline is the builds whose exposure is not limited; the canary is the newest build while it is not released.
-// A file holds one concern: its state, its table of transitions, where it has one, and its decisions.
+// The baseline is the set of builds whose exposure is not limited; the canary is the newest build while it is not released.
+// Each file covers one concern: its state, its transition table if it has one, and its decisions.
 package policy
--- a/policy/exposure.go
+++ b/policy/exposure.go
@@ -1,14 +1,15 @@
 package policy
 
-// exposureLimit bounds the attempts at a build.
+// exposureLimit limits the attempts at a build.
 type exposureLimit struct {
-	applies bool    // false for a build that takes any request
-	stage   int     // of the release
+	applies bool    // false for a build that may get any request
+	stage   int     // stage of the release
 	share   float64 // cap on the attempts, as a share of the requests
 }
 
-// exposureOf is the limit on a build. A build that the release controller has not announced yet counts as in its first stage;
-// one that rolled back gets nothing, even when the next one is offered, as its hosts may still be listed.
+// exposureOf is the exposure limit of a build. A build that the release controller has not announced yet counts as being
+// in its first stage. A build that was rolled back gets no attempts, even after the next build is offered, because its
+// hosts may still be listed.
 func (s *releaseState) exposureOf(build int) exposureLimit {
 	switch {
 	case build == s.rolledBackBuild && build < s.status.Build:
@@ -23,9 +24,9 @@
 	return exposureLimit{applies: true, stage: s.status.Stage, share: s.status.ExposureCap}
 }
 
-// withinExposure reports whether one more attempt of the class at a build keeps within its limit. Attempts are counted over a
-// little more than the window and requests over a little less. After a start it is unknown what an earlier process of this
-// router sent, so nothing goes to a limited build until one window has passed.
+// withinExposure reports whether one more attempt of the class at a build stays within the build's limit. Attempts are
+// counted over slightly more than the window and requests over slightly less. After a start, the router doesn't know what
+// an earlier process of this router sent, so nothing goes to a limited build until one window has passed.
 func (r *Router) withinExposure(build int, class *Class) bool {
 	const margin = Second / 20 // several ticks of any clock
 	config, limit := &r.release.config, r.release.exposureOf(build)
--- a/policy/host.go
+++ b/policy/host.go
@@ -2,7 +2,7 @@
 
 import "slices"
 
-// EndpointState is what the endpoint list says of a host.
+// EndpointState is the state of a host in the endpoint list.
 type EndpointState int
 
 // States of an endpoint; their values are stored.
@@ -12,58 +12,58 @@
 	Removed
 )
 
-// Host is one endpoint. A later process or machine under the same ID is the same Host with another StartedAt. Its exported
-// fields but the ID are the router's to set, by EndpointsChanged.
+// Host is one endpoint. A later process or machine with the same ID is the same Host with another StartedAt. All exported
+// fields but the ID are set by the router, in EndpointsChanged.
 type Host struct {
-	ID        uint32 // for an order that is the same at all routers, nothing else
+	ID        uint32 // gives hosts the same order at all routers and has no other meaning
 	Zone      *Zone
 	Cell      int
 	State     EndpointState
 	Build     int
-	Weight    float64 // against other hosts, in any unit; 0 where unknown
-	StartedAt Time    // when its process last started; 0 is long ago
+	Weight    float64 // relative to other hosts, in any unit; 0 if unknown
+	StartedAt Time    // when its process last started; 0 stands for long ago
 
 	listed       bool
 	health       hostHealth
-	backoffUntil Time // while it is backingOff
+	backoffUntil Time // end of the backoff while health is backingOff
 	leftAt       Time // when it began to drain or was removed
 
 	inFlight []*Attempt
-	attempts []trafficEvent  // the last starts
-	samples  []attemptSample // the last ends
+	attempts []trafficEvent  // recent starts of attempts
+	samples  []attemptSample // recently ended attempts
 
-	load        *LoadReport // the last one, nil for none
-	loadAt      Time
-	connectedAt Time // when an attempt over a connection to it last ended; 0 where the last one had none
+	load        *LoadReport // last report, nil if there was none
+	loadAt      Time        // when load was reported
+	connectedAt Time        // when an attempt over a connection to it last ended; 0 if the last attempt found no connection
 
-	healthByHops [3]healthStats // own; reported by peers that made them; passed on by peers
-	planWeight   float64        // share of its locality's requests by the plan, in a unit that all hosts share
+	healthByHops [3]healthStats // of this router's attempts; reported by the peers that made them; passed on by other peers
+	planWeight   float64        // share of its locality's requests in the plan, in a unit common to all hosts
 }
 
-// LoadReport is what a host reports of itself. A negative figure was not reported.
+// LoadReport is what a host reports about itself. A negative value was not reported.
 type LoadReport struct{ ActiveRequests, QueuedRequests, CPUUtilization, MeanLatency, RequestsPerSecond float64 }
 
-// isBaseline reports whether a host serves with a build whose exposure is not limited.
+// isBaseline reports whether a host is serving and runs a build whose exposure is not limited.
 func (r *Router) isBaseline(host *Host) bool {
 	return host.State == Serving && !r.release.exposureOf(host.Build).applies
 }
 
-// runsNewestBuild reports whether a host serves with the newest build that the release controller announced.
+// runsNewestBuild reports whether a host is serving and runs the newest build that the release controller announced.
 func (s *releaseState) runsNewestBuild(host *Host) bool {
 	return host.Build == s.status.Build && host.State == Serving
 }
 
-// countHosts is how many hosts there are of a kind.
-func (r *Router) countHosts(is func(*Host) bool) (n float64) {
+// countHosts returns the number of hosts that match.
+func (r *Router) countHosts(matches func(*Host) bool) (n float64) {
 	for _, host := range r.hosts {
-		if is(host) {
+		if matches(host) {
 			n++
 		}
 	}
 	return n
 }
 
-// hostByID is the listed host of an ID, or nil.
+// hostByID returns the listed host with an ID, or nil.
 func (r *Router) hostByID(id uint32) *Host {
 	at, ok := slices.BinarySearchFunc(r.hosts, id, func(host *Host, id uint32) int { return int(host.ID) - int(id) })
 	if !ok {
@@ -72,7 +72,7 @@
 	return r.hosts[at]
 }
 
-// capacity is what a host can do against others: its weight, where that is known, by its capacity factor.
+// capacity is a host's capacity relative to other hosts: its weight, if known, times its capacity factor.
 func (r *Router) capacity(host *Host) float64 {
 	if host.Weight <= 0 {
 		return r.capacityFactor(host)
@@ -80,17 +80,17 @@
 	return host.Weight * r.capacityFactor(host)
 }
 
-// totalCapacity adds up the capacities of the serving hosts of a kind.
-func (r *Router) totalCapacity(is func(*Host) bool) (sum float64) {
+// totalCapacity is the sum of the capacities of the serving hosts that match.
+func (r *Router) totalCapacity(matches func(*Host) bool) (sum float64) {
 	for _, host := range r.hosts {
-		if host.State == Serving && is(host) {
+		if host.State == Serving && matches(host) {
 			sum += r.capacity(host)
 		}
 	}
 	return sum
 }
 
-// baselineCapacity adds up the capacities of the baseline hosts; it is worked out once for each moment.
+// baselineCapacity is the sum of the capacities of the baseline hosts. It is computed once for each point in time.
 func (r *Router) baselineCapacity() float64 {
 	fleet := r.snapshot()
 	if fleet.capacityAt != r.now {
@@ -99,24 +99,24 @@
 	return fleet.baselineCapacity
 }
 
-// fleetSnapshot counts hosts and their attempts in flight. Attempts change it as they start and end; any other change makes
-// it invalid, to be counted anew by snapshot.
+// fleetSnapshot counts hosts and their attempts in flight. It is updated as attempts start and end; any other change
+// makes it invalid, and snapshot counts again.
 type fleetSnapshot struct {
 	valid   bool
-	ejected int // of all hosts
+	ejected int // ejected hosts of any build
 
 	baselineHosts       int
 	newestBaseline      int // newest build of the baseline hosts
-	newestBaselineHosts int // that run it
+	newestBaselineHosts int // baseline hosts that run newestBaseline
 
-	healthy  [2]int // baseline hosts by locality
-	inFlight [2]int // attempts at these
+	healthy  [2]int // healthy baseline hosts, by locality
+	inFlight [2]int // attempts in flight at these hosts
 
 	baselineCapacity float64 // as of capacityAt
 	capacityAt       Time
 }
 
-// snapshot is the present count, made anew where it is invalid.
+// snapshot returns the current counts. It recounts if they are invalid.
 func (r *Router) snapshot() *fleetSnapshot {
 	fleet := &r.fleet
 	if fleet.valid {
--- a/policy/request.go
+++ b/policy/request.go
@@ -1,16 +1,16 @@
 package policy
 
-// Idempotency says what executing a request twice would do.
+// Idempotency is the effect of executing a request twice.
 type Idempotency int
 
 // Kinds of idempotency; their values are stored.
 const (
-	Idempotent        Idempotency = iota // nothing more than executing it once
-	IdempotentWithKey                    // hosts that share a memory of idempotency keys drop the repeat for a while
-	NonIdempotent                        // harm: it must never be executed twice
+	Idempotent        Idempotency = iota // the second execution changes nothing
+	IdempotentWithKey                    // hosts that share their idempotency keys drop a repeat within the dedup window
+	NonIdempotent                        // the second execution does harm; the request must never be executed twice
 )
 
-// DedupScope is the set of hosts that share a memory of idempotency keys.
+// DedupScope is the set of hosts that share their idempotency keys.
 type DedupScope int
 
 // Scopes of deduplication; their values are stored.
@@ -20,25 +20,25 @@
 	CellScope
 )
 
-// Class is a kind of request. Its exported fields are set before the Router starts and stay.
+// Class is a kind of request. Its exported fields are set before the Router starts and don't change afterwards.
 type Class struct {
 	Idempotency      Idempotency
 	DedupScope       DedupScope
-	DedupWindow      Time // for which hosts remember an idempotency key
+	DedupWindow      Time // time for which hosts remember an idempotency key
 	LatencyObjective Time // a response within it has the request's full value
 	PriorityWeight   float64
 	LateValueShare   float64 // share of its value that a response beyond the objective keeps
 
-	latencies    []Time    // of the last successes at the baseline
-	serviceTimes []float64 // the same, less the part that concurrent requests at the host added
-	usualLatency Time      // at a host with nothing else in flight
+	latencies    []Time    // latencies of the last successes at the baseline
+	serviceTimes []float64 // the same latencies without the part added by concurrent requests at the host
+	usualLatency Time      // usual latency at a host with no other request in flight
 
 	baselineLatency Time    // usualLatency when the canary was announced
 	failureOdds     float64 // odds that the canary fails this class
 
-	inFlight  int            // attempts at healthy hosts, as countInFlight found last
-	ownStats  admissionStats // own attempts lately
-	peerStats admissionStats // peers' attempts lately, by gossip
+	inFlight  int            // attempts in flight at healthy hosts, as of the last countInFlight
+	ownStats  admissionStats // recent attempts of this router
+	peerStats admissionStats // recent attempts of peers, received by gossip
 }
 
 // repeatsSafely reports whether a second execution does no harm on any host.
@@ -46,33 +46,33 @@
 	return c.Idempotency == Idempotent || c.Idempotency == IdempotentWithKey && c.DedupScope == FleetScope
 }
 
-// Tenant is whoever requests are made for.
+// Tenant is the party that requests are made for.
 type Tenant struct {
-	QuotaPerSecond float64 // requests of full value a second, over all routers
+	QuotaPerSecond float64 // requests per second that have their full value, over all routers
 
 	arrivals []trafficEvent
 }
 
-// Request is one call that the router has accepted and owes one final answer.
+// Request is a client's request that the router has accepted. The router owes it one final answer.
 type Request struct {
 	Class        *Class
-	Tenant       *Tenant // nil where there are none
-	Key          string  // of what the request concerns, for sticky builds; empty for none
-	Timeout      Time    // how long the client goes on waiting
-	ExpectedWork Time    // 0 where unknown
-	ClientRetry  bool    // the client says that it retries by itself
+	Tenant       *Tenant // nil if the deployment has no tenants
+	Key          string  // identifies what the request concerns, for sticky builds; empty if the request has no key
+	Timeout      Time    // time from its arrival for which the client waits for an answer
+	ExpectedWork Time    // announced by the client; 0 if unknown
+	ClientRetry  bool    // whether the client has announced that it retries on its own
 
 	Attempts []*Attempt // in the order in which they were sent
 
 	arrivedAt      Time
 	state          requestState
-	firstAmbiguous *Attempt // first attempt that may have been executed without a response
+	firstAmbiguous *Attempt // earliest attempt that may have been executed and has not succeeded
 }
 
-// Answered reports whether the request has had its final answer or its client has gone.
+// Answered reports whether the request has had its final answer or its client has stopped waiting.
 func (r *Request) Answered() bool { return r.state == finished }
 
-// requestState is what is known of a request's execution:
+// requestState is what is known about the execution of a request:
 //
 //	state            event                    next             action
 //	notExecuted      requestArrived           notExecuted      first attempts, or rejection
@@ -82,14 +82,14 @@
 //	mayHaveExecuted  attemptNotExecuted       mayHaveExecuted  retry, wait or final answer
 //	mayHaveExecuted  attemptMayHaveExecuted   mayHaveExecuted  retry, wait or final answer
 //	mayHaveExecuted  attemptSlow              mayHaveExecuted  hedged attempt
-//	both             requestEnded             finished         none
+//	either           requestEnded             finished         none
 //
 // Any other pair changes nothing.
 type requestState int
 
 const (
-	notExecuted     requestState = iota // no attempt that ended may have been executed
-	mayHaveExecuted                     // one may
+	notExecuted     requestState = iota // none of the ended attempts may have been executed
+	mayHaveExecuted                     // at least one of the ended attempts may have been executed
 	finished
 )
 
@@ -99,11 +99,11 @@
 	requestArrived requestEvent = iota
 	attemptNotExecuted
 	attemptMayHaveExecuted
-	attemptSlow  // in flight for longer than usual
-	requestEnded // answered, or its client has gone
+	attemptSlow  // an attempt has been in flight for longer than usual
+	requestEnded // answered, or the client has stopped waiting
 )
 
-// requestTransition is a row of the table at requestState.
+// requestTransition is a row of the table that is documented at requestState.
 type requestTransition struct {
 	state  requestState
 	event  requestEvent
@@ -123,7 +123,7 @@
 	{mayHaveExecuted, requestEnded, finished, (*Router).leaveAttemptsInFlight},
 }
 
-// RequestArrived accepts a request. The router owes it one final answer from now on, unless ClientGone comes first.
+// RequestArrived accepts a request. From now on the router owes it one final answer, unless ClientGone is called first.
 func (r *Router) RequestArrived(now Time, request *Request) {
 	r.now, request.arrivedAt = now, now
 	r.traffic.arrivals = appendBounded(r.traffic.arrivals, trafficEvent{at: now, class: request.Class}, keptFleetEvents)
@@ -133,7 +133,7 @@
 	r.handleRequestEvent(request, requestArrived)
 }
 
-// ClientGone says that a request's client has gone: no answer is owed any more.
+// ClientGone records that the client of a request has stopped waiting: an answer is no longer owed.
 func (r *Router) ClientGone(now Time, request *Request) {
 	r.now = now
 	r.handleRequestEvent(request, requestEnded)
@@ -149,12 +149,12 @@
 	}
 }
 
-// dispatch makes the first attempts of a new request: at the baseline, with a shadow attempt at the canary beside it or,
-// where two at once are not allowed, before it; or rejects it.
+// dispatch starts the first attempts of a new request, or rejects it. The primary attempt goes to the baseline. A shadow
+// attempt goes to the canary: alongside the primary attempt or, where two attempts at once are not allowed, before it.
 func (r *Router) dispatch(request *Request) {
 	host := r.pickCanary(request)
 	if host != nil && request.Class.Idempotency == Idempotent && r.limits.AllowHedging {
-		if first := r.pickBaseline(request); first != nil && r.isBaseline(first) { // else both would go to the canary
+		if first := r.pickBaseline(request); first != nil && r.isBaseline(first) { // otherwise both attempts would go to the canary
 			r.send(request, first, primaryAttempt)
 		}
 		r.send(request, host, shadowAttempt)
@@ -174,16 +174,17 @@
 	r.send(request, host, primaryAttempt)
 }
 
-// leaveAttemptsInFlight lets attempts of a finished request run to their end, as samples.
+// leaveAttemptsInFlight does nothing: attempts of a finished request run to their end and count as samples.
 func (r *Router) leaveAttemptsInFlight(*Request) {}
 
-// giveUp gives the final answer at once: a rejection where repeating the request is known to be harmless, else a failure.
+// giveUp gives the final answer at once: a rejection if repeating the request is known to be harmless, otherwise a
+// failure.
 func (r *Router) giveUp(request *Request) {
-	const overloadPasses = Second / 2 // most overloads are over by then
+	const overloadDuration = Second / 2 // most overloads end within this time
 	request.state = finished
 	if request.firstAmbiguous != nil && !request.Class.repeatsSafely() {
 		r.effects.Fail(request)
 		return
 	}
-	r.effects.Reject(request, min(r.limits.MaxRetryAfter, overloadPasses))
+	r.effects.Reject(request, min(r.limits.MaxRetryAfter, overloadDuration))
 }
--- a/policy/retry.go
+++ b/policy/retry.go
@@ -2,26 +2,28 @@
 
 import "slices"
 
-// retryBudgetAllows reports whether the budget has room for one more attempt, so that a slow fleet is not given more work:
-// a share of the last requests, and a few beyond it for a fleet of few routers, as each of hundreds would add them.
+// retryBudgetAllows reports whether the retry budget allows one more attempt; the budget keeps retries from adding work
+// to a slow fleet. It is a share of the recent requests plus a few retries. The few are reduced in a fleet of many
+// routers, because each router adds them.
 func (r *Router) retryBudgetAllows(class *Class) bool {
 	const window = 5 * Second
-	const requestsPerRetry, few = 8, 4
-	const routersWithFew = 4.0
-	const overloaded = 3 // times the usual latency: for want of hosts, not by chance
-	allowed := few*min(1, routersWithFew/float64(r.routers)) +
+	const requestsPerRetry, extraRetries = 8, 4
+	const routersWithExtra = 4.0
+	const overloadSlowdown = 3 // multiple of the usual latency that shows a lack of hosts, not chance
+	allowed := extraRetries*min(1, routersWithExtra/float64(r.routers)) +
 		countSince(r.traffic.arrivals, r.now-window, nil)/requestsPerRetry
-	return r.leastExpectedSlowdown(class) < overloaded && countSince(r.traffic.retries, r.now-window, nil) < allowed
+	return r.leastExpectedSlowdown(class) < overloadSlowdown && countSince(r.traffic.retries, r.now-window, nil) < allowed
 }
 
-// retry sends a request once more where that is allowed, within the budget and can still be in time; it reports whether it
-// did. What follows a shadow attempt that went first, or an attempt that this router cut short, needs no budget now: that
-// was checked when the earlier one was sent.
+// retry sends another attempt of a request if the number of attempts and the retry budget allow it, a host is available
+// and the answer can still be in time. It reports whether it did. No budget is needed after a shadow attempt that was
+// sent first, because the primary attempt follows it, nor after an attempt that this router cut short, because the budget
+// was checked when that attempt was sent.
 func (r *Router) retry(request *Request) bool {
-	left := request.arrivedAt + request.Timeout - r.now
+	remaining := request.arrivedAt + request.Timeout - r.now
 	last := request.Attempts[len(request.Attempts)-1]
 	budgeted := last.role == shadowFirstAttempt || last.outcome == TimedOut && !r.limits.AllowHedging
-	if len(request.Attempts) >= r.limits.MaxAttempts || left <= request.Class.usualLatency/2 ||
+	if len(request.Attempts) >= r.limits.MaxAttempts || remaining <= request.Class.usualLatency/2 ||
 		!budgeted && !r.retryBudgetAllows(request.Class) {
 		return false
 	}
@@ -36,7 +38,8 @@
 	return true
 }
 
-// continueAfterFailure follows a failed attempt: by a retry, by waiting for an attempt in flight, or by the final answer.
+// continueAfterFailure decides what follows a failed attempt: a retry, waiting for an attempt in flight, or the final
+// answer.
 func (r *Router) continueAfterFailure(request *Request) {
 	pending := func(attempt *Attempt) bool { return attempt.outcome == Pending }
 	pendingNoShadow := func(attempt *Attempt) bool { return attempt.outcome == Pending && attempt.role != shadowAttempt }
@@ -46,7 +49,8 @@
 	}
 }
 
-// hedge sends a second attempt of a request whose attempt takes unusually long. The first one may have been executed.
+// hedge sends a second attempt of a request whose first attempt takes unusually long. The first attempt may have been
+// executed.
 func (r *Router) hedge(request *Request) {
 	if request.firstAmbiguous == nil {
 		request.firstAmbiguous = request.Attempts[0]
--- a/policy/router.go
+++ b/policy/router.go
@@ -5,48 +5,48 @@
 	"hash/fnv"
 )
 
-// Effects carries out what a Router decides. Its methods are called before the Router's own call returns; they must not call
-// the Router.
+// Effects carries out the decisions of a Router. Its methods are called before the Router's own method returns; they must
+// not call the Router.
 type Effects interface {
-	// Send starts an attempt and ends it as TimedOut after the given time.
-	Send(attempt *Attempt, within Time)
-	// Reject gives the request's final answer: it did no harm and may be repeated, best after the given time.
+	// Send starts an attempt, which ends as TimedOut once the timeout has passed.
+	Send(attempt *Attempt, timeout Time)
+	// Reject gives the request's final answer: the request has done no harm and may be repeated, preferably after retryAfter.
 	Reject(request *Request, retryAfter Time)
-	// Fail gives the request's final answer where it may have been executed.
+	// Fail gives the final answer to a request that may have been executed.
 	Fail(request *Request)
-	// SetTimer asks for a call of TimerFired with the timer after the given time.
-	SetTimer(in Time, timer *Timer)
+	// SetTimer asks for a call of TimerFired with the timer once the delay has passed.
+	SetTimer(delay Time, timer *Timer)
 	// WatchEndpoints asks for the endpoint list and its changes.
 	WatchEndpoints()
 	// Vote casts a vote on a build in a stage at the release controller.
 	Vote(build, stage int, choice VoteChoice)
-	// Log writes a line about a decision.
+	// Log writes one log line about a decision.
 	Log(text string)
-	// Gossip sends a message to the router of a rank, or to all of them for Broadcast.
+	// Gossip sends a message to the router with the rank peer, or to all peers if peer is Broadcast.
 	Gossip(peer int, body []byte)
-	// CheckHealth probes a host; HealthChecked takes the result.
+	// CheckHealth starts a health check of a host. Its result is passed to HealthChecked.
 	CheckHealth(host *Host)
 }
 
-// Broadcast stands for the ranks of all peers.
+// Broadcast is the rank that addresses all peers.
 const Broadcast = -1
 
-// Router decides for one router instance. It shares nothing with others and is not safe for concurrent use: its owner
-// calls it with one event after the other, in the order of their times.
+// Router makes the decisions of one router instance. It shares no state with other instances and is not safe for
+// concurrent use: its owner passes it one event after the other, in the order of their times.
 type Router struct {
 	effects Effects
 	random  randomSource
 
-	now       Time // of the event in hand
+	now       Time // time of the event that is being handled
 	startedAt Time
 
-	routers int // all that serve the fleet
-	rank    int // of this one among them, from 0
+	routers int // number of routers that serve the fleet
+	rank    int // number of this router among them, from 0
 	zone    *Zone
 	classes []*Class
 	limits  Limits
 
-	hosts []*Host // listed ones, by ID
+	hosts []*Host // listed hosts, sorted by ID
 	fleet fleetSnapshot
 
 	discovery discoveryState
@@ -63,13 +63,13 @@
 	vote      voteRecord
 }
 
-// NewRouter starts a router that knows only its configuration: no host and no release. It sets the timer of the regular
-// review and, where endpoints must be polled, that of the first poll.
+// NewRouter returns a router that knows only its configuration: no hosts and no release. It sets the timer of the regular
+// review and, if the endpoint list must be polled, the timer of the first poll.
 func NewRouter(now Time, config Config, effects Effects) *Router {
-	const startSpread = 2 * Second         // routers that start at once poll within this
-	const startSpreadPerPeer = Second / 10 // or within so much for each other router
-	const unknownLatencyShare = 5          // of the latency objective, as usual latency until something is known
-	const unknownConcurrencyCost = 0.3     // that of a fleet neither idle nor full
+	const startSpread = 2 * Second         // longest period over which routers that start together spread their first polls
+	const startSpreadPerPeer = Second / 10 // added to that period for each other router, up to startSpread
+	const unknownLatencyShare = 5          // divides the latency objective to give the usual latency until samples exist
+	const unknownConcurrencyCost = 0.3     // concurrency cost of a fleet that is neither idle nor full
 	r := &Router{effects: effects, random: randomSource{seed: config.Seed}, now: now, startedAt: now,
 		routers: max(1, config.Routers), rank: config.Rank, zone: config.Zone, classes: config.Classes, limits: config.Limits,
 		release: releaseState{config: config.Release, stickyBuilds: map[string]int{}},
@@ -86,11 +86,11 @@
 	return r
 }
 
-// randomSource draws numbers that follow from its seed and the number of earlier draws, so that decisions can be
-// replayed.
+// randomSource generates pseudo-random numbers that depend only on its seed and on the number of earlier draws, so that
+// decisions can be replayed.
 type randomSource struct{ seed, draws uint64 }
 
-// intN draws evenly from 0 up to n.
+// intN draws a uniformly distributed number from 0 to n-1.
 func (s *randomSource) intN(n int) int {
 	s.draws++
 	h := fnv.New64a()
@@ -102,8 +102,9 @@
 	return int((x ^ x>>32) % uint64(n))
 }
 
-// chance is true in so many of a thousand draws, which may be a fraction; more than 1000 is always.
+// chance is true with a probability of perMille in 1000. perMille may be fractional, which in effect rounds it up; 1000
+// or more is always true.
 func (s *randomSource) chance(perMille float64) bool { return float64(s.intN(1000)) < perMille }
 
-// skip leaves out one draw.
+// skip consumes one draw without using it.
 func (s *randomSource) skip() { s.draws++ }
--- a/policy/slowstart.go
+++ b/policy/slowstart.go
@@ -1,18 +1,18 @@
 package policy
 
-// slowStartRate is how many attempts a baseline host gets from this router, in attempts for each unit of Time; it is worked
-// out once for each moment.
+// slowStartRate is the rate of attempts from this router at a baseline host, in attempts per unit of Time. It is computed
+// once for each point in time.
 type slowStartRate struct {
 	at   Time
 	rate float64
 }
 
-// isWarmAt reports whether a host had been up for its full warm-up by a moment.
+// isWarmAt reports whether a host has completed its warm-up at the given time.
 func (r *Router) isWarmAt(host *Host, at Time) bool {
 	return host.StartedAt == 0 || at-host.StartedAt >= r.limits.WarmUp
 }
 
-// capacityFactor is the share of its full capacity that a host has at the least, as it warms up.
+// capacityFactor is the share of its full capacity that a host has at least while it warms up; it is 1 for a warm host.
 func (r *Router) capacityFactor(host *Host) float64 { return r.capacityFactorAt(host, r.now) }
 
 func (r *Router) capacityFactorAt(host *Host, at Time) float64 {
@@ -22,21 +22,22 @@
 	return r.limits.ColdCapacity + (1-r.limits.ColdCapacity)*float64(max(0, at-host.StartedAt))/float64(r.limits.WarmUp)
 }
 
-// totalCapacityFactor is how many warm hosts the hosts of a kind are worth.
-func (r *Router) totalCapacityFactor(is func(*Host) bool) (sum float64) {
+// totalCapacityFactor is the capacity of the hosts that match, as a number of warm hosts.
+func (r *Router) totalCapacityFactor(matches func(*Host) bool) (sum float64) {
 	for _, host := range r.hosts {
-		if is(host) {
+		if matches(host) {
 			sum += r.capacityFactor(host)
 		}
 	}
 	return sum
 }
 
-// withinWarmUpBudget keeps all routers together from overloading a cold host: each sends its part of what the limits allow,
-// by what baseline hosts get now. Where that is less than one attempt, requests go by chance, so often that the routers' sum
-// keeps within the limit however uneven their traffic is.
+// withinWarmUpBudget reports whether a host may get another attempt while it warms up. It keeps all routers together from
+// overloading a cold host: each router sends its part of what the limits allow, relative to what baseline hosts get now.
+// If that part is less than one attempt, requests are sent at random, with a probability that keeps the sum over all
+// routers within the limit however uneven their traffic is.
 func (r *Router) withinWarmUpBudget(host *Host) bool {
-	const usedShare = 0.5         // of the budget; the rest is for uneven routers, long requests and bursts
+	const usedShare = 0.5         // share of the budget that is used; the rest is for uneven routers, long requests and bursts
 	const rateWindow = 4 * Second // long enough to even out bursts
 	if r.isWarmAt(host, r.now) {
 		return true
@@ -46,25 +47,25 @@
 	if countSince(host.attempts, r.now-window, nil)+1 > max(1, budget) {
 		return false
 	}
-	// Of a canary host too, as it is due what a baseline host gets.
+	// This holds for a canary host too, because it is due as much as a baseline host gets.
 	due := countSince(r.traffic.arrivals, r.now-rateWindow, nil) * float64(window) / float64(rateWindow) *
 		r.capacity(host) / max(r.capacity(host), r.baselineCapacity())
 	return due <= budget || r.random.chance(1000*budget/due)
 }
 
-// baselineAttemptRate is the rate at which a host of the build with most hosts gets attempts from this router. Hosts that
-// left within the span count, or a lone new host would be due all their work.
-func (r *Router) baselineAttemptRate(over Time) float64 {
+// baselineAttemptRate is the rate of attempts from this router at a host of the build with the most hosts. Hosts that
+// left within the span count too; otherwise a single new host would be due all the work of the hosts that left.
+func (r *Router) baselineAttemptRate(span Time) float64 {
 	if r.slowStart.at != r.now {
 		hosts, most := map[int]float64{}, 1.0
 		for _, host := range r.hosts {
-			if host.State == Serving || r.now-host.leftAt < over {
+			if host.State == Serving || r.now-host.leftAt < span {
 				hosts[host.Build]++
 				most = max(most, hosts[host.Build])
 			}
 		}
 		r.slowStart.at = r.now
-		r.slowStart.rate = countSince(r.traffic.baselineAttempts, r.now-over, nil) / float64(over) / most
+		r.slowStart.rate = countSince(r.traffic.baselineAttempts, r.now-span, nil) / float64(span) / most
 	}
 	return r.slowStart.rate
 }
--- a/policy/surge.go
+++ b/policy/surge.go
@@ -6,22 +6,22 @@
 	"gonum.org/v1/gonum/stat"
 )
 
-// latencySurge is how the fleet's latency has moved since the canary was offered.
+// latencySurge records how the fleet's latency has changed since the canary was offered.
 type latencySurge struct {
 	state        surgeState
 	since        Time
 	lastNormalAt Time // when responses last took about as long as before the canary was offered
 }
 
-// surgeState finds a canary that slows all hosts alike, baseline ones too, which leaves no gap between the two: shadow
-// attempts pause while the fleet is slower than before the canary was offered. Routers that judge by the release
-// controller's statistics pause together.
+// surgeState detects a canary that slows down all hosts alike, including baseline hosts, so that no gap shows between the
+// two builds. Shadow attempts pause while the fleet is slower than before the canary was offered. Routers that judge by the
+// release controller's statistics pause at the same time.
 //
-//	state          event          next           for
+//	state          event          next           meaning
 //	surgeNone      surgeRose      surgePaused    shadow attempts pause
-//	surgePaused    surgeSubsided  surgeObserved  they go on; that it subsided may be chance
-//	surgePaused    surgeTimedOut  surgeNone      the fleet is slow without them too
-//	surgeObserved  surgeRose      surgeProven    slow twice with them, fast without them
+//	surgePaused    surgeSubsided  surgeObserved  shadow attempts resume; the fall in latency may be chance
+//	surgePaused    surgeTimedOut  surgeNone      the fleet is slow without shadow attempts too
+//	surgeObserved  surgeRose      surgeProven    the fleet is slow twice with shadow attempts and fast without them
 //	surgeObserved  surgeTimedOut  surgeNone
 //	surgeProven    surgeTimedOut  surgeNone
 //
@@ -43,7 +43,7 @@
 	surgeTimedOut
 )
 
-// surgeTransition is a row of the table at surgeState.
+// surgeTransition is a row of the table that is documented at surgeState.
 type surgeTransition struct {
 	state surgeState
 	event surgeEvent
@@ -68,15 +68,15 @@
 	}
 }
 
-// surgeEvidence takes the present latency of the fleet into the surge's state and gives the odds that the canary slows the
-// fleet. All classes must be slow: one that waits by itself has another cause.
+// surgeEvidence updates the surge state with the present latency of the fleet and returns the odds that the canary slows
+// down the fleet. All classes must be slow: a class that is slow alone has another cause.
 func (r *Router) surgeEvidence(baseline *buildWindow) float64 {
-	const rose, subsided = 0.4, 0.25           // log of the latency over that before the canary
-	const stateTimeout = 15 * Second           // by then queues have drained and the release controller has counted that
-	const window = stateTimeout / 6            // that latency is measured over
-	const minAttempts = 60                     // fewer scatter
-	const minCanaryShare = 0.15                // of the attempts: a canary that gets less can't slow a fleet so
-	const provenByStats, provenByOwn = 400, 20 // odds; an own observation may be a fault of the fleet
+	const rose, subsided = 0.4, 0.25           // logarithm of the ratio of the latency to that before the canary
+	const stateTimeout = 15 * Second           // within this time queues drain and the release controller's statistics show it
+	const window = stateTimeout / 6            // time over which latency is measured
+	const minAttempts = 60                     // the latency of fewer attempts varies too much
+	const minCanaryShare = 0.15                // of the attempts: a canary that gets less can't slow down the fleet this much
+	const provenByStats, provenByOwn = 400, 20 // odds; what only this router observes may be a fault of the fleet
 	slower, n := r.surgeMagnitude(baseline, r.now-window)
 	switch {
 	case n < minAttempts:
@@ -97,8 +97,9 @@
 	return provenByOwn
 }
 
-// surgeMagnitude is the log of how many times longer attempts after a moment take than before the canary, and how many say
-// so: of the least slow class by the release controller's statistics, or of own attempts at the baseline.
+// surgeMagnitude is the logarithm of how many times longer attempts after the given time take than before the canary, and
+// the number of attempts that this is based on. It is that of the least slow class in the release controller's
+// statistics, or of this router's own attempts at the baseline.
 func (r *Router) surgeMagnitude(baseline *buildWindow, after Time) (slower, n float64) {
 	if !r.judgesByStats() {
 		logs := baseline.logLatencyRatiosSince(after, r.load.concurrencyCost)
@@ -109,7 +110,7 @@
 	for _, class := range r.classes {
 		old, oldAttempts := r.analysis.logLatencyGapToPast(class, baseline.build, baseline.build, offeredAt, after)
 		canary, canaryAttempts := r.analysis.logLatencyGapToPast(class, baseline.build, newest, offeredAt, after)
-		if canaryAttempts+oldAttempts > 0 { // in the last stage most are the canary's
+		if canaryAttempts+oldAttempts > 0 { // in the last stage most attempts are at the canary
 			slower = min(slower, (old*oldAttempts+canary*canaryAttempts)/(oldAttempts+canaryAttempts))
 			n = n + oldAttempts + canaryAttempts
 		}
@@ -117,8 +118,8 @@
 	return slower, n
 }
 
-// canaryShare is the share of the attempts after a moment that went to the canary, by the release controller's statistics
-// or by own attempts.
+// canaryShare is the share of the attempts after the given time that went to the canary, from the release controller's
+// statistics or from this router's own attempts.
 func (r *Router) canaryShare(after Time) float64 {
 	canary := countSince(r.traffic.canaryAttempts, after, nil)
 	all := canary + countSince(r.traffic.baselineAttempts, after, nil)
@@ -135,8 +136,9 @@
 	return canary / max(1, all)
 }
 
-// isUnreadyForRelease reports whether the fleet has slowed for no known cause, or the canary hosts known are too few to
-// carry all requests after a release, or too cold: the more overloaded the fleet, the warmer they must be.
+// isUnreadyForRelease reports whether the fleet has slowed down for an unknown reason, or whether the known canary hosts
+// are too few or too cold to carry all requests after a release. The more overloaded the fleet is, the warmer they must
+// be.
 func (r *Router) isUnreadyForRelease() bool {
 	const lowestFactor, factorPerSlowdown, highestFactor = 0.4, 0.15, 0.95 // mean capacity factor
 	needed := min(highestFactor, lowestFactor+factorPerSlowdown*max(1, r.expectedSlowdown(localZone)))
--- a/policy/time.go
+++ b/policy/time.go
@@ -1,6 +1,6 @@
 package policy
 
-// Time is a moment or a span in tenths of a millisecond. Moments count from a zero that is the owner's choice.
+// Time is a point in time or a duration, in units of 0.1 ms. Points in time count from a zero that the owner chooses.
 type Time int64
 
 // Second is one second as a Time.
--- a/policy/timer.go
+++ b/policy/timer.go
@@ -1,16 +1,17 @@
 package policy
 
-// reviewInterval is the time between two reviews of hosts, gossip and vote, a fraction of the shortest stage.
+// reviewInterval is the time between two reviews of host health, gossip and the vote. It is a fraction of the shortest
+// stage.
 const reviewInterval = Second / 5
 
-// Timer is a call of TimerFired that the router asked for by Effects.SetTimer: the regular review, a poll of the endpoint
-// list or the look at an attempt that has become slow.
+// Timer is a call of TimerFired that the router requested through Effects.SetTimer: for the regular review, for a poll of
+// the endpoint list or for the check of whether an attempt has become slow.
 type Timer struct {
-	attempt *Attempt // nil for the other kinds
-	polls   bool
+	attempt *Attempt // attempt to check; nil for the other kinds
+	polls   bool     // whether the timer is for a poll of the endpoint list
 }
 
-// TimerFired says that a timer's time has come. Each timer fires once.
+// TimerFired handles a timer whose delay has passed. Each timer fires once.
 func (r *Router) TimerFired(now Time, timer *Timer) {
 	r.now = now
 	switch {
--- a/policy/traffic.go
+++ b/policy/traffic.go
@@ -7,7 +7,7 @@
 	"gonum.org/v1/gonum/stat"
 )
 
-// Events that are kept at the least, more than any window that counts them has.
+// Least numbers of events that are kept; each is more than any window that counts such events holds.
 const (
 	keptFleetEvents  = 8192
 	keptTenantEvents = 4096
@@ -16,38 +16,40 @@
 	keptHostEvents   = 256
 )
 
-// trafficHistory keeps the last events of each kind, in the order of their times.
+// trafficHistory keeps the most recent events of each kind, in the order of their times.
 type trafficHistory struct {
 	arrivals         []trafficEvent
 	baselineAttempts []trafficEvent
 	canaryAttempts   []trafficEvent
-	retries          []trafficEvent // that count in the budget
+	retries          []trafficEvent // retries that count against the retry budget
 	ended            []trafficEvent
-	endedBase        int // sequence number of the first of ended
+	endedBase        int // sequence number of the first element of ended
 }
 
-// trafficEvent is an arrival, the start of an attempt or the end of one; all fields but at and class are only of ends.
+// trafficEvent is the arrival of a request, or the start or end of an attempt. Fields other than at and class are set for
+// ends only.
 type trafficEvent struct {
 	at           Time
 	class        *Class
 	locality     locality
 	outcome      Outcome
-	late         bool // beyond the request's latency objective
-	latency      Time // 0 where the host was ejected, backing off or not at the baseline
-	usualLatency Time // of the class, 0 where the attempt failed
+	late         bool // ended later than the request's latency objective
+	latency      Time // 0 if the host was ejected, backing off or not at the baseline
+	usualLatency Time // of the class; 0 if the attempt failed
 }
 
-// endedShare is the share of a kind among the last attempts that ended.
-func (t *trafficHistory) endedShare(last int, is func(trafficEvent) bool) (share float64) {
+// endedShare is the share of the last ended attempts that match. If fewer than last attempts have ended, the missing ones
+// count as not matching.
+func (t *trafficHistory) endedShare(last int, matches func(trafficEvent) bool) (share float64) {
 	for _, event := range t.ended[max(0, len(t.ended)-last):] {
-		if is(event) {
+		if matches(event) {
 			share += 1 / float64(last)
 		}
 	}
 	return share
 }
 
-// meanCompletionInterval is the mean time between the ends of the last so many attempts.
+// meanCompletionInterval is the mean time between the ends of attempts, over up to last of the most recent ones.
 func (r *Router) meanCompletionInterval(last int) Time {
 	last = min(last, len(r.traffic.ended))
 	if last == 0 {
@@ -56,7 +58,7 @@
 	return (r.now - r.traffic.ended[len(r.traffic.ended)-last].at) / Time(last)
 }
 
-// countSince counts the events after a moment; a class other than nil narrows the count.
+// countSince counts the events after from; if class is not nil, it counts only events of that class.
 func countSince(events []trafficEvent, from Time, class *Class) (n float64) {
 	for i := len(events) - 1; i >= 0 && events[i].at > from; i-- {
 		if class == nil || events[i].class == class {
@@ -66,7 +68,7 @@
 	return n
 }
 
-// appendBounded appends and, now and then, drops all but the last so many.
+// appendBounded appends x. Once there are twice as many elements as least, it first drops all but the last least.
 func appendBounded[T any](all []T, x T, least int) []T {
 	if len(all) >= 2*least {
 		all = slices.Clone(all[len(all)-least:])
@@ -74,14 +76,14 @@
 	return append(all, x)
 }
 
-// upperQuantile is the value that a share of all values lies above.
+// upperQuantile is the value that the given share of all values lies above.
 func upperQuantile[T cmp.Ordered](all []T, share float64) T {
 	all = slices.Clone(all)
 	slices.Sort(all)
 	return all[int(float64(len(all)-1)*(1-share))]
 }
 
-// recentMean is the mean of the last values.
+// recentMean is the mean of the last keptLoadReports values.
 func recentMean(all []float64) float64 {
 	return stat.Mean(all[max(0, len(all)-keptLoadReports):], nil)
 }
--- a/policy/zone.go
+++ b/policy/zone.go
@@ -2,10 +2,10 @@
 
 import "math"
 
-// Zone is where hosts and routers stand. It is identified by its address, so it must not be of size zero.
+// Zone is the location of hosts and routers. A Zone is identified by its address, so its size must not be zero.
 type Zone struct{ _ byte }
 
-// locality separates the router's own zone from all others.
+// locality distinguishes the router's own zone from all other zones.
 type locality int
 
 const (
@@ -13,9 +13,9 @@
 	remoteZones
 )
 
-// zonePaths is what is known of the network paths to the own zone and to the other ones.
+// zonePaths is the observed state of the network paths to the router's own zone and to other zones.
 type zonePaths struct {
-	paths          [2]healthStats // own attempts, by locality
+	paths          [2]healthStats // of this router's attempts, by locality
 	remoteDegraded bool
 }
 
@@ -26,12 +26,12 @@
 	return remoteZones
 }
 
-// splitByLocality gives the serving hosts of a kind. The slices hold until the next call.
-func (r *Router) splitByLocality(fits func(*Host) bool) (local, remote []*Host) {
+// splitByLocality returns the serving hosts that match, by locality. The slices are valid until the next call.
+func (r *Router) splitByLocality(matches func(*Host) bool) (local, remote []*Host) {
 	local, remote = r.balancer.localHosts[:0], r.balancer.remoteHosts[:0]
 	for _, host := range r.hosts {
 		switch {
-		case host.State != Serving || !fits(host):
+		case host.State != Serving || !matches(host):
 		case r.localityOf(host) == localZone:
 			local = append(local, host)
 		default:
@@ -42,38 +42,39 @@
 	return local, remote
 }
 
-// crossesCheaply reports whether crossing zones costs less than an uneven split of traffic or hosts over zones does, which a
-// router with little traffic can't see.
+// crossesCheaply reports whether crossing zones costs less than an uneven distribution of traffic or hosts over zones,
+// which a router with little traffic can't observe.
 func (r *Router) crossesCheaply() bool {
 	const cheap = 0.015
 	return r.limits.CrossZonePrice <= cheap
 }
 
-// mergesZones reports whether hosts are drawn whatever their zone: where crossing is cheap and the path to other zones is not
-// degraded, which it is while far more of the last attempts there failed or were late than of local ones.
+// mergesZones reports whether hosts are drawn regardless of their zone: crossing must be cheap and the path to other
+// zones must not be degraded. The path is degraded while far more of the recent attempts over it failed or were late than
+// of local attempts.
 func (r *Router) mergesZones() bool {
-	const minFailures, rateGap = 1.5, 0.3 // decayed attempts; difference of failure rates
+	const minFailures, rateGap = 1.5, 0.3 // decayed number of attempts; difference between the failure rates
 	if !r.crossesCheaply() {
 		return false
 	}
 	remote, local := r.remotePathStats(), r.zones.paths[localZone].decayedTo(r.now)
 	degraded := remote.failures >= minFailures &&
 		remote.failures/remote.attempts >= local.failures/max(1, local.attempts)+rateGap
-	// That failures decay is no sign of recovery: where there are health checks, some attempt must have succeeded.
+	// A decay of the failures doesn't show recovery: where there are health checks, an attempt must have succeeded.
 	unproven := r.zones.remoteDegraded && r.limits.HealthChecks && remote.attempts-remote.failures < minFailures/2
 	r.zones.remoteDegraded = degraded || unproven
 	return !r.zones.remoteDegraded
 }
 
-// remotePathStats is what is known of the path to other zones, by own attempts and by peers in this zone.
+// remotePathStats is the state of the path to other zones, from attempts of this router and of peers in this zone.
 func (r *Router) remotePathStats() healthStats {
 	stats := r.gossip.remotePath
 	stats.add(r.zones.paths[remoteZones].decayedTo(r.now))
 	return stats
 }
 
-// missProbability is the chance that a response from a locality misses the latency objective, as if latencies were
-// distributed exponentially.
+// missProbability is the probability that a response from a locality misses the latency objective, if latencies are
+// exponentially distributed.
 func (r *Router) missProbability(request *Request, at locality) float64 {
 	expected := r.expectedSlowdown(at) * float64(request.Class.usualLatency)
 	return math.Exp(-float64(request.Class.LatencyObjective) / max(1, expected))
