--- a/policy/admission_test.go
+++ b/policy/admission_test.go
@@ -6,7 +6,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-func TestHungHostIsNoOverloadWhileResponsesComeInTime(t *testing.T) {
+func TestAdmission_AdmitsWhileOnlyHungHostsAreSlow(t *testing.T) {
 	f, endpoints := newFakeFleet(t, func(config *Config) { config.Routers = 50 })
 	for range 300 {
 		request := f.arrive(f.quote)
@@ -20,10 +20,10 @@
 	require.Empty(t, f.rejected)
 }
 
-func TestOverloadRejectsEarlyAndAnIdleFleetAdmitsAgain(t *testing.T) {
+func TestAdmission_RejectsEarlyUnderOverloadAndAdmitsOnceIdle(t *testing.T) {
 	f, _ := newFakeFleet(t, nil)
 	f.serve(60, f.quote, succeeds)
-	for range 400 { // no response comes any more
+	for range 400 { // no attempt is answered any longer
 		f.arrive(f.quote)
 		f.advance(Second / 100)
 	}
@@ -37,8 +37,8 @@
 	require.NotEmpty(t, f.arrive(f.quote).Attempts)
 }
 
-// One class is slow at all hosts: none is ejected, and no other class is rejected.
-func TestClassThatIsSlowAtAllHostsAffectsNoOtherClass(t *testing.T) {
+// If one class is slow at all hosts, no host is ejected and no other class is rejected.
+func TestAdmission_ClassSlowAtAllHostsAffectsNoOtherClass(t *testing.T) {
 	f, endpoints := newGossipingFleet(t, nil)
 	for range 6 {
 		for _, class := range []*Class{f.quote, f.order, f.payment} {
@@ -60,7 +60,7 @@
 	for range 3 {
 		f.router.StatsReported(f.now, BuildStats{Build: 1, Class: f.order, Samples: 60, MeanLatency: 2 * Second, Window: 2 * Second})
 	}
-	require.Equal(t, usual, f.order.usualLatency, "the usual latency stays")
+	require.Equal(t, usual, f.order.usualLatency, "the usual latency must not change")
 	for _, endpoint := range endpoints {
 		require.NotEqual(t, ejected, endpoint.Host.health)
 	}
@@ -69,20 +69,21 @@
 	}
 }
 
-// A final answer comes in the event that leads to it, with a Retry-After where that is allowed.
-func TestRejectionComesAtOnceWithRetryAfter(t *testing.T) {
+// The router gives a final answer while it handles the event that leads to it; a rejection carries a Retry-After if that
+// is allowed.
+func TestRouter_GivesFinalAnswerBeforeCallReturns(t *testing.T) {
 	f, endpoints := newGossipingFleet(t, func(config *Config) { config.Limits.MaxRetryAfter = 2 * Second })
 	for i := range endpoints {
 		endpoints[i].State = Removed
 	}
 	f.router.EndpointsChanged(f.now, endpoints, true)
 	request := f.arrive(f.quote)
-	require.Equal(t, []*Request{request}, f.rejected, "before the call returns")
+	require.Equal(t, []*Request{request}, f.rejected, "rejected before RequestArrived returns")
 	require.Positive(t, f.retryAfters[0])
 	require.LessOrEqual(t, f.retryAfters[0], 2*Second)
 
 	f, _ = newGossipingFleet(t, func(config *Config) { config.Limits.MaxAttempts = 1 })
 	request = f.arrive(f.payment)
 	f.end(request.Attempts[0], ConnectionLost, Second/20)
-	require.Equal(t, []*Request{request}, f.failed, "it may have been executed")
+	require.Equal(t, []*Request{request}, f.failed, "the request may have been executed")
 }
--- a/policy/balancing_test.go
+++ b/policy/balancing_test.go
@@ -6,7 +6,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-func TestZonesAreWeighedByExpectedSlowdownAndPrice(t *testing.T) {
+func TestPickHost_CrossesZonesOnlyWhenLocalHostsAreSlow(t *testing.T) {
 	f, endpoints := newFakeFleet(t, func(config *Config) { config.Limits.CrossZonePrice = 0.1 })
 	for i := range 3 {
 		endpoints[i].Zone = f.remoteZone
@@ -14,10 +14,10 @@
 	f.router.EndpointsChanged(f.now, endpoints, true)
 	f.serve(100, f.quote, succeeds)
 	for _, attempt := range f.attempts {
-		require.Same(t, f.localZone, attempt.Host.Zone) // nothing is worth the price while hosts are idle
+		require.Same(t, f.localZone, attempt.Host.Zone) // nothing is worth the cost of crossing while local hosts are idle
 	}
 	var crosses bool
-	for range 60 { // local hosts answer no more, remote ones do
+	for range 60 { // local hosts no longer answer, remote hosts do
 		request := f.arrive(f.quote)
 		f.advance(Second / 50)
 		for _, attempt := range request.Attempts {
@@ -30,14 +30,14 @@
 	require.True(t, crosses)
 }
 
-func TestHostsThatJustReportedLittleLoadAreDrawnTooInALargeFleet(t *testing.T) {
+func TestPickHost_PrefersHostsWithRecentLowLoadInLargeFleet(t *testing.T) {
 	f, endpoints := newFakeFleet(t, func(config *Config) { config.Routers = 50 })
 	for id := range uint32(60) {
 		endpoints = append(endpoints, f.host(100+id, 1))
 	}
 	f.router.EndpointsChanged(f.now, endpoints, true)
 	n := 0
-	for range 200 { // one host in three reports nothing in flight, the others report four
+	for range 200 { // one host in three reports no request in flight, the others report four
 		request := f.arrive(f.quote)
 		f.advance(Second / 20)
 		for _, attempt := range request.Attempts {
@@ -48,10 +48,10 @@
 			f.router.AttemptEnded(f.now, attempt, Succeeded, Second/20, true, load)
 		}
 	}
-	require.Greater(t, n, 120) // two drawn at random would give some seventy
+	require.Greater(t, n, 120) // two hosts drawn at random would give about 70
 }
 
-func TestConnectionsThatWorkAreUsedWhileTheyAreScarce(t *testing.T) {
+func TestPickHost_PrefersConnectedHostsWhileConnectionsAreScarce(t *testing.T) {
 	f, endpoints := newFakeFleet(t, nil)
 	refused := 0
 	outcomeOf := func(attempt *Attempt) Outcome {
@@ -62,11 +62,11 @@
 		return Succeeded
 	}
 	f.serve(200, f.payment, outcomeOf)
-	require.Less(t, refused, 100) // two in three attempts at random
+	require.Less(t, refused, 100) // at random, two in three attempts would be refused
 }
 
-// The weights of the endpoint list move the shares where nothing else is known.
-func TestDrawsFollowEndpointWeights(t *testing.T) {
+// The weights of the endpoint list determine the shares of hosts if nothing else is known.
+func TestPickHost_FollowsEndpointWeights(t *testing.T) {
 	f, endpoints := newGossipingFleet(t, nil)
 	for i := range endpoints[:6] {
 		endpoints[i].Weight = []float64{1, 3}[i%2]
--- a/policy/config_test.go
+++ b/policy/config_test.go
@@ -6,7 +6,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-func TestConfigChangeTakesEffectBetweenTwoEvents(t *testing.T) {
+func TestRouter_AppliesConfigChangeBetweenEvents(t *testing.T) {
 	f, _ := newFakeFleet(t, nil)
 	f.advance(Second / 100)
 	polls := f.polls
@@ -14,7 +14,7 @@
 	limits, release := f.router.limits, f.router.release.config
 	limits.MaxGossipBytes, limits.PushedDiscovery, limits.AllowHedging = 256, true, false
 	f.router.ConfigChanged(f.now, 300, 4, limits, release)
-	require.Len(t, f.attempts, 1, "nothing is sent anew")
+	require.Len(t, f.attempts, 1, "the change sends no attempt")
 	f.end(request.Attempts[0], Succeeded, Second/20)
 	require.True(t, request.Answered())
 	f.serve(30, f.quote, succeeds)
--- a/policy/exposure_test.go
+++ b/policy/exposure_test.go
@@ -6,7 +6,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-func TestCanaryAttemptsKeepWithinCapAndGuardedStages(t *testing.T) {
+func TestExposure_KeepsCanaryAttemptsWithinCapAndGuardedStages(t *testing.T) {
 	f, _ := newFakeFleet(t, nil)
 	f.startCanary(0, 0.1)
 	for range 300 {
@@ -24,22 +24,22 @@
 	require.Equal(t, n, f.canaryAttempts())
 }
 
-func TestExposureIsUnknownAfterAStartAndAnUnannouncedBuildIsInItsFirstStage(t *testing.T) {
+func TestExposure_AllowsNoCanaryAttemptAfterStartAndAssumesFirstStageForUnannouncedBuild(t *testing.T) {
 	f, _ := newFakeFleet(t, nil)
 	require.Equal(t, exposureLimit{applies: true, stage: 0, share: 0.1}, f.router.release.exposureOf(2))
 	f.router.ReleaseChanged(f.now, ReleaseStatus{Build: 2, Stage: 1, ExposureCap: 0.5})
-	f.serve(60, f.quote, succeeds) // three seconds, less than the window
+	f.serve(60, f.quote, succeeds) // takes 3 s, less than the exposure window
 	require.Zero(t, f.canaryAttempts())
 }
 
-// Where no baseline host is left, a request doesn't go to the canary twice.
-func TestRequestHasOneCanaryAttemptWhereNoBaselineHostIsLeft(t *testing.T) {
+// If no baseline host is left, a request must not go to the canary twice.
+func TestDispatch_SendsOneCanaryAttemptWithoutBaselineHosts(t *testing.T) {
 	f, endpoints := newFakeFleet(t, nil)
 	f.router.ReleaseChanged(f.now, ReleaseStatus{Build: 2, Phase: Canary, ExposureCap: 0.1})
 	for i := range endpoints[:6] {
 		endpoints[i].State = Removed
 	}
 	f.router.EndpointsChanged(f.now, endpoints, true)
-	f.advance(5 * Second) // beyond the window after a start
-	require.Len(t, f.arrive(f.quote).Attempts, 1, "the allowance of a window is one")
+	f.advance(5 * Second) // longer than the exposure window after the start
+	require.Len(t, f.arrive(f.quote).Attempts, 1, "the exposure allowance is one attempt per window")
 }
--- a/policy/fleet_test.go
+++ b/policy/fleet_test.go
@@ -6,7 +6,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// fakeFleet is the effects of a router and a small fleet of hosts, which ends attempts as a test says.
+// fakeFleet implements Effects for a router of a small fleet of hosts. The tests decide how attempts end.
 type fakeFleet struct {
 	t                     *testing.T
 	router                *Router
@@ -26,9 +26,9 @@
 	timersDue             []Time
 }
 
-func (f *fakeFleet) Send(attempt *Attempt, within Time) {
+func (f *fakeFleet) Send(attempt *Attempt, timeout Time) {
 	f.attempts = append(f.attempts, attempt)
-	f.timeouts[attempt] = within
+	f.timeouts[attempt] = timeout
 }
 
 func (f *fakeFleet) Reject(request *Request, retryAfter Time) {
@@ -37,8 +37,8 @@
 
 func (f *fakeFleet) Fail(request *Request) { f.failed = append(f.failed, request) }
 
-func (f *fakeFleet) SetTimer(in Time, timer *Timer) {
-	f.timers, f.timersDue = append(f.timers, timer), append(f.timersDue, f.now+in)
+func (f *fakeFleet) SetTimer(delay Time, timer *Timer) {
+	f.timers, f.timersDue = append(f.timers, timer), append(f.timersDue, f.now+delay)
 }
 
 func (f *fakeFleet) WatchEndpoints() { f.polls++ }
@@ -62,7 +62,7 @@
 	return EndpointUpdate{Host: &Host{ID: id}, Zone: at, Build: build, Weight: 1}
 }
 
-// newFakeFleet starts a router with six warm hosts of build 1 and one of build 2, which no release was told of.
+// newFakeFleet starts a router with six warm hosts of build 1 and one of build 2, which the release controller has not announced.
 func newFakeFleet(t *testing.T, change func(*Config)) (*fakeFleet, []EndpointUpdate) {
 	t.Helper()
 	f := &fakeFleet{t: t, localZone: &Zone{}, remoteZone: &Zone{}, timeouts: map[*Attempt]Time{},
@@ -88,7 +88,7 @@
 	return f, endpoints
 }
 
-// advance lets time go by in steps of 10 ms and fires the timers that come due.
+// advance moves the time forward in steps of 10 ms and fires the timers that are due.
 func (f *fakeFleet) advance(span Time) {
 	for end := f.now + span; f.now < end; {
 		f.now += Second / 100
@@ -113,7 +113,7 @@
 	f.router.AttemptEnded(f.now, attempt, outcome, latency, attempt.Request.Answered(), nil)
 }
 
-// serve sends so many requests of a class, 50 ms apart, and ends each attempt with an outcome.
+// serve sends n requests of a class, 50 ms apart, and ends each attempt with the outcome that outcomeOf returns.
 func (f *fakeFleet) serve(n int, class *Class, outcomeOf func(*Attempt) Outcome) {
 	for range n {
 		request := f.arrive(class)
@@ -126,7 +126,7 @@
 
 func succeeds(*Attempt) Outcome { return Succeeded }
 
-// startCanary makes build 2 the canary after the baseline has served for a while.
+// startCanary makes build 2 the canary after the baseline has served requests for eight seconds.
 func (f *fakeFleet) startCanary(stage int, share float64) {
 	f.serve(120, f.quote, succeeds)
 	f.serve(40, f.order, succeeds)
@@ -144,8 +144,8 @@
 	return n
 }
 
-// newGossipingFleet starts one of many routers, with gossip and health checks; the release controller counts two fifths of
-// all attempts.
+// newGossipingFleet starts one of 300 routers, with gossip and health checks. The release controller counts 40% of all
+// attempts.
 func newGossipingFleet(t *testing.T, change func(*Config)) (*fakeFleet, []EndpointUpdate) {
 	t.Helper()
 	return newFakeFleet(t, func(config *Config) {
@@ -157,7 +157,7 @@
 	})
 }
 
-// hostSummary is a message of a peer in the same zone: so many attempts at a host, so many of them failed.
+// hostSummary is the gossip message of a peer in the same zone that reports attempts at a host and failures among them.
 func (f *fakeFleet) hostSummary(host *Host, attempts, failures float64) []byte {
 	summary := gossipSummary{nearbyHost: host, classes: make([]admissionStats, 3), hosts: []hostReport{{host, 0, healthStats{f.now, attempts, failures, attempts}}}}
 	return summary.encode(256)
--- a/policy/host_test.go
+++ b/policy/host_test.go
@@ -7,7 +7,7 @@
 	"pgregory.net/rapid"
 )
 
-// discardEffects keeps attempts and carries out nothing.
+// discardEffects records attempts and ignores all other decisions.
 type discardEffects struct{ attempts []*Attempt }
 
 func (e *discardEffects) Send(attempt *Attempt, _ Time) { e.attempts = append(e.attempts, attempt) }
@@ -28,8 +28,8 @@
 
 func (e *discardEffects) CheckHealth(*Host) {}
 
-// After any events the running sums equal what a walk over all hosts and responses finds.
-func TestRunningSumsEqualSumsMadeAnew(t *testing.T) {
+// After any sequence of events, the running sums equal sums computed from all hosts and responses.
+func TestRouter_RunningSumsEqualRecomputedSums(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		effects := &discardEffects{}
 		local, remote := &Zone{}, &Zone{}
@@ -74,7 +74,7 @@
 			require.Equal(t, *r.snapshot(), kept)
 			for _, at := range []locality{localZone, remoteZones} {
 				usualLatency, latency, n := Time(0), Time(0), 0
-				for _, x := range r.traffic.ended { // the window, by a walk
+				for _, x := range r.traffic.ended { // the window, computed from all ended attempts
 					if x.locality == at && x.usualLatency > 0 && now-x.at <= 2*Second {
 						usualLatency, latency, n = usualLatency+x.usualLatency, latency+x.latency, n+1
 					}
--- a/policy/invariants_test.go
+++ b/policy/invariants_test.go
@@ -9,15 +9,15 @@
 	"pgregory.net/rapid"
 )
 
-// invariants is what a drawn sequence of events has shown of each request, to check the rules against.
+// invariants records what a random sequence of events has led to for each request, to check the router's rules.
 type invariants struct {
 	*rapid.T
 	f               *fakeFleet
 	requests        []*Request
 	deadlines       map[*Request]Time
-	answers         map[*Request]int // final ones
+	answers         map[*Request]int // number of final answers
 	clientGone      map[*Request]bool
-	drainingSince   map[*Host]Time // since when a host has been draining or removed
+	drainingSince   map[*Host]Time // time since which a host has been draining or removed
 	canaryAttempts  []trafficEvent // attempts at a build with limited exposure
 	arrivals        []trafficEvent
 	checkedAttempts int // of f.attempts
@@ -32,29 +32,29 @@
 		attempt := f.attempts[l.checkedAttempts]
 		request, now := attempt.Request, f.now
 		if l.clientGone[request] || l.answers[request] > 0 {
-			l.Fatalf("at %d: an attempt for a request that is over", now)
+			l.Fatalf("at %d: an attempt was sent for a request that is complete", now)
 		}
 		if f.timeouts[attempt] <= 0 || now+f.timeouts[attempt] > l.deadlines[request] {
-			l.Fatalf("at %d: an attempt may take %d, the client waits until %d", now, f.timeouts[attempt], l.deadlines[request])
+			l.Fatalf("at %d: an attempt was sent with a timeout of %d, but the client waits until %d", now, f.timeouts[attempt], l.deadlines[request])
 		}
 		if at, ok := l.drainingSince[attempt.Host]; ok && now-at > f.router.limits.DrainGrace {
-			l.Fatalf("at %d: an attempt at a host that has been draining since %d", now, at)
+			l.Fatalf("at %d: an attempt was sent to a host that has been draining since %d", now, at)
 		}
 		for _, before := range request.Attempts[:slices.Index(request.Attempts, attempt)] {
-			sure := before.outcome == Rejected || before.outcome == ConnectFailed || before.outcome == NotSent
-			if request.Class.Idempotency == NonIdempotent && !sure {
-				l.Fatalf("at %d: a non-idempotent request again, after an attempt that ended as %d", now, before.outcome)
+			surelyNotExecuted := before.outcome == Rejected || before.outcome == ConnectFailed || before.outcome == NotSent
+			if request.Class.Idempotency == NonIdempotent && !surelyNotExecuted {
+				l.Fatalf("at %d: a non-idempotent request was sent again after an attempt with outcome %d", now, before.outcome)
 			}
 			if !f.router.limits.AllowHedging && before.outcome == Pending {
-				l.Fatalf("at %d: two attempts in flight", now)
+				l.Fatalf("at %d: two attempts of a request are in flight without hedging", now)
 			}
 		}
 		if limit := f.router.release.exposureOf(attempt.build); limit.applies {
 			if limit.stage < f.router.release.config.GuardedStages && request.Class.Idempotency != Idempotent {
-				l.Fatalf("at %d: a request that is not idempotent in a guarded stage", now)
+				l.Fatalf("at %d: a request that is not idempotent was sent to the canary in a guarded stage", now)
 			}
 			l.canaryAttempts = append(l.canaryAttempts, trafficEvent{at: now})
-			in := func(all []trafficEvent) (n float64) {
+			countInWindow := func(all []trafficEvent) (n float64) {
 				for _, m := range all {
 					if now-m.at < f.router.release.config.ExposureWindow {
 						n++
@@ -62,8 +62,8 @@
 				}
 				return n
 			}
-			if in(l.canaryAttempts) > f.router.release.config.ExposureAllowance+limit.share*in(l.arrivals) {
-				l.Fatalf("at %d: %v attempts at the canary, of %v requests at a cap of %v", now, in(l.canaryAttempts), in(l.arrivals), limit.share)
+			if countInWindow(l.canaryAttempts) > f.router.release.config.ExposureAllowance+limit.share*countInWindow(l.arrivals) {
+				l.Fatalf("at %d: %v attempts at the canary for %v requests, with an exposure cap of %v", now, countInWindow(l.canaryAttempts), countInWindow(l.arrivals), limit.share)
 			}
 		}
 	}
@@ -73,7 +73,7 @@
 		if slices.ContainsFunc(request.Attempts, func(attempt *Attempt) bool {
 			return attempt.outcome != Rejected && attempt.outcome != ConnectFailed && attempt.outcome != NotSent
 		}) && request.Class.Idempotency == NonIdempotent {
-			l.Fatalf("at %d: rejected, though it may have been executed", f.now)
+			l.Fatalf("at %d: a non-idempotent request was rejected although it may have been executed", f.now)
 		}
 	}
 	for ; l.checkedFailures < len(f.failed); l.checkedFailures++ {
@@ -86,9 +86,10 @@
 	}
 }
 
-// Responses, failures, timeouts, clients that go, endpoint lists, release statuses and timers come in any order, also several
-// at one moment: the limits that a router keeps by itself hold, and every request has one final answer by its deadline.
-func TestInvariantsHoldInWhateverOrderEventsCome(t *testing.T) {
+// Responses, failures, timeouts, disconnecting clients, endpoint lists, release statuses and timers arrive in any order, also
+// several at the same time. The limits that a single router enforces hold, and every request has one final answer by its
+// deadline.
+func TestRouter_KeepsInvariantsForAnyOrderOfEvents(t *testing.T) {
 	rapid.Check(t, func(d *rapid.T) {
 		f, endpoints := newFakeFleet(t, func(config *Config) {
 			config.Limits.AllowHedging = rapid.Bool().Draw(d, "hedging")
@@ -98,7 +99,7 @@
 		})
 		l := &invariants{T: d, f: f, deadlines: map[*Request]Time{}, answers: map[*Request]int{}, clientGone: map[*Request]bool{}, drainingSince: map[*Host]Time{}}
 		classes := []*Class{f.quote, f.order, f.payment}
-		pass := func(span Time) { // what the owner of a router does: an attempt whose time is up has ended
+		pass := func(span Time) { // does what the owner of a router does: it ends attempts whose timeout has passed
 			for end := f.now + span; f.now < end; {
 				f.advance(Second / 100)
 				l.check()
@@ -112,7 +113,7 @@
 		}
 		end := func(attempt *Attempt, outcome Outcome) {
 			if outcome == Succeeded && l.answers[attempt.Request] == 0 && !l.clientGone[attempt.Request] {
-				l.answers[attempt.Request]++ // the client has the response before the router is told
+				l.answers[attempt.Request]++ // the client has the response before AttemptEnded is called
 			}
 			f.router.AttemptEnded(f.now, attempt, outcome, f.now-attempt.sentAt, l.answers[attempt.Request] > 0 || l.clientGone[attempt.Request], nil)
 		}
@@ -149,7 +150,7 @@
 					if l.answers[request] == 0 && !l.clientGone[request] {
 						l.clientGone[request] = true
 						f.router.ClientGone(f.now, request)
-						for _, attempt := range request.Attempts { // what was not sent is canceled, the rest runs to its end
+						for _, attempt := range request.Attempts { // attempts not yet sent are canceled, the others run to their end
 							if attempt.outcome == Pending && rapid.Bool().Draw(d, "canceled") {
 								end(attempt, NotSent)
 							}
@@ -177,20 +178,20 @@
 				f.router.ReleaseChanged(f.now, rapid.SampledFrom([]ReleaseStatus{{Build: 2, Phase: Canary, ExposureCap: 0.1}, {Build: 2, Stage: 1, Phase: Canary, ExposureCap: 0.5},
 					{Build: 2, Stage: 2, Phase: Released, ExposureCap: 1}, {Build: 2, Phase: RollingBack}, {Build: 2, Phase: RolledBack},
 					{Build: 3, Phase: Canary, ExposureCap: 0.1}}).Draw(d, "status"))
-				l.canaryAttempts = nil // caps may have fallen: earlier attempts are not checked against the new ones
+				l.canaryAttempts = nil // exposure caps may have decreased: earlier attempts are not checked against the new ones
 				l.check()
 			},
-			"a moment": func() { pass(Time(rapid.IntRange(1, 300).Draw(d, "tenths"))) },
-			"a while":  func() { pass(Second * Time(rapid.IntRange(1, 8).Draw(d, "seconds"))) },
+			"short wait": func() { pass(Time(rapid.IntRange(1, 300).Draw(d, "tenths"))) },
+			"long wait":  func() { pass(Second * Time(rapid.IntRange(1, 8).Draw(d, "seconds"))) },
 		}
-		names := []string{"request", "request", "request", "end", "end", "client gone", "endpoint", "no endpoints", "release", "a moment", "a moment", "a while"}
+		names := []string{"request", "request", "request", "end", "end", "client gone", "endpoint", "no endpoints", "release", "short wait", "short wait", "long wait"}
 		for n := range rapid.IntRange(5, 60).Draw(d, "steps") {
 			name := rapid.SampledFrom(names).Draw(d, fmt.Sprint("step ", n))
 			steps[name]()
 		}
 		pass(4 * Second) // beyond the longest timeout
 		for _, request := range l.requests {
-			require.Equal(d, map[bool]int{true: 0, false: 1}[l.clientGone[request]], l.answers[request], "a request's final answers")
+			require.Equal(d, map[bool]int{true: 0, false: 1}[l.clientGone[request]], l.answers[request], "number of final answers to a request")
 		}
 	})
 }
--- a/policy/request_test.go
+++ b/policy/request_test.go
@@ -6,7 +6,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-func TestRequestGetsOneAnswerAndNoAttemptAfterIt(t *testing.T) {
+func TestRouter_SendsNoAttemptAfterFinalAnswer(t *testing.T) {
 	f, _ := newFakeFleet(t, nil)
 	request := f.arrive(f.quote)
 	f.end(request.Attempts[0], Succeeded, Second/20)
@@ -17,7 +17,7 @@
 	require.Empty(t, f.rejected)
 }
 
-func TestRequestWithoutAHostIsRejectedAtOnce(t *testing.T) {
+func TestDispatch_RejectsRequestWithoutHosts(t *testing.T) {
 	f, endpoints := newFakeFleet(t, nil)
 	for i := range endpoints {
 		endpoints[i].State = Removed
--- a/policy/retry_test.go
+++ b/policy/retry_test.go
@@ -6,17 +6,17 @@
 	"github.com/stretchr/testify/require"
 )
 
-func TestNonIdempotentRequestThatMayHaveExecutedIsNeitherRetriedNorRejected(t *testing.T) {
+func TestRetry_FailsNonIdempotentRequestThatMayHaveExecuted(t *testing.T) {
 	f, _ := newFakeFleet(t, nil)
 	request := f.arrive(f.payment)
-	f.advance(2 * Second) // it is slow, and not hedged either
+	f.advance(2 * Second) // the attempt is slow; it must not be hedged either
 	require.Len(t, request.Attempts, 1)
 	f.end(request.Attempts[0], ConnectionLost, 2*Second)
 	require.Equal(t, []*Request{request}, f.failed)
 	require.Len(t, request.Attempts, 1)
 }
 
-func TestNonIdempotentRequestThatWasNotExecutedIsRetried(t *testing.T) {
+func TestRetry_RetriesNonIdempotentRequestThatWasNotExecuted(t *testing.T) {
 	f, _ := newFakeFleet(t, nil)
 	request := f.arrive(f.payment)
 	f.end(request.Attempts[0], ConnectFailed, Second/40)
@@ -24,7 +24,7 @@
 	require.NotSame(t, request.Attempts[0].Host, request.Attempts[1].Host)
 }
 
-func TestRetryWithIdempotencyKeyStaysInDedupScopeAndWindow(t *testing.T) {
+func TestRetry_StaysInDedupScopeAndWindowOfIdempotencyKey(t *testing.T) {
 	f, endpoints := newFakeFleet(t, nil)
 	f.order.DedupScope = ZoneScope
 	endpoints[5].Zone = f.remoteZone
@@ -40,19 +40,19 @@
 	}
 	late := f.arrive(f.order)
 	late.Timeout = 9 * Second
-	f.advance(4 * Second) // longer than hosts remember its key
+	f.advance(4 * Second) // longer than hosts remember the idempotency key
 	n := len(late.Attempts)
 	f.end(late.Attempts[0], ConnectionLost, 4*Second)
 	require.Len(t, late.Attempts, n)
 }
 
-func TestNoSecondAttemptInFlightWithoutHedging(t *testing.T) {
+func TestDispatch_SendsNoSecondConcurrentAttemptWithoutHedging(t *testing.T) {
 	f, _ := newFakeFleet(t, func(config *Config) { config.Limits.AllowHedging = false })
 	f.startCanary(1, 0.5)
 	for range 40 {
 		request := f.arrive(f.quote)
 		require.LessOrEqual(t, len(request.Attempts), 1)
-		if attempt := request.Attempts[0]; attempt.build == 2 { // a shadow attempt that goes first leaves the primary one its time
+		if attempt := request.Attempts[0]; attempt.build == 2 { // a shadow attempt that is sent first leaves time for the primary attempt
 			require.Less(t, f.timeouts[attempt], request.Timeout/2)
 			f.end(attempt, TimedOut, f.timeouts[attempt])
 			require.Len(t, request.Attempts, 2)
@@ -64,7 +64,7 @@
 	require.Positive(t, f.canaryAttempts())
 }
 
-func TestAttemptsCutShortCountInTheRetryBudget(t *testing.T) {
+func TestRetryBudget_LimitsAttemptsCutShort(t *testing.T) {
 	f, _ := newFakeFleet(t, func(config *Config) { config.Limits.AllowHedging = false })
 	f.serve(120, f.quote, succeeds)
 	cutShort := 0
@@ -78,10 +78,10 @@
 		f.end(request.Attempts[len(request.Attempts)-1], Succeeded, Second/20)
 	}
 	require.Positive(t, cutShort)
-	require.Less(t, cutShort, 60) // one for every eight requests of the last five seconds, and a few
+	require.Less(t, cutShort, 60) // the budget is one for every eight requests of the last five seconds, plus a few
 }
 
-func TestRetriesKeepWithinTheirBudget(t *testing.T) {
+func TestRetryBudget_LimitsRetries(t *testing.T) {
 	f, _ := newFakeFleet(t, nil)
 	f.serve(80, f.quote, succeeds)
 	f.attempts = nil
--- a/policy/shadow_test.go
+++ b/policy/shadow_test.go
@@ -6,7 +6,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-func TestWarmCanaryHostDoesNotGetTheShareOfColdOnes(t *testing.T) {
+func TestPickCanary_KeepsShareOfColdHostsFromWarmHost(t *testing.T) {
 	f, endpoints := newFakeFleet(t, nil)
 	for id := range uint32(5) {
 		coldHost := f.host(10+id, 2)
@@ -17,22 +17,22 @@
 	f.router.EndpointsChanged(f.now, endpoints, true)
 	f.router.ReleaseChanged(f.now, ReleaseStatus{Build: 2, Stage: 2, ExposureCap: 1})
 	f.attempts = nil
-	f.serve(40, f.quote, succeeds) // two seconds
+	f.serve(40, f.quote, succeeds) // takes two seconds
 	n := map[*Host]int{}
 	for _, attempt := range f.attempts {
 		n[attempt.Host]++
 	}
 	require.Positive(t, n[endpoints[6].Host])
-	require.LessOrEqual(t, n[endpoints[6].Host], 40/6+2) // what a baseline host gets, and a little
+	require.LessOrEqual(t, n[endpoints[6].Host], 40/6+2) // as many as a baseline host gets, plus a margin
 }
 
-func TestShadowAttemptsMakeNoQueueAtACanaryHost(t *testing.T) {
+func TestPickCanary_BuildsNoQueueAtUnresponsiveHost(t *testing.T) {
 	f, endpoints := newFakeFleet(t, nil)
 	f.serve(120, f.quote, succeeds)
 	f.router.ReleaseChanged(f.now, ReleaseStatus{Build: 2, Stage: 1, ExposureCap: 1})
 	canary := endpoints[6].Host
 	most := 0
-	for range 60 { // the canary host pauses while the others answer
+	for range 60 { // the canary host doesn't answer while the other hosts do
 		request := f.arrive(f.quote)
 		f.advance(Second / 20)
 		for _, attempt := range request.Attempts {
@@ -46,11 +46,11 @@
 	require.LessOrEqual(t, most, 2)
 }
 
-func TestPrimaryAttemptsAtTheCanaryAreNoShadowAttempts(t *testing.T) {
+func TestRouter_ExcludesPrimaryAttemptsAtCanaryFromEvidence(t *testing.T) {
 	f, endpoints := newFakeFleet(t, nil)
 	f.serve(120, f.quote, succeeds)
 	f.router.ReleaseChanged(f.now, ReleaseStatus{Build: 2, Stage: 2, ExposureCap: 1})
-	for i := range endpoints[:6] { // baseline hosts drain before the router is told of the release
+	for i := range endpoints[:6] { // baseline hosts drain before the router learns of the release
 		endpoints[i].State = Draining
 	}
 	f.router.EndpointsChanged(f.now, endpoints, true)
@@ -69,14 +69,14 @@
 	require.Len(t, f.router.analysis.window(2).samples, shadows)
 }
 
-// A cold canary host is due a baseline host's share, and warm ones don't get what cold ones can't take.
-func TestCanaryHostsAreDueTheShareOfBaselineHosts(t *testing.T) {
+// A cold canary host is due the share of a baseline host, and warm hosts don't get what cold hosts can't take.
+func TestPickCanary_GivesHostsTheShareOfBaselineHosts(t *testing.T) {
 	f, endpoints := newGossipingFleet(t, func(config *Config) { config.Limits.AllowHedging = false })
 	var coldHosts []EndpointUpdate
 	for id := range uint32(3) {
-		l := f.host(40+id, 2)
-		l.StartedAt = f.now + 1
-		coldHosts = append(coldHosts, l)
+		coldHost := f.host(40+id, 2)
+		coldHost.StartedAt = f.now + 1
+		coldHosts = append(coldHosts, coldHost)
 	}
 	f.startCanary(2, 1)
 	for i := range coldHosts {
@@ -89,8 +89,8 @@
 	for _, attempt := range f.attempts[at:] {
 		n[attempt.Host]++
 	}
-	require.Less(t, n[endpoints[6].Host], 60, "the warm one gets about what one of six baseline hosts gets")
-	for _, l := range coldHosts {
-		require.Positive(t, n[l.Host])
+	require.Less(t, n[endpoints[6].Host], 60, "the warm host should get about as many attempts as one of six baseline hosts")
+	for _, coldHost := range coldHosts {
+		require.Positive(t, n[coldHost.Host])
 	}
 }
--- a/policy/traffic.go
+++ b/policy/traffic.go
@@ -68,10 +68,10 @@
 	return n
 }
 
-// appendBounded appends x. Once there are twice as many elements as least, it first drops all but the last least.
-func appendBounded[T any](all []T, x T, least int) []T {
-	if len(all) >= 2*least {
-		all = slices.Clone(all[len(all)-least:])
+// appendBounded appends x. Once there are 2*minKept elements, it first drops all but the last minKept.
+func appendBounded[T any](all []T, x T, minKept int) []T {
+	if len(all) >= 2*minKept {
+		all = slices.Clone(all[len(all)-minKept:])
 	}
 	return append(all, x)
 }
