--- a/router/actions.go
+++ b/router/actions.go
@@ -2,24 +2,24 @@
 
 import "dapplefront/policy"
 
-// ActionKind is what an action asks for.
+// ActionKind is the kind of an action.
 type ActionKind int
 
-// Kinds of actions, each with the fields of Action that it uses.
+// Kinds of actions. Each comment names the fields of Action that the kind uses.
 const (
 	SendAttempt     ActionKind = iota // send RequestID to Host as attempt number Attempt, with the timeout Duration
-	Reject                            // the final response: it has not run and trying again is harmless, best after Duration
-	Fail                              // the final response: it may have run or not
-	SetTimer                          // a TimerFired event with the number Timer after Duration
-	WatchEndpoints                    // watch the endpoint list, or resume after a failure
-	CastVote                          // vote Choice on Build at Stage
+	Reject                            // respond to RequestID finally: it was not executed, so a retry is safe, preferably after Duration
+	Fail                              // respond to RequestID finally: it failed and may have been executed
+	SetTimer                          // deliver a TimerFired event with the number Timer after Duration
+	WatchEndpoints                    // watch the endpoint list, or resume the watch after a failure
+	CastVote                          // cast the vote Choice on Build at Stage
 	Log                               // log Text
-	SendGossip                        // send Body to the router of rank Peer, or to all for policy.Broadcast
-	CheckHealth                       // check the health of Host
-	AcknowledgePlan                   // the plan's version PlanVersion is followed, or rejected for the reason Text
+	SendGossip                        // send Body to the router with rank Peer, or to all routers if Peer is policy.Broadcast
+	CheckHealth                       // run a health check of Host
+	AcknowledgePlan                   // report that the plan version PlanVersion is applied or, if Text is not empty, rejected for the reason Text
 )
 
-// Action is what a router wants done; which fields count depends on Kind.
+// Action is something that the embedding program must carry out for a router. Kind determines which fields are used.
 type Action struct {
 	Kind        ActionKind
 	RequestID   string
@@ -34,10 +34,10 @@
 	PlanVersion uint64
 	Peer        int
 	Body        string
-	IsShadow    bool // a SendAttempt beside another one, or alone, for judging the canary build
+	IsShadow    bool // a SendAttempt is a shadow attempt: it measures the canary build, with or without a primary attempt beside it
 }
 
-// effects collects what the policy asks for as actions (policy.Effects).
+// effects implements policy.Effects: it collects the effects that the policy requests as actions.
 type effects Router
 
 func (e *effects) add(a Action) { e.actions = append(e.actions, a) }
@@ -46,9 +46,9 @@
 	id := e.requestIDs[a.Request]
 	r := e.requests[id]
 	r.attemptDone = append(r.attemptDone, false)
-	r.attempts++
+	r.attemptsInFlight++
 	if h := e.hosts[a.Host.ID]; h != nil {
-		h.attempts++
+		h.attemptsInFlight++
 	}
 	e.add(Action{Kind: SendAttempt, RequestID: id, Attempt: len(r.attemptDone) - 1, Host: a.Host.ID, Duration: timeout, IsShadow: a.IsShadow()})
 }
@@ -59,10 +59,10 @@
 
 func (e *effects) Fail(r *policy.Request) { e.add(Action{Kind: Fail, RequestID: e.requestIDs[r]}) }
 
-func (e *effects) SetTimer(in policy.Time, t *policy.Timer) {
+func (e *effects) SetTimer(delay policy.Time, t *policy.Timer) {
 	e.lastTimer++
 	e.timers[e.lastTimer] = t
-	e.add(Action{Kind: SetTimer, Timer: e.lastTimer, Duration: in})
+	e.add(Action{Kind: SetTimer, Timer: e.lastTimer, Duration: delay})
 }
 
 func (e *effects) WatchEndpoints() { e.add(Action{Kind: WatchEndpoints}) }
--- a/router/benchmark_test.go
+++ b/router/benchmark_test.go
@@ -9,16 +9,16 @@
 	"dapplefront/router"
 )
 
-// loadedRouter is a router with many hosts under steady load: requests arrive evenly, and each attempt ends after its
-// host's latency.
+// loadedRouter is a router with many hosts under steady load: requests arrive at a constant interval, and each attempt
+// ends after a latency that varies by request.
 type loadedRouter struct {
 	b           *testing.B
 	r           *router.Router
 	now         policy.Time
-	interval    float64 // between requests
+	interval    float64 // between two requests, in units of policy.Time
 	elapsed     float64
 	lastID      int
-	attemptEnds []attemptEnd // by time
+	attemptEnds []attemptEnd // attempts in flight, with the time at which each ends
 	actions     []router.Action
 }
 
@@ -63,20 +63,20 @@
 	}
 }
 
-// runRequest lets one request arrive, after the end of all attempts that are due before it.
+// runRequest ends all attempts that are due before the next request and then handles the arrival of that request.
 func (l *loadedRouter) runRequest() {
 	l.elapsed += l.interval
 	now := 1000*policy.Second + policy.Time(l.elapsed)
-	later := l.attemptEnds[:0]
+	inFlight := l.attemptEnds[:0]
 	var due []attemptEnd
 	for _, e := range l.attemptEnds {
 		if e.at <= now {
 			due = append(due, e)
 		} else {
-			later = append(later, e)
+			inFlight = append(inFlight, e)
 		}
 	}
-	l.attemptEnds = later
+	l.attemptEnds = inFlight
 	for _, e := range due {
 		l.now = max(l.now, e.at)
 		l.handle(router.AttemptEnded{RequestID: e.requestID, Attempt: e.attempt, Outcome: policy.Succeeded, Latency: 250, Done: true,
@@ -87,7 +87,7 @@
 	l.handle(router.RequestArrived{RequestID: strconv.Itoa(l.lastID), Class: []string{"quote", "order"}[l.lastID%2], Timeout: 15000})
 }
 
-// BenchmarkRequest is the library's work for one request, from its arrival to the end of its attempt.
+// BenchmarkRequest measures the library's work for one request, from its arrival to the end of its attempt.
 func BenchmarkRequest(b *testing.B) {
 	for _, hosts := range []int{10, 300, 1000} {
 		for _, rate := range []float64{100, 4000} {
--- a/router/config.go
+++ b/router/config.go
@@ -11,8 +11,8 @@
 // Config is the configuration of a router.
 type Config struct {
 	Seed    uint64
-	Routers int // all that serve the fleet
-	Rank    int // this one's number among them, from 0
+	Routers int // number of routers that serve the fleet
+	Rank    int // number of this router among them, from 0
 	Zone    string
 	Classes []Class
 	Tenants []Tenant
@@ -25,20 +25,20 @@
 	Name             string
 	Idempotency      policy.Idempotency
 	DedupScope       policy.DedupScope
-	DedupWindow      policy.Time // how long hosts of one scope drop repeats of a request
+	DedupWindow      policy.Time // how long the hosts of one dedup scope deduplicate retries of a request
 	LatencyObjective policy.Time
 	PriorityWeight   float64
-	LateValueShare   float64 // share of the value that is left after the latency objective
+	LateValueShare   float64 // share of its value that a response later than the latency objective keeps
 }
 
-// Tenant is whoever requests are made for.
+// Tenant is a customer on whose behalf requests are made.
 type Tenant struct {
 	Name           string
-	QuotaPerSecond float64 // requests a second, over all routers, that have their full value
+	QuotaPerSecond float64 // requests per second, over all routers, that count with their full value
 }
 
-// configChanged replaces the configuration between two events: requests in flight go on under the new one, and nothing
-// is sent again for it.
+// configChanged replaces the configuration between two events. Requests in flight continue under the new configuration;
+// the change itself causes no attempts to be sent again.
 func (r *Router) configChanged(now policy.Time, c Config) error {
 	if err := r.config.CheckChange(c); err != nil {
 		return err
@@ -50,14 +50,15 @@
 	for _, t := range c.Tenants {
 		r.tenants[t.Name].QuotaPerSecond = t.QuotaPerSecond
 	}
-	c.Seed = r.config.Seed // the random numbers go on as they were
+	c.Seed = r.config.Seed // the random number generator continues from its present state
 	r.config = c
 	r.policy.ConfigChanged(now, c.Routers, c.Rank, c.Limits, c.Release)
 	return nil
 }
 
-// CheckChange names everything in next that can't change in a running router: its hosts and requests were understood by
-// its zone, and its classes' idempotency was promised for the requests in flight. The errors use the settings' names.
+// CheckChange returns an error for each difference in next that can't be applied to a running router. Its hosts and
+// requests were interpreted relative to its zone, and the idempotency of its classes is assumed for the requests in
+// flight. The errors use the names of the settings.
 func (c Config) CheckChange(next Config) error {
 	var all []error
 	if c.Zone != next.Zone {
@@ -66,14 +67,14 @@
 	for _, class := range c.Classes {
 		i := slices.IndexFunc(next.Classes, func(x Class) bool { return x.Name == class.Name })
 		if i < 0 {
-			all = append(all, fmt.Errorf("category %s: can't go in a running router", class.Name))
+			all = append(all, fmt.Errorf("category %s: can't be removed from a running router", class.Name))
 		} else if x := next.Classes[i]; x.Idempotency != class.Idempotency || x.DedupScope != class.DedupScope || x.DedupWindow != class.DedupWindow {
 			all = append(all, fmt.Errorf("category %s: repeat, group and memory can't change in a running router", class.Name))
 		}
 	}
 	for _, class := range next.Classes {
 		if !slices.ContainsFunc(c.Classes, func(x Class) bool { return x.Name == class.Name }) {
-			all = append(all, fmt.Errorf("category %s: can't come in a running router", class.Name))
+			all = append(all, fmt.Errorf("category %s: can't be added to a running router", class.Name))
 		}
 	}
 	all = append(all, missingTenants(c.Tenants, next.Tenants)...)
@@ -81,11 +82,11 @@
 	return errors.Join(all...)
 }
 
-// missingTenants has an error for each tenant that is in one list and not in the other.
+// missingTenants returns an error for each tenant that is in the list in and not in the list notIn.
 func missingTenants(in, notIn []Tenant) (all []error) {
 	for _, t := range in {
 		if !slices.ContainsFunc(notIn, func(x Tenant) bool { return x.Name == t.Name }) {
-			all = append(all, fmt.Errorf("customer %s: can't come or go in a running router", t.Name))
+			all = append(all, fmt.Errorf("customer %s: can't be added to or removed from a running router", t.Name))
 		}
 	}
 	return all
--- a/router/doc.go
+++ b/router/doc.go
@@ -1,18 +1,19 @@
-// Package router is one router as a library: events in, actions out. It owns one policy.Router, in which all decisions
-// are made, and keeps the tables between ids and that package's objects, so that whoever embeds it speaks of ids alone.
-// It has no socket, clock or goroutine: each event carries the time, and the same events give the same actions.
+// Package router implements one router as a library: it takes events and returns actions. It owns one policy.Router,
+// which makes all decisions, and maps ids to the objects of that package, so that the embedding program uses ids only.
+// It has no socket, clock or goroutine: each event is handled at a time that the caller passes, and the same events at
+// the same times give the same actions.
 //
 //	r, actions := router.New(now, config)
 //	for event := range events {
 //		actions, err = r.Handle(now, event, actions[:0])
-//		// carry out the actions in order, and report how each attempt ends by an AttemptEnded event
+//		// carry out the actions in order, and report the end of each attempt by an AttemptEnded event
 //	}
 //
-// Times are policy.Time, whole tenths of a millisecond, on one clock that never steps back. Where several routers serve
-// one fleet, their clocks should show the same time to within some tenths of a second, as routers take turns by it
-// without messages. A Router is not safe for concurrent use.
+// Times are policy.Time, integers in units of 0.1 ms, on one clock that never steps back. If several routers serve one
+// fleet, their clocks should agree to within a few tenths of a second, because the routers take turns by the clock
+// without exchanging messages. A Router is not safe for concurrent use.
 //
-// Every request that arrives gets one final response: by an AttemptEnded event with Done set (the first attempt that
-// succeeds), or by a Reject or Fail action. Whoever embeds the package ends each attempt exactly once by an AttemptEnded
-// event, also after its request is over: only then is the request forgotten.
+// Every request that arrives gets exactly one final response: by an AttemptEnded event with Done set (the first attempt
+// that succeeds), or by a Reject or Fail action. The embedding program reports the end of each attempt exactly once by an
+// AttemptEnded event, even after its request is complete: the request is forgotten only when all its attempts have ended.
 package router
--- a/router/endpoints.go
+++ b/router/endpoints.go
@@ -7,21 +7,22 @@
 	"dapplefront/policy"
 )
 
-// Hosts are forgotten forgetHostAfter their removal, far beyond what the policy looks back on; forgetHostsInterval is
-// how often that is looked at.
+// A host is forgotten forgetHostAfter its removal, which is far longer than any time span that the policy looks back on.
+// Hosts are checked for this at intervals of forgetHostsInterval.
 const (
 	forgetHostAfter     = 600 * policy.Second
 	forgetHostsInterval = 60 * policy.Second
 )
 
-// host is an endpoint that was listed.
+// host is an endpoint that is listed or was listed earlier.
 type host struct {
-	policy    *policy.Host
-	removedAt policy.Time // 0 while it is listed
-	attempts  int         // that have not ended
+	policy           *policy.Host
+	removedAt        policy.Time // 0 while the host is listed
+	attemptsInFlight int
 }
 
-// endpointsChanged takes over a list, and follows the plan in force with the hosts that are listed only now.
+// endpointsChanged applies an endpoint list and then applies the plan in force again, because it may have weights for
+// hosts that were not listed before.
 func (r *Router) endpointsChanged(now policy.Time, e EndpointsChanged) {
 	r.policy.EndpointsChanged(now, r.endpointUpdates(now, e), true)
 	r.forgetHosts(now)
@@ -30,8 +31,8 @@
 	}
 }
 
-// endpointUpdates turns a list into changes to what was known; hosts that a complete list leaves out are removed, in the
-// order of their ids.
+// endpointUpdates turns an endpoint list into updates of the known hosts. Hosts that are missing from a complete list are
+// removed, in the order of their ids.
 func (r *Router) endpointUpdates(now policy.Time, e EndpointsChanged) []policy.EndpointUpdate {
 	updates := make([]policy.EndpointUpdate, 0, len(e.Hosts))
 	listed := make(map[uint32]bool, len(e.Hosts))
@@ -51,7 +52,7 @@
 	if !e.Complete {
 		return updates
 	}
-	known := len(updates)
+	removals := len(updates)
 	for id, h := range r.hosts {
 		if listed[id] {
 			continue
@@ -63,25 +64,26 @@
 		updates = append(updates, policy.EndpointUpdate{Host: p, Zone: p.Zone, Cell: p.Cell, State: policy.Removed,
 			Build: p.Build, Weight: p.Weight, StartedAt: p.StartedAt})
 	}
-	slices.SortFunc(updates[known:], func(a, b policy.EndpointUpdate) int { return cmp.Compare(a.Host.ID, b.Host.ID) })
+	slices.SortFunc(updates[removals:], func(a, b policy.EndpointUpdate) int { return cmp.Compare(a.Host.ID, b.Host.ID) })
 	return updates
 }
 
-// forgetHosts forgets the hosts that were removed so long ago that nothing known of them counts any more.
+// forgetHosts forgets the hosts that were removed more than forgetHostAfter ago and have no attempts in flight, as their
+// observations no longer affect any decision.
 func (r *Router) forgetHosts(now policy.Time) {
 	if now-r.hostsForgottenAt < forgetHostsInterval {
 		return
 	}
 	r.hostsForgottenAt = now
 	for id, h := range r.hosts {
-		if h.removedAt != 0 && now-h.removedAt > forgetHostAfter && h.attempts == 0 {
+		if h.removedAt != 0 && now-h.removedAt > forgetHostAfter && h.attemptsInFlight == 0 {
 			r.policy.Forget(h.policy)
 			delete(r.hosts, id)
 		}
 	}
 }
 
-// zone is the policy's object for a zone's name.
+// zone returns the policy's object for the zone with a name and creates it if necessary.
 func (r *Router) zone(name string) *policy.Zone {
 	if r.zones[name] == nil {
 		r.zones[name] = &policy.Zone{}
--- a/router/events.go
+++ b/router/events.go
@@ -5,68 +5,68 @@
 	"dapplefront/policy"
 )
 
-// Event is something that a router handles.
+// Event is an input that a router handles.
 type Event interface{ event() }
 
-// RequestArrived is a request that has arrived; the router owes it one final response.
+// RequestArrived reports a new request. The router gives it exactly one final response.
 type RequestArrived struct {
-	RequestID    string // never used before
+	RequestID    string // must not have been used before
 	Class        string
-	Tenant       string // a name from Config.Tenants; others count as none
-	Key          string // requests that concern the same thing share it; empty for none
+	Tenant       string // a name from Config.Tenants; any other name means no tenant
+	Key          string // the same for requests that concern the same object; empty if the request has no key
 	Timeout      policy.Time
-	ExpectedWork policy.Time // 0 where it is not known
-	ClientRetry  bool        // the client says that it retries
+	ExpectedWork policy.Time // 0 if unknown
+	ClientRetry  bool        // the client says that it retries by itself
 }
 
-// AttemptEnded is the end of an attempt of a request.
+// AttemptEnded reports the end of an attempt.
 type AttemptEnded struct {
 	RequestID string
-	Attempt   int // counted from 0
+	Attempt   int // number of the attempt within the request, from 0
 	Outcome   policy.Outcome
 	Latency   policy.Time
-	Done      bool               // the request is over, by this attempt or already before it
-	Load      *policy.LoadReport // what the host reported with it, nil for nothing
+	Done      bool               // the request was completed by this attempt or earlier
+	Load      *policy.LoadReport // the load report that the host sent with its response, or nil
 }
 
-// ResponseStarted is the first byte of a streamed response.
+// ResponseStarted reports the first byte of a streamed response.
 type ResponseStarted struct {
 	RequestID string
 	Attempt   int
 }
 
-// ClientGone is a client that has gone; no response is due to it any more.
+// ClientGone reports that a client disconnected: its request needs no response any more.
 type ClientGone struct{ RequestID string }
 
-// EndpointsChanged is an endpoint list: all of it (Complete), or what has changed.
+// EndpointsChanged is an endpoint list: the complete list if Complete is set, otherwise only the hosts that have changed.
 type EndpointsChanged struct {
 	Complete bool
 	Hosts    []Host
 }
 
-// EndpointsUnavailable is a failure of endpoint discovery; the list that is known still applies.
+// EndpointsUnavailable reports a failure of endpoint discovery. The last known list stays in use.
 type EndpointsUnavailable struct{}
 
-// ReleaseChanged is a release status of the controllers, unsolicited or in answer to a vote.
+// ReleaseChanged is a release status from the controllers, either unsolicited or in response to a vote.
 type ReleaseChanged struct{ Status policy.ReleaseStatus }
 
-// StatsReported is what the controllers counted for a build and a class.
+// StatsReported holds the controllers' statistics of a build for one class.
 type StatsReported struct {
 	Build             int
 	Class             string
 	Failures, Samples int
 	MeanLatency, Age  policy.Time
-	Window            policy.Time // the span that was counted
+	Window            policy.Time // time span that the statistics cover
 }
 
-// ComplaintReceived is a client that found a response wrong.
+// ComplaintReceived reports that a client found a response of a host to be wrong.
 type ComplaintReceived struct {
 	Host  uint32
 	Class string
-	Age   policy.Time // since the attempt was sent
+	Age   policy.Time // time since the attempt was sent
 }
 
-// TimerFired is a timer that a SetTimer action asked for.
+// TimerFired reports that the timer of a SetTimer action has fired.
 type TimerFired struct{ Timer int64 }
 
 // HealthChecked is the result of a health check of a host.
@@ -77,17 +77,17 @@
 	Load    *policy.LoadReport
 }
 
-// GossipReceived is a message from another router, by its rank.
+// GossipReceived is a gossip message from the router whose rank is Peer.
 type GossipReceived struct {
 	Peer int
 	Body string
 }
 
-// ConfigChanged is a configuration that replaces the present one. One that a running router can't take is an error and
-// changes nothing.
+// ConfigChanged is a configuration that replaces the present one. If it differs in something that can't change in a
+// running router, Handle returns an error and the present configuration stays in use.
 type ConfigChanged struct{ Config Config }
 
-// PlanOffered is a version of a weight plan. An AcknowledgePlan action tells whether it is followed.
+// PlanOffered is a version of a weight plan. An AcknowledgePlan action reports whether it is applied or rejected.
 type PlanOffered struct{ Offer plan.Offer }
 
 func (RequestArrived) event()       {}
@@ -105,7 +105,7 @@
 func (ConfigChanged) event()        {}
 func (PlanOffered) event()          {}
 
-// Host is one entry of the endpoint list. ID must be the same at all routers, as they take turns by it.
+// Host is one entry of the endpoint list. ID must be the same at all routers, because they take turns by it.
 type Host struct {
 	ID        uint32
 	Zone      string
@@ -113,5 +113,5 @@
 	State     policy.EndpointState
 	Build     int
 	Weight    float64
-	StartedAt policy.Time // when its process started; 0 is long ago
+	StartedAt policy.Time // when the host's process started; 0 if long ago
 }
--- a/router/example_test.go
+++ b/router/example_test.go
@@ -7,7 +7,7 @@
 	"dapplefront/router"
 )
 
-// A program with one host: every attempt is responded to after ten milliseconds of a clock that the program sets itself.
+// A program with one host that responds to every attempt after 10 ms. The program advances the clock itself.
 func Example() {
 	now := policy.Time(0)
 	r, actions := router.New(now, router.Config{Seed: 1, Routers: 1, Zone: "here",
@@ -25,21 +25,21 @@
 	handle(router.RequestArrived{RequestID: "a", Class: "quote", Timeout: 2 * policy.Second})
 	for _, a := range actions {
 		if a.Kind == router.SendAttempt {
-			fmt.Printf("task %s goes to host %d\n", a.RequestID, a.Host)
+			fmt.Printf("request %s is sent to host %d\n", a.RequestID, a.Host)
 			now += 100
 			handle(router.AttemptEnded{RequestID: a.RequestID, Attempt: a.Attempt, Outcome: policy.Succeeded, Latency: 100, Done: true})
 		}
 	}
-	handle(router.EndpointsChanged{Complete: true}) // no hosts any more
+	handle(router.EndpointsChanged{Complete: true}) // an empty list removes all hosts
 	handle(router.RequestArrived{RequestID: "b", Class: "quote", Timeout: 2 * policy.Second})
 	for _, a := range actions {
 		if a.Kind == router.Reject {
-			fmt.Printf("task %s is turned back for %d ms\n", a.RequestID, a.Duration/10)
+			fmt.Printf("request %s is rejected; retry after %d ms\n", a.RequestID, a.Duration/10)
 		}
 	}
-	fmt.Println(r.InFlight(), "tasks held")
+	fmt.Println(r.InFlight(), "requests in flight")
 	// Output:
-	// task a goes to host 7
-	// task b is turned back for 500 ms
-	// 0 tasks held
+	// request a is sent to host 7
+	// request b is rejected; retry after 500 ms
+	// 0 requests in flight
 }
--- a/router/plan.go
+++ b/router/plan.go
@@ -10,7 +10,7 @@
 // policyTick is the unit of policy.Time.
 const policyTick = 100 * time.Microsecond
 
-// planOffered follows a version of a weight plan or rejects it, and acknowledges it.
+// planOffered applies or rejects a version of a weight plan, and acknowledges it.
 func (r *Router) planOffered(now policy.Time, offer plan.Offer) {
 	ack := Action{Kind: AcknowledgePlan, PlanVersion: offer.Version}
 	if err := r.planFollower.Offer(offer, r.planFleet(now)); err != nil {
@@ -22,7 +22,7 @@
 	r.actions = append(r.actions, ack)
 }
 
-// planFleet is what a plan is checked against: the known hosts, and the canary build with its exposure cap.
+// planFleet returns the state that a plan is checked against: the known hosts, and the canary build with its exposure cap.
 func (r *Router) planFleet(now policy.Time) plan.Fleet {
 	warmUp := r.config.Limits.WarmUp
 	fleet := plan.Fleet{Hosts: make(map[uint32]plan.KnownHost, len(r.hosts)), SlowStart: time.Duration(warmUp) * policyTick}
@@ -34,7 +34,7 @@
 		p := h.policy
 		age := now - p.StartedAt
 		if p.StartedAt == 0 {
-			age = warmUp // started long ago
+			age = warmUp // 0 means that the process started long ago
 		}
 		fleet.Hosts[id] = plan.KnownHost{IsLocal: p.Zone == local, Weight: p.Weight, Age: time.Duration(max(0, age)) * policyTick,
 			IsCanary: fleet.CanaryBuild != 0 && p.Build == fleet.CanaryBuild}
@@ -42,7 +42,7 @@
 	return fleet
 }
 
-// weightPlan is the plan in force, for the hosts that are known.
+// weightPlan returns the plan in force with the weights of the known hosts.
 func (r *Router) weightPlan() policy.WeightPlan {
 	w := policy.WeightPlan{Weights: make(map[*policy.Host]float64, len(r.plan.LocalWeights)+len(r.plan.RemoteWeights)),
 		CrossZoneShare: r.plan.CrossZoneShare, Until: r.planValidUntil}
--- a/router/plan_test.go
+++ b/router/plan_test.go
@@ -12,7 +12,8 @@
 	"dapplefront/router"
 )
 
-// countAttempts runs requests one after the other, each ended at once, and counts the attempts at each host.
+// countAttempts runs n requests one after the other, 2 ms apart, and returns the number of attempts at each host. Each
+// attempt succeeds before the next request arrives.
 func countAttempts(t *testing.T, r *router.Router, from int, now *policy.Time, n int) map[uint32]int {
 	t.Helper()
 	count := map[uint32]int{}
@@ -32,7 +33,7 @@
 	return count
 }
 
-// offerPlan offers a version of a plan and returns the reason for which it was rejected, if it was.
+// offerPlan offers a version of a plan and returns the reason for its rejection, or "" if it is applied.
 func offerPlan(t *testing.T, r *router.Router, now policy.Time, offer plan.Offer) string {
 	t.Helper()
 	actions, err := r.Handle(now, router.PlanOffered{Offer: offer}, nil)
@@ -60,29 +61,29 @@
 	handle(router.EndpointsChanged{Complete: true, Hosts: []router.Host{host(1, "north"), host(2, "north"), host(3, "north"), host(4, "north"), host(5, "south")}})
 	even := countAttempts(t, r, 0, &now, 1000)
 	require.InDelta(t, 250, even[1], 60)
-	require.Zero(t, even[5], "nothing crosses zones without need")
+	require.Zero(t, even[5], "no attempt crosses zones while the local hosts suffice")
 
 	require.Empty(t, offerPlan(t, r, now, plan.Offer{Version: 1, ValidFor: 30 * time.Second, CrossZoneShare: .2, LocalWeights: []plan.HostWeight{{Host: 1, Weight: 5}, {Host: 2, Weight: 5}},
 		RemoteWeights: []plan.HostWeight{{Host: 5, Weight: 1}}}))
 	planned := countAttempts(t, r, 1000, &now, 1000)
-	require.Greater(t, planned[1]+planned[2], planned[3]+planned[4]+200, "the first of two choices goes by the plan")
-	require.InDelta(t, 200, planned[5], 60, "as many cross zones as it says")
+	require.Greater(t, planned[1]+planned[2], planned[3]+planned[4]+200, "the plan's weights determine the first of the two random choices")
+	require.InDelta(t, 200, planned[5], 60, "the plan's share of attempts crosses zones")
 
 	drained := host(1, "north")
 	drained.State = policy.Draining
 	handle(router.EndpointsChanged{Hosts: []router.Host{drained}})
 	require.Contains(t, offerPlan(t, r, now, plan.Offer{Version: 1, ValidFor: time.Minute}), "in force already")
 	require.Empty(t, offerPlan(t, r, now, plan.Offer{Version: 2, ValidFor: 4 * time.Second, LocalWeights: []plan.HostWeight{{Host: 1, Weight: 9}, {Host: 2, Weight: 1}, {Host: 77, Weight: 1}}}),
-		"made before the drain was known")
+		"the plan was made before the drain was known")
 	after := countAttempts(t, r, 2000, &now, 1000)
-	require.Zero(t, after[1], "a draining host gets nothing, whatever the plan says")
-	handle(router.EndpointsChanged{Hosts: []router.Host{host(77, "north")}}) // a host that the plan knew before the list did
+	require.Zero(t, after[1], "a draining host gets no attempts, whatever its weight in the plan")
+	handle(router.EndpointsChanged{Hosts: []router.Host{host(77, "north")}}) // a host that was in the plan before it was in the endpoint list
 	more := countAttempts(t, r, 3000, &now, 500)
 	require.Greater(t, more[77], 100)
 
 	now += 10 * policy.Second
 	past := countAttempts(t, r, 4000, &now, 1000)
-	require.InDelta(t, past[3], past[2], 90, "a plan that has expired does not count any more")
+	require.InDelta(t, past[3], past[2], 90, "an expired plan has no effect")
 	require.Zero(t, past[5])
 
 	handle(router.ReleaseChanged{Status: policy.ReleaseStatus{Build: 2, Phase: policy.Canary, ExposureCap: .05}})
--- a/router/router.go
+++ b/router/router.go
@@ -8,25 +8,25 @@
 	"dapplefront/policy"
 )
 
-// Errors of Handle, which wraps them with their subject.
+// Errors that Handle returns, wrapped with the request, build, host or event type that they concern.
 var (
 	ErrUnknownClass     = errors.New("unknown class")
 	ErrDuplicateRequest = errors.New("request id is in use")
 	ErrUnknownEvent     = errors.New("unknown event")
 )
 
-// Router is one router: a policy.Router behind ids.
+// Router is one router: it wraps a policy.Router and refers to hosts, requests and timers by ids.
 type Router struct {
 	policy  *policy.Router
 	config  Config
-	actions []Action // of the event that is handled
+	actions []Action // actions for the event that is being handled
 
 	classes map[string]*policy.Class
 	tenants map[string]*policy.Tenant
 	zones   map[string]*policy.Zone
 
 	hosts            map[uint32]*host
-	hostsForgottenAt policy.Time // when forgetHosts last looked
+	hostsForgottenAt policy.Time // when forgetHosts last checked the hosts
 	releaseStatus    policy.ReleaseStatus
 
 	requests   map[string]*request
@@ -40,14 +40,14 @@
 	planValidUntil policy.Time
 }
 
-// request is a request that waits for its final response, or for the end of its attempts.
+// request is a request that waits for its final response or for the end of its attempts.
 type request struct {
-	policy      *policy.Request
-	attemptDone []bool // by attempt
-	attempts    int    // that have not ended
+	policy           *policy.Request
+	attemptDone      []bool // indexed by attempt
+	attemptsInFlight int
 }
 
-// New returns a router that knows nothing but its configuration, and its first actions.
+// New returns a router that has only its configuration and no hosts yet, and the router's first actions.
 func New(now policy.Time, c Config) (*Router, []Action) {
 	r := &Router{hosts: map[uint32]*host{}, zones: map[string]*policy.Zone{}, classes: map[string]*policy.Class{},
 		tenants: map[string]*policy.Tenant{}, requests: map[string]*request{}, requestIDs: map[*policy.Request]string{},
@@ -66,12 +66,13 @@
 	return r, r.actions
 }
 
-// InFlight is how many requests are known: those that a response is due to, and those with attempts still out.
+// InFlight returns the number of requests that wait for their final response or still have attempts in flight.
 func (r *Router) InFlight() int { return len(r.requests) }
 
-// Handle handles an event at its time and appends what is to be done to actions. An invalid event changes nothing and is
-// an error: ErrUnknownClass, ErrDuplicateRequest, ErrUnknownEvent, or a configuration that CheckChange refuses. An event
-// of a request, host or timer that is not known any more is dropped, as ends and news cross on the way.
+// Handle handles an event at the time now and appends the resulting actions to actions. An invalid event changes nothing
+// and returns an error: ErrUnknownClass, ErrDuplicateRequest, ErrUnknownEvent, or the error of CheckChange for a
+// configuration. An event for a request, host or timer that is no longer known is ignored, because it may already have
+// been on its way when the router forgot that object.
 func (r *Router) Handle(now policy.Time, e Event, actions []Action) ([]Action, error) {
 	r.actions = actions
 	err := r.handle(now, e)
@@ -145,7 +146,7 @@
 	}
 }
 
-// attemptEnded passes on how an attempt ended, once.
+// attemptEnded reports the end of an attempt to the policy. Further events for the same attempt are ignored.
 func (r *Router) attemptEnded(now policy.Time, e AttemptEnded) {
 	q := r.requests[e.RequestID]
 	if q == nil || e.Attempt < 0 || e.Attempt >= len(q.attemptDone) || q.attemptDone[e.Attempt] {
@@ -153,9 +154,9 @@
 	}
 	a := q.policy.Attempts[e.Attempt]
 	q.attemptDone[e.Attempt] = true
-	q.attempts--
+	q.attemptsInFlight--
 	if h := r.hosts[a.Host.ID]; h != nil && h.policy == a.Host {
-		h.attempts--
+		h.attemptsInFlight--
 	}
 	r.policy.AttemptEnded(now, a, e.Outcome, e.Latency, e.Done, e.Load)
 	r.forget(e.RequestID, q)
@@ -168,9 +169,9 @@
 	}
 }
 
-// forget drops a request that no event can come of any more.
+// forget removes a request if it has its final response and no attempts in flight, so that no event can concern it.
 func (r *Router) forget(id string, q *request) {
-	if q.policy.Answered() && q.attempts == 0 {
+	if q.policy.Answered() && q.attemptsInFlight == 0 {
 		delete(r.requests, id)
 		delete(r.requestIDs, q.policy)
 	}
