--- a/record/block.go
+++ b/record/block.go
@@ -7,31 +7,31 @@
 	"github.com/klauspost/compress/zstd"
 )
 
-// magic starts every file; the character before its last is the version of the format.
+// magic is at the start of every file. Its last character but one is the version of the format.
 const magic = "dapplefront records 1\n"
 
-// A block on disk is a header, big endian, and the compressed entries:
+// A block on disk is a header with big-endian numbers, followed by the compressed entries:
 //
 //	bytes  0 to 3   size of the compressed entries
-//	bytes  4 to 7   size of the entries
-//	bytes  8 to 11  CRC-32C of all that follows in the block
-//	bytes 12 to 19  number of the first entry
-//	bytes 20 to 27  entries dropped before it since the writer began
+//	bytes  4 to 7   size of the entries before compression
+//	bytes  8 to 11  CRC-32C of the rest of the block
+//	bytes 12 to 19  number of the block's first entry
+//	bytes 20 to 27  number of entries that the writer dropped before that entry
 //
-// The entries are protobuf messages, each with its length before it.
+// Each entry is a protobuf message preceded by its length.
 const (
 	checksumOffset = 8
-	checksumEnd    = 12 // the checksum covers what starts here
+	checksumEnd    = 12 // the checksum covers the block from this offset
 	headerBytes    = 28
-	maxBlockBytes  = 64 << 20 // of the entries, compressed or not, that a reader accepts; a writer's have some 100 KB
+	maxBlockBytes  = 64 << 20 // limit on the size of a block's entries, compressed or not, that a reader accepts; a writer's blocks have about 100 KB
 )
 
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
-// block is a run of entries on its way to the disk.
+// block is a sequence of entries that is to be written to a file.
 type block struct {
-	first   uint64 // number of its first entry
-	dropped uint64 // entries dropped before it since the writer began
+	first   uint64 // number of the first entry
+	dropped uint64 // number of entries that the writer dropped before the first entry
 	entries []byte
 }
 
@@ -54,7 +54,7 @@
 func (h *blockHeader) compressedBytes() uint32 { return binary.BigEndian.Uint32(h[:]) }
 func (h *blockHeader) entryBytes() uint32      { return binary.BigEndian.Uint32(h[4:]) }
 
-// matches reports whether the checksum is that of the header and the compressed entries.
+// matches reports whether the stored checksum matches the rest of the header and the compressed entries.
 func (h *blockHeader) matches(compressed []byte) bool {
 	sum := crc32.Update(crc32.Checksum(h[checksumEnd:], castagnoli), castagnoli, compressed)
 	return sum == binary.BigEndian.Uint32(h[checksumOffset:])
--- a/record/describe.go
+++ b/record/describe.go
@@ -11,59 +11,59 @@
 func seconds(t policy.Time) float64      { return float64(t) / 10_000 }
 func milliseconds(t policy.Time) float64 { return float64(t) / 10 }
 
-// outcomeTexts are the texts of policy.Outcome by its values.
-var outcomeTexts = []string{"out", "finished", "failed", "turned back", "no answer", "no link", "cut", "called off", "never sent"}
+// outcomeTexts describe the values of policy.Outcome, which index them.
+var outcomeTexts = []string{"in flight", "succeeded", "failed", "rejected", "timed out", "connection failed", "connection lost", "canceled", "not sent"}
 
 func outcomeText(o policy.Outcome) string {
 	return outcomeTexts[min(max(0, int(o)), len(outcomeTexts)-1)]
 }
 
-// EventText describes an event in one line for people. nil is a router's start.
+// EventText describes an event in one human-readable line. A nil event is the start of a router.
 func EventText(e router.Event) string {
 	switch e := e.(type) {
 	case router.RequestArrived:
-		return fmt.Sprintf("task %s taken: %s, patience %.1f ms", e.RequestID, e.Class, milliseconds(e.Timeout))
+		return fmt.Sprintf("request %s arrived: class %s, timeout %.1f ms", e.RequestID, e.Class, milliseconds(e.Timeout))
 	case router.AttemptEnded:
-		return fmt.Sprintf("send %d of task %s: %s after %.1f ms", e.Attempt, e.RequestID, outcomeText(e.Outcome), milliseconds(e.Latency))
+		return fmt.Sprintf("attempt %d of request %s ended: %s after %.1f ms", e.Attempt, e.RequestID, outcomeText(e.Outcome), milliseconds(e.Latency))
 	case router.ClientGone:
-		return fmt.Sprintf("the client of task %s has gone", e.RequestID)
+		return fmt.Sprintf("client of request %s disconnected", e.RequestID)
 	case router.EndpointsChanged:
-		return fmt.Sprintf("%d hosts listed", len(e.Hosts))
+		return fmt.Sprintf("endpoint list received: %d hosts", len(e.Hosts))
 	case router.EndpointsUnavailable:
-		return "the list is out of reach"
+		return "endpoint discovery failed"
 	case router.ReleaseChanged:
-		return fmt.Sprintf("told of build %d, stage %d, phase %d, cap %.3g", e.Status.Build, e.Status.Stage, e.Status.Phase, e.Status.ExposureCap)
+		return fmt.Sprintf("release status received: build %d, stage %d, phase %d, exposure cap %.3g", e.Status.Build, e.Status.Stage, e.Status.Phase, e.Status.ExposureCap)
 	case router.TimerFired:
-		return fmt.Sprintf("alarm %d", e.Timer)
+		return fmt.Sprintf("timer %d fired", e.Timer)
 	case nil:
-		return "start"
+		return "router started"
 	}
 	return fmt.Sprintf("%T %+v", e, e)
 }
 
-// describeAction describes an action in one line for people.
+// describeAction describes an action in one human-readable line.
 func describeAction(a router.Action) string {
 	switch a.Kind {
 	case router.SendAttempt:
 		kind := ""
 		if a.IsShadow {
-			kind = ", a copy"
+			kind = ", shadow attempt"
 		}
-		return fmt.Sprintf("send %d of task %s to host %d, waiting %.1f ms%s", a.Attempt, a.RequestID, a.Host, milliseconds(a.Duration), kind)
+		return fmt.Sprintf("send attempt %d of request %s to host %d, timeout %.1f ms%s", a.Attempt, a.RequestID, a.Host, milliseconds(a.Duration), kind)
 	case router.Reject:
-		return fmt.Sprintf("turn task %s back", a.RequestID)
+		return fmt.Sprintf("reject request %s", a.RequestID)
 	case router.Fail:
-		return fmt.Sprintf("scrap task %s", a.RequestID)
+		return fmt.Sprintf("fail request %s", a.RequestID)
 	case router.SetTimer:
-		return fmt.Sprintf("alarm %d in %.1f ms", a.Timer, milliseconds(a.Duration))
+		return fmt.Sprintf("set timer %d for %.1f ms", a.Timer, milliseconds(a.Duration))
 	case router.CastVote:
-		return fmt.Sprintf("vote %d on build %d, stage %d", a.Choice, a.Build, a.Stage)
+		return fmt.Sprintf("cast vote %d on build %d, stage %d", a.Choice, a.Build, a.Stage)
 	}
 	return fmt.Sprintf("%+v", a)
 }
 
-// TraceRequest returns a function for Replay that writes the entries about one request: its arrival, its attempts and
-// their outcomes.
+// TraceRequest returns a function for Replay that writes a description of every entry that concerns the request id: its
+// arrival, its attempts and their outcomes.
 func TraceRequest(id string, to io.Writer) func(Entry) {
 	return func(e Entry) {
 		var lines string
@@ -78,7 +78,8 @@
 	}
 }
 
-// isAbout reports whether an event is the arrival of a request, the end of one of its attempts or of its client.
+// isAbout reports whether an event is the arrival of a request, the end of one of its attempts or the disconnection of
+// its client.
 func isAbout(event router.Event, id string) bool {
 	switch e := event.(type) {
 	case router.RequestArrived:
--- a/record/doc.go
+++ b/record/doc.go
@@ -1,8 +1,8 @@
-// Package record stores the events that a router handled and the actions that it returned, and replays them against the
-// router library to show whether it still decides the same.
+// Package record stores the events that a router handled and the actions that it returned. It replays them with the
+// router library to check that the library still makes the same decisions.
 //
-// A record is a file of blocks. A block is a checksummed, compressed run of entries. An entry is one event with its time
-// and the actions that followed, encoded as the protobuf message Entry of api/record.proto.
+// A record file consists of blocks. A block is a checksummed, compressed sequence of entries. An entry is one event with
+// its time and the resulting actions, encoded as the protobuf message Entry of api/record.proto.
 //
 //	w, err := record.Create(record.Config{Dir: "records", Name: "r1"})
 //	err = w.WriteStart(now, config, actions) // the router's configuration and its first actions
@@ -11,7 +11,7 @@
 //
 //	report, err := record.Replay(files, nil) // the first difference, if any, with the entries before it
 //
-// A Writer never waits for the disk: when its queue is full a block is dropped and counted, and the gap in the entry
-// numbers shows which entries are missing. Idempotency keys and tenants are stored as keyed hashes only; the contents of
-// requests aren't stored at all.
+// A Writer does not wait for the disk, except in Close. If its queue is full, it drops a block and counts the dropped
+// entries; the gap in the entry numbers shows which ones are missing. Idempotency keys and names of tenants are stored
+// only as keyed hashes, and the contents of requests are not stored.
 package record
--- a/record/endpoint_events.go
+++ b/record/endpoint_events.go
@@ -151,7 +151,7 @@
 	loadRequestsPerSecond = 5
 )
 
-// appendLoad appends a load report; none where l is nil.
+// appendLoad appends a load report; it appends nothing if l is nil.
 func appendLoad(b *encoder, number protowire.Number, l *policy.LoadReport) {
 	if l == nil {
 		return
--- a/record/entry.go
+++ b/record/entry.go
@@ -10,9 +10,9 @@
 
 // Entry is one event with the actions that the router returned for it.
 type Entry struct {
-	Number  uint64         // counts the entries of one writer from 1
+	Number  uint64         // number of the entry within its writer, from 1
 	At      policy.Time    // on the router's clock
-	Config  *router.Config // set at a router's start, in place of an event
+	Config  *router.Config // set instead of Event at the start of a router
 	Event   router.Event
 	Actions []router.Action
 }
@@ -31,7 +31,7 @@
 	entryReleaseChanged       = 10
 	entryStatsReported        = 11
 	entryComplaintReceived    = 12
-	entryTimerFired           = 13 // the timer plus one, so that timer 0 isn't left out
+	entryTimerFired           = 13 // the timer's number plus 1, so that the encoder doesn't omit timer 0
 	entryPlanOffered          = 14
 	entryAction               = 15
 	entryConfigChanged        = 16
@@ -39,7 +39,7 @@
 	entryHealthChecked        = 18
 )
 
-// hashFunc returns what is stored in place of an idempotency key or a tenant's name.
+// hashFunc returns the hash that is stored instead of an idempotency key or a tenant's name.
 type hashFunc func(string) string
 
 func encodeEntry(e *Entry, hash hashFunc) ([]byte, error) {
@@ -83,12 +83,12 @@
 		return nil
 	})
 	if err == nil && e.Config == nil && e.Event == nil {
-		err = errors.New("an entry without an event, or with one that this version doesn't know")
+		err = errors.New("entry has no event, or an event that this version doesn't know")
 	}
 	return e, err
 }
 
-// appendEvent appends the field of an entry that holds its event.
+// appendEvent appends an event as a field of an entry.
 func appendEvent(b *encoder, event router.Event, hash hashFunc) error {
 	switch e := event.(type) {
 	case router.RequestArrived:
@@ -120,12 +120,12 @@
 	case router.PlanOffered:
 		b.message(entryPlanOffered, func(b *encoder) { appendPlanOffered(b, e) })
 	default:
-		return fmt.Errorf("an event of type %T, which records don't know", event)
+		return fmt.Errorf("events of type %T can't be recorded", event)
 	}
 	return nil
 }
 
-// decodeEvent returns the event that a field of an entry holds; nil for a field that this version doesn't know.
+// decodeEvent returns the event in a field of an entry, or nil if this version doesn't know the field.
 func decodeEvent(f field) (router.Event, error) {
 	switch f.number {
 	case entryRequestArrived:
--- a/record/entry_test.go
+++ b/record/entry_test.go
@@ -16,8 +16,8 @@
 	"dapplefront/router"
 )
 
-// Entries of an earlier version, decoded and encoded again, are the same bytes.
-func TestStoredEntriesKeepTheirByteForm(t *testing.T) {
+// Guards against changes of the stored form: entries written by an earlier version must be encoded to the same bytes again.
+func TestEntry_ReencodesStoredEntriesByteForByte(t *testing.T) {
 	files, err := filepath.Glob("testdata/*.rec")
 	require.NoError(t, err)
 	require.Len(t, files, 3)
--- a/record/export_test.go
+++ b/record/export_test.go
@@ -1,4 +1,4 @@
 package record
 
-// MarshalConfig is marshalConfig for tests outside the package, which may import what reads configurations.
+// MarshalConfig exports marshalConfig to tests in package record_test, which can import the packages that read settings.
 var MarshalConfig = marshalConfig
--- a/record/file_writer.go
+++ b/record/file_writer.go
@@ -12,8 +12,8 @@
 	"github.com/klauspost/compress/zstd"
 )
 
-// writeFiles writes blocks to files until the channel of blocks is closed. It goes on after an error and returns all of
-// them at the end.
+// writeFiles writes blocks to files until the channel of blocks is closed. It continues after an error and returns all
+// errors at the end.
 func (w *Writer) writeFiles() error {
 	compressor, err := zstd.NewWriter(nil, zstd.WithEncoderConcurrency(1), zstd.WithEncoderLevel(zstd.SpeedFastest))
 	if err != nil {
@@ -24,7 +24,7 @@
 		if !files.rotate() {
 			continue
 		}
-		w.bytes.Add(int64(files.write(b.encode(compressor))))
+		w.bytesWritten.Add(int64(files.write(b.encode(compressor))))
 		select {
 		case w.buffers <- b.entries:
 		default:
@@ -34,17 +34,17 @@
 	return errors.Join(files.errs...)
 }
 
-// rotatingFile is the file that blocks are appended to, replaced by a new one when it is too large or too old.
+// rotatingFile is the file that blocks are appended to. A new file replaces it once it reaches the maximum size or age.
 type rotatingFile struct {
 	config Config
-	sink   Sink // nil before the first file, and after one that could not be created
+	sink   Sink // nil before the first file is created, and after a file could not be created
 	size   int64
 	opened time.Time
-	count  int // files so far
+	count  int // number of files created, including failed attempts
 	errs   []error
 }
 
-// rotate makes sure that a file is open that may take another block. It reports whether there is one.
+// rotate makes sure that a file is open to which another block may be appended. It reports whether there is such a file.
 func (f *rotatingFile) rotate() bool {
 	if f.sink != nil && (f.size >= f.config.MaxFileBytes || time.Since(f.opened) >= f.config.MaxFileAge) {
 		f.close()
@@ -67,7 +67,7 @@
 	return true
 }
 
-// write appends an encoded block and returns the bytes that were written.
+// write appends an encoded block and returns the number of bytes written.
 func (f *rotatingFile) write(encoded []byte) int {
 	n, err := f.sink.Write(encoded)
 	if err != nil {
@@ -84,7 +84,8 @@
 	}
 }
 
-// removeOldest removes the oldest files of this name beyond MaxBytes, of which a new file's share is reserved.
+// removeOldest removes the oldest files of this router so that those left, with MaxFileBytes reserved for the new file
+// newest, don't exceed MaxBytes. It never removes newest.
 func (f *rotatingFile) removeOldest(newest string) {
 	files, err := Files(f.config.Dir, f.config.Name)
 	if err != nil {
--- a/record/helpers_test.go
+++ b/record/helpers_test.go
@@ -23,7 +23,7 @@
 	Release: policy.ReleaseConfig{Mode: policy.Quorum, ExposureCaps: []float64{.05, .5, 1}, MinStageTime: policy.Second, PromoteQuorum: 2, RollbackQuorum: 1,
 		VoteTTL: 8 * policy.Second, VoteTimeout: policy.Second, MaxVotesPerSecond: 30, ExposureWindow: 4 * policy.Second, ExposureAllowance: 2, GuardedStages: 1, StickyKeys: true}}
 
-// runRouter has a router handle drawn events for a number of requests and records all of it.
+// runRouter lets a router handle a number of random requests and other random events, and records all entries.
 func runRouter(tb testing.TB, w *Writer, seed uint64, requests int) {
 	tb.Helper()
 	random := rand.New(rand.NewPCG(seed, 1))
@@ -69,7 +69,7 @@
 	handle(router.ReleaseChanged{Status: policy.ReleaseStatus{Build: 2, Phase: policy.Canary, ExposureCap: .05}})
 	handle(router.PlanOffered{Offer: plan.Offer{Version: 1, ValidFor: time.Minute, LocalWeights: []plan.HostWeight{{Host: 1, Weight: 2}, {Host: 3, Weight: 1}}, RemoteWeights: []plan.HostWeight{{Host: 2, Weight: 1}}, CrossZoneShare: .1}})
 	for i := range requests {
-		now += policy.Time(random.IntN(200)) // at times several events at one moment
+		now += policy.Time(random.IntN(200)) // may be 0, so that several events have the same time
 		slices.SortStableFunc(pending, func(a, b pendingEvent) int { return int(a.at - b.at) })
 		for len(pending) > 0 && pending[0].at <= now {
 			e := pending[0].event
@@ -92,12 +92,12 @@
 		case 4:
 			handle(router.EndpointsUnavailable{})
 		case 5:
-			handle(router.RequestArrived{RequestID: "x", Class: "none of these"}) // an error, and no action
+			handle(router.RequestArrived{RequestID: "x", Class: "unknown"}) // returns an error and no actions
 		}
 	}
 }
 
-// recordRun records a run of so many requests and returns the folder and the files in it.
+// recordRun records a run of a number of requests and returns the directory and the files in it.
 func recordRun(tb testing.TB, requests int, config Config) (string, []string) {
 	tb.Helper()
 	config.Dir, config.Name = tb.TempDir(), "r1"
--- a/record/protowire.go
+++ b/record/protowire.go
@@ -9,7 +9,7 @@
 	"dapplefront/policy"
 )
 
-// encoder appends the fields of a protobuf message. Zero values are left out, as proto3 requires.
+// encoder appends the fields of a protobuf message. It omits zero values, as proto3 requires.
 type encoder []byte
 
 func (b *encoder) uint(number protowire.Number, v uint64) {
@@ -38,7 +38,8 @@
 	}
 }
 
-// message appends a nested message, also an empty one. Most are short, so the length is inserted once it is known.
+// message appends a nested message, even if it is empty. It inserts the length once it is known, which moves the message;
+// this is cheap because most messages are short.
 func (b *encoder) message(number protowire.Number, fill func(b *encoder)) {
 	*b = protowire.AppendTag(*b, number, protowire.BytesType)
 	start := len(*b)
@@ -50,7 +51,7 @@
 	protowire.AppendVarint((*b)[start:start], uint64(n))
 }
 
-// field is one decoded field: value holds varint and fixed64 fields, bytes holds length-delimited ones.
+// field is one decoded field. value is set for varint and fixed64 fields, bytes for length-delimited fields.
 type field struct {
 	number protowire.Number
 	value  uint64
@@ -65,10 +66,11 @@
 func (f field) float() float64    { return math.Float64frombits(f.value) }
 func (f field) text() string      { return string(f.bytes) }
 
-// errMalformed reports bytes that aren't a protobuf message.
-var errMalformed = errors.New("an entry that is no protobuf message")
+// errMalformed is returned for bytes that are not a protobuf message.
+var errMalformed = errors.New("malformed protobuf message")
 
-// eachField calls decode for every field of a message, known to this version or not, and ends at its first error.
+// eachField calls decode for every field of a message, including fields that this version doesn't know, and returns the
+// first error.
 func eachField(message []byte, decode func(f field) error) error {
 	for len(message) > 0 {
 		number, kind, n := protowire.ConsumeTag(message)
--- a/record/reader.go
+++ b/record/reader.go
@@ -10,9 +10,9 @@
 	"google.golang.org/protobuf/encoding/protowire"
 )
 
-// Read calls each for every entry of one file and ends at its first error. At damage it returns an error that names the
-// block and its offset; the entries before it have been passed to each.
-func Read(from io.Reader, each func(Entry) error) error {
+// Read calls handle for every entry of one file and returns the first error. If the file is damaged, the error names the
+// block and its offset, and handle has been called for the entries before that block.
+func Read(from io.Reader, handle func(Entry) error) error {
 	in := bufio.NewReaderSize(from, 1<<16)
 	if err := readMagic(in); err != nil {
 		return err
@@ -31,13 +31,13 @@
 		if err != nil {
 			return err
 		}
-		if err := r.eachEntry(entries, each); err != nil {
+		if err := r.eachEntry(entries, handle); err != nil {
 			return err
 		}
 	}
 }
 
-// readMagic checks that a file holds records of this version.
+// readMagic checks that a file is a record file of this version of the format.
 func readMagic(in io.Reader) error {
 	const version = len(magic) - 2
 	start := make([]byte, len(magic))
@@ -45,9 +45,9 @@
 		return nil
 	}
 	if string(start[:version]) == magic[:version] {
-		return fmt.Errorf("records of version %q, which this program doesn't read", start[version])
+		return fmt.Errorf("records have version %q, which this program doesn't support", start[version])
 	}
-	return fmt.Errorf("no records: %q expected at the start", magic)
+	return fmt.Errorf("not a record file: it does not start with %q", magic)
 }
 
 // blockReader reads the blocks of one file.
@@ -57,53 +57,53 @@
 	header       blockHeader
 	index        int    // of the next block
 	offset       int64  // of the next block, in bytes
-	where        string // the present block, for errors
+	location     string // of the block that was read last, for error messages
 }
 
-// next returns the entries of the next block; io.EOF after the last.
+// next returns the entries of the next block, or io.EOF after the last block.
 func (r *blockReader) next() ([]byte, error) {
-	r.where = fmt.Sprintf("block %d at byte %d", r.index, r.offset)
+	r.location = fmt.Sprintf("block %d at byte %d", r.index, r.offset)
 	if _, err := io.ReadFull(r.in, r.header[:]); err == io.EOF {
 		return nil, io.EOF
 	} else if err != nil {
-		return nil, fmt.Errorf("%s is cut", r.where)
+		return nil, fmt.Errorf("%s is truncated", r.location)
 	}
 	size, entryBytes := r.header.compressedBytes(), r.header.entryBytes()
 	if size > maxBlockBytes || entryBytes > maxBlockBytes {
-		return nil, fmt.Errorf("%s has %d bytes: damaged", r.where, size)
+		return nil, fmt.Errorf("%s is damaged: its size of %d bytes (%d before compression) exceeds the limit", r.location, size, entryBytes)
 	}
 	compressed := make([]byte, size)
 	if _, err := io.ReadFull(r.in, compressed); err != nil {
-		return nil, fmt.Errorf("%s is cut", r.where)
+		return nil, fmt.Errorf("%s is truncated", r.location)
 	}
 	if !r.header.matches(compressed) {
-		return nil, fmt.Errorf("%s is damaged: its checksum differs", r.where)
+		return nil, fmt.Errorf("%s is damaged: checksum mismatch", r.location)
 	}
 	entries, err := r.decompressor.DecodeAll(compressed, make([]byte, 0, entryBytes))
 	if err != nil {
-		return nil, fmt.Errorf("%s is damaged: %w", r.where, err)
+		return nil, fmt.Errorf("%s is damaged: %w", r.location, err)
 	}
 	if len(entries) != int(entryBytes) {
-		return nil, fmt.Errorf("%s is damaged: %d bytes of entries, %d expected", r.where, len(entries), entryBytes)
+		return nil, fmt.Errorf("%s is damaged: it has %d bytes of entries, expected %d", r.location, len(entries), entryBytes)
 	}
 	r.index++
 	r.offset += int64(headerBytes) + int64(size)
 	return entries, nil
 }
 
-// eachEntry decodes the entries of the present block.
-func (r *blockReader) eachEntry(entries []byte, each func(Entry) error) error {
+// eachEntry decodes the entries of the block that was read last and calls handle for each.
+func (r *blockReader) eachEntry(entries []byte, handle func(Entry) error) error {
 	for len(entries) > 0 {
 		message, n := protowire.ConsumeBytes(entries)
 		if n < 0 {
-			return fmt.Errorf("%s: %w", r.where, errMalformed)
+			return fmt.Errorf("%s: %w", r.location, errMalformed)
 		}
 		entries = entries[n:]
 		e, err := decodeEntry(message)
 		if err != nil {
-			return fmt.Errorf("%s: %w", r.where, err)
+			return fmt.Errorf("%s: %w", r.location, err)
 		}
-		if err := each(e); err != nil {
+		if err := handle(e); err != nil {
 			return err
 		}
 	}
--- a/record/reader_test.go
+++ b/record/reader_test.go
@@ -10,7 +10,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-func TestDamageIsReportedWithItsLocation(t *testing.T) {
+func TestRead_ReportsDamagedBlock(t *testing.T) {
 	_, files := recordRun(t, 3000, Config{})
 	intact, err := os.ReadFile(files[0])
 	require.NoError(t, err)
@@ -21,20 +21,20 @@
 	all, err := read(intact)
 	require.NoError(t, err)
 	n, err := read(intact[:len(intact)*2/3])
-	require.ErrorContains(t, err, "is cut")
-	require.Positive(t, n, "what comes before is read")
+	require.ErrorContains(t, err, "is truncated")
+	require.Positive(t, n, "the entries before the truncated block are read")
 	require.Less(t, n, all)
 	flipped := slices.Clone(intact)
 	flipped[len(flipped)/2] ^= 1
 	_, err = read(flipped)
-	require.ErrorContains(t, err, "checksum differs")
+	require.ErrorContains(t, err, "checksum mismatch")
 	newer := slices.Clone(intact)
 	newer[len(magic)-2] = '2'
 	_, err = read(newer)
-	require.ErrorContains(t, err, "records of version '2'")
+	require.ErrorContains(t, err, "records have version '2'")
 	_, err = read([]byte("something else"))
-	require.ErrorContains(t, err, "no records")
-	// A stream that goes on after damage: the rest is skipped until a router's start.
+	require.ErrorContains(t, err, "not a record file")
+	// Replay skips the entries after a damaged block until the next start of a router.
 	dir := t.TempDir()
 	require.NoError(t, os.WriteFile(filepath.Join(dir, "a"), flipped, 0o600))
 	_, next := recordRun(t, 200, Config{})
@@ -42,7 +42,7 @@
 	require.NoError(t, err)
 	require.Equal(t, 2, r.Starts)
 	require.Zero(t, r.Differences)
-	require.Contains(t, r.Gaps[0], "checksum differs")
+	require.Contains(t, r.Gaps[0], "checksum mismatch")
 }
 
 func FuzzRead(f *testing.F) {
--- a/record/replay.go
+++ b/record/replay.go
@@ -11,20 +11,20 @@
 
 // Report is the result of a replay.
 type Report struct {
-	Entries, Actions int         // compared
-	Starts           int         // of routers
-	Differences      int         // entries whose actions differ
-	First            *Difference // nil for none
-	Skipped          int         // entries after a gap, up to the next start
-	Gaps             []string    // why entries could not be compared
+	Entries, Actions int         // numbers of entries and actions compared
+	Starts           int         // number of starts of a router
+	Differences      int         // number of entries whose actions differ
+	First            *Difference // nil if no entry differs
+	Skipped          int         // number of entries not compared: those from a gap to the next start
+	Gaps             []string    // why entries were missing or could not be read, in the order of the files
 }
 
 // Difference is the first entry whose actions differ.
 type Difference struct {
-	Entry    Entry
-	Recorded []router.Action
-	Replayed []router.Action
-	Before   []Entry // the last entries before it, the oldest first
+	Entry     Entry
+	Recorded  []router.Action
+	Replayed  []router.Action
+	Preceding []Entry // the entries just before Entry, the oldest first
 }
 
 // String describes the difference on several lines.
@@ -37,16 +37,17 @@
 	for _, a := range d.Replayed {
 		fmt.Fprintf(&b, "  replayed: %s\n", describeAction(a))
 	}
-	fmt.Fprintf(&b, "before it:\n")
-	for _, e := range d.Before {
+	fmt.Fprintf(&b, "preceding entries:\n")
+	for _, e := range d.Preceding {
 		fmt.Fprintf(&b, "  %d at %.4f s: %s\n", e.Number, seconds(e.At), EventText(e.Event))
 	}
 	return b.String()
 }
 
-// Replay runs recorded events through the router library and compares the actions that it returns with those recorded.
-// The files are one router's, in order. After a gap or damage nothing can be compared until the next start of a router.
-// explain, if not nil, is called with every entry that was compared. An error is a file that can't be opened.
+// Replay passes recorded events to the router library and compares the actions that it returns with the recorded ones.
+// files are the files of one router, in order. After a gap or a damaged block, entries can't be compared until the next
+// start of a router. explain, if not nil, is called for every entry that was compared. Replay returns an error if a file
+// can't be opened.
 func Replay(files []string, explain func(Entry)) (*Report, error) {
 	r := replayer{report: &Report{}, explain: explain}
 	for _, name := range files {
@@ -55,7 +56,7 @@
 			return r.report, err
 		}
 		err = Read(f, r.replay)
-		_ = f.Close() // it was only read
+		_ = f.Close() // nothing was written, so an error loses no data
 		if err != nil {
 			r.gap(fmt.Sprintf("%s: %v", name, err))
 		}
@@ -63,29 +64,29 @@
 	return r.report, nil
 }
 
-// replayer compares entries one after the other.
+// replayer replays entries one after the other and compares their actions.
 type replayer struct {
-	report  *Report
-	explain func(Entry)
-	router  *router.Router // nil where a start is missing
-	next    uint64         // the number that the next entry should have; 0 before the first
-	before  []Entry
-	actions []router.Action // a buffer
+	report     *Report
+	explain    func(Entry)
+	router     *router.Router // nil until the first start, and from a gap to the next start
+	nextNumber uint64         // expected number of the next entry; 0 before the first entry
+	preceding  []Entry
+	actions    []router.Action // reused buffer
 }
 
-const entriesBefore = 12 // entries before a difference that are shown
+const precedingEntries = 12 // number of entries that are shown before a difference
 
-// gap ends the comparison until the next start of a router.
+// gap stops the comparison until the next start of a router.
 func (r *replayer) gap(reason string) {
 	r.router = nil
 	r.report.Gaps = append(r.report.Gaps, reason)
 }
 
 func (r *replayer) replay(e Entry) error {
-	if r.next != 0 && e.Number != r.next && e.Config == nil {
-		r.gap(fmt.Sprintf("entries %d to %d were dropped", r.next, e.Number-1))
+	if r.nextNumber != 0 && e.Number != r.nextNumber && e.Config == nil {
+		r.gap(fmt.Sprintf("entries %d to %d were dropped", r.nextNumber, e.Number-1))
 	}
-	r.next = e.Number + 1
+	r.nextNumber = e.Number + 1
 	var got []router.Action
 	switch {
 	case e.Config != nil:
@@ -98,20 +99,20 @@
 		var err error
 		r.actions, err = r.router.Handle(e.At, e.Event, r.actions[:0])
 		if got = r.actions; err != nil {
-			got = nil // the router's program went on as well, with no action
+			got = nil // the recording program also carried out no actions after an error
 		}
 	}
 	r.compare(e, got)
 	if r.explain != nil {
 		r.explain(e)
 	}
-	if r.before = append(r.before, e); len(r.before) > entriesBefore {
-		r.before = slices.Delete(r.before, 0, 1)
+	if r.preceding = append(r.preceding, e); len(r.preceding) > precedingEntries {
+		r.preceding = slices.Delete(r.preceding, 0, 1)
 	}
 	return nil
 }
 
-// compare counts an entry and keeps the first whose actions differ.
+// compare counts an entry and keeps the first difference.
 func (r *replayer) compare(e Entry, got []router.Action) {
 	r.report.Entries++
 	r.report.Actions += len(e.Actions)
@@ -119,6 +120,6 @@
 		return
 	}
 	if r.report.Differences++; r.report.First == nil {
-		r.report.First = &Difference{Entry: e, Recorded: e.Actions, Replayed: slices.Clone(got), Before: slices.Clone(r.before)}
+		r.report.First = &Difference{Entry: e, Recorded: e.Actions, Replayed: slices.Clone(got), Preceding: slices.Clone(r.preceding)}
 	}
 }
--- a/record/replay_test.go
+++ b/record/replay_test.go
@@ -10,7 +10,7 @@
 	"dapplefront/router"
 )
 
-func TestReplayOfAnUnchangedRouterHasNoDifference(t *testing.T) {
+func TestReplay_FindsNoDifferenceForUnchangedRouter(t *testing.T) {
 	_, files := recordRun(t, 6000, Config{})
 	r, err := Replay(files, nil)
 	require.NoError(t, err)
@@ -20,7 +20,7 @@
 	require.Empty(t, r.Gaps)
 }
 
-func TestReplayFindsAndExplainsAChangedAction(t *testing.T) {
+func TestReplay_ReportsAndTracesChangedAction(t *testing.T) {
 	_, files := recordRun(t, 500, Config{})
 	dir := t.TempDir()
 	w, err := Create(Config{Dir: dir, Name: "r1", Secret: []byte("s")})
@@ -29,7 +29,7 @@
 	f, err := os.Open(files[0])
 	require.NoError(t, err)
 	require.NoError(t, Read(f, func(e Entry) error {
-		for i, a := range e.Actions { // as a router with another constant would decide: one request to another host
+		for i, a := range e.Actions { // one attempt to another host, as if the router had decided differently
 			if x, ok := e.Event.(router.RequestArrived); ok && a.Kind == router.SendAttempt && changed == "" && x.RequestID == "200" {
 				e.Actions[i].Host, changed = a.Host%10+1, x.RequestID
 			}
@@ -47,13 +47,13 @@
 	require.NoError(t, err)
 	require.Equal(t, 1, r.Differences)
 	text := r.First.String()
-	require.Contains(t, text, "task 200 taken")
-	require.Contains(t, text, "recorded: send 0 of task 200")
-	require.Contains(t, text, "replayed: send 0 of task 200")
-	require.Contains(t, text, "before it:")
+	require.Contains(t, text, "request 200 arrived")
+	require.Contains(t, text, "recorded: send attempt 0 of request 200")
+	require.Contains(t, text, "replayed: send attempt 0 of request 200")
+	require.Contains(t, text, "preceding entries:")
 	var trace bytes.Buffer
 	_, err = Replay(files, TraceRequest("200", &trace))
 	require.NoError(t, err)
-	require.Contains(t, trace.String(), "task 200 taken")
-	require.Contains(t, trace.String(), "send 0 of task 200")
+	require.Contains(t, trace.String(), "request 200 arrived")
+	require.Contains(t, trace.String(), "send attempt 0 of request 200")
 }
--- a/record/request_events.go
+++ b/record/request_events.go
@@ -116,7 +116,7 @@
 	return e, err
 }
 
-// The field of the message Left, a router.ClientGone.
+// Field of the message Left, a router.ClientGone.
 const clientGoneRequestID = 1
 
 func appendClientGone(b *encoder, e router.ClientGone) { b.text(clientGoneRequestID, e.RequestID) }
--- a/record/settings_test.go
+++ b/record/settings_test.go
@@ -12,8 +12,9 @@
 	"dapplefront/router"
 )
 
-// A configuration of each kind is read and compared in its stored form, which doesn't change with names in the code.
-func TestARoutersSettingsMeanWhatTheyMeantEarlier(t *testing.T) {
+// Guards against settings that are read differently than before. The configurations are compared in their stored form,
+// because that does not change when names in the code do.
+func TestMarshalConfig_KeepsStoredFormOfSettings(t *testing.T) {
 	t.Run("INI file", func(t *testing.T) {
 		c, err := routerconfig.Read("testdata/router.ini")
 		require.NoError(t, err)
--- a/record/stored_config.go
+++ b/record/stored_config.go
@@ -12,9 +12,9 @@
 )
 
 // The types below are the stored form of a router's configuration. Their JSON names are those of the first version of
-// the format and never change, whatever the fields are called.
+// the format and must never change, even if the fields are renamed.
 
-// storedConfig is a router.Config.
+// storedConfig is the stored form of router.Config.
 type storedConfig struct {
 	Seed    uint64         `json:"Seed"`
 	Routers int            `json:"Routers"`
@@ -26,7 +26,7 @@
 	Release storedRelease  `json:"Desk"`
 }
 
-// storedClass is a router.Class.
+// storedClass is the stored form of router.Class.
 type storedClass struct {
 	Name             string             `json:"Name"`
 	Idempotency      policy.Idempotency `json:"Repeat"`
@@ -37,13 +37,13 @@
 	LateValueShare   float64            `json:"LateShare"`
 }
 
-// storedTenant is a router.Tenant.
+// storedTenant is the stored form of router.Tenant.
 type storedTenant struct {
 	Name           string  `json:"Name"`
 	QuotaPerSecond float64 `json:"PerSecond"`
 }
 
-// storedLimits is a policy.Limits.
+// storedLimits is the stored form of policy.Limits.
 type storedLimits struct {
 	DrainGrace          policy.Time `json:"Grace"`
 	WarmUp              policy.Time `json:"Cold"`
@@ -52,18 +52,18 @@
 	ColdOverloadWindow  policy.Time `json:"TipFor"`
 	PollInterval        policy.Time `json:"AskWithin"`
 	MaxAttempts         int         `json:"MaxSends"`
-	MaxOpen             int         `json:"MaxOpen"`
+	MaxRequestsInFlight int         `json:"MaxOpen"`
 	AllowHedging        bool        `json:"TwoAtOnce"`
 	MaxRetryAfter       policy.Time `json:"LongestStay"`
 	PushedDiscovery     bool        `json:"Pushed"`
 	MaxGossipBytes      int         `json:"Peers"`
 	HealthChecks        bool        `json:"Probes"`
 	CrossZonePrice      float64     `json:"CrossPrice"`
-	WastePrice          float64     `json:"WastePrice"`
+	UnusedAttemptPrice  float64     `json:"WastePrice"`
 	OverQuotaValueShare float64     `json:"OverShare"`
 }
 
-// storedRelease is a policy.ReleaseConfig.
+// storedRelease is the stored form of policy.ReleaseConfig.
 type storedRelease struct {
 	Mode              policy.PromotionMode `json:"Control"`
 	ExposureCaps      []float64            `json:"Caps"`
@@ -88,8 +88,8 @@
 // marshalConfig returns the stored form of a configuration.
 func marshalConfig(p router.Config) ([]byte, error) { return json.Marshal(toStored(p)) }
 
-// unmarshalConfig reads the stored form of a configuration. A field that this version doesn't know is an error: it
-// can't be replayed as it was.
+// unmarshalConfig parses the stored form of a configuration. It returns an error for a field that this version doesn't
+// know, because a replay without that field could make other decisions.
 func unmarshalConfig(text []byte) (*router.Config, error) {
 	decoder := json.NewDecoder(bytes.NewReader(text))
 	decoder.DisallowUnknownFields()
@@ -98,7 +98,7 @@
 		return nil, fmt.Errorf("stored configuration: %w", err)
 	}
 	if _, err := decoder.Token(); err != io.EOF {
-		return nil, errors.New("stored configuration: something follows its end")
+		return nil, errors.New("stored configuration: unexpected data after the JSON value")
 	}
 	p := stored.config()
 	return &p, nil
@@ -161,8 +161,8 @@
 func toStoredLimits(l policy.Limits) storedLimits {
 	return storedLimits{
 		DrainGrace: l.DrainGrace, WarmUp: l.WarmUp, ColdCapacity: l.ColdCapacity, ColdOverloadFactor: l.ColdOverloadFactor, ColdOverloadWindow: l.ColdOverloadWindow, PollInterval: l.PollInterval,
-		MaxAttempts: l.MaxAttempts, MaxOpen: l.MaxRequestsInFlight, AllowHedging: l.AllowHedging, MaxRetryAfter: l.MaxRetryAfter,
-		PushedDiscovery: l.PushedDiscovery, MaxGossipBytes: l.MaxGossipBytes, HealthChecks: l.HealthChecks, CrossZonePrice: l.CrossZonePrice, WastePrice: l.UnusedAttemptPrice,
+		MaxAttempts: l.MaxAttempts, MaxRequestsInFlight: l.MaxRequestsInFlight, AllowHedging: l.AllowHedging, MaxRetryAfter: l.MaxRetryAfter,
+		PushedDiscovery: l.PushedDiscovery, MaxGossipBytes: l.MaxGossipBytes, HealthChecks: l.HealthChecks, CrossZonePrice: l.CrossZonePrice, UnusedAttemptPrice: l.UnusedAttemptPrice,
 		OverQuotaValueShare: l.OverQuotaValueShare,
 	}
 }
@@ -170,8 +170,8 @@
 func (s storedLimits) limits() policy.Limits {
 	return policy.Limits{
 		DrainGrace: s.DrainGrace, WarmUp: s.WarmUp, ColdCapacity: s.ColdCapacity, ColdOverloadFactor: s.ColdOverloadFactor, ColdOverloadWindow: s.ColdOverloadWindow, PollInterval: s.PollInterval,
-		MaxAttempts: s.MaxAttempts, MaxRequestsInFlight: s.MaxOpen, AllowHedging: s.AllowHedging, MaxRetryAfter: s.MaxRetryAfter,
-		PushedDiscovery: s.PushedDiscovery, MaxGossipBytes: s.MaxGossipBytes, HealthChecks: s.HealthChecks, CrossZonePrice: s.CrossZonePrice, UnusedAttemptPrice: s.WastePrice,
+		MaxAttempts: s.MaxAttempts, MaxRequestsInFlight: s.MaxRequestsInFlight, AllowHedging: s.AllowHedging, MaxRetryAfter: s.MaxRetryAfter,
+		PushedDiscovery: s.PushedDiscovery, MaxGossipBytes: s.MaxGossipBytes, HealthChecks: s.HealthChecks, CrossZonePrice: s.CrossZonePrice, UnusedAttemptPrice: s.UnusedAttemptPrice,
 		OverQuotaValueShare: s.OverQuotaValueShare,
 	}
 }
--- a/record/stored_test.go
+++ b/record/stored_test.go
@@ -10,9 +10,9 @@
 	"dapplefront/router"
 )
 
-// The files in testdata were written by the program at commit d72f78e.
+// The files in testdata were written by the program built from commit d72f78e.
 
-func TestAnEarlierVersionsRecordsReplayWithoutADifference(t *testing.T) {
+func TestReplay_FindsNoDifferenceInRecordsOfEarlierVersion(t *testing.T) {
 	files, err := filepath.Glob("testdata/*.rec")
 	require.NoError(t, err)
 	require.Len(t, files, 3)
@@ -37,7 +37,7 @@
 	}
 }
 
-func TestAStoredConfigKeepsItsFormAndEveryField(t *testing.T) {
+func TestStoredConfig_KeepsFormAndEveryField(t *testing.T) {
 	want, err := os.ReadFile("testdata/config.json")
 	require.NoError(t, err)
 	p, err := unmarshalConfig(want)
@@ -47,7 +47,7 @@
 	require.Equal(t, string(want), string(got))
 }
 
-func TestAnUnknownFieldOfAStoredConfigIsAnError(t *testing.T) {
+func TestUnmarshalConfig_RejectsUnknownField(t *testing.T) {
 	_, err := unmarshalConfig([]byte(`{"Seed":1,"Limits":{"DrainGrace":1}}`))
 	require.ErrorContains(t, err, `unknown field "DrainGrace"`)
 	_, err = unmarshalConfig([]byte(`{"Seed":1} {}`))
--- a/record/writer.go
+++ b/record/writer.go
@@ -18,18 +18,18 @@
 	"dapplefront/router"
 )
 
-// Config says where a router's records are written and how much of them is kept.
+// Config determines where a router's records are written and how much of them is kept.
 type Config struct {
 	Dir          string
-	Name         string              // of the router; files are called NAME-TIME-COUNT.rec
-	MaxFileBytes int64               // of a file before the next is begun; 0 for 64 MiB
-	MaxFileAge   time.Duration       // of a file before the next is begun; 0 for an hour
-	MaxBytes     int64               // of all files of this name, beyond which the oldest are removed; 0 for 1 GiB
-	Secret       []byte              // keys the hashes of idempotency keys and tenants; nil for a random one that isn't kept
-	OpenSink     func(*os.File) Sink // wraps a new file; nil for the file itself
+	Name         string              // name of the router; files are named NAME-TIME-COUNT.rec
+	MaxFileBytes int64               // size at which a new file replaces the current one; 0 means 64 MiB
+	MaxFileAge   time.Duration       // age at which a new file replaces the current one; 0 means one hour
+	MaxBytes     int64               // total size of the router's files, above which the oldest are removed; 0 means 1 GiB
+	Secret       []byte              // key for the hashes of idempotency keys and tenants; nil means a random key that is not stored
+	OpenSink     func(*os.File) Sink // wraps a new file; nil means that blocks are written to the file itself
 }
 
-// Sink is what blocks are written to.
+// Sink is a destination that blocks are written to.
 type Sink interface {
 	Write([]byte) (int, error)
 	Close() error
@@ -40,32 +40,33 @@
 	defaultMaxFileAge   = time.Hour
 	defaultMaxBytes     = 1 << 30
 
-	blockBytes    = 64 << 10    // of entries in a full block: some 600, which compress well and are lost together
-	maxBlockAge   = time.Second // after which a block is handed on though it isn't full
-	blockQueue    = 32          // blocks between the router and the disk: 2 MiB
-	maxHashes     = 10_000      // names whose hashes are cached: those of some seconds
-	hashBytes     = 12          // of a hash that are stored
+	blockBytes    = 64 << 10    // size of the entries in a full block: about 600 entries, which compress well but are lost together
+	maxBlockAge   = time.Second // age at which a block is passed on even if it is not full
+	blockQueue    = 32          // capacity of the queue of blocks to the file writer: 2 MiB
+	maxHashes     = 10_000      // number of cached hashes: enough for the names of a few seconds
+	hashBytes     = 12          // length of a hash that is stored, before hex encoding
 	secretBytes   = 32
-	fileTimestamp = "20060102T150405.000000" // in file names, UTC, so that names sort by time
+	fileTimestamp = "20060102T150405.000000" // in file names, in UTC, so that the names sort by time
 )
 
-// Writer writes one router's records. Its methods are for one goroutine; none but Close waits for the disk.
+// Writer writes one router's records. Only one goroutine may call its methods, except Written. Only Close waits for the
+// disk.
 type Writer struct {
-	config  Config
-	current block
-	begun   time.Time // when the current block got its first entry
-	number  uint64    // of the last entry
-	dropped uint64
-	blocks  chan block  // to the goroutine that writes files
-	buffers chan []byte // written blocks' buffers, to be used again
-	done    chan error  // what the goroutine that writes files ended with
-	bytes   atomic.Int64
-	hash    hashFunc
-	hashes  map[string]string // of names seen lately
+	config         Config
+	current        block
+	blockStartedAt time.Time // when the first entry was added to the current block
+	number         uint64    // of the last entry
+	dropped        uint64
+	blocks         chan block  // queue to the goroutine that writes files
+	buffers        chan []byte // buffers of written blocks, for reuse
+	done           chan error  // result of the goroutine that writes files
+	bytesWritten   atomic.Int64
+	hash           hashFunc
+	hashes         map[string]string // cached hashes by name
 }
 
-// Create starts a writer and the goroutine that writes its files, which Close ends. The first file is created once there
-// is a block to write.
+// Create returns a writer and starts the goroutine that writes its files, which Close ends. The first file is created
+// when there is a block to write.
 func Create(c Config) (*Writer, error) {
 	if c.MaxFileBytes == 0 {
 		c.MaxFileBytes = defaultMaxFileBytes
@@ -97,7 +98,8 @@
 	return w, nil
 }
 
-// keyedHash returns a hash that is the same for the same name and can't be traced to it without the secret.
+// keyedHash returns a hash of a name. Equal names have equal hashes, and the name can't be found from the hash without
+// the secret.
 func (w *Writer) keyedHash(name string) string {
 	if name == "" {
 		return ""
@@ -115,12 +117,12 @@
 	return h
 }
 
-// WriteStart records a router's start: its configuration and its first actions.
+// WriteStart records the start of a router with its configuration and its first actions.
 func (w *Writer) WriteStart(now policy.Time, c router.Config, actions []router.Action) error {
 	return w.write(&Entry{At: now, Config: &c, Actions: actions})
 }
 
-// WriteEvent records an event and the actions that followed. It fails for an event of a type that records don't know.
+// WriteEvent records an event and the resulting actions. It returns an error if events of this type can't be recorded.
 func (w *Writer) WriteEvent(now policy.Time, e router.Event, actions []router.Action) error {
 	return w.write(&Entry{At: now, Event: e, Actions: actions})
 }
@@ -129,20 +131,20 @@
 	w.number++
 	e.Number = w.number
 	if len(w.current.entries) == 0 {
-		w.current.first, w.begun = e.Number, time.Now()
+		w.current.first, w.blockStartedAt = e.Number, time.Now()
 	}
 	message, err := encodeEntry(e, w.hash)
 	if err != nil {
 		return err
 	}
 	w.current.entries = protowire.AppendBytes(w.current.entries, message)
-	if len(w.current.entries) >= blockBytes || time.Since(w.begun) > maxBlockAge {
+	if len(w.current.entries) >= blockBytes || time.Since(w.blockStartedAt) > maxBlockAge {
 		w.Flush()
 	}
 	return nil
 }
 
-// Flush hands the current block to the goroutine that writes files, or drops it where that one's queue is full.
+// Flush queues the current block for the goroutine that writes files, or drops the block if the queue is full.
 func (w *Writer) Flush() {
 	if len(w.current.entries) == 0 {
 		return
@@ -162,13 +164,13 @@
 	}
 }
 
-// Dropped is the number of entries that were dropped since the writer began.
+// Dropped returns the number of entries that the writer has dropped.
 func (w *Writer) Dropped() uint64 { return w.dropped }
 
-// Written is the number of bytes of blocks that were written to files. It is safe for concurrent use.
-func (w *Writer) Written() int64 { return w.bytes.Load() }
+// Written returns the number of bytes of blocks that were written to files. It is safe for concurrent use.
+func (w *Writer) Written() int64 { return w.bytesWritten.Load() }
 
-// Close writes what is left and ends the writer. It returns all errors of writing since Create.
+// Close writes the remaining entries and stops the writer. It returns all errors in writing files since Create.
 func (w *Writer) Close() error {
 	if len(w.current.entries) > 0 {
 		w.current.dropped = w.dropped
@@ -179,7 +181,7 @@
 	return <-w.done
 }
 
-// Files returns a router's record files in a directory, the oldest first.
+// Files returns the record files of the router called name in a directory, the oldest first.
 func Files(dir, name string) ([]string, error) {
 	files, err := filepath.Glob(filepath.Join(dir, name+"-*.rec"))
 	slices.Sort(files)
--- a/record/writer_test.go
+++ b/record/writer_test.go
@@ -12,7 +12,7 @@
 	"dapplefront/router"
 )
 
-func TestRecordsHoldNeitherKeysNorTenants(t *testing.T) {
+func TestWriter_StoresOnlyHashesOfKeysAndTenants(t *testing.T) {
 	_, files := recordRun(t, 300, Config{})
 	f, err := os.Open(files[0])
 	require.NoError(t, err)
@@ -27,7 +27,7 @@
 		}
 		return nil
 	}))
-	require.Len(t, keys, 20, "the same key is the same, others are others")
+	require.Len(t, keys, 20, "equal keys have equal hashes, and different keys different ones")
 }
 
 // stalledFile blocks every write until a channel is closed.
@@ -38,16 +38,16 @@
 
 func (s stalledFile) Write(b []byte) (int, error) { <-s.resume; return s.File.Write(b) }
 
-func TestAStalledDiskNeverBlocksTheRouter(t *testing.T) {
+func TestWriter_DropsBlocksInsteadOfWaitingForStalledDisk(t *testing.T) {
 	resume := make(chan struct{})
 	dir := t.TempDir()
 	w, err := Create(Config{Dir: dir, Name: "r1", OpenSink: func(f *os.File) Sink { return stalledFile{f, resume} }})
 	require.NoError(t, err)
-	runRouter(t, w, 3, 40_000) // more than the queue of blocks takes
+	runRouter(t, w, 3, 40_000) // more than fit into the queue of blocks
 	require.Positive(t, w.Dropped(), "whole blocks were dropped")
 	close(resume)
 	require.Eventually(t, func() bool { return len(w.blocks) == 0 }, 10*time.Second, time.Millisecond)
-	runRouter(t, w, 4, 500) // the router starts again
+	runRouter(t, w, 4, 500) // the router restarts
 	require.NoError(t, w.Close())
 	files, err := Files(dir, "r1")
 	require.NoError(t, err)
@@ -59,7 +59,7 @@
 	require.Equal(t, 2, r.Starts)
 }
 
-func TestFilesRotateAndTheOldestAreRemoved(t *testing.T) {
+func TestWriter_RotatesFilesAndRemovesOldest(t *testing.T) {
 	dir, files := recordRun(t, 20_000, Config{MaxFileBytes: 100 << 10, MaxBytes: 400 << 10})
 	require.Greater(t, len(files), 1)
 	var sum int64
@@ -72,7 +72,7 @@
 	r, err := Replay(files, nil)
 	require.NoError(t, err)
 	require.Zero(t, r.Differences)
-	require.True(t, r.Starts == 1 || r.Skipped > 0, "the start is there, or nothing is compared")
+	require.True(t, r.Starts == 1 || r.Skipped > 0, "entries without the start in their files are skipped")
 	require.True(t, strings.HasPrefix(files[0], dir))
 }
 
