--- a/internal/eventloop/clock.go
+++ b/internal/eventloop/clock.go
@@ -9,10 +9,10 @@
 // tick is the unit of policy.Time.
 const tick = 100 * time.Microsecond
 
-// clock is a clock that nobody sets.
+// clock is a monotonic clock: changes of the system clock don't affect it after its creation.
 type clock struct {
-	start   time.Time   // with a monotonic reading
-	startAt policy.Time // the same moment, since the Unix epoch
+	start   time.Time   // when the clock was created, with a monotonic reading
+	startAt policy.Time // the same moment as time since the Unix epoch
 }
 
 func newClock() clock {
@@ -22,11 +22,11 @@
 
 func (c *clock) now() policy.Time { return c.startAt + policy.Time(c.elapsed()/tick) }
 
-// elapsed is the time since the clock was made.
+// elapsed returns the time since the clock was created.
 func (c *clock) elapsed() time.Duration { return time.Since(c.start) }
 
 // FromDuration converts a duration to policy.Time, rounded towards zero.
 func FromDuration(d time.Duration) policy.Time { return policy.Time(d / tick) }
 
-// Duration is the reverse of FromDuration.
+// Duration converts a policy.Time to a duration.
 func Duration(t policy.Time) time.Duration { return time.Duration(t) * tick }
--- a/internal/eventloop/loop.go
+++ b/internal/eventloop/loop.go
@@ -1,9 +1,10 @@
-// Package eventloop runs one router's work in order, one piece at a time, on whichever goroutine posts it: there is no
-// lock on what the pieces share and no goroutine to wake. It also keeps the router's clock and timers.
+// Package eventloop runs the work of one router in order, one piece at a time, on the goroutines that post it. The data
+// that the pieces share needs no lock, and no goroutine has to be woken up. The package also provides the router's clock
+// and timers.
 //
-// Post queues a piece of work. If no other goroutine is running work, it is run at once, with whatever is posted
-// meanwhile; otherwise it waits in the queue. So whoever posts must not hold a lock that any work takes, and work must
-// not block.
+// Post queues a piece of work. If no other goroutine is running work, Post runs the piece at once, and then the pieces
+// that are posted in the meantime; otherwise the piece waits in the queue. Therefore the caller of Post must not hold a
+// lock that any work takes, and work must not block.
 package eventloop
 
 import (
@@ -14,10 +15,10 @@
 	"dapplefront/policy"
 )
 
-// closePollInterval is how often Close looks whether the running work has ended.
+// closePollInterval is the interval at which Close checks whether the running work has ended.
 const closePollInterval = 100 * time.Microsecond
 
-// Loop runs one router's work. New makes one; Close ends it.
+// Loop runs the work of one router.
 type Loop struct {
 	clock clock
 
@@ -27,31 +28,31 @@
 	closed  atomic.Bool
 	done    chan struct{} // closed once the loop is closed
 
-	// These belong to the loop's work.
+	// The fields below are accessed only by the loop's work.
 	timers   timerHeap
 	wakeup   *time.Timer
-	wakeupAt time.Duration // of the loop's clock, when wakeup fires; 0 while it is not set
+	wakeupAt time.Duration // when wakeup fires, on the loop's clock; 0 if it is not set
 	deferred []func()
 	stats    Stats
 	lag      lagPeak
 }
 
-// queuedWork is a piece of work that waits.
+// queuedWork is a piece of work in the queue.
 type queuedWork struct {
 	run      func()
-	postedAt time.Duration // of the loop's clock
+	postedAt time.Duration // on the loop's clock
 }
 
-// New starts a loop.
+// New returns a loop, which Close ends.
 func New() *Loop {
 	return &Loop{done: make(chan struct{}), clock: newClock()}
 }
 
-// Now is the loop's clock: the time since the Unix epoch as it was when the loop was made, counted on from there by a
-// monotonic clock. It never steps back.
+// Now returns the time of the loop's clock: the time since the Unix epoch when the loop was created, plus the time since
+// then by a monotonic clock. It never steps back.
 func (l *Loop) Now() policy.Time { return l.clock.now() }
 
-// Post queues work. After Close it does nothing.
+// Post queues work, and runs the queue if no other goroutine does. After Close it does nothing.
 func (l *Loop) Post(work func()) {
 	posted := queuedWork{work, l.clock.elapsed()}
 	l.mu.Lock()
@@ -65,7 +66,7 @@
 		return
 	}
 	l.running = true
-	var spare []queuedWork // the previous batch's memory
+	var spare []queuedWork // memory of the previous batch, for reuse
 	for len(l.queue) > 0 && !l.closed.Load() {
 		batch := l.queue
 		l.queue = spare[:0]
@@ -78,8 +79,8 @@
 	l.mu.Unlock()
 }
 
-// runBatch runs pieces of work in order until the loop is closed. Timers that are due go before each piece, as their
-// delay would come on top of that of all the work that was queued first.
+// runBatch runs pieces of work in order until the loop is closed. Before each piece it calls the timers that are due;
+// otherwise the delay of all the work queued before them would add to their own delay.
 func (l *Loop) runBatch(batch []queuedWork) {
 	now := l.clock.elapsed()
 	for i := range batch {
@@ -89,15 +90,16 @@
 		if l.closed.Load() {
 			return
 		}
-		now = l.measure(work.run, &l.stats.QueueDelay, work.postedAt, now)
+		now = l.runWork(work.run, &l.stats.QueueDelay, work.postedAt, now)
 	}
 }
 
-// measure runs a piece of work that was due at a time, and returns the time after it.
-func (l *Loop) measure(work func(), delays *Histogram, dueAt, now time.Duration) (end time.Duration) {
+// runWork runs a piece of work that was due at dueAt, and the work that it defers, and adds to the statistics. It returns
+// the time at the end.
+func (l *Loop) runWork(work func(), delays *Histogram, dueAt, now time.Duration) (end time.Duration) {
 	delays.Add(now - dueAt)
 	work()
-	for i := 0; i < len(l.deferred) && !l.closed.Load(); i++ { // which may grow
+	for i := 0; i < len(l.deferred) && !l.closed.Load(); i++ { // deferred work may defer more
 		l.deferred[i]()
 	}
 	clear(l.deferred)
@@ -108,24 +110,26 @@
 	return end
 }
 
-// Defer has work run once the present piece of work has returned, before any other. It must be called from the loop's work.
+// Defer schedules work to run after the current piece of work has returned and before any other piece. It must be called
+// from the loop's work.
 func (l *Loop) Defer(work func()) { l.deferred = append(l.deferred, work) }
 
-// Stats is how late and how long the work was so far. It must be called from the loop's work.
+// Stats returns the delays and run times of the work so far. It must be called from the loop's work.
 func (l *Loop) Stats() Stats { return l.stats }
 
-// Lag is the longest that a piece of work or a timer recently took from when it was due to its end; the longer ago, the
-// less it counts. What falls due now may be that late. It must be called from the loop's work.
+// Lag returns the longest time that a recent piece of work or timer took from when it was due to its end; a value counts
+// for less the older it is. Work that is due now may be late by as much. It must be called from the loop's work.
 func (l *Loop) Lag() policy.Time { return FromDuration(l.lag.at(l.clock.elapsed())) }
 
-// Waiting is how many pieces of work are queued, beside the batch that runs.
+// Waiting returns the number of queued pieces of work, not counting the batch that is running.
 func (l *Loop) Waiting() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return len(l.queue)
 }
 
-// Do runs work in the loop and waits for it; it reports false if the loop is closed. It must not be called from work.
+// Do runs work in the loop and waits for its end. It returns false if the loop is closed. It must not be called from the
+// loop's work.
 func (l *Loop) Do(work func()) bool {
 	done := make(chan struct{})
 	l.Post(func() { work(); close(done) })
@@ -137,7 +141,8 @@
 	}
 }
 
-// Close ends the loop: queued work is dropped, and the piece that runs is waited for. It must not be called from work.
+// Close ends the loop: it drops the queued work and waits until the running piece has ended. It must not be called from
+// the loop's work.
 func (l *Loop) Close() {
 	if l.closed.Swap(true) {
 		return
--- a/internal/eventloop/loop_test.go
+++ b/internal/eventloop/loop_test.go
@@ -23,7 +23,7 @@
 				l.Post(func() {
 					inside++
 					if inside != 1 {
-						t.Error("two at once")
+						t.Error("two pieces of work run at once")
 					}
 					order[g] = append(order[g], i)
 					inside--
@@ -81,7 +81,7 @@
 	require.Equal(t, 1500*time.Millisecond, Duration(15_000))
 }
 
-// Guards against responses that come late because a timer waits behind all work that was queued before it was due.
+// Guards against late responses: a timer must not wait for all the work that was queued before the timer was due.
 func TestLoop_CallsDueTimerBeforeQueuedWork(t *testing.T) {
 	l := New()
 	defer l.Close()
@@ -93,11 +93,11 @@
 		l.After(policy.Second/1000, func() { order = append(order, "timer") })
 		time.Sleep(5 * time.Millisecond)
 	})
-	l.Do(func() {}) // all that was queued has run
+	l.Do(func() {}) // returns after all queued work has run
 	require.Equal(t, []string{"timer", "first", "second"}, order)
 }
 
-// Guards against requests that wait once more behind all queued work between a decision and its effect.
+// Guards against extra latency: the effect of a decision must not wait for all the work that is already queued.
 func TestLoop_RunsDeferredWorkBeforeQueuedWork(t *testing.T) {
 	l := New()
 	defer l.Close()
@@ -110,7 +110,7 @@
 		})
 		order = append(order, "running")
 	})
-	l.Do(func() {}) // all that was queued has run
+	l.Do(func() {}) // returns after all queued work has run
 	require.Equal(t, []string{"running", "deferred", "deferred by deferred work", "queued"}, order)
 }
 
@@ -125,7 +125,7 @@
 	var lag policy.Time
 	var stats Stats
 	l.Do(func() { lag, stats = l.Lag(), l.Stats() })
-	require.GreaterOrEqual(t, lag, FromDuration(delay/2), "the queued piece was late")
+	require.GreaterOrEqual(t, lag, FromDuration(delay/2), "the queued piece of work ran late")
 	require.GreaterOrEqual(t, stats.QueueDelay.Longest, delay)
 	require.GreaterOrEqual(t, stats.RunTime.Longest, delay)
 	require.Eventually(t, func() bool {
@@ -149,5 +149,5 @@
 	require.EqualValues(t, 101, h.Count())
 	require.Equal(t, 30*time.Millisecond, h.Longest)
 	require.Equal(t, 128*time.Microsecond, h.Quantile(0.5))
-	require.Equal(t, 30*time.Millisecond, h.Quantile(0.99), "not more than the longest")
+	require.Equal(t, 30*time.Millisecond, h.Quantile(0.99), "a quantile does not exceed the longest duration")
 }
--- a/internal/eventloop/stats.go
+++ b/internal/eventloop/stats.go
@@ -5,11 +5,11 @@
 	"time"
 )
 
-// Stats is how late and how long a loop's work was since it was made. It belongs to the loop's work.
+// Stats counts the delays and run times of a loop's work since the loop was created. Only the loop's work may access it.
 type Stats struct {
-	QueueDelay Histogram // of a piece of work, from Post to its start
-	TimerDelay Histogram // of a timer, from when it was due to its call
-	RunTime    Histogram // of a piece of work or a timer's call
+	QueueDelay Histogram // of pieces of work, from Post to the start
+	TimerDelay Histogram // of timers, from when they were due to the call
+	RunTime    Histogram // of pieces of work and calls of timers
 }
 
 // Merge adds the counts of another loop.
@@ -19,16 +19,17 @@
 	s.RunTime.Merge(&other.RunTime)
 }
 
-// histogramBuckets is one for each length of a count of microseconds in bits: the last holds 35 minutes and more.
+// histogramBuckets is the number of buckets of a histogram. The bucket of a duration is the bit length of its number of
+// microseconds. The last bucket counts durations of about 18 minutes and more.
 const histogramBuckets = 32
 
-// Histogram counts durations by their power of two in microseconds, and keeps the longest.
+// Histogram counts durations in buckets whose bounds are powers of two in microseconds, and keeps the longest duration.
 type Histogram struct {
 	Buckets [histogramBuckets]uint64
 	Longest time.Duration
 }
 
-// Add counts a duration; a negative one counts as 0.
+// Add counts a duration. A negative duration counts as 0.
 func (h *Histogram) Add(d time.Duration) {
 	d = max(0, d)
 	h.Buckets[min(histogramBuckets-1, bits.Len64(uint64(d.Microseconds())))]++
@@ -43,7 +44,7 @@
 	h.Longest = max(h.Longest, other.Longest)
 }
 
-// Count is how many durations were counted.
+// Count returns the number of durations counted.
 func (h *Histogram) Count() (n uint64) {
 	for _, count := range h.Buckets {
 		n += count
@@ -51,7 +52,7 @@
 	return n
 }
 
-// Quantile is a bound that a share of the durations, from 0 to 1, doesn't exceed; at most twice the exact value.
+// Quantile returns an upper bound of the given quantile, a share from 0 to 1. The bound is at most twice the exact value.
 func (h *Histogram) Quantile(share float64) time.Duration {
 	rest := share * float64(h.Count())
 	for i, count := range h.Buckets {
@@ -62,23 +63,23 @@
 	return h.Longest
 }
 
-// lagMemory is how many times its own length a lag counts before it is forgotten.
-const lagMemory = 4
+// lagDecayRatio determines the decay of a lag: it decreases linearly to 0 over lagDecayRatio times its own length.
+const lagDecayRatio = 4
 
-// lagPeak is the greatest recent lag. Each lag counts for less as time passes, down to nothing.
+// lagPeak is the greatest recent lag. The value of each lag decreases with time, down to 0.
 type lagPeak struct {
 	lag     time.Duration
 	endedAt time.Duration
 }
 
-// add takes in a lag that ended at a time.
+// add counts a lag that ended at now.
 func (p *lagPeak) add(now, lag time.Duration) {
 	if lag >= p.at(now) {
 		p.lag, p.endedAt = lag, now
 	}
 }
 
-// at is what the greatest lag counts for at a time.
+// at returns the decayed value of the greatest lag at now.
 func (p *lagPeak) at(now time.Duration) time.Duration {
-	return max(0, p.lag-(now-p.endedAt)/lagMemory)
+	return max(0, p.lag-(now-p.endedAt)/lagDecayRatio)
 }
--- a/internal/eventloop/timer.go
+++ b/internal/eventloop/timer.go
@@ -7,14 +7,14 @@
 	"dapplefront/policy"
 )
 
-// Timer is a call that is due at a time.
+// Timer is a call that is scheduled for a time.
 type Timer struct {
-	dueAt    time.Duration // of the loop's clock
+	dueAt    time.Duration // on the loop's clock
 	callback func()
-	index    int // in the loop's heap; -1 once it has fired or was stopped
+	index    int // in the loop's heap; -1 after the timer has fired or was stopped
 }
 
-// After calls callback in the loop after a time; it must itself be called from the loop's work.
+// After schedules a call of callback in the loop after delay. It must be called from the loop's work.
 func (l *Loop) After(delay policy.Time, callback func()) *Timer {
 	t := &Timer{dueAt: l.clock.elapsed() + Duration(max(0, delay)), callback: callback}
 	heap.Push(&l.timers, t)
@@ -24,14 +24,15 @@
 	return t
 }
 
-// Stop stops a timer; one that has fired, or nil, is left alone. It must be called from the loop's work.
+// Stop stops a timer. It does nothing if the timer has fired, was stopped already or is nil. It must be called from the
+// loop's work.
 func (l *Loop) Stop(t *Timer) {
 	if t != nil && t.index >= 0 {
 		heap.Remove(&l.timers, t.index)
 	}
 }
 
-// schedule sets the wakeup for the first timer, unless it is early enough already.
+// schedule sets the wakeup to the time of the first timer, unless the wakeup is set to that time or an earlier one.
 func (l *Loop) schedule() {
 	if len(l.timers) == 0 {
 		return
@@ -48,30 +49,32 @@
 		return
 	}
 	if l.wakeup == nil {
-		l.wakeup = time.AfterFunc(delay, func() { l.Post(l.wokenUp) })
+		l.wakeup = time.AfterFunc(delay, func() { l.Post(l.onWakeup) })
 	} else {
 		l.wakeup.Reset(delay)
 	}
 }
 
-// wokenUp sets the next wakeup. The timers that are due were called before it, as before any work.
-func (l *Loop) wokenUp() {
+// onWakeup sets the next wakeup. It need not call the timers that are due, because they are called before each piece of
+// work, including this one.
+func (l *Loop) onWakeup() {
 	l.wakeupAt = 0
 	l.schedule()
 }
 
-// callDueTimers calls the timers that are due at a time, the earliest first, and returns the time after them. Those that
-// the calls set wait for the next call, so that they can't keep queued work from its turn.
+// callDueTimers calls the timers that are due at now, the earliest first, and returns the time after the calls. Timers
+// that are set during the calls wait for the next call of callDueTimers, so that they can't delay queued work
+// indefinitely.
 func (l *Loop) callDueTimers(now time.Duration) (end time.Duration) {
 	end = now
 	for len(l.timers) > 0 && l.timers[0].dueAt <= now && !l.closed.Load() {
 		timer := heap.Pop(&l.timers).(*Timer)
-		end = l.measure(timer.callback, &l.stats.TimerDelay, timer.dueAt, end)
+		end = l.runWork(timer.callback, &l.stats.TimerDelay, timer.dueAt, end)
 	}
 	return end
 }
 
-// timerHeap is a heap by time (heap.Interface).
+// timerHeap implements heap.Interface; the earliest timer is the first.
 type timerHeap []*Timer
 
 func (h timerHeap) Len() int           { return len(h) }
