--- a/internal/transport/conn.go
+++ b/internal/transport/conn.go
@@ -11,40 +11,41 @@
 )
 
 const (
-	copyLimit      = 32 << 10 // bytes of a body that are copied behind its head, as another system call costs more
-	flushSize      = 64 << 10 // bytes of one write of what was buffered
-	readBufferSize = 16 << 10 // bytes
+	copyLimit      = 32 << 10 // in bytes; a shorter body is copied behind its head, because a second system call costs more
+	flushSize      = 64 << 10 // maximum size of one write of buffered data, in bytes
+	readBufferSize = 16 << 10 // in bytes
 )
 
-// Conn is an open connection. Its methods are safe for concurrent use; none waits for the peer.
+// Conn is an open connection. Its methods are safe for concurrent use, and none of them waits for the peer.
 //
-// Its two halves have a state each, and closed ends both:
+// Each direction has its own state. When closed is set, both directions have ended. The tables show what Write and
+// CloseIdle do in each state, and how the state is entered:
 //
-//	write state     Write                 after
-//	writeIdle       goes to the kernel    the start; a flush of all that was buffered
-//	writeFlushing   is buffered           the kernel has not taken all of a write
-//	writeFinishing  fails                 CloseWrite while flushing
-//	writeFinished   fails                 CloseWrite while idle; the end of finishing, or of reading
+//	write state     Write                   entered
+//	writeIdle       writes to the kernel    at the start; when a flush has written all buffered data
+//	writeFlushing   buffers the data        when the kernel has not accepted all data of a write
+//	writeFinishing  fails                   on CloseWrite while flushing
+//	writeFinished   fails                   on CloseWrite while idle; when finishing or reading ends
 //
-//	read state      CloseIdle             after
-//	readWaiting     closes where idle     the start; the session has taken what was read
-//	readDelivering  doesn't               bytes were read that the session has not taken yet
-//	readStopped     has closed            CloseIdle has closed; nothing more is read
+//	read state      CloseIdle               entered
+//	readWaiting     closes if idle          at the start; when the session has processed the data that was read
+//	readDelivering  does not close          when data was read that the session has not processed yet
+//	readStopped     reports closed          when CloseIdle decides to close; nothing more is read
 type Conn struct {
 	tcp     *net.TCPConn
 	raw     syscall.RawConn
 	session Session
 	closed  atomic.Bool
 
-	unsent      atomic.Int64 // bytes that wait for the peer
-	unsentSince atomic.Int64 // when writing began to wait for the peer, in ns; 0 while nothing waits
+	unsent      atomic.Int64 // bytes that are buffered until the peer reads
+	unsentSince atomic.Int64 // since when no data could be written, in ns since the Unix epoch; 0 while nothing is buffered
 
 	mu       sync.Mutex
 	writing  writeState
-	buffered []byte         // what the kernel has not taken yet; the flush takes it away
-	flushes  sync.WaitGroup // Add is called with mu held and closed unset
+	buffered []byte         // data that the kernel has not accepted; flush takes it
+	flushes  sync.WaitGroup // Add is called only with mu held and before closed is set
 
-	readMu  sync.Mutex // held around each read from the kernel, never around anything that waits
+	readMu  sync.Mutex // held during each read from the kernel, never while waiting
 	reading readState
 }
 
@@ -65,8 +66,8 @@
 	readStopped
 )
 
-// Write hands a head and a body to the kernel, or buffers them until it takes them. When it fails, nothingSent reports
-// whether surely no byte has been handed over.
+// Write writes a head and a body to the kernel and buffers what the kernel does not accept at once. If it fails,
+// nothingSent reports whether it is certain that no byte was written.
 func (c *Conn) Write(head, body []byte) (nothingSent bool, err error) {
 	if len(body) > 0 && len(body) <= copyLimit {
 		head, body = append(head[:len(head):len(head)], body...), nil
@@ -92,7 +93,7 @@
 	return false, nil
 }
 
-// writePart writes what the kernel takes at once and buffers the rest. The caller holds mu.
+// writePart writes what the kernel accepts at once and buffers the rest. The caller must hold mu.
 func (c *Conn) writePart(part []byte) (n int, err error) {
 	if c.writing == writeIdle {
 		if n, err = c.writeOnce(part); err != nil {
@@ -115,7 +116,7 @@
 	return n, nil
 }
 
-// writeOnce writes what the kernel takes without waiting.
+// writeOnce writes what the kernel accepts without waiting, and returns the number of bytes.
 func (c *Conn) writeOnce(part []byte) (n int, err error) {
 	rawErr := c.raw.Write(func(fd uintptr) bool {
 		for {
@@ -132,7 +133,7 @@
 	return n, errors.Join(rawErr, err)
 }
 
-// flush writes what is buffered as the peer reads.
+// flush writes the buffered data as the peer reads, and returns when nothing is buffered or the connection is closed.
 func (c *Conn) flush() {
 	for {
 		c.mu.Lock()
@@ -167,7 +168,8 @@
 	}
 }
 
-// Pending is how many bytes wait for the peer to read, and since when; the time is zero where none do.
+// Pending returns how many bytes wait for the peer to read, and the last time at which some of them could be written or
+// at which buffering began. The time is zero if no bytes wait.
 func (c *Conn) Pending() (bytes int, since time.Time) {
 	bytes = int(c.unsent.Load())
 	if at := c.unsentSince.Load(); bytes > 0 && at > 0 {
@@ -176,8 +178,9 @@
 	return bytes, since
 }
 
-// CloseWrite ends the sending half once what was written has gone; nothing can be written after it. The peer can go on
-// sending, so that its bytes don't make the kernel reset the connection and throw away a response that is still unread.
+// CloseWrite shuts down the sending direction once all written data has been sent. Later writes fail. The peer can
+// continue to send: if this side closed the connection completely, bytes from the peer would make the kernel reset it
+// and discard a response that the peer has not read yet.
 func (c *Conn) CloseWrite() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -190,14 +193,16 @@
 	}
 }
 
-// shutdownWrite ends the sending half. A failure means that the connection has ended, which its session is told.
+// shutdownWrite shuts down the sending direction. It ignores errors: they mean that the connection has ended, which the
+// session learns from Closed.
 func (c *Conn) shutdownWrite() {
 	_ = c.raw.Control(func(fd uintptr) { _ = syscall.Shutdown(int(fd), syscall.SHUT_WR) })
 }
 
-// CloseIdle closes the connection if nothing is under way on it, and reports whether it did, now or before. Bytes that
-// have arrived but are not read yet, bytes that were read but that the session has not taken yet, and whatever idle knows
-// of keep it open: so a close never crosses a request that this side has read. idle must not wait for the session.
+// CloseIdle closes the connection if it is idle, and reports whether it closed it, now or earlier. The connection is not
+// idle if bytes have arrived but are not read yet, if the session has not processed bytes that were read, or if idle
+// returns false. Hence CloseIdle never closes a connection on which this side has read a request. idle must not wait for
+// the session.
 func (c *Conn) CloseIdle(idle func() bool) bool {
 	c.readMu.Lock()
 	if c.reading == readWaiting && idle() && c.Quiet() {
@@ -205,25 +210,27 @@
 	}
 	closes := c.reading == readStopped
 	c.readMu.Unlock()
-	if closes { // not under the lock: closing waits for the reader, which may wait for the lock
+	if closes { // without the lock: Close waits for the reader, which may wait for the lock
 		c.Close()
 	}
 	return closes
 }
 
-// Close closes the connection; its session's Closed follows. The peer is told before Close returns: tcp.Close by itself
-// waits for the reader to let go of the descriptor, and what is written to other connections meanwhile would come first.
+// Close closes the connection; the session's Closed is called later. Close shuts the connection down first, so that the
+// peer is notified before Close returns. tcp.Close alone does not notify the peer until the reader has released the
+// descriptor, and data written to other connections in the meantime would be sent first.
 func (c *Conn) Close() {
 	if !c.closed.Swap(true) {
 		_ = c.raw.Control(func(fd uintptr) { _ = syscall.Shutdown(int(fd), syscall.SHUT_RDWR) })
-		_ = c.tcp.Close() // a failure leaves nothing to be done: the descriptor is given back in any case
+		_ = c.tcp.Close() // an error needs no handling: the descriptor is released in any case
 	}
 }
 
-// Remote is the peer's address.
+// Remote returns the peer's address.
 func (c *Conn) Remote() net.Addr { return c.tcp.RemoteAddr() }
 
-// Quiet reports whether the connection seems open with nothing to read: neither bytes nor an end have arrived.
+// Quiet reports whether the connection seems open and has nothing to read: neither data nor the peer's end of the stream
+// has arrived.
 func (c *Conn) Quiet() bool {
 	quiet := false
 	err := c.raw.Control(func(fd uintptr) {
@@ -234,11 +241,11 @@
 	return err == nil && quiet
 }
 
-// readBuffers are lent to readers while something is there to read.
+// readBuffers holds the buffers that readers use while there is data to read.
 var readBuffers = sync.Pool{New: func() any { return new([readBufferSize]byte) }}
 
-// read hands what arrives to the session until the connection ends, and returns why it ended: io.EOF where the peer
-// closed it.
+// read passes received data to the session until the connection ends, and returns the reason for the end, which is
+// io.EOF if the peer closed the connection.
 func (c *Conn) read() error {
 	for {
 		buffer, n, err := c.readOnce()
@@ -260,8 +267,8 @@
 	}
 }
 
-// readOnce waits until something has arrived and reads it into a buffer of readBuffers, which the caller gives back;
-// the buffer may be nil after an error. n is 0 where the peer has closed the connection.
+// readOnce waits for data and reads it into a buffer from readBuffers, which the caller must put back. The buffer may be
+// nil after an error. n is 0 if the peer has closed the connection.
 func (c *Conn) readOnce() (buffer *[readBufferSize]byte, n int, err error) {
 	rawErr := c.raw.Read(func(fd uintptr) bool {
 		if buffer == nil {
@@ -289,12 +296,12 @@
 	return buffer, n, err
 }
 
-// serve reads until the connection ends, waits for its flush and returns why it ended.
+// serve reads until the connection ends, waits for the flush to end and returns the reason for the connection's end.
 func (c *Conn) serve() error {
 	err := c.read()
 	c.Close()
 	c.mu.Lock()
-	if c.writing == writeIdle { // no flush starts any more, also by a Write that has not seen closed
+	if c.writing == writeIdle { // prevents a new flush, even by a Write that has not yet seen closed
 		c.writing = writeFinished
 	}
 	c.mu.Unlock()
--- a/internal/transport/engine.go
+++ b/internal/transport/engine.go
@@ -9,13 +9,13 @@
 	"time"
 )
 
-// acceptPause is how long accepting pauses when the process is out of file descriptors or memory, so that some
-// connections can close.
+// acceptPause is the pause before the next accept when the process is out of file descriptors or memory, so that some
+// connections can close in the meantime.
 const acceptPause = 10 * time.Millisecond
 
-// Engine holds the connections of one router, and the goroutines that serve them.
+// Engine manages the listeners and connections of one router and the goroutines that serve them.
 type Engine struct {
-	ctx        context.Context // done once the engine is stopped
+	ctx        context.Context // canceled when the engine is stopped
 	stop       context.CancelFunc
 	goroutines sync.WaitGroup
 
@@ -24,14 +24,15 @@
 	conns     map[*Conn]bool
 }
 
-// Start starts an engine; Stop ends it.
+// Start returns a running engine, which Stop ends.
 func Start() *Engine {
 	e := &Engine{conns: map[*Conn]bool{}}
 	e.ctx, e.stop = context.WithCancel(context.Background())
 	return e
 }
 
-// Accept accepts connections of a listener and asks open for the session of each; a nil session closes it.
+// Accept accepts connections from a listener in the background and calls open for the session of each. If open returns
+// nil, Accept closes the connection.
 func (e *Engine) Accept(l net.Listener, open func(*Conn) Session) {
 	e.mu.Lock()
 	e.listeners = append(e.listeners, l)
@@ -53,7 +54,7 @@
 	})
 }
 
-// isTemporary reports whether accepting may succeed again after an error.
+// isTemporary reports whether a later accept may succeed after an error.
 func isTemporary(err error) bool {
 	for _, errno := range []syscall.Errno{syscall.EMFILE, syscall.ENFILE, syscall.ECONNABORTED, syscall.ENOBUFS,
 		syscall.ENOMEM} {
@@ -64,11 +65,11 @@
 	return false
 }
 
-// add starts the reader of a connection. The caller closes the connection after an error.
+// add starts the goroutine that serves a connection. After an error the caller must close the connection.
 func (e *Engine) add(conn net.Conn, open func(*Conn) Session) (*Conn, error) {
 	tcp, ok := conn.(*net.TCPConn)
 	if !ok {
-		return nil, errors.New("a TCP connection expected")
+		return nil, errors.New("not a TCP connection")
 	}
 	raw, err := tcp.SyscallConn()
 	if err != nil {
@@ -94,8 +95,8 @@
 	return c, nil
 }
 
-// Dial connects in the background and calls done with the connection, whose session is s, or with what went wrong. Once
-// the engine is stopped done is called before Dial returns.
+// Dial connects in the background and calls done with the connection, whose session is s, or with an error. If the engine
+// has been stopped, Dial calls done before it returns.
 func (e *Engine) Dial(address string, timeout time.Duration, s Session, done func(*Conn, error)) {
 	e.mu.Lock()
 	if e.ctx.Err() != nil {
@@ -119,7 +120,7 @@
 	e.mu.Unlock()
 }
 
-// CloseListeners closes the listeners; connections go on.
+// CloseListeners closes the listeners. Open connections are not affected.
 func (e *Engine) CloseListeners() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -129,8 +130,8 @@
 	e.listeners = nil
 }
 
-// Stop closes everything at once, and waits until all sessions have been told and all goroutines have ended. It must not
-// be called from a session.
+// Stop closes all listeners and connections immediately. It waits until Closed has returned for all sessions and all
+// goroutines have ended. It must not be called from a session.
 func (e *Engine) Stop() {
 	e.stop()
 	e.CloseListeners()
--- a/internal/transport/session.go
+++ b/internal/transport/session.go
@@ -1,15 +1,15 @@
-// Package transport is a router's edge to the network: listeners, and connections whose bytes go to a Session each. It
-// knows nothing of what the bytes mean.
+// Package transport manages the TCP listeners and connections of a router. It passes the bytes that a connection receives
+// to the connection's Session, and does not interpret them.
 //
-// It stands on the standard library's poller, which tells a descriptor's present connection from an earlier one: an
-// event that still waits when its connection is closed can't reach the connection that gets the same descriptor next
-// (docs/router.md). A reader waits without a buffer, and borrows one when something has arrived.
+// It uses the poller of the standard library, which distinguishes the present connection of a descriptor from earlier
+// ones: an event that is not yet delivered when its connection is closed can't reach the next connection with the same
+// descriptor (docs/router.md). A reader waits without a buffer and takes one from a pool when data has arrived.
 package transport
 
-// Session reads one connection. Its methods are called by the connection's reader, one at a time; only Wrote may also
-// come from whoever writes.
+// Session receives the data and events of one connection. The connection's reader calls its methods one at a time, except
+// Wrote, which is called by the goroutines that write and may run at the same time as the others.
 type Session interface {
-	Data(data []byte) // valid until it returns
-	Closed(err error) // once, last
-	Wrote(n int)      // bytes that the kernel has taken
+	Data(data []byte) // data was received; the slice is valid until Data returns
+	Closed(err error) // the connection has ended; called exactly once, after all other calls
+	Wrote(n int)      // the kernel has accepted n bytes
 }
