--- a/internal/certs/reload.go
+++ b/internal/certs/reload.go
@@ -1,5 +1,5 @@
-// Package certs serves a program's certificate, its key and the authority that signs its peers' certificates, for mutual
-// TLS. It reads the files again when they change: open connections go on, new ones use the new certificate.
+// Package certs provides a program's certificate, its key and the certificate authority of its peers for mutual TLS. It
+// reads the files again when they change: open connections continue, and new connections use the new certificate.
 package certs
 
 import (
@@ -15,21 +15,22 @@
 // Files are the names of the PEM files.
 type Files struct{ Certificate, Key, Authority string }
 
-// Reloader is the certificates as last read from the files. It is safe for concurrent use.
+// Reloader holds the certificates that were last read from the files. It is safe for concurrent use.
 type Reloader struct {
 	files Files
 
 	mu          sync.Mutex
-	modified    [3]time.Time // of the files, when they were last read well
-	checkedAt   time.Time    // when the files were last looked at
+	modified    [3]time.Time // modification times of the files when they were last reloaded successfully
+	checkedAt   time.Time    // when the files were last checked for changes
 	certificate *tls.Certificate
 	roots       *x509.CertPool
 }
 
-// minCheckInterval is the time between two looks at the files, at least: far below the time between two renewals.
+// minCheckInterval is the minimum time between two checks for changed files. It is far shorter than the time between two
+// renewals of a certificate.
 const minCheckInterval = 200 * time.Millisecond
 
-// Open reads the files; an error names the file that is missing or invalid.
+// Open reads the files. Its error names the file that is missing or invalid.
 func Open(f Files) (*Reloader, error) {
 	r := &Reloader{files: f}
 	if err := r.load(); err != nil {
@@ -49,14 +50,14 @@
 	}
 	roots := x509.NewCertPool()
 	if !roots.AppendCertsFromPEM(text) {
-		return fmt.Errorf("authority %s: no certificate in it", r.files.Authority)
+		return fmt.Errorf("authority %s: the file contains no valid certificate", r.files.Authority)
 	}
 	r.certificate, r.roots = &certificate, roots
 	return nil
 }
 
-// current returns the certificate and the authority in use. Files that can't be read, as while they are being replaced,
-// leave the last valid ones in use; they are read again at the next look.
+// current returns the certificate and the authority in use. If changed files can't be read, for example while they are
+// being replaced, the last valid ones stay in use and the files are read again at the next check.
 func (r *Reloader) current() (*tls.Certificate, *x509.CertPool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -70,7 +71,7 @@
 	return r.certificate, r.roots
 }
 
-// modified returns when each file was last modified; the zero time for one that is missing.
+// modified returns the modification time of each file, or the zero time for a missing file.
 func (f Files) modified() (times [3]time.Time) {
 	for i, name := range []string{f.Certificate, f.Key, f.Authority} {
 		if info, err := os.Stat(name); err == nil {
@@ -80,13 +81,13 @@
 	return times
 }
 
-// Server is the configuration of a server that requires a certificate of the authority from each client. Each handshake
-// uses the current files.
+// Server returns the configuration of a server that requires from each client a certificate signed by the authority. Each
+// handshake uses the current files.
 func (r *Reloader) Server() *tls.Config {
 	base := r.serverConfig()
 	base.GetConfigForClient = func(*tls.ClientHelloInfo) (*tls.Config, error) {
 		c := r.serverConfig()
-		c.NextProtos = base.NextProtos // which an HTTP server sets on base
+		c.NextProtos = base.NextProtos // an HTTP server sets NextProtos on base
 		return c, nil
 	}
 	return base
@@ -98,22 +99,22 @@
 		Certificates: []tls.Certificate{*certificate}, ClientCAs: roots}
 }
 
-// Client is the configuration of a client. A server must have a certificate of the authority for the name that it is
-// reached by. Each handshake uses the current files.
+// Client returns the configuration of a client. A server must present a certificate that is signed by the authority and
+// valid for the host name that the client connects to. Each handshake uses the current files.
 func (r *Reloader) Client() *tls.Config {
 	return &tls.Config{MinVersion: tls.VersionTLS13,
 		GetClientCertificate: func(*tls.CertificateRequestInfo) (*tls.Certificate, error) {
 			certificate, _ := r.current()
 			return certificate, nil
 		},
-		InsecureSkipVerify: true, // verifyServer does it, as the authority may change
+		InsecureSkipVerify: true, // verifyServer verifies instead, because the authority may change
 		VerifyConnection:   r.verifyServer}
 }
 
 // verifyServer checks a server's certificate against the current authority.
 func (r *Reloader) verifyServer(s tls.ConnectionState) error {
 	if len(s.PeerCertificates) == 0 {
-		return errors.New("the server shows no certificate")
+		return errors.New("the server presented no certificate")
 	}
 	_, roots := r.current()
 	intermediates := x509.NewCertPool()
--- a/internal/journal/journal.go
+++ b/internal/journal/journal.go
@@ -1,5 +1,5 @@
-// Package journal stores a build agent's state on disk (bbolt), with the reports that no controller has accepted yet. Each
-// entry is saved, completely or not at all, before the effects that follow from it are carried out.
+// Package journal stores the state of a build agent in a bbolt file, together with the reports that no controller has
+// accepted yet. Each entry is saved atomically, before the agent carries out the effects that result from it.
 package journal
 
 import (
@@ -14,39 +14,41 @@
 	"dapplefront/internal/api"
 )
 
-// Entry is what is stored.
+// Entry is the content of a journal.
 type Entry struct {
 	State      agent.State       `json:"state"`
-	Reports    []api.AgentReport `json:"reports,omitempty"` // by number; a controller may have accepted the first of them
-	LastReport uint64            `json:"number"`            // the number of the last report so far
+	Reports    []api.AgentReport `json:"reports,omitempty"` // in the order of their numbers; a controller may already have accepted the first ones
+	LastReport uint64            `json:"number"`            // number of the last report
 }
 
-// Journal is a file with one entry. Only one process can use it at a time.
+// Journal is a file with one entry. Only one process at a time can have it open.
 type Journal struct {
 	db *bbolt.DB
-	// AfterSave, for tests, is called after each entry is on disk, with the number of entries saved so far.
+	// AfterSave, if not nil, is called in tests after an entry is on disk, with the number of entries saved so far.
 	AfterSave func(n int)
-	// BeforeSave, for tests, may make a save fail. It is called with the number of entries saved so far.
+	// BeforeSave, if not nil, is called in tests before an entry is saved, with the number of entries saved so far. If it
+	// returns an error, the save fails.
 	BeforeSave func(n int) error
 	saved      int
 }
 
 const (
 	schemaVersion = 1
-	lockTimeout   = time.Second // for another process to close the file
+	lockTimeout   = time.Second // how long Open waits for another process to close the file
 )
 
-// Names in the file, which never change.
+// Names in the file. They must never change.
 var (
 	bucketName = []byte("agent")
 	entryKey   = []byte("entry")
 	schemaKey  = []byte("schema")
 )
 
-// ErrNewerSchema says that the file was written by a later version of the program.
+// ErrNewerSchema is returned for a file that was written by a later version of the program.
 var ErrNewerSchema = errors.New("the journal is of a newer program")
 
-// Open opens a journal and creates it if it is missing. It waits a second for another process to close the file.
+// Open opens a journal and creates the file if it is missing. It waits up to lockTimeout for another process to close the
+// file.
 func Open(file string) (*Journal, error) {
 	db, err := bbolt.Open(file, 0o600, &bbolt.Options{Timeout: lockTimeout})
 	if err != nil {
@@ -59,7 +61,7 @@
 	return &Journal{db: db}, nil
 }
 
-// initialize writes the schema of a new file and checks that of an old one.
+// initialize writes the schema version of a new file or checks that of an existing file.
 func initialize(tx *bbolt.Tx) error {
 	b, err := tx.CreateBucketIfNotExists(bucketName)
 	if err != nil {
@@ -75,7 +77,7 @@
 	return nil
 }
 
-// Load returns the entry that was saved last; the zero Entry if there is none.
+// Load returns the last saved entry, or the zero Entry if there is none.
 func (j *Journal) Load() (e Entry, err error) {
 	err = j.db.View(func(tx *bbolt.Tx) error {
 		raw := tx.Bucket(bucketName).Get(entryKey)
--- a/internal/journal/stored_test.go
+++ b/internal/journal/stored_test.go
@@ -9,14 +9,14 @@
 	"github.com/stretchr/testify/require"
 )
 
-// The journal in testdata was written by the program of commit d72f78e, from an entry in which each field has a value of
-// its own, and so was the JSON beside it. They are never written anew.
+// The journal in testdata and its JSON form were written by the program built from commit d72f78e. Each field of the entry
+// has a distinct value. The files must never be regenerated.
 const (
 	storedFile = "testdata/agent-d72f78e.db"
 	storedText = "testdata/agent-d72f78e.json"
 )
 
-// loaded is a journal's entry as JSON.
+// loaded returns a journal's entry and the JSON form of the entry.
 func loaded(t *testing.T, j *Journal) (Entry, string) {
 	t.Helper()
 	e, err := j.Load()
@@ -26,7 +26,7 @@
 	return e, string(text)
 }
 
-func TestAJournalOfAnEarlierProgramIsReadAndWrittenByteForByte(t *testing.T) {
+func TestJournal_ReadsAndRewritesStoredEntryByteForByte(t *testing.T) {
 	want, err := os.ReadFile(storedText)
 	require.NoError(t, err)
 	file := filepath.Join(t.TempDir(), "agent.db")
--- a/internal/sse/sse.go
+++ b/internal/sse/sse.go
@@ -1,4 +1,5 @@
-// Package sse reads server-sent events (the WHATWG's event stream format) and resumes a broken stream where it ended.
+// Package sse reads server-sent events (the event stream format of the WHATWG) and resumes a broken stream after the last
+// event that was received.
 package sse
 
 import (
@@ -15,39 +16,40 @@
 )
 
 const (
-	minBackoff    = 100 * time.Millisecond // before a broken stream is opened again; doubled each time
-	maxBackoff    = 3 * time.Second        // a server that is back is found within this
-	idleTimeout   = 20 * time.Second       // several times the interval at which servers repeat themselves
-	maxEventBytes = 1 << 20                // the largest event is a release with a long trace
-	lineBuffer    = 4096                   // bytes at the start; it grows to maxEventBytes
+	minBackoff    = 100 * time.Millisecond // before the first attempt to reopen a broken stream; doubles with each attempt
+	maxBackoff    = 3 * time.Second        // bounds the time until a server that is available again is used
+	idleTimeout   = 20 * time.Second       // several times the interval at which servers send data even if nothing has changed
+	maxEventBytes = 1 << 20                // the largest event is a release with a long history
+	lineBuffer    = 4096                   // initial size of the line buffer in bytes; it grows up to maxEventBytes
 )
 
-// Dropped is the event that is handled, with no data, when the server no longer has the events that followed the last
-// one; the stream goes on with new events.
+// Dropped is the name of the event, without data, that is passed to handle when the server no longer has the events after
+// the last one received. The stream continues with new events.
 const Dropped = "dropped"
 
-var errTooLarge = errors.New("an event is too large")
+var errTooLarge = errors.New("event is too large")
 
-// Follow reads a stream until ctx ends. When it breaks, it is opened again after a random backoff, from the last event
-// on by Last-Event-ID. Several servers may have the stream, with the same ids: where names the URL to open next. handle is
-// called for each event, failed for each error of handle or of the stream; never two calls at once.
-func Follow(ctx context.Context, client *http.Client, where func() string, handle func(event string, data []byte) error,
-	failed func(error)) {
-	r := reader{client: client, handle: handle, failed: failed}
+// Follow reads a stream until ctx is done. If the stream breaks, Follow waits for a random backoff and resumes it after
+// the last received event by sending Last-Event-ID. Several servers may serve the stream with the same event ids: nextURL
+// returns the URL to open next. handle is called for each event, and onError for each error of handle or of the stream.
+// The calls are never concurrent.
+func Follow(ctx context.Context, client *http.Client, nextURL func() string, handle func(event string, data []byte) error,
+	onError func(error)) {
+	r := reader{client: client, handle: handle, onError: onError}
 	backoff := minBackoff
 	for ctx.Err() == nil {
-		began, url := time.Now(), where()
+		openedAt, url := time.Now(), nextURL()
 		err := r.readStream(ctx, url)
 		if ctx.Err() != nil {
 			return
 		}
-		failed(fmt.Errorf("the watch of %s ended: %w", url, err))
-		if time.Since(began) > maxBackoff {
+		onError(fmt.Errorf("event stream from %s ended: %w", url, err))
+		if time.Since(openedAt) > maxBackoff {
 			backoff = minBackoff
 		}
 		select {
 		case <-ctx.Done():
-		case <-time.After(backoff/2 + rand.N(backoff)): // so that not all clients return at once
+		case <-time.After(backoff/2 + rand.N(backoff)): // random, so that not all clients reconnect at once
 		}
 		backoff = min(2*backoff, maxBackoff)
 	}
@@ -57,11 +59,11 @@
 type reader struct {
 	client      *http.Client
 	handle      func(event string, data []byte) error
-	failed      func(error)
+	onError     func(error)
 	lastEventID string
 }
 
-// readStream reads one stream to its end. A stream that is silent for idleTimeout ends.
+// readStream reads one stream to its end. It ends the stream if no line arrives within idleTimeout.
 func (r *reader) readStream(ctx context.Context, url string) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -79,7 +81,7 @@
 	if err != nil {
 		return err
 	}
-	defer func() { _ = response.Body.Close() }() // its end is of no interest
+	defer func() { _ = response.Body.Close() }() // an error of Close doesn't matter
 	if response.StatusCode == http.StatusGone {
 		r.lastEventID = ""
 		r.dispatch(Dropped, nil)
@@ -90,7 +92,7 @@
 	return r.readEvents(response.Body, func() { idle.Reset(idleTimeout) })
 }
 
-// readEvents reads events to the end of a stream, which is io.EOF, and calls onLine at each line.
+// readEvents reads events to the end of a stream and then returns io.EOF. It calls onLine for each line.
 func (r *reader) readEvents(body io.Reader, onLine func()) error {
 	lines := bufio.NewScanner(body)
 	lines.Buffer(make([]byte, lineBuffer), maxEventBytes)
@@ -98,7 +100,7 @@
 	var data bytes.Buffer
 	for lines.Scan() {
 		onLine()
-		if lines.Text() == "" { // the end of an event
+		if lines.Text() == "" { // an empty line ends an event
 			if data.Len() > 0 {
 				r.dispatch(event, bytes.TrimSuffix(data.Bytes(), []byte("\n")))
 			}
@@ -130,9 +132,9 @@
 	return io.EOF
 }
 
-// dispatch has an event handled and reports an error of that.
+// dispatch calls handle for an event and passes its error to onError.
 func (r *reader) dispatch(event string, data []byte) {
 	if err := r.handle(event, data); err != nil {
-		r.failed(err)
+		r.onError(err)
 	}
 }
