--- a/record/helpers_test.go
+++ b/record/helpers_test.go
@@ -92,7 +92,7 @@
 		case 4:
 			handle(router.EndpointsUnavailable{})
 		case 5:
-			handle(router.RequestArrived{RequestID: "x", Class: "unknown"}) // returns an error and no actions
+			handle(router.RequestArrived{RequestID: "x", Class: "none of these"}) // returns an error and no actions
 		}
 	}
 }
