--- a/internal/transport/conn.go
+++ b/internal/transport/conn.go
@@ -11,7 +11,7 @@
 )
 
 const (
-	copyLimit      = 32 << 10 // in bytes; a shorter body is copied behind its head, because a second system call costs more
+	copyLimit      = 32 << 10 // in bytes; a body up to this size is copied behind its head, because a second system call costs more
 	flushSize      = 64 << 10 // maximum size of one write of buffered data, in bytes
 	readBufferSize = 16 << 10 // in bytes
 )
@@ -201,8 +201,7 @@
 
 // CloseIdle closes the connection if it is idle, and reports whether it closed it, now or earlier. The connection is not
 // idle if bytes have arrived but are not read yet, if the session has not processed bytes that were read, or if idle
-// returns false. Hence CloseIdle never closes a connection on which this side has read a request. idle must not wait for
-// the session.
+// returns false. Hence CloseIdle never drops a request that this side has read. idle must not wait for the session.
 func (c *Conn) CloseIdle(idle func() bool) bool {
 	c.readMu.Lock()
 	if c.reading == readWaiting && idle() && c.Quiet() {
