--- a/policy/analysis.go
+++ b/policy/analysis.go
@@ -7,26 +7,26 @@
 	"gonum.org/v1/gonum/stat"
 )
 
-// What is kept at the least.
+// Minimum numbers of entries that are retained.
 const (
 	keptBuilds     = 4
-	keptComplaints = 240 // of a build
+	keptComplaints = 240 // per build
 )
 
-// analysisState is what canary and baseline are compared by.
+// analysisState holds the data by which canary and baseline are compared.
 type analysisState struct {
-	windows []*buildWindow // own attempts
-	stats   []BuildStats   // the release controller's counts of all routers
+	windows []*buildWindow // of this router's own attempts, one window for each build
+	stats   []BuildStats   // the release controller's statistics over the attempts of all routers
 }
 
-// buildWindow keeps the last samples of one build, in the order of their times.
+// buildWindow holds the most recent samples of one build, ordered by time.
 type buildWindow struct {
 	build      int
 	samples    []attemptSample
-	complaints []attemptSample // on wrong responses
+	complaints []attemptSample // about wrong responses
 }
 
-// start is when the samples kept of a build begin.
+// start returns the time of the oldest retained sample, or 0 if there is none.
 func (w *buildWindow) start() Time {
 	if len(w.samples) == 0 {
 		return 0
@@ -34,13 +34,13 @@
 	return w.samples[0].at
 }
 
-// since gives the samples from a moment on.
+// since returns the samples at or after a point in time.
 func (w *buildWindow) since(from Time) []attemptSample {
 	i, _ := slices.BinarySearchFunc(w.samples, from, func(x attemptSample, at Time) int { return int(x.at - at) })
 	return w.samples[i:]
 }
 
-// complaintCount counts the complaints as late as the samples kept.
+// complaintCount returns the number of complaints that are not older than the oldest retained sample.
 func (w *buildWindow) complaintCount() (n float64) {
 	for _, complaint := range w.complaints {
 		if len(w.samples) > 0 && complaint.at >= w.samples[0].at {
@@ -50,7 +50,8 @@
 	return n
 }
 
-// logLatencyRatiosSince gives the logs of the latencies after a moment over the usual ones before the canary.
+// logLatencyRatiosSince returns, for each sample after a point in time, the log of the ratio of its latency to the class's
+// usual latency before the canary.
 func (w *buildWindow) logLatencyRatiosSince(from Time, concurrencyCost float64) (logs []float64) {
 	for _, sample := range w.since(from + 1) {
 		if sample.class.baselineLatency > 0 {
@@ -60,7 +61,7 @@
 	return logs
 }
 
-// window gives a build's window, an empty one for a build that has none.
+// window returns the window of a build. If the build has none, it adds an empty one.
 func (a *analysisState) window(build int) *buildWindow {
 	for _, window := range a.windows {
 		if window.build == build {
@@ -71,8 +72,9 @@
 	return a.windows[len(a.windows)-1]
 }
 
-// baselineWindow is the window of the latest build before a build with more than so many attempts, nil for none; where the
-// release controller's statistics outweigh own attempts, by these, as one of hundreds of routers has few of its own.
+// baselineWindow returns the window of the latest build before the given one that has more than the given number of
+// attempts, or nil if there is none. Where the release controller's statistics outweigh the router's own attempts, it counts
+// the attempts in these statistics first, because one of hundreds of routers makes few attempts of its own.
 func (r *Router) baselineWindow(build, attempts int) (latest *buildWindow) {
 	if r.statsOutweighOwn() {
 		for _, x := range r.analysis.stats {
@@ -93,7 +95,8 @@
 	return latest
 }
 
-// ComplaintReceived says that a client found a response of a host wrong, to an attempt sent so long ago.
+// ComplaintReceived records that a client found a response of a host wrong. age is the time since the attempt was sent. A
+// complaint about an attempt from before the host's process started is ignored.
 func (r *Router) ComplaintReceived(now Time, host *Host, class *Class, age Time) {
 	r.now = now
 	if window := r.analysis.window(host.Build); host.StartedAt <= now-age {
@@ -103,19 +106,20 @@
 	}
 }
 
-// evidenceSum is the weighed mean of the tests' odds that the canary is bad; 1 is no evidence.
+// evidenceSum accumulates the weighted mean of the tests' odds that the canary is bad. Odds of 1 are no evidence.
 type evidenceSum struct {
 	sum, weights float64
-	testOdds     []float64 // of each test, to clear the canary
+	testOdds     []float64 // of each test, for the decision to promote the canary
 }
 
-// add takes in one test. Its odds to convict and to clear the canary differ where one leaves out what the other doesn't.
-func (e *evidenceSum) add(weight, toConvict, toClear float64) {
-	e.sum, e.weights, e.testOdds = e.sum+weight*toConvict, e.weights+weight, append(e.testOdds, toClear)
+// add adds the result of one test. meanOdds counts towards the weighted mean, which must be high to roll the canary back;
+// testOdds must be low to promote the canary. The two differ where one leaves out data that the other includes.
+func (e *evidenceSum) add(weight, meanOdds, testOdds float64) {
+	e.sum, e.weights, e.testOdds = e.sum+weight*meanOdds, e.weights+weight, append(e.testOdds, testOdds)
 }
 
-// comparison is what the tests go by: samples of canary and baseline of the same time, so that a fault that begins or ends
-// is evidence for neither, and the release controller's reports on them.
+// comparison is the input of the tests: the release controller's reports on canary and baseline, and samples of both from
+// the same period, so that a fault that begins or ends meanwhile is evidence for neither build.
 type comparison struct {
 	canary, baseline               *buildWindow
 	canarySamples, baselineSamples []attemptSample
@@ -123,24 +127,24 @@
 	gaps                           gapSizes
 }
 
-// gapSizes are the gaps that count as harm.
+// gapSizes are the differences between canary and baseline that count as harm.
 type gapSizes struct {
-	smallFailureGap, largeFailureGap float64 // of failure rates over all classes
-	classFailureGap                  float64 // of one class
-	latencyVariance                  float64 // of log slowdowns between two good sets of hosts, at two times
+	smallFailureGap, largeFailureGap float64 // in the failure rate over all classes
+	classFailureGap                  float64 // in the failure rate of one class
+	latencyVariance                  float64 // of the log slowdown between two sets of good hosts at two different times
 }
 
-// After a release the baseline's hosts are gone: a small harm is cheaper than rolling back, and an overload that the release
-// brings is not the build's.
+// After a release, when the baseline's hosts no longer serve, only larger gaps count: a small harm then costs less than a
+// rollback, and an overload that the release itself causes is not the fault of the build.
 var (
 	canaryGaps   = gapSizes{0.06, 0.15, 0.25, 0.04}
 	releasedGaps = gapSizes{0.3, 0.5, 0.5, 0.16}
 )
 
-// Failure gaps that count as harm in any phase.
+// Differences in the failure rate, over all classes and of one class, that count as harm in every phase.
 const allFailureGap, allClassFailureGap = 0.6, 0.7
 
-// compareBuilds prepares the tests of the newest build; ok is false while too little is known of an earlier one.
+// compareBuilds prepares the input for testing the newest build. ok is false while no earlier build has enough attempts.
 func (r *Router) compareBuilds() (c comparison, ok bool) {
 	const minBaselineAttempts = 20
 	const releasedWindow = 10 * Second
@@ -150,7 +154,7 @@
 	}
 	c.gaps = canaryGaps
 	c.canarySamples, c.baselineSamples = c.canary.since(c.baseline.start()), c.baseline.since(c.canary.start())
-	if r.release.status.Phase == Released { // what was kept of the baseline, against what happens now
+	if r.release.status.Phase == Released { // compares all retained samples of the baseline with the newest of the canary
 		c.gaps = releasedGaps
 		c.canarySamples, c.baselineSamples = c.canary.since(r.now-releasedWindow), c.baseline.samples
 	}
@@ -158,9 +162,10 @@
 	return c, true
 }
 
-// evidence gives the odds that the newest build is bad: shadow attempts are judged against attempts at the build before it,
-// by failures over all and by class, latency, a surge of the fleet's latency and complaints. The mean is what a vote to roll
-// back needs; the tests' odds are what a release must not leave open.
+// evidence returns the odds that the newest build is bad. It compares shadow attempts with attempts at the build before it:
+// by failures over all classes and of each class, by latency, by a surge of the fleet's latency and by complaints. mean is
+// the weighted mean of the tests, which must be high for a vote to roll back. testOdds are the odds of each test, all of
+// which must be low enough for a release.
 func (r *Router) evidence() (mean float64, testOdds []float64) {
 	c, ok := r.compareBuilds()
 	if !ok {
@@ -178,10 +183,11 @@
 	return sum.sum / sum.weights, sum.testOdds
 }
 
-// isWarmSample reports whether a sample is of a warm host: one that warms up is slow whatever its build.
+// isWarmSample reports whether the host had completed its warm-up when the attempt was sent. A host that is warming up is
+// slow whatever its build.
 func (r *Router) isWarmSample(sample attemptSample) bool { return sample.hostAge > r.limits.WarmUp }
 
-// testFailures tests failure rates over all classes and of each, and sets the classes' failure odds.
+// testFailures tests the failure rates over all classes and of each class. It sets the failureOdds of each class.
 func (r *Router) testFailures(c comparison, sum *evidenceSum) {
 	r.testClassFailures(c, sum, 1, r.classes, c.gaps.smallFailureGap, c.gaps.largeFailureGap, allFailureGap)
 	for i, class := range r.classes {
@@ -194,32 +200,34 @@
 	}
 }
 
-// testClassFailures tests the failure rates of some classes together and returns the odds to clear the canary. To convict it
-// the worst hosts are left out.
+// testClassFailures tests the failure rate over some classes together and returns the odds of the test. For the weighted
+// mean it excludes the hosts with the most failures.
 func (r *Router) testClassFailures(c comparison, sum *evidenceSum, weight float64, classes []*Class, gaps ...float64) float64 {
-	const worstHosts = 0.25 // share
+	const worstHosts = 0.25 // share of the hosts that is excluded
 	odds := func(excluded float64) float64 {
 		strata, hosts := r.failureStrata(c, classes, excluded)
 		return boundByHosts(failureEvidence(strata, gaps...), hosts)
 	}
-	toClear := odds(0)
-	sum.add(weight, odds(worstHosts), toClear)
-	return toClear
+	testOdds := odds(0)
+	sum.add(weight, odds(worstHosts), testOdds)
+	return testOdds
 }
 
-// failureStrata gives the canary's attempts of some classes, each class compared with itself, as the mix may change, and the
-// most hosts that failed in one of them. Timeouts of cold hosts, of impatient clients and after a release don't count.
+// failureStrata returns the canary's attempts of some classes as strata, and the number of hosts that failed, counted for
+// the class in which most did. Each class is compared with itself, because the mix of classes may change. Timeouts don't
+// count if the host was cold, if the client's timeout was shorter than the latency objective, or after a release.
 func (r *Router) failureStrata(c comparison, classes []*Class, excluded float64) (strata []stratum, hosts int) {
-	const minRate = 0.01 // that is to be expected of any build
+	const minRate = 0.01 // failure rate to be expected of any build
 	for _, class := range classes {
 		counts := func(sample attemptSample) bool {
 			return sample.class == class && (sample.outcome != TimedOut ||
 				r.isWarmSample(sample) && !sample.impatient && r.release.status.Phase == Canary)
 		}
 		classStrata, failing := strataByTime(c.canarySamples, c.baselineSamples, counts, excluded)
-		if r.judgesByStats() { // these don't distinguish hosts: own shadow attempts do
+		if r.judgesByStats() { // the statistics don't distinguish hosts; the router's own shadow attempts do
 			classStrata, failing = c.stats.strataByPeriod(class), failing+1
-			// A canary that takes most of the traffic leaves the baseline's hosts idle.
+			// A canary that takes most of the traffic leaves the baseline's hosts idle, so the baseline's failure rate from
+			// before the canary is the lower bound of the expected rate.
 			classStrata = withRateFloor(classStrata, r.failureRateBeforeCanary(c.baseline, class, minRate))
 		}
 		strata, hosts = append(strata, classStrata...), max(hosts, failing)
@@ -227,10 +235,11 @@
 	return withRateFloor(strata, minRate), hosts
 }
 
-// testLatency tests whether canary hosts are slower: most of them to convict the build, half of them to doubt it.
+// testLatency tests whether canary hosts are slower than baseline hosts. A rollback requires most of them to be slower; half
+// of them are enough to prevent a promotion.
 func (r *Router) testLatency(c comparison, sum *evidenceSum) {
 	const most, half = 0.75, 0.5
-	counts := func(sample attemptSample) bool { // errors are quick
+	counts := func(sample attemptSample) bool { // other errors are left out, because they return quickly
 		return r.isWarmSample(sample) && (sample.outcome == Succeeded || sample.outcome == TimedOut)
 	}
 	level := logSlowdownByTime(c.baselineSamples, counts)
@@ -238,21 +247,21 @@
 	sum.add(1, r.latencyEvidence(c, canary, baseline, most), r.latencyEvidence(c, canary, baseline, half))
 }
 
-// latencyEvidence gives the odds that canary hosts are slower than baseline hosts, by the variance among hosts, or by the
-// release controller's statistics. share is how many of the hosts must be slower.
+// latencyEvidence returns the odds that canary hosts are slower than baseline hosts, derived from the variance among hosts or
+// from the release controller's statistics. share is the share of the canary hosts that must be slower.
 func (r *Router) latencyEvidence(c comparison, canary, baseline []hostSummary, share float64) float64 {
-	const hostDeviation, attemptVariance = 0.2, 0.8 // of log slowdowns
-	const slower = 0.6                              // log of 1.8: a fleet that is half busy feels that
+	const hostDeviation, attemptVariance = 0.2, 0.8 // of the log slowdown, among hosts and among attempts
+	const slower = 0.6                              // log of 1.8, a slowdown that shows in a fleet at half its capacity
 	const logLimit = 6
-	const enough, few = 3, 1 // attempts at a host; few where hosts are so many that none gets enough
+	const enough, few = 3, 1 // attempts at a host; few applies if no host has enough, as with a large number of hosts
 	slowdowns, variance := hostLogSlowdowns(canary, hostDeviation, attemptVariance, enough, few)
 	usual, usualVariance := hostLogSlowdowns(baseline, hostDeviation, attemptVariance, enough, few)
 	hosts := len(slowdowns)
 	if r.judgesByStats() {
 		gap, offeredAt := c.stats.latencyGap(), r.release.offeredAt
 		toPast, n := r.analysis.logLatencyGapToPast(nil, c.baseline.build, r.release.status.Build, offeredAt, offeredAt)
-		if n > 0 {
-			gap.log = min(gap.log, toPast) // a canary that takes most of the traffic leaves the baseline's hosts idle
+		if n > 0 { // a canary that takes most of the traffic leaves the baseline's hosts idle, so their past latency counts too
+			gap.log = min(gap.log, toPast)
 		}
 		slowdowns, usual, hosts = []float64{gap.log}, []float64{0}, gap.canaryHosts
 		variance = hostDeviation*hostDeviation/max(1, float64(gap.canaryHosts)) + attemptVariance/max(0.01, gap.canary)
@@ -265,15 +274,15 @@
 	return boundByHosts(likelihoodRatio(gap, slower, variance+usualVariance+c.gaps.latencyVariance, logLimit), hosts)
 }
 
-// testSlowRelease convicts a released build whose responses take far longer than before, for a while that began soon after
-// the release; later slowness has another cause.
+// testSlowRelease gives infinite odds against a released build whose responses take far longer than before the release, if
+// this lasts and began soon after the release. Slowness that begins later has another cause.
 func (r *Router) testSlowRelease(c comparison, sum *evidenceSum) {
 	const window = 3 * Second
-	const farSlower = 0.4     // log
-	const statsMargin = 0.3   // log that statistics must be beyond
-	const ownDeviations = 0.5 // that own samples must be beyond, by the root of their number
+	const farSlower = 0.4     // log of the latency ratio
+	const statsMargin = 0.3   // added to farSlower for statistics
+	const ownDeviations = 0.5 // added to farSlower for own samples, divided by the square root of their number
 	const minSamples = 5
-	const lasts, beginsWithin = 8 * Second, 5 * Second
+	const minDuration, maxDelay = 8 * Second, 5 * Second // of the slowness, and of its begin after the release
 	logs := c.canary.logLatencyRatiosSince(r.now-window, r.load.concurrencyCost)
 	n := float64(len(logs))
 	slower := stat.Mean(logs, nil) - ownDeviations/math.Sqrt(n)
@@ -283,14 +292,14 @@
 	}
 	if r.release.status.Phase != Released || n < minSamples || slower < farSlower {
 		r.surge.lastNormalAt = r.now
-	} else if r.now-r.surge.lastNormalAt > lasts && r.surge.lastNormalAt < r.release.stageStartedAt+beginsWithin {
+	} else if r.now-r.surge.lastNormalAt > minDuration && r.surge.lastNormalAt < r.release.stageStartedAt+maxDelay {
 		sum.add(1, math.Inf(1), 1)
 	}
 }
 
-// testComplaints tests the rate of complaints on wrong responses.
+// testComplaints tests the rate of complaints about wrong responses.
 func (r *Router) testComplaints(c comparison, sum *evidenceSum) {
-	const minRate = 0.003 // now and then a client errs
+	const minRate = 0.003 // clients occasionally complain by mistake
 	const smallGap, largeGap = 0.01, 0.04
 	if r.release.config.ComplaintShare <= 0 {
 		return
@@ -306,8 +315,9 @@
 	sum.add(1, odds, odds)
 }
 
-// fleetComplaints counts the complaints on a build that all routers received, among the attempts that the release controller
-// counted; as its reports come later there are never fewer attempts than complaints.
+// fleetComplaints returns the number of complaints about a build that all routers received, as failures, and the number of
+// attempts at it by the release controller's statistics. Because its reports arrive later than complaints, the number of
+// attempts is raised to at least that of the complaints.
 func (r *Router) fleetComplaints(window *buildWindow) stratum {
 	complaints := float64(r.gossip.complaints[window.build])
 	attempts := r.analysis.countedAttempts(window.build) / max(0.01, r.release.config.SampledShare)
--- a/policy/analysis_test.go
+++ b/policy/analysis_test.go
@@ -6,7 +6,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-func TestLastingSlownessShowsInStats(t *testing.T) {
+func TestAnalysis_ComparesLatencyWithEarlierReports(t *testing.T) {
 	f, _ := newFakeFleet(t, nil)
 	f.router.analysis.stats = []BuildStats{{Build: 1, Class: f.quote, Samples: 90, MeanLatency: 500, receivedAt: Second},
 		{Build: 2, Class: f.quote, Samples: 90, MeanLatency: 1000, receivedAt: 9 * Second}}
@@ -14,15 +14,15 @@
 	require.InDelta(t, 0.69, gap, 0.01)
 }
 
-func TestPrimaryAttemptsAreJudgedByTheTimeoutOfShadowAttempts(t *testing.T) {
+func TestAnalysis_AppliesShadowTimeoutToPrimaryAttempts(t *testing.T) {
 	f, endpoints := newFakeFleet(t, func(config *Config) { config.Limits.AllowHedging = false })
 	f.router.EndpointsChanged(f.now, append(endpoints, f.host(10, 2), f.host(11, 2), f.host(12, 2)), true)
-	f.quote.LatencyObjective = Second / 7 // too short for an attempt to be cut short and retried in time
+	f.quote.LatencyObjective = Second / 7 // too short for an attempt to time out early and be retried in time
 	f.serve(120, f.quote, succeeds)
 	f.router.ReleaseChanged(f.now, ReleaseStatus{Build: 2, Stage: 1, ExposureCap: 1})
 	f.votes = nil
 	n := map[int]int{}
-	for range 800 { // one attempt in 22 takes long, at either build
+	for range 800 { // one attempt in 22 takes long at both builds
 		request := f.arrive(f.quote)
 		f.advance(Second / 20)
 		for i := 0; i < len(request.Attempts); i++ {
@@ -42,9 +42,9 @@
 	require.NotContains(t, f.votes, Rollback)
 }
 
-func TestFaultThatBeginsDuringTheCanaryIsNoEvidenceAgainstIt(t *testing.T) {
+func TestAnalysis_IgnoresFaultThatBeginsDuringCanary(t *testing.T) {
 	var canary, baseline []attemptSample
-	for i := range Time(200) { // failures come in the last two of ten seconds, when shadow attempts have become many
+	for i := range Time(200) { // attempts fail in the last two of ten seconds, when there are many shadow attempts
 		late, at := i >= 160, i*Second/20
 		x := attemptSample{at: at, host: &Host{}, outcome: Succeeded}
 		if baseline = append(baseline, x); late && i%2 == 0 {
@@ -59,11 +59,11 @@
 	require.Less(t, failureEvidence(withRateFloor(strata, 0.01), 0.06, 0.15, 0.6), 3.0)
 }
 
-func TestAnotherMixOfRequestsIsNoEvidence(t *testing.T) {
+func TestAnalysis_IgnoresChangedMixOfClasses(t *testing.T) {
 	require.Less(t, failureEvidence([]stratum{{90, 100, 0.9}, {1, 900, 0.01}}, 0.1, 0.3), 1.0)
 }
 
-func TestComplaintsAreEvidenceAgainstABuild(t *testing.T) {
+func TestAnalysis_CountsComplaintsAgainstBuild(t *testing.T) {
 	f, _ := newFakeFleet(t, func(config *Config) { config.Release.ComplaintShare = 0.3 })
 	f.startCanary(2, 1)
 	f.serve(40, f.quote, succeeds)
@@ -80,7 +80,7 @@
 	require.Greater(t, after, 7*before)
 }
 
-func TestTimeoutsOfColdHostsAreNoEvidence(t *testing.T) {
+func TestAnalysis_IgnoresTimeoutsOfColdHosts(t *testing.T) {
 	f, endpoints := newFakeFleet(t, nil)
 	f.startCanary(1, 0.5)
 	endpoints[6].StartedAt = f.now
@@ -95,7 +95,7 @@
 	require.LessOrEqual(t, odds, 1.0)
 }
 
-func TestTimeoutsOfImpatientClientsAreNoEvidence(t *testing.T) {
+func TestAnalysis_IgnoresTimeoutsShorterThanLatencyObjective(t *testing.T) {
 	f, endpoints := newFakeFleet(t, nil)
 	f.router.EndpointsChanged(f.now, append(endpoints, f.host(10, 2), f.host(11, 2), f.host(12, 2)), true)
 	f.startCanary(2, 1)
@@ -114,7 +114,7 @@
 	require.NotContains(t, f.votes, Rollback)
 }
 
-func TestReleasedBuildThatSlowsEveryHostIsRolledBack(t *testing.T) {
+func TestAnalysis_RollsBackReleasedBuildThatSlowsEveryHost(t *testing.T) {
 	f, endpoints := newFakeFleet(t, nil)
 	f.startCanary(2, 1)
 	f.serve(60, f.quote, succeeds)
@@ -133,8 +133,9 @@
 	require.Contains(t, f.votes, Rollback)
 }
 
-// Each of hundreds of routers hears few complaints; together they hear of a build whose responses are wrong.
-func TestComplaintsOfAllRoutersAreWeighedAgainstStats(t *testing.T) {
+// Each of hundreds of routers receives few complaints. Only the complaints of all routers, compared with the release
+// controller's statistics, show that a build's responses are wrong.
+func TestAnalysis_ComparesComplaintsOfAllRoutersWithStats(t *testing.T) {
 	votesAfter := func(complaints int) []VoteChoice {
 		f, _ := newGossipingFleet(t, func(config *Config) { config.Routers, config.Rank, config.Release.Mode = 300, 0, Quorum })
 		count := func(build, n int) {
--- a/policy/discovery.go
+++ b/policy/discovery.go
@@ -2,13 +2,13 @@
 
 import "slices"
 
-// discoveryState is what is known of the polls of the endpoint list.
+// discoveryState is the state of polling the endpoint list.
 type discoveryState struct {
-	failedPolls int // in a row
+	failedPolls int // consecutive
 	lastPollAt  Time
 }
 
-// EndpointUpdate is what the endpoint list says of one host.
+// EndpointUpdate is the entry of one host in the endpoint list.
 type EndpointUpdate struct {
 	Host      *Host
 	Zone      *Zone
@@ -19,12 +19,12 @@
 	StartedAt Time
 }
 
-// EndpointsChanged takes changes to the endpoint list. ok is false when a poll failed or a watch ended: hosts stay as they
-// are, and the list is polled again after a backoff that grows and is spread by chance, as a service with more callers than
-// it can take answers none in time. After a watch that stood the first time is short, within the time by which the changes
-// that it missed must be followed.
+// EndpointsChanged applies changes to the endpoint list. ok is false when a poll failed or a watch ended: the hosts stay
+// unchanged and the list is polled again after a backoff. The backoff is randomized and grows with each failure, because a
+// service with more callers than it can serve answers none of them in time. After an established watch ends, the first
+// backoff is short, so that the changes that the watch missed are applied in time.
 func (r *Router) EndpointsChanged(now Time, changes []EndpointUpdate, ok bool) {
-	const pollEndsWithin = 3 * Second // a failure after that is a watch's
+	const pollEndsWithin = 3 * Second // a failure that comes later is the end of a watch
 	const firstBackoff = 3 * Second / 8
 	const doublingsPerFailure, maxDoublings = 2, 6
 	r.now = now
@@ -44,7 +44,7 @@
 	r.effects.SetTimer(backoff+Time(r.random.intN(int(backoff)+1)), &Timer{polls: true})
 }
 
-// applyEndpoint takes a change of one host. Hosts are kept in an order that is the same at all routers.
+// applyEndpoint applies a change of one host. Hosts are ordered by ID, which gives the same order at all routers.
 func (r *Router) applyEndpoint(update EndpointUpdate) {
 	host := update.Host
 	r.fleet.valid = false
@@ -53,7 +53,7 @@
 		at, _ := slices.BinarySearchFunc(r.hosts, host, func(a, b *Host) int { return int(a.ID) - int(b.ID) })
 		r.hosts = slices.Insert(r.hosts, at, host)
 	}
-	if host.StartedAt != update.StartedAt || host.Build != update.Build { // what another process did says nothing of this one
+	if host.StartedAt != update.StartedAt || host.Build != update.Build { // samples of another process don't apply to this one
 		host.samples, host.health, host.load, host.healthByHops = nil, healthy, nil, [3]healthStats{}
 	}
 	if host.State == Serving && update.State != Serving {
@@ -63,7 +63,7 @@
 	host.Weight, host.StartedAt = update.Weight, update.StartedAt
 }
 
-// Forget drops a host that was removed and has no attempt in flight; any other host stays.
+// Forget deletes a host that was removed and has no attempt in flight. It does nothing for any other host.
 func (r *Router) Forget(host *Host) {
 	if host.State == Removed && len(host.inFlight) == 0 {
 		host.listed, r.fleet.valid = false, false
--- a/policy/discovery_test.go
+++ b/policy/discovery_test.go
@@ -7,7 +7,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-func TestDrainingHostGetsNoAttempt(t *testing.T) {
+func TestDiscovery_SendsNoAttemptToDrainingHost(t *testing.T) {
 	f, endpoints := newFakeFleet(t, nil)
 	endpoints[0].State, endpoints[1].State = Draining, Removed
 	f.router.EndpointsChanged(f.now, endpoints, true)
@@ -17,7 +17,7 @@
 	}
 }
 
-func TestFailingEndpointListIsPolledAgainWithoutAFlood(t *testing.T) {
+func TestDiscovery_BacksOffBetweenFailedPolls(t *testing.T) {
 	f, _ := newFakeFleet(t, nil)
 	f.advance(Second / 100) // the only router polls at once
 	require.Equal(t, 1, f.polls)
@@ -31,7 +31,7 @@
 		least, most := 4*Second, 8*Second // within the poll interval
 		switch n {
 		case 0:
-			least, most = Second/4, 3*Second/4 // a watch that fell silent must be replaced within six seconds
+			least, most = Second/4, 3*Second/4 // a watch that sends nothing more must be replaced within six seconds
 		case 1:
 			least, most = Second, 3*Second
 		}
@@ -42,8 +42,9 @@
 	}
 }
 
-// A poll that fails at once is no watch that ended: the service has too many callers, or is down.
-func TestFirstPollThatFailsIsNotRepeatedSoon(t *testing.T) {
+// A poll that fails immediately is not the end of a watch: the service has too many callers or is down, so the long backoff
+// applies.
+func TestDiscovery_BacksOffAfterFailedFirstPoll(t *testing.T) {
 	f, _ := newFakeFleet(t, nil)
 	f.advance(Second / 100)
 	f.advance(2 * Second)
@@ -54,8 +55,8 @@
 	require.Equal(t, 2, f.polls)
 }
 
-// Routers that start or lose the endpoint list at one moment don't poll at one moment.
-func TestRoutersSpreadTheirPolls(t *testing.T) {
+// Routers that start at the same time, or lose the endpoint list at the same time, don't poll at the same time.
+func TestDiscovery_SpreadsPollsOfRouters(t *testing.T) {
 	const routers = 60
 	var starts, retries []Time
 	for rank := range routers {
@@ -76,7 +77,7 @@
 	for name, at := range map[string][]Time{"starts": starts, "retries": retries} {
 		slices.Sort(at)
 		require.LessOrEqual(t, at[routers-1], map[string]Time{"starts": 2*Second + Second/100, "retries": 8 * Second}[name], name)
-		for n := range at { // in no tenth of the span more than a third of them
+		for n := range at { // no tenth of the span has more than a third of the polls
 			in := 0
 			for _, x := range at {
 				if x >= at[n] && x < at[n]+(at[routers-1]-at[0])/10 {
@@ -89,8 +90,9 @@
 	}
 }
 
-// While discovery fails, hosts of earlier builds count as draining some time after a release, as the endpoint list would tell.
-func TestHostsOfEarlierBuildsDrainWhileDiscoveryFailsAfterARelease(t *testing.T) {
+// While discovery fails, hosts of earlier builds count as draining some time after a release, as the endpoint list would
+// report.
+func TestDiscovery_DrainsHostsOfEarlierBuildsAfterReleaseWhilePollsFail(t *testing.T) {
 	for name, test := range map[string]struct {
 		discoveryFails bool
 		statuses       []ReleaseStatus
@@ -105,7 +107,7 @@
 		t.Run(name, func(t *testing.T) {
 			f, endpoints := newFakeFleet(t, nil)
 			f.advance(4 * Second)
-			for i := range endpoints { // the released build has too few known hosts to carry all requests
+			for i := range endpoints { // the released build has too few known hosts for all requests
 				endpoints[i].Build = 1
 			}
 			endpoints[6].Build = 2
@@ -125,7 +127,7 @@
 				f.router.EndpointsChanged(f.now, nil, false)
 			}
 			old, _ := serve()
-			require.Positive(t, old, "nothing may have changed yet")
+			require.Positive(t, old, "hosts of the earlier build must not drain yet")
 			for _, status := range test.statuses {
 				f.router.ReleaseChanged(f.now, status)
 			}
@@ -134,12 +136,12 @@
 			require.Positive(t, all)
 			require.Equal(t, test.servesOld, old > 0)
 			if test.statuses != nil && test.statuses[0].Phase != Canary {
-				require.Equal(t, all, old, "a build that rolls back gets nothing")
+				require.Equal(t, all, old, "a build that rolls back must get no attempts")
 			}
 			for i := range endpoints {
 				endpoints[i].State = Serving
 			}
-			f.router.EndpointsChanged(f.now, endpoints[:6], true) // the list is back and has them serve
+			f.router.EndpointsChanged(f.now, endpoints[:6], true) // the list is available again and reports them as serving
 			if old, _ = serve(); len(test.statuses) == 0 {
 				require.Positive(t, old)
 			}
@@ -147,8 +149,9 @@
 	}
 }
 
-// Where no host of the released build is known either, requests are rejected: draining hosts get nothing.
-func TestRequestsAreRejectedRatherThanSentToDrainedHostsWhileDiscoveryFails(t *testing.T) {
+// While discovery fails and no host of the released build is known, requests are rejected, because draining hosts get no
+// attempts.
+func TestDiscovery_RejectsRequestsWhenAllKnownHostsDrain(t *testing.T) {
 	f, _ := newFakeFleet(t, nil)
 	f.advance(4 * Second)
 	f.router.ReleaseChanged(f.now, ReleaseStatus{Build: 3, Stage: 2, Phase: Released, ExposureCap: 1})
--- a/policy/evidence.go
+++ b/policy/evidence.go
@@ -5,13 +5,13 @@
 	"slices"
 )
 
-// Attempts at the canary are compared with those at the baseline of the same time.
+// Attempts at the canary are compared with attempts at the baseline in the same time slot.
 const (
-	slotLength    = 2 * Second // that counts as one time
-	priorAttempts = 5.0        // what all other times weigh beside one, in attempts
+	slotLength    = 2 * Second
+	priorAttempts = 5.0 // weight of all other slots in the estimate for one slot, in attempts
 )
 
-// stratum is the attempts of one class and time: how many failed, and the failure rate to be expected of them.
+// stratum is the number of attempts of one class and time slot, how many of them failed, and the expected failure rate.
 type stratum struct{ failures, attempts, expectedRate float64 }
 
 func (s *stratum) add(sample attemptSample) {
@@ -20,12 +20,12 @@
 	}
 }
 
-// failureRate is the failure rate, as if some attempts more had failed at the rate of a prior.
+// failureRate returns the failure rate, estimated as if priorAttempts more attempts had failed at the rate of the prior.
 func (s stratum) failureRate(prior stratum) float64 {
 	return (s.failures + priorAttempts*prior.failures/prior.attempts) / (s.attempts + priorAttempts)
 }
 
-// withRateFloor raises expected rates below a floor to it.
+// withRateFloor raises expected rates that are below a floor to the floor.
 func withRateFloor(strata []stratum, floor float64) []stratum {
 	for i := range strata {
 		strata[i].expectedRate = max(floor, strata[i].expectedRate)
@@ -33,16 +33,18 @@
 	return strata
 }
 
-// strataByTime parts the canary's samples of a kind by the time when they were sent, with the baseline's failure rate of
-// that time as the expected one. The worst hosts of each side are left out, to a share. hosts is how many of the remaining
-// canary hosts failed at all.
-func strataByTime(canary, baseline []attemptSample, is func(attemptSample) bool, excluded float64) (strata []stratum, hosts int) {
+// strataByTime groups the matching samples of the canary by the slot in which they were sent. The expected failure rate of a
+// slot is the baseline's failure rate in that slot. excluded is the share of the hosts, those with the most failures, that is
+// left out on each side. hosts is the number of remaining canary hosts with at least one failure.
+func strataByTime(
+	canary, baseline []attemptSample, matches func(attemptSample) bool, excluded float64,
+) (strata []stratum, hosts int) {
 	noLevel := func(attemptSample) float64 { return 0 }
-	canaryHosts, hosts := excludeWorstHosts(summarizeByHost(canary, is, noLevel), excluded)
-	baselineHosts, _ := excludeWorstHosts(summarizeByHost(baseline, is, noLevel), excluded)
+	canaryHosts, hosts := excludeWorstHosts(summarizeByHost(canary, matches, noLevel), excluded)
+	baselineHosts, _ := excludeWorstHosts(summarizeByHost(baseline, matches, noLevel), excluded)
 	bySlot, all := map[Time]stratum{}, stratum{failures: 0.5, attempts: 1}
 	for _, sample := range baseline {
-		if is(sample) && baselineHosts[sample.host] {
+		if matches(sample) && baselineHosts[sample.host] {
 			slot := bySlot[sample.timeSlot()]
 			slot.add(sample)
 			all.add(sample)
@@ -51,7 +53,7 @@
 	}
 	index := map[Time]int{}
 	for _, sample := range canary {
-		if !is(sample) || !canaryHosts[sample.host] {
+		if !matches(sample) || !canaryHosts[sample.host] {
 			continue
 		}
 		slot := sample.timeSlot()
@@ -63,7 +65,7 @@
 	return strata, hosts
 }
 
-// strataByPeriod does the same with the release controller's reports on a class, period by period.
+// strataByPeriod groups the release controller's reports on a class in the same way, with one stratum per report period.
 func (p buildPair) strataByPeriod(class *Class) (strata []stratum) {
 	failures, attempts, _ := sumStats(p.baseline, class)
 	all := stratum{failures: 0.5 + failures, attempts: 1 + attempts}
@@ -80,9 +82,9 @@
 	return strata
 }
 
-// failureEvidence gives the odds that attempts fail more than expected: the mean likelihood ratio over some sizes of the
-// gap. Were they as expected it would pass x with a chance of at most 1/x, however often it is looked at, and a mean of such
-// odds keeps that bound: so many looks and tests raise no false alarm.
+// failureEvidence returns the odds that attempts fail more often than expected: the mean of the likelihood ratios for some
+// sizes of the gap. If attempts fail as expected, the probability that the ratio ever exceeds x is at most 1/x, however often
+// it is computed. A mean of such odds keeps this bound, so that repeated checks and several tests cause no false alarms.
 func failureEvidence(strata []stratum, gaps ...float64) (mean float64) {
 	const logLimit = 50
 	for _, gap := range gaps {
@@ -96,30 +98,30 @@
 	return mean
 }
 
-// likelihoodRatio is that of a true gap of a size against none, for a gap measured with some variance. Its log is bounded,
-// as the model may be wrong.
+// likelihoodRatio returns the likelihood ratio of a true gap of a given size against no gap, for a gap that was measured with
+// a given variance. Its log is limited, because the model may be wrong.
 func likelihoodRatio(measured, size, variance, logLimit float64) float64 {
 	return math.Exp(max(-logLimit, min(logLimit, (measured*size-size*size/2)/variance)))
 }
 
-// boundByHosts bounds odds by the number of hosts that they are evidence from: each may multiply them by four at the most.
+// boundByHosts limits odds by the number of hosts that the evidence is from: each host contributes a factor of at most four.
 func boundByHosts(odds float64, hosts int) float64 {
 	return min(odds, math.Pow(4, float64(max(1, hosts))))
 }
 
-// hostSummary is what one host's samples say of its build.
+// hostSummary sums up the samples of one host.
 type hostSummary struct {
 	host                            *Host
-	attempts, failures, logSlowdown float64 // logSlowdown is the sum of the attempts'
+	attempts, failures, logSlowdown float64 // logSlowdown is the sum over the attempts
 }
 
-// summarizeByHost adds up samples of a kind by host, the hosts with most failures last. Logs of slowdowns are relative to a
-// level.
+// summarizeByHost sums up the matching samples by host, with the hosts with the most failures last. Log slowdowns are
+// relative to the level at each sample.
 func summarizeByHost(
-	samples []attemptSample, is func(attemptSample) bool, level func(attemptSample) float64,
+	samples []attemptSample, matches func(attemptSample) bool, level func(attemptSample) float64,
 ) (hosts []hostSummary) {
 	for _, sample := range samples {
-		if !is(sample) {
+		if !matches(sample) {
 			continue
 		}
 		i := slices.IndexFunc(hosts, func(x hostSummary) bool { return x.host == sample.host })
@@ -135,8 +137,8 @@
 	return hosts
 }
 
-// excludeWorstHosts gives all hosts but a share of them, those with most failures, and how many of the rest failed at all.
-// One failure is no sign that a host differs from the others.
+// excludeWorstHosts returns all hosts except a share of them, those with the most failures, and the number of remaining hosts
+// with at least one failure. A host with a single failure is not excluded: that does not show that it differs from the others.
 func excludeWorstHosts(hosts []hostSummary, excluded float64) (rest map[*Host]bool, failing int) {
 	const strayFailures = 1
 	rest = map[*Host]bool{}
@@ -150,13 +152,13 @@
 	return rest, failing
 }
 
-// logSlowdownByTime gives the mean log slowdown of samples of a kind at the time of a sample, as if some more were as all
-// others.
-func logSlowdownByTime(samples []attemptSample, is func(attemptSample) bool) func(attemptSample) float64 {
+// logSlowdownByTime returns a function that gives the mean log slowdown of the matching samples in the time slot of a sample,
+// estimated as if priorAttempts more samples of the slot had the mean of all slots.
+func logSlowdownByTime(samples []attemptSample, matches func(attemptSample) bool) func(attemptSample) float64 {
 	type sum struct{ logs, n float64 }
 	bySlot, all := map[Time]sum{}, sum{0, 0.01}
 	for _, sample := range samples {
-		if is(sample) {
+		if matches(sample) {
 			slot := bySlot[sample.timeSlot()]
 			bySlot[sample.timeSlot()] = sum{slot.logs + sample.logSlowdown(), slot.n + 1}
 			all = sum{all.logs + sample.logSlowdown(), all.n + 1}
@@ -168,9 +170,9 @@
 	}
 }
 
-// hostLogSlowdowns gives the hosts' mean log slowdowns and the variance of their mean, for hosts whose own ones have a
-// standard deviation and attempts that have a variance. Hosts with the first of so many attempts count; where there is none,
-// those with the next.
+// hostLogSlowdowns returns the mean log slowdown of each host and the variance of the mean over the hosts. hostDeviation is
+// the standard deviation among hosts, attemptVariance the variance among the attempts at a host. Only hosts with at least the
+// first number of minAttempts count; if there are none, those with at least the next number.
 func hostLogSlowdowns(
 	hosts []hostSummary, hostDeviation, attemptVariance float64, minAttempts ...float64,
 ) (logs []float64, variance float64) {
--- a/policy/gossip.go
+++ b/policy/gossip.go
@@ -5,37 +5,38 @@
 	"slices"
 )
 
-// gossipState is what peers reported that is not of one host or class.
+// gossipState is what peers reported that does not concern a single host or class.
 type gossipState struct {
-	localPeers  []int   // ranks of the peers in this zone that sent messages last
-	activePeers float64 // peers that sent messages lately, decayed
+	localPeers  []int   // ranks of the peers in this zone that sent messages most recently
+	activePeers float64 // number of peers that sent messages recently, decayed
 	receivedAt  Time
-	remotePath  healthStats // the path to other zones, by peers in this one
+	remotePath  healthStats // the path to other zones, as reported by peers in this zone
 
-	complaints       map[int]int // by build, of all routers
-	unsentComplaints map[int]int // own ones not sent yet
+	complaints       map[int]int // by build, received by all routers
+	unsentComplaints map[int]int // by build, received by this router and not sent yet
 }
 
-// An attempt that a peer reports counts for so much of an own one, as its connections are its own: reported by the router
-// that made it, and passed on once.
+// Weights of an attempt that a peer reports, relative to an own attempt: of one reported by the router that made it, and of
+// one passed on once. They are below 1 because each router has its own connections.
 const firstHandWeight, secondHandWeight = 0.5, 0.5
 
-// decayTime is how long sums of what was observed last: about as long as a host's fault or an overload takes to be another.
+// decayTime is the time constant by which sums of observations decay: about the time after which a host's fault or an
+// overload has changed.
 const decayTime = 3 * Second
 
-// decayFactor is what is left of a sum after a span.
+// decayFactor returns the share of a sum that remains after a span.
 func decayFactor(span Time) float64 { return math.Exp(-float64(max(0, span)) / float64(decayTime)) }
 
-// healthStats adds up attempts at a host or over a network path, decayed; slowdown is the sum of the attempts' slowdowns.
+// healthStats sums up attempts at a host or over a network path, with decay. slowdown is the sum of the attempts' slowdowns.
 type healthStats struct {
 	at                           Time
 	attempts, failures, slowdown float64
 }
 
-// decayedTo gives the sums at a later moment.
+// decayedTo returns the sums as of a later time.
 func (s healthStats) decayedTo(now Time) healthStats {
 	if s.attempts == 0 {
-		return healthStats{at: now} // nothing to decay, as for most hosts at most routers
+		return healthStats{at: now} // nothing to decay, which is the case for most hosts at most routers
 	}
 	f := decayFactor(now - s.at)
 	return healthStats{now, s.attempts * f, s.failures * f, s.slowdown * f}
@@ -46,7 +47,7 @@
 	*s = healthStats{y.at, y.attempts + x.attempts, y.failures + x.failures, y.slowdown + x.slowdown}
 }
 
-// peerHealth is what peers report of a host, weighed.
+// peerHealth returns the weighted sums of what peers report on a host.
 func (h *Host) peerHealth(now Time) healthStats {
 	const first, second = firstHandWeight, secondHandWeight
 	a, b := h.healthByHops[1].decayedTo(now), h.healthByHops[2].decayedTo(now)
@@ -54,13 +55,13 @@
 		failures: first*a.failures + second*b.failures, slowdown: first*a.slowdown + second*b.slowdown}
 }
 
-// sendGossip sends a peer drawn by chance, mostly one in this zone, what this router observed lately and what peers reported
-// of their own attempts: that is passed on once, so that nothing comes back as new. Where hundreds of routers meet a host
-// once in ten seconds each, only so they know of its failures before it has failed them all. Complaints are rare and go to
-// all peers.
+// sendGossip sends this router's recent observations, and what peers reported on their own attempts, to a random peer,
+// usually one in this zone. A peer's report is passed on only once, so that it does not come back as new. Where each of
+// hundreds of routers uses a host once in ten seconds, only gossip lets them detect its failures before it has failed
+// attempts of all of them. Complaints are rare and are sent to all peers.
 func (r *Router) sendGossip() {
 	const reviewsPerMessage = 5
-	const localPerAnyPeer = 3 // one message in so many goes to a peer drawn from all
+	const localPerAnyPeer = 3 // one message in this many goes to a peer drawn from all peers
 	const maxHosts = 16
 	if r.limits.MaxGossipBytes == 0 || r.routers < 2 || r.random.intN(reviewsPerMessage) > 0 {
 		return
@@ -77,9 +78,9 @@
 	r.effects.Gossip(peer, summary.encode(r.limits.MaxGossipBytes))
 }
 
-// GossipReceived takes a message of the peer of a rank. It adds no host to the endpoint list and moves no limit of exposure
-// or slow start. A message that can't be decoded is dropped. Reports on network paths and hosts
-// count only from peers in the own zone.
+// GossipReceived processes a message from the peer with the given rank. It adds no host to the endpoint list and changes no
+// limit of exposure or slow start. A message that can't be decoded is dropped. Reports on network paths and hosts count only
+// if the peer is in the same zone.
 func (r *Router) GossipReceived(now Time, peer int, body []byte) {
 	const keptPeers = 16
 	r.now = now
@@ -106,7 +107,7 @@
 	}
 }
 
-// mergeClassStats adds a peer's statistics of classes.
+// mergeClassStats adds a peer's statistics on classes.
 func (r *Router) mergeClassStats(summary gossipSummary) {
 	r.gossip.activePeers, r.gossip.receivedAt = 1+r.gossip.activePeers*decayFactor(r.now-r.gossip.receivedAt), r.now
 	for i, class := range r.classes {
@@ -114,7 +115,7 @@
 	}
 }
 
-// mergeLocalReport adds the reports of a peer in this zone on the path to other zones and on hosts.
+// mergeLocalReport adds what a peer in this zone reports on the path to other zones and on hosts.
 func (r *Router) mergeLocalReport(summary gossipSummary) {
 	r.gossip.remotePath.add(summary.remotePath)
 	for _, report := range summary.hosts {
@@ -122,7 +123,8 @@
 	}
 }
 
-// summarize makes this router's report on its classes, its path to other zones and the hosts that enough is known of.
+// summarize returns this router's report on its classes, on its path to other zones and on the hosts with enough attempts.
+// Its own stuck attempts count as failed.
 func (r *Router) summarize() gossipSummary {
 	const minAttempts = 0.3 // decayed
 	summary := gossipSummary{remotePath: r.zones.paths[remoteZones].decayedTo(r.now)}
@@ -150,7 +152,7 @@
 	return summary
 }
 
-// unsentComplaintMessages gives the messages on complaints that were not sent yet, each once.
+// unsentComplaintMessages returns the messages on complaints that were not sent yet. Each complaint is returned once.
 func (r *Router) unsentComplaintMessages() (messages [][]byte) {
 	for _, window := range r.analysis.windows {
 		if n := r.gossip.unsentComplaints[window.build]; n > 0 {
--- a/policy/gossip_codec.go
+++ b/policy/gossip_codec.go
@@ -7,40 +7,40 @@
 	"slices"
 )
 
-// hostReport is a router's report on one host. hops is 0 for its own attempts and 1 for those that peers reported.
+// hostReport is a router's report on one host. hops is 0 for the router's own attempts and 1 for those that peers reported.
 type hostReport struct {
 	host *Host
 	hops int
 	healthStats
 }
 
-// gossipSummary is a message of one router to another.
+// gossipSummary is the content of a summary, the regular message of one router to another.
 type gossipSummary struct {
-	nearbyHost *Host // one in the sender's zone, nil for none; it gives the sender's zone
+	nearbyHost *Host // a host in the sender's zone, which identifies that zone; nil if there is none
 	remotePath healthStats
 	classes    []admissionStats // in the order of the configuration
 	hosts      []hostReport
 }
 
-// keepWorst keeps so many reports, those with most failures first.
-func (s *gossipSummary) keepWorst(many int) {
+// keepWorst sorts the host reports by failures, most first, and drops all beyond the limit.
+func (s *gossipSummary) keepWorst(limit int) {
 	slices.SortStableFunc(s.hosts, func(a, b hostReport) int {
 		if c := cmp.Compare(b.failures, a.failures); c != 0 {
 			return c
 		}
 		return cmp.Compare(b.attempts, a.attempts)
 	})
-	s.hosts = s.hosts[:min(many, len(s.hosts))]
+	s.hosts = s.hosts[:min(limit, len(s.hosts))]
 }
 
 // The first byte of a message is its kind.
 //
-// A summary is, in little-endian order: its kind and the number of classes, a byte each; the ID of a host in the sender's
-// zone, 4 bytes, 0 for none; attempts and failures on the path to other zones, a byte each; for each class the attempts in
-// flight, a byte, and the usual and actual latencies added up, 2 bytes each; for each host its ID, 4 bytes, and hops,
-// attempts, failures and mean slowdown, a byte each.
+// A summary consists of these fields, in little-endian order: its kind and the number of classes, 1 byte each; the ID of a
+// host in the sender's zone, 4 bytes, 0 if there is none; attempts and failures on the path to other zones, 1 byte each; for
+// each class the attempts in flight, 1 byte, and the sums of the usual and of the actual latencies, 2 bytes each; for each
+// host its ID, 4 bytes, and hops, attempts, failures and mean slowdown, 1 byte each.
 //
-// Complaints are: their kind, a byte; the build, 2 bytes; their number, a byte.
+// A message on complaints consists of its kind, 1 byte; the build, 2 bytes; and the number of complaints, 1 byte.
 const (
 	messageSummary    = 1
 	messageComplaints = 2
@@ -51,15 +51,15 @@
 	complaintsBytes    = 4
 
 	countScale    = 8.0  // attempts and failures are in eighths
-	slowdownScale = 16.0 // slowdowns in sixteenths
-	latencyScale  = 100  // sums of latencies in hundredths of a second
+	slowdownScale = 16.0 // slowdowns are in sixteenths
+	latencyScale  = 100  // sums of latencies are in hundredths of a second
 )
 
 func toByte(x float64) byte { return byte(math.Round(max(0, min(255, x)))) }
 
 func toUint16(x float64) uint16 { return uint16(min(math.MaxUint16, x)) }
 
-// encode writes the summary, leaving out the last host reports beyond the bytes allowed.
+// encode encodes the summary. It omits the last host reports if the message would exceed maxBytes.
 func (s gossipSummary) encode(maxBytes int) []byte {
 	b := []byte{messageSummary, byte(len(s.classes))}
 	id := uint32(0)
@@ -85,8 +85,8 @@
 	return b
 }
 
-// decodeSummary reads a summary; ok is false for what is not one to the last byte. Reports on hosts that are not listed are
-// left out.
+// decodeSummary decodes a summary. ok is false unless the whole message is a valid summary. It omits reports on hosts that
+// are not listed and reports with an invalid number of hops.
 func (r *Router) decodeSummary(b []byte) (summary gossipSummary, ok bool) {
 	reportBytes := len(b) - summaryHeaderBytes - classStatsBytes*len(r.classes)
 	if reportBytes < 0 || b[0] != messageSummary || int(b[1]) != len(r.classes) || reportBytes%hostReportBytes != 0 {
--- a/policy/gossip_test.go
+++ b/policy/gossip_test.go
@@ -7,7 +7,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-func TestGossipEjectsAFailingHostBeforeAnyOwnAttempt(t *testing.T) {
+func TestGossip_EjectsFailingHostBeforeAnyOwnAttempt(t *testing.T) {
 	f, endpoints := newGossipingFleet(t, nil)
 	for _, endpoint := range endpoints[:6] {
 		f.router.GossipReceived(f.now, 3, f.hostSummary(endpoint.Host, 8, 0))
@@ -20,7 +20,7 @@
 	require.Equal(t, healthy, endpoints[0].Host.health)
 }
 
-func TestReportsArePassedOnOnceAndNeverAsOwn(t *testing.T) {
+func TestGossip_PassesPeerReportsOnOnce(t *testing.T) {
 	f, endpoints := newGossipingFleet(t, nil)
 	host := endpoints[0].Host
 	f.router.GossipReceived(f.now, 3, f.hostSummary(host, 8, 8))
@@ -28,16 +28,16 @@
 	require.InDelta(t, 8, host.healthByHops[1].attempts, 0.1)
 	summary := f.router.summarize()
 	require.Len(t, summary.hosts, 1)
-	require.Equal(t, 1, summary.hosts[0].hops, "to be told as a peer's")
+	require.Equal(t, 1, summary.hosts[0].hops, "must be passed on as a peer's report")
 	back, ok := f.router.decodeSummary(summary.encode(256))
 	require.True(t, ok)
 	f.router.mergeLocalReport(back)
 	require.InDelta(t, 8, host.healthByHops[1].attempts, 0.1)
 	require.InDelta(t, 8, host.healthByHops[2].attempts, 0.1)
-	require.Len(t, f.router.summarize().hosts, 1, "what was passed on goes no further")
+	require.Len(t, f.router.summarize().hosts, 1, "a report that was passed on once must not be passed on again")
 }
 
-func TestUnreadableGossipAndUnlistedHostsChangeNothing(t *testing.T) {
+func TestGossip_IgnoresInvalidMessagesAndUnlistedHosts(t *testing.T) {
 	f, endpoints := newGossipingFleet(t, nil)
 	good := f.hostSummary(endpoints[0].Host, 8, 8)
 	random := rand.New(rand.NewPCG(1, 2))
@@ -63,7 +63,7 @@
 	require.Empty(t, f.failed)
 }
 
-func TestGossipMovesNoLimitOfExposureOrSlowStart(t *testing.T) {
+func TestGossip_ChangesNoLimitOfExposureOrSlowStart(t *testing.T) {
 	f, _ := newGossipingFleet(t, func(config *Config) { config.Release.ExposureWindow = Second })
 	f.startCanary(0, 0.1)
 	cold := f.host(20, 1)
@@ -86,10 +86,10 @@
 		f.router.GossipReceived(f.now, 3, f.hostSummary(cold.Host, 30, 0))
 	}
 	require.Equal(t, before, exposed())
-	require.InDelta(t, admittedBefore, admitted(), 80, "by chance alone")
+	require.InDelta(t, admittedBefore, admitted(), 80, "may differ only by chance")
 }
 
-func TestNoGossipOrHealthCheckWhereNotAllowed(t *testing.T) {
+func TestGossip_SendsNoGossipOrHealthChecksWhenDisabled(t *testing.T) {
 	f, endpoints := newGossipingFleet(t, func(config *Config) { config.Limits.MaxGossipBytes, config.Limits.HealthChecks = 0, false })
 	f.serve(5, f.quote, succeeds)
 	f.router.ComplaintReceived(f.now, endpoints[0].Host, f.quote, Second/2)
@@ -98,7 +98,7 @@
 	require.Empty(t, f.healthChecked)
 }
 
-func TestGossipKeepsWithinItsSizeAndGoesToPeersOnly(t *testing.T) {
+func TestGossip_LimitsMessageSizeAndSendsToPeersOnly(t *testing.T) {
 	f, _ := newGossipingFleet(t, func(config *Config) { config.Limits.MaxGossipBytes = 64 })
 	f.serve(60, f.quote, succeeds)
 	f.advance(20 * Second)
@@ -110,7 +110,7 @@
 	}
 }
 
-func TestOwnComplaintsAreBroadcastOnce(t *testing.T) {
+func TestGossip_BroadcastsOwnComplaintsOnce(t *testing.T) {
 	f, endpoints := newGossipingFleet(t, nil)
 	f.advance(Second)
 	for range 3 {
--- a/policy/health_check.go
+++ b/policy/health_check.go
@@ -1,9 +1,9 @@
 package policy
 
-// checkRemotePath probes a host in another zone now and then while the path there is degraded, so that no request needs to
-// try whether it still is.
+// checkRemotePath occasionally probes a random host in another zone while the path to other zones is degraded, so that no
+// request is needed to detect that the path has recovered.
 func (r *Router) checkRemotePath() {
-	const reviewsPerCheck = 20 // with the reports of local peers, enough to see that the path is degraded and that it recovers
+	const reviewsPerCheck = 20 // with the reports of local peers, enough to detect that the path is degraded and that it recovers
 	if !r.limits.HealthChecks || !r.crossesCheaply() || r.mergesZones() || r.random.intN(reviewsPerCheck) > 0 {
 		return
 	}
@@ -12,8 +12,8 @@
 	}
 }
 
-// HealthChecked takes the result of a health check: of the network path and, by load, of the host; load is nil
-// where it reported none.
+// HealthChecked processes the result of a health check, which counts for the network path to the host's zone. load is the
+// host's load report, or nil if it sent none.
 func (r *Router) HealthChecked(now Time, host *Host, outcome Outcome, _ Time, load *LoadReport) {
 	r.now = now
 	path := healthStats{at: now, attempts: 1}
--- a/policy/health_check_test.go
+++ b/policy/health_check_test.go
@@ -6,8 +6,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Only health checks try a degraded path to other zones; requests stay in the local zone until these succeed.
-func TestDegradedPathIsProbedAndNotTried(t *testing.T) {
+// Only health checks use a degraded path to other zones. Requests stay in the local zone until health checks succeed.
+func TestHealthCheck_ProbesDegradedPathInsteadOfSendingRequests(t *testing.T) {
 	f, _ := newGossipingFleet(t, nil)
 	remote := []EndpointUpdate{f.hostAt(30, 1, f.remoteZone), f.hostAt(31, 1, f.remoteZone), f.hostAt(32, 1, f.remoteZone)}
 	f.router.EndpointsChanged(f.now, remote, true)
@@ -39,7 +39,7 @@
 			f.router.HealthChecked(f.now, host, TimedOut, Second/4, nil)
 		}
 	}
-	require.Less(t, remoteAttempts(at), 4) // those by which ejected hosts are tried
+	require.Less(t, remoteAttempts(at), 4) // attempts that detect the recovery of ejected hosts
 	require.Positive(t, checks)
 	for range 8 {
 		f.router.HealthChecked(f.now, remote[0].Host, Succeeded, Second/1000, nil)
@@ -47,8 +47,8 @@
 	require.True(t, f.router.mergesZones())
 }
 
-// Health checks that are late, doubled or of a removed host do no harm.
-func TestStrayHealthChecksDoNoHarm(t *testing.T) {
+// Results of health checks that are late, duplicated or of a removed host do no harm.
+func TestHealthCheck_ToleratesLateDuplicateAndRemovedHostResults(t *testing.T) {
 	f, endpoints := newGossipingFleet(t, nil)
 	removed := endpoints[0]
 	removed.State = Removed
--- a/policy/outlier.go
+++ b/policy/outlier.go
@@ -1,16 +1,16 @@
 package policy
 
-// hostHealth is what the router makes of a host's last attempts:
+// hostHealth is the router's view of a host's health, derived from the host's most recent attempts:
 //
 //	state       event          next        for
 //	healthy     hostFailing    ejected
-//	healthy     hostRefused    backingOff  0.2 s, as it is full or can't be reached for a moment
+//	healthy     hostRefused    backingOff  0.2 s, as the host is briefly full or unreachable
 //	backingOff  hostRefused    backingOff  1 s
 //	backingOff  hostFailing    ejected
 //	backingOff  hostRecovered  healthy
 //	ejected     hostRecovered  healthy
 //
-// Any other pair changes nothing. An ejected host gets an idempotent request now and then; see pickEjected.
+// Any other pair changes nothing. An ejected host occasionally gets an idempotent request; see pickEjected.
 type hostHealth int
 
 const (
@@ -49,7 +49,7 @@
 	for _, row := range healthTransitions {
 		if row.state == host.health && row.event == event {
 			if host.health == ejected {
-				host.samples = host.samples[max(0, len(host.samples)-1):] // none, where only peers reported it
+				host.samples = host.samples[max(0, len(host.samples)-1):] // there are none if only peers reported on the host
 			}
 			host.health, host.backoffUntil = row.next, r.now+row.backoff
 			r.fleet.valid = false
@@ -58,13 +58,13 @@
 	}
 }
 
-// Samples that are kept.
+// Numbers of samples that are retained.
 const (
-	keptHostSamples  = 8    // enough to find a slow host, few enough to forget that it was one
-	keptBuildSamples = 1500 // those of a canary's time, or some ten seconds of a busy router
+	keptHostSamples  = 8    // enough to detect a slow host, few enough not to count a recovered host as slow for long
+	keptBuildSamples = 1500 // the samples of a canary's duration, or of about ten seconds at a busy router
 )
 
-// recordOutcome keeps what an attempt showed of its host, class and build, and reviews the host's health.
+// recordOutcome records the result of an attempt for its host, class and build, and updates the host's health.
 func (r *Router) recordOutcome(attempt *Attempt, latency Time) {
 	host := attempt.Host
 	replaced := attempt.hostStartedAt != host.StartedAt || attempt.build != host.Build
@@ -77,10 +77,10 @@
 		host.samples = host.samples[1:]
 	}
 	event := r.healthEventOf(sample)
-	// Primary attempts at the canary had nowhere else to go: they don't count for it.
+	// Primary attempts go to the canary only if there is no other host. They don't count for the comparison of builds.
 	if event != hostRefused && (attempt.IsShadow() || !r.release.exposureOf(attempt.build).applies) {
 		if !attempt.IsShadow() && !r.limits.AllowHedging && attempt.Request.Class.repeatsSafely() && latency > attempt.shadowTimeout {
-			sample.outcome = TimedOut // as a shadow attempt would have been
+			sample.outcome = TimedOut // as the outcome of a shadow attempt would have been
 		}
 		window := r.analysis.window(attempt.build)
 		window.samples = appendBounded(window.samples, sample, keptBuildSamples)
@@ -88,8 +88,8 @@
 	r.transitionHealth(host, event)
 }
 
-// healthEventOf is what a host's last sample, already among its samples, says of its health. An ejected host recovers by two
-// good responses in a row.
+// healthEventOf returns the event that a host's last sample causes; the host's samples already include it. An ejected host
+// recovers after two consecutive good responses.
 func (r *Router) healthEventOf(last attemptSample) healthEvent {
 	host := last.host
 	switch {
@@ -107,8 +107,8 @@
 	return hostUnchanged
 }
 
-// stuckAttempts counts a host's attempts that have been in flight for far longer than usual, given the host's load, with no
-// end of any attempt since they were sent.
+// stuckAttempts returns the number of a host's attempts that have been in flight for far longer than usual at the host's
+// load, while no attempt at the host has ended since they were sent.
 func (h *Host) stuckAttempts(now Time) (n int) {
 	const stuckAfter = 4 // times the usual latency
 	for _, attempt := range h.inFlight {
@@ -120,14 +120,15 @@
 	return n
 }
 
-// reviewHealth looks at all hosts. One that takes attempts and ends none is ejected before these time out, unless half of
-// the healthy hosts or more do so: then none is at fault. An ejected one returns once what spoke against it has decayed,
-// where peers watch it too: one router of hundreds would not find it recovered for minutes. While endpoint discovery fails,
-// hosts of builds before one that was released a while ago count as draining.
+// reviewHealth reviews all hosts. A host that accepts attempts and completes none is ejected before these attempts time out,
+// unless at least half of the healthy hosts do the same: then no single host is at fault. Where peers observe it too, an
+// ejected host returns once the failures counted against it have decayed, because one of hundreds of routers would need
+// minutes to detect its recovery. While endpoint discovery fails, hosts of builds before a build that was released some time
+// ago count as draining.
 func (r *Router) reviewHealth() {
 	const minStuck = 3
-	const forgottenFailures = 0.3 // decayed
-	const drainAfter = 6 * Second // of a release; the endpoint list would have it by then
+	const forgottenFailures = 0.3 // decayed sum below which an ejected host returns
+	const drainAfter = 6 * Second // after a release; by then the endpoint list would show that these hosts drain
 	hung := func(host *Host) bool { return host.health == healthy && host.stuckAttempts(r.now) >= minStuck }
 	ejects := 2*r.countHosts(hung) < r.countHosts(func(host *Host) bool { return host.health == healthy })
 	drains := r.discovery.failedPolls > 0 && r.now-r.release.releasedAt > drainAfter
@@ -144,13 +145,14 @@
 	}
 }
 
-// isFailing compares a host's last attempts with those of its peers of the same build: it must fail or be slow far more
-// than they do, so that neither a bad build nor a slow fleet empties the endpoint list.
+// isFailing compares a host's last attempts with those of the other hosts of the same build. It reports whether the host
+// fails far more often or is far slower than they are, so that neither a bad build nor a slow fleet causes all hosts to be
+// ejected.
 func (r *Router) isFailing(host *Host) bool {
-	const rateGap = 0.35      // of failures, above twice the peers' median: about three of the last eight
+	const rateGap = 0.35      // in the failure rate, above twice the peers' median: about three of the last eight attempts
 	const slowdownRatio = 3.0 // to the peers' median
 	own := r.faultScoreOf(host)
-	if own.failureRate <= rateGap && own.slowdown <= slowdownRatio { // whatever its peers do
+	if own.failureRate <= rateGap && own.slowdown <= slowdownRatio { // not failing, whatever the scores of its peers
 		return false
 	}
 	rates, slowdowns := r.peerFaultScores(host)
@@ -161,7 +163,8 @@
 // faultScore is a host's failure rate and mean slowdown.
 type faultScore struct{ failureRate, slowdown float64 }
 
-// faultScoreOf scores a host by its last attempts and what peers report, as if over some attempts at the least.
+// faultScoreOf returns the score of a host from its last attempts and the reports of other routers. Fewer than minAttempts
+// attempts count as minAttempts, the missing ones without failure or latency.
 func (r *Router) faultScoreOf(host *Host) faultScore {
 	const minAttempts = 6
 	var sum faultScore
@@ -176,9 +179,9 @@
 	return faultScore{(sum.failureRate + peers.failures) / n, (sum.slowdown + peers.slowdown) / n}
 }
 
-// peerFaultScores are the scores of the other serving hosts of a host's build that enough is known of.
+// peerFaultScores returns the scores of the other serving hosts of a host's build, of those with enough attempts.
 func (r *Router) peerFaultScores(host *Host) (rates, slowdowns []float64) {
-	const enough = 2 // attempts, and some more
+	const enough = 2 // a host must have more attempts than this
 	for _, peer := range r.hosts {
 		if peer != host && peer.Build == host.Build && peer.State == Serving &&
 			float64(len(peer.samples))+peer.peerHealth(r.now).attempts > enough {
@@ -189,16 +192,17 @@
 	return rates, slowdowns
 }
 
-// pickEjected picks an ejected host that is due a request, so that its recovery is found; only idempotent requests go
-// there. Where there is gossip, the rate is that of all routers, or hundreds would keep an ejected host busy.
+// pickEjected picks an ejected host that is due a request, so that its recovery is detected, or returns nil. Ejected hosts
+// get only idempotent requests. Where there is gossip, the rate is limited over all routers together, because hundreds of
+// routers would otherwise keep an ejected host busy.
 func (r *Router) pickEjected(request *Request) *Host {
-	const interval = Second   // long enough to cost little, short enough to find a recovery
-	const fleetAttempts = 4.0 // of all routers in an interval, for each host
+	const interval = Second   // long enough to cost little, short enough to detect a recovery
+	const fleetAttempts = 4.0 // at each ejected host in an interval, by all routers together
 	ejectedHosts := r.snapshot().ejected
 	due := fleetAttempts * float64(ejectedHosts) / float64(r.routers)
 	if ejectedHosts == 0 || r.limits.MaxGossipBytes > 0 &&
 		!r.random.chance(1000*due/max(1, countSince(r.traffic.arrivals, r.now-interval, nil))) {
-		r.random.skip() // pickHost would have drawn once
+		r.random.skip() // in place of the draw that pickHost would have made
 		return nil
 	}
 	return r.pickHost(request, func(host *Host) bool {
--- a/policy/outlier_test.go
+++ b/policy/outlier_test.go
@@ -6,7 +6,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-func TestEjectedHostGetsFewRequestsAndRecovers(t *testing.T) {
+func TestOutlier_EjectedHostGetsOnlyIdempotentRequestsAndRecovers(t *testing.T) {
 	f, endpoints := newFakeFleet(t, nil)
 	failing := true
 	outcomeOf := func(attempt *Attempt) Outcome {
@@ -27,7 +27,7 @@
 	require.Equal(t, healthy, endpoints[0].Host.health)
 }
 
-func TestNoHostIsEjectedWhenAllFail(t *testing.T) {
+func TestOutlier_EjectsNoHostWhenAllFail(t *testing.T) {
 	f, endpoints := newFakeFleet(t, nil)
 	f.serve(100, f.quote, func(*Attempt) Outcome { return Failed })
 	for _, endpoint := range endpoints[:6] {
@@ -35,12 +35,12 @@
 	}
 }
 
-func TestHungHostIsEjectedBeforeItsAttemptsTimeOut(t *testing.T) {
+func TestOutlier_EjectsHungHostBeforeItsAttemptsTimeOut(t *testing.T) {
 	f, endpoints := newFakeFleet(t, nil)
 	f.serve(100, f.quote, succeeds)
 	for range 60 {
 		n := len(f.attempts)
-		for range 24 { // enough for each host to get its share
+		for range 24 { // enough for each host to get some
 			f.arrive(f.payment)
 		}
 		f.advance(Second / 20)
--- a/policy/release.go
+++ b/policy/release.go
@@ -1,6 +1,6 @@
 package policy
 
-// Phase is where a release stands.
+// Phase is the phase that a release has reached.
 type Phase int
 
 // Phases of a release; their values are stored.
@@ -11,13 +11,13 @@
 	RolledBack
 )
 
-// ReleaseStatus is what the release controller reports of the newest build.
+// ReleaseStatus is the status of the newest build, as reported by the release controller.
 type ReleaseStatus struct {
 	Build, Stage int
 	Phase        Phase
-	ExposureCap  float64    // share of the requests that may go to the canary
-	Age          Time       // since the release controller came to it
-	VoteResult   VoteResult // of the router's own vote, where this answers one
+	ExposureCap  float64    // maximum share of the requests that may go to the canary
+	Age          Time       // time since the release controller entered this stage and phase
+	VoteResult   VoteResult // result of the router's own vote, if this status is the reply to one
 }
 
 // PromotionMode is how the release controller promotes a build to the next stage.
@@ -27,48 +27,48 @@
 const (
 	AnyRouter PromotionMode = iota // by one vote
 	Quorum                         // by the votes of several routers
-	Timed                          // after a time, unless votes hold or roll back
+	Timed                          // after StageTime, unless votes hold or roll back the build
 )
 
-// ReleaseConfig is the release controller's settings.
+// ReleaseConfig holds the release controller's settings.
 type ReleaseConfig struct {
 	Mode              PromotionMode
 	ExposureCaps      []float64 // by stage
 	MinStageTime      Time
 	StageTime         Time    // in mode Timed
-	PromoteQuorum     int     // votes that promote a stage
-	RollbackQuorum    int     // votes that roll a build back
-	VoteTTL           Time    // for which a vote stands
-	VoteTimeout       Time    // for a reply to a vote
+	PromoteQuorum     int     // number of votes required to promote a stage
+	RollbackQuorum    int     // number of votes required to roll a build back
+	VoteTTL           Time    // how long a vote is valid
+	VoteTimeout       Time    // how long the reply to a vote may take
 	MaxVotesPerSecond float64 // of all routers together
-	ExposureWindow    Time    // that exposure is counted over
-	ExposureAllowance float64 // attempts in the window beside the cap's
-	ExposurePerClass  bool    // each class is counted by itself
-	GuardedStages     int     // first stages, in which the canary gets only idempotent requests
-	StickyKeys        bool    // a request with a key stays with the build that answered the key
-	DelayPrice        float64 // of a longer release, in the unit of HarmPrice
-	HarmPrice         float64 // of failed requests that are not idempotent
-	ComplaintShare    float64 // share of the wrong responses that clients complain of
-	SampledShare      float64 // share of the attempts in the release controller's statistics
+	ExposureWindow    Time    // over which exposure is counted
+	ExposureAllowance float64 // attempts in the window that are allowed in addition to the cap
+	ExposurePerClass  bool    // exposure is counted separately for each class
+	GuardedStages     int     // number of first stages in which the canary gets only idempotent requests
+	StickyKeys        bool    // a request with a key goes to the build that answered the key before, or a later build
+	DelayPrice        float64 // cost of a longer release, in the unit of HarmPrice
+	HarmPrice         float64 // cost of failed requests that are not idempotent
+	ComplaintShare    float64 // share of the wrong responses that clients complain about
+	SampledShare      float64 // share of the attempts that the release controller's statistics include
 }
 
-// releaseState is what the release controller reported: its settings and where the newest build stands.
+// releaseState is what the release controller reported: its settings and the status of the newest build.
 type releaseState struct {
 	config ReleaseConfig
 	status ReleaseStatus
-	known  bool // some status has come
+	known  bool // a status was received
 
 	offeredAt      Time // when the newest build was first announced
 	stageStartedAt Time
 
-	releasedBuild   int // newest build known to be released, 0 for none
+	releasedBuild   int // newest build known to be released, 0 if there is none
 	releasedAt      Time
-	rolledBackBuild int // newest build known to roll back or to have done so, 0 for none
+	rolledBackBuild int // newest build known to be rolling back or rolled back, 0 if there is none
 
-	stickyBuilds map[string]int // build that answered a key, while two builds serve
+	stickyBuilds map[string]int // the build that answered each key, recorded while two builds serve
 }
 
-// ReleaseChanged takes a status of the release controller, or its reply to a vote.
+// ReleaseChanged processes a status from the release controller, which may be its reply to a vote.
 func (r *Router) ReleaseChanged(now Time, status ReleaseStatus) {
 	r.now = now
 	if status.VoteResult == Unsolicited || status.VoteResult == VoteAccepted {
@@ -81,7 +81,8 @@
 	}
 }
 
-// applyReleaseStatus replaces the status. At a new build it keeps the latency before it; at a new stage votes begin anew.
+// applyReleaseStatus replaces the status. For a new build, it records the usual latencies as those before the canary. For a
+// new build, stage or phase, it discards the router's last vote.
 func (r *Router) applyReleaseStatus(status ReleaseStatus) {
 	release, last := &r.release, r.release.status
 	if !release.known || status.Build != last.Build || status.Stage != last.Stage || status.Phase != last.Phase {
@@ -92,7 +93,7 @@
 			class.baselineLatency = class.usualLatency
 		}
 		release.offeredAt, r.surge.state, r.surge.since = r.now, surgeNone, r.now
-		clear(release.stickyBuilds) // the build before serves all keys or has rolled back
+		clear(release.stickyBuilds) // the build before this one serves all keys or was rolled back
 	}
 	release.status, release.known = status, true
 	switch status.Phase {
--- a/policy/release_test.go
+++ b/policy/release_test.go
@@ -6,7 +6,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-func TestStickyKeyStaysWithTheBuildThatAnsweredIt(t *testing.T) {
+func TestRelease_SendsStickyKeyToBuildThatAnsweredIt(t *testing.T) {
 	f, _ := newFakeFleet(t, func(config *Config) { config.Release.StickyKeys = true })
 	f.startCanary(1, 0.5)
 	f.router.release.stickyBuilds["pen"] = 2
@@ -17,8 +17,8 @@
 	}
 }
 
-// Sticky keys are dropped once they can't go from one build to another.
-func TestStickyKeysAreKeptNoLongerThanTwoBuildsServe(t *testing.T) {
+// Sticky keys are not recorded while only one build serves, and are deleted when a new build is announced.
+func TestRelease_RecordsStickyKeysOnlyWhileTwoBuildsServe(t *testing.T) {
 	f, endpoints := newFakeFleet(t, func(config *Config) { config.Release.StickyKeys = true })
 	serveKeys := func(n int) {
 		for i := range n {
@@ -42,7 +42,7 @@
 	f.router.EndpointsChanged(f.now, endpoints, true)
 	before := len(f.router.release.stickyBuilds)
 	serveKeys(26)
-	require.Len(t, f.router.release.stickyBuilds, before, "one build alone")
+	require.Len(t, f.router.release.stickyBuilds, before, "only one build serves")
 	f.router.ReleaseChanged(f.now, ReleaseStatus{Build: 3, Phase: Canary, ExposureCap: 0.1})
 	require.Empty(t, f.router.release.stickyBuilds)
 }
--- a/policy/stats.go
+++ b/policy/stats.go
@@ -2,34 +2,34 @@
 
 import "math"
 
-// keptStats is how many of the release controller's reports are kept at the least.
+// keptStats is the minimum number of the release controller's reports that are retained.
 const keptStats = 240
 
-// BuildStats is what the release controller counted for one build and class over a period.
+// BuildStats is the release controller's report on one build and class over a period.
 type BuildStats struct {
 	Build             int
 	Class             *Class
 	Failures, Samples int
-	MeanLatency       Time // of the successes
-	Age               Time // since the end of the period
+	MeanLatency       Time // of the attempts that succeeded
+	Age               Time // time since the end of the period
 	Window            Time // length of the period
 
 	receivedAt Time
-	hosts      int     // that ran the build when the report came
-	warmShare  float64 // share of them that were warm when the period began
-	warmUpBias float64 // log of how many times longer they take as they warm up, at the most
+	hosts      int     // number of hosts that ran the build when the report arrived
+	warmShare  float64 // share of these hosts that were warm when the period began
+	warmUpBias float64 // log of the largest factor by which warm-up increases their latency
 }
 
 func (s *BuildStats) successes() float64 { return float64(s.Samples - s.Failures) }
 
-// StatsReported takes a report of the release controller.
+// StatsReported processes a report of the release controller.
 func (r *Router) StatsReported(now Time, stats BuildStats) {
 	r.now, stats.receivedAt = now, now
 	r.describeHosts(&stats)
 	if len(r.analysis.stats) == 0 || r.analysis.stats[len(r.analysis.stats)-1].receivedAt != now {
-		r.load.counted = 0 // made anew of the reports of one moment
+		r.load.counted = 0 // the sum over the reports that arrive at the same time
 	}
-	if r.release.config.SampledShare > 0 && stats.Window > 0 { // requests in flight: their rate by their latency
+	if r.release.config.SampledShare > 0 && stats.Window > 0 { // requests in flight per host: their rate times their latency
 		serving := r.countHosts(func(host *Host) bool { return host.State == Serving })
 		r.load.counted += float64(stats.Samples) / r.release.config.SampledShare / float64(stats.Window) *
 			float64(stats.MeanLatency) / max(1, serving)
@@ -40,7 +40,7 @@
 	}
 }
 
-// describeHosts notes how many hosts run the build of a report, and how warm they were in its period.
+// describeHosts adds to a report how many hosts run its build and how warm they were during its period.
 func (r *Router) describeHosts(stats *BuildStats) {
 	capacity := 0.0
 	for _, host := range r.hosts {
@@ -56,28 +56,29 @@
 	stats.warmUpBias = math.Log(max(1, float64(stats.hosts)) / max(r.limits.ColdCapacity, capacity))
 }
 
-// statsOutweighOwn reports whether the release controller counts far more attempts than this router makes: then its
-// statistics are judged, though they come late and don't distinguish hosts.
+// statsOutweighOwn reports whether the release controller counts far more attempts than this router makes. Its statistics are
+// then used, although they arrive late and don't distinguish hosts.
 func (r *Router) statsOutweighOwn() bool {
-	const ownAttempts = 2 // as many as so many routers make
+	const ownAttempts = 2 // the attempts that the controller must count, in multiples of one router's attempts
 	return r.release.config.SampledShare*float64(r.routers) > ownAttempts
 }
 
-// judgesByStats reports whether the canary is judged by them. After a release only own attempts separate errors from an overload.
+// judgesByStats reports whether the canary is judged by the release controller's statistics. After a release, only the
+// router's own attempts distinguish errors from an overload.
 func (r *Router) judgesByStats() bool {
 	return r.statsOutweighOwn() && r.release.status.Phase == Canary
 }
 
-func filterStats(all []BuildStats, is func(BuildStats) bool) (some []BuildStats) {
+func filterStats(all []BuildStats, matches func(BuildStats) bool) (some []BuildStats) {
 	for _, stats := range all {
-		if is(stats) {
+		if matches(stats) {
 			some = append(some, stats)
 		}
 	}
 	return some
 }
 
-// sumStats adds up the reports on a class; hosts are those of the last one.
+// sumStats sums up the reports on a class. hosts is the number of hosts in the last report.
 func sumStats(all []BuildStats, class *Class) (failures, attempts float64, hosts int) {
 	for _, stats := range all {
 		if stats.Class == class {
@@ -87,7 +88,7 @@
 	return failures, attempts, hosts
 }
 
-// samePeriod is the report of the same class and period among others; one without samples where there is none.
+// samePeriod returns the report on the same class and period among others, or an empty report if there is none.
 func samePeriod(stats BuildStats, others []BuildStats) BuildStats {
 	for _, other := range others {
 		if other.Class == stats.Class && other.receivedAt == stats.receivedAt {
@@ -97,7 +98,7 @@
 	return BuildStats{}
 }
 
-// countedAttempts is how many attempts at a build the release controller counted.
+// countedAttempts returns the number of attempts at a build that the release controller counted.
 func (a *analysisState) countedAttempts(build int) (n float64) {
 	for _, stats := range a.stats {
 		if stats.Build == build {
@@ -107,8 +108,8 @@
 	return n
 }
 
-// comparableStats are the reports on canary and baseline over the same time. Those of a time when no canary host was warm
-// would show the warm-up.
+// comparableStats returns the reports on canary and baseline over the same time. Reports on the canary for periods when none
+// of its hosts was warm are excluded, because they would show the effect of the warm-up.
 func (r *Router) comparableStats(canary, baseline int) (stats buildPair) {
 	stats.canary = filterStats(r.analysis.stats, func(x BuildStats) bool { return x.Build == canary && x.warmShare > 0 })
 	stats.baseline = filterStats(r.analysis.stats, func(x BuildStats) bool {
@@ -117,14 +118,14 @@
 	return stats
 }
 
-// buildPair is the reports on canary and baseline.
+// buildPair holds the reports on canary and baseline.
 type buildPair struct{ canary, baseline []BuildStats }
 
-// latencyGap is the log of how many times longer the canary's successes took than the baseline's, class by class and period
-// by period, less what the warm-up explains.
+// latencyGap is the log of the factor by which the canary's successful attempts took longer than the baseline's, compared
+// within each class and period, minus the part that the warm-up explains.
 type latencyGap struct {
 	log              float64
-	canary, baseline float64 // successes
+	canary, baseline float64 // numbers of successful attempts
 	canaryHosts      int
 }
 
@@ -140,8 +141,9 @@
 	return gap
 }
 
-// logLatencyGapToPast is the log of how many times longer successes at a build take after a moment than those at a past
-// build took until another, and how many successes say so. A class other than nil narrows it.
+// logLatencyGapToPast returns the log of the factor by which successful attempts at a build, in the reports after one point in
+// time, took longer than those at a past build in the reports until another. n is the number of the build's successful
+// attempts that this is based on. If class is not nil, only its reports count.
 func (a *analysisState) logLatencyGapToPast(class *Class, pastBuild, build int, pastUntil, after Time) (gap, n float64) {
 	for _, x := range a.stats {
 		if x.Build != build || x.MeanLatency <= 0 || x.receivedAt <= after || class != nil && x.Class != class {
@@ -160,8 +162,8 @@
 	return gap / max(1, n), n
 }
 
-// failureRateBeforeCanary is a class's failure rate at the baseline before the canary was offered, when the baseline had
-// all load, as if some attempts more had failed at a usual rate.
+// failureRateBeforeCanary returns a class's failure rate at the baseline before the canary was offered, when the baseline had
+// the whole load. It is estimated as if some more attempts had failed at the usual rate.
 func (r *Router) failureRateBeforeCanary(baseline *buildWindow, class *Class, usualRate float64) float64 {
 	failures, attempts, _ := sumStats(filterStats(r.analysis.stats, func(x BuildStats) bool {
 		return x.Build == baseline.build && x.receivedAt <= r.release.offeredAt
@@ -169,9 +171,9 @@
 	return stratum{failures: failures, attempts: attempts}.failureRate(stratum{failures: 0.5, attempts: 0.5 / usualRate})
 }
 
-// countedFailureEvidence weighs the reports on a class while enough hosts ran the canary: by how much more than the
-// baseline it fails. It is for a router with few own attempts at classes that are not idempotent: as reports don't
-// distinguish hosts, only gaps far beyond one failing host count.
+// countedFailureEvidence returns the odds that the canary fails a class more often than the baseline, by the reports from
+// when enough hosts ran the canary. It is for a router that makes few attempts of its own for classes that are not idempotent.
+// Because reports don't distinguish hosts, only gaps far larger than one failing host would cause count.
 func (r *Router) countedFailureEvidence(class *Class, canary, baseline int) float64 {
 	const minHosts, minRate = 4, 0.1
 	const smallGap, largeGap = 0.25, 0.6
--- a/policy/vote.go
+++ b/policy/vote.go
@@ -6,19 +6,19 @@
 	"slices"
 )
 
-// VoteResult is what became of a vote.
+// VoteResult is the result of a vote at the release controller.
 type VoteResult int
 
 // Results of a vote; their values are stored.
 const (
-	Unsolicited  VoteResult = iota // a status that is no reply to a vote
-	VoteAccepted                   // the vote stands
-	VoteStale                      // not of the present build or stage
-	VoteRejected                   // too many votes, or an error: it does not count
-	VoteUnknown                    // no reply: it may count
+	Unsolicited  VoteResult = iota // the status is not a reply to a vote
+	VoteAccepted                   // the vote counts
+	VoteStale                      // the vote is not on the current build or stage
+	VoteRejected                   // there were too many votes, or an error; the vote does not count
+	VoteUnknown                    // there was no reply; the vote may count
 )
 
-// VoteChoice is what a vote says.
+// VoteChoice is what a vote is for.
 type VoteChoice int
 
 // Choices of a vote; their values are stored.
@@ -29,14 +29,14 @@
 	Rollback
 )
 
-// voteRecord is the router's last vote in the present stage.
+// voteRecord is the router's last vote in the current stage.
 type voteRecord struct {
 	state  voteState
 	choice VoteChoice
 	castAt Time
 }
 
-// voteState is what the release controller made of the last vote:
+// voteState is the state of the router's last vote at the release controller:
 //
 //	state         event         next          casts a vote
 //	voteIdle      voteWanted    votePending   yes
@@ -57,10 +57,10 @@
 type voteEvent int
 
 const (
-	voteWanted   voteEvent = iota // the verdict differs from the vote that stands, or that will soon run out
+	voteWanted   voteEvent = iota // the verdict differs from the last vote, or that vote does not count or expires soon
 	voteTimedOut                  // no reply in time
 	voteCounted
-	voteDropped // rejected, stale or unclear
+	voteDropped // rejected, stale or of unknown result
 )
 
 // voteTransition is a row of the table at voteState.
@@ -79,7 +79,7 @@
 	{votePending, voteDropped, voteIdle, false},
 }
 
-// transitionVote reads the table; the verdict is that of the vote to cast, empty for other events.
+// transitionVote applies the table. v is the verdict to vote for, and empty for events that cast no vote.
 func (r *Router) transitionVote(event voteEvent, v verdict) {
 	for _, row := range voteTransitions {
 		if row.state != r.vote.state || row.event != event {
@@ -97,30 +97,30 @@
 	}
 }
 
-// verdict is what the evidence says of the newest build.
+// verdict is the conclusion on the newest build that the evidence supports.
 type verdict struct {
 	choice   VoteChoice
 	odds     float64   // that the build is bad
 	testOdds []float64 // of each test
 }
 
-// Odds that the newest build is bad, by which votes are cast.
+// Limits of the odds that the newest build is bad, by which votes are cast.
 const (
-	rollbackOdds       = 8.0  // one good build in so many is rolled back by chance
-	costlyRollbackOdds = 30.0 // where statistics don't separate one failing host from the build, and after a release
-	minRollbackOdds    = 2.5  // whatever the quorum: less is one host's odds
-	promoteOdds        = 4.0  // a stage is promoted unless in doubt, as what it may expose is limited
-	releaseOdds        = 0.3  // the last stage is promoted when fairly sure
-	releaseOddsPerWait = 0.02 // more for each second after the shortest stage time
-	releaseTestPerWait = 0.5  // likewise, of the worst test
-	maxReleaseTestOdds = 8.0  // of the worst test, while shadow attempts of its class go on
+	rollbackOdds       = 8.0  // one good build in this many is rolled back by chance
+	costlyRollbackOdds = 30.0 // where statistics don't distinguish one failing host from a bad build, and after a release
+	minRollbackOdds    = 2.5  // for any quorum; a single host can cause odds below this
+	promoteOdds        = 4.0  // a stage is promoted unless the build is in doubt, because each stage's exposure is limited
+	releaseOdds        = 0.3  // the last stage is promoted when the build is fairly certain to be good
+	releaseOddsPerWait = 0.02 // added to releaseOdds for each second after the minimum stage time
+	releaseTestPerWait = 0.5  // the same for the odds of the worst test
+	maxReleaseTestOdds = 8.0  // for the worst test, while shadow attempts of its class continue
 )
 
-// evidenceShare is the part of the proof that each of so many routers owes whose votes must agree, as their evidence is
-// their own.
+// evidenceShare returns the exponent that reduces the odds required of each router where a number of votes must agree. Each
+// router has evidence of its own, so that each needs only a part of the proof.
 func evidenceShare(votes int) float64 { return 1 / math.Sqrt(float64(max(1, votes-1))) }
 
-// judge turns the evidence into a verdict on the newest build.
+// judge derives a verdict on the newest build from the evidence.
 func (r *Router) judge() verdict {
 	status, config := &r.release.status, &r.release.config
 	if !r.release.known || status.Build == 0 || status.Phase == RollingBack || status.Phase == RolledBack {
@@ -146,8 +146,8 @@
 	return v
 }
 
-// promotionLimits gives the odds, over all tests and of the worst test, below which the present stage is promoted. For the
-// last one, the release, they rise while it waits, as waiting has its price.
+// promotionLimits returns the limits of the odds, over all tests and of the worst test, below which the current stage is
+// promoted. For the last stage, whose promotion is the release, they rise over time, because waiting has a cost.
 func (r *Router) promotionLimits(final bool) (odds, testOdds float64) {
 	if !final {
 		return promoteOdds, math.Inf(1)
@@ -158,20 +158,21 @@
 		min(maxReleaseTestOdds, 1+releaseTestPerWait*waited) / share
 }
 
-// mayVote reports whether it is this router's turn to vote. Where one vote decides, a few routers vote at a time, by rank and
-// time: were all to vote, the one with the oddest luck would decide, and the release controller be flooded.
+// mayVote reports whether it is this router's turn to vote. Where one vote decides, only a few routers vote at a time, by rank
+// and time. If all of them voted, the one whose samples are the most extreme by chance would decide, and the release
+// controller would be flooded with votes.
 func (r *Router) mayVote() bool {
-	const voters, turnLength = 3, 4 * Second // a router that is down, or a vote lost, does no harm
+	const voters, turnLength = 3, 4 * Second // several voters, so that a router that is down or a lost vote does no harm
 	turn := r.rank + r.routers - int(r.now/turnLength)*voters%r.routers
 	return r.release.config.Mode != AnyRouter || r.routers <= voters || turn%r.routers < voters
 }
 
-// updateVote casts a vote where the verdict differs from the last one, the last one did not count or will soon run out. A
-// standing vote to promote is withdrawn at any time, as it would promote the build whoever's turn it is.
+// updateVote casts a vote if the verdict differs from the last vote, or if the last vote did not count or expires soon. A
+// counted vote to promote is withdrawn at any time, because it would promote the build no matter whose turn it is.
 func (r *Router) updateVote() {
 	const replySlack = Second / 2
-	const pause = Second  // before a vote that did not count is cast again, lest the release controller is flooded
-	const renewTenths = 7 // of a vote's time to live, after which it is renewed
+	const pause = Second  // before a vote that did not count is cast again, so that the release controller is not flooded
+	const renewTenths = 7 // tenths of a vote's time to live after which it is renewed
 	config, v := &r.release.config, r.judge()
 	if r.vote.state == votePending && r.now-r.vote.castAt > config.VoteTimeout+replySlack {
 		r.transitionVote(voteTimedOut, verdict{})
--- a/policy/vote_test.go
+++ b/policy/vote_test.go
@@ -6,7 +6,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-func TestGoodBuildIsPromotedAndBadOneRolledBack(t *testing.T) {
+func TestVote_PromotesGoodBuildAndRollsBackBadBuild(t *testing.T) {
 	votesOn := func(fails func(*Attempt) bool) []VoteChoice {
 		f, endpoints := newFakeFleet(t, nil)
 		for id := range uint32(5) {
@@ -34,7 +34,7 @@
 	require.NotContains(t, votesOn(func(attempt *Attempt) bool { return attempt.Request.Class.Idempotency == NonIdempotent }), Promote)
 }
 
-func TestNoWaitPromotesABuildWhileAClassIsInDoubt(t *testing.T) {
+func TestVote_NeverPromotesBuildWhileOneClassFails(t *testing.T) {
 	f, endpoints := newFakeFleet(t, nil)
 	f.router.EndpointsChanged(f.now, append(endpoints, f.host(10, 2), f.host(11, 2), f.host(12, 2)), true)
 	f.startCanary(2, 1)
@@ -50,13 +50,13 @@
 	require.NotContains(t, f.votes, Promote)
 }
 
-func TestManyRoutersJudgeByStatsAndAFewOfThemVote(t *testing.T) {
+func TestVote_UsesStatsAndFewVotersInLargeFleet(t *testing.T) {
 	votes := map[VoteChoice]int{}
 	countVotes := func(rank, failures int, latency Time) {
 		f, endpoints := newFakeFleet(t, func(config *Config) { config.Routers, config.Rank, config.Release.SampledShare = 40, rank, 0.2 })
 		f.router.EndpointsChanged(f.now, append(endpoints, f.host(10, 2), f.host(11, 2), f.host(12, 2)), true)
 		f.startCanary(2, 1)
-		for range 4 { // seconds; own shadow attempts fail, the release controller counts what the test says
+		for range 4 { // seconds; the router's first shadow attempts fail, and the reports have the figures given by the test
 			f.serve(20, f.quote, func(attempt *Attempt) Outcome {
 				if attempt.build == 2 && len(attempt.Host.samples) < 3 {
 					return Failed
@@ -84,7 +84,7 @@
 	require.Zero(t, votes[Rollback])
 }
 
-func TestOneFailingHostDoesNotRollABuildBackWhereAQuorumMustAgree(t *testing.T) {
+func TestVote_DoesNotRollBackForOneFailingHostWithQuorum(t *testing.T) {
 	f, endpoints := newFakeFleet(t, func(config *Config) {
 		config.Routers, config.Release.Mode, config.Release.PromoteQuorum, config.Release.RollbackQuorum = 60, Quorum, 30, 15
 		config.Limits.AllowHedging = false
@@ -105,10 +105,10 @@
 	require.Contains(t, f.votes, Rollback)
 	f.attempts = nil
 	serve(func(*Attempt) bool { return true })
-	require.Positive(t, f.canaryAttempts()) // others may not agree, so shadow attempts go on
+	require.Positive(t, f.canaryAttempts()) // other routers may not agree, so shadow attempts continue
 }
 
-func TestUnansweredVoteIsCastAgainWithoutAFlood(t *testing.T) {
+func TestVote_RepeatsUnansweredVoteAtLimitedRate(t *testing.T) {
 	f, _ := newFakeFleet(t, nil)
 	f.startCanary(0, 0.1)
 	f.advance(20 * Second)
@@ -122,8 +122,8 @@
 	require.Greater(t, len(f.votes), n)
 }
 
-func TestBuildWithFewKnownHostsIsNeitherReleasedNorOverloaded(t *testing.T) {
-	f, endpoints := newFakeFleet(t, nil) // one host of build 2, six of build 1 are all that is known
+func TestVote_NeitherReleasesNorOverloadsBuildWithFewKnownHosts(t *testing.T) {
+	f, endpoints := newFakeFleet(t, nil) // the known hosts are one of build 2 and six of build 1
 	f.startCanary(2, 1)
 	for range 60 {
 		f.serve(1, f.quote, succeeds)
