--- a/internal/gossip/socket.go
+++ b/internal/gossip/socket.go
@@ -1,5 +1,5 @@
-// Package gossip carries short messages between routers, each as one UDP datagram, to and from configured addresses only.
-// A datagram may be lost, late or duplicated; receivers must tolerate that.
+// Package gossip exchanges short messages between routers. Each message is one UDP datagram, to and from configured
+// addresses only. A datagram may be lost, delayed or duplicated; receivers must tolerate that.
 package gossip
 
 import (
@@ -13,13 +13,13 @@
 	"dapplefront/policy"
 )
 
-// Everyone stands for all other routers.
-const Everyone = policy.Broadcast
+// Broadcast stands for all other routers.
+const Broadcast = policy.Broadcast
 
-// Config is what a router knows of its peers.
+// Config describes a router and its peers.
 type Config struct {
 	Rank      int      // of this router
-	MaxBytes  int      // of a message
+	MaxBytes  int      // maximum size of a message
 	Addresses []string // of all routers, by rank
 }
 
@@ -32,8 +32,8 @@
 	done      chan struct{} // closed when receive has returned
 }
 
-// Open listens at the router's own address and hands each message of a configured router to handle, with the sender's
-// rank, one at a time.
+// Open listens at the router's own address. It passes each message from a configured router to handle, with the sender's
+// rank, one message at a time.
 func Open(c Config, handle func(rank int, body string)) (*Socket, error) {
 	s := &Socket{config: c, done: make(chan struct{})}
 	for _, text := range c.Addresses {
@@ -57,7 +57,7 @@
 // receive handles messages until the socket is closed.
 func (s *Socket) receive(handle func(rank int, body string)) {
 	defer close(s.done)
-	buffer := make([]byte, s.config.MaxBytes+1) // one byte more, to notice a message that is too long
+	buffer := make([]byte, s.config.MaxBytes+1) // one byte more, to detect a message that is too long
 	for {
 		n, from, err := s.conn.ReadFromUDPAddrPort(buffer)
 		if errors.Is(err, net.ErrClosed) {
@@ -72,22 +72,23 @@
 	}
 }
 
-// Send sends a message to one router, or to all others for Everyone. A message that is too long or can't be sent is lost.
+// Send sends a message to the router of a rank, or to all others if rank is Broadcast. A message that is too long or can't be
+// sent is dropped.
 func (s *Socket) Send(rank int, body string) {
 	if len(body) > s.config.MaxBytes {
 		return
 	}
 	for i, address := range s.addresses {
-		if i != s.config.Rank && (rank == Everyone || rank == i) {
-			_, _ = s.conn.WriteToUDPAddrPort([]byte(body), address) // as a datagram lost on the way
+		if i != s.config.Rank && (rank == Broadcast || rank == i) {
+			_, _ = s.conn.WriteToUDPAddrPort([]byte(body), address) // an error counts as a lost datagram
 		}
 	}
 }
 
-// Dropped is the number of messages that came from unknown addresses, were too long or could not be received.
+// Dropped returns the number of messages that came from unknown addresses, were too long or could not be received.
 func (s *Socket) Dropped() uint64 { return s.dropped.Load() }
 
-// Close closes the socket and waits until no message is handled any more.
+// Close closes the socket and waits until the last message has been handled.
 func (s *Socket) Close() {
 	_ = s.conn.Close() // fails only if it is closed already
 	<-s.done
--- a/internal/gossip/socket_test.go
+++ b/internal/gossip/socket_test.go
@@ -17,7 +17,7 @@
 	return c.LocalAddr().String()
 }
 
-func TestSocketDropsMessagesFromUnknownAddressesAndLongOnes(t *testing.T) {
+func TestSocket_DropsLongMessagesAndMessagesFromUnknownAddresses(t *testing.T) {
 	addresses := []string{freeAddress(t), freeAddress(t), freeAddress(t)}
 	received := make(chan string, 10)
 	a, err := Open(Config{Rank: 0, MaxBytes: 16, Addresses: addresses}, func(rank int, body string) {
@@ -36,14 +36,14 @@
 	require.NoError(t, err)
 	b.Send(0, strings.Repeat("x", 17))
 	require.Eventually(t, func() bool { return a.Dropped() == 2 }, 10*time.Second, time.Millisecond)
-	b.Send(Everyone, "word")
+	b.Send(Broadcast, "word")
 	require.Equal(t, "1word", <-received)
 	b.Send(2, "nobody listens there")
 	b.Send(0, "more")
 	require.Equal(t, "1more", <-received)
 }
 
-func TestInvalidAddressesAreRejected(t *testing.T) {
+func TestOpen_RejectsInvalidAddresses(t *testing.T) {
 	_, err := Open(Config{Rank: 0, MaxBytes: 16, Addresses: []string{"here:1"}}, nil)
 	require.ErrorContains(t, err, `"here:1"`)
 	_, err = Open(Config{Rank: 3, MaxBytes: 16, Addresses: []string{"127.0.0.1:1"}}, nil)
--- a/internal/orca/orca.go
+++ b/internal/orca/orca.go
@@ -1,6 +1,6 @@
-// Package orca reads load reports of Open Request Cost Aggregation (ORCA): the response header endpoint-load-metrics in
-// its three forms, TEXT, JSON and BIN, and endpoint-load-metrics-bin. The message is xds.data.orca.v3.OrcaLoadReport of
-// the cncf/xds repository.
+// Package orca parses load reports of Open Request Cost Aggregation (ORCA): the response header endpoint-load-metrics in
+// its three forms, TEXT, JSON and BIN, and the header endpoint-load-metrics-bin. The message is
+// xds.data.orca.v3.OrcaLoadReport of the cncf/xds repository.
 package orca
 
 import (
@@ -23,7 +23,7 @@
 	BinHeader = "Endpoint-Load-Metrics-Bin"
 )
 
-// Named metrics for what the report has no field of its own for.
+// Named metrics for values that have no field of their own in the report.
 const (
 	MetricActive  = "active"     // requests in progress
 	MetricWaiting = "waiting"    // requests in the queue
@@ -31,11 +31,11 @@
 )
 
 const (
-	maxReportBytes      = 4096 // a few dozen named metrics
+	maxReportBytes      = 4096 // enough for a few dozen named metrics
 	ticksPerMillisecond = 10   // of policy.Time
 )
 
-// Parse reads the value of Header. An error says which part is wrong; the report is not to be used then.
+// Parse parses the value of Header. An error says which part is invalid; the report must not be used then.
 func Parse(value string) (*orcav3.OrcaLoadReport, error) {
 	if len(value) > maxReportBytes {
 		return nil, fmt.Errorf("load report: longer than %d bytes", maxReportBytes)
@@ -53,10 +53,10 @@
 	case "BIN":
 		return ParseBin(rest)
 	}
-	return nil, fmt.Errorf("load report: TEXT, JSON or BIN expected first, not %.20q", form)
+	return nil, fmt.Errorf("load report: must begin with TEXT, JSON or BIN, not %.20q", form)
 }
 
-// ParseBin reads the value of BinHeader, in base64 with or without padding.
+// ParseBin parses the value of BinHeader, which is base64 with or without padding.
 func ParseBin(value string) (*orcav3.OrcaLoadReport, error) {
 	value = strings.TrimSpace(value)
 	raw, err := base64.StdEncoding.DecodeString(value)
@@ -73,7 +73,7 @@
 	return r, validate(r)
 }
 
-// parseText reads name=number or name:number, with commas between them.
+// parseText parses a comma-separated list of name=number or name:number.
 func parseText(text string) (*orcav3.OrcaLoadReport, error) {
 	r := &orcav3.OrcaLoadReport{}
 	for part := range strings.SplitSeq(text, ",") {
@@ -84,7 +84,7 @@
 		name = strings.TrimSpace(name)
 		number, err := strconv.ParseFloat(strings.TrimSpace(value), 64)
 		if !ok || name == "" || err != nil {
-			return nil, fmt.Errorf("load report: name=number expected, not %.40q", part)
+			return nil, fmt.Errorf("load report: expected name=number, got %.40q", part)
 		}
 		switch name {
 		case "cpu_utilization":
@@ -107,22 +107,22 @@
 	return r, validate(r)
 }
 
-// validate rejects numbers that are negative, infinite or not a number, in the fields that Load uses.
+// validate rejects values that are negative, infinite or not a number, in the fields that Load uses.
 func validate(r *orcav3.OrcaLoadReport) error {
 	fields := map[string]float64{"cpu_utilization": r.CpuUtilization, "rps": r.RpsFractional,
 		"application_utilization": r.ApplicationUtilization}
 	for _, metrics := range []map[string]float64{fields, r.NamedMetrics} {
 		for name, v := range metrics {
 			if math.IsNaN(v) || math.IsInf(v, 0) || v < 0 {
-				return fmt.Errorf("load report: %s is %v, a number from 0 expected", name, v)
+				return fmt.Errorf("load report: %s is %v, must be finite and not negative", name, v)
 			}
 		}
 	}
 	return nil
 }
 
-// Load is the report in the policy's terms; what is not reported is negative. The message doesn't distinguish a
-// utilization or a rate of 0 from an absent one, so 0 counts as not reported there.
+// Load converts the report to a policy.LoadReport, in which values that were not reported are negative. The message doesn't
+// distinguish a utilization or a rate of 0 from an absent one, so a 0 there counts as not reported.
 func Load(r *orcav3.OrcaLoadReport) *policy.LoadReport {
 	l := &policy.LoadReport{ActiveRequests: -1, QueuedRequests: -1, CPUUtilization: -1, MeanLatency: -1, RequestsPerSecond: -1}
 	if v, ok := r.NamedMetrics[MetricActive]; ok {
--- a/internal/orca/orca_test.go
+++ b/internal/orca/orca_test.go
@@ -11,7 +11,7 @@
 	"dapplefront/policy"
 )
 
-func TestAllFormsGiveTheSameReport(t *testing.T) {
+func TestParse_ReadsSameReportFromAllForms(t *testing.T) {
 	raw, err := proto.Marshal(&orcav3.OrcaLoadReport{CpuUtilization: .25, RpsFractional: 12.5,
 		NamedMetrics: map[string]float64{MetricActive: 3, MetricService: 20, MetricWaiting: 0}})
 	require.NoError(t, err)
@@ -29,13 +29,13 @@
 	require.Equal(t, want, Load(r))
 }
 
-func TestUnreportedFieldsAreNegative(t *testing.T) {
+func TestLoad_UnreportedFieldsAreNegative(t *testing.T) {
 	r, err := Parse("TEXT eps=1")
 	require.NoError(t, err)
 	require.Equal(t, &policy.LoadReport{ActiveRequests: -1, QueuedRequests: -1, CPUUtilization: -1, MeanLatency: -1, RequestsPerSecond: -1}, Load(r))
 }
 
-func TestInvalidReportsAreRejected(t *testing.T) {
+func TestParse_RejectsInvalidReports(t *testing.T) {
 	for _, bad := range []string{"", "XML <a/>", "TEXT cpu_utilization", "TEXT cpu_utilization=much", "TEXT cpu_utilization=-1",
 		"TEXT named_metrics.active=NaN", "JSON {", "JSON []", "BIN ???", "BIN AAAA", "TEXT rps=+Inf"} {
 		_, err := Parse(bad)
