--- a/internal/eds/cache.go
+++ b/internal/eds/cache.go
@@ -24,8 +24,8 @@
 	Hosts  []storedHost `json:"hosts"`
 }
 
-// storedHost is a Host as the file has it. Its JSON names are those of the first version of the format and never
-// change, whatever the fields of Host are called.
+// storedHost is the stored form of a Host. Its JSON names are those of the first version of the format. They never change,
+// even if the fields of Host are renamed.
 type storedHost struct {
 	ID        uint32               `json:"ID"`
 	Zone      string               `json:"Location"`
@@ -53,7 +53,7 @@
 	}
 }
 
-// SaveCache writes the endpoint list to a file, whole or not at all.
+// SaveCache writes the endpoint list to a file atomically.
 func SaveCache(file string, hosts []Host) error {
 	stored := make([]storedHost, 0, len(hosts))
 	for _, h := range hosts {
@@ -66,23 +66,24 @@
 	return atomicfile.Write(file, text, cacheMode)
 }
 
-// LoadCache reads what SaveCache wrote. A missing file is no list and no error; an error names the file.
+// LoadCache reads a file that SaveCache wrote. If the file does not exist, it returns neither hosts nor an error. An error
+// names the file.
 func LoadCache(file string) ([]Host, error) {
 	text, err := os.ReadFile(file)
 	if errors.Is(err, fs.ErrNotExist) {
 		return nil, nil
 	}
 	if err != nil {
-		return nil, fmt.Errorf("last list %s: %w", file, err)
+		return nil, fmt.Errorf("endpoint cache %s: %w", file, err)
 	}
 	hosts, err := decodeCache(text)
 	if err != nil {
-		return nil, fmt.Errorf("last list %s: %w", file, err)
+		return nil, fmt.Errorf("endpoint cache %s: %w", file, err)
 	}
 	return hosts, nil
 }
 
-// decodeCache reads a file's text. A format or a field that this version doesn't know is an error.
+// decodeCache decodes the content of a cache file. A format or a field that this version doesn't know is an error.
 func decodeCache(text []byte) ([]Host, error) {
 	var version struct {
 		Format int `json:"format"`
--- a/internal/eds/cache_test.go
+++ b/internal/eds/cache_test.go
@@ -8,7 +8,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-func TestDamagedCacheIsRejected(t *testing.T) {
+func TestLoadCache_RejectsDamagedFile(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "list")
 	hosts, err := LoadCache(file)
 	require.NoError(t, err)
--- a/internal/eds/list.go
+++ b/internal/eds/list.go
@@ -9,7 +9,7 @@
 	"dapplefront/policy"
 )
 
-// endpointList is the endpoint list as last accepted.
+// endpointList is the last accepted endpoint list.
 type endpointList struct {
 	resources map[string]resource // by name
 	hosts     map[uint32]Host     // of all resources, by id
@@ -19,8 +19,8 @@
 	return &endpointList{resources: map[string]resource{}, hosts: map[uint32]Host{}}
 }
 
-// put applies changed and removed resources as a whole or, after an error, not at all. It returns the hosts that changed
-// in the order of ids, those that left as removed.
+// put applies changed and removed resources completely or, if it returns an error, not at all. It returns the hosts that
+// changed, ordered by id. Hosts that are no longer listed are returned as removed.
 func (l *endpointList) put(changed map[string]resource, removed []string) ([]Host, error) {
 	resources := make(map[string]resource, len(l.resources)+len(changed))
 	maps.Copy(resources, l.resources)
@@ -43,7 +43,7 @@
 	for name, r := range resources {
 		for _, h := range r.hosts {
 			if other, ok := hosts[h.ID]; ok {
-				return nil, fmt.Errorf("%s: host %d stands twice, at %s and at %s", name, h.ID, other.Address, h.Address)
+				return nil, fmt.Errorf("%s: host %d is listed twice, at %s and at %s", name, h.ID, other.Address, h.Address)
 			}
 			if other, ok := ids[h.Address]; ok {
 				return nil, fmt.Errorf("%s: %s is the address of two hosts, %d and %d", name, h.Address, other, h.ID)
@@ -54,7 +54,7 @@
 	return hosts, nil
 }
 
-// changesTo returns what differs in hosts, in the order of ids.
+// changesTo returns the hosts that are different in the new list, ordered by id. Hosts that it omits are returned as removed.
 func (l *endpointList) changesTo(hosts map[uint32]Host) []Host {
 	var changes []Host
 	for id, h := range hosts {
@@ -72,7 +72,7 @@
 	return changes
 }
 
-// all is the whole list, in the order of ids.
+// all returns the whole list, ordered by id.
 func (l *endpointList) all() []Host {
 	hosts := make([]Host, 0, len(l.hosts))
 	for _, h := range l.hosts {
--- a/internal/eds/resource.go
+++ b/internal/eds/resource.go
@@ -32,7 +32,7 @@
 	maxSize       = 1 << 32
 	defaultWeight = 1
 
-	weightUnit          = 1000 // weights and sizes are sent in thousandths, as xDS has whole numbers
+	weightUnit          = 1000 // weights and sizes are sent in thousandths, because xDS weights are whole numbers
 	ticksPerMillisecond = 10
 )
 
@@ -48,7 +48,7 @@
 	hosts   []Host
 }
 
-// unpack reads a resource; it returns its name.
+// unpack decodes a resource and returns its name and content.
 func unpack(raw *anypb.Any, version string) (string, resource, error) {
 	if raw.GetTypeUrl() != TypeURL {
 		return "", resource{}, fmt.Errorf("type %s expected, not %q", TypeURL, raw.GetTypeUrl())
@@ -61,7 +61,7 @@
 	return assignment.GetClusterName(), resource{version, hosts}, err
 }
 
-// hostsOf reads the hosts of a resource; an error names the endpoint and what is wrong with it.
+// hostsOf returns the hosts of a resource. An error names the endpoint and what is wrong with it.
 func hostsOf(a *endpointv3.ClusterLoadAssignment) ([]Host, error) {
 	var hosts []Host
 	for i, locality := range a.GetEndpoints() {
@@ -81,7 +81,7 @@
 	return hosts, nil
 }
 
-// hostOf reads an endpoint, all but its zone.
+// hostOf returns the host that an endpoint describes, without its zone.
 func hostOf(e *endpointv3.LbEndpoint) (Host, error) {
 	address, err := addressOf(e)
 	if err != nil {
@@ -98,7 +98,7 @@
 	}
 	h.State = stateOf(e.GetHealthStatus())
 	m := metadata{fields: e.GetMetadata().GetFilterMetadata()[Metadata].GetFields()}
-	if size := m.integer("size", 0, maxSize); size > 0 { // the weight may be a traffic plan's; the size is the host's own
+	if size := m.integer("size", 0, maxSize); size > 0 { // a traffic plan may set the weight; the size describes the host itself
 		h.Weight = size / weightUnit
 	}
 	h.Build = int(m.requiredInteger("build", maxBuild))
@@ -117,7 +117,7 @@
 	return netip.AddrPortFrom(ip, uint16(s.GetPortValue())).String(), nil
 }
 
-// stateOf maps a health status: UNHEALTHY and TIMEOUT endpoints are not to be used at all.
+// stateOf maps a health status to an endpoint state. UNHEALTHY and TIMEOUT endpoints must not be used at all.
 func stateOf(s corev3.HealthStatus) policy.EndpointState {
 	switch s {
 	case corev3.HealthStatus_UNKNOWN, corev3.HealthStatus_HEALTHY, corev3.HealthStatus_DEGRADED:
@@ -129,31 +129,31 @@
 	}
 }
 
-// metadata reads numbers of an endpoint's metadata and keeps the first error.
+// metadata reads numbers from an endpoint's metadata and records the first error.
 type metadata struct {
 	fields map[string]*structpb.Value
 	err    error
 }
 
-// requiredInteger is the whole number from 0 to most under name.
-func (m *metadata) requiredInteger(name string, most float64) float64 {
+// requiredInteger returns the whole number under name, which must be present and from 0 to maximum.
+func (m *metadata) requiredInteger(name string, maximum float64) float64 {
 	if _, ok := m.fields[name]; !ok {
 		m.fail("metadata %s.%s is missing", Metadata, name)
 		return -1
 	}
-	return m.integer(name, 0, most)
+	return m.integer(name, 0, maximum)
 }
 
-// integer is the whole number from 0 to most under name, or the default if it is absent.
-func (m *metadata) integer(name string, byDefault, most float64) float64 {
+// integer returns the whole number under name, which must be from 0 to maximum, or the default value if it is absent.
+func (m *metadata) integer(name string, defaultValue, maximum float64) float64 {
 	value, ok := m.fields[name]
 	if !ok {
-		return byDefault
+		return defaultValue
 	}
 	n, isNumber := value.GetKind().(*structpb.Value_NumberValue)
-	if !isNumber || n.NumberValue != math.Trunc(n.NumberValue) || n.NumberValue < 0 || n.NumberValue > most {
+	if !isNumber || n.NumberValue != math.Trunc(n.NumberValue) || n.NumberValue < 0 || n.NumberValue > maximum {
 		m.fail("metadata %s.%s: a whole number from 0 to %s expected, not %v", Metadata, name,
-			strconv.FormatFloat(most, 'f', 0, 64), value)
+			strconv.FormatFloat(maximum, 'f', 0, 64), value)
 		return 0
 	}
 	return n.NumberValue
--- a/internal/eds/resource_test.go
+++ b/internal/eds/resource_test.go
@@ -18,7 +18,7 @@
 				PortSpecifier: &corev3.SocketAddress_PortValue{PortValue: port}}}}}}}
 }
 
-func TestInvalidEndpointIsRejectedByItsPosition(t *testing.T) {
+func TestHostsOf_NamesPositionOfInvalidEndpoint(t *testing.T) {
 	for want, e := range map[string]*endpointv3.LbEndpoint{
 		"socket_address":   lbEndpoint("here", 1, map[string]any{"build": 1}),
 		"an IP address":    lbEndpoint("127.0.0.1", 0, map[string]any{"build": 1}),
@@ -38,7 +38,7 @@
 	require.ErrorContains(t, err, "locality.zone is missing")
 }
 
-func TestSizeOverridesLoadBalancingWeight(t *testing.T) {
+func TestHostOf_SizeOverridesLoadBalancingWeight(t *testing.T) {
 	e := lbEndpoint("127.0.0.1", 9, map[string]any{"build": 1, "size": 2500})
 	e.LoadBalancingWeight = wrapperspb.UInt32(700)
 	h, err := hostOf(e)
--- a/internal/eds/stored_test.go
+++ b/internal/eds/stored_test.go
@@ -17,13 +17,13 @@
 	{Host: router.Host{ID: 9, Zone: "south", Build: 1, Weight: 1}, Address: "127.0.0.1:4002"},
 }
 
-func TestAnEarlierVersionsEndpointListIsReadWhole(t *testing.T) {
+func TestLoadCache_ReadsFileOfEarlierVersion(t *testing.T) {
 	hosts, err := LoadCache("testdata/endpoints.json")
 	require.NoError(t, err)
 	require.Equal(t, storedHosts, hosts)
 }
 
-func TestAnEndpointListIsWrittenInTheEarlierForm(t *testing.T) {
+func TestSaveCache_WritesFormOfEarlierVersion(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "list")
 	require.NoError(t, SaveCache(file, storedHosts))
 	want, err := os.ReadFile("testdata/endpoints.json")
@@ -33,7 +33,7 @@
 	require.Equal(t, string(want), string(got))
 }
 
-func TestAnUnknownFieldOfAnEndpointListIsAnError(t *testing.T) {
+func TestLoadCache_RejectsUnknownField(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "list")
 	require.NoError(t, os.WriteFile(file, []byte(`{"format":1,"hosts":[{"ID":1,"Zone":"north"}]}`), 0o600))
 	_, err := LoadCache(file)
--- a/internal/eds/stream.go
+++ b/internal/eds/stream.go
@@ -11,7 +11,7 @@
 	"google.golang.org/grpc/codes"
 )
 
-// streamEndpoints speaks the state-of-the-world protocol until the stream ends.
+// streamEndpoints runs the state-of-the-world protocol until the stream ends.
 func (w *Watch) streamEndpoints(ctx context.Context) error {
 	stream, err := edsv3.NewEndpointDiscoveryServiceClient(w.conn).StreamEndpoints(ctx)
 	if err != nil {
@@ -40,7 +40,7 @@
 	}
 }
 
-// acceptComplete applies a response whole or, after an error, not at all.
+// acceptComplete applies a response completely or, if it returns an error, not at all.
 func (w *Watch) acceptComplete(response *discoveryv3.DiscoveryResponse) error {
 	changed := map[string]resource{}
 	for i, raw := range response.GetResources() {
@@ -54,7 +54,7 @@
 	return err
 }
 
-// deltaEndpoints speaks the incremental protocol until the stream ends.
+// deltaEndpoints runs the incremental protocol until the stream ends.
 func (w *Watch) deltaEndpoints(ctx context.Context) error {
 	stream, err := edsv3.NewEndpointDiscoveryServiceClient(w.conn).DeltaEndpoints(ctx)
 	if err != nil {
@@ -84,14 +84,14 @@
 			continue
 		}
 		if first {
-			hosts = w.list.all() // the caller must not miss what left before the stream was opened
+			hosts = w.list.all() // so that the caller doesn't miss hosts that were removed before the stream was opened
 		}
 		w.handler.Updated(first, hosts)
 		first = false
 	}
 }
 
-// acceptDelta applies a response whole or, after an error, not at all. It returns the hosts that changed.
+// acceptDelta applies a response completely or, if it returns an error, not at all. It returns the hosts that changed.
 func (w *Watch) acceptDelta(response *discoveryv3.DeltaDiscoveryResponse) ([]Host, error) {
 	changed := map[string]resource{}
 	for i, raw := range response.GetResources() {
@@ -107,7 +107,7 @@
 	return w.list.put(changed, response.GetRemovedResources())
 }
 
-// errorDetail is the reason of a rejection (NACK).
+// errorDetail returns the error detail of a rejection (NACK).
 func errorDetail(err error) *rpcstatus.Status {
 	return &rpcstatus.Status{Code: int32(codes.InvalidArgument), Message: err.Error()}
 }
--- a/internal/eds/watch.go
+++ b/internal/eds/watch.go
@@ -1,7 +1,7 @@
-// Package eds follows the endpoint list by xDS endpoint discovery (EDS) over gRPC, either by complete lists
-// (state-of-the-world) or by changes (incremental). An invalid version is rejected (NACK) with the reason, and the last
-// accepted list stays in force. A stream that breaks is reported and not opened again until Ask, as when to do so is the
-// caller's decision; the next stream says which versions are held.
+// Package eds watches the endpoint list through xDS endpoint discovery (EDS) over gRPC, with complete lists
+// (state-of-the-world) or with changes (incremental). An invalid version is rejected (NACK) with the reason, and the last
+// accepted list stays in use. A stream that breaks is reported and is not opened again until Ask is called, because the
+// caller decides when to retry. The next stream tells the service which versions the router has.
 package eds
 
 import (
@@ -18,11 +18,11 @@
 type Handler struct {
 	Updated  func(complete bool, hosts []Host) // a version was accepted; called before it is acknowledged (ACK)
 	Rejected func(err error)                   // a version was rejected
-	Failed   func(err error)                   // the stream has ended
+	Failed   func(err error)                   // the stream ended
 }
 
-// Watch follows one discovery service for one router. It is safe for concurrent use; its handler's functions are called
-// one at a time, from goroutines of the watch.
+// Watch watches the endpoint list of one discovery service for one router. It is safe for concurrent use. Its handler's
+// functions are called one at a time, from goroutines of the watch.
 type Watch struct {
 	address       string
 	nodeID        string
@@ -48,7 +48,7 @@
 		conn: conn, list: newEndpointList()}, nil
 }
 
-// Ask opens the stream. While one is open it does nothing.
+// Ask opens the stream. It does nothing while one is open.
 func (w *Watch) Ask() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -58,7 +58,7 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
 	w.cancel, w.done = cancel, done
-	w.conn.ResetConnectBackoff() // the backoff is the caller's
+	w.conn.ResetConnectBackoff() // the caller applies the backoff
 	go func() {
 		defer close(done)
 		var err error
@@ -78,7 +78,7 @@
 	}()
 }
 
-// Close ends the watch for good and waits until the handler is called no more.
+// Close ends the watch permanently. After it returns, the handler is not called any more.
 func (w *Watch) Close() {
 	w.mu.Lock()
 	w.closed = true
