--- a/internal/discovery/fixture_test.go
+++ b/internal/discovery/fixture_test.go
@@ -10,7 +10,7 @@
 	"dapplefront/internal/eds"
 )
 
-// fakeDiscovery is a discovery service whose watches send what a test writes to lines; "end" cuts them off.
+// fakeDiscovery is a discovery service whose watches send what a test writes to lines. The line "end" aborts a watch.
 type fakeDiscovery struct {
 	*httptest.Server
 	mu       sync.Mutex
@@ -45,10 +45,10 @@
 
 func (d *fakeDiscovery) address() string { return d.Listener.Addr().String() }
 
-// events are the calls of a watch's handler.
+// events receives the calls of a watch's handler.
 type events struct {
 	updates    chan []eds.Host
-	keepAlives chan bool // calls without news
+	keepAlives chan bool // updates without changes
 	failed     chan error
 	rejected   chan error
 }
--- a/internal/discovery/host_table.go
+++ b/internal/discovery/host_table.go
@@ -10,33 +10,34 @@
 )
 
 const (
-	// maxIncarnations is how many incarnations of a name are kept: complaints arrive within seconds of the attempt.
+	// maxIncarnations is the number of incarnations of a name that are retained. A few are enough, because complaints arrive
+	// within seconds of the attempt.
 	maxIncarnations = 4
 
-	// forgetAfter is the time after which a removed name is forgotten: complaints arrive within seconds of an attempt,
-	// and attempts within a request's deadline of the removal.
+	// forgetAfter is the time after which a removed name is deleted. Complaints arrive within seconds of an attempt, and
+	// attempts are made within a request's deadline after the removal.
 	forgetAfter = time.Minute
 )
 
-// hostTable maps the names of endpoints to host ids, over time.
+// hostTable maps the names of endpoints to host ids, now and at earlier times.
 type hostTable struct {
 	names     map[string]*endpointName
 	idOwners  map[uint32]string // the owner of each id in use
-	lastSweep time.Time         // when removed names were last forgotten
+	lastSweep time.Time         // when removed names were last deleted
 }
 
-// endpointName is a name that one host after another may have.
+// endpointName is a name that several hosts may have, one after the other.
 type endpointName struct {
 	last         Endpoint
 	listed       bool
-	removedAt    time.Time     // when it was last listed, if it is not
-	incarnations []incarnation // the last few, the newest last
+	removedAt    time.Time     // when it was removed, if it is not listed
+	incarnations []incarnation // the last maxIncarnations, the newest last
 }
 
-// incarnation is a host that a name stands for from a time on.
+// incarnation is a host to which a name refers from a point in time on.
 type incarnation struct {
 	id    uint32
-	owner string // the name and the build
+	owner string // the name of the endpoint and the build
 	since time.Time
 }
 
@@ -44,8 +45,8 @@
 	return hostTable{names: map[string]*endpointName{}, idOwners: map[uint32]string{}}
 }
 
-// apply takes a list in and returns its hosts, each after the one that it replaces, which is returned as removed. Hosts
-// that a complete list leaves out are not returned: the router learns of them by the list's being complete.
+// apply applies a list and returns its hosts. A host that replaces another one follows it, and the replaced host is returned
+// as removed. Hosts that a complete list omits are not returned, because the router detects them from the complete list.
 func (t *hostTable) apply(l EndpointList, now time.Time) []eds.Host {
 	if l.Complete {
 		t.removeMissing(l, now)
@@ -58,7 +59,7 @@
 	return hosts
 }
 
-// removeMissing marks the names that a complete list leaves out as removed.
+// removeMissing marks the names that a complete list omits as removed.
 func (t *hostTable) removeMissing(l EndpointList, now time.Time) {
 	listed := make(map[string]bool, len(l.Endpoints))
 	for _, e := range l.Endpoints {
@@ -71,7 +72,7 @@
 	}
 }
 
-// applyEndpoint appends the host that an entry describes, after the host that it replaces, if any.
+// applyEndpoint appends the host that an entry describes. If it replaces a host, that host is appended before it as removed.
 func (t *hostTable) applyEndpoint(hosts []eds.Host, e Endpoint, now time.Time) []eds.Host {
 	n := t.names[e.ID]
 	if n == nil {
@@ -99,8 +100,8 @@
 	return append(hosts, e.host(id))
 }
 
-// forgetRemoved forgets names that were removed so long ago that no complaint refers to them. It looks for them once in
-// forgetAfter.
+// forgetRemoved deletes names that were removed so long ago that no complaint refers to them. It checks for such names once
+// in each forgetAfter.
 func (t *hostTable) forgetRemoved(now time.Time) {
 	if now.Sub(t.lastSweep) < forgetAfter {
 		return
@@ -118,8 +119,8 @@
 	}
 }
 
-// assignID returns the id of a name with a build, and their owner string. Where two owners have the same hash, one in
-// 2^32, the later one takes the next free id; routers may then differ, and no rule depends on it.
+// assignID returns the id of a name with a build, and the owner of the id. If two owners have the same hash, which has a
+// probability of 1 in 2^32, the later one gets the next free id. Routers may then use different ids; no rule depends on that.
 func (t *hostTable) assignID(e Endpoint) (id uint32, owner string) {
 	owner = e.ID + " " + strconv.Itoa(e.Build)
 	id = uint32(xxhash.Sum64String(owner))
@@ -130,7 +131,8 @@
 	return id, owner
 }
 
-// idAt is the id that a name stood for at a time; the earliest one kept for an earlier time.
+// idAt returns the id that a name referred to at a time. For a time before the oldest retained incarnation it returns the id
+// of that incarnation.
 func (t *hostTable) idAt(name string, at time.Time) (uint32, bool) {
 	n := t.names[name]
 	if n == nil || len(n.incarnations) == 0 {
--- a/internal/discovery/list.go
+++ b/internal/discovery/list.go
@@ -12,8 +12,8 @@
 	"dapplefront/router"
 )
 
-// EndpointList is a message of discovery: the whole endpoint list or what changed since an earlier revision. Its JSON
-// names are those of "Discovery" in the operators' protocol page.
+// EndpointList is a message of discovery: the whole endpoint list or the changes since an earlier revision. Its JSON names
+// are those of "Discovery" in the operators' protocol page.
 type EndpointList struct {
 	Revision  int64      `json:"revision"`
 	Complete  bool       `json:"complete"`
@@ -22,7 +22,7 @@
 
 // Endpoint is one entry of a list.
 type Endpoint struct {
-	ID          string  `json:"id"` // the name that all routers know the host by
+	ID          string  `json:"id"` // the name by which all routers identify the host
 	Address     string  `json:"host_port"`
 	Zone        string  `json:"locality"`
 	Cell        int     `json:"cell"`
@@ -39,14 +39,14 @@
 	phaseRemoved  = "removed" // among changes only
 )
 
-// endpointStates maps the phases of the protocol to the router's terms.
+// endpointStates maps the phases of the protocol to endpoint states of the policy.
 var endpointStates = map[string]policy.EndpointState{
 	phaseUp:       policy.Serving,
 	phaseDraining: policy.Draining,
 	phaseRemoved:  policy.Removed,
 }
 
-// Check returns an error that names the first invalid field; nil for a valid list.
+// Check returns an error that names the first invalid field, or nil if the list is valid.
 func (l EndpointList) Check() error {
 	if l.Revision < 0 {
 		return fmt.Errorf("revision: %d can't be", l.Revision)
@@ -68,7 +68,7 @@
 	return nil
 }
 
-// decodeList reads and checks one message of a watch, which has all three fields.
+// decodeList decodes and checks one message of a watch. All three fields must be present.
 func decodeList(text json.RawMessage) (EndpointList, error) {
 	var message struct {
 		Revision  *int64     `json:"revision"`
@@ -85,7 +85,7 @@
 	return l, l.Check()
 }
 
-// host is the endpoint in the router's terms, under the id of its incarnation.
+// host returns the endpoint as a host of the router, with the id of its incarnation.
 func (e Endpoint) host(id uint32) eds.Host {
 	const ticksPerMillisecond = 10
 	return eds.Host{Address: e.Address, Host: router.Host{ID: id, Zone: e.Zone, Cell: e.Cell, State: endpointStates[e.Phase],
--- a/internal/discovery/watch.go
+++ b/internal/discovery/watch.go
@@ -1,9 +1,9 @@
-// Package discovery follows the endpoint list of the operators' platform: a watch over HTTP whose response stays open and
-// carries a JSON object for each change. It reports the same events as package eds does for xDS. A message that can't be
-// read changes nothing and ends the watch; when to start it again is the caller's decision.
+// Package discovery watches the endpoint list of the operators' platform through HTTP: the response stays open and carries a
+// JSON object for each change. It reports the same events as package eds does for xDS. A message that can't be decoded
+// changes nothing and ends the watch; the caller decides when to start it again.
 //
-// The platform names endpoints by strings, the router by 32-bit ids. An id is a hash of the name and the build that runs
-// there, so that all routers use the same one, and a name that returns with another build is another host.
+// The platform identifies endpoints by strings, the router by 32-bit ids. An id is a hash of the name and of the build that
+// the host runs. All routers therefore use the same id, and a name that returns with another build is another host.
 package discovery
 
 import (
@@ -18,19 +18,20 @@
 	"dapplefront/internal/jsonstream"
 )
 
-// Times within which an idle watch has to be replaced. The platform counts what an idle watch misses as told after
-// countsAsToldAfter: until then the silence has to be noticed, the backoff has to end and a new watch to respond.
+// Times within which an idle watch must be replaced. After assumedReceivedAfter, the platform assumes that routers have
+// received a change, even if an idle watch missed it. Within that time the router must detect that the watch is idle, the
+// backoff must end and a new watch must respond.
 const (
-	countsAsToldAfter = 6 * time.Second // protocol page, "Figures"
-	keepAliveInterval = 2 * time.Second // protocol page, "Discovery": an empty line at least this often
-	idleTimeout       = keepAliveInterval * 3 / 2
-	maxFirstBackoff   = 750 * time.Millisecond // of the policy, after a first failure
+	assumedReceivedAfter = 6 * time.Second // protocol page, "Figures"
+	keepAliveInterval    = 2 * time.Second // protocol page, "Discovery": an empty line at least this often
+	idleTimeout          = keepAliveInterval * 3 / 2
+	maxFirstBackoff      = 750 * time.Millisecond // of the policy, after a first failure
 )
 
-// WatchTimeouts are the times that a watch may be silent.
-var WatchTimeouts = jsonstream.Timeouts{FirstValue: countsAsToldAfter - idleTimeout - maxFirstBackoff, Idle: idleTimeout}
+// WatchTimeouts are the maximum times for which a watch may receive nothing.
+var WatchTimeouts = jsonstream.Timeouts{FirstValue: assumedReceivedAfter - idleTimeout - maxFirstBackoff, Idle: idleTimeout}
 
-// Watch follows one discovery service. It is safe for concurrent use.
+// Watch watches the endpoint list of one discovery service. It is safe for concurrent use.
 type Watch struct {
 	handler eds.Handler
 	stream  *jsonstream.Stream
@@ -40,7 +41,7 @@
 	hosts    hostTable
 }
 
-// Open prepares a watch that starts from a list known from earlier, and returns the hosts of that list. Ask starts it.
+// Open prepares a watch that starts from a previously known list, and returns the hosts of that list. Ask starts the watch.
 func Open(address string, known EndpointList, handler eds.Handler) (*Watch, []eds.Host) {
 	w := &Watch{handler: handler, hosts: newHostTable()}
 	w.stream = jsonstream.New(address, WatchTimeouts, jsonstream.Handler{Open: w.openWatch, Ended: func(err error) {
@@ -53,29 +54,29 @@
 	return w, w.apply(known)
 }
 
-// Ask starts the watch. While one is open it does nothing.
+// Ask starts the watch. It does nothing while one is open.
 func (w *Watch) Ask() { w.stream.Open() }
 
-// SetAddress watches another address at once. The old watch is read until the new one has responded.
+// SetAddress starts to watch another address immediately. The old watch is read until the new one has responded.
 func (w *Watch) SetAddress(address string) { w.stream.SetAddress(address) }
 
-// Address is the address watched.
+// Address returns the address that is watched.
 func (w *Watch) Address() string { return w.stream.Address() }
 
 // Attempted reports whether a first watch has responded or failed.
 func (w *Watch) Attempted() bool { return w.stream.Attempted() }
 
-// Close ends the watch for good and waits until the handler is called no more.
+// Close ends the watch permanently. After it returns, the handler is not called any more.
 func (w *Watch) Close() { w.stream.Close() }
 
-// HostID is the id that an endpoint's name stood for at a time; false for an unknown name.
+// HostID returns the id that an endpoint's name referred to at a time, and false if the name is unknown.
 func (w *Watch) HostID(name string, at time.Time) (uint32, bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.hosts.idAt(name, at)
 }
 
-// openWatch is the request for a watch from the last revision, and the handler of its messages.
+// openWatch returns the path of the request for a watch from the last revision, and the handler of its messages.
 func (w *Watch) openWatch() (path string, handle func(json.RawMessage) error) {
 	w.mu.Lock()
 	from := w.revision
@@ -84,13 +85,13 @@
 	return "/v1/endpoints?watch=1&from=" + strconv.FormatInt(from, 10), func(text json.RawMessage) error {
 		l, err := decodeList(text)
 		if err != nil {
-			err = fmt.Errorf("the list can't be read: %w", err)
+			err = fmt.Errorf("endpoint list can't be decoded: %w", err)
 			w.handler.Rejected(err)
 			return err
 		}
 		stale := w.isStale(l, first, from)
 		if first = false; stale {
-			w.handler.Updated(false, nil) // nothing new, but discovery can be reached
+			w.handler.Updated(false, nil) // no changes, but discovery is reachable
 		} else {
 			w.handler.Updated(l.Complete, w.apply(l))
 		}
@@ -98,9 +99,9 @@
 	}
 }
 
-// isStale reports whether a list is older than what has been applied: two watches may send the same while one replaces
-// the other, and a list may arrive late. The exception is a complete list that answers a watch with an earlier revision
-// than the watch asked for: discovery has started to count anew.
+// isStale reports whether a list is older than what has been applied: two watches may send the same list while one replaces
+// the other, and a list may arrive late. The exception is a complete list that answers a watch with an earlier revision than
+// the watch asked for. It shows that discovery has restarted its count of revisions.
 func (w *Watch) isStale(l EndpointList, first bool, from int64) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -111,7 +112,7 @@
 	return l.Revision <= w.revision && w.revision > 0
 }
 
-// apply takes a list in and returns the hosts that it changes.
+// apply applies a list and returns the hosts that it changes.
 func (w *Watch) apply(l EndpointList) []eds.Host {
 	w.mu.Lock()
 	defer w.mu.Unlock()
