--- a/policy/evidence.go
+++ b/policy/evidence.go
@@ -69,13 +69,13 @@
 func (p buildPair) strataByPeriod(class *Class) (strata []stratum) {
 	failures, attempts, _ := sumStats(p.baseline, class)
 	all := stratum{failures: 0.5 + failures, attempts: 1 + attempts}
-	of := func(x BuildStats) stratum {
+	toStratum := func(x BuildStats) stratum {
 		return stratum{failures: float64(x.Failures), attempts: float64(x.Samples)}
 	}
 	for _, x := range p.canary {
 		if x.Class == class {
-			period := of(x)
-			period.expectedRate = of(samePeriod(x, p.baseline)).failureRate(all)
+			period := toStratum(x)
+			period.expectedRate = toStratum(samePeriod(x, p.baseline)).failureRate(all)
 			strata = append(strata, period)
 		}
 	}
--- a/policy/stats.go
+++ b/policy/stats.go
@@ -141,9 +141,9 @@
 	return gap
 }
 
-// logLatencyGapToPast returns the log of the factor by which successful attempts at a build, in the reports after one point in
-// time, took longer than those at a past build in the reports until another. n is the number of the build's successful
-// attempts that this is based on. If class is not nil, only its reports count.
+// logLatencyGapToPast returns the log of the factor by which successful attempts at build took longer than those at
+// pastBuild. It compares the reports on build received after the time after with those on pastBuild received up to pastUntil.
+// n is the number of successful attempts at build that this is based on. If class is not nil, only its reports count.
 func (a *analysisState) logLatencyGapToPast(class *Class, pastBuild, build int, pastUntil, after Time) (gap, n float64) {
 	for _, x := range a.stats {
 		if x.Build != build || x.MeanLatency <= 0 || x.receivedAt <= after || class != nil && x.Class != class {
@@ -171,8 +171,8 @@
 	return stratum{failures: failures, attempts: attempts}.failureRate(stratum{failures: 0.5, attempts: 0.5 / usualRate})
 }
 
-// countedFailureEvidence returns the odds that the canary fails a class more often than the baseline, by the reports from
-// when enough hosts ran the canary. It is for a router that makes few attempts of its own for classes that are not idempotent.
+// countedFailureEvidence returns the odds that the canary fails a class more often than the baseline. It uses the reports from
+// times when enough hosts ran the canary, for a router with few attempts of its own for classes that are not idempotent.
 // Because reports don't distinguish hosts, only gaps far larger than one failing host would cause count.
 func (r *Router) countedFailureEvidence(class *Class, canary, baseline int) float64 {
 	const minHosts, minRate = 4, 0.1
