--- a/internal/proxy/attempt.go
+++ b/internal/proxy/attempt.go
@@ -16,11 +16,11 @@
 )
 
 const (
-	headCapacity        = 512 // bytes reserved for the common head of a request's attempts
-	attemptHeadCapacity = 96  // and for what each attempt adds to it
+	headCapacity        = 512 // bytes reserved for the part of the head that all attempts of a request share
+	attemptHeadCapacity = 96  // bytes reserved for what each attempt adds to it
 )
 
-// sendAttempt sends a request to a host.
+// sendAttempt starts an attempt of a request on a host.
 func (p *Proxy) sendAttempt(r *request, a router.Action) {
 	m := r.downstream.Message
 	if r.commonHead == nil {
@@ -43,7 +43,8 @@
 		func(result upstream.Result) { p.attemptEnded(r, number, host, result) }))
 }
 
-// attemptEnded reports the end of an attempt to the router. The first that succeeds gives the client its response.
+// attemptEnded reports the result of an attempt to the router. The first attempt that succeeds provides the client's
+// response.
 func (p *Proxy) attemptEnded(r *request, number int, host uint32, result upstream.Result) {
 	r.outstanding--
 	r.timedOut = result.Outcome == policy.TimedOut
@@ -69,7 +70,8 @@
 	p.forget(r)
 }
 
-// requestHead is what the heads of a request's attempts have in common: all but the attempt's number and its timeout.
+// requestHead returns the part of the head that all attempts of a request share: everything except the attempt's number
+// and its timeout.
 func (p *Proxy) requestHead(m *http1.Message, d *downstream.Request) []byte {
 	b := make([]byte, 0, headCapacity)
 	b = append(b, m.Method...)
@@ -100,7 +102,7 @@
 	return b
 }
 
-// isOwnHeader reports whether a router sets a header itself on its way to a host, whatever the client sent.
+// isOwnHeader reports whether the router sets a header of forwarded requests itself. The client's value is not forwarded.
 func (p *Proxy) isOwnHeader(name string) bool {
 	for _, own := range [...]string{p.protocol.Timeout, p.protocol.Attempt, p.protocol.Router, p.protocol.Class} {
 		if len(name) == len(own) && strings.EqualFold(name, own) {
@@ -110,7 +112,7 @@
 	return false
 }
 
-// checkHealth sends a health check to a host, where the configuration names a path for it. The result counts for no
+// checkHealth sends a health check to a host, if a path is configured for it. The result does not count toward any
 // request.
 func (p *Proxy) checkHealth(host uint32) {
 	check := p.config.HealthCheck
--- a/internal/proxy/attempt_test.go
+++ b/internal/proxy/attempt_test.go
@@ -31,8 +31,8 @@
 }
 
 func TestProxy_FailsNonIdempotentRequestWhenConnectionIsLost(t *testing.T) {
-	cut := func(x exchange) bool { return false }
-	a, b := startHost(t, 1, 1, cut), startHost(t, 2, 1, cut)
+	disconnect := func(x exchange) bool { return false }
+	a, b := startHost(t, 1, 1, disconnect), startHost(t, 2, 1, disconnect)
 	r := newTestbench(t, a, b)
 	c := r.dial()
 	c.post("/transfer", "")
@@ -58,7 +58,7 @@
 	h := startHost(t, 1, 1, func(x exchange) bool {
 		ran.Add(1)
 		respondOK(x)
-		time.Sleep(time.Duration(x.requestNumber%4) * 300 * time.Microsecond) // closes at about when the next request is written
+		time.Sleep(time.Duration(x.requestNumber%4) * 300 * time.Microsecond) // the close and the write of the next request nearly coincide
 		return false
 	})
 	r := newTestbench(t, h)
@@ -69,15 +69,15 @@
 		switch _, outcome, _ := c.response(); outcome {
 		case "finished":
 			succeeded.Add(1)
-		case "scrapped": // the host closed after the kernel had taken the request: it may have run
+		case "scrapped": // the host closed the connection after the kernel had accepted the request, which may have run
 			failed.Add(1)
 		default:
 			t.Fatalf("outcome %q", outcome)
 		}
 	}
 	r.waitIdle()
-	require.Equal(t, succeeded.Load(), ran.Load(), "each that ran was responded to, and ran once")
-	require.Greater(t, succeeded.Load(), int64(requests/2), "most closes are seen before the write")
+	require.Equal(t, succeeded.Load(), ran.Load(), "each request that ran got a response, and ran once")
+	require.Greater(t, succeeded.Load(), int64(requests/2), "most closes are detected before the write")
 }
 
 func TestProxy_RespondsOnceWhenBothHedgedAttemptsSucceed(t *testing.T) {
@@ -87,7 +87,7 @@
 			x.respond(200, "second")
 			return true
 		}
-		time.Sleep(700 * time.Millisecond) // long enough for a hedged attempt, and in time
+		time.Sleep(700 * time.Millisecond) // long enough to trigger a hedged attempt, but within the timeout
 		x.respond(200, "first")
 		return true
 	}
@@ -105,16 +105,16 @@
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	dead := startHost(t, 1, 1, respondOK)
-	_ = dead.listener.Close() // no one listens there any more
+	_ = dead.listener.Close() // connections to its address are now refused
 	_ = l.Close()
 	full := startHost(t, 2, 1, func(x exchange) bool { x.respond(503, "full", "Dapplefront-Unseen: 1"); return true })
-	well := startHost(t, 3, 1, respondOK)
-	r := newTestbench(t, dead, full, well)
+	healthy := startHost(t, 3, 1, respondOK)
+	r := newTestbench(t, dead, full, healthy)
 	c := r.dial()
 	for range 20 {
 		c.post("/transfer", "")
 		_, outcome, _ := c.response()
-		require.Equal(t, "finished", outcome, "a non-idempotent request is retried while it surely never ran")
+		require.Equal(t, "finished", outcome, "a non-idempotent request is retried as long as it certainly has not run")
 	}
 }
 
@@ -134,7 +134,7 @@
 	r.waitIdle()
 }
 
-func TestProxy_AcceptsResponseThatEndsWithItsConnection(t *testing.T) {
+func TestProxy_AcceptsResponseDelimitedByConnectionClose(t *testing.T) {
 	r := newTestbench(t, startHost(t, 1, 1, func(x exchange) bool {
 		_, _ = io.WriteString(x.conn, "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 200 \r\n\r\nto the end")
 		return false
--- a/internal/proxy/benchmark_test.go
+++ b/internal/proxy/benchmark_test.go
@@ -31,8 +31,8 @@
 	"dapplefront/policy"
 )
 
-// TestMain also runs the router, and the peer that it is compared with, as processes of their own, so that what the
-// hosts and the load cost is not counted. The environment names what to run.
+// TestMain also runs the router, the reverse proxy that it is compared with, and hosts as processes of their own, so that
+// measurements of the router leave out the hosts and the load generator. DAPPLEFRONT_BENCH selects what to run.
 func TestMain(m *testing.M) {
 	switch os.Getenv("DAPPLEFRONT_BENCH") {
 	case "router":
@@ -48,7 +48,7 @@
 			os.Exit(2)
 		}
 		fmt.Println(i.Address())
-		if file := os.Getenv("DAPPLEFRONT_PROFILE"); file != "" { // of the first seconds under load
+		if file := os.Getenv("DAPPLEFRONT_PROFILE"); file != "" { // profiles the first seconds under load
 			time.Sleep(time.Second)
 			f, err := os.Create(file)
 			if err == nil && pprof.StartCPUProfile(f) == nil {
@@ -82,7 +82,8 @@
 	}
 }
 
-// twoChoices is net/http's reverse proxy, with the less busy of two random hosts by open requests.
+// twoChoices is net/http's reverse proxy. It sends each request to the one of two random hosts with fewer requests in
+// flight.
 func twoChoices(hosts []string) http.Handler {
 	open := make([]atomic.Int64, len(hosts))
 	type at struct{}
@@ -103,7 +104,7 @@
 	})
 }
 
-// child is a router or its peer in another process.
+// child is a router, the reverse proxy that it is compared with, or a host, in another process.
 type child struct {
 	cmd     *exec.Cmd
 	address string
@@ -124,7 +125,7 @@
 	return &child{c, strings.TrimSpace(line)}
 }
 
-// cpuTime is the processor time that all its threads have used.
+// cpuTime returns the processor time that all threads of the process have used.
 func (c *child) cpuTime(b *testing.B) time.Duration {
 	b.Helper()
 	all, err := os.ReadDir(fmt.Sprintf("/proc/%d/task", c.cmd.Process.Pid))
@@ -140,7 +141,7 @@
 	return sum
 }
 
-// residentBytes is its resident size in bytes.
+// residentBytes returns the resident size of the process in bytes.
 func (c *child) residentBytes(b *testing.B) int64 {
 	b.Helper()
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", c.cmd.Process.Pid))
@@ -154,14 +155,14 @@
 	return 0
 }
 
-// startFastHosts starts hosts that answer at once, or after a while.
-func startFastHosts(b *testing.B, n int, after time.Duration) (hosts []string) {
+// startFastHosts starts n hosts that respond after a delay, which may be 0, and returns their addresses.
+func startFastHosts(b *testing.B, n int, delay time.Duration) (hosts []string) {
 	b.Helper()
 	for range n {
 		l, err := net.Listen("tcp", "127.0.0.1:0")
 		require.NoError(b, err)
 		s := &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-			time.Sleep(after)
+			time.Sleep(delay)
 			w.Header().Set("Endpoint-Load-Metrics", "TEXT named_metrics.active=1")
 			_, _ = io.WriteString(w, "right")
 		})}
@@ -208,7 +209,7 @@
 	return c
 }
 
-// runLoad sends n requests over some connections at a rate, and returns the latencies of the responses.
+// runLoad sends n requests over conns connections at a rate per second, and returns the latencies of the responses.
 func runLoad(b *testing.B, address string, n, conns int, rate float64) []time.Duration {
 	b.Helper()
 	began := time.Now()
@@ -248,7 +249,7 @@
 				if got.StatusCode != http.StatusOK {
 					bad.Add(1)
 				}
-				times[i] = time.Since(due) // from when it was due: a late start counts
+				times[i] = time.Since(due) // measured from when the request was due, so that a late start counts
 			}
 		}()
 	}
@@ -259,8 +260,9 @@
 	return times
 }
 
-// BenchmarkPeer compares the router with net/http's reverse proxy and two random choices: the same hosts, load and
-// run. It reports the processor time of a request and its share of the peer's. -benchtime 6000x sends 6000 requests each.
+// BenchmarkPeer compares the router with a peer, which is net/http's reverse proxy with two random choices. Both get the
+// same hosts and load in the same run. It reports the processor time per request, and the router's as a fraction of the
+// peer's. With -benchtime 6000x, each gets 6000 requests.
 func BenchmarkPeer(b *testing.B) {
 	for _, size := range []struct {
 		hosts, conns int
@@ -291,8 +293,9 @@
 	}
 }
 
-// BenchmarkMemory measures the resident memory of 10,000 idle connections, then of as many requests in flight as are
-// admitted of 8,000, each with a connection to a host. The hosts are processes of their own, as one may open 20,000 files.
+// BenchmarkMemory measures the resident memory of 10,000 idle connections, and then that of the requests in flight: the
+// admitted ones of 8,000, each with a connection to a host. The hosts run in processes of their own, because one process
+// may open only 20,000 files.
 func BenchmarkMemory(b *testing.B) {
 	const conns, open = 10_000, 8_000
 	var hosts []string
@@ -333,9 +336,9 @@
 	}
 	wait.Wait()
 	b.ReportMetric(float64(idle-base)/conns, "B/idle-conn")
-	// The router rejects what it takes to be too much for eight hosts; the rest was in flight when it was measured.
+	// The router rejects the requests that it considers too many for eight hosts. The others were in flight at the measurement.
 	b.ReportMetric(float64(busy-idle)/float64(max(1, responses.Load())), "B/open-task")
 	b.ReportMetric(float64(responses.Load()), "open-tasks")
-	for range b.N { // one measurement, whatever is asked for
+	for range b.N { // there is one measurement, whatever b.N is
 	}
 }
--- a/internal/proxy/config.go
+++ b/internal/proxy/config.go
@@ -8,9 +8,9 @@
 	"dapplefront/router"
 )
 
-// UpdateConfig replaces the configuration of a running router. Either all of it applies from one event to the next, or
-// the error names what can't change and nothing has changed. Requests in flight go on, and none is sent again for it.
-// After the router has been closed it returns ErrClosed.
+// UpdateConfig replaces the configuration of a running router. Either the whole configuration takes effect between two
+// events, or nothing changes and the error names what can't change. Requests in flight continue, and the change causes no
+// new attempts of them. After the router has been closed, UpdateConfig returns ErrClosed.
 func (p *Proxy) UpdateConfig(c *routerconfig.Config) error {
 	p.configMu.Lock()
 	defer p.configMu.Unlock()
@@ -43,11 +43,11 @@
 	return nil
 }
 
-// replaceGossip closes the gossip socket and opens that of another configuration. Where that fails, the socket of the
-// present configuration is opened again.
+// replaceGossip closes the gossip socket and opens the one of another configuration. If that fails, it opens the socket
+// of the present configuration again.
 func (p *Proxy) replaceGossip(c *routerconfig.Config) (*gossip.Socket, error) {
 	if p.gossip != nil {
-		p.gossip.Close() // first, as an address takes one socket; messages that come meanwhile are lost
+		p.gossip.Close() // first, because only one socket can use an address; messages that arrive in between are lost
 	}
 	socket, err := p.openGossip(c)
 	if err != nil {
@@ -58,7 +58,7 @@
 	return socket, nil
 }
 
-// openGossip opens the gossip socket of a configuration; nil where it has none.
+// openGossip opens the gossip socket of a configuration. The socket is nil if gossip is not configured.
 func (p *Proxy) openGossip(c *routerconfig.Config) (*gossip.Socket, error) {
 	if c.Gossip == nil {
 		return nil, nil
--- a/internal/proxy/config_test.go
+++ b/internal/proxy/config_test.go
@@ -24,7 +24,8 @@
 	"dapplefront/router"
 )
 
-// changedConfig is the testbench's configuration with changes to its text: extra settings, and pairs of old and new.
+// changedConfig returns the testbench's configuration with changes to its text: extra settings, and pairs of old and new
+// strings.
 func (r *testbench) changedConfig(extra string, change ...string) *routerconfig.Config {
 	text := fmt.Sprintf(configTemplate, r.config.EndpointCache, r.discovery.Address(), r.controller.URL(), extra)
 	text = strings.NewReplacer(change...).Replace(text)
@@ -79,10 +80,10 @@
 		time.Sleep(5 * time.Millisecond)
 	}
 	for range clients * each {
-		require.Contains(t, []string{"finished", "turned-back"}, <-outcomes) // each has one response
+		require.Contains(t, []string{"finished", "turned-back"}, <-outcomes) // each request gets one response
 	}
 	r.waitIdle()
-	require.Equal(t, succeeded.Load(), ran.Load(), "each non-idempotent request that succeeded ran once, others never")
+	require.Equal(t, succeeded.Load(), ran.Load(), "each non-idempotent request that succeeded ran once, and no other ran")
 	require.Positive(t, succeeded.Load())
 	require.NoError(t, r.router.UpdateConfig(changed))
 	r.router.loop.Do(func() {
@@ -93,7 +94,7 @@
 	r.router.loop.Do(func() { require.Nil(t, r.router.gossip) })
 }
 
-func TestProxy_RefusesConfigThatRunningRouterCannotTake(t *testing.T) {
+func TestProxy_RefusesConfigThatRunningRouterCannotApply(t *testing.T) {
 	r := newTestbench(t, startHost(t, 1, 1, respondOK))
 	original := r.config
 	err := r.router.UpdateConfig(r.changedConfig("two-at-once = off", "location = here", "location = there",
@@ -101,10 +102,10 @@
 	for _, what := range []string{"location", "category transfer", "[hosts]"} {
 		require.ErrorContains(t, err, what)
 	}
-	taken, err := net.ListenPacket("udp", "127.0.0.1:0") // an address that is in use
+	occupied, err := net.ListenPacket("udp", "127.0.0.1:0") // its address is in use
 	require.NoError(t, err)
-	defer func() { _ = taken.Close() }()
-	err = r.router.UpdateConfig(r.changedConfig("[peers]\naddresses = " + taken.LocalAddr().String()))
+	defer func() { _ = occupied.Close() }()
+	err = r.router.UpdateConfig(r.changedConfig("[peers]\naddresses = " + occupied.LocalAddr().String()))
 	require.ErrorContains(t, err, "peers")
 	require.Same(t, original, r.router.config)
 	r.router.loop.Do(func() { require.Nil(t, r.router.gossip) })
@@ -114,7 +115,7 @@
 	require.Equal(t, "finished", outcome)
 }
 
-func TestProxy_CarriesGossipAndHealthChecks(t *testing.T) {
+func TestProxy_ExchangesGossipAndSendsHealthChecks(t *testing.T) {
 	probed := make(chan string, 8)
 	h := startHost(t, 1, 1, func(x exchange) bool {
 		if x.Method == http.MethodGet {
@@ -140,7 +141,7 @@
 	require.Equal(t, "/probe", <-probed)
 	b := make([]byte, 300)
 	_ = peer.SetReadDeadline(time.Now().Add(10 * time.Second))
-	for string(b[:4]) != "word" { // the router's own messages may come first
+	for string(b[:4]) != "word" { // the router's own gossip may arrive first
 		_, _, err = peer.ReadFrom(b)
 		require.NoError(t, err)
 	}
@@ -153,10 +154,10 @@
 	c := r.dial()
 	c.post("/quote", "")
 	_, outcome, _ := c.response()
-	require.Equal(t, "finished", outcome, "gossip that can't be read does no harm")
+	require.Equal(t, "finished", outcome, "invalid gossip has no effect on requests")
 }
 
-func TestConfig_NamesMistakesInHealthCheckAndGossipSections(t *testing.T) {
+func TestConfig_ReportsErrorsInHealthCheckAndGossipSections(t *testing.T) {
 	s := inifile.Parse("f", fmt.Sprintf(configTemplate, "l", "127.0.0.1:1", "http://127.0.0.1:2", `
 [probes]
 path = probe
@@ -171,14 +172,14 @@
 	}
 }
 
-// noDiscovery is a watch that never tells anything.
+// noDiscovery is a watch that never delivers endpoints.
 type noDiscovery struct{}
 
 func (noDiscovery) Ask()   {}
 func (noDiscovery) Close() {}
 
-// Guards against sockets and goroutines that stay when a router can't start because of its release client.
-func TestStartWith_LeavesNothingWhenReleaseClientCannotBeOpened(t *testing.T) {
+// Guards against sockets and goroutines that leak when a router can't start because its release client fails to open.
+func TestStartWith_ReleasesResourcesWhenReleaseClientFailsToOpen(t *testing.T) {
 	port, err := net.ListenPacket("udp", "127.0.0.1:0")
 	require.NoError(t, err)
 	own := port.LocalAddr().String()
@@ -197,7 +198,7 @@
 	require.NoError(t, err, "the gossip socket is closed")
 	require.NoError(t, again.Close())
 	for end := time.Now().Add(5 * time.Second); runtime.NumGoroutine() > goroutines && time.Now().Before(end); {
-		time.Sleep(time.Millisecond) // not by require.Eventually, which has a goroutine of its own
+		time.Sleep(time.Millisecond) // require.Eventually can't be used here, as it starts a goroutine of its own
 	}
 	require.LessOrEqual(t, runtime.NumGoroutine(), goroutines)
 }
--- a/internal/proxy/endpoints.go
+++ b/internal/proxy/endpoints.go
@@ -6,7 +6,7 @@
 	"dapplefront/router"
 )
 
-// endpointsChanged takes over an endpoint list, or changes to it where it is not complete.
+// endpointsChanged applies a complete endpoint list, or only the changes to it if complete is false.
 func (p *Proxy) endpointsChanged(complete bool, hosts []eds.Host) {
 	list := make([]router.Host, len(hosts))
 	listed := make(map[uint32]bool, len(hosts))
@@ -31,14 +31,14 @@
 	for id, h := range p.endpoints {
 		if h.State != policy.Removed {
 			current = append(current, h)
-		} else if p.faults == nil { // a fault injector may send to removed hosts
+		} else if p.faults == nil { // a fault injector may send attempts to removed hosts
 			delete(p.endpoints, id)
 		}
 	}
 	p.cacheEndpoints(current)
 }
 
-// loadEndpointCache starts from the endpoint list that an earlier process cached, if there is one.
+// loadEndpointCache applies the endpoint list that an earlier process cached, if there is one.
 func (p *Proxy) loadEndpointCache() {
 	if p.config.EndpointCache == "" {
 		return
@@ -52,7 +52,7 @@
 	}
 }
 
-// cacheEndpoints hands a list to the cache's writer, in place of an older one that still waits.
+// cacheEndpoints passes a list to the cache's writer. It replaces an older list that is still waiting to be written.
 func (p *Proxy) cacheEndpoints(hosts []eds.Host) {
 	if p.config.EndpointCache == "" {
 		return
--- a/internal/proxy/endpoints_test.go
+++ b/internal/proxy/endpoints_test.go
@@ -11,26 +11,26 @@
 	"dapplefront/release"
 )
 
-func TestProxy_FinishesAttemptAndSendsNoMoreWhenHostStartsDraining(t *testing.T) {
-	arriving, drainKnown := make(chan bool, 1), make(chan bool)
+func TestProxy_CompletesAttemptAndStartsNoMoreWhenHostStartsDraining(t *testing.T) {
+	arrived, drainingKnown := make(chan bool, 1), make(chan bool)
 	slow := startHost(t, 1, 1, func(x exchange) bool {
 		if x.requestNumber == 1 {
-			arriving <- true
-			<-drainKnown
+			arrived <- true
+			<-drainingKnown
 		}
 		return respondOK(x)
 	})
 	r := newTestbench(t, slow)
 	c := r.dial()
 	c.write("POST /quote HTTP/1.1\r\nHost: r\r\nDapplefront-Patience: 1s\r\nContent-Length: 60000\r\n\r\n" + strings.Repeat("x", 60000))
-	<-arriving
+	<-arrived
 	r.setEndpoint(slow, policy.Draining)
 	r.eventually(func() bool {
 		s := policy.Serving
 		r.router.loop.Do(func() { s = r.router.endpoints[1].State })
 		return s == policy.Draining
 	})
-	close(drainKnown)
+	close(drainingKnown)
 	_, outcome, _ := c.response()
 	require.Equal(t, "finished", outcome)
 	time.Sleep(300 * time.Millisecond)
@@ -43,9 +43,9 @@
 }
 
 func TestProxy_RespondsOnceToRequestsInFlightDuringRollback(t *testing.T) {
-	held := make(chan bool, 8)
+	received := make(chan bool, 8)
 	r := newTestbench(t, startHost(t, 1, 1, respondOK), startHost(t, 2, 2, func(x exchange) bool {
-		held <- true
+		received <- true
 		time.Sleep(200 * time.Millisecond)
 		return respondOK(x)
 	}))
@@ -56,15 +56,15 @@
 	require.Equal(t, policy.Released, r.controller.Status().Phase)
 	time.Sleep(200 * time.Millisecond)
 	var clients []*client
-	for range 2 { // as many as there are hosts: no overload
+	for range 2 { // one for each host, so that none is overloaded
 		c := r.dial()
 		c.post("/transfer", "")
 		clients = append(clients, c)
 	}
 	select {
-	case <-held:
+	case <-received:
 	case <-time.After(5 * time.Second):
-		t.Fatal("no request went to the released build")
+		t.Fatal("no request was sent to the released build")
 	}
 	_, err := r.controller.Handle(release.RollBack{Build: 2})
 	require.NoError(t, err)
@@ -80,10 +80,10 @@
 		_, outcome, _ := clients[0].response()
 		require.Equal(t, "finished", outcome)
 	}
-	require.Equal(t, before, r.hosts[1].requests.Load(), "nothing goes to a build that is rolling back")
+	require.Equal(t, before, r.hosts[1].requests.Load(), "no attempt is sent to a build that is being rolled back")
 }
 
-func TestProxy_RestartsFromCachedEndpointsAfterKill(t *testing.T) {
+func TestProxy_RestartsFromCachedEndpointsWhileDiscoveryIsDown(t *testing.T) {
 	h := startHost(t, 1, 1, func(x exchange) bool {
 		if x.requestNumber == 1 {
 			time.Sleep(300 * time.Millisecond)
@@ -104,7 +104,7 @@
 	require.Equal(t, "finished", outcome)
 }
 
-func TestProxy_RejectsAtOnceWhenEndpointListEmpties(t *testing.T) {
+func TestProxy_RejectsImmediatelyWhenEndpointListBecomesEmpty(t *testing.T) {
 	r := newTestbench(t, startHost(t, 1, 1, respondOK))
 	r.discovery.Clear()
 	r.eventually(func() bool {
--- a/internal/proxy/events.go
+++ b/internal/proxy/events.go
@@ -8,15 +8,15 @@
 	"dapplefront/router"
 )
 
-// postEvent queues an event from outside the loop.
+// postEvent has the loop handle an event. It is called from outside the loop.
 func (p *Proxy) postEvent(e router.Event) { p.loop.Post(func() { p.handleEvent(e) }) }
 
-// handleEvent handles an event whose error has no one to go to; handle has logged it.
+// handleEvent handles an event for a caller that has no use for the error; handle has logged it.
 func (p *Proxy) handleEvent(e router.Event) { _ = p.handle(e) }
 
-// handle hands events to the router one after the other, also those that their actions bring about, and carries out
-// the actions. It returns the router's errors, which are logged already. An event that comes while another one is
-// handled is queued, and handle returns nil.
+// handle passes an event to the router and carries out the actions. It then does the same with the events that those
+// actions caused, one after the other. It returns the router's errors, which are already logged. If another event is
+// being handled, handle queues the event and returns nil.
 func (p *Proxy) handle(e router.Event) (err error) {
 	p.events = append(p.events, e)
 	if p.handling {
@@ -45,14 +45,14 @@
 	return err
 }
 
-// logRecordError logs that an event could not be recorded; nil for no error.
+// logRecordError logs that an event could not be recorded, unless err is nil.
 func (p *Proxy) logRecordError(err error) {
 	if err != nil {
-		p.log.Error("an event is not recorded", "error", err)
+		p.log.Error("failed to record an event", "error", err)
 	}
 }
 
-// execute carries out actions in order. Those of a request that is forgotten already are dropped.
+// execute carries out actions in order. It skips those for requests that have already been removed.
 func (p *Proxy) execute(actions []router.Action) {
 	for _, a := range actions {
 		switch a.Kind {
--- a/internal/proxy/protocols.go
+++ b/internal/proxy/protocols.go
@@ -19,25 +19,25 @@
 
 // ReleaseClient is the connection to the release controllers.
 type ReleaseClient interface {
-	// Vote casts a vote; done is called with the answer.
+	// Vote casts a vote; done is called with the release status in the response.
 	Vote(build, stage int, choice policy.VoteChoice, done func(policy.ReleaseStatus))
-	// Report tells how many requests of a build had each outcome since the last report.
+	// Report reports how many requests of a build had each outcome since the last report.
 	Report(build int, outcomes map[string]int)
-	// AcknowledgePlan tells that a version of a plan is followed, or rejected for a reason.
+	// AcknowledgePlan reports that a version of a plan is followed, or is rejected if reason is not empty.
 	AcknowledgePlan(version uint64, reason string)
 	Close()
 }
 
-// Protocols open the connections to endpoint discovery and the release controllers.
+// Protocols contains the functions that open the connections to endpoint discovery and the release controllers.
 type Protocols struct {
-	// Discovery opens the watch; known are endpoints that are known before its first answer.
+	// Discovery opens the watch; known are the endpoints that are known before its first response.
 	Discovery         func(eds.Handler) (_ Discovery, known []eds.Host, _ error)
 	ReleaseController func(controlclient.Handler) (ReleaseClient, error)
-	// Ready reports whether the readiness path answers 200; nil for always.
+	// Ready reports whether the readiness path responds with 200; if it is nil, the path always does.
 	Ready func() bool
 }
 
-// defaultProtocols are this project's own protocols.
+// defaultProtocols returns this project's own protocols.
 func defaultProtocols(c *routerconfig.Config) Protocols {
 	return Protocols{
 		Discovery: func(handler eds.Handler) (Discovery, []eds.Host, error) {
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -1,9 +1,9 @@
-// Package proxy runs one router: it connects the router package, which makes all decisions, to sockets. What happens
-// at the clients, the hosts, endpoint discovery and the release controllers becomes an event; the actions that the
-// router answers with are carried out here.
+// Package proxy runs one router. It connects the router package, which makes all decisions, to sockets: input from
+// clients, hosts, endpoint discovery and the release controllers becomes events, and the actions that the router
+// package returns for each event are carried out here.
 //
-// The state of a Proxy is read and changed from the work of its event loop only, but for what the field
-// comments say otherwise. One event is handled at a time, and its actions are carried out in order before the next.
+// Unless a field's comment says otherwise, the state of a Proxy is read and changed only by work on its event loop. The
+// proxy handles one event at a time and carries out its actions in order before it handles the next one.
 package proxy
 
 import (
@@ -28,13 +28,14 @@
 	"dapplefront/router"
 )
 
-// ErrClosed is the error of an operation on a proxy that has been shut down.
+// ErrClosed is returned by operations on a proxy that has been closed.
 var ErrClosed = errors.New("the proxy is closed")
 
-// FaultInjector changes what a router does, so that tests can show that their checks find a faulty router. A daemon
-// has none.
+// FaultInjector changes what a router does, so that tests can show that their checks detect a faulty router. A daemon
+// runs without one.
 type FaultInjector interface {
-	// Actions may change the actions that follow an event; hosts are all that were ever listed.
+	// Actions returns the actions that are carried out in place of those that the router returned for an event. hosts
+	// contains every host that was ever listed.
 	Actions(now policy.Time, e router.Event, actions []router.Action, hosts map[uint32]eds.Host) []router.Action
 	// Silent reports whether the final response to a request is withheld from its client.
 	Silent(requestID string) bool
@@ -51,34 +52,35 @@
 	budget   *http1.Budget
 	address  net.Addr
 	protocol *upstream.Protocol
-	faults   FaultInjector  // nil for none
-	records  *record.Writer // nil for none
+	faults   FaultInjector  // nil if no faults are injected
+	records  *record.Writer // nil if events are not recorded
 
 	discovery Discovery
 	releases  ReleaseClient
 
-	configMu sync.Mutex // held during a change of configuration, and while gossip is closed for good
+	configMu sync.Mutex // held while the configuration changes, and while gossip is closed permanently
 	config   *routerconfig.Config
-	gossip   *gossip.Socket // nil for none
+	gossip   *gossip.Socket // nil if gossip is not configured
 
-	events       []router.Event // queued while another one is handled
+	events       []router.Event // queued while another event is handled
 	handling     bool
-	actionBuffer []router.Action // reused from event to event
+	actionBuffer []router.Action // reused for each event
 
 	requests      map[string]*request
 	lastRequestID uint64
 	counts        Counts
-	lateResponses uint64                 // of any outcome, after their request's deadline by the loop's clock
-	latestBuild   int                    // build of the last release status
+	lateResponses uint64                 // with any outcome, sent after the request's deadline by the loop's clock
+	latestBuild   int                    // build in the latest release status
 	outcomes      map[int]map[string]int // requests by build and outcome since the last report
 
 	endpoints        map[uint32]eds.Host
-	initialEndpoints []eds.Host // known before discovery's first answer
+	initialEndpoints []eds.Host // known before discovery's first response
 	cacheUpdates     chan []eds.Host
 	cacheWriterDone  chan struct{}
 }
 
-// Counts is what a proxy has done since it started. The JSON names are those of a scenario's report.
+// Counts contains the numbers of requests and attempts since a proxy started. The JSON names are those of a scenario's
+// report.
 type Counts struct {
 	Received       uint64 `json:"Taken"`
 	Succeeded      uint64 `json:"Finished"`
@@ -89,19 +91,19 @@
 	ShadowAttempts uint64 `json:"Copies"`
 }
 
-// Start starts a router that reaches discovery and the controllers by this project's own protocols; it listens when
-// Start returns. faults is nil but in tests.
+// Start starts a router that uses this project's own protocols for discovery and the controllers. The router is
+// listening when Start returns. faults is nil except in tests.
 func Start(c *routerconfig.Config, log *slog.Logger, faults FaultInjector) (*Proxy, error) {
 	return StartWith(defaultProtocols(c), c, log, faults)
 }
 
-// StartWith starts a router that reaches discovery and the controllers by the protocols given; it listens when StartWith
-// returns. Errors name the router.
+// StartWith starts a router that uses the given protocols for discovery and the controllers. The router is listening when
+// StartWith returns. Errors contain the router's name.
 func StartWith(protocols Protocols, c *routerconfig.Config, log *slog.Logger, faults FaultInjector) (_ *Proxy, err error) {
 	p := &Proxy{config: c, log: log.With("router", c.Name), loop: eventloop.New(), faults: faults, requests: map[string]*request{},
 		endpoints: map[uint32]eds.Host{}, outcomes: map[int]map[string]int{}, budget: http1.NewBudget(int64(c.MaxBodyBytes)),
 		cacheUpdates: make(chan []eds.Host, 1), cacheWriterDone: make(chan struct{}), protocol: c.Upstream.ProtocolOrDefault()}
-	var closers []func() // of what is open already, closed in reverse order after an error
+	var closers []func() // close what has been opened so far; called in reverse order after an error
 	defer func() {
 		if err != nil {
 			for _, closeFn := range slices.Backward(closers) {
@@ -135,7 +137,7 @@
 	go p.writeEndpointCache(c.EndpointCache)
 	closers = append(closers, p.stopCacheWriter)
 	p.loop.Do(p.startRouter)
-	closers = append(closers, p.loop.Close) // before the others, as its work uses them
+	closers = append(closers, p.loop.Close) // closed before the others, because work on the loop uses them
 	if p.releases, err = protocols.ReleaseController(p.releaseHandler()); err != nil {
 		return nil, err
 	}
@@ -167,7 +169,7 @@
 	}
 }
 
-// startRouter makes the router and gives it the endpoints that are known from before.
+// startRouter creates the router and passes it the endpoints that are known before discovery's first response.
 func (p *Proxy) startRouter() {
 	c := p.config
 	p.pool = upstream.NewPool(p.loop, p.engine, c.Upstream, p.budget)
@@ -186,22 +188,22 @@
 		p.initialEndpoints = nil
 	}
 	p.execute(actions)
-	if config.Limits.PushedDiscovery { // the router doesn't ask for what is pushed, but the stream must be opened
+	if config.Limits.PushedDiscovery { // the router does not poll a pushed list, but the stream must be opened
 		p.discovery.Ask()
 	}
 }
 
-// Address is where the router listens.
+// Address returns the address that the router listens on.
 func (p *Proxy) Address() net.Addr { return p.address }
 
-// Counts is what the router has done so far; zero once it is closed.
+// Counts returns the numbers of requests and attempts so far; all are 0 once the router is closed.
 func (p *Proxy) Counts() (c Counts) {
 	p.loop.Do(func() { c = p.counts })
 	return c
 }
 
-// LoopStats is how late and how long the work of the router's event loop was so far. It may be called while the router
-// runs, and after Close has returned.
+// LoopStats returns the delays and run times of the event loop's work so far. It may be called while the router runs, and
+// after Close has returned.
 func (p *Proxy) LoopStats() (s eventloop.Stats) {
 	if !p.loop.Do(func() { s = p.loop.Stats() }) {
 		s = p.loop.Stats()
@@ -209,15 +211,15 @@
 	return s
 }
 
-// LateResponses is how many responses of any outcome came after their request's deadline, by the router's clock; 0 once it
-// is closed.
+// LateResponses returns how many responses, with any outcome, were sent after their request's deadline by the router's
+// clock; 0 once the router is closed.
 func (p *Proxy) LateResponses() (n uint64) {
 	p.loop.Do(func() { n = p.lateResponses })
 	return n
 }
 
-// InFlight returns how many requests wait for a response, how many client and upstream connections are open, and how
-// many bytes of bodies are held.
+// InFlight returns how many requests are waiting for a response, how many client and upstream connections are open, and
+// how many bytes message bodies hold.
 func (p *Proxy) InFlight() (requests, clients, upstreams int, bytes int64) {
 	p.loop.Do(func() {
 		requests, clients, upstreams = p.server.Open(), p.server.Connections(), p.pool.Connections()
--- a/internal/proxy/reporting.go
+++ b/internal/proxy/reporting.go
@@ -7,14 +7,14 @@
 	"dapplefront/router"
 )
 
-// The outcomes of requests as reports to the controllers name them. The names are part of the protocol.
+// Names of the outcomes of requests in reports to the controllers. They are part of the protocol.
 const (
 	reportedSucceeded = "finished"
 	reportedRejected  = "turned back"
 	reportedFailed    = "scrapped"
 )
 
-// ticksPerMs is how many units of policy.Time make a millisecond.
+// ticksPerMs is the number of units of policy.Time in a millisecond.
 const ticksPerMs = policy.Second / 1000
 
 // releaseChanged handles a release status that a controller sent.
@@ -39,7 +39,7 @@
 	p.postEvent(router.ComplaintReceived{Host: c.Host, Class: c.Class, Age: policy.Time(c.AgeMs) * ticksPerMs})
 }
 
-// planOffered handles a version of a plan; one that can't be read is rejected.
+// planOffered handles a version of a plan. It rejects a version that can't be decoded.
 func (p *Proxy) planOffered(plan api.Plan) {
 	offer, err := plan.Offered()
 	if err != nil {
@@ -50,9 +50,9 @@
 	p.postEvent(router.PlanOffered{Offer: offer})
 }
 
-// reportOutcomes reports the outcomes of requests by build to the controllers, and does so again after an interval.
+// reportOutcomes reports the outcomes of requests by build to the controllers, and schedules the next report.
 func (p *Proxy) reportOutcomes() {
-	const interval = 2 * policy.Second // a release's stage lasts about as long at the least
+	const interval = 2 * policy.Second // the shortest stages of a release last about this long
 	for build, outcomes := range p.outcomes {
 		p.releases.Report(build, outcomes)
 	}
@@ -60,8 +60,9 @@
 	p.loop.After(interval, p.reportOutcomes)
 }
 
-// countOutcome counts the outcome of a request for the build of the host that had it last, or else for the build of the
-// last release status. Before the first status there is no build to count it for.
+// countOutcome counts the outcome of a request for the build of its host (request.host). If the request has no host, or
+// the host is unknown, the outcome counts for the build in the latest release status. Before the first status there is no
+// such build, and the outcome is not counted.
 func (p *Proxy) countOutcome(outcome string, r *request) {
 	build := p.latestBuild
 	if endpoint, ok := p.endpoints[r.host]; ok && r.host != 0 {
--- a/internal/proxy/request.go
+++ b/internal/proxy/request.go
@@ -9,26 +9,26 @@
 	"dapplefront/router"
 )
 
-// request is a client's request that still waits for something:
+// request is a client's request that is waiting for its response, or for attempts to end:
 //
 //	responseDue  outstanding  state
-//	true         0            the router looks for a host, or waits before a retry
-//	true         > 0          attempts are out
-//	false        > 0          responded to, or the client is gone; attempts are still out
-//	false        0            complete: forgotten
+//	true         0            the router is selecting a host, or waiting before a retry
+//	true         > 0          attempts are in flight
+//	false        > 0          responded to, or the client is gone; attempts are still in flight
+//	false        0            complete: removed from Proxy.requests
 type request struct {
 	id          string
 	downstream  *downstream.Request
-	responseDue bool // the client is owed its one final response
-	outstanding int  // attempts that have not ended
+	responseDue bool // the client has not had its one final response
+	outstanding int  // number of attempts that have not ended
 	attempts    []*upstream.Attempt
-	commonHead  []byte // what the heads of its attempts have in common
-	timedOut    bool   // the last attempt to end had no response in time
-	host        uint32 // that responded, or else that the last attempt went to
+	commonHead  []byte // the part of the head that all attempts share; nil before the first one
+	timedOut    bool   // the attempt that ended last had no response in time
+	host        uint32 // the host that responded, or else the host of the latest attempt that is not a shadow attempt
 }
 
-// requestArrived admits a request, or rejects it where too many are open or its time is up. What the event loop does
-// late at present is taken off its time.
+// requestArrived passes a request to the router, or rejects it if too many are in flight or no time is left. It first
+// subtracts the event loop's present lag from the request's timeout, because the response may be late by that much.
 func (p *Proxy) requestArrived(d *downstream.Request) {
 	limits := &p.config.Router.Limits
 	d.Timeout = policy.TimeoutWithLag(d.Timeout, p.loop.Lag())
@@ -56,14 +56,14 @@
 	p.forget(r)
 }
 
-// countLate counts the response to a request that is answered now, if that is too late.
+// countLate counts a response that is sent now as late, if the request's deadline has passed.
 func (p *Proxy) countLate(d *downstream.Request) {
 	if p.loop.Now() > d.Deadline {
 		p.lateResponses++
 	}
 }
 
-// respondFinal gives the final response to a request that no host has responded to.
+// respondFinal rejects or fails a request for which no attempt has succeeded.
 func (p *Proxy) respondFinal(r *request, a router.Action) {
 	r.responseDue = false
 	p.countLate(r.downstream)
@@ -85,14 +85,14 @@
 	p.forget(r)
 }
 
-// cancelAttempts cancels the attempts of which no byte has left.
+// cancelAttempts cancels the attempts of which no byte has been sent.
 func (r *request) cancelAttempts() {
 	for _, a := range r.attempts {
 		a.Cancel()
 	}
 }
 
-// forget drops a request that is complete.
+// forget removes a request if it is complete.
 func (p *Proxy) forget(r *request) {
 	if !r.responseDue && r.outstanding == 0 && p.requests[r.id] == r {
 		r.downstream.Message.Drop()
--- a/internal/proxy/request_test.go
+++ b/internal/proxy/request_test.go
@@ -12,7 +12,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-func TestProxy_ReleasesEverythingWhenClientGoes(t *testing.T) {
+func TestProxy_ReleasesResourcesWhenClientDisconnects(t *testing.T) {
 	answered := make(chan bool, 4)
 	h := startHost(t, 1, 1, func(x exchange) bool {
 		if x.requestNumber == 1 {
@@ -30,22 +30,22 @@
 	r.eventually(func() bool { return r.router.Counts().ClientsGone == 1 })
 	<-answered
 	r.waitIdle()
-	time.Sleep(50 * time.Millisecond) // a connection is left unused for a little after a response
+	time.Sleep(50 * time.Millisecond) // the quiet period, in which a connection is not reused after a response
 	c = r.dial()
 	c.post("/quote", "")
 	_, outcome, _ := c.response()
 	require.Equal(t, "finished", outcome)
-	require.EqualValues(t, 1, h.conns.Load(), "the connection is used again")
+	require.EqualValues(t, 1, h.conns.Load(), "the connection is reused")
 }
 
-func TestProxy_BoundsTimeoutHeader(t *testing.T) {
+func TestProxy_LimitsTimeoutHeaderAndRefusesInvalidValues(t *testing.T) {
 	r := newTestbench(t, startHost(t, 1, 1, func(exchange) bool { time.Sleep(3 * time.Second); return false }))
 	c := r.dial()
 	began := time.Now()
 	c.post("/transfer", "Dapplefront-Patience: 8000h\r\n")
 	status, _, _ := c.response()
 	require.Equal(t, 504, status)
-	require.Less(t, time.Since(began), 2*time.Second, "at most the timeout of its class")
+	require.Less(t, time.Since(began), 2*time.Second, "the timeout must be at most that of the request's class")
 	for _, value := range []string{"-1s", "0", "0s", "soon", "1e9h", "99999999999999999999"} {
 		c.post("/transfer", "Dapplefront-Patience: "+value+"\r\n")
 		status, outcome, body := c.response()
@@ -54,7 +54,7 @@
 	}
 }
 
-func TestProxy_RefusesBodyOf100MBAndSendsNothing(t *testing.T) {
+func TestProxy_RefusesOversizedBodyWithoutForwardingRequest(t *testing.T) {
 	h := startHost(t, 1, 1, respondOK)
 	r := newTestbench(t, h)
 	c := r.dial()
@@ -122,9 +122,9 @@
 		}
 	}()
 	status, _, _ := fast.response()
-	require.Equal(t, 413, status, "too much of it")
+	require.Equal(t, 413, status, "the body is too large")
 	status, _, _ = slow.response()
-	require.Equal(t, 408, status, "too slow")
+	require.Equal(t, 408, status, "the body arrives too slowly")
 	r.waitIdle()
 	require.Zero(t, h.requests.Load())
 }
@@ -162,7 +162,7 @@
 	got, _, _ := c.response()
 	require.Equal(t, 404, got)
 	got, _, body := c.response()
-	require.Equal(t, 400, got, "a request that is idempotent with key needs its key")
+	require.Equal(t, 400, got, "a class that is idempotent with a key requires the key")
 	require.Contains(t, body, "Idempotency-Key")
 	require.Zero(t, h.requests.Load())
 	r.waitIdle()
@@ -173,33 +173,33 @@
 	r := newTestbench(t, startHost(t, 1, 1, func(x exchange) bool { x.respond(200, big); return true }))
 	c := r.dial()
 	_ = c.Conn.(*net.TCPConn).SetReadBuffer(4096)
-	gone := false
+	disconnected := false
 	for range 400 {
 		if _, err := io.WriteString(c, "GET /quote HTTP/1.1\r\nHost: r\r\n\r\n"); err != nil {
-			gone = true
+			disconnected = true
 			break
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
-	require.True(t, gone, "responses that no one reads are not piled up")
+	require.True(t, disconnected, "unread responses must not accumulate")
 	r.waitIdle()
 }
 
-// Guards against late responses of a router whose loop is held up again and again, as on a machine that has too much to
-// do: the router can tell how late it is and gives up the earlier.
-func TestProxy_RespondsInTimeWhileItsLoopIsHeldUp(t *testing.T) {
+// Guards against late responses while the event loop is blocked repeatedly, as on an overloaded machine: the router must
+// measure its lag and give up on requests correspondingly earlier.
+func TestProxy_RespondsInTimeWhileEventLoopIsBlocked(t *testing.T) {
 	const (
-		heldUpFor = 300 * time.Millisecond
-		patience  = 900 * time.Millisecond
-		slack     = 150 * time.Millisecond // that the protocol allows a response after its client's patience
-		requests  = 24
+		blockedFor = 300 * time.Millisecond
+		timeout    = 900 * time.Millisecond
+		slack      = 150 * time.Millisecond // how long after the client's timeout the protocol allows a response
+		requests   = 24
 	)
 	r := newTestbench(t, startHost(t, 1, 1, func(exchange) bool { time.Sleep(2 * time.Second); return false }))
 	stop, stopped := make(chan bool), make(chan bool)
 	go func() {
 		defer close(stopped)
 		for {
-			r.router.loop.Do(func() { time.Sleep(heldUpFor) })
+			r.router.loop.Do(func() { time.Sleep(blockedFor) })
 			select {
 			case <-stop:
 				return
@@ -208,27 +208,28 @@
 		}
 	}()
 	defer func() { close(stop); <-stopped }()
-	time.Sleep(2 * heldUpFor) // the first time is not foreseen
+	time.Sleep(2 * blockedFor) // the router knows its lag only after the loop has been blocked once
 	var wait sync.WaitGroup
 	late := make(chan time.Duration, requests)
 	for range requests {
 		c := r.dial()
 		wait.Go(func() {
 			sent := time.Now()
-			c.post("/quote", fmt.Sprintf("Dapplefront-Patience: %dms\r\n", patience.Milliseconds()))
+			c.post("/quote", fmt.Sprintf("Dapplefront-Patience: %dms\r\n", timeout.Milliseconds()))
 			c.response()
-			late <- time.Since(sent) - patience
+			late <- time.Since(sent) - timeout
 		})
-		time.Sleep(heldUpFor / 7)
+		time.Sleep(blockedFor / 7)
 	}
 	wait.Wait()
 	close(late)
-	for over := range late {
-		require.LessOrEqual(t, over, slack)
+	for lateness := range late {
+		require.LessOrEqual(t, lateness, slack)
 	}
 }
 
-// Guards against requests rejected after a quiet moment, as if the idle hosts had needed all of it for their work.
+// Guards against a router that rejects requests after a period without traffic because it takes the idle time for
+// processing time of the hosts.
 func TestProxy_AcceptsBurstAfterQuietMoment(t *testing.T) {
 	r := newTestbench(t, startHost(t, 1, 1, func(x exchange) bool {
 		time.Sleep(20 * time.Millisecond)
--- a/internal/proxy/shutdown.go
+++ b/internal/proxy/shutdown.go
@@ -6,21 +6,22 @@
 	"dapplefront/internal/eventloop"
 )
 
-// drainPollInterval is how often Drain looks whether all requests have been responded to.
+// drainPollInterval is how often Shutdown checks whether all requests have been responded to.
 const drainPollInterval = 10 * time.Millisecond
 
-// logQuantile is the share of the event loop's delays that the logged one bounds.
+// logQuantile is the quantile of the event loop's delays and run times that is logged.
 const logQuantile = 0.99
 
-// StartDraining is the first step of a graceful shutdown: the router goes on serving, but reports that it is not ready, each
-// response closes its connection, and requests that come from now on are responded to within the time given.
+// StartDraining is the first step of a graceful shutdown. The router continues to serve requests, but reports that it is
+// not ready, closes each connection after a response, and responds to requests that arrive from now on before the given
+// time has passed.
 func (p *Proxy) StartDraining(within time.Duration) {
 	p.loop.Do(func() { p.server.StartDraining(p.loop.Now() + eventloop.FromDuration(within)) })
 }
 
-// Shutdown is the second step of a graceful shutdown: it takes no new connections, rejects new requests, waits until those
-// in flight have had their response and their clients have read it, at most for the time given or until abort is
-// closed, and closes the router. It returns how many requests were left without a response.
+// Shutdown is the second step of a graceful shutdown. It accepts no new connections and rejects new requests. It waits
+// until requests in flight have been responded to and their clients have read the responses, until the given time has
+// passed or until abort is closed, and then closes the router. It returns how many requests were left without a response.
 func (p *Proxy) Shutdown(within time.Duration, abort <-chan struct{}) (left int) {
 	p.engine.CloseListeners()
 	timeout := time.After(within)
@@ -48,7 +49,7 @@
 	return left
 }
 
-// Close closes the router at once and waits for its goroutines; requests in flight get no response.
+// Close closes the router immediately and waits for its goroutines. Requests in flight get no response.
 func (p *Proxy) Close() {
 	p.loop.Close()
 	p.engine.Stop()
@@ -64,7 +65,7 @@
 	}
 }
 
-// closeGossip closes the gossip socket for good.
+// closeGossip closes the gossip socket permanently.
 func (p *Proxy) closeGossip() {
 	p.configMu.Lock()
 	defer p.configMu.Unlock()
@@ -74,11 +75,11 @@
 	}
 }
 
-// stopCacheWriter ends the goroutine that caches endpoints and waits for it. The event loop must be closed.
+// stopCacheWriter stops the goroutine that caches endpoints and waits for it. The event loop must already be closed.
 func (p *Proxy) stopCacheWriter() {
 	close(p.cacheUpdates)
 	<-p.cacheWriterDone
 }
 
-// Stall blocks the event loop for a time, as if the process were not scheduled. It is for tests.
+// Stall blocks the event loop for d, as if the process were not scheduled. It is used by tests.
 func (p *Proxy) Stall(d time.Duration) { go p.loop.Post(func() { time.Sleep(d) }) }
--- a/internal/proxy/shutdown_test.go
+++ b/internal/proxy/shutdown_test.go
@@ -8,7 +8,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-func TestProxy_DrainRespondsToRequestsInFlightAndAcceptsNoMore(t *testing.T) {
+func TestProxy_ShutdownRespondsToRequestsInFlightAndClosesConnections(t *testing.T) {
 	h := startHost(t, 1, 1, func(x exchange) bool { time.Sleep(200 * time.Millisecond); return respondOK(x) })
 	r := newTestbench(t, h)
 	c, idle := r.dial(), r.dial()
@@ -26,14 +26,14 @@
 	require.NoError(t, err)
 }
 
-func TestProxy_DrainCountsRequestsLeftWhenAborted(t *testing.T) {
+func TestProxy_ShutdownReturnsNumberOfUnansweredRequestsWhenAborted(t *testing.T) {
 	h := startHost(t, 1, 1, func(x exchange) bool { time.Sleep(3 * time.Second); return false })
 	r := newTestbench(t, h)
 	c := r.dial()
 	c.post("/quote", "")
 	r.eventually(func() bool { return h.requests.Load() >= 1 })
-	cut := make(chan struct{})
-	close(cut)
-	require.Equal(t, 1, r.router.Shutdown(5*time.Second, cut))
+	abort := make(chan struct{})
+	close(abort)
+	require.Equal(t, 1, r.router.Shutdown(5*time.Second, abort))
 	r.router = nil
 }
--- a/internal/proxy/testbench_test.go
+++ b/internal/proxy/testbench_test.go
@@ -25,7 +25,8 @@
 	"dapplefront/release"
 )
 
-// testbench is one real router with real discovery and a real controller, and hosts that a test scripts byte by byte.
+// testbench is a real router with a real discovery server and a real controller, and hosts whose responses a test writes
+// byte by byte.
 type testbench struct {
 	*testing.T
 	config     *routerconfig.Config
@@ -35,7 +36,7 @@
 	hosts      []*scriptedHost
 }
 
-// scriptedHost is a host whose connections a test serves itself, request by request.
+// scriptedHost is a host that passes each request to a function of the test, which writes the response.
 type scriptedHost struct {
 	listener net.Listener
 	entry    *testbed.Backend
@@ -48,8 +49,8 @@
 	*http.Request
 	body             []byte
 	conn             net.Conn
-	requestNumber    int64 // of this host's requests, from 1
-	connectionNumber int64 // of its connections, from 1
+	requestNumber    int64 // counts this host's requests, from 1
+	connectionNumber int64 // counts its connections, from 1
 }
 
 func (x exchange) respond(status int, body string, fields ...string) {
@@ -137,7 +138,8 @@
 patience = 500ms
 `
 
-// newTestbench starts a router that knows the hosts, none of them warming up, and that their build is released.
+// newTestbench starts a router and waits until it knows the hosts, none of which is warming up, and has had the status of
+// the release of their build.
 func newTestbench(t *testing.T, hosts ...*scriptedHost) *testbench {
 	t.Helper()
 	r := &testbench{T: t, hosts: hosts}
@@ -169,7 +171,7 @@
 	r.discovery.Set(testbed.Endpoint{Backend: h.entry, State: s})
 }
 
-// start starts the router and waits until it knows its hosts and has had the first release status.
+// start starts the router and waits until it knows its hosts and has received the first release status.
 func (r *testbench) start() {
 	var err error
 	r.router, err = Start(r.config, slog.New(slog.DiscardHandler), nil)
@@ -187,7 +189,7 @@
 	require.Eventually(r, condition, 10*time.Second, 5*time.Millisecond)
 }
 
-// waitIdle waits until the router holds no request and no bytes.
+// waitIdle waits until the router has no requests in flight and holds no bytes of bodies.
 func (r *testbench) waitIdle() {
 	r.Helper()
 	r.eventually(func() bool {
@@ -220,7 +222,7 @@
 	c.write("POST " + path + " HTTP/1.1\r\nHost: r\r\nContent-Length: 2\r\n" + fields + "\r\nhi")
 }
 
-// response reads one response: status, outcome, body.
+// response reads one response and returns its status, outcome and body.
 func (c *client) response() (int, string, string) {
 	c.Helper()
 	got, err := http.ReadResponse(c.in, nil)
@@ -231,13 +233,13 @@
 	return got.StatusCode, got.Header.Get("Dapplefront-Outcome"), strings.TrimSpace(string(body))
 }
 
-// requireSilence checks that nothing more comes for a while.
+// requireSilence checks that nothing arrives for d.
 func (c *client) requireSilence(d time.Duration) {
 	c.Helper()
 	_ = c.SetReadDeadline(time.Now().Add(d))
 	_, err := c.in.Peek(1)
 	var netErr net.Error
-	require.True(c, errors.As(err, &netErr) && netErr.Timeout(), "nothing more may come, got %v", err)
+	require.True(c, errors.As(err, &netErr) && netErr.Timeout(), "no more data may arrive, got %v", err)
 	_ = c.SetReadDeadline(time.Now().Add(20 * time.Second))
 }
 
@@ -246,5 +248,5 @@
 	c.Helper()
 	_, err := io.Copy(io.Discard, c.in)
 	var netErr net.Error
-	require.False(c, errors.As(err, &netErr) && netErr.Timeout(), "the connection should have ended")
+	require.False(c, errors.As(err, &netErr) && netErr.Timeout(), "the router should have closed the connection")
 }
