--- a/internal/downstream/connection.go
+++ b/internal/downstream/connection.go
@@ -12,31 +12,31 @@
 	"dapplefront/policy"
 )
 
-// maxQueuedFactor times MaxPipelined requests of a connection may wait for their responses, rejections included; with
-// more the connection is closed.
+// maxQueuedFactor times MaxPipelined is how many requests of a connection may wait for their responses, including
+// rejections. The connection is closed when there are more.
 const maxQueuedFactor = 4
 
-// clientConn is one client's connection. Two sides work on it: the transport's reader, and the loop. The fields that
-// both use are atomic; the reader's own are guarded by mu, and all others belong to the loop.
+// clientConn is one client's connection. The transport's reader and work of the loop both use it. The fields that both
+// use are atomic; mu guards reader and readStopped, and only work of the loop uses the other fields.
 //
-// The loop's side:
+// In the loop, the connection has one of these states:
 //
 //	state          requests that were read  responses  in Server.conns
 //	connOpen       handled                  written    yes
 //	connLingering  dropped                  none left  yes: the last response was written, and the client is to close
 //	connClosed     dropped                  dropped    no
 //
-// The reader's side: nothing is read any more after an error, after a request that closes the connection, or once the
-// connection has ended (readStopped).
+// The reader reads nothing more (readStopped) after an error, after a request that closes the connection, or once the
+// connection has ended.
 type clientConn struct {
 	server     *Server
 	conn       *transport.Conn
 	remoteIP   netip.Addr
 	acceptedAt policy.Time
 
-	lastReadAt       atomic.Int64 // when the last bytes came, a policy.Time
-	requestStartedAt atomic.Int64 // when the first byte of the request being read came, a policy.Time; 0 for none
-	awaitingResponse atomic.Int64 // requests that were read and whose response was not written
+	lastReadAt       atomic.Int64 // when the last bytes arrived, a policy.Time
+	requestStartedAt atomic.Int64 // when the first byte of the request being read arrived, a policy.Time; 0 if no request is being read
+	awaitingResponse atomic.Int64 // number of requests that were read and whose response has not been written
 
 	mu          sync.Mutex
 	reader      *http1.Reader
@@ -44,8 +44,8 @@
 
 	state          connState
 	lingeringSince policy.Time
-	pending        []*pendingResponse // in the order of the requests
-	hadRequest     bool               // a complete request was read, or one was refused
+	pending        []*pendingResponse // responses that are due, in the order of the requests
+	hadRequest     bool               // a complete request was handled, or one was refused
 }
 
 type connState int
@@ -56,15 +56,15 @@
 	connClosed
 )
 
-// Data reads what a client sends (transport.Session).
+// Data reads data from the client (transport.Session).
 func (c *clientConn) Data(data []byte) {
 	for _, work := range c.read(data) {
 		c.server.loop.Post(work)
 	}
 }
 
-// read reads data and returns the loop's work for it. The work must be posted without mu held, as it may come to this
-// connection.
+// read reads data and returns the work that the loop has to do for it. The caller must not hold mu when it posts the work,
+// because the work may lock mu of this connection.
 func (c *clientConn) read(data []byte) (work []func()) {
 	now := int64(c.server.loop.Now())
 	c.lastReadAt.Store(now)
@@ -98,7 +98,7 @@
 	return work
 }
 
-// readFailed stops reading and returns the work that refuses what was read. The caller holds mu.
+// readFailed stops reading and returns the work that responds with an error to the invalid request. The caller holds mu.
 func (c *clientConn) readFailed(err error) func() {
 	c.readStopped = true
 	c.reader.Drop()
@@ -113,15 +113,16 @@
 	}
 }
 
-// expectContinue tells a client that waits for it to send the body, where no response is due before. The caller holds mu.
+// expectContinue sends 100 Continue to a client that expects it before it sends the body, unless responses to earlier
+// requests are still due. The caller holds mu.
 func (c *clientConn) expectContinue() {
 	if strings.EqualFold(c.reader.Peek().Get("Expect"), "100-continue") && c.awaitingResponse.Load() == 0 {
-		_, _ = c.conn.Write([]byte("HTTP/1.1 100 Continue\r\n\r\n"), nil) // a failure ends the connection, which Closed reports
+		_, _ = c.conn.Write([]byte("HTTP/1.1 100 Continue\r\n\r\n"), nil) // if this fails, the connection ends and Closed is called
 	}
 }
 
-// requestRead takes a complete request and returns the work that handles it; nil where too many wait already and
-// the connection is closed. The caller holds mu.
+// requestRead takes a complete request from the reader and returns the work that handles it. If too many requests are
+// already waiting for their responses, it closes the connection and returns nil. The caller holds mu.
 func (c *clientConn) requestRead() func() {
 	m, startedAt := c.reader.Take(), policy.Time(c.requestStartedAt.Load())
 	c.requestStartedAt.Store(0)
@@ -135,7 +136,7 @@
 		c.readStopped = true
 	}
 	return func() {
-		if c.state != connOpen { // no response can reach the client, so that nothing may run for it
+		if c.state != connOpen { // no response can reach the client, so the request must not run
 			m.Drop()
 			return
 		}
@@ -146,7 +147,7 @@
 // Wrote does nothing (transport.Session).
 func (c *clientConn) Wrote(int) {}
 
-// Closed gives up the responses that are due, as the connection has ended (transport.Session).
+// Closed abandons the responses that are due, because the connection has ended (transport.Session).
 func (c *clientConn) Closed(error) {
 	c.stopReading()
 	c.server.loop.Post(func() {
@@ -166,15 +167,15 @@
 	c.mu.Unlock()
 }
 
-// close closes the connection; its place among Config.MaxConnections is free at once.
+// close closes the connection, which no longer counts toward Config.MaxConnections.
 func (c *clientConn) close() {
 	c.state = connClosed
 	delete(c.server.conns, c)
 	c.conn.Close()
 }
 
-// closeIfIdle closes the connection if no byte of an unanswered request has come, wherever it may be on its way, and
-// the last response has left. It reports whether that was so.
+// closeIfIdle closes the connection if no byte of an unanswered request has arrived, neither in the kernel nor in any
+// later buffer, and the last response has been sent. It reports whether the connection was closed.
 func (c *clientConn) closeIfIdle() bool {
 	idle := c.conn.CloseIdle(func() bool {
 		unsent, _ := c.conn.Pending()
@@ -186,7 +187,8 @@
 	return idle
 }
 
-// refuse answers what can't be read, after the responses that are due before it, and closes the connection.
+// refuse responds with an error to a request that can't be read, after the responses to earlier requests, and closes the
+// connection.
 func (c *clientConn) refuse(err *http1.Error) {
 	c.stopReading()
 	c.requestStartedAt.Store(0)
@@ -198,8 +200,8 @@
 	p.refuse(err)
 }
 
-// writeResponses writes the responses that are next in order. The client closes after the last one, or else the
-// server's sweep does.
+// writeResponses writes the responses that are ready, in the order of the requests. After a response that closes the
+// connection, the client is expected to close it; otherwise the server's sweep does.
 func (c *clientConn) writeResponses() {
 	for len(c.pending) > 0 && c.pending[0].answered && c.state != connClosed {
 		next := c.pending[0]
@@ -212,7 +214,7 @@
 		_, err := c.conn.Write(next.head, next.body)
 		next.head, next.body = nil, nil
 		if err != nil {
-			return // Closed follows
+			return // the connection has ended, and Closed is called
 		}
 		if next.closeAfter {
 			c.state, c.lingeringSince = connLingering, c.server.loop.Now()
--- a/internal/downstream/protocol.go
+++ b/internal/downstream/protocol.go
@@ -10,28 +10,28 @@
 	"dapplefront/policy"
 )
 
-// ticksPerMs is how many units of policy.Time make a millisecond.
+// ticksPerMs is the number of units of policy.Time in a millisecond.
 const ticksPerMs = policy.Second / 1000
 
-// The values of the header Protocol.Outcome. They are part of the protocol.
+// Values of the header Protocol.Outcome. They are part of the protocol.
 const (
 	outcomeSucceeded = "finished"
 	outcomeRejected  = "turned-back"
 	outcomeFailed    = "scrapped"
 )
 
-// Protocol is what differs by protocol in what requests say of themselves, and responses of their outcome. A header
-// whose name is empty is not part of a protocol.
+// Protocol describes what differs between protocols: the headers that describe a request, and those that describe the
+// outcome in a response. A header whose name is empty is not part of the protocol.
 type Protocol struct {
-	Class, Tenant, Timeout, IdempotencyKey, Key, ExpectedWork, ClientRetry string // headers of a request
-
-	ID                string      // header with the client's id of a request; required, and unique among open requests
-	Strict            bool        // none of these headers twice; the timeout is required, in whole milliseconds
-	WorkUnitsPerTick  policy.Time // units of expected work that make a policy.Time; 0 where it has a unit of its own
-	Outcome           string      // header of a response
-	Host              string      // header of a host's response
-	RetryAfterMs      string      // header of a rejection, beside Retry-After
-	DecimalRetryAfter bool        // Retry-After has decimals
+	Class, Tenant, Timeout, IdempotencyKey, Key, ExpectedWork, ClientRetry string // names of request headers
+
+	ID                string      // request header with an id that the client chooses; required, and unique among open requests
+	Strict            bool        // none of these headers may occur twice; the timeout is required, in whole milliseconds
+	WorkUnitsPerTick  policy.Time // units of expected work in one unit of policy.Time; 0 if the header's value contains its unit
+	Outcome           string      // response header with the outcome
+	Host              string      // response header with the host's id, if the response is a host's
+	RetryAfterMs      string      // header of a rejection, in addition to Retry-After
+	DecimalRetryAfter bool        // Retry-After has three decimals
 	ReadinessPath     string      // path that reports whether the router is ready; empty for none
 }
 
@@ -49,7 +49,7 @@
 	RetryAfterMs:   "Dapplefront-Retry-After-Ms",
 }
 
-// Headers of a request, as indexes of requestHeaders.
+// Indexes of requestHeaders.
 const (
 	classHeader = iota
 	tenantHeader
@@ -74,7 +74,8 @@
 		clientRetryHeader: p.ClientRetry, idHeader: p.ID}
 }
 
-// readHeaders reads a request's headers by their names. The last one of a name counts.
+// readHeaders reads the headers with the given names from a request. If a name occurs more than once, the last value
+// counts, or in strict protocols the request is refused.
 func (p *Protocol) readHeaders(m *http1.Message, names *[headerCount]string) (headers requestHeaders, err *http1.Error) {
 	for i := range m.Fields {
 		f := &m.Fields[i]
@@ -91,7 +92,7 @@
 	return headers, nil
 }
 
-// parseTimeout reads how long a client waits for its response.
+// parseTimeout parses the timeout that a client gives its request.
 func (p *Protocol) parseTimeout(text string) (policy.Time, bool) {
 	if p.Strict {
 		n, err := strconv.ParseUint(text, 10, 31)
@@ -101,7 +102,7 @@
 	return timeout, ok && timeout > 0
 }
 
-// parseWork reads the expected work of a request.
+// parseWork parses the expected work of a request.
 func (p *Protocol) parseWork(text string) (policy.Time, bool) {
 	if p.WorkUnitsPerTick > 0 {
 		n, err := strconv.ParseFloat(text, 64)
@@ -111,7 +112,7 @@
 	return work, ok && work >= 0
 }
 
-// parseSpan reads a time with its unit, or whole milliseconds.
+// parseSpan parses a duration with a unit, or a number of whole milliseconds.
 func parseSpan(text string) (policy.Time, bool) {
 	if n, err := strconv.ParseUint(text, 10, 32); err == nil {
 		return policy.Time(n) * ticksPerMs, true
@@ -120,7 +121,7 @@
 	return eventloop.FromDuration(d), err == nil && d < time.Hour*24*365
 }
 
-// appendRetryAfter appends when to try again; nothing for 0.
+// appendRetryAfter appends the headers that say when to retry; none if after is 0.
 func (p *Protocol) appendRetryAfter(head []byte, after policy.Time) []byte {
 	switch {
 	case after <= 0:
@@ -136,7 +137,7 @@
 	return head
 }
 
-// appendOutcome appends what became of a request.
+// appendOutcome appends the header with the outcome of a request, if the protocol has one.
 func (p *Protocol) appendOutcome(head []byte, outcome string) []byte {
 	if p.Outcome == "" {
 		return head
@@ -144,7 +145,7 @@
 	return http1.AppendField(head, p.Outcome, outcome)
 }
 
-// isOwnHeader reports whether a response's header is set by the router alone.
+// isOwnHeader reports whether the router sets a response header itself. The host's value is not forwarded.
 func (p *Protocol) isOwnHeader(name string) bool {
 	return len(name) == len(p.Outcome) && strings.EqualFold(name, p.Outcome) ||
 		len(name) == len(p.Host) && strings.EqualFold(name, p.Host)
--- a/internal/downstream/request.go
+++ b/internal/downstream/request.go
@@ -10,32 +10,32 @@
 	"dapplefront/policy"
 )
 
-// responseHeadCapacity is how many bytes are reserved for a response's head.
+// responseHeadCapacity is the number of bytes that are reserved for a response's head.
 const responseHeadCapacity = 512
 
-// Request is a request that a server hands to its handler. It takes one final response: Respond, Reject or Fail.
+// Request is a request that a server passes to its handler. It gets one final response, through Respond, Reject or Fail.
 type Request struct {
 	Message        *http1.Message
 	Class          string
 	Tenant         string
 	IdempotencyKey string
 	Key            string
-	Timeout        policy.Time // from the moment the server hands it in
-	Deadline       policy.Time // by when the client expects its response
+	Timeout        policy.Time // counted from when the server calls the handler
+	Deadline       policy.Time // when the timeout ends that is counted from the request's first byte
 	ExpectedWork   policy.Time
 	ClientRetry    bool
 	From           netip.Addr
 
-	// OnClientGone is called from the loop's work when the client has gone before the response. The handler sets it.
+	// OnClientGone is called from work of the loop if the client disconnects before the response. The handler sets it.
 	OnClientGone func()
 
 	pending *pendingResponse
 }
 
-// requestReceived handles a complete request; its first byte came at startedAt.
+// requestReceived handles a complete request, whose first byte arrived at startedAt.
 func (s *Server) requestReceived(c *clientConn, m *http1.Message, startedAt policy.Time) {
 	isDraining := s.state >= draining
-	if isDraining && len(c.pending) > 0 { // the newest request's response closes the connection
+	if isDraining && len(c.pending) > 0 { // only the response to the newest request closes the connection
 		c.pending[len(c.pending)-1].closeAfter = false
 	}
 	p := &pendingResponse{conn: c, closeAfter: m.Closes() || isDraining, omitBody: m.Method == http.MethodHead}
@@ -68,7 +68,7 @@
 	}
 }
 
-// parseRequest reads what a request says of itself; the newest pending response of c is its.
+// parseRequest parses the headers that describe a request. The last pending response of c must be that of the request.
 func (s *Server) parseRequest(c *clientConn, m *http1.Message, startedAt policy.Time) (*Request, *http1.Error) {
 	r := &Request{Message: m, OnClientGone: func() {}, pending: c.pending[len(c.pending)-1], From: c.remoteIP}
 	headers, err := s.protocol.readHeaders(m, s.headers)
@@ -102,7 +102,7 @@
 	return r, nil
 }
 
-// classOf finds a request's class by its header, or else by its path.
+// classOf returns a request's class, by its header or else by its path.
 func (s *Server) classOf(m *http1.Message, headers *requestHeaders) (*Class, *http1.Error) {
 	if headers[classHeader].present {
 		class := s.classes[headers[classHeader].value]
@@ -122,7 +122,7 @@
 	return nil, &http1.Error{Status: http.StatusNotFound, Text: "no category has this path"}
 }
 
-// checkClass checks what a class demands of its requests.
+// checkClass checks that a request meets the requirements of its class.
 func (s *Server) checkClass(class *Class, m *http1.Message, headers *requestHeaders) *http1.Error {
 	key := headers[idempotencyKeyHeader]
 	switch {
@@ -138,7 +138,8 @@
 	return nil
 }
 
-// registerID notes the id that the client gave a request, where the protocol has ids; no two open requests share one.
+// registerID registers the id that the client gave a request, if the protocol has ids. Two open requests can't have the
+// same id.
 func (s *Server) registerID(p *pendingResponse, id string) *http1.Error {
 	switch {
 	case s.protocol.ID == "":
@@ -152,7 +153,7 @@
 	return nil
 }
 
-// readTimes reads a request's timeout and its expected work.
+// readTimes sets a request's timeout and its expected work from its headers and its class.
 func (s *Server) readTimes(r *Request, class *Class, headers *requestHeaders) *http1.Error {
 	r.Timeout = class.Timeout
 	if text := headers[timeoutHeader].value; text != "" || s.protocol.Strict {
@@ -176,7 +177,7 @@
 	return &http1.Error{Status: http.StatusBadRequest, Text: text}
 }
 
-// Respond answers with a host's response. host is the host's id.
+// Respond responds with a host's response. host is the host's id.
 func (r *Request) Respond(m *http1.Message, host uint32) {
 	head := make([]byte, 0, responseHeadCapacity)
 	head = appendStatus(head, m.Status, m.Reason)
@@ -198,7 +199,8 @@
 	r.pending.respond(append(head, r.pending.endOfHead()...), m.Body)
 }
 
-// Reject answers that the request has not run and trying again is harmless, best after retryAfter; 0 for any time.
+// Reject responds that the request has not run and is safe to retry, preferably after retryAfter. If retryAfter is 0, the
+// response does not say when.
 func (r *Request) Reject(retryAfter policy.Time, reason string) {
 	head := appendStatus(make([]byte, 0, 256), http.StatusServiceUnavailable, "Service Unavailable")
 	protocol := r.pending.conn.server.protocol
@@ -206,7 +208,7 @@
 	r.pending.respondText(head, reason)
 }
 
-// Fail answers that the request may have run or not; timedOut says that there was no response in time.
+// Fail responds that the request may have run or not. timedOut means that no host responded before the timeout.
 func (r *Request) Fail(timedOut bool) {
 	status, phrase, reason := http.StatusBadGateway, "Bad Gateway", "the task may have run or not"
 	if timedOut {
--- a/internal/downstream/response.go
+++ b/internal/downstream/response.go
@@ -7,26 +7,26 @@
 	"dapplefront/internal/http1"
 )
 
-// A connection whose client reads nothing is closed when the bytes that wait for it pass unreadBodies times the largest
-// body, and unreadSlack for heads.
+// A connection whose client does not read is closed when its unsent bytes exceed unreadBodies times the largest body, plus
+// unreadSlack for the heads.
 const (
 	unreadBodies = 4
 	unreadSlack  = 1 << 16 // bytes
 )
 
-// pendingResponse is the place of one request's response; responses leave in the order of the requests.
+// pendingResponse is the response that is due to one request. Responses are written in the order of the requests.
 type pendingResponse struct {
 	conn       *clientConn
-	request    *Request // nil once it is answered, or where none was handed to the handler
-	id         string   // the client's id of the request; empty for none
-	answered   bool     // by a response, or because none can reach the client
-	closeAfter bool     // the response closes the connection
-	omitBody   bool     // of the response to a HEAD request
-	head       []byte   // of a response that waits for earlier ones
+	request    *Request // nil once the response is given, or if the request was not passed to the handler
+	id         string   // the id that the client gave the request; empty for none
+	answered   bool     // the response is given, or can't reach the client
+	closeAfter bool     // the connection is closed after the response
+	omitBody   bool     // the request is a HEAD request
+	head       []byte   // head and body of a response that waits for earlier ones
 	body       []byte
 }
 
-// abandon gives up a response that can't reach the client.
+// abandon marks a response that can't reach the client as answered and calls OnClientGone.
 func (p *pendingResponse) abandon() {
 	if p.answered {
 		return
@@ -38,7 +38,7 @@
 	}
 }
 
-// markAnswered notes that no response is due any more.
+// markAnswered records that the response is no longer due.
 func (p *pendingResponse) markAnswered() {
 	s := p.conn.server
 	p.answered = true
@@ -48,7 +48,7 @@
 	}
 }
 
-// refuse answers a request that is not accepted.
+// refuse responds with an error to a request that is not accepted.
 func (p *pendingResponse) refuse(err *http1.Error) {
 	head := appendStatus(make([]byte, 0, 256), err.Status, reasonPhrases[err.Status])
 	if err.Status == http.StatusServiceUnavailable {
@@ -69,7 +69,7 @@
 	http.StatusHTTPVersionNotSupported:     "HTTP Version Not Supported",
 }
 
-// respondText completes a head and sends a line of plain text as the body.
+// respondText completes a head and responds with a line of plain text as the body.
 func (p *pendingResponse) respondText(head []byte, text string) {
 	head = http1.AppendField(head, "Content-Type", "text/plain; charset=utf-8")
 	head = http1.AppendField(head, "Content-Length", strconv.Itoa(len(text)+1))
@@ -81,7 +81,7 @@
 	p.respond(append(append(head, text...), '\n'), nil)
 }
 
-// endOfHead is the last lines of the response's head.
+// endOfHead returns the last lines of the response's head.
 func (p *pendingResponse) endOfHead() string {
 	if p.closeAfter {
 		return "Connection: close\r\n\r\n"
@@ -89,8 +89,8 @@
 	return "\r\n"
 }
 
-// respond takes the response and writes all responses that are next in order. body is the caller's: it is copied where
-// the response has to wait.
+// respond sets the response and writes all responses that are ready, in the order of the requests. body remains the
+// caller's: it is copied if the response has to wait for earlier ones.
 func (p *pendingResponse) respond(head, body []byte) {
 	if p.answered {
 		return
--- a/internal/downstream/server.go
+++ b/internal/downstream/server.go
@@ -1,18 +1,18 @@
-// Package downstream is the clients' side of a router: it reads requests over HTTP/1.1 and writes their responses. What
-// a request says of itself is read here and nowhere else, by the names of its Protocol; these are the default ones:
+// Package downstream is a router's side toward the clients. It reads requests over HTTP/1.1 and writes their responses.
+// Only this package reads the headers that describe a request. Protocol has their names; the defaults are:
 //
-//	class            Dapplefront-Category, else by the longest path prefix
-//	tenant           Dapplefront-Customer, else by the client's network, the longest prefix
-//	timeout          Dapplefront-Patience ("240ms", or milliseconds), at most the class's own, which is also the
+//	class            Dapplefront-Category, or else the class with the longest matching path prefix
+//	tenant           Dapplefront-Customer, or else the tenant with the longest prefix that contains the client's address
+//	timeout          Dapplefront-Patience ("240ms", or milliseconds), at most the class's timeout, which is also the
 //	                 default; counted from the request's first byte
 //	idempotency key  Idempotency-Key (draft-ietf-httpapi-idempotency-key-header); classes may require one
-//	key              Dapplefront-Key: what the request concerns
+//	key              Dapplefront-Key: identifies what the request is about
 //	expected work    Dapplefront-Work ("12ms")
 //	client's retry   Dapplefront-Again: 1
 //
-// Every response says in Dapplefront-Outcome what became of the request: finished (succeeded), turned-back (rejected;
-// trying again is harmless, Retry-After says when) or scrapped (failed; it may have run or not). A request that is not
-// accepted, because it is malformed, too large or of no class, is answered without that header.
+// Dapplefront-Outcome in a response contains the outcome of the request: finished (succeeded), turned-back (rejected; the
+// request is safe to retry, and Retry-After says when) or scrapped (failed; the request may have run or not). The response
+// to a request that is not accepted, because it is malformed, too large or has no class, lacks that header.
 package downstream
 
 import (
@@ -32,21 +32,21 @@
 
 const (
 	sweepInterval = policy.Second / 5  // how often connections are checked for their timeouts
-	lingerTimeout = policy.Second      // how long a client has to read the last response and close
+	lingerTimeout = policy.Second      // how long a client may take to read the last response and close the connection
 	pipelineRetry = policy.Second / 10 // Retry-After of requests above MaxPipelined
 )
 
-// Class is a class of requests as clients meet it.
+// Class describes what clients have to know of a class of requests.
 type Class struct {
 	Name                   string
-	Paths                  []string // prefixes of targets
+	Paths                  []string // prefixes of request targets
 	Timeout                policy.Time
 	RequiresIdempotencyKey bool
-	Method                 string // the only one that is allowed; empty for any
+	Method                 string // the only method that is allowed; empty for any
 	ForbidsIdempotencyKey  bool
 }
 
-// Network is a network that a tenant's clients come from.
+// Network is a network whose clients belong to a tenant.
 type Network struct {
 	Prefix netip.Prefix
 	Tenant string
@@ -59,19 +59,19 @@
 	Limits              http1.Limits
 	TransferTimeout     time.Duration // how long a request may take to arrive, and a response to be read
 	IdleTimeout         time.Duration // how long a connection is kept without a request
-	MaxConnections      int           // open connections, at the most
-	MaxPipelined        int           // requests of one connection that are worked on at once
-	RouterName          string        // for the Via field
-	FirstRequestTimeout time.Duration // how long the first request of a connection may take to be complete; 0 for no bound
-	ReclaimIdleAfter    time.Duration // a connection that was idle for so long is closed when a new one needs its place; 0 for never
+	MaxConnections      int           // maximum number of open connections
+	MaxPipelined        int           // maximum number of requests of one connection that are in flight at once
+	RouterName          string        // for the Via header
+	FirstRequestTimeout time.Duration // how long the first request of a connection may take to arrive completely; 0 for no limit
+	ReclaimIdleAfter    time.Duration // a connection idle for at least this long may be closed to admit a new one; 0 for never
 	Protocol            *Protocol     // nil for DefaultProtocol
 }
 
-// Server reads requests from the connections that a transport engine accepts. Its methods are called from its loop's
-// work only, but for Accept.
+// Server reads requests from the connections that a transport engine accepts. Except for Accept, its methods may be called
+// only from work of its loop.
 //
 //	state     Connection of responses  idle connections  new requests              readiness
-//	serving   kept                     kept              handled                   as SetReady has it
+//	serving   kept                     kept              handled                   as set by SetReady
 //	draining  close                    kept              handled by the deadline   not ready
 //	closing   close                    closed            rejected                  not ready
 type Server struct {
@@ -87,15 +87,15 @@
 	ready    func() bool // nil for always
 
 	state      serverState
-	deadline   policy.Time // of requests that arrive while the server is draining; 0 for none
+	deadline   policy.Time // the latest deadline of requests that arrive while the server is draining; 0 for none
 	conns      map[*clientConn]bool
-	unanswered int                         // requests without a response
-	openByID   map[string]*pendingResponse // unanswered requests by the id that the client gave them
+	unanswered int                         // number of requests without a response
+	openByID   map[string]*pendingResponse // unanswered requests by the id from the client
 }
 
 type serverState int
 
-// States of a server; it only goes forward.
+// States of a server, in the only order in which they change.
 const (
 	serving serverState = iota
 	draining
@@ -107,8 +107,8 @@
 	class  *Class
 }
 
-// NewServer returns a server that hands requests to handler, from the loop's work. The handler owns a request's message
-// from then on, and drops it when no attempt needs its body any more.
+// NewServer returns a server that passes requests to handler, from work of the loop. From then on the handler owns the
+// request's message. It must drop the message when no attempt needs its body any longer.
 func NewServer(l *eventloop.Loop, c Config, budget *http1.Budget, handler func(*Request)) *Server {
 	s := &Server{loop: l, config: c, budget: budget, handler: handler, classes: map[string]*Class{},
 		networks: new(bart.Table[string]), conns: map[*clientConn]bool{}, protocol: c.Protocol, openByID: map[string]*pendingResponse{}}
@@ -131,11 +131,11 @@
 	return s
 }
 
-// SetReady sets what reports whether the router is ready; nil for always.
+// SetReady sets the function that reports whether the router is ready; nil means always ready.
 func (s *Server) SetReady(ready func() bool) { s.ready = ready }
 
-// StartDraining goes on serving, but each response closes its connection, so that clients connect elsewhere. Requests
-// that arrive from now on are responded to before the deadline; 0 for none.
+// StartDraining continues to serve requests, but closes each connection after a response, so that clients connect
+// elsewhere. Requests that arrive from now on are responded to before the deadline; 0 for no deadline.
 func (s *Server) StartDraining(deadline policy.Time) {
 	s.state, s.deadline = max(s.state, draining), deadline
 	for c := range s.conns {
@@ -145,24 +145,25 @@
 	}
 }
 
-// Close closes idle connections and rejects what still arrives on others; Drained reports when that is over.
+// Close closes idle connections and rejects requests that still arrive on others. Drained reports when all connections
+// are closed.
 func (s *Server) Close() {
 	s.StartDraining(s.deadline)
 	s.state = closing
 	s.closeIdle()
 }
 
-// Drained reports whether every request was responded to and its response read: the clients have closed their
-// connections, or have been given the time to.
+// Drained closes idle connections and reports whether none is open any more: every request was responded to, and each
+// client has closed its connection or has had the time to read the response and close.
 func (s *Server) Drained() bool {
 	s.closeIdle()
 	return len(s.conns) == 0
 }
 
-// Open is how many requests wait for their response.
+// Open returns how many requests are waiting for their response.
 func (s *Server) Open() int { return s.unanswered }
 
-// Connections is how many connections are open.
+// Connections returns how many connections are open.
 func (s *Server) Connections() int { return len(s.conns) }
 
 // Accept returns the session of a new connection. It is called by the transport engine, outside the loop.
@@ -175,7 +176,7 @@
 	c.lastReadAt.Store(int64(c.acceptedAt))
 	s.loop.Post(func() {
 		if len(s.conns) >= s.config.MaxConnections && !s.reclaim() {
-			c.state = connClosed // its requests are not handled, as no response can reach the client
+			c.state = connClosed // its requests are not handled, because no response can reach the client
 			conn.Close()
 			return
 		}
@@ -184,9 +185,9 @@
 	return c
 }
 
-// reclaim closes a connection to make room for a new one: one that has had no request yet before one that has, and then
-// the one that was read from least recently. One with a request in flight or arriving stays. It reports whether one was
-// closed.
+// reclaim closes a connection so that a new one can be admitted, and reports whether it closed one. It prefers connections
+// that have had no request, and among those the one from which bytes arrived least recently. It does not close a connection
+// with a request in flight or arriving, or one that has been idle for less than Config.ReclaimIdleAfter.
 func (s *Server) reclaim() bool {
 	if s.config.ReclaimIdleAfter <= 0 {
 		return false
@@ -210,7 +211,7 @@
 	return true
 }
 
-// closeIdle closes the connections on which nothing is under way.
+// closeIdle closes the idle connections.
 func (s *Server) closeIdle() {
 	for c := range s.conns {
 		if c.state == connOpen {
@@ -226,7 +227,7 @@
 	})
 }
 
-// sweep closes the connections that have passed one of their timeouts.
+// sweep closes the connections that have exceeded one of their timeouts.
 func (s *Server) sweep() {
 	now, transfer, first := s.loop.Now(), eventloop.FromDuration(s.config.TransferTimeout), eventloop.FromDuration(s.config.FirstRequestTimeout)
 	for c := range s.conns {
--- a/internal/downstream/server_test.go
+++ b/internal/downstream/server_test.go
@@ -18,7 +18,7 @@
 	"dapplefront/policy"
 )
 
-// testbench is a server on a real listener, whose loop a test can block.
+// testbench is a server on a real listener, with a loop that a test can block.
 type testbench struct {
 	*testing.T
 	loop     *eventloop.Loop
@@ -47,7 +47,7 @@
 	return h
 }
 
-// blockLoop stops the loop until the function that it returns is called.
+// blockLoop blocks the loop until the returned function is called.
 func (h *testbench) blockLoop() (unblock func()) {
 	blocked, barrier := make(chan bool), make(chan bool)
 	go h.loop.Post(func() { blocked <- true; <-barrier })
@@ -74,7 +74,7 @@
 
 func (c testClient) get() { _, _ = fmt.Fprint(c, "GET /x HTTP/1.1\r\nHost: h\r\n\r\n") }
 
-// status is that of the next response; 0 where the connection ends first.
+// status returns the status of the next response, or 0 if the connection ends before it.
 func (c testClient) status() int {
 	got, err := http.ReadResponse(c.in, nil)
 	if err != nil {
@@ -85,7 +85,7 @@
 	return got.StatusCode
 }
 
-// onlyConn is the one connection of the server; the loop must be blocked, or the caller its work.
+// onlyConn returns the server's only connection. The loop must be blocked, or the caller must be work of the loop.
 func (h *testbench) onlyConn() (c *clientConn) {
 	for c = range h.server.conns {
 	}
@@ -105,23 +105,23 @@
 	"sweep":    func(s *Server) { s.config.IdleTimeout = 0; s.sweep() },
 }
 
-// A request that was read and posted, but that the loop has not come to, keeps its connection open, whatever would close
-// it as idle: shutdown, the sweep, reclaiming for a new connection.
-func TestServer_RespondsToRequestThatCrossesIdleClose(t *testing.T) {
+// A request that was read and posted, but not yet handled by the loop, keeps its connection open, whichever function closes
+// idle connections: shutdown, the sweep, or reclaim for a new connection.
+func TestServer_RespondsToRequestThatArrivesDuringIdleClose(t *testing.T) {
 	for name, closes := range closers {
 		t.Run(name, func(t *testing.T) {
 			h := newTestbench(t, func(c *Config) { c.ReclaimIdleAfter = time.Nanosecond })
 			c := h.dial()
 			c.get()
-			h.fail(<-h.requests) // it has had a request
+			h.fail(<-h.requests) // the connection has had a request
 			require.Equal(t, 502, c.status())
 			unblock := h.blockLoop()
-			go h.loop.Post(func() { closes(h.server) }) // it is queued before the request is
+			go h.loop.Post(func() { closes(h.server) }) // queued before the request
 			require.Eventually(t, func() bool { return h.loop.Waiting() == 1 }, 20*time.Second, time.Millisecond)
 			conn := h.onlyConn()
 			c.get()
 			require.Eventually(t, func() bool { return conn.awaitingResponse.Load() == 1 && h.loop.Waiting() == 2 }, 20*time.Second, time.Millisecond)
-			conn.lastReadAt.Store(0) // long ago, as far as the server knows
+			conn.lastReadAt.Store(0) // the server takes the connection for long idle
 			unblock()
 			if name != "shutdown" {
 				h.fail(<-h.requests)
@@ -145,17 +145,17 @@
 	unblock := h.blockLoop()
 	c := h.dial()
 	c.get()
-	require.Eventually(t, func() bool { return h.loop.Waiting() == 2 }, 20*time.Second, time.Millisecond, "its accept and its request")
+	require.Eventually(t, func() bool { return h.loop.Waiting() == 2 }, 20*time.Second, time.Millisecond, "the accept and the request are queued")
 	unblock()
 	require.Zero(t, c.status())
-	h.loop.Do(func() {}) // all that was queued is done
+	h.loop.Do(func() {}) // the queued work is done
 	require.Empty(t, h.requests)
 	h.fail(admitted)
 	require.Equal(t, 502, first.status())
 }
 
-// Half a request has time to be completed during shutdown; then it is rejected.
-func TestServer_CloseWaitsForHalfARequestAndRejectsIt(t *testing.T) {
+// During shutdown, a client can complete a request that has arrived in part; the request is then rejected.
+func TestServer_CloseWaitsForPartialRequestAndRejectsIt(t *testing.T) {
 	h := newTestbench(t, nil)
 	c := h.dial()
 	_, _ = fmt.Fprint(c, "GET /x HTTP/1.1\r\nHost: h\r\n\r")
@@ -171,10 +171,11 @@
 	_, _ = fmt.Fprint(c, "\n")
 	require.Equal(t, 503, c.status())
 	_, err := c.in.ReadByte()
-	require.ErrorIs(t, err, io.EOF, "then the connection ends in order")
+	require.ErrorIs(t, err, io.EOF, "the connection is closed after the response, without a reset")
 }
 
-// What comes while the server is draining is responded to before the deadline, however long its client would wait.
+// Requests that arrive while the server is draining are responded to before the deadline, even if the client's timeout is
+// longer.
 func TestServer_BoundsTimeoutWhileDraining(t *testing.T) {
 	h := newTestbench(t, nil)
 	h.loop.Do(func() { h.server.StartDraining(h.loop.Now() + policy.Second) })
@@ -183,7 +184,7 @@
 	require.LessOrEqual(t, (<-h.requests).Timeout, policy.Second)
 }
 
-// Idle connections make room for new ones, long before they would be closed as idle.
+// Idle connections are closed to admit new ones, long before their idle timeout.
 func TestServer_ReclaimsIdleConnectionForNewOne(t *testing.T) {
 	h := newTestbench(t, func(c *Config) { c.MaxConnections, c.ReclaimIdleAfter = 2, time.Nanosecond })
 	first, second := h.dial(), h.dial()
@@ -192,7 +193,7 @@
 		h.fail(<-h.requests)
 		require.Equal(t, 502, c.status())
 	}
-	second.get() // has a request in flight, and stays
+	second.get() // has a request in flight, so this connection stays open
 	open := <-h.requests
 	third := h.dial()
 	third.get()
@@ -204,7 +205,7 @@
 	require.Equal(t, 502, second.status())
 }
 
-// A response that has not left completely keeps its connection, whatever would close it as idle.
+// A connection stays open until its response has been sent completely, whichever function closes idle connections.
 func TestServer_KeepsConnectionWhileResponseIsBeingWritten(t *testing.T) {
 	for name, closes := range closers {
 		t.Run(name, func(t *testing.T) {
@@ -212,7 +213,7 @@
 			c := h.dial()
 			c.get()
 			r := <-h.requests
-			body := bytes.Repeat([]byte("0123456789abcdef"), 1<<20) // more than the kernel keeps
+			body := bytes.Repeat([]byte("0123456789abcdef"), 1<<20) // more than the kernel buffers
 			pending := 0
 			h.loop.Do(func() {
 				r.Respond(&http1.Message{Status: 200, Reason: "OK", Body: body}, 1)
