--- a/internal/http1/body.go
+++ b/internal/http1/body.go
@@ -7,16 +7,16 @@
 )
 
 const (
-	maxChunkLine = 256 // bytes of a chunk's size line: a size and some extension
-	minBodySize  = 512 // bytes that are reserved for a body whose length is not known
+	maxChunkLine = 256 // maximum bytes of a line of the chunk framing; a size line has a size and possibly extensions
+	minBodySize  = 512 // bytes that are reserved at least for a body whose length is not known
 )
 
-// framing is what a head says of where its body ends.
+// framing is what a head contains about the length of the body, and the number of Host fields.
 type framing struct {
-	length  string // of Content-Length
-	lengths int    // how many of these fields there are
+	length  string // value of Content-Length
+	lengths int    // number of Content-Length fields
 	chunked bool
-	hosts   int // how many Host fields there are
+	hosts   int // number of Host fields
 }
 
 func (m *Message) framing() (f framing, err error) {
@@ -39,7 +39,7 @@
 	return f, nil
 }
 
-// startBody finds where the body ends (RFC 9112, 6.3).
+// startBody determines how the body is framed (RFC 9112, 6.3).
 func (r *Reader) startBody() error {
 	m := r.message
 	r.state, r.remaining = messageComplete, 0
@@ -59,7 +59,7 @@
 	case f.lengths > 0:
 		return r.startSizedBody(f.length)
 	case r.response && r.limits.Framed:
-		return newError(http.StatusBadGateway, "the answer tells no length")
+		return newError(http.StatusBadGateway, "the response has no length")
 	case r.response:
 		r.state = readingToEnd
 	}
@@ -80,7 +80,7 @@
 	return nil
 }
 
-// readBody reads data of a body or chunk. needMore says that all data was read and more is to come of it.
+// readBody reads data of a body or chunk. needMore means that all data was read and the body or chunk is not complete.
 func (r *Reader) readBody(data []byte) (used int, needMore bool, err error) {
 	if r.state != readingToEnd {
 		data = data[:min(len(data), r.remaining)]
@@ -100,7 +100,7 @@
 	return len(data), false, nil
 }
 
-// appendBody adds to the body, within the limit of one body and the budget of all.
+// appendBody appends data to the body, within the limit for one body and the budget for all bodies.
 func (r *Reader) appendBody(data []byte) error {
 	m := r.message
 	need := len(m.Body) + len(data)
@@ -109,7 +109,7 @@
 	}
 	if need > cap(m.Body) {
 		size := max(need, min(2*cap(m.Body), r.limits.Body), minBodySize)
-		if r.state == readingBody { // no more than was announced
+		if r.state == readingBody { // not more than Content-Length
 			size = max(need, min(size, len(m.Body)+r.remaining))
 		}
 		if r.budget != nil && !r.budget.Reserve(size-m.reserved) {
@@ -122,7 +122,7 @@
 	return nil
 }
 
-// readChunkLine reads a line of the chunk framing (RFC 9112, 7.1). needMore says that the line is not complete yet.
+// readChunkLine reads a line of the chunk framing (RFC 9112, 7.1). needMore means that the line is not complete yet.
 func (r *Reader) readChunkLine(data []byte) (used int, needMore bool, err error) {
 	line, used, err := r.readLine(data)
 	if err != nil || line == nil {
@@ -146,7 +146,7 @@
 	return used, false, err
 }
 
-// startChunk reads the size line of a chunk.
+// startChunk parses the size line of a chunk.
 func (r *Reader) startChunk(line []byte) error {
 	digits, _, _ := bytes.Cut(line, []byte(";"))
 	digits = bytes.TrimRight(digits, " \t")
@@ -168,7 +168,7 @@
 	return nil
 }
 
-// readLine collects one line of the chunk framing, without its end; nil while it is not complete.
+// readLine collects one line of the chunk framing and returns it without its line end, or nil if it is not complete yet.
 func (r *Reader) readLine(data []byte) (line []byte, used int, err error) {
 	end := bytes.IndexByte(data, '\n')
 	if used = end + 1; end < 0 {
--- a/internal/http1/error.go
+++ b/internal/http1/error.go
@@ -2,10 +2,10 @@
 
 import "fmt"
 
-// Error is a message that can't be accepted, and the status that says so.
+// Error says why a message can't be accepted. A server can respond with it.
 type Error struct {
-	Status int
-	Text   string // for the peer
+	Status int    // of the response
+	Text   string // sent to the peer
 }
 
 func (e *Error) Error() string { return fmt.Sprintf("%d: %s", e.Status, e.Text) }
--- a/internal/http1/head.go
+++ b/internal/http1/head.go
@@ -9,12 +9,12 @@
 
 const (
 	headEnd       = "\r\n\r\n"
-	maxFields     = 100 // as net/http's clients send a few dozen at most
-	typicalFields = 8   // that memory is reserved for at first
-	maxEmptyLines = 4   // before a request that are skipped (RFC 9112, 2.2)
+	maxFields     = 100 // maximum; clients that use net/http send a few dozen at most
+	typicalFields = 8   // number of fields for which memory is reserved at first
+	maxEmptyLines = 4   // maximum number of empty lines that are skipped before a request (RFC 9112, 2.2)
 )
 
-// readHead collects a head and parses it once it is complete.
+// readHead collects a head and parses it when it is complete.
 func (r *Reader) readHead(data []byte) (used int, err error) {
 	if len(r.buffer) == 0 && !r.response { // empty lines before a request
 		for used < len(data) && r.skipped < 2*maxEmptyLines && (data[used] == '\r' || data[used] == '\n') {
@@ -23,7 +23,7 @@
 		}
 		data = data[used:]
 	}
-	if len(r.buffer) == 0 { // most heads come in one piece and need no copy of their own
+	if len(r.buffer) == 0 { // most heads arrive in one piece and need not be copied to the buffer
 		if end := bytes.Index(data, []byte(headEnd)); end >= 0 {
 			if end > r.limits.Head {
 				return used, newError(http.StatusRequestHeaderFieldsTooLarge, "the head is larger than %d bytes", r.limits.Head)
@@ -32,8 +32,8 @@
 		}
 	}
 	from := max(0, r.searched-len(headEnd)+1)
-	room := r.limits.Head + len(headEnd) - len(r.buffer)
-	take := min(len(data), max(0, room))
+	available := r.limits.Head + len(headEnd) - len(r.buffer)
+	take := min(len(data), max(0, available))
 	before := len(r.buffer)
 	r.buffer = append(r.buffer, data[:take]...)
 	if end := bytes.Index(r.buffer[from:], []byte(headEnd)); end >= 0 {
@@ -52,15 +52,16 @@
 	return used + take, nil
 }
 
-// maybeHead reports by the first byte whether a head can follow: a TLS greeting on a plain port is refused at once.
+// maybeHead reports whether the first byte can start a head. It allows a TLS handshake on a plaintext port to be refused
+// immediately.
 func (r *Reader) maybeHead() bool {
 	c := r.buffer[0]
 	return r.response && c == 'H' || !r.response && isToken(c)
 }
 
-// parseHead parses a complete head, without its end.
+// parseHead parses a complete head, without the empty line at its end.
 func (r *Reader) parseHead(raw []byte) error {
-	text := string(raw) // one copy, which all parts share
+	text := string(raw) // one copy, which all strings of the message share
 	start, rest, _ := strings.Cut(text, "\r\n")
 	m := &Message{}
 	var err error
@@ -111,7 +112,7 @@
 	}
 	m.Status, m.Reason = status, reason
 	if !every(reason, isText) {
-		return newError(http.StatusBadGateway, "the status line holds control characters")
+		return newError(http.StatusBadGateway, "the status line contains control characters")
 	}
 	return m.parseVersion(version)
 }
@@ -139,7 +140,7 @@
 	return Field{name, value}, nil
 }
 
-// every reports whether all bytes of a string are of a kind.
+// every reports whether is reports true for all bytes of a string.
 func every(s string, is func(byte) bool) bool {
 	for i := range len(s) {
 		if !is(s[i]) {
@@ -149,7 +150,7 @@
 	return true
 }
 
-// tokenTable are the bytes of a token (RFC 9110, 5.6.2).
+// tokenTable has true for the bytes that a token may contain (RFC 9110, 5.6.2).
 var tokenTable = func() (t [256]bool) {
 	for c := range 256 {
 		t[c] = c >= 'a' && c <= 'z' || c >= 'A' && c <= 'Z' || c >= '0' && c <= '9' ||
--- a/internal/http1/message.go
+++ b/internal/http1/message.go
@@ -1,14 +1,15 @@
-// Package http1 reads and writes HTTP/1.1 messages (RFC 9110, RFC 9112) piece by piece, without sockets: bytes in,
-// whole messages out. It is strict where laxness lets two readers disagree about where a message ends: a bare line
-// feed, folded lines, space before a colon, two lengths, or a length beside chunks are refused.
+// Package http1 parses HTTP/1.1 messages (RFC 9110, RFC 9112) incrementally, and writes their header fields. It uses no
+// sockets: it turns bytes into complete messages. It refuses whatever different parsers might read differently, so that
+// they could disagree about where a message ends: a bare line feed, folded lines, space before a colon, two lengths, or
+// both a length and a transfer coding.
 //
-// Feed a Reader whatever arrived and act on what Read reports:
+// Pass the bytes that have arrived to a Reader and act on what Read reports:
 //
 //	for {
 //		n, event, err := r.Read(data)
 //		data = data[n:]
 //		if err != nil || event == http1.NeedMore {
-//			break // err is an *Error, with the status that fits
+//			break // err is an *Error, with a suitable status
 //		}
 //		if event == http1.MessageRead {
 //			m := r.Take()
@@ -18,29 +19,29 @@
 
 import "strings"
 
-// Field is one header line, its name as sent.
+// Field is one header field. Its name is spelled as in the message.
 type Field struct{ Name, Value string }
 
-// Message is a request (Method is set) or a response (Status is set), with its whole body.
+// Message is a request (Method is set) or a response (Status is set), with its complete body.
 type Message struct {
 	Method, Target string
 	Status         int
 	Reason         string
-	Minor          int // of the version 1.x
+	Minor          int // minor version: 0 for HTTP/1.0, 1 for HTTP/1.1
 	Fields         []Field
 	Body           []byte
 
-	reserved int // bytes of the budget that the body holds
-	budget   *Budget
+	reserved int     // number of bytes of the budget that the body holds
+	budget   *Budget // nil if the body holds none
 }
 
-// Get is the value of the first field of that name, in any case; empty if there is none.
+// Get returns the value of the first field with that name, or "" if there is none. Names are not case-sensitive.
 func (m *Message) Get(name string) string {
 	v, _ := m.Lookup(name)
 	return v
 }
 
-// Lookup is the value of the first field of that name and whether there is one.
+// Lookup returns the value of the first field with that name, and whether there is one. Names are not case-sensitive.
 func (m *Message) Lookup(name string) (string, bool) {
 	for i := range m.Fields {
 		if f := &m.Fields[i]; sameToken(f.Name, name) {
@@ -50,7 +51,7 @@
 	return "", false
 }
 
-// Closes reports whether the connection ends with this message (RFC 9112, 9.3).
+// Closes reports whether the connection is to be closed after this message (RFC 9112, 9.3).
 func (m *Message) Closes() bool {
 	keep := m.Minor > 0
 	for _, f := range m.Fields {
@@ -69,7 +70,7 @@
 	return !keep
 }
 
-// Drop gives back the memory that the body holds of its budget. The body must not be read after it.
+// Drop drops the body and returns its bytes to the budget. The body must not be used afterwards.
 func (m *Message) Drop() {
 	if m.budget != nil {
 		m.budget.Release(m.reserved)
@@ -77,7 +78,8 @@
 	m.Body, m.reserved = nil, 0
 }
 
-// isHopByHop are the fields that concern one connection only (RFC 9110, 7.6.1), beside those that Connection names.
+// isHopByHop reports whether a field is not forwarded, mostly because it concerns a single connection (RFC 9110, 7.6.1).
+// The fields that Connection lists are not forwarded either.
 func isHopByHop(name string) bool {
 	switch len(name) {
 	case 2:
@@ -102,7 +104,7 @@
 	return false
 }
 
-// AppendFields appends the end-to-end fields, but for those that skip is true of; skip may be nil.
+// AppendFields appends the end-to-end fields, except those for which skip reports true. skip may be nil.
 func (m *Message) AppendFields(to []byte, skip func(name string) bool) []byte {
 	connectionOptions := ""
 	for _, f := range m.Fields {
@@ -119,7 +121,7 @@
 	return to
 }
 
-// inList reports whether a name stands in a list that is separated by commas.
+// inList reports whether a comma-separated list contains a name.
 func inList(list, name string) bool {
 	for item := range strings.SplitSeq(list, ",") {
 		if sameToken(strings.TrimSpace(item), name) {
@@ -129,8 +131,9 @@
 	return false
 }
 
-// sameToken reports whether two tokens, such as field names, are the same in any case. EqualFold alone takes letters beyond
-// ASCII for some within it, which other programs on the way don't.
+// sameToken reports whether two tokens, such as field names, are equal when case is ignored. EqualFold alone is not enough:
+// it takes some non-ASCII letters for ASCII ones, which other programs on the path don't. Those letters take more bytes, so
+// the lengths differ.
 func sameToken(a, b string) bool { return len(a) == len(b) && strings.EqualFold(a, b) }
 
 // AppendField appends one header line.
--- a/internal/http1/reader.go
+++ b/internal/http1/reader.go
@@ -1,75 +1,75 @@
 package http1
 
-// Event is what Read found.
+// Event is the result of a call of Read.
 type Event int
 
-// Events of Read.
+// Results of Read.
 const (
-	NeedMore    Event = iota // all data was read; the message goes on
-	HeadRead                 // the head of a message is known: Peek has it, its body is to come
-	MessageRead              // the message is complete: Take it before reading on
+	NeedMore    Event = iota // all data was read, and the message is not complete
+	HeadRead                 // the head of a message is complete: Peek returns it, without its body
+	MessageRead              // the message is complete: call Take before the next Read
 )
 
-// Limits of one message, in bytes; each is at least 1.
+// Limits are the limits of one message. Head and Body are in bytes, and at least 1.
 type Limits struct {
-	Head   int // start line and fields
+	Head   int // start line and header fields
 	Body   int
-	Framed bool // a response must have a length, or come in chunks: the end of its connection may be a lost connection
+	Framed bool // a response must have a length or be chunked, because a lost connection looks like the end of other responses
 }
 
 type readState int
 
-// States of a reader, in the order in which a message goes through some of them.
+// States of a reader. A message goes through some of them, in this order; chunks repeat theirs.
 const (
 	readingHead      readState = iota
-	headComplete               // the body has not been looked at yet
-	readingBody                // with a Content-Length
+	headComplete               // it is not yet known how the body is framed
+	readingBody                // a body with a Content-Length
 	readingChunkSize           // the line before a chunk
 	readingChunk               // a chunk's data
 	readingChunkEnd            // the line end after a chunk
-	readingTrailer             // fields after the last chunk, which are dropped
+	readingTrailer             // the fields after the last chunk, which are ignored
 	readingToEnd               // a response's body that ends with the connection
 	messageComplete
 )
 
-// Reader puts messages together. The zero Reader is not ready: use NewReader.
+// Reader reads messages from pieces of data. Use NewReader, as the zero Reader is not usable.
 type Reader struct {
 	limits   Limits
 	budget   *Budget
-	response bool
-	noBody   bool // the response to a HEAD request
+	response bool // messages are responses
+	noBody   bool // the response is to a HEAD request
 
 	state     readState
-	message   *Message // from headComplete on
+	message   *Message // set from headComplete on
 	buffer    []byte   // an incomplete head, or an incomplete line of the chunk framing
-	searched  int      // bytes of buffer that were searched for the head's end
-	skipped   int      // bytes of empty lines before the head
-	remaining int      // bytes to come of the body or chunk; in the trailer, bytes that have come
+	searched  int      // number of bytes of buffer that were searched for the head's end
+	skipped   int      // number of bytes of empty lines before the head
+	remaining int      // bytes of the body or chunk that have not been read; in the trailer, bytes that have been read
 }
 
-// NewReader returns a reader of requests, or of responses. Bodies hold bytes of the budget until Message.Drop; nil for
-// no budget.
+// NewReader returns a reader of requests, or of responses. Bodies hold bytes of the budget until Message.Drop. budget may
+// be nil.
 func NewReader(limits Limits, budget *Budget, response bool) *Reader {
 	return &Reader{limits: limits, budget: budget, response: response}
 }
 
-// Expect says before a response arrives whether it answers a HEAD request and so has no body.
+// Expect sets, before a response arrives, whether it is to a HEAD request and therefore has no body.
 func (r *Reader) Expect(head bool) { r.noBody = head }
 
 // Idle reports whether no byte of a message has been read yet.
 func (r *Reader) Idle() bool { return r.state == readingHead && len(r.buffer) == 0 }
 
-// Peek is the message that is being read, after HeadRead.
+// Peek returns the message that is being read, after HeadRead.
 func (r *Reader) Peek() *Message { return r.message }
 
-// Take returns the complete message; the next bytes start another one.
+// Take returns the complete message. The next bytes start another message.
 func (r *Reader) Take() *Message {
 	m := r.message
 	r.message, r.state, r.searched, r.skipped, r.buffer = nil, readingHead, 0, 0, r.buffer[:0]
 	return m
 }
 
-// Drop gives back what the message that is being read holds.
+// Drop drops the message that is being read and returns its bytes to the budget.
 func (r *Reader) Drop() {
 	if r.message != nil {
 		r.message.Drop()
@@ -77,7 +77,7 @@
 	r.message, r.buffer, r.state = nil, nil, readingHead
 }
 
-// Ended says that the connection has ended; it reports whether that completed a message.
+// Ended is called when the connection has ended. It reports whether that completed a message.
 func (r *Reader) Ended() bool {
 	if r.state == readingToEnd {
 		r.state = messageComplete
@@ -86,8 +86,8 @@
 	return false
 }
 
-// Read reads from data what belongs to the next event and returns how many bytes that were. After an error, an *Error,
-// nothing more can be read.
+// Read reads data up to the next event and returns the number of bytes read. An error is an *Error; after it, nothing more
+// can be read.
 func (r *Reader) Read(data []byte) (n int, e Event, err error) {
 	for {
 		switch r.state {
--- a/internal/http1/reader_test.go
+++ b/internal/http1/reader_test.go
@@ -14,7 +14,7 @@
 
 var testLimits = Limits{Head: 1024, Body: 4096}
 
-// readAll reads data in pieces of a size and returns the messages, and the error that ended them.
+// readAll reads data in pieces of a given size. It returns the messages, and the error after which it stopped.
 func readAll(r *Reader, data []byte, piece int) (all []*Message, err error) {
 	for len(data) > 0 {
 		part := data[:min(piece, len(data))]
@@ -36,7 +36,7 @@
 	return all, nil
 }
 
-func TestReader_ReadsSameMessagesInAnyPieces(t *testing.T) {
+func TestReader_ReadsSameMessagesInPiecesOfAnySize(t *testing.T) {
 	text := "\r\nPOST /a HTTP/1.1\r\nHost: h\r\nContent-Length: 5\r\n\r\nhello" +
 		"POST /b HTTP/1.1\r\nhost: h\r\nTransfer-Encoding: chunked\r\n\r\n3;x=y\r\nabc\r\n0A\r\n0123456789\r\n0\r\nTrailer: t\r\n\r\n" +
 		"GET /c HTTP/1.0\r\nConnection: keep-alive\r\nEmpty:\r\n\r\n"
@@ -52,7 +52,7 @@
 	}
 }
 
-func TestReader_FindsEndOfResponseByKind(t *testing.T) {
+func TestReader_FindsEndOfResponse(t *testing.T) {
 	read := func(text string, head bool) (*Message, *Reader) {
 		r := NewReader(testLimits, nil, true)
 		r.Expect(head)
@@ -75,7 +75,7 @@
 	require.Equal(t, "to the end", string(r.Take().Body))
 	m, r = read("HTTP/1.1 200 OK\r\nContent-Length: 20\r\n\r\nnot to the end", false)
 	require.Nil(t, m)
-	require.False(t, r.Ended(), "a response whose connection is lost is none")
+	require.False(t, r.Ended(), "a response is incomplete if its connection is lost")
 }
 
 func TestReader_ReservesAndReleasesBudget(t *testing.T) {
@@ -94,7 +94,7 @@
 	require.Zero(t, b.Used())
 }
 
-func TestMessage_AppendFieldsLeavesOutHopByHopFields(t *testing.T) {
+func TestMessage_AppendFieldsOmitsHopByHopFields(t *testing.T) {
 	all, err := readAll(NewReader(testLimits, nil, false), []byte("GET / HTTP/1.1\r\nHost: h\r\nConnection: close, X-Mine\r\nx-mine: 1\r\n"+
 		"Keep-Alive: 5\r\nTE: trailers\r\nUpgrade: h2c\r\nExpect: 100-continue\r\nX-Yours: 2\r\n\r\n"), 1000)
 	require.NoError(t, err)
@@ -102,8 +102,8 @@
 	require.True(t, all[0].Closes())
 }
 
-// What net/http writes is read the same, in any pieces.
-func TestReader_ReadsRequestsOfNetHTTP(t *testing.T) {
+// A request that net/http writes is read unchanged, in pieces of any size.
+func TestReader_ReadsRequestsWrittenByNetHTTP(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		body := rapid.SliceOfN(rapid.Byte(), 0, 2000).Draw(t, "body")
 		req, err := http.NewRequest(http.MethodPost, "http://h/"+rapid.StringMatching(`[a-z0-9/]{0,20}`).Draw(t, "path"), bytes.NewReader(body))
@@ -127,8 +127,8 @@
 	})
 }
 
-// FuzzReader checks that nothing makes the reader panic or hold more than its limits, that it makes no difference in
-// which pieces bytes arrive, and that net/http reads the same body of a request that both accept.
+// FuzzReader checks that no input makes the reader panic or exceed its limits, that the result does not depend on the
+// pieces in which the input arrives, and that net/http reads the same body of a request that both accept.
 func FuzzReader(f *testing.F) {
 	for _, s := range []string{"GET / HTTP/1.1\r\nHost: h\r\n\r\n", "POST /x HTTP/1.1\r\nHost: h\r\nContent-Length: 3\r\n\r\nabc",
 		"POST /x HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n0\r\n\r\n",
@@ -152,18 +152,18 @@
 		}
 		got, err := http.ReadRequest(bufio.NewReader(bytes.NewReader(bytes.TrimLeft(data, "\r\n"))))
 		if err != nil {
-			return // stricter than the reader, as with odd Host values
+			return // net/http is stricter than the reader, for example with odd Host values
 		}
 		body, err := io.ReadAll(got.Body)
 		if err == nil && !bytes.Equal(body, whole[0].Body) {
-			t.Fatalf("net/http reads the body %q, this %q", body, whole[0].Body)
+			t.Fatalf("net/http reads the body %q, the reader %q", body, whole[0].Body)
 		}
 	})
 }
 
-// Guards against request smuggling by letters beyond ASCII that fold to ASCII ones: another program on the way would see
-// another end of the request.
-func TestReader_ComparesTokensByASCIIAlone(t *testing.T) {
+// Guards against request smuggling with non-ASCII letters that case folding turns into ASCII ones: another program on the
+// path would see a different end of the request.
+func TestReader_ComparesTokensAsASCII(t *testing.T) {
 	const kelvin, longS = "\u212a", "\u017f" // fold to k and s
 	r := NewReader(testLimits, NewBudget(1<<10), false)
 	request := []byte("POST / HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: chun" + kelvin + "ed\r\n\r\n0\r\n\r\n")
