--- a/internal/downstream/protocol.go
+++ b/internal/downstream/protocol.go
@@ -98,7 +98,7 @@
 		n, err := strconv.ParseUint(text, 10, 31)
 		return policy.Time(n) * ticksPerMs, err == nil && n > 0 && text[0] != '+'
 	}
-	timeout, ok := parseSpan(text)
+	timeout, ok := parseDuration(text)
 	return timeout, ok && timeout > 0
 }
 
@@ -108,12 +108,12 @@
 		n, err := strconv.ParseFloat(text, 64)
 		return policy.Time(n) / p.WorkUnitsPerTick, err == nil && n >= 0 && n < 1e12
 	}
-	work, ok := parseSpan(text)
+	work, ok := parseDuration(text)
 	return work, ok && work >= 0
 }
 
-// parseSpan parses a duration with a unit, or a number of whole milliseconds.
-func parseSpan(text string) (policy.Time, bool) {
+// parseDuration parses a duration with a unit, or a number of whole milliseconds.
+func parseDuration(text string) (policy.Time, bool) {
 	if n, err := strconv.ParseUint(text, 10, 32); err == nil {
 		return policy.Time(n) * ticksPerMs, true
 	}
--- a/internal/downstream/request.go
+++ b/internal/downstream/request.go
@@ -24,7 +24,7 @@
 	Deadline       policy.Time // when the timeout ends that is counted from the request's first byte
 	ExpectedWork   policy.Time
 	ClientRetry    bool
-	From           netip.Addr
+	RemoteIP       netip.Addr
 
 	// OnClientGone is called from work of the loop if the client disconnects before the response. The handler sets it.
 	OnClientGone func()
@@ -70,7 +70,7 @@
 
 // parseRequest parses the headers that describe a request. The last pending response of c must be that of the request.
 func (s *Server) parseRequest(c *clientConn, m *http1.Message, startedAt policy.Time) (*Request, *http1.Error) {
-	r := &Request{Message: m, OnClientGone: func() {}, pending: c.pending[len(c.pending)-1], From: c.remoteIP}
+	r := &Request{Message: m, OnClientGone: func() {}, pending: c.pending[len(c.pending)-1], RemoteIP: c.remoteIP}
 	headers, err := s.protocol.readHeaders(m, s.headers)
 	if err != nil {
 		return nil, err
--- a/internal/http1/head.go
+++ b/internal/http1/head.go
@@ -46,15 +46,15 @@
 	if r.searched = len(r.buffer); r.searched >= r.limits.Head+len(headEnd) {
 		return used, newError(http.StatusRequestHeaderFieldsTooLarge, "the head is larger than %d bytes", r.limits.Head)
 	}
-	if r.searched > 0 && !r.maybeHead() {
+	if r.searched > 0 && !r.canStartHead() {
 		return used, newError(http.StatusBadRequest, "this is no HTTP/1.1 message")
 	}
 	return used + take, nil
 }
 
-// maybeHead reports whether the first byte can start a head. It allows a TLS handshake on a plaintext port to be refused
+// canStartHead reports whether the first byte can start a head, so that a TLS handshake on a plaintext port is refused
 // immediately.
-func (r *Reader) maybeHead() bool {
+func (r *Reader) canStartHead() bool {
 	c := r.buffer[0]
 	return r.response && c == 'H' || !r.response && isToken(c)
 }
--- a/internal/proxy/attempt.go
+++ b/internal/proxy/attempt.go
@@ -54,7 +54,7 @@
 	if result.Outcome == policy.Succeeded && r.responseDue {
 		r.responseDue = false
 		p.counts.Succeeded++
-		p.countLate(r.downstream)
+		p.countIfLate(r.downstream)
 		r.host = host
 		p.countOutcome(reportedSucceeded, r)
 		if p.faults == nil || !p.faults.Silent(r.id) {
@@ -67,7 +67,7 @@
 	}
 	p.handleEvent(router.AttemptEnded{RequestID: r.id, Attempt: number, Outcome: result.Outcome, Latency: result.Latency,
 		Done: !r.responseDue, Load: result.Load})
-	p.forget(r)
+	p.removeIfComplete(r)
 }
 
 // requestHead returns the part of the head that all attempts of a request share: everything except the attempt's number
@@ -91,8 +91,8 @@
 	if p.protocol.Class != "" {
 		b = http1.AppendField(b, p.protocol.Class, d.Class)
 	}
-	if p.protocol.ForwardedHeaders && d.From.IsValid() {
-		b = http1.AppendField(b, "X-Forwarded-For", d.From.String())
+	if p.protocol.ForwardedHeaders && d.RemoteIP.IsValid() {
+		b = http1.AppendField(b, "X-Forwarded-For", d.RemoteIP.String())
 	}
 	if len(m.Body) > 0 || m.Method == http.MethodPost || m.Method == http.MethodPut || m.Method == http.MethodPatch {
 		b = append(b, "Content-Length: "...)
--- a/internal/proxy/request.go
+++ b/internal/proxy/request.go
@@ -35,7 +35,7 @@
 	if limits.MaxRequestsInFlight > 0 && len(p.requests) >= limits.MaxRequestsInFlight || d.Timeout <= 0 {
 		d.Message.Drop()
 		p.counts.Rejected++
-		p.countLate(d)
+		p.countIfLate(d)
 		d.Reject(limits.MaxRetryAfter/4, "this router holds as many tasks as it may")
 		return
 	}
@@ -53,11 +53,11 @@
 	p.counts.ClientsGone++
 	r.cancelAttempts()
 	p.handleEvent(router.ClientGone{RequestID: r.id})
-	p.forget(r)
+	p.removeIfComplete(r)
 }
 
-// countLate counts a response that is sent now as late, if the request's deadline has passed.
-func (p *Proxy) countLate(d *downstream.Request) {
+// countIfLate counts a response that is sent now as late, if the request's deadline has passed.
+func (p *Proxy) countIfLate(d *downstream.Request) {
 	if p.loop.Now() > d.Deadline {
 		p.lateResponses++
 	}
@@ -66,7 +66,7 @@
 // respondFinal rejects or fails a request for which no attempt has succeeded.
 func (p *Proxy) respondFinal(r *request, a router.Action) {
 	r.responseDue = false
-	p.countLate(r.downstream)
+	p.countIfLate(r.downstream)
 	if a.Kind == router.Reject {
 		p.counts.Rejected++
 		p.countOutcome(reportedRejected, r)
@@ -82,7 +82,7 @@
 		}
 	}
 	r.cancelAttempts()
-	p.forget(r)
+	p.removeIfComplete(r)
 }
 
 // cancelAttempts cancels the attempts of which no byte has been sent.
@@ -92,8 +92,8 @@
 	}
 }
 
-// forget removes a request if it is complete.
-func (p *Proxy) forget(r *request) {
+// removeIfComplete removes a request if it is complete.
+func (p *Proxy) removeIfComplete(r *request) {
 	if !r.responseDue && r.outstanding == 0 && p.requests[r.id] == r {
 		r.downstream.Message.Drop()
 		delete(p.requests, r.id)
--- a/internal/upstream/connection.go
+++ b/internal/upstream/connection.go
@@ -168,14 +168,14 @@
 		if m != nil {
 			c.responseRead(m, true)
 		}
-		c.lost(err)
+		c.connectionLost(err)
 	})
 }
 
-// lost ends the attempt of a connection that has ended without a response. The host certainly has not started the request
-// if it was not written, or if only a part of it was written and the protocol's hosts start a request once its last byte
-// has arrived.
-func (c *upstreamConn) lost(err error) {
+// connectionLost ends the attempt of a connection that has ended without a response. The host certainly has not started
+// the request if it was not written, or if only a part of it was written and the protocol's hosts start a request only
+// when its last byte has arrived.
+func (c *upstreamConn) connectionLost(err error) {
 	reason := "the host closed the connection"
 	if err != nil {
 		reason = err.Error()
