--- a/internal/proxy/attempt.go
+++ b/internal/proxy/attempt.go
@@ -16,11 +16,11 @@
 )
 
 const (
-	headCapacity        = 512 // bytes reserved for the common head of a request's attempts
-	attemptHeadCapacity = 96  // and for what each attempt adds to it
+	headCapacity        = 512 // bytes reserved for the part of the head that all attempts of a request share
+	attemptHeadCapacity = 96  // bytes reserved for what each attempt adds to it
 )
 
-// sendAttempt sends a request to a host.
+// sendAttempt starts an attempt of a request on a host.
 func (p *Proxy) sendAttempt(r *request, a router.Action) {
 	m := r.downstream.Message
 	if r.commonHead == nil {
@@ -43,7 +43,8 @@
 		func(result upstream.Result) { p.attemptEnded(r, number, host, result) }))
 }
 
-// attemptEnded reports the end of an attempt to the router. The first that succeeds gives the client its response.
+// attemptEnded reports the result of an attempt to the router. The first attempt that succeeds provides the client's
+// response.
 func (p *Proxy) attemptEnded(r *request, number int, host uint32, result upstream.Result) {
 	r.outstanding--
 	r.timedOut = result.Outcome == policy.TimedOut
@@ -53,7 +54,7 @@
 	if result.Outcome == policy.Succeeded && r.responseDue {
 		r.responseDue = false
 		p.counts.Succeeded++
-		p.countLate(r.downstream)
+		p.countIfLate(r.downstream)
 		r.host = host
 		p.countOutcome(reportedSucceeded, r)
 		if p.faults == nil || !p.faults.Silent(r.id) {
@@ -66,10 +67,11 @@
 	}
 	p.handleEvent(router.AttemptEnded{RequestID: r.id, Attempt: number, Outcome: result.Outcome, Latency: result.Latency,
 		Done: !r.responseDue, Load: result.Load})
-	p.forget(r)
+	p.removeIfComplete(r)
 }
 
-// requestHead is what the heads of a request's attempts have in common: all but the attempt's number and its timeout.
+// requestHead returns the part of the head that all attempts of a request share: everything except the attempt's number
+// and its timeout.
 func (p *Proxy) requestHead(m *http1.Message, d *downstream.Request) []byte {
 	b := make([]byte, 0, headCapacity)
 	b = append(b, m.Method...)
@@ -89,8 +91,8 @@
 	if p.protocol.Class != "" {
 		b = http1.AppendField(b, p.protocol.Class, d.Class)
 	}
-	if p.protocol.ForwardedHeaders && d.From.IsValid() {
-		b = http1.AppendField(b, "X-Forwarded-For", d.From.String())
+	if p.protocol.ForwardedHeaders && d.RemoteIP.IsValid() {
+		b = http1.AppendField(b, "X-Forwarded-For", d.RemoteIP.String())
 	}
 	if len(m.Body) > 0 || m.Method == http.MethodPost || m.Method == http.MethodPut || m.Method == http.MethodPatch {
 		b = append(b, "Content-Length: "...)
@@ -100,7 +102,7 @@
 	return b
 }
 
-// isOwnHeader reports whether a router sets a header itself on its way to a host, whatever the client sent.
+// isOwnHeader reports whether the router sets a header of forwarded requests itself. The client's value is not forwarded.
 func (p *Proxy) isOwnHeader(name string) bool {
 	for _, own := range [...]string{p.protocol.Timeout, p.protocol.Attempt, p.protocol.Router, p.protocol.Class} {
 		if len(name) == len(own) && strings.EqualFold(name, own) {
@@ -110,7 +112,7 @@
 	return false
 }
 
-// checkHealth sends a health check to a host, where the configuration names a path for it. The result counts for no
+// checkHealth sends a health check to a host, if a path is configured for it. The result does not count toward any
 // request.
 func (p *Proxy) checkHealth(host uint32) {
 	check := p.config.HealthCheck
