--- a/release/events.go
+++ b/release/events.go
@@ -2,28 +2,28 @@
 
 import "dapplefront/policy"
 
-// Input is something that happened: Offer, HostsReady, HostsRemoved, RollBack, Finalize, Tick or Vote.
+// Input is an event that the machine handles: Offer, HostsReady, HostsRemoved, RollBack, Finalize, Tick or Vote.
 type Input interface{ input() }
 
-// Offer asks for the release of a newer build. It is answered by Reject where it can't start now.
+// Offer requests the release of a newer build. The machine returns Reject if the release can't start now.
 type Offer struct{ Build int }
 
-// HostsReady says that all hosts that the last Deploy of the build asked for run.
+// HostsReady reports that all hosts requested by the last Deploy of the build are running.
 type HostsReady struct{ Build int }
 
-// HostsRemoved says that all hosts that Retire named are gone.
+// HostsRemoved reports that all hosts covered by the Retire of the build have been removed.
 type HostsRemoved struct{ Build int }
 
-// RollBack rolls the newest build back without votes. It is answered by Reject where that is not possible.
+// RollBack rolls the newest build back without votes. The machine returns Reject if that is not possible.
 type RollBack struct{ Build int }
 
-// Finalize says that something irreversible has been done: from now on the build can't be rolled back.
+// Finalize reports that an irreversible step is done: from now on the build can't be rolled back.
 type Finalize struct{ Build int }
 
-// Tick says that time has passed.
+// Tick reports that time has passed.
 type Tick struct{}
 
-// Vote is a router's vote; it replaces the router's earlier one. It is answered by VoteAnswer.
+// Vote is a router's vote; it replaces the router's earlier one. The machine returns VoteAnswer.
 type Vote struct {
 	Router       string
 	Build, Stage int
@@ -38,28 +38,28 @@
 func (Tick) input()         {}
 func (Vote) input()         {}
 
-// Effect is something for the caller to do: Deploy, Retire, Notify, VoteAnswer or Reject.
+// Effect is an action that the caller carries out: Deploy, Retire, Notify, VoteAnswer or Reject.
 type Effect interface{ effect() }
 
-// Deploy asks for the build on a share of the fleet's hosts, beside what runs there.
+// Deploy requests that a share of the fleet's hosts run the build, in addition to the builds that already run there.
 type Deploy struct {
 	Build int
 	Share float64 // from 0 to 1
 }
 
-// Retire asks to drain the build's hosts and then to end them.
+// Retire requests that the build's hosts be drained and then stopped.
 type Retire struct{ Build int }
 
-// Notify tells all routers the new status.
+// Notify requests that all routers be notified of the new status.
 type Notify struct{ Status }
 
-// VoteAnswer answers the Vote that was handled.
+// VoteAnswer is the response to the Vote that was handled.
 type VoteAnswer struct {
 	Accepted bool
-	Reason   string // why it does not count; empty where it does
+	Reason   string // why the vote does not count; empty if it was accepted
 }
 
-// Reject answers the Offer or RollBack that was handled: it changed nothing.
+// Reject is the response to an Offer or RollBack that was rejected and changed nothing.
 type Reject struct{ Reason string }
 
 func (Deploy) effect()     {}
--- a/release/machine.go
+++ b/release/machine.go
@@ -7,7 +7,7 @@
 	"dapplefront/policy"
 )
 
-// Reasons of Reject and VoteAnswer. Clients see them; they stay to the letter.
+// Reasons in Reject and VoteAnswer. Clients see these texts, so they must not change.
 const (
 	reasonIrreversible  = "a step that can't be undone has been done"
 	reasonOldBuild      = "a build with a higher number has been offered already"
@@ -16,43 +16,43 @@
 	reasonNotThisChoice = "no such vote under this control"
 )
 
-// castVote is a router's last vote.
+// castVote is a router's most recent vote.
 type castVote struct {
 	build, stage int
 	choice       policy.VoteChoice
 	at           policy.Time
 }
 
-// Machine is the releases of one fleet. It is not safe for concurrent use.
+// Machine manages the releases of one fleet. It is not safe for concurrent use.
 type Machine struct {
 	rules         Rules
-	now           policy.Time // of the last input; it never runs back
+	now           policy.Time // time of the last input; it never decreases
 	state         state
 	status        Status
-	previousBuild int         // serves beside a canary, or served before status.Build
-	stageStarted  policy.Time // when all hosts of the stage ran
-	heldTime      policy.Time // with policy.Timed: how long the stage was on hold
+	previousBuild int         // the build that serves beside a canary, or served before status.Build
+	stageStarted  policy.Time // when all hosts of the stage became ready
+	heldTime      policy.Time // with policy.Timed: how long the stage has been on hold
 	onHold        bool
 	lastHandled   policy.Time
 	irreversible  bool // the newest build can't be rolled back
 	votes         map[string]castVote
-	effects       []Effect // of the input in hand
+	effects       []Effect // of the input that is being handled
 }
 
-// New returns a machine whose newest release is a build that is released and serves.
+// New returns a machine whose newest release is the given build, in the state released.
 func New(rules Rules, build int) *Machine {
 	return &Machine{rules: rules, state: released, previousBuild: build, votes: map[string]castVote{},
 		status: Status{Build: build, Phase: policy.Released, ExposureCap: 1, Stage: max(0, len(rules.Stages)-1)}}
 }
 
-// Status is where the newest release stands.
+// Status returns the status of the newest release.
 func (m *Machine) Status() Status { return m.status }
 
-// PreviousBuild is the build that serves beside a canary, or that served before the newest one was released.
+// PreviousBuild returns the build that serves beside a canary, or that served before the newest one was released.
 func (m *Machine) PreviousBuild() int { return m.previousBuild }
 
-// Votes counts the votes of a choice that stand for the newest build: not expired, and unless they are for a rollback, for
-// its present stage.
+// Votes returns the number of valid votes with the given choice for the newest build. A vote is valid until it expires;
+// votes other than rollback votes must also be for the current stage.
 func (m *Machine) Votes(choice policy.VoteChoice) (n int) {
 	for _, v := range m.votes {
 		stands := v.choice == choice && v.build == m.status.Build && m.now-v.at <= m.rules.VoteTTL
@@ -63,8 +63,8 @@
 	return n
 }
 
-// Handle takes in what happened at a time and returns what is to be done, in order. A time before that of an earlier input
-// counts as that one.
+// Handle handles an input at the given time and returns the effects to carry out, in order. A time before that of an earlier
+// input is replaced by the earlier input's time.
 func (m *Machine) Handle(now policy.Time, in Input) []Effect {
 	m.now, m.effects = max(now, m.now), nil
 	switch in := in.(type) {
@@ -90,20 +90,20 @@
 	return m.effects
 }
 
-// Due tells whether a Tick at a time would have an effect.
+// Due reports whether a Tick at the given time would have an effect.
 func (m *Machine) Due(now policy.Time) bool {
 	copied := *m
 	copied.votes = maps.Clone(m.votes)
 	return len(copied.Handle(now, Tick{})) > 0
 }
 
-// SetQuorum changes how many votes promote a stage and roll a build back, as routers join and leave. It has its effect with
-// the next input.
+// SetQuorum changes the number of votes that promote a stage and that roll a build back, as routers join and leave. It takes
+// effect with the next input.
 func (m *Machine) SetQuorum(promote, rollback int) {
 	m.rules.PromoteQuorum, m.rules.RollbackQuorum = promote, rollback
 }
 
-// ForgetRouter drops the vote of a router that has left.
+// ForgetRouter deletes the vote of a router that has left.
 func (m *Machine) ForgetRouter(router string) { delete(m.votes, router) }
 
 func (m *Machine) emit(e Effect) { m.effects = append(m.effects, e) }
@@ -137,7 +137,8 @@
 	}
 }
 
-// handleVote stores a vote that counts. Votes to roll back and abstentions are for the build, others for its present stage.
+// handleVote stores a vote if it is accepted. Rollback votes and abstentions apply to the build, other votes to its current
+// stage.
 func (m *Machine) handleVote(v Vote) VoteAnswer {
 	open := v.Build == m.status.Build && m.state != rollingBack && m.state != rolledBack
 	forBuild := v.Choice == policy.Rollback || v.Choice == policy.Abstain
@@ -154,7 +155,7 @@
 	return VoteAnswer{Accepted: true}
 }
 
-// evaluate fires what votes and time give: a rollback, or the promotion of a stage whose hosts run.
+// evaluate fires the transitions that votes and time cause: a rollback, or the promotion of a stage whose hosts are ready.
 func (m *Machine) evaluate() {
 	if !m.irreversible && m.Votes(policy.Rollback) >= max(1, m.rules.RollbackQuorum) {
 		m.fire(rollBack)
@@ -167,7 +168,7 @@
 		m.heldTime += m.now - m.lastHandled
 	}
 	m.onHold = m.rules.Mode == policy.Timed && m.rules.HoldQuorum > 0 && m.Votes(policy.Hold) >= m.rules.HoldQuorum
-	if !m.stageEnds() {
+	if !m.shouldPromote() {
 		return
 	}
 	if m.status.Stage+1 < len(m.rules.Stages) {
@@ -177,8 +178,8 @@
 	}
 }
 
-// stageEnds tells whether the present stage, whose hosts run, is to be promoted.
-func (m *Machine) stageEnds() bool {
+// shouldPromote reports whether the current stage, whose hosts are ready, is to be promoted.
+func (m *Machine) shouldPromote() bool {
 	inStage := m.now - m.stageStarted
 	if m.rules.Mode == policy.Timed {
 		return !m.onHold && inStage-m.heldTime >= m.rules.StageTime
--- a/release/machine_test.go
+++ b/release/machine_test.go
@@ -13,7 +13,7 @@
 var rules = release.Rules{Mode: policy.Quorum, MinStageTime: policy.Second, VoteTTL: 5 * policy.Second,
 	PromoteQuorum: 2, RollbackQuorum: 1, Stages: []release.Stage{{HostShare: 0.1, ExposureCap: 0.1}, {HostShare: 1, ExposureCap: 1}}}
 
-// inFirstStage is a machine whose canary, build 2, has all hosts of its first stage since time 0.
+// inFirstStage returns a machine whose canary, build 2, has had all hosts of its first stage ready since time 0.
 func inFirstStage() *release.Machine {
 	m := release.New(rules, 1)
 	m.Handle(0, release.Offer{Build: 2})
@@ -25,22 +25,22 @@
 	return release.Vote{Router: router, Build: 2, Stage: stage, Choice: policy.Promote}
 }
 
-func TestMachine_PromotesAStageAfterItsHostsItsLeastTimeAndItsQuorum(t *testing.T) {
+func TestMachine_PromotesStageAfterHostsReadyMinStageTimeAndQuorum(t *testing.T) {
 	m := release.New(rules, 1)
 	require.Contains(t, m.Handle(0, release.Offer{Build: 2}), release.Deploy{Build: 2, Share: 0.1})
 	m.Handle(0, promoteVote("a", 0))
 	m.Handle(0, promoteVote("b", 0))
 	m.Handle(3*policy.Second, release.Tick{})
-	require.Equal(t, 0, m.Status().Stage, "its hosts don't run yet")
+	require.Equal(t, 0, m.Status().Stage, "the hosts of the stage are not ready yet")
 	m.Handle(4*policy.Second, release.HostsReady{Build: 2})
 	m.Handle(4*policy.Second+1, release.Tick{})
 	require.Equal(t, 0, m.Status().Stage, "MinStageTime has not passed")
 	m.Handle(5*policy.Second, release.Tick{})
 	require.Equal(t, 1, m.Status().Stage)
-	require.Equal(t, 0, m.Votes(policy.Promote), "votes for a stage that has passed don't count for the next")
+	require.Equal(t, 0, m.Votes(policy.Promote), "votes for an earlier stage must not count for the next one")
 }
 
-func TestMachine_ReleasesFromTheLastStageAndCanStillRollBack(t *testing.T) {
+func TestMachine_ReleasesAfterLastStageAndCanStillRollBack(t *testing.T) {
 	m := inFirstStage()
 	m.Handle(policy.Second, promoteVote("a", 0))
 	m.Handle(policy.Second, promoteVote("b", 0))
@@ -53,7 +53,7 @@
 	require.Contains(t, effects, release.Retire{Build: 2})
 }
 
-func TestMachine_ExpiresVotesAndRejectsThoseForAPastStage(t *testing.T) {
+func TestMachine_ExpiresVotesAndRejectsVotesForPastStage(t *testing.T) {
 	m := inFirstStage()
 	m.Handle(0, promoteVote("a", 0))
 	m.Handle(6*policy.Second, promoteVote("b", 0))
@@ -63,7 +63,7 @@
 	require.Contains(t, m.Handle(6*policy.Second, promoteVote("a", 0)), release.VoteAnswer{Reason: "it is not the present build or stage"})
 }
 
-func TestMachine_SupersedesACanaryByANewerOffer(t *testing.T) {
+func TestMachine_SupersedesCanaryOnNewerOffer(t *testing.T) {
 	m := inFirstStage()
 	effects := m.Handle(policy.Second, release.Offer{Build: 3})
 	require.Contains(t, effects, release.Retire{Build: 2})
@@ -72,7 +72,7 @@
 	require.IsType(t, release.Reject{}, m.Handle(policy.Second, release.Offer{Build: 3})[0])
 }
 
-func TestMachine_RollsBackOnceOnly(t *testing.T) {
+func TestMachine_RejectsSecondRollBack(t *testing.T) {
 	m := inFirstStage()
 	require.Contains(t, m.Handle(1, release.RollBack{Build: 2}), release.Retire{Build: 2})
 	require.IsType(t, release.Reject{}, m.Handle(2, release.RollBack{Build: 2})[0])
@@ -81,7 +81,7 @@
 	require.Zero(t, m.Status().ExposureCap)
 }
 
-func TestMachine_TimedModeIsHeldByVotes(t *testing.T) {
+func TestMachine_HoldVotesPauseTimedStage(t *testing.T) {
 	r := rules
 	r.Mode, r.StageTime, r.HoldQuorum = policy.Timed, 2*policy.Second, 1
 	m := release.New(r, 1)
@@ -98,7 +98,7 @@
 	require.Equal(t, 1, m.Status().Stage, "the vote expired after 6 s")
 }
 
-// state returns a machine whose newest release, build 2, is in a state of the package's table.
+// state returns a machine whose newest release, build 2, is in the named state of the table in the package documentation.
 func state(t *testing.T, name string) *release.Machine {
 	t.Helper()
 	m := release.New(rules, 1)
@@ -127,7 +127,7 @@
 	return m
 }
 
-func TestMachine_TakesTheTransitionsOfItsTable(t *testing.T) {
+func TestMachine_FollowsTransitionTable(t *testing.T) {
 	const now = 2 * policy.Second
 	canary := func(build, stage int) release.Effect {
 		return release.Notify{Status: release.Status{Build: build, Stage: stage, Phase: policy.Canary, ExposureCap: rules.Stages[stage].ExposureCap, Since: now}}
@@ -138,7 +138,7 @@
 	deployNewer := []release.Effect{release.Deploy{Build: 3, Share: 0.1}, canary(3, 0)}
 	retire := release.Retire{Build: 2}
 	voteAccepted := release.VoteAnswer{Accepted: true}
-	rollBackTwice := release.Reject{Reason: "it is not the newest release, or it is going back already"}
+	rejectRollBack := release.Reject{Reason: "it is not the newest release, or it is going back already"}
 	for _, c := range []struct {
 		state   string
 		input   release.Input
@@ -160,11 +160,11 @@
 		{"released", release.Offer{Build: 3}, deployNewer},
 		{"rolling back", release.HostsReady{Build: 2}, nil},
 		{"rolling back", release.HostsRemoved{Build: 2}, []release.Effect{status(0, policy.RolledBack, 0)}},
-		{"rolling back", release.RollBack{Build: 2}, []release.Effect{rollBackTwice}},
+		{"rolling back", release.RollBack{Build: 2}, []release.Effect{rejectRollBack}},
 		{"rolling back", release.Offer{Build: 3}, append([]release.Effect{status(0, policy.RolledBack, 0)}, deployNewer...)},
 		{"rolled back", release.HostsReady{Build: 2}, nil},
 		{"rolled back", release.HostsRemoved{Build: 2}, nil},
-		{"rolled back", release.RollBack{Build: 2}, []release.Effect{rollBackTwice}},
+		{"rolled back", release.RollBack{Build: 2}, []release.Effect{rejectRollBack}},
 		{"rolled back", release.Offer{Build: 3}, deployNewer},
 	} {
 		t.Run(fmt.Sprintf("%s %T", c.state, c.input), func(t *testing.T) {
--- a/release/rules.go
+++ b/release/rules.go
@@ -12,15 +12,15 @@
 type Rules struct {
 	Mode           policy.PromotionMode
 	Stages         []Stage
-	MinStageTime   policy.Time // with policy.Quorum: least time in a stage, from when all its hosts run
-	StageTime      policy.Time // with policy.Timed: time in a stage, from when all its hosts run
+	MinStageTime   policy.Time // with policy.Quorum: minimum time in a stage, counted from when all its hosts are ready
+	StageTime      policy.Time // with policy.Timed: time in a stage, counted from when all its hosts are ready
 	VoteTTL        policy.Time // how long a vote counts
-	PromoteQuorum  int         // promote votes that end a stage; 0 counts as 1
-	RollbackQuorum int         // rollback votes that roll the build back; 0 counts as 1
-	HoldQuorum     int         // with policy.Timed: hold votes that stop the stage's time; 0 for never
+	PromoteQuorum  int         // number of promote votes that promote a stage; 0 means 1
+	RollbackQuorum int         // number of rollback votes that roll the build back; 0 means 1
+	HoldQuorum     int         // with policy.Timed: number of hold votes that pause the stage's time; 0 disables holding
 }
 
-// Status is where the newest release stands. It is stored and sent under its JSON names.
+// Status is the status of the newest release. It is stored and sent with its JSON names.
 type Status struct {
 	Build       int          `json:"Build"`
 	Stage       int          `json:"Stage"`
--- a/release/snapshot.go
+++ b/release/snapshot.go
@@ -8,7 +8,7 @@
 	"dapplefront/policy"
 )
 
-// Snapshot is the whole state of a Machine in the form that is stored. Its JSON names and State's values never change.
+// Snapshot is the complete state of a Machine in its stored form. The JSON names and the values of State never change.
 type Snapshot struct {
 	State         int            `json:"state"`
 	Status        Status         `json:"news"`
@@ -19,10 +19,10 @@
 	OnHold        bool           `json:"holding"`
 	LastHandled   policy.Time    `json:"ticked"`
 	Irreversible  bool           `json:"fixed"`
-	Votes         []VoteSnapshot `json:"votes"` // by router
+	Votes         []VoteSnapshot `json:"votes"` // sorted by router
 }
 
-// VoteSnapshot is one router's last vote.
+// VoteSnapshot is one router's most recent vote.
 type VoteSnapshot struct {
 	Router string            `json:"Router"`
 	Build  int               `json:"Build"`
@@ -31,7 +31,7 @@
 	At     policy.Time       `json:"At"`
 }
 
-// Snapshot is the machine's state: the same after the same inputs.
+// Snapshot returns the machine's state. The same inputs always give the same snapshot.
 func (m *Machine) Snapshot() Snapshot {
 	s := Snapshot{State: int(m.state), Status: m.status, PreviousBuild: m.previousBuild, Now: m.now, StageStarted: m.stageStarted,
 		HeldTime: m.heldTime, OnHold: m.onHold, LastHandled: m.lastHandled, Irreversible: m.irreversible, Votes: []VoteSnapshot{}}
@@ -42,11 +42,11 @@
 	return s
 }
 
-// Restore returns a machine that goes on from a snapshot under the given rules. A snapshot that no machine with these rules
-// could have is an error.
+// Restore returns a machine that continues from a snapshot under the given rules. It returns an error for a snapshot that no
+// machine with these rules could have.
 func Restore(rules Rules, s Snapshot) (*Machine, error) {
 	if s.State < 0 || s.State > int(rolledBack) || s.Status.Stage < 0 || s.Status.Stage > max(0, len(rules.Stages)-1) || s.Status.Build < 1 {
-		return nil, fmt.Errorf("release: impossible snapshot: state %d at stage %d of build %d", s.State, s.Status.Stage, s.Status.Build)
+		return nil, fmt.Errorf("release: invalid snapshot: state %d at stage %d of build %d", s.State, s.Status.Stage, s.Status.Build)
 	}
 	m := &Machine{rules: rules, now: s.Now, state: state(s.State), status: s.Status, previousBuild: s.PreviousBuild, stageStarted: s.StageStarted,
 		heldTime: s.HeldTime, onHold: s.OnHold, lastHandled: s.LastHandled, irreversible: s.Irreversible, votes: map[string]castVote{}}
--- a/release/transitions.go
+++ b/release/transitions.go
@@ -2,7 +2,7 @@
 
 import "dapplefront/policy"
 
-// state is Status.Phase with the two parts of policy.Canary told apart. The values are stored; keep their order.
+// state is Status.Phase, with policy.Canary split into deploying and analyzing. The values are stored: keep their order.
 type state int
 
 const (
@@ -13,19 +13,19 @@
 	rolledBack
 )
 
-// trigger is what moves a release from one state to another.
+// trigger is the cause of a transition from one state to another.
 type trigger int
 
 const (
 	hostsReady trigger = iota
 	hostsRemoved
 	promote
-	promoteLast // out of the last stage
+	promoteLast // promotion out of the last stage
 	rollBack
-	supersede // by an offer of a newer build
+	supersede // by the offer of a newer build
 )
 
-// transition is one line of the table in the package's documentation. The action runs in the new state.
+// transition is one row of the table in the package documentation. The action runs after the change to the new state.
 type transition struct {
 	from   state
 	on     trigger
@@ -44,11 +44,11 @@
 	{deploying, supersede, rolledBack, (*Machine).withdrawBuild},
 	{analyzing, supersede, rolledBack, (*Machine).withdrawBuild},
 	{rollingBack, supersede, rolledBack, (*Machine).notifyRolledBack},
-	{released, supersede, released, (*Machine).nothing},
-	{rolledBack, supersede, rolledBack, (*Machine).nothing},
+	{released, supersede, released, (*Machine).noAction},
+	{rolledBack, supersede, rolledBack, (*Machine).noAction},
 }
 
-// fire takes the transition that the table has for the present state and a trigger, if there is one.
+// fire performs the transition for the current state and the given trigger, if the table has one.
 func (m *Machine) fire(on trigger) {
 	for _, t := range transitions {
 		if t.from == m.state && t.on == on {
@@ -59,7 +59,7 @@
 	}
 }
 
-func (m *Machine) nothing() {}
+func (m *Machine) noAction() {}
 
 func (m *Machine) startStageTime() { m.stageStarted = m.now }
 
@@ -68,7 +68,7 @@
 	m.deployStage()
 }
 
-// deployStage asks for the present stage's hosts and notifies routers of it.
+// deployStage requests the hosts of the current stage and notifies routers of the stage.
 func (m *Machine) deployStage() {
 	stage := m.rules.Stages[m.status.Stage]
 	m.status.ExposureCap, m.status.Since = stage.ExposureCap, m.now
@@ -83,7 +83,7 @@
 	m.emit(Retire{m.previousBuild})
 }
 
-// withdrawBuild takes all traffic and all hosts from the newest build.
+// withdrawBuild removes all traffic and all hosts from the newest build.
 func (m *Machine) withdrawBuild() {
 	m.status.Phase, m.status.ExposureCap, m.status.Since = policy.RollingBack, 0, m.now
 	if m.state == rolledBack {
@@ -93,7 +93,7 @@
 	m.emit(Retire{m.status.Build})
 }
 
-// restorePreviousBuild gives all hosts to the previous build, whose own were retired at the release.
+// restorePreviousBuild deploys the previous build on all hosts: its own hosts were retired when the newest build was released.
 func (m *Machine) restorePreviousBuild() {
 	m.emit(Deploy{m.previousBuild, 1})
 	m.withdrawBuild()
