--- a/control/agents.go
+++ b/control/agents.go
@@ -5,22 +5,22 @@
 	"slices"
 )
 
-// maxAgentOrders is how many orders are kept for an agent that is away; a build has some four orders at a host.
+// maxAgentOrders is the number of orders kept for an agent that is not connected. A host gets about four orders per build.
 const maxAgentOrders = 64
 
-// Agent is the orders to the agent of a host and the last of its reports.
+// Agent holds the orders to the agent of one host and the number of its last report.
 type Agent struct {
 	Orders     []Order `json:"orders"`
-	LastReport uint64  `json:"heard"` // by number
+	LastReport uint64  `json:"heard"` // number of the last report that was accepted
 }
 
-// Order is one order to an agent, with its number among the orders to all agents.
+// Order is one order to an agent. Number is unique across the orders to all agents.
 type Order struct {
 	Number uint64          `json:"number"`
 	Body   json.RawMessage `json:"body"`
 }
 
-// Orders are those to an agent with numbers above after, as far as they are kept.
+// Orders returns the kept orders to an agent whose numbers are above after.
 func (s *State) Orders(agent string, after uint64) (out []Order) {
 	a := s.agents[agent]
 	if a == nil {
@@ -47,7 +47,8 @@
 	return Reply{OrderNumber: s.lastOrder}, nil
 }
 
-// agentReport notifies watchers of an agent's reports, of each once. Those before one without a number count.
+// agentReport notifies watchers of each of an agent's reports once. If a report has no number, the command is rejected, but
+// the reports before it are kept.
 func (s *State) agentReport(c Command) (Reply, *Error) {
 	var reports []json.RawMessage
 	if err := json.Unmarshal(c.Body, &reports); err != nil || c.Name == "" {
--- a/control/command.go
+++ b/control/command.go
@@ -10,33 +10,33 @@
 	"dapplefront/release"
 )
 
-// CommandKind is what a command asks for. Its values are stored in the replicated log.
+// CommandKind is the operation that a command requests. Its values are stored in the replicated log.
 type CommandKind string
 
-// The kinds of commands, with the fields of Command that each one reads beside At.
+// The kinds of commands. Each comment lists the fields of Command that the kind reads in addition to At.
 const (
 	CreateRelease   CommandKind = "create"   // Build, Digest, Note, Labels, Steps, Key, Hash
 	PatchRelease    CommandKind = "patch"    // Build, Note, Labels, IfVersion
 	RollBackRelease CommandKind = "withdraw" // Build, IfVersion
-	DeleteRelease   CommandKind = "delete"   // Build, IfVersion: of a release that is over
-	CompleteStep    CommandKind = "step"     // Build, Name: the step is done, as Router reports
+	DeleteRelease   CommandKind = "delete"   // Build, IfVersion: the release is complete, and neither the newest nor the previous one
+	CompleteStep    CommandKind = "step"     // Build, Name, Router: Router reports that step Name is done
 	ReportCounts    CommandKind = "report"   // Build, Counts, Hosts
-	HostsReady      CommandKind = "ready"    // Build: the hosts that a DeployOrder asked for run
-	HostsRemoved    CommandKind = "gone"     // Build: the hosts that a RetireOrder named are gone
+	HostsReady      CommandKind = "ready"    // Build: the hosts that a DeployOrder requested are running
+	HostsRemoved    CommandKind = "gone"     // Build: the hosts of a RetireOrder have been removed
 	CastVote        CommandKind = "vote"     // Router, Build, Stage, Choice
-	JoinRouter      CommandKind = "join"     // Router is a member, or still is
+	JoinRouter      CommandKind = "join"     // Router: becomes a member or renews its membership
 	LeaveRouter     CommandKind = "leave"    // Router
-	SetController   CommandKind = "member"   // controller Name is reached at the URL in Note; no Note removes it
+	SetController   CommandKind = "member"   // Name, Note: controller Name has the URL in Note; without Note, its URL is removed
 	PublishPlan     CommandKind = "publish"  // Plan, ValidFor
 	AckPlan         CommandKind = "heed"     // Router, PlanAck
-	OrderAgent      CommandKind = "order"    // agent Name, Body; the reply has the order's number
-	AgentReport     CommandKind = "heard"    // agent Name, Body: a list of numbered reports, each of which counts once
-	EmitEvent       CommandKind = "tell"     // Name is the event's kind, Body its body; changes nothing else
-	Tick            CommandKind = "tick"     // time has passed
+	OrderAgent      CommandKind = "order"    // Name, Body: an order to agent Name; the reply has the order's number
+	AgentReport     CommandKind = "heard"    // Name, Body: a list of numbered reports of agent Name, each of which counts once
+	EmitEvent       CommandKind = "tell"     // Name, Router, Body: emits an event of kind Name; changes no other state
+	Tick            CommandKind = "tick"     // no fields: time has passed
 )
 
-// Command is one change asked for, as the replicated log stores it. At is the controllers' time; one before that of an
-// earlier command counts as that one.
+// Command is one requested change, as the replicated log stores it. At is the controllers' time; a time before that of an
+// earlier command is replaced by the earlier command's time.
 type Command struct {
 	At        policy.Time        `json:"at"`
 	Kind      CommandKind        `json:"do"`
@@ -50,8 +50,8 @@
 	Labels    map[string]*string `json:"labels,omitempty"` // with PatchRelease, null removes a label
 	Steps     []Step             `json:"steps,omitempty"`
 	Key       string             `json:"key,omitempty"`       // idempotency key
-	Hash      string             `json:"hash,omitempty"`      // of the creation that Key stands for
-	IfVersion uint64             `json:"ifVersion,omitempty"` // of the release; 0 for any
+	Hash      string             `json:"hash,omitempty"`      // hash of the creation request that Key identifies
+	IfVersion uint64             `json:"ifVersion,omitempty"` // expected version of the release; 0 accepts any
 	Counts    map[string]int     `json:"counts,omitempty"`
 	Hosts     map[string]int     `json:"hosts,omitempty"`
 	Body      json.RawMessage    `json:"body,omitempty"`
@@ -62,13 +62,13 @@
 
 // Reply is the result of a command that was accepted.
 type Reply struct {
-	Repeated    bool     // it had been carried out before, and that stands
-	Release     *Release // as it stands now, where the command was about one
-	OrderNumber uint64   // of OrderAgent
+	Repeated    bool     // the command had been carried out before and changed nothing now
+	Release     *Release // the release that the command changed or concerns, in its current state; may be nil
+	OrderNumber uint64   // number of the new order, for OrderAgent
 }
 
-// handlers has the one function for each kind of command. A handler that returns an error has changed nothing, but for
-// castVote, which keeps the router a member, and agentReport, which keeps the reports before the faulty one.
+// handlers maps each kind of command to its handler. A handler that returns an error has changed nothing, with two
+// exceptions: castVote keeps the router a member, and agentReport keeps the reports before the invalid one.
 var handlers = map[CommandKind]func(*State, Command) (Reply, *Error){
 	CreateRelease:   (*State).createRelease,
 	PatchRelease:    (*State).patchRelease,
@@ -90,22 +90,22 @@
 	Tick:            (*State).tick,
 }
 
-// Apply carries out the command at an index of the log. The error is nil or an *Error.
+// Apply applies the command at the given log index. The error is nil or an *Error.
 func (s *State) Apply(index uint64, c Command) (Reply, error) {
 	s.index = index
 	s.now = max(s.now, c.At)
 	handle, known := handlers[c.Kind]
 	if !known {
-		return Reply{}, reject(ErrInvalid, "do", "no command is called %q", c.Kind).in(c)
+		return Reply{}, reject(ErrInvalid, "do", "no command is called %q", c.Kind).withCommand(c)
 	}
 	reply, rejected := handle(s, c)
 	if rejected != nil && c.Kind == AckPlan {
-		// Logs of earlier versions are replayed: there, what time brings waits for the next command.
-		return Reply{}, rejected.in(c)
+		// Logs of earlier versions must replay alike: there, a rejected AckPlan leaves time-based changes to the next command.
+		return Reply{}, rejected.withCommand(c)
 	}
 	s.advanceTime()
 	if rejected != nil {
-		return Reply{}, rejected.in(c)
+		return Reply{}, rejected.withCommand(c)
 	}
 	if reply.Release == nil {
 		reply.Release = s.Get(c.Build)
@@ -120,8 +120,8 @@
 
 func (s *State) tick(Command) (Reply, *Error) { return Reply{}, nil }
 
-// advanceTime does what the time that passed brings: routers that were not heard of leave, steps stall, and the release
-// moves on.
+// advanceTime applies the changes that are due with time: it removes routers that have timed out, marks stalled steps, and
+// advances the release.
 func (s *State) advanceTime() {
 	for _, router := range slices.Sorted(maps.Keys(s.routers)) {
 		if s.expired(router, s.now) {
@@ -132,7 +132,7 @@
 	s.handleInput(release.Tick{})
 }
 
-// Due tells whether time alone would change something at a moment.
+// Due reports whether a Tick command at the given time would change the state.
 func (s *State) Due(now policy.Time) bool {
 	if s.machine.Due(max(now, s.now)) {
 		return true
@@ -144,7 +144,7 @@
 	}
 	r := s.newest()
 	for i := range r.Steps {
-		if r.stalls(i, now) {
+		if r.newlyStalled(i, now) {
 			return true
 		}
 	}
--- a/control/doc.go
+++ b/control/doc.go
@@ -1,25 +1,25 @@
-// Package control is the state of the release controller as a state machine without I/O or clock: release objects with their
-// steps, votes, member routers, plans and agents' orders. Commands go in, with the controllers' time; replies and events
-// come out. The same commands in the same order give the same state, events and replies on every instance, so that the
-// state can stand behind a replicated log:
+// Package control implements the state of the release controller as a state machine without I/O or clock: release objects
+// with their steps, votes, member routers, plans and orders to agents. Its inputs are commands with the controllers' time; its
+// outputs are replies and events. The same commands in the same order give the same state, events and replies on every
+// instance, so that the state can be replicated through a log:
 //
 //	s := control.New(config, 1) // build 1 serves
 //	reply, err := s.Apply(index, control.Command{At: now, Kind: control.CreateRelease, Build: 2, Key: "k1"})
-//	events, ok := s.EventsSince(last, "", limit) // what a watcher has missed
+//	events, ok := s.EventsSince(last, "", limit) // the events that a watcher has missed
 //
-// How a release moves through its stages is release.Machine's. This package adds what a fleet of people and programs needs
-// around it:
+// release.Machine decides how a release moves through its stages. This package adds what operators and other programs need
+// to work with releases:
 //
 //   - release objects with versions, notes, labels and a history, and creation under an idempotency key;
-//   - steps, which hold back the deployment of their stage until they are reported done;
-//   - the set of member routers, by whose number quorums are measured;
+//   - steps, which delay the deployment of their stage until they are reported done;
+//   - the set of member routers, whose number determines the quorums;
 //   - the plan in force and its acknowledgements; orders to agents and their reports;
-//   - events with consecutive ids, so that a watch can be resumed.
+//   - events with consecutive ids, so that a watch can be resumed after any of them.
 //
-// A command that is rejected gives an *Error, whose Kind is one of ErrInvalid, ErrNotFound, ErrConflict and
-// ErrVersionMismatch. Nothing else changes with it but what the time that passed brings, the membership of a router whose
-// vote is rejected, and the reports of an agent that come before a faulty one.
+// A rejected command returns an *Error, whose Kind is one of ErrInvalid, ErrNotFound, ErrConflict and ErrVersionMismatch. It
+// changes the state only in three ways: changes that are due with time are applied, a router whose vote is rejected stays a
+// member, and an agent's reports before an invalid one are kept.
 //
-// The JSON names of commands, of the saved state and of events' bodies are stored and sent: they never change. Nor do the
-// texts of reasons and history lines, which clients see.
+// The JSON names of commands, of the saved state and of event bodies are stored and sent, so they never change. The texts of
+// reasons and history entries, which clients see, don't change either.
 package control
--- a/control/errors.go
+++ b/control/errors.go
@@ -5,37 +5,37 @@
 	"fmt"
 )
 
-// Kinds of rejected commands, for errors.Is.
+// Kinds of rejections, for errors.Is.
 var (
-	ErrInvalid         = errors.New("invalid command")                        // Field makes no sense
-	ErrNotFound        = errors.New("no such object")                         // what Field names does not exist
-	ErrConflict        = errors.New("command conflicts with the state")       // it may be accepted at another time
-	ErrVersionMismatch = errors.New("release is not at the expected version") // Command.IfVersion
+	ErrInvalid         = errors.New("invalid command")                        // the value of Field is invalid
+	ErrNotFound        = errors.New("no such object")                         // the object that Field identifies does not exist
+	ErrConflict        = errors.New("command conflicts with the state")       // the same command may be accepted in another state
+	ErrVersionMismatch = errors.New("release is not at the expected version") // Command.IfVersion differs from the release's version
 )
 
-// Error is a command that was rejected.
+// Error describes the rejection of a command.
 type Error struct {
-	Op      CommandKind // what was asked for
-	Subject string      // of what: "build 2", "agent h1", "plan 7"
+	Op      CommandKind // the requested operation
+	Subject string      // the object of the operation: "build 2", "agent h1", "plan 7"
 	Kind    error       // ErrInvalid, ErrNotFound, ErrConflict or ErrVersionMismatch
-	Field   string      // of the request, as clients name it; may be empty
-	Reason  string      // why, as clients see it
+	Field   string      // field of the request under its name in the REST interface; may be empty
+	Reason  string      // reason for the rejection, as clients see it
 }
 
 func (e *Error) Error() string {
 	return fmt.Sprintf("%s %s: %s: %s", e.Op, e.Subject, e.Field, e.Reason)
 }
 
-// Unwrap is the kind.
+// Unwrap returns the kind.
 func (e *Error) Unwrap() error { return e.Kind }
 
-// reject makes an error without the command, which Apply adds.
+// reject returns an error without the command; Apply adds the command.
 func reject(kind error, field, format string, values ...any) *Error {
 	return &Error{Kind: kind, Field: field, Reason: fmt.Sprintf(format, values...)}
 }
 
-// in adds the command that was rejected.
-func (e *Error) in(c Command) *Error {
+// withCommand sets Op and Subject from the command that was rejected, and returns the error.
+func (e *Error) withCommand(c Command) *Error {
 	e.Op = c.Kind
 	switch c.Kind {
 	case OrderAgent, AgentReport:
--- a/control/events.go
+++ b/control/events.go
@@ -7,39 +7,41 @@
 	"dapplefront/policy"
 )
 
-// Kinds of events. They are stored and sent.
+// Kinds of events. Their values are stored and sent. Each comment names the body of the event.
 const (
-	EventStatus      = "news"    // the newest release's status has changed: release.Status
+	EventStatus      = "news"    // the status of the newest release has changed: release.Status
 	EventRelease     = "release" // a release object has changed: Release
-	EventDeleted     = "deleted" // a release object was deleted: its build
-	EventDeploy      = "place"   // DeployOrder
-	EventRetire      = "retire"  // RetireOrder
-	EventRouters     = "routers" // the number of member routers has changed: count
-	EventPlan        = "plan"    // a plan was published: its version
-	EventAgentReport = "agent"   // an agent and its report
+	EventDeleted     = "deleted" // a release object was deleted: the build
+	EventDeploy      = "place"   // hosts are to run a build: DeployOrder
+	EventRetire      = "retire"  // hosts are to be drained and stopped: RetireOrder
+	EventRouters     = "routers" // the number of member routers has changed: the new number
+	EventPlan        = "plan"    // a plan was published: the version
+	EventAgentReport = "agent"   // an agent has sent a report: the agent and the report
 )
 
 // Event is one change that watchers are notified of.
 type Event struct {
 	ID     uint64          `json:"id"`            // consecutive, the same on every instance
-	Kind   string          `json:"kind"`          // of the constants above, or of an EmitEvent command
-	Router string          `json:"for,omitempty"` // for this router only
+	Kind   string          `json:"kind"`          // one of the constants above, or the kind from an EmitEvent command
+	Router string          `json:"for,omitempty"` // the only router that receives it; empty for all
 	At     policy.Time     `json:"at"`
 	Body   json.RawMessage `json:"body"`
 }
 
-// DeployOrder asks whoever runs hosts for a build on a share of them. It is the body of EventDeploy.
+// DeployOrder requests that a share of the hosts run a build. The programs that run hosts receive it as the body of
+// EventDeploy.
 type DeployOrder struct {
 	Build int     `json:"build"`
 	Share float64 `json:"share"` // from 0 to 1
 }
 
-// RetireOrder asks whoever runs hosts to drain and then end those of a build. It is the body of EventRetire.
+// RetireOrder requests that the hosts of a build be drained and then stopped. The programs that run hosts receive it as the
+// body of EventRetire.
 type RetireOrder struct {
 	Build int `json:"build"`
 }
 
-// OldestEvent is the id of the oldest event kept; that of the next event where none is.
+// OldestEvent returns the id of the oldest event kept, or the id of the next event if none is kept.
 func (s *State) OldestEvent() uint64 {
 	if len(s.events) == 0 {
 		return s.lastEvent + 1
@@ -47,11 +49,11 @@
 	return s.events[0].ID
 }
 
-// LastEvent is the id of the newest event.
+// LastEvent returns the id of the newest event.
 func (s *State) LastEvent() uint64 { return s.lastEvent }
 
-// EventsSince returns up to limit events after an id: those for all routers and those for the given one. ok is false where
-// events after that id have been dropped already, or where the id has not been reached yet.
+// EventsSince returns up to limit events after an id: events for all routers and events for the given one. ok is false if
+// events after that id have been dropped already, or if no event has that id yet.
 func (s *State) EventsSince(id uint64, router string, limit int) (out []Event, ok bool) {
 	if id+1 < s.OldestEvent() || id > s.lastEvent {
 		return nil, false
@@ -69,7 +71,8 @@
 	return out, true
 }
 
-// emit adds an event; router is "" for all. Once there are more than MaxEvents, a quarter is dropped at once.
+// emit adds an event; router is "" for all routers. When there are more than MaxEvents, it drops all but the newest three
+// quarters of MaxEvents.
 func (s *State) emit(kind, router string, body json.RawMessage) {
 	s.lastEvent++
 	s.events = append(s.events, Event{ID: s.lastEvent, Kind: kind, Router: router, At: s.now, Body: body})
@@ -78,7 +81,7 @@
 	}
 }
 
-// encode is the JSON of types that always have one.
+// encode returns the JSON encoding of a value whose type can always be encoded.
 func encode(v any) json.RawMessage {
 	text, err := json.Marshal(v)
 	if err != nil {
--- a/control/members.go
+++ b/control/members.go
@@ -6,13 +6,13 @@
 	"dapplefront/policy"
 )
 
-// RouterCount is how many routers are members.
+// RouterCount returns the number of member routers.
 func (s *State) RouterCount() int { return len(s.routers) }
 
-// ControllerURL is where the REST interface of a controller is reached; "" for one that is not known.
+// ControllerURL returns the URL of a controller's REST interface, or "" if the URL is not known.
 func (s *State) ControllerURL(name string) string { return s.controllerURLs[name] }
 
-// ControllerURLs are the URLs of all controllers that are known, by name.
+// ControllerURLs returns the known URLs of controllers, by the controllers' names.
 func (s *State) ControllerURLs() map[string]string { return maps.Clone(s.controllerURLs) }
 
 func (s *State) joinRouter(c Command) (Reply, *Error) {
@@ -36,7 +36,7 @@
 	return Reply{}, nil
 }
 
-// touchRouter notes that a router has been heard of now; it is a member from then on.
+// touchRouter records the current time as the last contact of a router, which becomes a member if it is not one.
 func (s *State) touchRouter(router string) {
 	_, member := s.routers[router]
 	s.routers[router] = s.now
@@ -60,7 +60,7 @@
 	s.emit(EventRouters, "", encode(map[string]int{"count": len(s.routers)}))
 }
 
-// expired tells whether a member has not been heard of for longer than the timeout, at a time.
+// expired reports whether, at the given time, the last contact of a member router is longer ago than RouterTimeout.
 func (s *State) expired(router string, now policy.Time) bool {
 	return s.config.RouterTimeout > 0 && now-s.routers[router] > s.config.RouterTimeout
 }
--- a/control/plans.go
+++ b/control/plans.go
@@ -10,16 +10,16 @@
 // PlanAck is a router's acknowledgement of the plan in force.
 type PlanAck struct {
 	Version uint64 `json:"version"`
-	Reason  string `json:"reason,omitempty"` // why the router does not follow it; empty where it does
+	Reason  string `json:"reason,omitempty"` // why the router does not follow the plan; empty if it does
 }
 
-// ActivePlan is the plan in force and how long it may still be followed from a moment on, which is negative once it has
-// expired; nil for none.
+// ActivePlan returns the plan in force, or nil if there is none, and how long it remains valid after the given time. That is
+// negative once the plan has expired.
 func (s *State) ActivePlan(now policy.Time) (*plan.Published, policy.Time) {
 	return s.plan, s.planPublished + s.planValidFor - now
 }
 
-// PlanAcks are the acknowledgements of the plan in force, by router.
+// PlanAcks returns the acknowledgements of the plan in force, by router.
 func (s *State) PlanAcks() map[string]PlanAck { return maps.Clone(s.planAcks) }
 
 func (s *State) publishPlan(c Command) (Reply, *Error) {
@@ -38,14 +38,14 @@
 	return Reply{}, nil
 }
 
-// checkShadowShares rejects a plan that gives a canary more requests than its exposure cap.
+// checkShadowShares rejects a plan that sends a canary more shadow requests than the canary's exposure cap allows.
 func (s *State) checkShadowShares(p *plan.Published) *Error {
 	status := s.machine.Status()
 	if p.Build != status.Build || status.Phase != policy.Canary {
 		return nil
 	}
 	for zone, weights := range p.ByZone {
-		if float64(weights.ShadowShare) > status.ExposureCap*1e6+1 { // Copies are millionths; one for rounding
+		if float64(weights.ShadowShare) > status.ExposureCap*1e6+1 { // ShadowShare is in millionths; 1 allows for rounding
 			return reject(ErrConflict, "for."+zone+".copies", "%.3g%% of the tasks would go to build %d, %.3g%% are allowed",
 				float64(weights.ShadowShare)/1e4, status.Build, 100*status.ExposureCap)
 		}
--- a/control/release.go
+++ b/control/release.go
@@ -8,64 +8,64 @@
 	"dapplefront/policy"
 )
 
-// Release is a release object: what was asked for, and how it stands.
+// Release is a release object: the request and its current status.
 type Release struct {
 	Build   int               `json:"build"`
 	Digest  string            `json:"digest,omitempty"`
 	Note    string            `json:"note,omitempty"`
 	Labels  map[string]string `json:"labels,omitempty"`
 	Steps   []Step            `json:"steps,omitempty"`
-	Version uint64            `json:"version"` // of the object; it grows with every change
+	Version uint64            `json:"version"` // version of the object, incremented with every change
 	Created policy.Time       `json:"created"`
 
 	Phase        policy.Phase   `json:"phase"`
 	Stage        int            `json:"stage"`
 	ExposureCap  float64        `json:"cap"`
 	Since        policy.Time    `json:"since"`            // when Phase and Stage began
-	WaitsFor     string         `json:"waits,omitempty"`  // the step that holds back the present stage's hosts
-	StepStatuses []StepStatus   `json:"done,omitempty"`   // as many as Steps
-	Counts       map[string]int `json:"counts,omitempty"` // requests by outcome, as reported
-	Hosts        map[string]int `json:"hosts,omitempty"`  // by state, as reported
+	WaitsFor     string         `json:"waits,omitempty"`  // the step that the deployment of the current stage waits for
+	StepStatuses []StepStatus   `json:"done,omitempty"`   // one for each of Steps
+	Counts       map[string]int `json:"counts,omitempty"` // reported number of requests, by outcome
+	Hosts        map[string]int `json:"hosts,omitempty"`  // reported number of hosts, by state
 	History      []HistoryEntry `json:"trace,omitempty"`
 }
 
-// Step is something that must be done before a stage, such as a change of schema or data. Steps are done in their order.
+// Step is a task that must be done before a stage is deployed, such as a change of schema or data. Steps are done in order.
 type Step struct {
 	Name         string      `json:"name"`
-	Stage        int         `json:"stage"`            // whose hosts wait for it, from 0
+	Stage        int         `json:"stage"`            // the stage whose deployment waits for the step, from 0
 	Irreversible bool        `json:"final,omitempty"`  // once done, the build can't be rolled back
-	ExpectedTime policy.Time `json:"within,omitempty"` // a step that takes longer counts as stalled; 0 for no limit
+	ExpectedTime policy.Time `json:"within,omitempty"` // a step that takes longer is marked as stalled; 0 for no limit
 }
 
-// StepStatus is how a step stands.
+// StepStatus is the status of a step.
 type StepStatus struct {
-	WaitingSince policy.Time `json:"waiting,omitempty"` // since when its stage waits for it; 0 for not yet
-	DoneAt       policy.Time `json:"at,omitempty"`      // when it was reported done; 0 for not yet
+	WaitingSince policy.Time `json:"waiting,omitempty"` // when the stage began to wait for the step; 0 if it does not wait yet
+	DoneAt       policy.Time `json:"at,omitempty"`      // when the step was reported done; 0 if it is not done
 	DoneBy       string      `json:"by,omitempty"`
 	Stalled      bool        `json:"stalled,omitempty"`
 }
 
-// HistoryEntry is one line of a release's history.
+// HistoryEntry is one entry in a release's history.
 type HistoryEntry struct {
 	At   policy.Time `json:"at"`
 	Text string      `json:"what"`
 }
 
-// ETag is the object's version as an HTTP entity tag.
+// ETag returns the object's version as an HTTP entity tag.
 func (r *Release) ETag() string { return `"` + strconv.FormatUint(r.Version, 10) + `"` }
 
-// maxHistory is how many lines a release's history keeps; a release has some ten.
+// maxHistory is the maximum number of entries in a release's history. A release usually has about ten.
 const maxHistory = 200
 
-// addHistory adds a line. Of a history that is full the second line goes: the first one is the request.
+// addHistory adds an entry. When the history is full, the second entry is deleted: the first one is the request, which stays.
 func (r *Release) addHistory(at policy.Time, text string) {
 	if r.History = append(r.History, HistoryEntry{at, text}); len(r.History) > maxHistory {
 		r.History = slices.Delete(r.History, 1, 2)
 	}
 }
 
-// stalls tells whether a step that is waited for, and not marked as stalled yet, has taken too long at a time.
-func (r *Release) stalls(step int, now policy.Time) bool {
+// newlyStalled reports whether a step has, at the given time, exceeded its expected time but is not marked as stalled yet.
+func (r *Release) newlyStalled(step int, now policy.Time) bool {
 	status, expected := r.StepStatuses[step], r.Steps[step].ExpectedTime
 	return status.WaitingSince > 0 && status.DoneAt == 0 && !status.Stalled && expected > 0 && now-status.WaitingSince > expected
 }
@@ -86,7 +86,7 @@
 	return true
 }
 
-// Get is a copy of the release of a build; nil for none.
+// Get returns a copy of the release of a build, or nil if there is none.
 func (s *State) Get(build int) *Release {
 	if i := s.find(build); i >= 0 {
 		return s.releases[i].clone()
@@ -94,8 +94,8 @@
 	return nil
 }
 
-// List returns copies of the releases that have all the labels and the phase (nil for any), with builds above after, at
-// most limit of them, by build.
+// List returns copies of up to limit releases, sorted by build, that have all the given labels and the given phase (nil for
+// any) and whose builds are above after.
 func (s *State) List(labels map[string]string, phase *policy.Phase, after, limit int) (out []*Release) {
 	for _, r := range s.releases {
 		if r.Build <= after || phase != nil && r.Phase != *phase || !r.hasLabels(labels) {
@@ -110,7 +110,7 @@
 
 func (s *State) newest() *Release { return s.releases[len(s.releases)-1] }
 
-// find is the index of the release of a build; -1 for none.
+// find returns the index of the release of a build, or -1 if there is none.
 func (s *State) find(build int) int {
 	i, ok := slices.BinarySearchFunc(s.releases, build, func(r *Release, b int) int { return r.Build - b })
 	if !ok {
@@ -119,7 +119,7 @@
 	return i
 }
 
-// releaseFor is the release that a command is about, if it is at the version that the command expects.
+// releaseFor returns the release that a command applies to, if the release has the version that the command expects.
 func (s *State) releaseFor(c Command) (*Release, *Error) {
 	i := s.find(c.Build)
 	if i < 0 {
@@ -132,8 +132,8 @@
 	return r, nil
 }
 
-// changed gives a release its next version and notifies watchers.
-func (s *State) changed(r *Release) {
+// releaseChanged increments a release's version and notifies watchers.
+func (s *State) releaseChanged(r *Release) {
 	r.Version++
 	s.emit(EventRelease, "", encode(r))
 }
--- a/control/releases.go
+++ b/control/releases.go
@@ -9,7 +9,7 @@
 	"dapplefront/release"
 )
 
-// phaseNames are the phases as histories and reasons name them.
+// phaseNames are the names of the phases in history entries and reasons.
 var phaseNames = []string{"on trial", "going back", "released", "withdrawn"}
 
 func (s *State) createRelease(c Command) (Reply, *Error) {
@@ -35,7 +35,7 @@
 	return Reply{Release: r.clone()}, nil
 }
 
-// repeatedCreation is the reply to a creation whose idempotency key is known.
+// repeatedCreation returns the reply to a creation whose idempotency key was used before; known is false for any other.
 func (s *State) repeatedCreation(c Command) (reply Reply, rejected *Error, known bool) {
 	if c.Key == "" {
 		return Reply{}, nil, false
@@ -63,7 +63,7 @@
 	if s.find(c.Build) >= 0 {
 		return reject(ErrConflict, "build", "there is a release of build %d already", c.Build)
 	}
-	if c.Build <= s.machine.Status().Build { // the release object would stand out of order
+	if c.Build <= s.machine.Status().Build { // releases must stay sorted by build
 		return reject(ErrConflict, "build", "a build with a higher number has been offered already")
 	}
 	return nil
@@ -83,13 +83,13 @@
 	return r
 }
 
-// closeSuperseded notes on release objects that were under way that a newer build has superseded them.
+// closeSuperseded marks releases in progress as rolled back because a newer build has superseded them.
 func (s *State) closeSuperseded(by int) {
 	for _, r := range s.releases[:len(s.releases)-1] {
 		if r.Phase == policy.Canary || r.Phase == policy.RollingBack {
 			r.Phase, r.ExposureCap, r.Since = policy.RolledBack, 0, s.now
 			r.addHistory(s.now, fmt.Sprintf("overtaken by build %d", by))
-			s.changed(r)
+			s.releaseChanged(r)
 		}
 	}
 }
@@ -112,7 +112,7 @@
 		}
 		r.Labels[name] = *value
 	}
-	s.changed(r)
+	s.releaseChanged(r)
 	return Reply{}, nil
 }
 
@@ -161,14 +161,14 @@
 		r.Counts = map[string]int{}
 	}
 	for name, n := range c.Counts {
-		if r.Counts[name] <= math.MaxInt-n { // what would overflow is left out
+		if r.Counts[name] <= math.MaxInt-n { // counts that would overflow are not added
 			r.Counts[name] += n
 		}
 	}
 	if c.Hosts != nil {
 		r.Hosts = c.Hosts
 	}
-	s.changed(r)
+	s.releaseChanged(r)
 	return Reply{}, nil
 }
 
@@ -182,13 +182,13 @@
 	return Reply{}, nil
 }
 
-// inputOutcome is how the release machine answered an input.
+// inputOutcome is the release machine's response to an input.
 type inputOutcome struct {
-	vote     release.VoteAnswer // to a release.Vote
-	rejected string             // the reason of a release.Reject; empty for none
+	vote     release.VoteAnswer // response to a release.Vote
+	rejected string             // reason of a release.Reject; empty if the input was not rejected
 }
 
-// handleInput hands an input to the release machine and carries out its effects.
+// handleInput passes an input to the release machine and carries out the effects.
 func (s *State) handleInput(in release.Input) (outcome inputOutcome) {
 	for _, effect := range s.machine.Handle(s.now, in) {
 		switch effect := effect.(type) {
@@ -222,7 +222,7 @@
 	}
 }
 
-// applyStatus brings the release object to where the machine has the release, and notifies routers.
+// applyStatus copies the release machine's status to the release object and notifies routers.
 func (s *State) applyStatus(status release.Status) {
 	i := s.find(status.Build)
 	if i < 0 {
@@ -232,6 +232,6 @@
 	r.Phase, r.Stage, r.ExposureCap, r.Since = status.Phase, status.Stage, status.ExposureCap, status.Since
 	r.addHistory(s.now, fmt.Sprintf("%s, stage %d", phaseNames[status.Phase], status.Stage))
 	s.updateWaitsFor(r)
-	s.changed(r)
+	s.releaseChanged(r)
 	s.emit(EventStatus, "", encode(status))
 }
--- a/control/replay_test.go
+++ b/control/replay_test.go
@@ -14,11 +14,12 @@
 	"dapplefront/policy"
 )
 
-// The files replies-*.json were written by the program of commit 744ade3: commands, sensible or not, with the replies that
-// it gave and the state that it ended with. They are never written anew: a replicated log that is replayed by a later
-// program has to give the same replies and the same state.
+// The files replies-*.json were written by the program at commit 744ade3. They hold valid and invalid commands, the program's
+// replies and its final state. They are never regenerated: when a later program replays a replicated log, it must give the
+// same replies and the same state.
 
-// storedReply is a reply in the form of the files. Release is the start of the SHA-256 of the reply's release as JSON.
+// storedReply is a reply in the form of the files. Release is the hex form of the first 8 bytes of the SHA-256 of the reply's
+// release in JSON.
 type storedReply struct {
 	Code    int    `json:"code"`
 	Field   string `json:"field"`
@@ -27,10 +28,10 @@
 	Release string `json:"release"`
 }
 
-// storedCodes are the codes of rejected commands in the files; 0 is accepted, 1 repeated.
+// storedCodes are the codes of rejected commands in the files. Code 0 means accepted, code 1 repeated.
 var storedCodes = map[error]int{ErrInvalid: 2, ErrNotFound: 3, ErrConflict: 4, ErrVersionMismatch: 5}
 
-// applyStored applies a command and returns what became of it in the form of the files.
+// applyStored applies a command and returns the result in the form of the files.
 func applyStored(t *testing.T, s *State, index uint64, c Command) storedReply {
 	t.Helper()
 	reply, err := s.Apply(index, c)
@@ -50,7 +51,7 @@
 	return stored
 }
 
-func TestCommandsOfAnEarlierProgramGiveTheSameRepliesAndState(t *testing.T) {
+func TestState_ReplaysCommandsOfEarlierVersionWithSameRepliesAndState(t *testing.T) {
 	files, err := filepath.Glob("testdata/replies-*.json")
 	require.NoError(t, err)
 	require.Len(t, files, 3)
--- a/control/snapshot.go
+++ b/control/snapshot.go
@@ -11,10 +11,10 @@
 	"dapplefront/release"
 )
 
-// formatVersion is the version of what Save writes. Load upgrades older ones and refuses newer ones.
+// formatVersion is the version of the format that Save writes. Load upgrades older versions and rejects newer ones.
 const formatVersion = 2
 
-// snapshot is the state in the form that is stored.
+// snapshot is the state in its stored form.
 type snapshot struct {
 	Format         int                    `json:"format"`
 	Now            policy.Time            `json:"now"`
@@ -35,7 +35,7 @@
 	LastOrder      uint64                 `json:"ordered,omitempty"`
 }
 
-// Save is the whole state as bytes, for Load.
+// Save returns the complete state encoded for Load.
 func (s *State) Save() ([]byte, error) {
 	return json.Marshal(snapshot{Format: formatVersion, Now: s.now, Index: s.index, Machine: s.machine.Snapshot(), Releases: s.releases,
 		Creations: s.creations, Routers: s.routers, PendingDeploy: s.pendingDeploy, Events: s.events, LastEvent: s.lastEvent, Plan: s.plan,
@@ -43,8 +43,8 @@
 		LastOrder: s.lastOrder})
 }
 
-// Load reads what Save wrote, of this or an earlier format. One of a newer format, or one that no state could have, is an
-// error that says so.
+// Load decodes a state that Save encoded in this or an earlier format. It returns an error if the format is newer or the
+// state is invalid.
 func Load(config Config, text []byte) (*State, error) {
 	var stored snapshot
 	if err := json.Unmarshal(text, &stored); err != nil {
@@ -74,21 +74,21 @@
 	return s, nil
 }
 
-// upgrade brings an older format to the present one.
+// upgrade converts an older format to the current one.
 func (s *snapshot) upgrade() error {
 	switch {
 	case s.Format > formatVersion:
 		return fmt.Errorf("format %d is newer than this program's %d", s.Format, formatVersion)
 	case s.Format < 1:
-		return fmt.Errorf("format %d never was", s.Format)
-	case s.Format == 1: // had no URLs of controllers
+		return fmt.Errorf("unknown format %d", s.Format)
+	case s.Format == 1: // format 1 has no URLs of controllers
 		s.ControllerURLs = nil
 	}
 	s.Format = formatVersion
 	return nil
 }
 
-// validate finds what would break the state's invariants.
+// validate returns an error if the snapshot breaks the state's invariants.
 func (s *snapshot) validate() error {
 	for name, a := range s.Agents {
 		if a == nil {
@@ -97,11 +97,11 @@
 	}
 	for i, r := range s.Releases {
 		if r == nil || len(r.StepStatuses) != len(r.Steps) || i > 0 && r.Build <= s.Releases[i-1].Build {
-			return fmt.Errorf("release %d is impossible", i)
+			return fmt.Errorf("release at index %d is invalid: it is null, out of order by build, or its steps and step statuses differ in number", i)
 		}
 	}
 	if len(s.Releases) == 0 {
-		return errors.New("no release")
+		return errors.New("no releases")
 	}
 	if newest := s.Releases[len(s.Releases)-1].Build; newest != s.Machine.Status.Build {
 		return fmt.Errorf("the newest release is of build %d, not %d", newest, s.Machine.Status.Build)
--- a/control/state.go
+++ b/control/state.go
@@ -6,13 +6,13 @@
 	"dapplefront/release"
 )
 
-// Config is what a controller works by. All instances of a group must have the same.
+// Config configures a State. All instances of a group must have the same configuration.
 type Config struct {
 	Rules           release.Rules
-	PromoteShare    float64     // share of member routers whose votes promote a stage; 0 for Rules.PromoteQuorum
-	RollbackShare   float64     // share of member routers whose votes roll a build back; 0 for Rules.RollbackQuorum
-	RouterTimeout   policy.Time // a router not heard of for longer leaves; 0 for never
-	MaxEvents       int         // kept for watchers that come back; 0 for 4096, some minutes of a busy release
+	PromoteShare    float64     // share of member routers whose votes promote a stage; 0 uses Rules.PromoteQuorum
+	RollbackShare   float64     // share of member routers whose votes roll a build back; 0 uses Rules.RollbackQuorum
+	RouterTimeout   policy.Time // a router without contact for longer is removed; 0 for never
+	MaxEvents       int         // events kept for watchers that reconnect; 0 for 4096, enough for a few minutes of a busy release
 	MaxCreationKeys int         // idempotency keys kept; 0 for 1000
 }
 
@@ -21,25 +21,25 @@
 	defaultMaxCreationKeys = 1000
 )
 
-// creation is a CreateRelease command that was accepted under an idempotency key.
+// creation records a CreateRelease command that was accepted with an idempotency key.
 type creation struct {
 	Key   string `json:"Key"`
 	Hash  string `json:"Hash"`
 	Build int    `json:"Build"`
 }
 
-// State is one controller's state. It is not safe for concurrent use.
+// State is the state of one controller instance. It is not safe for concurrent use.
 type State struct {
 	config  Config
 	machine *release.Machine
-	now     policy.Time // of the latest command
-	index   uint64      // in the log, of the last command
+	now     policy.Time // time of the latest command
+	index   uint64      // log index of the last command
 
-	releases      []*Release // by build; never empty
+	releases      []*Release // sorted by build; never empty
 	creations     []creation
-	pendingDeploy *DeployOrder // held back by a step
+	pendingDeploy *DeployOrder // waits until a step is done; nil for none
 
-	routers        map[string]policy.Time // member routers, with when they were heard of last
+	routers        map[string]policy.Time // member routers, with the time of their last contact
 	controllerURLs map[string]string      // by the controller's name
 
 	events    []Event // with consecutive ids
@@ -54,7 +54,7 @@
 	lastOrder uint64 // number of the last order to any agent
 }
 
-// New returns the state of a group that begins with a build that serves.
+// New returns the initial state of a group in which the given build already serves.
 func New(config Config, build int) *State {
 	s := newState(config)
 	s.machine = release.New(config.Rules, build)
@@ -63,7 +63,7 @@
 	return s
 }
 
-// newState returns a state without release and machine.
+// newState returns a state without releases and without a release machine.
 func newState(config Config) *State {
 	if config.MaxEvents == 0 {
 		config.MaxEvents = defaultMaxEvents
@@ -75,14 +75,14 @@
 		agents: map[string]*Agent{}}
 }
 
-// Version is the log index of the last command that was applied.
+// Version returns the log index of the last command that was applied.
 func (s *State) Version() uint64 { return s.index }
 
-// Status is where the newest release stands.
+// Status returns the status of the newest release.
 func (s *State) Status() release.Status { return s.machine.Status() }
 
-// PreviousBuild is the build that serves beside a canary, or that served before the newest one was released.
+// PreviousBuild returns the build that serves beside a canary, or that served before the newest one was released.
 func (s *State) PreviousBuild() int { return s.machine.PreviousBuild() }
 
-// Clock is the latest time that a command had.
+// Clock returns the latest time of all commands that were applied.
 func (s *State) Clock() policy.Time { return s.now }
--- a/control/state_test.go
+++ b/control/state_test.go
@@ -17,17 +17,17 @@
 	PromoteShare: .5, RollbackShare: .1, RouterTimeout: 30 * policy.Second, MaxEvents: 50, MaxCreationKeys: 5,
 }
 
-// apply applies a command that must be accepted.
+// apply applies a command and requires that it is accepted.
 func apply(t *testing.T, s *State, index uint64, c Command) {
 	t.Helper()
 	_, err := s.Apply(index, c)
 	require.NoError(t, err)
 }
 
-func TestState_ClockNeverRunsBack(t *testing.T) {
+func TestState_ClockNeverDecreases(t *testing.T) {
 	s := New(config, 1)
 	apply(t, s, 1, Command{Kind: CreateRelease, Build: 2, At: 100 * policy.Second})
-	apply(t, s, 2, Command{Kind: HostsReady, Build: 2, At: 50 * policy.Second}) // another leader's clock, far behind
+	apply(t, s, 2, Command{Kind: HostsReady, Build: 2, At: 50 * policy.Second}) // a new leader's clock that is far behind
 	require.Equal(t, 100*policy.Second, s.Clock())
 	apply(t, s, 3, Command{Kind: CastVote, Build: 2, Router: "r", Choice: policy.Promote, At: 60 * policy.Second})
 	require.Zero(t, s.Status().Stage)
@@ -36,7 +36,7 @@
 	require.Equal(t, 1, s.Status().Stage)
 }
 
-// drawCommand draws a command, sensible or not.
+// drawCommand draws a valid or invalid command.
 func drawCommand(t *rapid.T, at policy.Time) Command {
 	note := rapid.SampledFrom([]string{"a", "b"}).Draw(t, "note")
 	c := Command{At: at, Kind: rapid.SampledFrom([]CommandKind{CreateRelease, PatchRelease, RollBackRelease, DeleteRelease, CastVote, HostsReady, HostsRemoved, CompleteStep, ReportCounts, Tick, JoinRouter, LeaveRouter, EmitEvent, "none"}).Draw(t, "do"),
@@ -66,12 +66,12 @@
 				require.ErrorAs(t, err, &rejected)
 				require.Equal(t, c.Kind, rejected.Op)
 			}
-			if err != nil && c.Kind != CastVote { // a rejected command changes nothing but what time does
-				for _, e := range eventsOrNone(a.EventsSince(before, "r1", 100)) {
+			if err != nil && c.Kind != CastVote { // a rejected command applies only changes that are due with time
+				for _, e := range eventsOrNil(a.EventsSince(before, "r1", 100)) {
 					require.NotEqual(t, "deleted", e.Kind)
 				}
 			}
-			if i%7 == 3 { // an instance that restarts from its snapshot
+			if i%7 == 3 { // restart instance b from its snapshot
 				text, err := b.Save()
 				require.NoError(t, err)
 				b, err = Load(config, text)
@@ -83,13 +83,13 @@
 				last = r.Build
 				for k, d := range r.StepStatuses {
 					if d.DoneAt == 0 && r.Phase == policy.Released {
-						require.Greater(t, r.Steps[k].Stage, 1, "a step was skipped")
+						require.Greater(t, r.Steps[k].Stage, 1, "released before the step was done")
 					}
 					if k > 0 && d.DoneAt != 0 {
-						require.NotZero(t, r.StepStatuses[k-1].DoneAt, "out of order")
+						require.NotZero(t, r.StepStatuses[k-1].DoneAt, "the step was done before its predecessor")
 					}
 					if d.DoneAt != 0 && r.Steps[k].Irreversible {
-						require.NotEqual(t, policy.RolledBack, r.Phase, "rolled back past an irreversible step")
+						require.NotEqual(t, policy.RolledBack, r.Phase, "rolled back after an irreversible step")
 						require.NotEqual(t, policy.RollingBack, r.Phase)
 					}
 				}
@@ -103,15 +103,15 @@
 	})
 }
 
-// eventsOrNone is the events, or none where some have been dropped.
-func eventsOrNone(e []Event, ok bool) []Event {
+// eventsOrNil returns the events, or nil if some have been dropped.
+func eventsOrNil(e []Event, ok bool) []Event {
 	if !ok {
 		return nil
 	}
 	return e
 }
 
-func TestState_QuorumsFollowMemberRouters(t *testing.T) {
+func TestState_QuorumsFollowNumberOfMemberRouters(t *testing.T) {
 	s := New(config, 1)
 	for i := range 10 {
 		apply(t, s, uint64(i), Command{Kind: JoinRouter, Router: fmt.Sprint("r", i), At: policy.Second})
@@ -122,7 +122,7 @@
 	apply(t, s, 12, Command{Kind: LeaveRouter, Router: "r9", At: 21 * policy.Second})
 	_, promote, _ = s.Votes(policy.Promote)
 	require.Equal(t, 5, promote)
-	require.True(t, s.Due(32*policy.Second), "nine have not been heard of for longer than RouterTimeout")
+	require.True(t, s.Due(32*policy.Second), "eight routers have had no contact for longer than RouterTimeout")
 	apply(t, s, 13, Command{Kind: Tick, At: 32 * policy.Second})
 	_, promote, _ = s.Votes(policy.Promote)
 	require.Equal(t, 1, promote)
@@ -140,7 +140,7 @@
 		if err != nil {
 			return
 		}
-		// Neither may panic, whatever the state; they may be rejected.
+		// Neither command may panic in any loaded state; rejections are fine.
 		_, _ = s.Apply(5, Command{Kind: CastVote, Build: 2, Router: "r", Choice: policy.Rollback, At: 5})
 		_, _ = s.Apply(6, Command{Kind: Tick, At: 50 * policy.Second})
 	})
--- a/control/steps.go
+++ b/control/steps.go
@@ -8,7 +8,7 @@
 	"dapplefront/release"
 )
 
-// validateStep checks step i of a creation.
+// validateStep checks step i of a CreateRelease command.
 func (s *State) validateStep(steps []Step, i int) *Error {
 	step, field := steps[i], fmt.Sprintf("steps[%d]", i)
 	sameName := func(x Step) bool { return x.Name == step.Name }
@@ -55,12 +55,12 @@
 		s.pendingDeploy = nil
 		s.emitDeploy(order)
 	}
-	s.changed(r)
+	s.releaseChanged(r)
 	return Reply{}, nil
 }
 
-// updateWaitsFor sets and returns the first step that holds back the hosts of a release's present stage, "" for none. The
-// time for which a step is waited for counts from here.
+// updateWaitsFor sets and returns the first step that the deployment of a release's current stage waits for, "" for none. It
+// also records when the wait for that step began, from which the step's expected time counts.
 func (s *State) updateWaitsFor(r *Release) string {
 	r.WaitsFor = ""
 	status := s.machine.Status()
@@ -83,10 +83,10 @@
 func (s *State) markStalledSteps() {
 	r := s.newest()
 	for i := range r.Steps {
-		if r.stalls(i, s.now) {
+		if r.newlyStalled(i, s.now) {
 			r.StepStatuses[i].Stalled = true
 			r.addHistory(s.now, "step "+r.Steps[i].Name+" stalls")
-			s.changed(r)
+			s.releaseChanged(r)
 		}
 	}
 }
--- a/control/votes.go
+++ b/control/votes.go
@@ -7,7 +7,8 @@
 	"dapplefront/release"
 )
 
-// Votes is how many votes of a choice stand for the newest build, and the quorums to promote a stage and to roll back.
+// Votes returns the number of valid votes with the given choice for the newest build, and the quorums to promote a stage and
+// to roll back.
 func (s *State) Votes(choice policy.VoteChoice) (n, promoteQuorum, rollbackQuorum int) {
 	promoteQuorum, rollbackQuorum = s.quorums()
 	return s.machine.Votes(choice), promoteQuorum, rollbackQuorum
@@ -20,7 +21,7 @@
 	if s.find(c.Build) < 0 {
 		return Reply{}, reject(ErrNotFound, "build", "there is no release of build %d", c.Build)
 	}
-	s.touchRouter(c.Router) // also where the vote does not count
+	s.touchRouter(c.Router) // even if the vote is rejected
 	outcome := s.handleInput(release.Vote{Router: c.Router, Build: c.Build, Stage: c.Stage, Choice: c.Choice})
 	if !outcome.vote.Accepted {
 		return Reply{}, reject(ErrConflict, "stage", "%s", outcome.vote.Reason)
@@ -28,7 +29,8 @@
 	return Reply{}, nil
 }
 
-// quorums are how many votes promote a stage and roll a build back, by the present number of member routers.
+// quorums returns the number of votes that promote a stage and that roll a build back, for the current number of member
+// routers.
 func (s *State) quorums() (promote, rollback int) {
 	promote, rollback = s.config.Rules.PromoteQuorum, s.config.Rules.RollbackQuorum
 	if share := s.config.PromoteShare; share > 0 {
@@ -40,7 +42,7 @@
 	return promote, rollback
 }
 
-// quorumOf is a share of the members, rounded up; a rounding error of the product does not count as one more.
+// quorumOf returns a share of the members, rounded up. The subtrahend keeps a floating-point error from adding one vote.
 func quorumOf(share float64, members int) int {
 	return max(1, int(math.Ceil(share*float64(members)-1e-9)))
 }
