--- a/internal/controller/agents.go
+++ b/internal/controller/agents.go
@@ -13,10 +13,10 @@
 	"dapplefront/policy"
 )
 
-// agentGoals are what an agent can be asked for.
+// agentGoals are the goals that an order to an agent can have.
 var agentGoals = []string{"stage", "serve", "release", "take-back"}
 
-// orderAgent gives an agent an order; the answer has its number.
+// orderAgent stores an order for an agent; the response has the order's number.
 func (s *Server) orderAgent(w http.ResponseWriter, r *http.Request) error {
 	var order api.Order
 	if err := decodeBody(w, r, &order); err != nil {
@@ -41,7 +41,7 @@
 	})
 }
 
-// agentReports takes an agent's reports; those sent again count once.
+// agentReports accepts an agent's reports. A report that is sent again counts once.
 func (s *Server) agentReports(w http.ResponseWriter, r *http.Request) error {
 	var reports []api.AgentReport
 	if err := decodeBody(w, r, &reports); err != nil {
@@ -60,8 +60,8 @@
 	return s.propose(w, c, http.StatusNoContent, nil)
 }
 
-// watchAgentOrders streams an agent's orders after Last-Event-ID as server-sent events. Their numbers are the events' ids,
-// the same at every instance.
+// watchAgentOrders streams an agent's orders after Last-Event-ID as server-sent events. The event ids are the order numbers,
+// which are the same on every instance.
 func (s *Server) watchAgentOrders(w http.ResponseWriter, r *http.Request) error {
 	last := r.Header.Get("Last-Event-ID")
 	after, err := strconv.ParseUint(last, 10, 64)
@@ -76,33 +76,33 @@
 	for {
 		changed := s.node.Changed()
 		if err := stream.sendNew(); err != nil {
-			return errAnswered
+			return errResponseWritten
 		}
 		select {
 		case <-changed:
 		case <-keepAlive.C:
 			if err := stream.sendKeepAlive(); err != nil {
-				return errAnswered
+				return errResponseWritten
 			}
 		case <-r.Context().Done():
-			return errAnswered
+			return errResponseWritten
 		case <-s.ctx.Done():
-			return errAnswered
+			return errResponseWritten
 		}
 	}
 }
 
-// orderStream is the orders to one agent on their way to it.
+// orderStream sends the orders for one agent to it.
 type orderStream struct {
-	server *Server
-	agent  string
-	w      http.ResponseWriter
-	rc     *http.ResponseController
-	after  uint64 // number of the last order sent
-	began  bool   // the headers have been sent
+	server      *Server
+	agent       string
+	w           http.ResponseWriter
+	rc          *http.ResponseController
+	after       uint64 // number of the last order sent
+	headersSent bool   // the response headers have been sent
 }
 
-// sendNew sends the orders that came since, the first time the headers at least.
+// sendNew sends the orders that were added since the last call. The first call sends the response headers in any case.
 func (o *orderStream) sendNew() error {
 	s := o.server
 	var orders []control.Order
@@ -110,11 +110,11 @@
 	if _, hangs := s.config.injectedFault(); hangs {
 		orders = nil
 	}
-	_ = o.rc.SetWriteDeadline(time.Now().Add(s.config.WriteTimeout)) // without one, writes may wait for longer
+	_ = o.rc.SetWriteDeadline(time.Now().Add(s.config.WriteTimeout)) // if setting the deadline fails, writes may block for longer
 	for _, stored := range orders {
 		var order api.Order
 		if err := json.Unmarshal(stored.Body, &order); err != nil {
-			s.log.Error("a stored order can't be read", "agent", o.agent, "number", stored.Number, "error", err)
+			s.log.Error("cannot decode stored order", "agent", o.agent, "number", stored.Number, "error", err)
 			continue
 		}
 		order.Number, o.after = stored.Number, stored.Number
@@ -122,14 +122,14 @@
 			return err
 		}
 	}
-	if o.began && len(orders) == 0 {
+	if o.headersSent && len(orders) == 0 {
 		return nil
 	}
-	o.began = true
+	o.headersSent = true
 	return o.rc.Flush()
 }
 
-// sendKeepAlive lets both sides notice a dead connection.
+// sendKeepAlive sends a comment, so that both sides detect a broken connection.
 func (o *orderStream) sendKeepAlive() error {
 	if _, err := fmt.Fprint(o.w, ": still here\n\n"); err != nil {
 		return err
--- a/internal/controller/authorization.go
+++ b/internal/controller/authorization.go
@@ -10,41 +10,42 @@
 	"go4.org/netipx"
 )
 
-// Role is a set of operations that a caller may use.
+// Role is a set of operations of the REST interface that a caller may use.
 type Role string
 
-// The roles, by their names in settings.
+// The roles. Their values are the names in settings.
 const (
 	RoleRead     Role = "read"
 	RoleVote     Role = "vote"
 	RoleRelease  Role = "release"
 	RoleWithdraw Role = "withdraw" // roll releases back
-	RoleServe    Role = "serve"    // run hosts, steps and controllers
+	RoleServe    Role = "serve"    // manage hosts, steps and controllers
 )
 
-// Roles are all of them.
+// Roles lists all roles.
 var Roles = []Role{RoleRead, RoleVote, RoleRelease, RoleWithdraw, RoleServe}
 
-// Grant gives roles to callers whose certificate's common name matches one of CommonNames (path.Match) and whose address is
-// in Networks; an empty field matches all.
+// Grant gives roles to callers whose certificate's common name matches one of the patterns in CommonNames (path.Match) and
+// whose address is in Networks. An empty field matches all callers.
 type Grant struct {
 	CommonNames []string
 	Networks    *netipx.IPSet
 	Roles       []Role
 }
 
-// Authorizer decides by certificates and networks which roles a caller has.
+// Authorizer determines a caller's roles from its certificate and network.
 type Authorizer struct {
-	ServerTLS *tls.Config // of this server; nil for plain HTTP, where no caller has a name
-	ClientTLS *tls.Config // towards other controllers
+	ServerTLS *tls.Config // for this server; nil for plain HTTP, where callers have no names
+	ClientTLS *tls.Config // for requests to other controllers
 	Grants    []Grant
-	Peers     []string // patterns of controllers' names, which may call on behalf of others
+	Peers     []string // patterns of the common names of controllers, which may send requests on behalf of other callers
 }
 
-// headerOnBehalfOf has the caller's name in a request that a controller forwards.
+// headerOnBehalfOf is the header with the original caller's name in a request that a controller forwards.
 const headerOnBehalfOf = "Dapplefront-On-Behalf-Of"
 
-// callerName is the common name of the caller's certificate, or of the caller for whom a controller forwards; "" for none.
+// callerName returns the common name of the caller's certificate; for a request that a controller forwards, that of the
+// original caller. It returns "" for a caller without a certificate.
 func (a *Authorizer) callerName(r *http.Request) string {
 	name := certificateName(r)
 	if original := r.Header.Get(headerOnBehalfOf); original != "" && a.isPeer(name) {
@@ -55,16 +56,16 @@
 
 func (a *Authorizer) isPeer(name string) bool { return name != "" && matchesAny(a.Peers, name) }
 
-// allows tells whether the caller has a role.
+// allows reports whether the caller has a role.
 func (a *Authorizer) allows(r *http.Request, role Role) bool {
 	name := a.callerName(r)
 	address, err := netip.ParseAddrPort(r.RemoteAddr)
-	// The controller that forwarded the request has checked the network.
+	// The controller that forwarded the request has already checked the caller's network.
 	networkChecked := r.Header.Get(headerOnBehalfOf) != "" && a.isPeer(certificateName(r))
 	for _, grant := range a.Grants {
-		named := len(grant.CommonNames) == 0 || matchesAny(grant.CommonNames, name)
-		near := grant.Networks == nil || networkChecked || err == nil && grant.Networks.Contains(address.Addr().Unmap())
-		if named && near && slices.Contains(grant.Roles, role) {
+		nameMatches := len(grant.CommonNames) == 0 || matchesAny(grant.CommonNames, name)
+		networkMatches := grant.Networks == nil || networkChecked || err == nil && grant.Networks.Contains(address.Addr().Unmap())
+		if nameMatches && networkMatches && slices.Contains(grant.Roles, role) {
 			return true
 		}
 	}
@@ -78,7 +79,7 @@
 	return r.TLS.PeerCertificates[0].Subject.CommonName
 }
 
-// matchesAny tells whether a name matches one of some patterns of path.Match.
+// matchesAny reports whether a name matches any of the patterns (path.Match).
 func matchesAny(patterns []string, name string) bool {
 	return slices.ContainsFunc(patterns, func(p string) bool {
 		ok, err := path.Match(p, name)
--- a/internal/controller/authorization_test.go
+++ b/internal/controller/authorization_test.go
@@ -21,7 +21,7 @@
 	"dapplefront/policy"
 )
 
-// logBuffer is a log that tests read.
+// logBuffer collects log output for tests.
 type logBuffer struct {
 	mu   sync.Mutex
 	text bytes.Buffer
@@ -34,7 +34,7 @@
 }
 func (p *logBuffer) String() string { p.mu.Lock(); defer p.mu.Unlock(); return p.text.String() }
 
-func TestAuthorization_ByCertificateAndNetworkWhileCertificatesRotate(t *testing.T) {
+func TestServer_AuthorizesByCertificateAndNetworkDuringCertificateRotation(t *testing.T) {
 	authority, err := testbed.NewAuthority(t.TempDir())
 	require.NoError(t, err)
 	ring := func(name string) *certs.Reloader {
@@ -56,7 +56,7 @@
 	var logged logBuffer
 	log := slog.New(slog.NewTextHandler(&logged, nil))
 	var nodes []*Node
-	var fronts []*Server
+	var servers []*Server
 	for i := range 3 {
 		name := fmt.Sprintf("c%d", i+1)
 		r := ring(name)
@@ -67,7 +67,7 @@
 			Peers: []string{"c*"}}}, log)
 		require.NoError(t, err)
 		t.Cleanup(func() { s.Close(); _ = n.Close() })
-		nodes, fronts = append(nodes, n), append(fronts, s)
+		nodes, servers = append(nodes, n), append(servers, s)
 		if i > 0 {
 			require.Eventually(t, func() bool { return nodes[0].AddMember(name, n.Address()) == nil }, 10*time.Second, 20*time.Millisecond)
 		}
@@ -76,11 +76,11 @@
 		known := 0
 		nodes[2].Read(func(s *control.State, _ policy.Time) { known = len(s.ControllerURLs()) })
 		return known == 3
-	}, 20*time.Second, 10*time.Millisecond, "controllers find each other by TLS")
-	ask := func(who *tls.Config, at int, method, path, body string) int {
-		h := &http.Client{Transport: &http.Transport{TLSClientConfig: who}, Timeout: 5 * time.Second}
+	}, 20*time.Second, 10*time.Millisecond, "controllers must learn each other's URLs through TLS")
+	statusOf := func(caller *tls.Config, at int, method, path, body string) int {
+		h := &http.Client{Transport: &http.Transport{TLSClientConfig: caller}, Timeout: 5 * time.Second}
 		defer h.CloseIdleConnections()
-		r, err := http.NewRequest(method, fronts[at].URL()+path, strings.NewReader(body))
+		r, err := http.NewRequest(method, servers[at].URL()+path, strings.NewReader(body))
 		require.NoError(t, err)
 		got, err := h.Do(r)
 		if err != nil {
@@ -90,38 +90,38 @@
 		return got.StatusCode
 	}
 	router, people, far := ring("router-1").Client(), ring("people-ann").Client(), ring("people-far").Client()
-	for at := range 3 { // also through instances that pass calls on
-		require.Equal(t, 403, ask(router, at, "POST", "/v1/releases", `{"build":9}`))
-		require.Equal(t, 403, ask(people, at, "PUT", "/v1/releases/2/votes/r1", `{"stage":0,"voice":"on"}`))
-		require.Equal(t, 403, ask(far, at, "PUT", "/v1/releases/1/orders/ready", ""), "not from this network")
-		require.Equal(t, 200, ask(router, at, "GET", "/v1/releases", ""))
+	for at := range 3 { // also through followers, which forward requests
+		require.Equal(t, 403, statusOf(router, at, "POST", "/v1/releases", `{"build":9}`))
+		require.Equal(t, 403, statusOf(people, at, "PUT", "/v1/releases/2/votes/r1", `{"stage":0,"voice":"on"}`))
+		require.Equal(t, 403, statusOf(far, at, "PUT", "/v1/releases/1/orders/ready", ""), "the role must not apply outside the grant's network")
+		require.Equal(t, 200, statusOf(router, at, "GET", "/v1/releases", ""))
 	}
-	require.Contains(t, []int{200, 201}, ask(people, 2, "POST", "/v1/releases", `{"build":2}`))
-	require.Equal(t, 200, ask(router, 1, "PUT", "/v1/releases/2/votes/r1", `{"stage":0,"voice":"on"}`))
+	require.Contains(t, []int{200, 201}, statusOf(people, 2, "POST", "/v1/releases", `{"build":2}`))
+	require.Equal(t, 200, statusOf(router, 1, "PUT", "/v1/releases/2/votes/r1", `{"stage":0,"voice":"on"}`))
 	require.Contains(t, logged.String(), `who=router-1`)
 	require.Contains(t, logged.String(), `call="POST /v1/releases" lacks=release`)
 	require.NotContains(t, logged.String(), "PRIVATE")
 
-	// A stranger's certificate, and none.
+	// Connections with a certificate of another authority, and without a certificate, are rejected.
 	other, err := testbed.NewAuthority(t.TempDir())
 	require.NoError(t, err)
 	f, err := other.Issue("people-ann", time.Hour)
 	require.NoError(t, err)
 	f.Authority = authority.File()
-	stranger, err := certs.Open(f)
+	otherAuthority, err := certs.Open(f)
 	require.NoError(t, err)
-	require.Zero(t, ask(stranger.Client(), 0, "GET", "/v1/releases", ""))
-	require.Zero(t, ask(&tls.Config{InsecureSkipVerify: true}, 0, "GET", "/v1/releases", ""))
+	require.Zero(t, statusOf(otherAuthority.Client(), 0, "GET", "/v1/releases", ""))
+	require.Zero(t, statusOf(&tls.Config{InsecureSkipVerify: true}, 0, "GET", "/v1/releases", ""))
 
-	// Certificates change while a watch stands; new connections have the new one.
+	// The server's certificate is replaced while a watch is open: new connections use the new certificate.
 	h := &http.Client{Transport: &http.Transport{TLSClientConfig: people}}
-	r, err := http.NewRequest(http.MethodGet, fronts[0].URL()+"/v1/watch", nil)
+	r, err := http.NewRequest(http.MethodGet, servers[0].URL()+"/v1/watch", nil)
 	require.NoError(t, err)
 	got, err := h.Do(r)
 	require.NoError(t, err)
 	defer func() { _ = got.Body.Close() }()
 	serial := func() string {
-		c, err := tls.Dial("tcp", strings.TrimPrefix(fronts[0].URL(), "https://"), people)
+		c, err := tls.Dial("tcp", strings.TrimPrefix(servers[0].URL(), "https://"), people)
 		require.NoError(t, err)
 		defer func() { _ = c.Close() }()
 		return c.ConnectionState().PeerCertificates[0].SerialNumber.String()
@@ -131,7 +131,7 @@
 	require.NoError(t, err)
 	require.Eventually(t, func() bool { return serial() != before }, 10*time.Second, 50*time.Millisecond)
 	buffer := make([]byte, 4096)
-	for range 3 { // bookmarks go on coming
+	for range 3 { // the open watch still receives bookmarks
 		n, err := got.Body.Read(buffer)
 		require.NoError(t, err)
 		require.Positive(t, n)
--- a/internal/controller/bench_test.go
+++ b/internal/controller/bench_test.go
@@ -22,7 +22,7 @@
 	"dapplefront/internal/api"
 )
 
-// startBenchmarkCluster starts a group of n nodes and returns the leader.
+// startBenchmarkCluster starts a group of n nodes and returns its leader.
 func startBenchmarkCluster(b *testing.B, n int) *Node {
 	b.Helper()
 	first, err := StartStandalone(NodeConfig{Name: "c1", Dir: b.TempDir(), Listen: "127.0.0.1:0", FastElections: true, Control: testConfig, InitialBuild: 1}, ServerConfig{Listen: "127.0.0.1:0"},
@@ -38,7 +38,7 @@
 	return first.Node
 }
 
-// BenchmarkWrites compares accepted changes with bare bbolt that syncs as often, by 1 and 32 writers at once.
+// BenchmarkWrites compares accepted changes with plain bbolt writes that sync as often, with 4 and 32 concurrent writers.
 func BenchmarkWrites(b *testing.B) {
 	writers := func(b *testing.B, n int, do func(i int64) error) {
 		b.Helper()
@@ -58,7 +58,7 @@
 			db, err := bbolt.Open(filepath.Join(b.TempDir(), "x.db"), 0o600, nil)
 			require.NoError(b, err)
 			defer func() { require.NoError(b, db.Close()) }()
-			db.MaxBatchDelay = 500 * time.Microsecond // its usual 10 ms would be most of the figure
+			db.MaxBatchDelay = 500 * time.Microsecond // the default of 10 ms would dominate the result
 			writers(b, n, func(i int64) error {
 				return db.Batch(func(tx *bbolt.Tx) error {
 					x, err := tx.CreateBucketIfNotExists([]byte("x"))
@@ -83,7 +83,8 @@
 	}
 }
 
-// BenchmarkWatchers measures events to many watchers, and the time from a change to its event at the last watcher.
+// BenchmarkWatchers measures the throughput of events to many watchers, and the time from a change until the last watcher has
+// received its event.
 func BenchmarkWatchers(b *testing.B) {
 	for _, n := range []int{1, 100, 2000} {
 		b.Run(fmt.Sprintf("watchers=%d", n), func(b *testing.B) {
@@ -122,7 +123,7 @@
 				}()
 			}
 			up.Wait()
-			var lasts []time.Duration
+			var latencies []time.Duration
 			b.ResetTimer()
 			for i := 0; b.Loop(); i++ {
 				began := time.Now()
@@ -132,18 +133,18 @@
 				for range n {
 					<-arrived
 				}
-				lasts = append(lasts, time.Since(began))
+				latencies = append(latencies, time.Since(began))
 			}
-			slices.Sort(lasts)
-			b.ReportMetric(float64(lasts[len(lasts)/2].Microseconds())/1000, "ms-to-last-p50")
-			b.ReportMetric(float64(lasts[len(lasts)*99/100].Microseconds())/1000, "ms-to-last-p99")
+			slices.Sort(latencies)
+			b.ReportMetric(float64(latencies[len(latencies)/2].Microseconds())/1000, "ms-to-last-p50")
+			b.ReportMetric(float64(latencies[len(latencies)*99/100].Microseconds())/1000, "ms-to-last-p99")
 			b.ReportMetric(float64(n*b.N)/b.Elapsed().Seconds(), "events/s")
 		})
 	}
 }
 
-// BenchmarkRecovery measures how long an instance takes from its start until it leads, by the length of its log, with
-// and without a snapshot.
+// BenchmarkRecovery measures the time from the start of an instance until it is leader, for several log lengths, with and
+// without a snapshot.
 func BenchmarkRecovery(b *testing.B) {
 	for _, n := range []int{100, 1000, 4000} {
 		for _, snapshot := range []bool{false, true} {
--- a/internal/controller/controlclient_test.go
+++ b/internal/controller/controlclient_test.go
@@ -14,7 +14,7 @@
 	"dapplefront/release"
 )
 
-func TestControlClient_HearsStatusesAndHasItsVotesAnswered(t *testing.T) {
+func TestControlClient_ReceivesStatusesAndVoteResults(t *testing.T) {
 	hang := make(chan bool, 1)
 	hangs := false
 	a, err := StartStandalone(NodeConfig{Name: "c", Dir: t.TempDir(), Listen: "127.0.0.1:0", FastElections: true, InitialBuild: 1, Control: control.Config{
@@ -37,7 +37,7 @@
 		case n := <-statuses:
 			return n
 		case <-time.After(10 * time.Second):
-			t.Fatal("no status")
+			t.Fatal("no status received within 10 s")
 			return policy.ReleaseStatus{}
 		}
 	}
@@ -53,9 +53,9 @@
 	for i := range 30 {
 		select {
 		case c := <-complaints:
-			require.EqualValues(t, i%10, c.Host, "each once, in order")
+			require.EqualValues(t, i%10, c.Host, "complaints must arrive once and in order")
 		case <-time.After(20 * time.Second):
-			t.Fatal("an event is missing")
+			t.Fatal("a complaint did not arrive within 20 s")
 		}
 	}
 	vote := func(build, stage int, v policy.VoteChoice) policy.VoteResult {
@@ -70,8 +70,8 @@
 	for range 12 {
 		seen[vote(2, 0, policy.Promote)] = true
 	}
-	require.True(t, seen[policy.VoteRejected], "more than the allowance")
+	require.True(t, seen[policy.VoteRejected], "votes above VotesPerSecond must be rejected")
 	hang <- true
-	time.Sleep(600 * time.Millisecond) // one more is allowed
+	time.Sleep(600 * time.Millisecond) // the rate limit admits one more vote
 	require.Contains(t, []policy.VoteResult{policy.VoteUnknown, policy.VoteRejected}, vote(2, 0, policy.Promote))
 }
--- a/internal/controller/corruption_test.go
+++ b/internal/controller/corruption_test.go
@@ -13,7 +13,7 @@
 	"dapplefront/control"
 )
 
-// corruptPages overwrites the pages of a file beyond its first two with noise.
+// corruptPages changes all bytes of a file after its first two pages.
 func corruptPages(t *testing.T, file string) {
 	t.Helper()
 	text, err := os.ReadFile(file)
@@ -25,9 +25,9 @@
 	require.NoError(t, os.WriteFile(file, text, 0o600))
 }
 
-// TestCheckStore_FindsAFlippedBitUnlessItIsHarmless flips one bit in each page, at several places: the store is refused, or it
-// has exactly the state that it had.
-func TestCheckStore_FindsAFlippedBitUnlessItIsHarmless(t *testing.T) {
+// TestCheckStore_DetectsFlippedBitUnlessStateIsUnchanged flips one bit at several places in each page: CheckStore must return an
+// error, or the store must still export exactly the same state.
+func TestCheckStore_DetectsFlippedBitUnlessStateIsUnchanged(t *testing.T) {
 	dir := t.TempDir()
 	a, err := StartStandalone(NodeConfig{Name: "c1", Dir: dir, Listen: "127.0.0.1:0", FastElections: true, Control: testConfig, InitialBuild: 1}, ServerConfig{Listen: "127.0.0.1:0"},
 		slog.New(slog.DiscardHandler))
@@ -42,7 +42,7 @@
 	require.NoError(t, Export(dir, testConfig, &before))
 	undamaged, err := os.ReadFile(filepath.Join(dir, "log.db"))
 	require.NoError(t, err)
-	page, found, harmless := os.Getpagesize(), 0, 0
+	page, detected, harmless := os.Getpagesize(), 0, 0
 	for p := range len(undamaged) / page {
 		for _, at := range []int{9, page / 5, page / 2, page - 700} {
 			flipped := t.TempDir()
@@ -50,15 +50,15 @@
 			text[p*page+at] ^= 0x10
 			require.NoError(t, os.WriteFile(filepath.Join(flipped, "log.db"), text, 0o600))
 			if err := CheckStore(flipped, testConfig); err != nil {
-				found++
+				detected++
 				continue
 			}
 			var after bytes.Buffer
 			require.NoError(t, Export(flipped, testConfig, &after))
-			require.Equal(t, before.String(), after.String(), "page %d, byte %d: damage that no one noticed", p, at)
+			require.Equal(t, before.String(), after.String(), "page %d, byte %d: undetected damage", p, at)
 			harmless++
 		}
 	}
-	t.Logf("%d found, %d harmless", found, harmless)
-	require.Positive(t, found)
+	t.Logf("%d flipped bits detected, %d harmless", detected, harmless)
+	require.Positive(t, detected)
 }
--- a/internal/controller/crash_test.go
+++ b/internal/controller/crash_test.go
@@ -19,7 +19,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// The test binary is also the process that is killed.
+// TestMain runs the tests or, with DAPPLEFRONT_CONTROLLER set, the controller process that a test kills.
 func TestMain(m *testing.M) {
 	dir := os.Getenv("DAPPLEFRONT_CONTROLLER")
 	if dir == "" {
@@ -35,7 +35,7 @@
 	select {}
 }
 
-// startProcess starts a controller of its own and returns its URL.
+// startProcess starts a controller in a separate process and returns the process and the controller's URL.
 func startProcess(t *testing.T, dir string) (*exec.Cmd, string) {
 	t.Helper()
 	c := exec.Command(os.Args[0])
@@ -45,14 +45,14 @@
 	require.NoError(t, err)
 	require.NoError(t, c.Start())
 	in := bufio.NewScanner(out)
-	require.True(t, in.Scan(), "it ended at once")
+	require.True(t, in.Scan(), "the process ended without output")
 	first, rest, _ := strings.Cut(in.Text(), " ")
 	require.Equal(t, "url", first, rest)
 	return c, rest
 }
 
-// TestNode_KeepsAcceptedChangesThroughSIGKILL kills a controller with SIGKILL while it writes, several times; CONTROL_KILLS asks for
-// more (docs/controller.md).
+// TestNode_KeepsAcceptedChangesThroughSIGKILL kills a controller several times with SIGKILL during writes. CONTROL_KILLS sets the
+// number of kills (docs/controller.md).
 func TestNode_KeepsAcceptedChangesThroughSIGKILL(t *testing.T) {
 	kills := 4
 	if n, err := strconv.Atoi(os.Getenv("CONTROL_KILLS")); err == nil {
@@ -64,10 +64,10 @@
 		c, url := startProcess(t, dir)
 		_, _, text := request(t, "GET", url+"/v1/releases/1?fresh=1", "")
 		n, _ := strconv.ParseInt(decodeRelease(t, text).Note, 10, 64)
-		require.GreaterOrEqual(t, n, accepted.Load(), "run %d: an accepted change is lost", run)
-		require.LessOrEqual(t, n, tried.Load(), "run %d: a change that no one asked for", run)
+		require.GreaterOrEqual(t, n, accepted.Load(), "run %d: an accepted change was lost", run)
+		require.LessOrEqual(t, n, tried.Load(), "run %d: a change that was never requested", run)
 		end := make(chan struct{})
-		go func() { // one writer, whose number grows
+		go func() { // a single writer, which writes increasing numbers
 			defer close(end)
 			for {
 				next := tried.Add(1)
@@ -98,13 +98,13 @@
 	return status, nil
 }
 
-// panicOnFailure turns a failed requirement into a panic, for calls that may fail.
+// panicOnFailure is a require.TestingT that panics on a failed requirement, for requests that may fail.
 type panicOnFailure struct{}
 
 func (panicOnFailure) Errorf(string, ...any) {}
 func (panicOnFailure) FailNow()              { panic("failed") }
 
-// unsyncedDisk is a disk that answers before it has synced: what it took last is lost when it is opened again.
+// unsyncedDisk is a log store that acknowledges entries before it stores them: the last entries are lost when it is reopened.
 type unsyncedDisk struct {
 	raft.LogStore
 	unsynced []*raft.Log
@@ -144,13 +144,13 @@
 	return nil
 }
 
-func TestNoteModel_FindsADiskThatAnswersBeforeItSyncs(t *testing.T) {
-	for _, lies := range []bool{false, true} {
+func TestNoteModel_DetectsDiskThatAcknowledgesBeforeSync(t *testing.T) {
+	for _, unsynced := range []bool{false, true} {
 		g := &cluster{t: t, dirs: []string{t.TempDir()}, nodes: make([]*Node, 1), servers: make([]*Server, 1), urls: make([]string, 1)}
 		t.Cleanup(g.close)
 		open := func() {
 			config := NodeConfig{Name: "c1", Dir: g.dirs[0], Listen: "127.0.0.1:0", Bootstrap: true, FastElections: true, Control: testConfig, InitialBuild: 1}
-			if lies {
+			if unsynced {
 				config.WrapStores = func(l raft.LogStore, s raft.StableStore) (raft.LogStore, raft.StableStore) {
 					return &unsyncedDisk{LogStore: l}, s
 				}
@@ -168,7 +168,7 @@
 			if n.write {
 				method, path, body = "PATCH", "/v1/releases/1", fmt.Sprintf(`{"note":%q}`, n.value)
 			}
-			status, _, text := requestOnceLed(t, method, g.urls[0]+path, body)
+			status, _, text := requestWithRetry(t, method, g.urls[0]+path, body)
 			require.Equal(t, 200, status, text)
 			o := decodeRelease(t, text)
 			all = append(all, porcupine.Operation{Input: n, Call: int64(from), Output: noteResult{value: o.Note, version: uint64(o.Version)}, Return: int64(time.Since(began))})
@@ -181,7 +181,7 @@
 		open()
 		do(noteOperation{})
 		want := porcupine.Ok
-		if lies {
+		if unsynced {
 			want = porcupine.Illegal
 		}
 		require.Equal(t, want, porcupine.CheckOperationsTimeout(noteModel, all, 10*time.Second))
--- a/internal/controller/description_test.go
+++ b/internal/controller/description_test.go
@@ -24,7 +24,7 @@
 	"dapplefront/policy"
 )
 
-// description is the OpenAPI and AsyncAPI descriptions as trees, and what of them has occurred.
+// description holds the OpenAPI and AsyncAPI descriptions as trees, and which parts of them have occurred in tests.
 type description struct {
 	t       *testing.T
 	open    map[string]any
@@ -32,7 +32,7 @@
 	schemas *jsonschema.Compiler
 	mu      sync.Mutex
 	seen    map[string]bool // "operationId status" and "event kind"
-	fields  map[string]bool // "schema.field" as replies and events had them
+	fields  map[string]bool // "schema.field" that occurred in responses and events
 }
 
 func loadDescription(t *testing.T) *description {
@@ -61,7 +61,7 @@
 	return tree
 }
 
-// resolve follows a reference within the OpenAPI description.
+// resolve resolves a reference within the OpenAPI description.
 func (d *description) resolve(x any) map[string]any {
 	m, _ := x.(map[string]any)
 	if ref, ok := m["$ref"].(string); ok {
@@ -70,7 +70,7 @@
 	return m
 }
 
-// operation is the documented operation that a request is for.
+// operation returns the documented operation of a request, and its path template.
 func (d *description) operation(method, path string) (map[string]any, string) {
 	path, _, _ = strings.Cut(path, "?")
 	parts := strings.Split(path, "/")
@@ -99,8 +99,9 @@
 	return op, best
 }
 
-// fits checks a value against a schema by its JSON pointer in a description; "" where it does.
-func (d *description) fits(pointer string, body []byte) string {
+// validate checks a value against the schema at a JSON pointer in a description. It returns "" if the value is valid, otherwise
+// the error.
+func (d *description) validate(pointer string, body []byte) string {
 	d.mu.Lock()
 	s, err := d.schemas.Compile(pointer)
 	d.mu.Unlock()
@@ -125,8 +126,9 @@
 	return ""
 }
 
-// reply checks an answer against what is documented for its request; "" where it is as documented.
-func (d *description) reply(method, path string, status int, h http.Header, body string) string {
+// validateResponse checks a response against the documentation of its request. It returns "" if the response is documented,
+// otherwise the difference.
+func (d *description) validateResponse(method, path string, status int, h http.Header, body string) string {
 	op, template := d.operation(method, path)
 	if op == nil {
 		return fmt.Sprintf("%s %s is not documented", method, path)
@@ -154,24 +156,24 @@
 	if kind == "text/event-stream" {
 		return ""
 	}
-	if why := d.fits("openapi.yaml"+schema["$ref"].(string), []byte(body)); why != "" {
+	if why := d.validate("openapi.yaml"+schema["$ref"].(string), []byte(body)); why != "" {
 		return fmt.Sprintf("%s %s, %d: %s", method, template, status, why)
 	}
 	return ""
 }
 
-// call sends a request and requires a documented answer.
+// call sends a request and requires a documented response.
 func (d *description) call(method, url, path, body string, headers ...string) (int, string) {
 	d.t.Helper()
 	status, h, text := request(d.t, method, url+path, body, headers...)
-	require.Empty(d.t, d.reply(method, path, status, h, text))
+	require.Empty(d.t, d.validateResponse(method, path, status, h, text))
 	return status, text
 }
 
-func TestDescription_EveryReplyAndEventOccursAndNoOther(t *testing.T) {
-	was := testConfig
+func TestServer_GivesExactlyDocumentedResponsesAndEvents(t *testing.T) {
+	original := testConfig
 	testConfig.MaxEvents = 400
-	defer func() { testConfig = was }()
+	defer func() { testConfig = original }()
 	d := loadDescription(t)
 	g := startCluster(t, 3)
 	lead := g.leader()
@@ -232,7 +234,7 @@
 	do(400, "GET", "/v1/agents/h1/orders", "", "Last-Event-ID", "x")
 	do(201, "POST", "/v1/agents/h1/orders", `{"digest":"d","build":2,"goal":"stage"}`)
 	do(400, "POST", "/v1/agents/h1/orders", `{"digest":"d","build":2,"goal":"sit"}`)
-	for range 2 { // sent again, it counts once
+	for range 2 { // the repeated report counts once
 		do(204, "POST", "/v1/agents/h1/reports", `[{"number":1,"build":2,"digest":"d","from":"fetching","to":"staged","atMs":5}]`)
 	}
 	do(400, "POST", "/v1/agents/h1/reports", `[{"number":0,"build":2,"digest":"d","atMs":5}]`)
@@ -266,18 +268,18 @@
 	}
 	do(410, "GET", "/v1/watch", "", "Last-Event-ID", "1")
 	d.mu.Lock()
-	d.seen["watch 200"] = true // follow has checked it
+	d.seen["watch 200"] = true // followWatch has checked the status
 	d.mu.Unlock()
 
-	// Events, each against its payload.
+	// Validate each event against its payload schema.
 	require.Eventually(t, func() bool { return all.count("bookmark") > 0 && all.count("deleted") > 0 }, 10*time.Second, 10*time.Millisecond)
 	require.Eventually(t, func() bool { return own.count("complaint") > 0 }, 10*time.Second, 10*time.Millisecond)
 	var kinds, data []string
 	require.Eventually(t, func() bool { return mine.count("order") == 1 && all.count("agent") == 1 }, 10*time.Second, 10*time.Millisecond)
-	d.seen["orders 200"] = true // follow has checked it
+	d.seen["orders 200"] = true // followWatch has checked the status
 	for _, w := range []*watchReader{all, own, mine} {
 		w.mu.Lock()
-		kinds, data = append(kinds, w.kind...), append(data, w.data...)
+		kinds, data = append(kinds, w.kinds...), append(data, w.data...)
 		w.mu.Unlock()
 	}
 	f := g.servers[lead]
@@ -290,11 +292,11 @@
 	f.mu.Unlock()
 	for i, kind := range kinds {
 		require.NotNil(t, lookup(d.async, "components", "messages", kind), "the event %s is not documented", kind)
-		require.Empty(t, d.fits("asyncapi.yaml#/components/messages/"+kind+"/payload", []byte(data[i])), kind)
+		require.Empty(t, d.validate("asyncapi.yaml#/components/messages/"+kind+"/payload", []byte(data[i])), kind)
 		d.seen["event "+kind] = true
 	}
 
-	// As WebSocket; and for callers who may do nothing.
+	// Open a WebSocket, and send requests of a caller without roles.
 	_, _, status := dialWebSocket(t, u, "", "")
 	require.Equal(t, 101, status)
 	d.seen["watch 101"] = true
@@ -311,7 +313,7 @@
 		}
 	}
 
-	// Without a leader.
+	// Send requests while there is no leader.
 	for i := range g.nodes {
 		if i != lead {
 			g.stop(i)
@@ -329,7 +331,7 @@
 				body = "[]"
 			}
 			if path == "/v1/watch" {
-				continue // it goes on without a leader
+				continue // a watch works without a leader
 			}
 			if method == "get" {
 				path += "?fresh=1"
@@ -338,8 +340,9 @@
 		}
 	}
 
-	// Nothing is documented that is never given. 504 needs a leader that is lost within a change; kill and cut tests meet it.
-	var never []string
+	// Every documented response, event and field must have occurred, except 504: it requires that the leader is lost during a
+	// change, which occurs in the crash and partition tests.
+	var missing []string
 	for _, methods := range d.open["paths"].(map[string]any) {
 		for method, op := range methods.(map[string]any) {
 			if method == "parameters" {
@@ -347,39 +350,39 @@
 			}
 			for status := range lookup(op, "responses").(map[string]any) {
 				if k := fmt.Sprintf("%s %s", lookup(op, "operationId"), status); status != "504" && !d.seen[k] {
-					never = append(never, k)
+					missing = append(missing, k)
 				}
 			}
 		}
 	}
 	for kind := range lookup(d.async, "components", "messages").(map[string]any) {
 		if !d.seen["event "+kind] {
-			never = append(never, "event "+kind)
+			missing = append(missing, "event "+kind)
 		}
 	}
 	for _, name := range []string{"ReleaseObject", "ReleaseList", "News", "Plan", "Status", "Problem"} {
 		for f := range lookup(d.open, "components", "schemas", name, "properties").(map[string]any) {
 			if !d.fields[name+"."+f] && (name != "ReleaseObject" || !d.fields["payload."+f]) {
-				never = append(never, name+"."+f)
+				missing = append(missing, name+"."+f)
 			}
 		}
 	}
-	slices.Sort(never)
-	require.Empty(t, never, "documented, but never given")
+	slices.Sort(missing)
+	require.Empty(t, missing, "documented, but never occurred")
 }
 
-func TestDescription_CheckFindsWhatIsNotDocumented(t *testing.T) {
+func TestDescription_DetectsUndocumentedResponses(t *testing.T) {
 	d := loadDescription(t)
 	json := http.Header{"Content-Type": {"application/json"}}
-	require.Contains(t, d.reply("GET", "/v1/nothing", 200, json, ""), "not documented")
-	require.Contains(t, d.reply("GET", "/v1/status", 418, json, "{}"), "the status 418 is not documented")
-	require.Contains(t, d.reply("GET", "/v1/status", 200, json, `{"name":"c","leads":true}`), "missing propert")
-	require.Contains(t, d.reply("PUT", "/v1/routers/r", 204, http.Header{}, "x"), "a body that is not documented")
-	require.Contains(t, d.reply("GET", "/v1/plans/1/for/x", 200, json, `{"version":1,"forMs":1,"near":{},"extra":1}`), "extra")
-	require.NotEmpty(t, d.fits("asyncapi.yaml#/components/messages/place/payload", []byte(`{"build":1,"share":1,"hosts":3}`)))
+	require.Contains(t, d.validateResponse("GET", "/v1/nothing", 200, json, ""), "not documented")
+	require.Contains(t, d.validateResponse("GET", "/v1/status", 418, json, "{}"), "the status 418 is not documented")
+	require.Contains(t, d.validateResponse("GET", "/v1/status", 200, json, `{"name":"c","leads":true}`), "missing propert")
+	require.Contains(t, d.validateResponse("PUT", "/v1/routers/r", 204, http.Header{}, "x"), "a body that is not documented")
+	require.Contains(t, d.validateResponse("GET", "/v1/plans/1/for/x", 200, json, `{"version":1,"forMs":1,"near":{},"extra":1}`), "extra")
+	require.NotEmpty(t, d.validate("asyncapi.yaml#/components/messages/place/payload", []byte(`{"build":1,"share":1,"hosts":3}`)))
 }
 
-// drawValue draws a value of a schema; now and then one that does not fit.
+// drawValue draws a value for a schema, occasionally one that the schema does not allow.
 func (d *description) drawValue(r *rand.Rand, schema any, depth int) any {
 	s := d.resolve(schema)
 	if r.IntN(25) == 0 || s == nil {
@@ -425,7 +428,7 @@
 	return nil
 }
 
-func TestDescription_DrawnRequestsGetDocumentedReplies(t *testing.T) {
+func TestServer_GivesDocumentedResponsesToRandomRequests(t *testing.T) {
 	d := loadDescription(t)
 	a, err := StartStandalone(NodeConfig{Name: "c1", Dir: t.TempDir(), Listen: "127.0.0.1:0", FastElections: true, Control: testConfig, InitialBuild: 1},
 		ServerConfig{Listen: "127.0.0.1:0", VotesPerSecond: 1e6}, slog.New(slog.DiscardHandler))
@@ -484,7 +487,7 @@
 				_, _ = text.ReadFrom(got.Body)
 				_ = got.Body.Close()
 				statuses[w][got.StatusCode]++
-				if why := d.reply(x.method, path, got.StatusCode, got.Header, text.String()); why != "" {
+				if why := d.validateResponse(x.method, path, got.StatusCode, got.Header, text.String()); why != "" {
 					t.Errorf("%s %s %s: %s", x.method, path, body, why)
 					return
 				}
--- a/internal/controller/events.go
+++ b/internal/controller/events.go
@@ -10,7 +10,7 @@
 	"dapplefront/release"
 )
 
-// emitCounts passes on to all watchers what was counted of a build and class.
+// emitCounts forwards the statistics of a build and class to all watchers.
 func (s *Server) emitCounts(w http.ResponseWriter, r *http.Request) error {
 	var counts api.Counts
 	if err := decodeBody(w, r, &counts); err != nil {
@@ -26,7 +26,7 @@
 	return s.propose(w, control.Command{Kind: control.EmitEvent, Name: api.EventCounts, Body: body}, http.StatusAccepted, nil)
 }
 
-// emitComplaint passes a client's complaint on to its router.
+// emitComplaint forwards a client's complaint to its router.
 func (s *Server) emitComplaint(w http.ResponseWriter, r *http.Request) error {
 	var complaint api.Complaint
 	if err := decodeBody(w, r, &complaint); err != nil {
@@ -43,17 +43,18 @@
 	return s.propose(w, c, http.StatusAccepted, nil)
 }
 
-// routerEvents are the kinds of events that routers are notified of.
+// routerEvents are the kinds of events that are sent to routers.
 var routerEvents = map[string]bool{api.EventReleaseStatus: true, api.EventCounts: true, api.EventComplaint: true, api.EventPlan: true}
 
-// watchEvent is one event in the form of the watch.
+// watchEvent is one event in the form that a watch sends.
 type watchEvent struct {
 	id   uint64
 	kind string
 	body []byte
 }
 
-// toWatchEvent gives an event the form of the watch, with ages as of now. A body that can't be read goes out as it is.
+// toWatchEvent converts an event to the form that a watch sends, with ages as of now. A body that can't be decoded is sent
+// unchanged.
 func (s *Server) toWatchEvent(e control.Event, router string, now policy.Time) watchEvent {
 	body := []byte(e.Body)
 	age := max(0, toMs(now-e.At))
@@ -93,7 +94,7 @@
 	return encode(shown)
 }
 
-// encode is the JSON of types that always have one.
+// encode returns the JSON encoding of a value whose type can always be encoded.
 func encode(v any) []byte {
 	text, err := json.Marshal(v)
 	if err != nil {
--- a/internal/controller/export.go
+++ b/internal/controller/export.go
@@ -18,8 +18,8 @@
 	keyLastCandidate = "LastVoteCand"
 )
 
-// Export writes the state that a store holds, as JSON. The store must not be in use. Entries that were never committed may
-// be in it, as after any restart.
+// Export writes the state in a store as JSON. The store must not be in use. As after any restart, the state may include log
+// entries that were never committed.
 func Export(dir string, config control.Config, to io.Writer) error {
 	if _, err := os.Stat(logFile(dir)); err != nil {
 		return err
@@ -36,8 +36,8 @@
 	return err
 }
 
-// Import makes a new store of one member out of what Export wrote, so that a group that lost its majority can start again.
-// The directory must be empty or missing.
+// Import creates the store of a new group of one member from the output of Export, so that a group that lost its majority can
+// be restarted. The directory must be empty or missing.
 func Import(config NodeConfig, from io.Reader) (err error) {
 	text, err := io.ReadAll(from)
 	if err != nil {
@@ -63,7 +63,7 @@
 	return store.SetUint64([]byte(keyCurrentTerm), 1)
 }
 
-// writeSnapshot writes the first snapshot of a group of one: index 1 of term 1.
+// writeSnapshot writes the first snapshot of a group of one member, at index 1 of term 1.
 func writeSnapshot(config NodeConfig, text []byte) error {
 	snapshots, err := raft.NewFileSnapshotStore(config.Dir, snapshotsKept, io.Discard)
 	if err != nil {
@@ -71,7 +71,7 @@
 	}
 	address := raft.ServerAddress(config.Listen)
 	group := raft.Configuration{Servers: []raft.Server{{ID: raft.ServerID(config.Name), Address: address}}}
-	_, transport := raft.NewInmemTransport(address) // encodes the address only
+	_, transport := raft.NewInmemTransport(address) // needed only to encode the address
 	sink, err := snapshots.Create(raft.SnapshotVersionMax, 1, 1, group, 1, transport)
 	if err != nil {
 		return err
--- a/internal/controller/fsm.go
+++ b/internal/controller/fsm.go
@@ -11,24 +11,24 @@
 	"dapplefront/control"
 )
 
-// fsm is the node's state as Raft's finite state machine.
+// fsm implements raft.FSM with the node's state.
 type fsm struct{ node *Node }
 
-// applyResult is what became of a command of the log.
+// applyResult is the result of applying a command from the log.
 type applyResult struct {
 	reply control.Reply
 	err   error // nil or *control.Error
 }
 
-// Apply applies a committed log entry. An entry that can't be read is skipped with the same error on every instance that
-// has it so.
+// Apply applies a committed log entry. An entry that can't be decoded is skipped. Every instance that has the same damaged
+// entry skips it with the same error.
 func (f fsm) Apply(entry *raft.Log) any {
 	n := f.node
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	c, err := decodeEntry(entry.Data)
 	if err != nil {
-		n.log.Error("a log entry is damaged", "index", entry.Index, "error", err)
+		n.log.Error("skipping damaged log entry", "index", entry.Index, "error", err)
 		return applyResult{err: &control.Error{Kind: control.ErrInvalid, Reason: err.Error()}}
 	}
 	reply, err := n.state.Apply(entry.Index, c)
@@ -38,11 +38,11 @@
 
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
-// checksumLength is the bytes of a log entry before its JSON.
+// checksumLength is the length in bytes of the checksum that precedes the JSON of a log entry.
 const checksumLength = 4
 
-// encodeEntry is a command as the log stores it: a checksum, as neither bbolt nor Raft's log store have one for what they
-// keep, and JSON.
+// encodeEntry encodes a command as a log entry: a checksum, because neither bbolt nor Raft's log store has checksums for its
+// data, followed by JSON.
 func encodeEntry(c control.Command) ([]byte, error) {
 	text, err := json.Marshal(c)
 	return append(binary.BigEndian.AppendUint32(nil, crc32.Checksum(text, castagnoli)), text...), err
--- a/internal/controller/health.go
+++ b/internal/controller/health.go
@@ -8,7 +8,7 @@
 	"dapplefront/policy"
 )
 
-// status answers how this instance stands, as it sees itself.
+// status returns this instance's view of its own status.
 func (s *Server) status(w http.ResponseWriter, _ *http.Request) error {
 	isLeader, leader := s.node.IsLeader()
 	members, err := s.node.Members()
--- a/internal/controller/linearizability_test.go
+++ b/internal/controller/linearizability_test.go
@@ -19,41 +19,42 @@
 	"dapplefront/internal/api"
 )
 
-// noteOperation is one operation on a release's note: a write, with or without a version, or a read.
+// noteOperation is one operation on a release's note: a read, or a write with or without an expected version.
 type noteOperation struct {
 	write   bool
 	value   string
-	version uint64 // that the write is for; 0 for any
+	version uint64 // expected version for a write; 0 for any
 }
 
-// noteResult is its outcome.
+// noteResult is the result of a noteOperation.
 type noteResult struct {
-	value   string
-	version uint64
-	unclear bool // it may have been made
-	stale   bool // it was for another version
+	value         string
+	version       uint64
+	indeterminate bool // the operation may or may not have been applied
+	stale         bool // rejected because the expected version differed
 }
 
-// noteModel is the sequential object that histories are held to: a note that grows a version with every write.
+// noteModel is the sequential specification that histories are checked against: a note whose version increases with each
+// write.
 var noteModel = porcupine.Model{
 	Init: func() any { return noteResult{version: 1} },
 	Step: func(state, in, out any) (bool, any) {
 		s, i, o := state.(noteResult), in.(noteOperation), out.(noteResult)
 		switch {
 		case !i.write:
-			return o.unclear || s.value == o.value && s.version == o.version, s
+			return o.indeterminate || s.value == o.value && s.version == o.version, s
 		case i.version != 0 && i.version != s.version:
-			return o.stale || o.unclear, s
+			return o.stale || o.indeterminate, s
 		case o.stale:
 			return false, s
 		}
 		next := noteResult{value: i.value, version: s.version + 1}
-		return o.unclear || o.version == next.version, next
+		return o.indeterminate || o.version == next.version, next
 	},
 	Equal: func(a, b any) bool { return a == b },
 }
 
-// do carries out an operation at an instance. An unclear write counts as made: it may have been.
+// do sends an operation to an instance. made is true also for an indeterminate write, which may have been applied.
 func (n noteOperation) do(h *http.Client, url string) (o noteResult, made bool) {
 	method, path, body := "GET", "/v1/releases/1?fresh=1", ""
 	if n.write {
@@ -68,7 +69,7 @@
 	}
 	got, err := h.Do(r)
 	if err != nil {
-		return noteResult{unclear: true}, n.write && !strings.Contains(err.Error(), "dial ")
+		return noteResult{indeterminate: true}, n.write && !strings.Contains(err.Error(), "dial ")
 	}
 	defer func() { _ = got.Body.Close() }()
 	text, _ := io.ReadAll(got.Body)
@@ -76,7 +77,7 @@
 	case http.StatusOK:
 		var x api.ReleaseObject
 		if json.Unmarshal(text, &x) != nil {
-			return noteResult{unclear: true}, n.write
+			return noteResult{indeterminate: true}, n.write
 		}
 		return noteResult{value: x.Note, version: uint64(x.Version)}, true
 	case http.StatusPreconditionFailed:
@@ -84,11 +85,11 @@
 	case http.StatusServiceUnavailable:
 		return o, false
 	}
-	return noteResult{unclear: true}, n.write
+	return noteResult{indeterminate: true}, n.write
 }
 
-// recordHistory lets some clients write and read while instances are ended and come back, and returns what they saw.
-func recordHistory(t *testing.T, seed uint64, lasts time.Duration, prepare func(g *cluster)) []porcupine.Operation {
+// recordHistory runs clients that write and read while instances are stopped and restarted, and returns the clients' history.
+func recordHistory(t *testing.T, seed uint64, duration time.Duration, prepare func(g *cluster)) []porcupine.Operation {
 	t.Helper()
 	g := startCluster(t, 3)
 	if prepare != nil {
@@ -104,7 +105,7 @@
 			h := &http.Client{Timeout: time.Second, Transport: &http.Transport{}}
 			defer h.CloseIdleConnections()
 			var seen uint64
-			for n := 0; time.Since(began) < lasts; n++ {
+			for n := 0; time.Since(began) < duration; n++ {
 				op := noteOperation{write: r.IntN(2) == 0, value: fmt.Sprintf("%d-%d", c, n)}
 				if op.write && r.IntN(3) == 0 {
 					op.version = seen
@@ -122,10 +123,10 @@
 				if out.version > 0 {
 					seen = out.version
 				}
-				if out.unclear {
-					back = time.Hour // it may be made at any time from now on
+				if out.indeterminate {
+					back = time.Hour // it may be applied at any later time
 				}
-				if out.unclear && !op.write {
+				if out.indeterminate && !op.write {
 					continue
 				}
 				mu.Lock()
@@ -136,21 +137,22 @@
 		})
 	}
 	r := rand.New(rand.NewPCG(seed, 99))
-	for time.Since(began) < lasts {
+	for time.Since(began) < duration {
 		time.Sleep(time.Duration(100+r.IntN(200)) * time.Millisecond)
 		at := r.IntN(3)
 		if r.IntN(2) == 0 {
 			at = g.leader()
 		}
-		back := g.stop(at)
+		restart := g.stop(at)
 		time.Sleep(time.Duration(r.IntN(500)) * time.Millisecond)
-		back()
+		restart()
 	}
 	wait.Wait()
 	return all
 }
 
-// TestCluster_HistoriesAreLinearizable takes a few drawn runs; CONTROL_RUNS asks for more (docs/controller.md).
+// TestCluster_HistoriesAreLinearizable checks a few random histories. CONTROL_RUNS sets the number of histories and makes them
+// differ between runs (docs/controller.md).
 func TestCluster_HistoriesAreLinearizable(t *testing.T) {
 	runs, seed := 3, uint64(1)
 	if n, err := strconv.Atoi(os.Getenv("CONTROL_RUNS")); err == nil {
@@ -167,13 +169,13 @@
 	t.Logf("%d runs, %d operations", runs, operations)
 }
 
-func TestNoteModel_RejectsAStaleRead(t *testing.T) {
+func TestNoteModel_RejectsStaleRead(t *testing.T) {
 	op := func(c int, from, to int64, in noteOperation, out noteResult) porcupine.Operation {
 		return porcupine.Operation{ClientId: c, Input: in, Call: from, Output: out, Return: to}
 	}
 	write := op(1, 0, 10, noteOperation{write: true, value: "a"}, noteResult{value: "a", version: 2})
 	require.Equal(t, porcupine.Ok, porcupine.CheckOperationsTimeout(noteModel, []porcupine.Operation{write,
-		op(2, 5, 15, noteOperation{}, noteResult{version: 1})}, time.Second), "they overlap")
+		op(2, 5, 15, noteOperation{}, noteResult{version: 1})}, time.Second), "a read that overlaps the write may return the old value")
 	require.Equal(t, porcupine.Illegal, porcupine.CheckOperationsTimeout(noteModel, []porcupine.Operation{write,
 		op(2, 11, 15, noteOperation{}, noteResult{version: 1})}, time.Second))
 }
--- a/internal/controller/members.go
+++ b/internal/controller/members.go
@@ -20,7 +20,7 @@
 	return s.propose(w, control.Command{Kind: control.LeaveRouter, Router: r.PathValue("router")}, http.StatusNoContent, nil)
 }
 
-// addController takes a controller into the Raft group, where its address is given, and notes its URL.
+// addController adds a controller to the Raft group if the request has its address, and stores its URL if the request has one.
 func (s *Server) addController(w http.ResponseWriter, r *http.Request) error {
 	var request api.Controller
 	if err := decodeBody(w, r, &request); err != nil {
@@ -47,10 +47,10 @@
 	return s.propose(w, control.Command{Kind: control.SetController, Name: name}, http.StatusNoContent, nil)
 }
 
-// announceInterval is how often an instance looks whether the group knows its URL.
+// announceInterval is the interval at which an instance checks whether the group knows its URL.
 const announceInterval = 100 * time.Millisecond
 
-// announceURL lets the other instances know this one's URL, once it is a member, until the server ends.
+// announceURL registers this instance's URL with the group whenever the group does not know it, until the server is closed.
 func (s *Server) announceURL() {
 	ticker := time.NewTicker(announceInterval)
 	defer ticker.Stop()
@@ -66,15 +66,15 @@
 			continue
 		}
 		if isLeader {
-			_, _ = s.node.Propose(control.Command{Kind: control.SetController, Name: name, Note: &s.config.URL}) // else at the next tick
+			_, _ = s.node.Propose(control.Command{Kind: control.SetController, Name: name, Note: &s.config.URL}) // on failure, retried at the next tick
 		} else {
 			s.putToLeader(s.ctx, "/v1/controllers/"+url.PathEscape(name), api.Controller{URL: s.config.URL})
 		}
 	}
 }
 
-// renewMembership sees that a router which watches here stays a member: it reports the router to the leader four times
-// within the timeout.
+// renewMembership keeps a router that watches this instance a member: it reports the router to the leader about four times
+// per RouterTimeout.
 func (s *Server) renewMembership(router string) {
 	timeout := time.Duration(s.node.config.Control.RouterTimeout) * clockUnit
 	if router == "" || timeout == 0 {
@@ -91,14 +91,15 @@
 	}
 	s.goBackground(func() {
 		if isLeader, _ := s.node.IsLeader(); isLeader {
-			_, _ = s.node.Propose(control.Command{Kind: control.JoinRouter, Router: router}) // else at the next renewal
+			_, _ = s.node.Propose(control.Command{Kind: control.JoinRouter, Router: router}) // on failure, retried at the next renewal
 			return
 		}
 		s.putToLeader(s.ctx, "/v1/routers/"+router, nil)
 	})
 }
 
-// putToLeader sends a request to the leader, if there is one; whoever calls does so again. A nil body is none.
+// putToLeader sends a PUT request to the leader, if there is one. It ignores errors: callers repeat the request. A nil body
+// sends none.
 func (s *Server) putToLeader(ctx context.Context, path string, body any) {
 	_, name := s.node.IsLeader()
 	leader := s.node.controllerURL(name)
@@ -121,7 +122,7 @@
 	}
 }
 
-// peerClient is a client for other controllers.
+// peerClient returns an HTTP client for requests to other controllers.
 func (s *Server) peerClient() *http.Client {
 	c := &http.Client{Timeout: peerTimeout}
 	if a := s.config.Authorizer; a != nil && a.ClientTLS != nil {
--- a/internal/controller/membership.go
+++ b/internal/controller/membership.go
@@ -10,7 +10,7 @@
 	"dapplefront/policy"
 )
 
-// IsLeader tells whether this instance leads, and the leader's name as far as it knows.
+// IsLeader reports whether this instance is the leader, and the leader's name as far as this instance knows it.
 func (n *Node) IsLeader() (bool, string) {
 	_, id := n.raft.LeaderWithID()
 	n.mu.Lock()
@@ -18,20 +18,20 @@
 	return n.isLeader, string(id)
 }
 
-// VerifyLeader returns nil once a majority has confirmed that this instance leads and it has applied all that was committed
-// before; otherwise ErrNoLeader.
+// VerifyLeader returns nil once a majority has confirmed that this instance is the leader and this instance has applied all
+// earlier committed entries. Otherwise it returns ErrNoLeader.
 func (n *Node) VerifyLeader() error {
 	if err := n.raft.VerifyLeader().Error(); err != nil {
 		return ErrNoLeader
 	}
-	if err := n.raft.Barrier(readBarrier).Error(); err != nil {
+	if err := n.raft.Barrier(readBarrierTimeout).Error(); err != nil {
 		return ErrNoLeader
 	}
 	return nil
 }
 
-// ReplicationLag is how long ago this instance heard of its leader; 0 on the leader. What it reads may be older than the
-// newest state by as much and what was under way then.
+// ReplicationLag returns the time since this instance's last contact with its leader; 0 on the leader. The local state may
+// lack the changes of that time, and those that were in flight at the last contact.
 func (n *Node) ReplicationLag() time.Duration {
 	n.mu.Lock()
 	isLeader := n.isLeader
@@ -45,17 +45,18 @@
 	return time.Since(n.started)
 }
 
-// AddMember takes an instance into the group as a voter. It must run, with an empty store. Only the leader can.
+// AddMember adds an instance to the group as a voter. The instance must be running, with an empty store. Only the leader can
+// add members.
 func (n *Node) AddMember(name, address string) error {
 	return n.raft.AddVoter(raft.ServerID(name), raft.ServerAddress(address), 0, membershipTimeout).Error()
 }
 
-// RemoveMember takes an instance out of the group for good. Only the leader can.
+// RemoveMember permanently removes an instance from the group. Only the leader can remove members.
 func (n *Node) RemoveMember(name string) error {
 	return n.raft.RemoveServer(raft.ServerID(name), 0, membershipTimeout).Error()
 }
 
-// Members are the names of the group's instances, with their addresses for one another.
+// Members returns the names of the group's instances, with the addresses at which they reach each other.
 func (n *Node) Members() (map[string]string, error) {
 	future := n.raft.GetConfiguration()
 	if err := future.Error(); err != nil {
@@ -68,9 +69,9 @@
 	return out, nil
 }
 
-// TransferLeadership hands the leadership to another instance, as before a planned end, and returns nil once this one
-// does not lead any more. A transfer that fails is tried again, as a follower may be behind or may just have closed its
-// connection; the leader goes on leading meanwhile. A group of one returns ErrOnlyInstance.
+// TransferLeadership transfers the leadership to another instance, for example before a planned shutdown, and returns nil
+// once this instance is not the leader. It retries a failed transfer, because a follower may be behind or may just have
+// closed its connection; meanwhile this instance stays the leader. In a group of one it returns ErrOnlyInstance.
 func (n *Node) TransferLeadership() error {
 	var err error
 	for range transferAttempts {
@@ -86,17 +87,17 @@
 		}
 		select {
 		case <-n.stop:
-			return fmt.Errorf("transfer of leadership: %w", err)
+			return fmt.Errorf("transferring leadership: %w", err)
 		case <-time.After(transferRetryDelay):
 		}
 	}
 	if n.raft.State() != raft.Leader {
 		return nil
 	}
-	return fmt.Errorf("transfer of leadership: %d attempts: %w", transferAttempts, err)
+	return fmt.Errorf("transferring leadership: %d attempts failed: %w", transferAttempts, err)
 }
 
-// controllerURL is where an instance's REST interface is reached; "" where that is not known.
+// controllerURL returns the URL of an instance's REST interface, or "" if it is not known.
 func (n *Node) controllerURL(name string) (url string) {
 	n.Read(func(s *control.State, _ policy.Time) { url = s.ControllerURL(name) })
 	return url
--- a/internal/controller/middleware.go
+++ b/internal/controller/middleware.go
@@ -13,22 +13,23 @@
 	"dapplefront/control"
 )
 
-// answeredBy is which instance answers an operation.
-type answeredBy int
+// servedBy specifies which instances can serve an operation.
+type servedBy int
 
 const (
-	anyInstance answeredBy = iota
-	onLeader               // followers forward it to the leader
+	anyInstance servedBy = iota
+	onLeader             // followers forward the request to the leader
 )
 
 // operation is one operation of the REST interface.
 type operation struct {
-	role   Role // that the caller needs
-	by     answeredBy
+	role   Role // role that the caller needs
+	by     servedBy
 	handle func(w http.ResponseWriter, r *http.Request) error
 }
 
-// middleware checks the caller's role, forwards what only the leader can answer, and answers errors as problem documents.
+// middleware checks the caller's role, forwards requests that only the leader can serve, and returns errors as problem
+// documents.
 func (s *Server) middleware(op operation) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		err := s.authorize(r, op.role)
@@ -38,13 +39,13 @@
 		if err == nil {
 			err = op.handle(w, r)
 		}
-		if err != nil && !errors.Is(err, errAnswered) {
+		if err != nil && !errors.Is(err, errResponseWritten) {
 			writeProblem(w, err)
 		}
 	}
 }
 
-// authorize checks the caller's role. Every refusal is logged.
+// authorize checks the caller's role. Every request that is denied is logged.
 func (s *Server) authorize(r *http.Request, role Role) error {
 	a := s.config.Authorizer
 	if a == nil || a.allows(r, role) {
@@ -54,11 +55,11 @@
 	return &problem{status: http.StatusForbidden, detail: "the role " + string(role) + " is needed"}
 }
 
-// headerForwarded is set on forwarded requests. They are forwarded once: the leader may have changed meanwhile.
+// headerForwarded marks forwarded requests. A request is forwarded only once, even if the leader has changed meanwhile.
 const headerForwarded = "Dapplefront-Passed"
 
-// forwardToLeader returns nil on the leader. Elsewhere it has the leader answer the request and returns errAnswered, or
-// another error if there is no leader to ask.
+// forwardToLeader returns nil on the leader. On a follower it forwards the request to the leader and returns
+// errResponseWritten, or another error if there is no leader to forward to.
 func (s *Server) forwardToLeader(w http.ResponseWriter, r *http.Request) error {
 	isLeader, leader := s.node.IsLeader()
 	if isLeader {
@@ -69,7 +70,7 @@
 		return ErrNoLeader
 	}
 	target, err := url.Parse(to)
-	if err != nil { // without Retry-After: this URL stays as it is
+	if err != nil { // no Retry-After: a retry would meet the same invalid URL
 		return &problem{status: http.StatusServiceUnavailable, detail: ErrNoLeader.Error()}
 	}
 	proxy := &httputil.ReverseProxy{
@@ -92,11 +93,11 @@
 		},
 	}
 	proxy.ServeHTTP(w, r)
-	return errAnswered
+	return errResponseWritten
 }
 
-// checkFreshness prepares the answer to a read: a header tells how old what is read may be. With ?fresh=1 the leader alone
-// answers, surely with the newest state.
+// checkFreshness prepares the response to a read: it sets a header with the maximum age of the state that is read. With
+// ?fresh=1 only the leader responds, after it has verified that its state is the newest.
 func (s *Server) checkFreshness(w http.ResponseWriter, r *http.Request) error {
 	if r.URL.Query().Get("fresh") == "1" {
 		if err := s.forwardToLeader(w, r); err != nil {
@@ -110,8 +111,8 @@
 	return nil
 }
 
-// propose makes a change and answers it with a status, 200 in place of 201 for a repeated one, and with the body, if there
-// is one.
+// propose makes a change and responds with the given status, or with 200 instead of 201 if the change is repeated, and with
+// the body, if there is one.
 func (s *Server) propose(w http.ResponseWriter, c control.Command, status int, body func(control.Reply) any) error {
 	reply, err := s.node.Propose(c)
 	if err != nil {
--- a/internal/controller/node.go
+++ b/internal/controller/node.go
@@ -21,15 +21,15 @@
 
 // NodeConfig configures one instance's member of the Raft group.
 type NodeConfig struct {
-	Name          string // of its own in the group
-	Dir           string // of its store; nothing else may write there
-	Listen        string // address for the other controllers
-	Bootstrap     bool   // starts a new group of one, where the store is empty
-	FastElections bool   // short timeouts for loopback: a leader is missed after half a second
+	Name          string // unique name of this instance in the group
+	Dir           string // directory of the store; nothing else may write there
+	Listen        string // address for connections from other controllers
+	Bootstrap     bool   // start a new group of one if the store is empty
+	FastElections bool   // short timeouts for loopback: a lost leader is detected within half a second
 	Control       control.Config
-	InitialBuild  int                                                                     // that serves when a group starts
+	InitialBuild  int                                                                     // build that serves when a new group starts
 	StreamLayer   func(net.Listener) (raft.StreamLayer, error)                            // nil for plain TCP
-	WrapStores    func(raft.LogStore, raft.StableStore) (raft.LogStore, raft.StableStore) // for fault injection in tests; nil for none
+	WrapStores    func(raft.LogStore, raft.StableStore) (raft.LogStore, raft.StableStore) // for fault injection in tests; nil for no wrapping
 }
 
 const (
@@ -40,29 +40,29 @@
 	transportPool    = 4 // connections kept to each controller
 	transportTimeout = 2 * time.Second
 
-	enqueueTimeout    = time.Second            // for a change to get into the leader's queue
-	readBarrier       = time.Second            // for VerifyLeader
-	leadershipBarrier = 5 * time.Second        // for a new leader to apply what its predecessors committed
-	membershipTimeout = 10 * time.Second       // for a change of the group's configuration to get into the queue
-	tickInterval      = 50 * time.Millisecond  // in which the leader looks whether time alone changes something
-	clockUnit         = 100 * time.Microsecond // of policy.Time
+	enqueueTimeout           = time.Second            // for a change to enter the leader's queue
+	readBarrierTimeout       = time.Second            // for the barrier in VerifyLeader
+	leadershipBarrierTimeout = 5 * time.Second        // for a new leader to apply the entries that its predecessors committed
+	membershipTimeout        = 10 * time.Second       // for a change of the group's configuration to enter the leader's queue
+	tickInterval             = 50 * time.Millisecond  // at which the leader checks whether changes are due with time
+	clockUnit                = 100 * time.Microsecond // the unit of policy.Time
 
 	transferAttempts   = 5
 	transferRetryDelay = 100 * time.Millisecond
 
-	shutdownTimeout = 10 * time.Second // for the raft library to end; several of its longest waits
+	shutdownTimeout = 10 * time.Second // for the raft library to shut down; several times its longest wait
 )
 
 // Errors of changes and of reads from the leader.
 var (
-	// ErrNoLeader says that a change can't be made now; nothing has been changed.
+	// ErrNoLeader means that a change can't be made now; nothing has been changed.
 	ErrNoLeader = errors.New("no leader: the controllers can't reach each other, or are choosing one")
-	// ErrOutcomeUnknown says that a change may have been made or not.
+	// ErrOutcomeUnknown means that a change may or may not have been made.
 	ErrOutcomeUnknown = errors.New("the leader was lost while the change was under way; it may have been made")
-	// ErrOnlyInstance says that there is no other instance to lead.
+	// ErrOnlyInstance means that the group has no other instance that could become leader.
 	ErrOnlyInstance = errors.New("no other instance to lead")
-	// ErrStillRunning says that the raft library has not ended in time; its goroutines and its store are left open.
-	ErrStillRunning = errors.New("the raft library has not ended; its store is left open")
+	// ErrStillRunning means that the raft library did not shut down in time: its goroutines go on and its store is left open.
+	ErrStillRunning = errors.New("the raft library is still running and its store is left open")
 )
 
 // Node is one running member of the Raft group. It is safe for concurrent use.
@@ -76,16 +76,16 @@
 
 	mu          sync.Mutex
 	state       *control.State
-	changed     chan struct{} // closed when the state or the leadership changes
+	changed     chan struct{} // closed when the state or this instance's leadership changes
 	isLeader    bool
-	leaderSince time.Time   // with its monotonic reading
-	leaderClock policy.Time // the controllers' time at that moment
+	leaderSince time.Time   // includes the monotonic clock reading
+	leaderClock policy.Time // the controllers' time at leaderSince
 
 	stop chan struct{}
 	done sync.WaitGroup
 }
 
-// Open starts an instance. A store that is damaged is refused with what was found.
+// Open starts an instance. For a damaged store it returns an error that describes the damage.
 func Open(config NodeConfig, log *slog.Logger) (*Node, error) {
 	if err := os.MkdirAll(config.Dir, 0o700); err != nil {
 		return nil, err
@@ -153,14 +153,14 @@
 	c.LocalID = raft.ServerID(n.config.Name)
 	c.Logger = hclog.NewNullLogger()
 	c.SnapshotThreshold, c.TrailingLogs = snapshotThreshold, trailingLogs
-	if n.config.FastElections { // loopback answers within a millisecond; these are hundreds of it
+	if n.config.FastElections { // loopback responds within a millisecond; these timeouts are hundreds of times that
 		c.HeartbeatTimeout, c.ElectionTimeout = 300*time.Millisecond, 300*time.Millisecond
 		c.LeaderLeaseTimeout, c.CommitTimeout = 200*time.Millisecond, 5*time.Millisecond
 	}
 	return c
 }
 
-// bootstrap makes this instance a group of one, unless its store already belongs to a group.
+// bootstrap starts a group with this instance as its only member, unless its store already belongs to a group.
 func (n *Node) bootstrap(c *raft.Config, logs raft.LogStore, stable raft.StableStore, snapshots raft.SnapshotStore) error {
 	exists, err := raft.HasExistingState(logs, stable, snapshots)
 	if err != nil || exists {
@@ -170,15 +170,15 @@
 	return raft.BootstrapCluster(c, logs, stable, snapshots, n.transport, raft.Configuration{Servers: []raft.Server{self}})
 }
 
-// Address is where other controllers reach it.
+// Address returns the address at which other controllers reach this instance.
 func (n *Node) Address() string { return string(n.transport.LocalAddr()) }
 
-// Close ends the instance and waits for it, for shutdownTimeout at the most. Its store can be opened again, but after
-// ErrStillRunning.
+// Close shuts the instance down and waits for that, at most for shutdownTimeout. Afterwards the store can be opened again,
+// unless Close returned ErrStillRunning.
 func (n *Node) Close() error { return n.closeWithin(shutdownTimeout) }
 
-// closeWithin ends the instance. The library is told first, as the instance's own goroutine may wait for it. While the library
-// runs it must not lose its store: it ends the process where it can't write.
+// closeWithin shuts the instance down. The shutdown of the raft library begins first, because the instance's own goroutine may
+// be waiting for the library. The store stays open while the library runs: it ends the process if it can't write.
 func (n *Node) closeWithin(timeout time.Duration) error {
 	close(n.stop)
 	shutdown := n.raft.Shutdown()
@@ -191,11 +191,11 @@
 	case err := <-ended:
 		return errors.Join(err, n.transport.Close(), n.bolt.Close())
 	case <-time.After(timeout):
-		return errors.Join(fmt.Errorf("%w after %v", ErrStillRunning, timeout), n.transport.Close())
+		return errors.Join(fmt.Errorf("%w: no shutdown within %v", ErrStillRunning, timeout), n.transport.Close())
 	}
 }
 
-// Propose makes a change through the log: when it returns without an error, the change is on the disks of a majority and
+// Propose makes a change through the log. When it returns without an error, the change is on the disks of a majority and
 // has been applied. The error is ErrNoLeader, wraps ErrOutcomeUnknown, or is a *control.Error for a command that was
 // rejected.
 func (n *Node) Propose(c control.Command) (control.Reply, error) {
@@ -224,13 +224,13 @@
 	return result.reply, result.err
 }
 
-// clock is the controllers' time on the leader: the state's time when this instance became leader, and what its monotonic
-// clock has counted since, so that setting the machine's clock never moves it. The lock is held.
+// clock returns the controllers' time on the leader: the state's time when this instance became leader, plus the time since
+// then on the monotonic clock, so that setting the machine's clock does not change it. The caller holds the lock.
 func (n *Node) clock() policy.Time {
 	return n.leaderClock + policy.Time(time.Since(n.leaderSince)/clockUnit)
 }
 
-// run follows changes of leadership and, on the leader, applies what time alone changes.
+// run handles changes of leadership and, on the leader, proposes a Tick whenever changes are due with time.
 func (n *Node) run() {
 	ticker := time.NewTicker(tickInterval)
 	defer ticker.Stop()
@@ -245,15 +245,15 @@
 			due := n.isLeader && n.state.Due(n.clock())
 			n.mu.Unlock()
 			if due {
-				_, _ = n.Propose(control.Command{Kind: control.Tick}) // where it fails, the next tick or leader makes it
+				_, _ = n.Propose(control.Command{Kind: control.Tick}) // on failure, the next tick or the next leader retries
 			}
 		}
 	}
 }
 
 func (n *Node) leadershipChanged(isLeader bool) {
-	if isLeader && n.raft.Barrier(leadershipBarrier).Error() != nil {
-		return // the leadership is lost again
+	if isLeader && n.raft.Barrier(leadershipBarrierTimeout).Error() != nil {
+		return // the leadership has been lost again
 	}
 	n.mu.Lock()
 	n.isLeader, n.leaderSince, n.leaderClock = isLeader, time.Now(), n.state.Clock()
@@ -262,7 +262,7 @@
 	n.log.Info("leadership changed", "leads", isLeader)
 }
 
-// Read calls f with the state and the controllers' time; f must neither keep the state nor wait.
+// Read calls f with the state and the controllers' time. f must neither retain the state nor block.
 func (n *Node) Read(f func(s *control.State, now policy.Time)) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -273,14 +273,14 @@
 	f(n.state, now)
 }
 
-// Changed is a channel that is closed at the next change of the state or of this instance's leadership.
+// Changed returns a channel that is closed at the next change of the state or of this instance's leadership.
 func (n *Node) Changed() <-chan struct{} {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.changed
 }
 
-// notifyChanged closes the channel that Changed gave out; the lock is held.
+// notifyChanged closes the channel that Changed returned. The caller holds the lock.
 func (n *Node) notifyChanged() {
 	close(n.changed)
 	n.changed = make(chan struct{})
--- a/internal/controller/partition_test.go
+++ b/internal/controller/partition_test.go
@@ -18,16 +18,16 @@
 	"dapplefront/policy"
 )
 
-// network is the connections between controllers, which can be partitioned.
+// network holds the connections between controllers and can partition them.
 type network struct {
-	mu    sync.Mutex
-	cut   map[[2]string]bool // from and to, by name
-	names map[string]string  // by address
-	open  map[net.Conn][2]string
+	mu          sync.Mutex
+	partitioned map[[2]string]bool // pairs of controller names, from and to
+	names       map[string]string  // by address
+	open        map[net.Conn][2]string
 }
 
 func newNetwork() *network {
-	return &network{cut: map[[2]string]bool{}, names: map[string]string{}, open: map[net.Conn][2]string{}}
+	return &network{partitioned: map[[2]string]bool{}, names: map[string]string{}, open: map[net.Conn][2]string{}}
 }
 
 func (w *network) streamLayer(name string) func(net.Listener) (raft.StreamLayer, error) {
@@ -35,56 +35,56 @@
 		w.mu.Lock()
 		w.names[l.Addr().String()] = name
 		w.mu.Unlock()
-		return networkStreamLayer{tcpStreamLayer{l}, w, name}, nil
+		return partitionableStreamLayer{tcpStreamLayer{l}, w, name}, nil
 	}
 }
 
-// set partitions two groups of controllers, or heals the partition.
+// set partitions two groups of controllers or, if cut is false, heals the partition.
 func (w *network) set(cut bool, a, b []string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	for _, x := range a {
 		for _, y := range b {
-			w.cut[[2]string{x, y}], w.cut[[2]string{y, x}] = cut, cut
+			w.partitioned[[2]string{x, y}], w.partitioned[[2]string{y, x}] = cut, cut
 		}
 	}
 	for c, ends := range w.open {
-		if w.cut[ends] {
+		if w.partitioned[ends] {
 			_ = c.Close()
 			delete(w.open, c)
 		}
 	}
 }
 
-type networkStreamLayer struct {
+type partitionableStreamLayer struct {
 	tcpStreamLayer
 	network *network
 	name    string
 }
 
-func (w networkStreamLayer) Dial(a raft.ServerAddress, within time.Duration) (net.Conn, error) {
+func (w partitionableStreamLayer) Dial(a raft.ServerAddress, timeout time.Duration) (net.Conn, error) {
 	w.network.mu.Lock()
 	ends := [2]string{w.name, w.network.names[string(a)]}
-	cut := w.network.cut[ends]
+	cut := w.network.partitioned[ends]
 	w.network.mu.Unlock()
 	if cut {
-		return nil, errors.New("cut")
+		return nil, errors.New("partitioned")
 	}
-	c, err := w.tcpStreamLayer.Dial(a, within)
+	c, err := w.tcpStreamLayer.Dial(a, timeout)
 	if err != nil {
 		return nil, err
 	}
 	w.network.mu.Lock()
 	defer w.network.mu.Unlock()
-	if w.network.cut[ends] { // partitioned while the connection was being made
+	if w.network.partitioned[ends] { // partitioned while the connection was being established
 		_ = c.Close()
-		return nil, errors.New("cut")
+		return nil, errors.New("partitioned")
 	}
 	w.network.open[c] = ends
 	return c, nil
 }
 
-// startClusterOn starts three instances on a test network and with test disks.
+// startClusterOn starts three instances on a test network, with log stores that disk wraps; disk may be nil.
 func startClusterOn(t *testing.T, w *network, disk func(i int, l raft.LogStore) raft.LogStore) *cluster {
 	t.Helper()
 	g := &cluster{t: t}
@@ -114,7 +114,7 @@
 	return g
 }
 
-func TestCluster_PartitionedLeaderRejectsChangesAndCatchesUp(t *testing.T) {
+func TestCluster_PartitionedLeaderRejectsChangesAndCatchesUpAfterHealing(t *testing.T) {
 	w := newNetwork()
 	g := startClusterOn(t, w, nil)
 	for range 3 {
@@ -127,7 +127,7 @@
 		}
 		w.set(true, []string{g.name(at)}, others)
 		require.Eventually(t, func() bool { leads, _ := g.nodes[at].IsLeader(); return !leads }, 10*time.Second, 5*time.Millisecond,
-			"the lease of a leader that reaches no one runs out")
+			"the lease of a partitioned leader must expire")
 		status, _, _ := request(t, "PATCH", g.urls[at]+"/v1/releases/1", `{"note":"from the minority"}`)
 		require.Contains(t, []int{503, 504}, status)
 		status, _, _ = request(t, "GET", g.urls[at]+"/v1/releases/1?fresh=1", "")
@@ -135,29 +135,29 @@
 		next := g.leader()
 		require.NotEqual(t, at, next)
 		note := fmt.Sprint("from the majority, ", time.Now().UnixNano())
-		status, _, text := requestOnceLed(t, "PATCH", g.urls[next]+"/v1/releases/1", fmt.Sprintf(`{"note":%q}`, note))
+		status, _, text := requestWithRetry(t, "PATCH", g.urls[next]+"/v1/releases/1", fmt.Sprintf(`{"note":%q}`, note))
 		require.Equal(t, 200, status, text)
 		w.set(false, []string{g.name(at)}, others)
 		require.Eventually(t, func() bool {
 			_, _, text := request(t, "GET", g.urls[at]+"/v1/releases/1", "")
 			return decodeRelease(t, text).Note == note
-		}, 10*time.Second, 10*time.Millisecond, "the minority catches up")
+		}, 10*time.Second, 10*time.Millisecond, "the former leader must catch up")
 	}
 }
 
-// faultyDisk is a log store that fails or is slow.
+// faultyDisk is a log store whose writes fail or are slow.
 type faultyDisk struct {
 	raft.LogStore
 	mu    sync.Mutex
-	fails error
-	slow  time.Duration
+	err   error
+	delay time.Duration
 }
 
 func (d *faultyDisk) StoreLog(l *raft.Log) error { return d.StoreLogs([]*raft.Log{l}) }
 
 func (d *faultyDisk) StoreLogs(all []*raft.Log) error {
 	d.mu.Lock()
-	fails, slow := d.fails, d.slow
+	fails, slow := d.err, d.delay
 	d.mu.Unlock()
 	time.Sleep(slow)
 	if fails != nil {
@@ -168,11 +168,11 @@
 
 func (d *faultyDisk) set(fails error, slow time.Duration) {
 	d.mu.Lock()
-	d.fails, d.slow = fails, slow
+	d.err, d.delay = fails, slow
 	d.mu.Unlock()
 }
 
-func TestCluster_SurvivesAFullOrSlowDisk(t *testing.T) {
+func TestCluster_SurvivesFullOrSlowDisk(t *testing.T) {
 	disks := make([]*faultyDisk, 3)
 	g := startClusterOn(t, newNetwork(), func(i int, l raft.LogStore) raft.LogStore { disks[i] = &faultyDisk{LogStore: l}; return disks[i] })
 	accepted := ""
@@ -186,13 +186,13 @@
 			}
 			time.Sleep(20 * time.Millisecond)
 		}
-		t.Fatal("no write is accepted any more")
+		t.Fatal("no write was accepted in 400 attempts")
 	}
 	write("all is well")
 	at := g.leader()
 	disks[at].set(errors.New("no space left on device"), 0)
 	status, _, _ := request(t, "PATCH", g.urls[at]+"/v1/releases/1", `{"note":"on a full disk"}`)
-	require.NotEqual(t, 200, status, "what is on no disk is not accepted")
+	require.NotEqual(t, 200, status, "a change that is on no disk must not be accepted")
 	require.Eventually(t, func() bool {
 		for i, n := range g.nodes {
 			if leads, _ := n.IsLeader(); leads && i != at {
@@ -200,7 +200,7 @@
 			}
 		}
 		return false
-	}, 20*time.Second, 10*time.Millisecond, "another leads")
+	}, 20*time.Second, 10*time.Millisecond, "another instance must become leader")
 	write("on the others' disks")
 	disks[at].set(nil, 0)
 	for _, d := range disks {
@@ -214,12 +214,13 @@
 		require.Eventually(t, func() bool {
 			_, _, text := request(t, "GET", g.urls[i]+"/v1/releases/1", "")
 			return decodeRelease(t, text).Note == accepted
-		}, 20*time.Second, 10*time.Millisecond, "%s comes to what was accepted", g.name(i))
+		}, 20*time.Second, 10*time.Millisecond, "%s must have the last accepted note", g.name(i))
 	}
 }
 
-// TestWatch_RoutersOfADeadInstanceReconnectElsewhere stops the instance that 86 routers watch and sees when they arrive at others.
-func TestWatch_RoutersOfADeadInstanceReconnectElsewhere(t *testing.T) {
+// TestWatch_RoutersReconnectToOtherInstances stops the instance that 86 routers watch, and logs when they arrive at other
+// instances.
+func TestWatch_RoutersReconnectToOtherInstances(t *testing.T) {
 	g := startCluster(t, 3)
 	at := g.leader()
 	const routers = 86
@@ -227,7 +228,7 @@
 	received := 0
 	counting := false
 	for i := range routers {
-		order := []string{g.urls[at], g.urls[(at+1)%3], g.urls[(at+2)%3]} // all watch the one that leads
+		order := []string{g.urls[at], g.urls[(at+1)%3], g.urls[(at+2)%3]} // all routers first watch the leader
 		l := controlclient.Open(order, fmt.Sprintf("r%d", i), "north", nil, time.Second, controlclient.Handler{Release: func(policy.ReleaseStatus) {
 			mu.Lock()
 			defer mu.Unlock()
@@ -244,7 +245,7 @@
 	}
 	require.Eventually(t, func() bool { return watching(at) == routers }, 20*time.Second, 5*time.Millisecond)
 	ended := time.Now()
-	back := g.stop(at)
+	restart := g.stop(at)
 	type arrival struct {
 		at time.Duration
 		n  int
@@ -265,7 +266,7 @@
 		time.Sleep(time.Millisecond)
 	}
 	require.Equal(t, routers, last)
-	back()
+	restart()
 	mu.Lock()
 	counting = true
 	mu.Unlock()
@@ -277,10 +278,10 @@
 	for b := range 20 {
 		line += fmt.Sprintf(" %d", buckets[b])
 	}
-	t.Logf("arrivals in each 50 ms after the end:%s", line)
-	// How they are spread is shown, not judged: a machine that stands still for a moment bunches them.
-	// And they hear what happens from then on.
-	status, _, text := requestOnceLed(t, "POST", g.urls[(at+1)%3]+"/v1/releases", `{"build":2}`)
+	t.Logf("arrivals in each 50 ms after the stop:%s", line)
+	// The distribution of arrivals is logged, not checked, because a machine that stalls for a moment makes them coincide.
+	// All routers must receive the events from then on.
+	status, _, text := requestWithRetry(t, "POST", g.urls[(at+1)%3]+"/v1/releases", `{"build":2}`)
 	require.Equal(t, 201, status, text)
 	require.Eventually(t, func() bool { mu.Lock(); defer mu.Unlock(); return received >= routers }, 20*time.Second, 5*time.Millisecond)
 }
--- a/internal/controller/pipeline.go
+++ b/internal/controller/pipeline.go
@@ -4,12 +4,12 @@
 	"github.com/hashicorp/raft"
 )
 
-// raftTransport is the raft library's transport with pipelines that end when the library stops reading from them.
+// raftTransport is the raft library's transport with pipelines that close when the library stops reading from them.
 //
-// The library sends through a pipeline in one goroutine and reads the responses in another, which returns after the
-// first that is no success. Nobody takes the later responses then, the pipeline fills up, and the sender waits in
-// AppendEntries for good: for the shutdown of the pipeline, which it is to close itself once it returns. With it wait the
-// heartbeat to that follower and the shutdown of the instance.
+// The library sends through a pipeline in one goroutine and reads the responses in another, which returns after the first
+// unsuccessful response. Later responses are then not read, the pipeline fills up, and the sender blocks forever in
+// AppendEntries: it waits for the pipeline to be closed, which it would do itself after AppendEntries returns. The heartbeat
+// to that follower and the shutdown of the instance block with it.
 type raftTransport struct {
 	*raft.NetworkTransport
 }
@@ -23,12 +23,12 @@
 	return newClosingPipeline(pipeline), nil
 }
 
-// closingPipeline closes itself after the first response that is no success.
+// closingPipeline closes itself after the first unsuccessful response.
 type closingPipeline struct {
 	raft.AppendPipeline
 	responses chan raft.AppendFuture
 	closed    chan struct{} // closed by Close, which the library calls once
-	forwarded chan struct{} // closed when no more responses are forwarded
+	forwarded chan struct{} // closed when forward has returned
 }
 
 func newClosingPipeline(inner raft.AppendPipeline) *closingPipeline {
@@ -38,10 +38,10 @@
 	return p
 }
 
-// Consumer is the channel of responses (raft.AppendPipeline).
+// Consumer returns the channel of responses (raft.AppendPipeline).
 func (p *closingPipeline) Consumer() <-chan raft.AppendFuture { return p.responses }
 
-// Close ends the pipeline (raft.AppendPipeline).
+// Close closes the pipeline (raft.AppendPipeline).
 func (p *closingPipeline) Close() error {
 	err := p.AppendPipeline.Close()
 	close(p.closed)
@@ -49,7 +49,8 @@
 	return err
 }
 
-// forward hands on responses until one is no success, or the pipeline is closed. The inner pipeline is closed by then.
+// forward forwards responses up to the first unsuccessful one or until the pipeline is closed. The inner pipeline is closed
+// when forward returns.
 func (p *closingPipeline) forward() {
 	defer close(p.forwarded)
 	for {
@@ -64,14 +65,14 @@
 				return
 			}
 			if last {
-				_ = p.AppendPipeline.Close() // the library closes the pipeline too, and is told the error there
+				_ = p.AppendPipeline.Close() // the library also closes the pipeline, and gets the error there
 				return
 			}
 		}
 	}
 }
 
-// endsReading reports whether the library reads nothing more after a response.
+// endsReading reports whether the library stops reading responses after the given one.
 func endsReading(response raft.AppendFuture) bool {
 	return response.Error() != nil || !response.Response().Success || response.Response().Term > response.Request().Term
 }
--- a/internal/controller/pipeline_test.go
+++ b/internal/controller/pipeline_test.go
@@ -11,7 +11,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// newLoopbackTransport is a transport on a port of its own.
+// newLoopbackTransport returns a transport on a free loopback port.
 func newLoopbackTransport(t *testing.T) *raft.NetworkTransport {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -21,7 +21,7 @@
 	return transport
 }
 
-// answerAppendEntries answers each request of a follower's transport with success for the first ones, then without.
+// answerAppendEntries responds to the requests to a follower's transport: the first ones succeed, all later ones fail.
 func answerAppendEntries(t *testing.T, follower *raft.NetworkTransport, successes int) {
 	t.Helper()
 	stop := make(chan struct{})
@@ -38,15 +38,15 @@
 	}()
 }
 
-// Guards against a leader that can't end: the raft library's sender waits for good in a pipeline that nobody reads.
-func TestRaftTransport_EndsPipelineAfterResponseWithoutSuccess(t *testing.T) {
+// Guards against a leader that can't shut down because the raft library's sender blocks forever in a pipeline that nobody reads.
+func TestRaftTransport_ClosesPipelineAfterUnsuccessfulResponse(t *testing.T) {
 	follower := newLoopbackTransport(t)
 	const successes = 3
 	answerAppendEntries(t, follower, successes)
 	pipeline, err := raftTransport{newLoopbackTransport(t)}.AppendEntriesPipeline("follower", follower.LocalAddr())
 	require.NoError(t, err)
 	readerStopped := make(chan int, 1)
-	go func() { // as the library reads: up to the first response without success
+	go func() { // reads like the library: up to the first unsuccessful response
 		for n := 0; ; n++ {
 			if response := <-pipeline.Consumer(); !response.Response().Success {
 				readerStopped <- n
@@ -55,7 +55,7 @@
 		}
 	}()
 	senderStopped := make(chan error, 1)
-	go func() { // as the library sends: until an error
+	go func() { // sends like the library: until an error
 		for {
 			if _, err := pipeline.AppendEntries(&raft.AppendEntriesRequest{Term: 1}, &raft.AppendEntriesResponse{}); err != nil {
 				senderStopped <- err
@@ -67,35 +67,35 @@
 	case err := <-senderStopped:
 		require.Error(t, err)
 	case <-time.After(10 * time.Second):
-		t.Fatal("the sender waits for a reader that has stopped")
+		t.Fatal("the sender blocks although the reader has stopped")
 	}
-	require.Equal(t, successes, <-readerStopped, "each response before was read")
+	require.Equal(t, successes, <-readerStopped, "all successful responses must have been read")
 	require.NoError(t, pipeline.Close())
 }
 
-// Guards against an instance that waits for the raft library for good when it ends.
-func TestNode_CloseEndsThoughTheLibraryDoesNot(t *testing.T) {
+// Guards against an instance whose Close waits forever for the raft library.
+func TestNode_CloseReturnsIfRaftDoesNotShutDown(t *testing.T) {
 	n, err := Open(NodeConfig{Name: "c", Dir: t.TempDir(), Listen: "127.0.0.1:0", Bootstrap: true, FastElections: true, Control: testConfig,
 		InitialBuild: 1}, slog.New(slog.DiscardHandler))
 	require.NoError(t, err)
 	release := make(chan struct{})
-	n.done.Go(func() { <-release }) // as one that waits for the library
+	n.done.Go(func() { <-release }) // like a goroutine that waits for the library
 	closed := make(chan error, 1)
 	go func() { closed <- n.closeWithin(10 * time.Millisecond) }()
 	select {
 	case err := <-closed:
 		require.ErrorIs(t, err, ErrStillRunning)
 	case <-time.After(10 * time.Second):
-		t.Fatal("Close waits for good")
+		t.Fatal("Close did not return within 10 s")
 	}
 	close(release)
 	n.done.Wait()
 	require.NoError(t, n.raft.Shutdown().Error())
-	require.NoError(t, n.bolt.Close(), "it was left open")
+	require.NoError(t, n.bolt.Close(), "the store must have been left open")
 }
 
-// Guards against a leader that ends without a successor, because its first try found the follower out of reach.
-func TestCluster_TransferLeadershipTriesAgain(t *testing.T) {
+// Guards against a leader that shuts down without a successor because the follower was unreachable at the first attempt.
+func TestCluster_TransferLeadershipRetriesAfterOutage(t *testing.T) {
 	w := newNetwork()
 	g := startClusterOn(t, w, nil)
 	at := g.leader()
@@ -115,7 +115,7 @@
 	g.leader()
 }
 
-func TestNode_TransferLeadershipTellsThatThereIsNoOtherInstance(t *testing.T) {
+func TestNode_TransferLeadershipReturnsErrOnlyInstanceInGroupOfOne(t *testing.T) {
 	n, err := Open(NodeConfig{Name: "c", Dir: t.TempDir(), Listen: "127.0.0.1:0", Bootstrap: true, FastElections: true, Control: testConfig,
 		InitialBuild: 1}, slog.New(slog.DiscardHandler))
 	require.NoError(t, err)
--- a/internal/controller/plans.go
+++ b/internal/controller/plans.go
@@ -24,11 +24,11 @@
 	return s.propose(w, c, http.StatusNoContent, nil)
 }
 
-// getPlan answers with the part of the plan in force that is for the routers of one zone.
+// getPlan returns the part of the plan in force that applies to the routers of one zone.
 func (s *Server) getPlan(w http.ResponseWriter, r *http.Request) error {
 	var active *plan.Published
-	var left policy.Time
-	s.node.Read(func(st *control.State, now policy.Time) { active, left = st.ActivePlan(now) })
+	var validFor policy.Time
+	s.node.Read(func(st *control.State, now policy.Time) { active, validFor = st.ActivePlan(now) })
 	if active == nil || strconv.FormatUint(active.Version, 10) != r.PathValue("version") {
 		return notFound("version", "this version is not in force")
 	}
@@ -36,7 +36,7 @@
 	if !ok {
 		return notFound("location", "the plan has nothing for this location")
 	}
-	writeJSON(w, http.StatusOK, api.Plan{Version: active.Version, Build: active.Build, ValidForMs: toMs(left), Weights: weights})
+	writeJSON(w, http.StatusOK, api.Plan{Version: active.Version, Build: active.Build, ValidForMs: toMs(validFor), Weights: weights})
 	return nil
 }
 
--- a/internal/controller/problem.go
+++ b/internal/controller/problem.go
@@ -10,19 +10,19 @@
 	"dapplefront/control"
 )
 
-// problem is an error that a request is answered with, as a problem document (RFC 9457).
+// problem is an error that is returned to the client as a problem document (RFC 9457).
 type problem struct {
 	status     int
-	field      string // of the request that was wrong; empty for none
+	field      string // invalid field of the request; empty for none
 	detail     string
-	retryAfter int // seconds; 0 for no header Retry-After
+	retryAfter int // value of the header Retry-After in seconds; 0 for no header
 }
 
 func (p *problem) Error() string {
 	return fmt.Sprintf("%s: %s: %s", http.StatusText(p.status), p.field, p.detail)
 }
 
-// invalid is the problem of a field that makes no sense.
+// invalid returns a problem for a field with an invalid value.
 func invalid(field, format string, values ...any) *problem {
 	return &problem{status: http.StatusBadRequest, field: field, detail: fmt.Sprintf(format, values...)}
 }
@@ -31,10 +31,10 @@
 	return &problem{status: http.StatusNotFound, field: field, detail: fmt.Sprintf(format, values...)}
 }
 
-// errAnswered is returned by handlers that have answered an error themselves.
-var errAnswered = errors.New("the request has been answered")
+// errResponseWritten is returned by handlers that have written the response themselves, so that none is written for the error.
+var errResponseWritten = errors.New("the response has already been written")
 
-// rejectionStatus is the status of a command that was rejected.
+// rejectionStatus maps the kinds of rejected commands to HTTP statuses.
 var rejectionStatus = map[error]int{
 	control.ErrInvalid:         http.StatusBadRequest,
 	control.ErrNotFound:        http.StatusNotFound,
@@ -42,7 +42,7 @@
 	control.ErrVersionMismatch: http.StatusPreconditionFailed,
 }
 
-// problemOf is the problem that an error of a handler is answered with.
+// problemOf returns the problem for an error that a handler returned.
 func problemOf(err error) *problem {
 	var p *problem
 	var rejected *control.Error
@@ -57,7 +57,7 @@
 	return &problem{status: http.StatusGatewayTimeout, detail: err.Error()}
 }
 
-// writeProblem answers with an error's problem document.
+// writeProblem writes the problem document of an error as the response.
 func writeProblem(w http.ResponseWriter, err error) {
 	p := problemOf(err)
 	body := map[string]any{"type": "about:blank", "title": http.StatusText(p.status), "status": p.status, "detail": p.detail}
@@ -69,12 +69,12 @@
 	}
 	w.Header().Set("Content-Type", "application/problem+json")
 	w.WriteHeader(p.status)
-	_ = json.NewEncoder(w).Encode(body) // a caller that has gone needs no answer
+	_ = json.NewEncoder(w).Encode(body) // fails only if the client has disconnected
 }
 
-// writeJSON answers with a body.
+// writeJSON writes a response with a JSON body.
 func writeJSON(w http.ResponseWriter, status int, body any) {
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
-	_ = json.NewEncoder(w).Encode(body) // a caller that has gone needs no answer
+	_ = json.NewEncoder(w).Encode(body) // fails only if the client has disconnected
 }
--- a/internal/controller/releases.go
+++ b/internal/controller/releases.go
@@ -16,11 +16,11 @@
 )
 
 const (
-	defaultPage = 100 // releases
+	defaultPage = 100 // releases in a list
 	maxPage     = 1000
 )
 
-// releaseFilter is the query of a list of releases.
+// releaseFilter is the parsed query of a request for a list of releases.
 type releaseFilter struct {
 	labels       map[string]string
 	phase        *policy.Phase // nil for any
@@ -175,7 +175,7 @@
 	return s.propose(w, c, http.StatusOK, s.repliedRelease)
 }
 
-// completeOrder takes the report of whoever runs hosts that an order to deploy or to retire has been carried out.
+// completeOrder accepts the report that an order to deploy or retire hosts has been carried out.
 func (s *Server) completeOrder(w http.ResponseWriter, r *http.Request) error {
 	build, err := pathBuild(r)
 	if err != nil {
@@ -202,7 +202,7 @@
 	return s.propose(w, c, http.StatusNoContent, nil)
 }
 
-// repliedRelease is the release of a reply as a body.
+// repliedRelease returns the release in a reply as a response body.
 func (s *Server) repliedRelease(reply control.Reply) any { return s.replyObject(reply) }
 
 func (s *Server) replyObject(reply control.Reply) (object api.ReleaseObject) {
@@ -210,7 +210,8 @@
 	return object
 }
 
-// releaseObject is a release as the REST interface shows it. With a state, the newest release has its votes.
+// releaseObject converts a release to its form in the REST interface. If a state is given, the newest release includes its
+// votes.
 func releaseObject(r *control.Release, now policy.Time, st *control.State) api.ReleaseObject {
 	o := api.ReleaseObject{Release: api.Release{Build: r.Build, Stage: r.Stage, Phase: api.Phases[r.Phase], ExposureCap: r.ExposureCap,
 		AgeMs: max(0, toMs(now-r.Since)), Version: int64(r.Version)}, Digest: r.Digest, Note: r.Note, Labels: r.Labels,
--- a/internal/controller/repair.go
+++ b/internal/controller/repair.go
@@ -9,20 +9,20 @@
 	raftboltdb "github.com/hashicorp/raft-boltdb/v2"
 )
 
-// Repair copies what can be read of a damaged store's log into a new file, up to the first entry that can't be read, and
-// returns that entry's predecessor. The old file is kept with the suffix .damaged.
+// Repair copies the log of a damaged store into a new file, up to the first entry that can't be read, and returns the index of
+// the last entry copied. The old file is kept with the suffix .damaged.
 func Repair(dir string) (kept uint64, err error) {
 	file := logFile(dir)
 	damaged := file + ".damaged"
 	if _, err := os.Stat(damaged); err == nil {
-		return 0, fmt.Errorf("%s is in the way", damaged)
+		return 0, fmt.Errorf("%s already exists, probably from an earlier repair; move it away", damaged)
 	}
 	if err := os.Rename(file, damaged); err != nil {
 		return 0, err
 	}
-	defer func() { // bbolt panics on some damage
+	defer func() { // bbolt panics on some kinds of damage
 		if r := recover(); r != nil && err == nil {
-			err = fmt.Errorf("%s: not even its first pages can be read: %v", damaged, r)
+			err = fmt.Errorf("%s: the first pages can't be read: %v", damaged, r)
 		}
 	}()
 	to, err := openLogStore(file, nil)
@@ -41,7 +41,7 @@
 	return copyEntries(to, from)
 }
 
-// copyTermAndVote copies what can be read of Raft's term and vote.
+// copyTermAndVote copies those of Raft's term and vote that can be read.
 func copyTermAndVote(to, from *raftboltdb.BoltStore) error {
 	for _, key := range []string{keyCurrentTerm, keyLastVoteTerm} {
 		if v, err := from.GetUint64([]byte(key)); err == nil {
--- a/internal/controller/request.go
+++ b/internal/controller/request.go
@@ -10,10 +10,10 @@
 	"dapplefront/policy"
 )
 
-// maxBodyBytes is enough for a plan for 500,000 hosts.
+// maxBodyBytes is the maximum size of a request body. It is enough for a plan for 500,000 hosts.
 const maxBodyBytes = 16 << 20
 
-// decodeBody reads a request's JSON body strictly: unknown fields and a second value are errors.
+// decodeBody decodes a request's JSON body strictly: unknown fields and a second JSON value are errors.
 func decodeBody(w http.ResponseWriter, r *http.Request, into any) error {
 	d := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxBodyBytes))
 	d.DisallowUnknownFields()
@@ -35,8 +35,8 @@
 	return invalid(field, "%s", detail)
 }
 
-// typeNamesInDetails gives types in the decoder's errors the names that they first had: clients see them in the details of
-// problems, which stay to the letter.
+// typeNamesInDetails replaces type names in the decoder's errors by the types' original names. Clients see these names in the
+// details of problem documents, which must not change.
 var typeNamesInDetails = strings.NewReplacer("CreateRelease", "Creation", "PatchRelease", "Change", "PlanAck", "Heed")
 
 func pathBuild(r *http.Request) (int, error) {
@@ -55,7 +55,7 @@
 	return version, nil
 }
 
-// ifMatch is the version that a change is for; 0 for any.
+// ifMatch returns the release version in the header If-Match, or 0 if the change applies to any version.
 func ifMatch(r *http.Request) (uint64, error) {
 	tag := r.Header.Get("If-Match")
 	if tag == "" || tag == "*" {
@@ -68,7 +68,7 @@
 	return version, nil
 }
 
-// pathBuildIfMatch is the build of a change, and the version that it is for.
+// pathBuildIfMatch returns the build that a change applies to, and the version from ifMatch.
 func pathBuildIfMatch(r *http.Request) (build int, version uint64, err error) {
 	if build, err = pathBuild(r); err != nil {
 		return 0, 0, err
@@ -77,7 +77,7 @@
 	return build, version, err
 }
 
-// unitsPerMs converts between policy.Time and the milliseconds of the REST interface.
+// unitsPerMs is the number of policy.Time units in a millisecond, the unit of the REST interface.
 const unitsPerMs = policy.Second / 1000
 
 func toMs(t policy.Time) int64 { return int64(t) / int64(unitsPerMs) }
--- a/internal/controller/request_test.go
+++ b/internal/controller/request_test.go
@@ -11,8 +11,8 @@
 	"dapplefront/internal/api"
 )
 
-// The details are those of the program of commit d72f78e.
-func TestDecodeBody_DetailsOfProblemsStayToTheLetter(t *testing.T) {
+// The expected details are those that the program at commit d72f78e returned.
+func TestDecodeBody_KeepsDetailsOfProblemDocuments(t *testing.T) {
 	for _, c := range []struct {
 		into                any
 		body, field, detail string
--- a/internal/controller/rolling_restart_test.go
+++ b/internal/controller/rolling_restart_test.go
@@ -11,12 +11,12 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestCluster_RollingRestartUnderLoadKeepsAcceptedChanges is a rolling upgrade under load: each instance transfers its leadership, ends, and comes
-// back with its disk, while clients write and read without a pause.
+// TestCluster_RollingRestartUnderLoadKeepsAcceptedChanges simulates a rolling upgrade under load: each instance transfers its
+// leadership, stops, and restarts with its old store, while clients keep writing.
 func TestCluster_RollingRestartUnderLoadKeepsAcceptedChanges(t *testing.T) {
 	g := startCluster(t, 3)
 	var stop atomic.Bool
-	var accepted, refused, lost atomic.Int64
+	var accepted, rejected, indeterminate atomic.Int64
 	var wait sync.WaitGroup
 	for c := range 4 {
 		wait.Go(func() {
@@ -28,12 +28,12 @@
 				g.mu.Unlock()
 				out, made := noteOperation{write: true, value: fmt.Sprintf("%d-%d", c, n)}.do(h, url)
 				switch {
-				case made && !out.unclear:
+				case made && !out.indeterminate:
 					accepted.Add(1)
 				case made:
-					lost.Add(1)
+					indeterminate.Add(1)
 				default:
-					refused.Add(1)
+					rejected.Add(1)
 				}
 				time.Sleep(2 * time.Millisecond)
 			}
@@ -43,19 +43,19 @@
 		if leads, _ := g.nodes[i].IsLeader(); leads {
 			require.NoError(t, g.nodes[i].TransferLeadership())
 		}
-		back := g.stop(i)
+		restart := g.stop(i)
 		g.leader()
-		back()
+		restart()
 		require.Eventually(t, func() bool { return g.nodes[i].ReplicationLag() < time.Second }, 10*time.Second, 5*time.Millisecond)
 	}
 	before := accepted.Load()
-	require.Eventually(t, func() bool { return accepted.Load() > before+50 }, 20*time.Second, 5*time.Millisecond, "writes go on after all were replaced")
+	require.Eventually(t, func() bool { return accepted.Load() > before+50 }, 20*time.Second, 5*time.Millisecond, "writes must continue after all instances were restarted")
 	stop.Store(true)
 	wait.Wait()
-	t.Logf("%d writes accepted, %d refused without harm, %d unclear", accepted.Load(), refused.Load(), lost.Load())
+	t.Logf("%d writes accepted, %d rejected, %d indeterminate", accepted.Load(), rejected.Load(), indeterminate.Load())
 	at := g.leader()
-	_, _, text := requestOnceLed(t, "GET", g.urls[at]+"/v1/releases/1?fresh=1", "")
+	_, _, text := requestWithRetry(t, "GET", g.urls[at]+"/v1/releases/1?fresh=1", "")
 	version := uint64(decodeRelease(t, text).Version)
-	require.GreaterOrEqual(t, version, uint64(accepted.Load())+1, "each accepted write grew the version")
-	require.LessOrEqual(t, version, uint64(accepted.Load()+lost.Load())+1)
+	require.GreaterOrEqual(t, version, uint64(accepted.Load())+1, "each accepted write must have incremented the version")
+	require.LessOrEqual(t, version, uint64(accepted.Load()+indeterminate.Load())+1)
 }
--- a/internal/controller/server.go
+++ b/internal/controller/server.go
@@ -16,19 +16,19 @@
 	"dapplefront/internal/api"
 )
 
-// ServerConfig configures the REST interface. Zero values stand for the defaults.
+// ServerConfig configures the REST interface. A zero value selects the default.
 type ServerConfig struct {
 	Listen           string
-	URL              string        // under which others reach it; by default scheme and address where it listens
-	VotesPerSecond   float64       // at most, from all routers together; 100 by default
-	MaxWatchers      int           // at once; 5,000 by default
-	BookmarkInterval time.Duration // between bookmarks on a watch; 2 s by default
-	WriteTimeout     time.Duration // a watcher that takes nothing for longer is cut off; 5 s by default
-	Authorizer       *Authorizer   // nil lets everyone do everything
-
-	// Fault and OnStatusSent are for scenarios and tests; a daemon has none. Fault tells how late events go out and whether
-	// the interface hangs. OnStatusSent is called with what a router is told of the release.
-	Fault        func() (late time.Duration, hangs bool)
+	URL              string        // at which clients reach the interface; by default built from the listen address
+	VotesPerSecond   float64       // maximum rate for all routers together; 100 by default
+	MaxWatchers      int           // maximum number of concurrent watches; 5,000 by default
+	BookmarkInterval time.Duration // time between bookmarks on a watch; 2 s by default
+	WriteTimeout     time.Duration // a watcher that blocks a write for longer is disconnected; 5 s by default
+	Authorizer       *Authorizer   // nil allows every operation to every caller
+
+	// Fault and OnStatusSent are for scenarios and tests; a daemon sets neither. Fault returns the delay of events and whether
+	// the interface hangs. OnStatusSent is called with each release status that is sent to a router.
+	Fault        func() (delay time.Duration, hangs bool)
 	OnStatusSent func(router string, status api.Release)
 }
 
@@ -56,8 +56,8 @@
 
 func (c *ServerConfig) usesTLS() bool { return c.Authorizer != nil && c.Authorizer.ServerTLS != nil }
 
-// injectedFault is the present fault; a daemon has none.
-func (c *ServerConfig) injectedFault() (late time.Duration, hangs bool) {
+// injectedFault returns the current fault; a daemon has none.
+func (c *ServerConfig) injectedFault() (delay time.Duration, hangs bool) {
 	if c.Fault == nil {
 		return 0, false
 	}
@@ -66,7 +66,7 @@
 
 const (
 	readHeaderTimeout = 10 * time.Second
-	peerTimeout       = 2 * time.Second // of requests to other controllers
+	peerTimeout       = 2 * time.Second // for requests to other controllers
 )
 
 // Server is the REST interface of one instance.
@@ -77,18 +77,18 @@
 	listener    net.Listener
 	http        *http.Server
 	voteLimiter *rate.Limiter
-	ctx         context.Context // ends with Close
+	ctx         context.Context // canceled by Close
 	cancel      context.CancelFunc
-	background  sync.WaitGroup // of the goroutines that the server starts
+	background  sync.WaitGroup // waits for the goroutines that the server starts
 
 	mu           sync.Mutex
-	closed       bool // no goroutine starts any more
+	closed       bool // no new goroutines are started
 	watchers     int
-	slowWatchers int                  // cut off so far
-	joinedAt     map[string]time.Time // when a watching router was last reported as a member
+	slowWatchers int                  // number of watchers disconnected so far because they were too slow
+	joinedAt     map[string]time.Time // when a watching router was last reported to the leader as a member
 }
 
-// Serve starts the interface.
+// Serve starts the REST interface of a node.
 func Serve(node *Node, config ServerConfig, logger *slog.Logger) (*Server, error) {
 	listener, err := net.Listen("tcp", config.Listen)
 	if err != nil {
@@ -106,14 +106,14 @@
 	}
 	s.background.Go(func() {
 		if err := serve(); !errors.Is(err, http.ErrServerClosed) {
-			s.log.Error("the REST interface has ended", "error", err)
+			s.log.Error("REST server stopped unexpectedly", "error", err)
 		}
 	})
 	s.background.Go(s.announceURL)
 	return s, nil
 }
 
-// routes has each operation, with the role that it needs and which instance answers it.
+// routes registers each operation with the role that it needs and the instances that can serve it.
 func (s *Server) routes() *http.ServeMux {
 	mux := http.NewServeMux()
 	for pattern, op := range map[string]operation{
@@ -153,14 +153,14 @@
 	return mux
 }
 
-// URL is where others reach it.
+// URL returns the URL at which clients reach the interface.
 func (s *Server) URL() string { return s.config.URL }
 
-// Close ends the interface and all watches.
+// Close stops the REST interface and ends all watches.
 func (s *Server) Close() {
 	s.cancel()
 	if err := s.http.Close(); err != nil {
-		s.log.Warn("the REST interface did not close cleanly", "error", err)
+		s.log.Warn("REST server did not close cleanly", "error", err)
 	}
 	s.mu.Lock()
 	s.closed = true
@@ -168,7 +168,7 @@
 	s.background.Wait()
 }
 
-// goBackground runs f in a goroutine that Close waits for; not once the server is closed.
+// goBackground runs f in a goroutine that Close waits for. After Close it does nothing.
 func (s *Server) goBackground(f func()) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/controller/server_test.go
+++ b/internal/controller/server_test.go
@@ -25,7 +25,7 @@
 var testConfig = control.Config{Rules: release.Rules{Mode: policy.Quorum, Stages: []release.Stage{{HostShare: .1, ExposureCap: .05}, {HostShare: .5, ExposureCap: .5}},
 	MinStageTime: policy.Second / 20, VoteTTL: 10 * policy.Second, PromoteQuorum: 1, RollbackQuorum: 1}, RouterTimeout: 5 * policy.Second}
 
-// cluster is several instances on loopback.
+// cluster is a group of instances on loopback.
 type cluster struct {
 	t       *testing.T
 	mu      sync.Mutex
@@ -69,8 +69,8 @@
 	g.mu.Unlock()
 }
 
-// stop closes an instance; back opens it again at the same addresses.
-func (g *cluster) stop(i int) (back func()) {
+// stop closes an instance. restart opens it again at the same addresses, with its old store.
+func (g *cluster) stop(i int) (restart func()) {
 	g.mu.Lock()
 	n, s := g.nodes[i], g.servers[i]
 	g.nodes[i], g.servers[i] = nil, nil
@@ -90,7 +90,7 @@
 	}
 }
 
-// leader waits for one and returns its number.
+// leader waits until an instance is leader and returns its index.
 func (g *cluster) leader() (at int) {
 	require.Eventually(g.t, func() bool {
 		g.mu.Lock()
@@ -108,7 +108,7 @@
 	return at
 }
 
-// request sends a request to an instance and returns status, headers and body.
+// request sends a request to an instance and returns the status, headers and body of the response.
 func request(t require.TestingT, method, url, body string, headers ...string) (int, http.Header, string) {
 	r, err := http.NewRequest(method, url, strings.NewReader(body))
 	require.NoError(t, err)
@@ -123,8 +123,8 @@
 	return got.StatusCode, got.Header, string(text)
 }
 
-// requestOnceLed repeats a request while there is no leader.
-func requestOnceLed(t require.TestingT, method, url, body string, headers ...string) (int, http.Header, string) {
+// requestWithRetry sends a request and retries it while there is no leader.
+func requestWithRetry(t require.TestingT, method, url, body string, headers ...string) (int, http.Header, string) {
 	for range 400 {
 		status, h, text := request(t, method, url, body, headers...)
 		if status != http.StatusServiceUnavailable {
@@ -141,7 +141,7 @@
 	return o
 }
 
-func TestServer_TakesAReleaseFromCreationToRollback(t *testing.T) {
+func TestServer_RunsReleaseFromCreationToRollback(t *testing.T) {
 	g := startCluster(t, 1)
 	u := g.urls[0]
 	status, h, text := request(t, "POST", u+"/v1/releases", `{"build":2,"labels":{"team":"pay"}}`, "Idempotency-Key", "k1")
@@ -149,7 +149,7 @@
 	require.Equal(t, "/v1/releases/2", h.Get("Location"))
 	tag := h.Get("ETag")
 	status, _, _ = request(t, "POST", u+"/v1/releases", `{"build":2,"labels":{"team":"pay"}}`, "Idempotency-Key", "k1")
-	require.Equal(t, 200, status, "the same creation again")
+	require.Equal(t, 200, status, "a repeated creation with the same key")
 	status, _, text = request(t, "POST", u+"/v1/releases", `{"build":3}`, "Idempotency-Key", "k1")
 	require.Equal(t, 409, status, text)
 	status, _, text = request(t, "POST", u+"/v1/releases", `{"build":2}`)
@@ -181,7 +181,7 @@
 			_, _, text = request(t, "GET", u+"/v1/releases/2?fresh=1", "")
 			o := decodeRelease(t, text)
 			return o.Stage == stage+1 || o.Phase == "released"
-		}, 10*time.Second, 10*time.Millisecond, "time alone moves the stage on once its votes stand")
+		}, 10*time.Second, 10*time.Millisecond, "the stage must be promoted without further requests once it has its votes")
 		request(t, "PUT", u+"/v1/releases/2/orders/ready", "")
 	}
 	o := decodeRelease(t, text)
@@ -208,7 +208,7 @@
 	require.NotContains(t, text, `"build":1`)
 
 	status, _, _ = request(t, "DELETE", u+"/v1/releases/2", "")
-	require.Equal(t, 409, status, "it serves")
+	require.Equal(t, 409, status, "the build serves")
 	status, _, text = request(t, "POST", u+"/v1/releases/2/withdraw", "")
 	require.Equal(t, 200, status, text)
 	require.Equal(t, "going-back", decodeRelease(t, text).Phase)
@@ -219,7 +219,7 @@
 	require.Equal(t, 404, status)
 }
 
-func TestServer_StepsHoldTheirStageAndAnIrreversibleOneForbidsRollback(t *testing.T) {
+func TestServer_StepsDelayTheirStageAndIrreversibleStepPreventsRollback(t *testing.T) {
 	g := startCluster(t, 1)
 	u := g.urls[0]
 	w := followWatch(t, u+"/v1/watch", "")
@@ -233,11 +233,11 @@
 	status, _, text = request(t, "PUT", u+"/v1/releases/2/steps/fill", `{}`)
 	require.Equal(t, 409, status)
 	require.Contains(t, text, "add-column comes before it")
-	for range 2 { // reported twice counts once
+	for range 2 { // the repeated report has no effect
 		status, _, _ = request(t, "PUT", u+"/v1/releases/2/steps/add-column", `{"by":"worker-1"}`)
 		require.Equal(t, 200, status)
 	}
-	require.Zero(t, w.count("place"), "no host of the build before its steps are done")
+	require.Zero(t, w.count("place"), "the build must not be deployed before its steps are done")
 	status, _, text = request(t, "PUT", u+"/v1/releases/2/steps/drop", `{}`)
 	require.Equal(t, 409, status)
 	status, _, text = request(t, "PUT", u+"/v1/releases/2/steps/fill", `{}`)
@@ -262,14 +262,14 @@
 	require.Equal(t, 409, status, text)
 }
 
-// watchReader reads a watch in the background.
+// watchReader reads the events of a watch in the background.
 type watchReader struct {
-	mu   sync.Mutex
-	ids  []string
-	kind []string
-	data []string
-	stop func()
-	end  chan struct{}
+	mu    sync.Mutex
+	ids   []string
+	kinds []string
+	data  []string
+	stop  func()
+	done  chan struct{}
 }
 
 func followWatch(t *testing.T, url, after string) *watchReader {
@@ -284,10 +284,10 @@
 	require.NoError(t, err)
 	require.Equal(t, 200, got.StatusCode)
 	t.Cleanup(func() { _ = got.Body.Close() })
-	w := &watchReader{stop: cancel, end: make(chan struct{})}
+	w := &watchReader{stop: cancel, done: make(chan struct{})}
 	t.Cleanup(cancel)
 	go func() {
-		defer close(w.end)
+		defer close(w.done)
 		in := bufio.NewScanner(got.Body)
 		in.Buffer(nil, 1<<20)
 		id, kind := "", ""
@@ -300,7 +300,7 @@
 				kind = value
 			case "data":
 				w.mu.Lock()
-				w.ids, w.kind, w.data = append(w.ids, id), append(w.kind, kind), append(w.data, value)
+				w.ids, w.kinds, w.data = append(w.ids, id), append(w.kinds, kind), append(w.data, value)
 				w.mu.Unlock()
 			}
 		}
@@ -311,7 +311,7 @@
 func (w *watchReader) count(kind string) (n int) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	for _, k := range w.kind {
+	for _, k := range w.kinds {
 		if k == kind {
 			n++
 		}
@@ -319,11 +319,11 @@
 	return n
 }
 
-// of are the events of a kind, as id and data.
-func (w *watchReader) of(kind string) (out []string) {
+// eventsOf returns the events of a kind, each as "id data".
+func (w *watchReader) eventsOf(kind string) (out []string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	for i, k := range w.kind {
+	for i, k := range w.kinds {
 		if k == kind {
 			out = append(out, w.ids[i]+" "+w.data[i])
 		}
@@ -331,23 +331,23 @@
 	return out
 }
 
-func TestWatch_ResumesAtAnotherInstanceWithoutGapOrRepeat(t *testing.T) {
+func TestWatch_ResumesOnAnotherInstanceWithoutGapsOrDuplicates(t *testing.T) {
 	g := startCluster(t, 3)
 	uninterrupted := followWatch(t, g.urls[0]+"/v1/watch", "")
 	var seen []string
 	at := 1
 	w := followWatch(t, g.urls[at]+"/v1/watch", "")
 	emit := func(i int) {
-		status, _, text := requestOnceLed(t, "POST", g.urls[i%3]+"/v1/counts", fmt.Sprintf(`{"build":1,"category":"c","bad":0,"samples":%d,"meanMs":0,"ageMs":0}`, i))
+		status, _, text := requestWithRetry(t, "POST", g.urls[i%3]+"/v1/counts", fmt.Sprintf(`{"build":1,"category":"c","bad":0,"samples":%d,"meanMs":0,"ageMs":0}`, i))
 		require.Equal(t, 202, status, text)
 	}
 	for i := range 60 {
 		emit(i)
-		if i%7 == 6 { // cut off, and resumed at another instance
+		if i%7 == 6 { // end the watch and resume it on another instance
 			require.Eventually(t, func() bool { return w.count("counts") > 0 }, 10*time.Second, time.Millisecond)
 			w.stop()
-			<-w.end
-			seen = append(seen, w.of("counts")...)
+			<-w.done
+			seen = append(seen, w.eventsOf("counts")...)
 			w.mu.Lock()
 			last := w.ids[len(w.ids)-1]
 			w.mu.Unlock()
@@ -365,13 +365,13 @@
 		return out
 	}
 	require.Eventually(t, func() bool { return len(seen)+w.count("counts") >= 60 && uninterrupted.count("counts") >= 60 }, 20*time.Second, 5*time.Millisecond)
-	require.Equal(t, samples(uninterrupted.of("counts")), samples(append(seen, w.of("counts")...)))
+	require.Equal(t, samples(uninterrupted.eventsOf("counts")), samples(append(seen, w.eventsOf("counts")...)))
 }
 
-func TestWatch_IsGoneWhereEventsWereDropped(t *testing.T) {
-	was := testConfig
+func TestWatch_ReturnsGoneIfEventsWereDropped(t *testing.T) {
+	original := testConfig
 	testConfig.MaxEvents = 20
-	defer func() { testConfig = was }()
+	defer func() { testConfig = original }()
 	g := startCluster(t, 1)
 	for i := range 60 {
 		request(t, "POST", g.urls[0]+"/v1/counts", fmt.Sprintf(`{"build":1,"category":"c","bad":0,"samples":%d,"meanMs":0,"ageMs":0}`, i))
@@ -383,34 +383,34 @@
 	require.Equal(t, 400, status)
 }
 
-func TestCluster_KeepsAcceptedChangesWhenLeadersDie(t *testing.T) {
+func TestCluster_KeepsAcceptedChangesWhenLeadersStop(t *testing.T) {
 	g := startCluster(t, 3)
 	accepted := map[int]string{}
 	for n := range 12 {
 		build := n + 2
 		at := g.leader()
-		status, h, text := requestOnceLed(t, "POST", g.urls[(at+n)%3]+"/v1/releases", fmt.Sprintf(`{"build":%d}`, build), "Idempotency-Key", fmt.Sprint("k", n))
-		if status == http.StatusGatewayTimeout { // unclear: asked again with the same key
-			status, h, text = requestOnceLed(t, "POST", g.urls[(at+n)%3]+"/v1/releases", fmt.Sprintf(`{"build":%d}`, build), "Idempotency-Key", fmt.Sprint("k", n))
+		status, h, text := requestWithRetry(t, "POST", g.urls[(at+n)%3]+"/v1/releases", fmt.Sprintf(`{"build":%d}`, build), "Idempotency-Key", fmt.Sprint("k", n))
+		if status == http.StatusGatewayTimeout { // indeterminate: retried with the same key
+			status, h, text = requestWithRetry(t, "POST", g.urls[(at+n)%3]+"/v1/releases", fmt.Sprintf(`{"build":%d}`, build), "Idempotency-Key", fmt.Sprint("k", n))
 		}
 		require.Contains(t, []int{200, 201}, status, text)
 		accepted[build] = h.Get("ETag")
-		if n%3 == 1 { // the leader dies; the others go on, and it comes back with its old disk
+		if n%3 == 1 { // stop the leader; the others go on, and it restarts with its old store
 			at = g.leader()
-			back := g.stop(at)
+			restart := g.stop(at)
 			next := g.leader()
 			require.NotEqual(t, at, next)
-			status, _, text = requestOnceLed(t, "PATCH", g.urls[next]+fmt.Sprintf("/v1/releases/%d", build), `{"note":"while one is away"}`)
+			status, _, text = requestWithRetry(t, "PATCH", g.urls[next]+fmt.Sprintf("/v1/releases/%d", build), `{"note":"while one is away"}`)
 			require.Equal(t, 200, status, text)
-			back()
+			restart()
 		}
 	}
 	at := g.leader()
-	_, _, text := requestOnceLed(t, "GET", g.urls[at]+"/v1/releases?fresh=1", "")
+	_, _, text := requestWithRetry(t, "GET", g.urls[at]+"/v1/releases?fresh=1", "")
 	var all api.ReleaseList
 	require.NoError(t, json.Unmarshal([]byte(text), &all))
 	require.Len(t, all.Releases, 13)
-	for i := range g.nodes { // all come to the same state
+	for i := range g.nodes { // all instances must reach the same state
 		require.Eventually(t, func() bool {
 			_, _, x := request(t, "GET", g.urls[i]+"/v1/releases/13", "")
 			return decodeRelease(t, x).Build == 13
@@ -418,13 +418,13 @@
 	}
 }
 
-func TestCluster_WithoutAMajorityRejectsChangesAndStillReads(t *testing.T) {
+func TestCluster_RejectsChangesAndServesReadsWithoutMajority(t *testing.T) {
 	g := startCluster(t, 3)
 	at := g.leader()
-	var backs []func()
+	var restarts []func()
 	for i := range 3 {
 		if i != at {
-			backs = append(backs, g.stop(i))
+			restarts = append(restarts, g.stop(i))
 		}
 	}
 	require.Eventually(t, func() bool {
@@ -432,21 +432,21 @@
 		return status == 503 && h.Get("Retry-After") == "1"
 	}, 10*time.Second, 20*time.Millisecond)
 	status, _, text := request(t, "GET", g.urls[at]+"/v1/releases/1", "")
-	require.Equal(t, 200, status, "reads of the known state go on")
+	require.Equal(t, 200, status, "reads of the local state must still work")
 	require.Equal(t, "released", decodeRelease(t, text).Phase)
 	status, _, _ = request(t, "GET", g.urls[at]+"/v1/releases/1?fresh=1", "")
 	require.Equal(t, 503, status)
-	for _, back := range backs {
-		back()
+	for _, restart := range restarts {
+		restart()
 	}
-	status, _, text = requestOnceLed(t, "POST", g.urls[at]+"/v1/releases", `{"build":2}`)
-	require.Contains(t, []int{201, 409}, status, text) // the first one may have come through
+	status, _, text = requestWithRetry(t, "POST", g.urls[at]+"/v1/releases", `{"build":2}`)
+	require.Contains(t, []int{201, 409}, status, text) // a first attempt may have been applied
 }
 
-func TestServer_CountsRoutersAsMembersWhileTheyWatch(t *testing.T) {
-	was := testConfig
+func TestServer_CountsWatchingRoutersAsMembers(t *testing.T) {
+	original := testConfig
 	testConfig.PromoteShare, testConfig.RouterTimeout = .5, policy.Second
-	defer func() { testConfig = was }()
+	defer func() { testConfig = original }()
 	g := startCluster(t, 1)
 	u := g.urls[0]
 	var routers []*watchReader
@@ -454,21 +454,21 @@
 		routers = append(routers, followWatch(t, fmt.Sprintf("%s/v1/watch?router=r%d", u, i), ""))
 	}
 	request(t, "POST", u+"/v1/releases", `{"build":2}`)
-	needed := func(n int) {
+	awaitQuorum := func(n int) {
 		require.Eventually(t, func() bool {
 			_, _, text := request(t, "GET", u+"/v1/releases/2", "")
 			return decodeRelease(t, text).Votes.PromoteQuorum == n
-		}, 10*time.Second, 10*time.Millisecond, "%d votes needed", n)
+		}, 10*time.Second, 10*time.Millisecond, "the promote quorum must become %d", n)
 	}
-	needed(2)
+	awaitQuorum(2)
 	routers[3].stop()
 	routers[2].stop()
-	needed(1)
+	awaitQuorum(1)
 	status, _, _ := request(t, "DELETE", u+"/v1/routers/r1", "")
 	require.Equal(t, 204, status)
 }
 
-func TestStore_ExportsImportsAndRefusesDamage(t *testing.T) {
+func TestStore_ExportsAndImportsStateAndRejectsDamage(t *testing.T) {
 	g := startCluster(t, 1)
 	for i := range 20 {
 		request(t, "PATCH", g.urls[0]+"/v1/releases/1", fmt.Sprintf(`{"note":"%d"}`, i))
--- a/internal/controller/snapshot.go
+++ b/internal/controller/snapshot.go
@@ -10,10 +10,10 @@
 	"dapplefront/control"
 )
 
-// fsmSnapshot is a saved state on its way to a snapshot file.
+// fsmSnapshot is an encoded state that is to be written to a snapshot file.
 type fsmSnapshot []byte
 
-// Snapshot saves the state; Raft writes it while the state moves on.
+// Snapshot encodes the state. Raft writes the encoded state to a file while the state goes on changing.
 func (f fsm) Snapshot() (raft.FSMSnapshot, error) {
 	f.node.mu.Lock()
 	defer f.node.mu.Unlock()
@@ -21,7 +21,7 @@
 	return fsmSnapshot(text), err
 }
 
-// Restore replaces the state by a snapshot's.
+// Restore replaces the state with the state in a snapshot.
 func (f fsm) Restore(r io.ReadCloser) error {
 	text, err := io.ReadAll(r)
 	if err = errors.Join(err, r.Close()); err != nil {
@@ -38,7 +38,7 @@
 	return nil
 }
 
-// Persist writes the snapshot, wholly or not at all.
+// Persist writes the complete snapshot, or cancels it on an error.
 func (s fsmSnapshot) Persist(sink raft.SnapshotSink) error {
 	if _, err := sink.Write(s); err != nil {
 		return errors.Join(err, sink.Cancel())
@@ -46,11 +46,11 @@
 	return sink.Close()
 }
 
-// Release has nothing to release.
+// Release does nothing: there is nothing to release.
 func (s fsmSnapshot) Release() {}
 
-// loadNewestSnapshot reads the state of the newest snapshot in a store, and the log index that it was made at. Without a
-// snapshot these are the initial state and 0.
+// loadNewestSnapshot returns the state in the newest snapshot of a store, and the snapshot's log index. Without a snapshot it
+// returns the initial state and 0.
 func loadNewestSnapshot(dir string, config control.Config) (*control.State, uint64, error) {
 	snapshots, err := raft.NewFileSnapshotStore(dir, snapshotsKept, io.Discard)
 	if err != nil {
--- a/internal/controller/standalone.go
+++ b/internal/controller/standalone.go
@@ -16,10 +16,10 @@
 	*Server
 }
 
-// leadershipTimeout is how long StartStandalone waits to lead.
+// leadershipTimeout is how long StartStandalone waits to become leader.
 const leadershipTimeout = 10 * time.Second
 
-// StartStandalone starts one and returns once it leads.
+// StartStandalone starts a standalone controller and returns once it is the leader.
 func StartStandalone(node NodeConfig, server ServerConfig, log *slog.Logger) (*Standalone, error) {
 	node.Bootstrap = true
 	n, err := Open(node, log)
@@ -41,13 +41,13 @@
 	}
 }
 
-// Stop ends both.
+// Stop stops the REST interface and the node.
 func (a *Standalone) Stop() error {
 	a.Server.Close()
 	return a.Node.Close()
 }
 
-// Handle proposes what happens to a release as a command; other inputs than those listed count as release.Tick.
+// Handle proposes the command for an input of the release machine. Inputs that have no command are proposed as a Tick.
 func (a *Standalone) Handle(in release.Input) (control.Reply, error) {
 	switch in := in.(type) {
 	case release.Offer:
@@ -64,7 +64,7 @@
 	return a.Propose(control.Command{Kind: control.Tick})
 }
 
-// Status is where the newest release stands.
+// Status returns the status of the newest release.
 func (a *Standalone) Status() (status release.Status) {
 	a.Read(func(s *control.State, _ policy.Time) { status = s.Status() })
 	return status
--- a/internal/controller/store.go
+++ b/internal/controller/store.go
@@ -14,14 +14,14 @@
 	"dapplefront/control"
 )
 
-// lockTimeout is how long opening a store waits while another process uses it.
+// lockTimeout is how long opening a store waits for another process to release it.
 const lockTimeout = time.Second
 
 func logFile(dir string) string { return filepath.Join(dir, "log.db") }
 
 func readOnly() *bbolt.Options { return &bbolt.Options{ReadOnly: true, Timeout: lockTimeout} }
 
-// openLogStore opens Raft's log, term and vote; nil options are bbolt's defaults.
+// openLogStore opens the file with Raft's log, term and vote. Nil options select bbolt's defaults.
 func openLogStore(file string, options *bbolt.Options) (*raftboltdb.BoltStore, error) {
 	store, err := raftboltdb.New(raftboltdb.Options{Path: file, BoltOptions: options, MsgpackUseNewTimeFormat: true})
 	if err != nil {
@@ -30,14 +30,15 @@
 	return store, nil
 }
 
-// CheckStore goes through a controller's store without changing it: every page of the log's file, every entry, and the
-// newest snapshot. A missing store is no error. The error tells all that is wrong.
+// CheckStore checks a controller's store without changing it: every page of the log file, every log entry after the newest
+// snapshot, and the newest snapshot. A missing store is not an error. The error describes all damaged
+// pages or, if there are none, the first log entry or the snapshot that can't be read.
 func CheckStore(dir string, config control.Config) (err error) {
 	file := logFile(dir)
 	if _, statErr := os.Stat(file); os.IsNotExist(statErr) {
 		return nil
 	}
-	defer func() { // bbolt panics on some damage
+	defer func() { // bbolt panics on some kinds of damage
 		if r := recover(); r != nil {
 			err = fmt.Errorf("store %s is damaged: %v", file, r)
 		}
@@ -67,9 +68,9 @@
 	return nil
 }
 
-// replay reads snapshot and log in order and returns the state that they make. Each command is passed to seen, which may be
-// nil, before it is applied.
-func replay(dir string, config control.Config, seen func(index uint64, c control.Command)) (state *control.State, err error) {
+// replay reads the newest snapshot and the log after it, and returns the resulting state. It passes each command to visit,
+// which may be nil, before it applies the command.
+func replay(dir string, config control.Config, visit func(index uint64, c control.Command)) (state *control.State, err error) {
 	state, snapshotIndex, err := loadNewestSnapshot(dir, config)
 	if err != nil {
 		return nil, err
@@ -95,10 +96,10 @@
 		if !isCommand {
 			continue
 		}
-		if seen != nil {
-			seen(index, c)
+		if visit != nil {
+			visit(index, c)
 		}
-		_, _ = state.Apply(index, c) // commands that were rejected are in the log too
+		_, _ = state.Apply(index, c) // an error is expected: the log also has rejected commands
 	}
 	return state, nil
 }
@@ -118,12 +119,12 @@
 		return nil, err
 	}
 	if entry.Index != index {
-		return nil, fmt.Errorf("it has the index %d", entry.Index)
+		return nil, fmt.Errorf("the stored entry has the index %d", entry.Index)
 	}
 	return &entry, nil
 }
 
-// readCommand reads the command at an index; isCommand is false for entries of Raft's own.
+// readCommand reads the command at an index. isCommand is false for Raft's internal entries.
 func readCommand(logs raft.LogStore, index uint64) (c control.Command, isCommand bool, err error) {
 	entry, err := readEntry(logs, index)
 	if err != nil || entry.Type != raft.LogCommand {
--- a/internal/controller/stored_test.go
+++ b/internal/controller/stored_test.go
@@ -17,8 +17,8 @@
 	"dapplefront/release"
 )
 
-// The store in testdata was written by the program of commit d72f78e, with these figures, and so was its export. They
-// are never written anew: what a later program can't read, or writes in another form, is a break for whoever upgrades.
+// The store in testdata and its export were written by the program at commit d72f78e, with the configuration below. They are
+// never regenerated: if a later program can't read them, or writes them in another form, upgrades break.
 const (
 	storedDir    = "testdata/store-d72f78e"
 	storedExport = "testdata/export-d72f78e.json"
@@ -28,7 +28,7 @@
 	MinStageTime: policy.Second / 20, StageTime: policy.Second / 10, VoteTTL: 60 * policy.Second, PromoteQuorum: 2, RollbackQuorum: 3, HoldQuorum: 2},
 	RouterTimeout: 600 * policy.Second, MaxEvents: 1000, MaxCreationKeys: 10}
 
-// stored is a copy of the stored data, which a test may write to.
+// stored returns a copy of the stored data that a test may write to, and the stored export.
 func stored(t *testing.T) (dir string, export []byte) {
 	t.Helper()
 	dir = filepath.Join(t.TempDir(), "store")
@@ -38,7 +38,7 @@
 	return dir, export
 }
 
-// exported is what Export writes from a store.
+// exported returns the output of Export for a store.
 func exported(t *testing.T, dir string) string {
 	t.Helper()
 	var out bytes.Buffer
@@ -46,13 +46,13 @@
 	return out.String()
 }
 
-func TestAStoreOfAnEarlierProgramExportsByteForByteAsItDid(t *testing.T) {
+func TestExport_ReproducesExportOfEarlierVersion(t *testing.T) {
 	dir, want := stored(t)
 	require.NoError(t, CheckStore(dir, storedConfig))
 	require.Equal(t, string(want), exported(t, dir))
 }
 
-func TestAnEarlierExportIsImportedAndExportedByteForByte(t *testing.T) {
+func TestImport_ReproducesExportOfEarlierVersion(t *testing.T) {
 	_, want := stored(t)
 	dir := filepath.Join(t.TempDir(), "new")
 	require.NoError(t, Import(NodeConfig{Name: "c1", Dir: dir, Listen: "127.0.0.1:0", Control: storedConfig}, bytes.NewReader(want)))
@@ -60,7 +60,7 @@
 	require.Equal(t, string(want), exported(t, dir))
 }
 
-func TestStatesOfAnEarlierProgramAreLoadedAndSavedByteForByte(t *testing.T) {
+func TestState_LoadsAndSavesStatesOfEarlierVersionUnchanged(t *testing.T) {
 	dir, export := stored(t)
 	snapshots, err := filepath.Glob(filepath.Join(dir, "snapshots", "*", "state.bin"))
 	require.NoError(t, err)
@@ -76,16 +76,16 @@
 	}
 }
 
-// TestCommandsOfAnEarlierProgramAreReadAndWrittenByteForByte goes through the whole log; after the snapshot it has each
-// verb, by its stored name.
-func TestCommandsOfAnEarlierProgramAreReadAndWrittenByteForByte(t *testing.T) {
+// TestEntry_DecodesAndEncodesCommandsOfEarlierVersionUnchanged checks the whole log. The log after the snapshot has at least one
+// command of each kind, under its stored name.
+func TestEntry_DecodesAndEncodesCommandsOfEarlierVersionUnchanged(t *testing.T) {
 	dir, _ := stored(t)
 	seen := map[string]bool{}
 	_, err := replay(dir, storedConfig, func(_ uint64, c control.Command) { seen[string(c.Kind)] = true })
 	require.NoError(t, err)
 	for _, verb := range []string{"create", "patch", "withdraw", "delete", "vote", "ready", "gone", "step", "report", "tick", "join", "leave",
 		"tell", "publish", "heed", "order", "heard", "member"} {
-		require.True(t, seen[verb], "no %s after the snapshot", verb)
+		require.True(t, seen[verb], "no command %s in the log after the snapshot", verb)
 	}
 	bolt, err := raftboltdb.New(raftboltdb.Options{Path: filepath.Join(dir, "log.db"),
 		BoltOptions: &bbolt.Options{ReadOnly: true, Timeout: time.Second}, MsgpackUseNewTimeFormat: true})
--- a/internal/controller/stream.go
+++ b/internal/controller/stream.go
@@ -12,15 +12,16 @@
 	"github.com/lesismal/nbio/nbhttp/websocket"
 )
 
-// stream carries events to one watcher.
+// stream sends events to one watcher.
 type stream interface {
 	send([]watchEvent) error
-	closed() <-chan struct{} // closed when the watcher has gone; nil where the request's context tells
+	closed() <-chan struct{} // closed when the watcher disconnects; nil if the request's context ends then
 	isClosed() bool
 	close()
 }
 
-// openStream starts a stream in the form that the request asks for. A write that takes longer than the timeout fails.
+// openStream starts a WebSocket stream if the request asks for an upgrade, otherwise a stream of server-sent events. A write
+// that takes longer than the timeout fails.
 func openStream(w http.ResponseWriter, r *http.Request, writeTimeout time.Duration) (stream, error) {
 	if strings.EqualFold(r.Header.Get("Upgrade"), "websocket") {
 		return openWebSocket(w, r, writeTimeout)
@@ -30,7 +31,7 @@
 	return &sseStream{w: w, rc: http.NewResponseController(w), writeTimeout: writeTimeout}, nil
 }
 
-// sseStream is server-sent events (WHATWG HTML, 9.2).
+// sseStream sends events as server-sent events (WHATWG HTML, 9.2).
 type sseStream struct {
 	w            http.ResponseWriter
 	rc           *http.ResponseController
@@ -52,13 +53,13 @@
 
 func (*sseStream) closed() <-chan struct{} { return nil }
 func (*sseStream) isClosed() bool          { return false }
-func (*sseStream) close()                  {} // with the request
+func (*sseStream) close()                  {} // the stream ends with the request
 
-// webSocketStream is the same events as WebSocket messages (RFC 6455), one JSON object each: id, event, data.
+// webSocketStream sends events as WebSocket messages (RFC 6455): each is a JSON object with the fields id, event and data.
 type webSocketStream struct {
 	conn         *websocket.Conn
 	writeTimeout time.Duration
-	over         chan struct{} // closed when the connection is
+	connClosed   chan struct{} // closed when the connection is closed
 	once         sync.Once
 }
 
@@ -67,13 +68,13 @@
 		return nil, &problem{status: http.StatusForbidden, field: "Origin",
 			detail: "programs only: a page of another place must not watch with a person's certificate"}
 	}
-	s := &webSocketStream{writeTimeout: writeTimeout, over: make(chan struct{})}
+	s := &webSocketStream{writeTimeout: writeTimeout, connClosed: make(chan struct{})}
 	upgrader := websocket.NewUpgrader()
-	upgrader.BlockingModAsyncWrite = false // writes wait, so that a slow watcher is noticed and not queued for
-	upgrader.OnClose(func(*websocket.Conn, error) { s.once.Do(func() { close(s.over) }) })
+	upgrader.BlockingModAsyncWrite = false // writes block, so that a slow watcher is detected instead of its events being queued
+	upgrader.OnClose(func(*websocket.Conn, error) { s.once.Do(func() { close(s.connClosed) }) })
 	conn, err := upgrader.Upgrade(w, r, nil)
 	if err != nil {
-		return nil, fmt.Errorf("%w: %w", errAnswered, err) // by the upgrader
+		return nil, fmt.Errorf("%w: %w", errResponseWritten, err) // the upgrader has written the response
 	}
 	s.conn = conn
 	return s, nil
@@ -97,15 +98,15 @@
 	return nil
 }
 
-func (s *webSocketStream) closed() <-chan struct{} { return s.over }
+func (s *webSocketStream) closed() <-chan struct{} { return s.connClosed }
 
 func (s *webSocketStream) isClosed() bool {
 	select {
-	case <-s.over:
+	case <-s.connClosed:
 		return true
 	default:
 		return false
 	}
 }
 
-func (s *webSocketStream) close() { _ = s.conn.Close() } // the watcher may have closed it already
+func (s *webSocketStream) close() { _ = s.conn.Close() } // the watcher may have closed the connection already
--- a/internal/controller/transport.go
+++ b/internal/controller/transport.go
@@ -13,7 +13,7 @@
 	"dapplefront/internal/certs"
 )
 
-// tcpStreamLayer connects controllers by TCP without TLS.
+// tcpStreamLayer connects controllers through TCP without TLS.
 type tcpStreamLayer struct{ net.Listener }
 
 // Dial connects to another controller.
@@ -21,7 +21,7 @@
 	return net.DialTimeout("tcp", string(address), timeout)
 }
 
-// tlsStreamLayer connects controllers by mutual TLS.
+// tlsStreamLayer connects controllers through mutual TLS.
 type tlsStreamLayer struct {
 	net.Listener
 	client *tls.Config
@@ -34,15 +34,15 @@
 	return (&tls.Dialer{Config: s.client}).DialContext(ctx, "tcp", string(address))
 }
 
-// TLSStreamLayer connects controllers by TLS, where both sides need a certificate whose common name matches one of the
-// patterns (path.Match) in peers. Certificates may change while it runs.
+// TLSStreamLayer returns a function that creates a stream layer with mutual TLS. Both sides need a certificate whose common
+// name matches one of the patterns in peers (path.Match). Certificates may be replaced while connections are open.
 func TLSStreamLayer(ring *certs.Reloader, peers []string) func(net.Listener) (raft.StreamLayer, error) {
 	verifyName := func(s tls.ConnectionState) error {
 		if len(s.PeerCertificates) == 0 {
-			return errors.New("no certificate")
+			return errors.New("the peer presented no certificate")
 		}
 		if name := s.PeerCertificates[0].Subject.CommonName; !matchesAny(peers, name) {
-			return fmt.Errorf("%s is no controller", name)
+			return fmt.Errorf("the certificate name %s is not that of a controller", name)
 		}
 		return nil
 	}
--- a/internal/controller/votes.go
+++ b/internal/controller/votes.go
@@ -32,8 +32,8 @@
 	router := r.PathValue("router")
 	c := control.Command{Kind: control.CastVote, Build: build, Stage: vote.Stage, Router: router, Choice: policy.VoteChoice(choice)}
 	if _, hangs := s.config.injectedFault(); hangs {
-		s.castVoteHanging(r, c)
-		return errAnswered
+		s.castVoteWithoutResponse(r, c)
+		return errResponseWritten
 	}
 	return s.propose(w, c, http.StatusOK, func(reply control.Reply) any {
 		status := s.replyObject(reply).Release
@@ -44,8 +44,8 @@
 	})
 }
 
-// castVoteHanging plays an interface that hangs: every other vote counts, and none is answered.
-func (s *Server) castVoteHanging(r *http.Request, c control.Command) {
+// castVoteWithoutResponse simulates an interface that hangs: it casts a vote with a probability of one half and never responds.
+func (s *Server) castVoteWithoutResponse(r *http.Request, c control.Command) {
 	if rand.IntN(2) == 0 {
 		_, _ = s.node.Propose(c)
 	}
--- a/internal/controller/watch.go
+++ b/internal/controller/watch.go
@@ -14,26 +14,27 @@
 )
 
 const (
-	// watchBatch is how many events are written to a watcher at once: a slow one holds this many in memory, not the log.
+	// watchBatch is the maximum number of events written to a watcher at once. It bounds the events in memory for a slow watcher.
 	watchBatch = 128
-	// faultPoll is how often a watch looks whether an injected delay is over.
+	// faultPoll is the interval at which a watch checks whether an injected delay has ended.
 	faultPoll = 50 * time.Millisecond
 )
 
-// watchSession is one watch. With a router, it has the events that concern this router, which is a member while it watches.
+// watchSession is one watch. If it names a router, it sends only the events for that router, which is a member while it
+// watches.
 type watchSession struct {
-	server *Server
-	router string // "" for all events
-	remote string
-	cursor uint64 // id of the last event that was taken up
-	resume bool   // the caller named the event to go on after
-	ready  []watchEvent
-	stream stream
+	server  *Server
+	router  string // "" for all events
+	remote  string
+	cursor  uint64 // id of the last event that has been collected
+	resumed bool   // the caller gave the id of the event after which to resume
+	pending []watchEvent
+	stream  stream
 }
 
-// watch streams events: all of them, or with ?router=NAME those that concern a router. It starts with the newest release's
-// status, or after Last-Event-ID (or ?after=). Bookmarks move the id on where nothing happens. Every instance numbers events
-// alike, so that a watch may be resumed at any of them.
+// watch streams all events, or with ?router=NAME the events for that router. It starts with the status of the newest release,
+// or after the event in Last-Event-ID (or ?after=). Bookmarks advance the id while there are no events. Event ids are the same
+// on every instance, so that a watch can be resumed on any of them.
 func (s *Server) watch(w http.ResponseWriter, r *http.Request) error {
 	session := &watchSession{server: s, router: r.URL.Query().Get("router"), remote: r.RemoteAddr}
 	if err := session.parseCursor(r); err != nil {
@@ -44,7 +45,7 @@
 		return err
 	}
 	defer s.releaseWatcher()
-	if oldest, dropped := session.begin(); dropped {
+	if oldest, dropped := session.prepareFirstEvents(); dropped {
 		w.Header().Set("Dapplefront-Oldest", strconv.FormatUint(oldest, 10))
 		return &problem{status: http.StatusGone, field: "Last-Event-ID",
 			detail: fmt.Sprintf("events up to %d have been dropped; read the releases and watch from now on", oldest-1)}
@@ -54,7 +55,7 @@
 	}
 	defer session.stream.close()
 	session.run(r)
-	return errAnswered
+	return errResponseWritten
 }
 
 func (ws *watchSession) parseCursor(r *http.Request) (err error) {
@@ -65,14 +66,14 @@
 	if text == "" {
 		return nil
 	}
-	ws.resume = true
+	ws.resumed = true
 	if ws.cursor, err = strconv.ParseUint(text, 10, 64); err != nil {
 		return invalid("Last-Event-ID", "the id of an event expected")
 	}
 	return nil
 }
 
-// admitWatcher counts a watcher, and returns how long a write to it may take.
+// admitWatcher counts a new watcher and returns its write timeout, or returns a problem if there are too many watchers.
 func (s *Server) admitWatcher() (writeTimeout time.Duration, err error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -90,28 +91,28 @@
 	s.mu.Unlock()
 }
 
-// begin gets the first events ready: for a new watch, the status and the plan in force. For one that is resumed, dropped
-// tells that events after its cursor are gone, and oldest is the first one kept.
-func (ws *watchSession) begin() (oldest uint64, dropped bool) {
+// prepareFirstEvents adds the first events of a new watch to pending: the status and the plan in force. For a resumed watch,
+// dropped reports that events after its cursor have been dropped, and oldest is the id of the oldest event kept.
+func (ws *watchSession) prepareFirstEvents() (oldest uint64, dropped bool) {
 	isLeader, _ := ws.server.node.IsLeader()
 	ws.server.node.Read(func(st *control.State, now policy.Time) {
-		if !ws.resume {
+		if !ws.resumed {
 			ws.cursor = st.LastEvent()
 			ws.addStatus(st, now)
-			if p, left := st.ActivePlan(now); p != nil && left > 0 {
+			if p, validFor := st.ActivePlan(now); p != nil && validFor > 0 {
 				ws.add(control.Event{ID: ws.cursor, Kind: control.EventPlan, Body: encode(api.PlanNotice{Version: p.Version})}, now)
 			}
 			return
 		}
 		if _, ok := st.EventsSince(ws.cursor, ws.router, 1); !ok {
-			// A follower may be behind an id that it does not know, and the watch waits for it; the leader knows all.
+			// A follower may not have reached the cursor's id yet; then the watch waits for it. The leader has all events.
 			oldest, dropped = st.OldestEvent(), ws.cursor <= st.LastEvent() || isLeader
 		}
 	})
 	return oldest, dropped
 }
 
-// run sends events until the watcher or the server goes, or the watcher is too slow.
+// run sends events until the watcher disconnects, the server is closed, or the watcher is too slow.
 func (ws *watchSession) run(r *http.Request) {
 	if !ws.flush(r) {
 		return
@@ -121,23 +122,23 @@
 	defer bookmarks.Stop()
 	for {
 		changed := s.node.Changed()
-		round := ws.collect()
-		if round.dropped {
+		result := ws.collect()
+		if result.dropped {
 			s.log.Warn("a watcher is cut off", "router", ws.router, "from", ws.remote, "reason", "too slow for the events kept")
 			return
 		}
-		if len(ws.ready) > 0 && !ws.flush(r) {
+		if len(ws.pending) > 0 && !ws.flush(r) {
 			return
 		}
 		s.renewMembership(ws.router)
-		if round.more {
+		if result.more {
 			continue
 		}
 		select {
 		case <-changed:
-		case <-round.delayed:
+		case <-result.delayed:
 		case <-bookmarks.C:
-			if round.behind || round.delayed != nil {
+			if result.behind || result.delayed != nil {
 				continue
 			}
 			if ws.addBookmark(); !ws.flush(r) {
@@ -153,37 +154,37 @@
 	}
 }
 
-// watchRound is what collect found.
-type watchRound struct {
-	dropped bool             // events after the cursor are not kept any more
+// batchResult is the result of collect.
+type batchResult struct {
+	dropped bool             // events after the cursor have been dropped
 	behind  bool             // this instance has not reached the cursor yet
-	more    bool             // there may be more events than a batch
-	delayed <-chan time.Time // when to look again for an event that an injected fault delays; nil for none
+	more    bool             // the batch is full, so there may be more events
+	delayed <-chan time.Time // fires when to check again for an event that an injected fault delays; nil for none
 }
 
-// collect gets the next batch of events ready and moves the cursor on.
-func (ws *watchSession) collect() (round watchRound) {
-	late, hangs := ws.server.config.injectedFault()
+// collect adds the next batch of events to pending and advances the cursor.
+func (ws *watchSession) collect() (result batchResult) {
+	delay, hangs := ws.server.config.injectedFault()
 	if hangs {
-		late += time.Hour
+		delay += time.Hour
 	}
 	ws.server.node.Read(func(st *control.State, now policy.Time) {
-		if round.behind = ws.cursor > st.LastEvent(); round.behind {
+		if result.behind = ws.cursor > st.LastEvent(); result.behind {
 			return
 		}
 		events, ok := st.EventsSince(ws.cursor, ws.router, watchBatch)
 		if !ok {
-			round.dropped = true
+			result.dropped = true
 			return
 		}
 		reached := st.LastEvent()
-		if round.more = len(events) == watchBatch; round.more {
+		if result.more = len(events) == watchBatch; result.more {
 			reached = events[watchBatch-1].ID
 		}
 		for _, e := range events {
-			if age := time.Duration(now-e.At) * clockUnit; age < late {
-				reached, round.more = e.ID-1, false
-				round.delayed = time.After(min(late-age, faultPoll))
+			if age := time.Duration(now-e.At) * clockUnit; age < delay {
+				reached, result.more = e.ID-1, false
+				result.delayed = time.After(min(delay-age, faultPoll))
 				break
 			}
 			if ws.router == "" || routerEvents[e.Kind] {
@@ -192,19 +193,20 @@
 		}
 		ws.cursor = max(ws.cursor, reached)
 	})
-	return round
+	return result
 }
 
 func (ws *watchSession) add(e control.Event, now policy.Time) {
-	ws.ready = append(ws.ready, ws.server.toWatchEvent(e, ws.router, now))
+	ws.pending = append(ws.pending, ws.server.toWatchEvent(e, ws.router, now))
 }
 
-// addStatus repeats the newest release's status under the cursor's id.
+// addStatus adds the status of the newest release to pending, with the cursor as its id.
 func (ws *watchSession) addStatus(st *control.State, now policy.Time) {
 	ws.add(control.Event{ID: ws.cursor, Kind: control.EventStatus, At: st.Status().Since, Body: encode(st.Status())}, now)
 }
 
-// addBookmark says that nothing has happened up to the cursor. Routers are told the status again with it.
+// addBookmark adds a bookmark to pending: all events up to the cursor have been sent. For a router it repeats the status
+// before the bookmark, unless there are newer events.
 func (ws *watchSession) addBookmark() {
 	if ws.router != "" {
 		ws.server.node.Read(func(st *control.State, now policy.Time) {
@@ -213,14 +215,14 @@
 			}
 		})
 	}
-	ws.ready = append(ws.ready, watchEvent{ws.cursor, "bookmark", []byte("{}")})
+	ws.pending = append(ws.pending, watchEvent{ws.cursor, "bookmark", []byte("{}")})
 }
 
-// flush sends what is ready, which for a new watch may be the headers alone; false where the watch has ended. A watcher that
-// was too slow is counted and logged.
+// flush sends the pending events, for a new watch possibly only the headers. It returns false if the watch has ended. A watcher
+// that was too slow is counted and logged.
 func (ws *watchSession) flush(r *http.Request) bool {
-	err := ws.stream.send(ws.ready)
-	ws.ready = ws.ready[:0]
+	err := ws.stream.send(ws.pending)
+	ws.pending = ws.pending[:0]
 	if err == nil {
 		return true
 	}
--- a/internal/controller/websocket_test.go
+++ b/internal/controller/websocket_test.go
@@ -15,7 +15,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// dialWebSocket opens a WebSocket by hand, as RFC 6455 has it.
+// dialWebSocket opens a WebSocket without a library, with the handshake of RFC 6455.
 func dialWebSocket(t *testing.T, url, query, origin string) (net.Conn, *bufio.Reader, int) {
 	t.Helper()
 	address := strings.TrimPrefix(url, "http://")
@@ -32,7 +32,7 @@
 	return c, in, got.StatusCode
 }
 
-// readMessage reads one unfragmented frame of a server.
+// readMessage reads one unfragmented text frame from the server.
 func readMessage(t *testing.T, c net.Conn, in *bufio.Reader) (m struct {
 	ID    uint64
 	Event string
@@ -43,7 +43,7 @@
 	head := make([]byte, 2)
 	_, err := io.ReadFull(in, head)
 	require.NoError(t, err)
-	require.Equal(t, byte(0x81), head[0], "a whole text message")
+	require.Equal(t, byte(0x81), head[0], "an unfragmented text message expected")
 	n := int(head[1])
 	switch n {
 	case 126:
@@ -62,7 +62,7 @@
 	return m
 }
 
-func TestWatch_AsWebSocketHasTheSameEvents(t *testing.T) {
+func TestWatch_SendsSameEventsOverWebSocket(t *testing.T) {
 	d := loadDescription(t)
 	g := startCluster(t, 1)
 	u := g.urls[0]
@@ -75,7 +75,7 @@
 	last := uint64(0)
 	for {
 		m := readMessage(t, c, in)
-		require.Empty(t, d.fits("asyncapi.yaml#/components/messages/"+m.Event+"/payload", m.Data))
+		require.Empty(t, d.validate("asyncapi.yaml#/components/messages/"+m.Event+"/payload", m.Data))
 		if m.Event == "bookmark" && len(ids) > 0 {
 			break
 		}
@@ -87,7 +87,7 @@
 	same.mu.Lock()
 	var received []string
 	for i := range same.ids[1:] {
-		if k := same.kind[i+1]; k != "bookmark" {
+		if k := same.kinds[i+1]; k != "bookmark" {
 			received = append(received, same.ids[i+1]+" "+k)
 		}
 	}
@@ -98,7 +98,7 @@
 		g.servers[0].mu.Lock()
 		defer g.servers[0].mu.Unlock()
 		return g.servers[0].watchers == 1
-	}, 10*time.Second, 5*time.Millisecond, "a watcher that has gone is released")
+	}, 10*time.Second, 5*time.Millisecond, "a watcher that has disconnected must not be counted")
 	request(t, "PATCH", u+"/v1/releases/2", `{"note":"while it was away"}`)
 	c, in, status = dialWebSocket(t, u, fmt.Sprintf("?after=%d", last), "")
 	require.Equal(t, 101, status)
@@ -109,7 +109,7 @@
 	require.Equal(t, 403, status)
 }
 
-func TestWatch_CutsOffAWatcherThatReadsNothing(t *testing.T) {
+func TestWatch_DisconnectsWatcherThatDoesNotRead(t *testing.T) {
 	g := startCluster(t, 1)
 	f := g.servers[0]
 	f.mu.Lock()
@@ -117,7 +117,7 @@
 	f.mu.Unlock()
 	c, err := net.Dial("tcp", strings.TrimPrefix(g.urls[0], "http://"))
 	require.NoError(t, err)
-	defer func() { _ = c.Close() }() // the server cuts it off
+	defer func() { _ = c.Close() }() // the server closes the connection first
 	require.NoError(t, c.(*net.TCPConn).SetReadBuffer(4096))
 	_, err = fmt.Fprintf(c, "GET /v1/watch HTTP/1.1\r\nHost: x\r\n\r\n")
 	require.NoError(t, err)
