--- a/internal/controlclient/client.go
+++ b/internal/controlclient/client.go
@@ -1,6 +1,6 @@
 // Package controlclient is a router's client of the release controller: it watches releases, statistics, complaints and
-// plans by server-sent events, casts votes and reports outcomes. It takes no decisions: what the controller reports goes
-// to the router's policy, which votes.
+// plans through server-sent events, casts votes and reports outcomes of requests. It makes no decisions: it passes the events
+// to the router, whose policy decides on votes.
 package controlclient
 
 import (
@@ -20,19 +20,19 @@
 	"dapplefront/policy"
 )
 
-// Handler handles the events of a client, on goroutines of the client.
+// Handler handles the events of a client. Its functions are called on goroutines of the client.
 type Handler struct {
 	Release   func(policy.ReleaseStatus)
 	Counts    func(api.Counts)
 	Complaint func(api.Complaint)
 	Plan      func(api.Plan)
-	Failed    func(error) // a request or the watch failed, or an event was invalid; the watch is resumed by itself
+	Failed    func(error) // a request or the watch failed, or an event was invalid; the client resumes the watch
 }
 
 // Client is one router's client. It is safe for concurrent use.
 type Client struct {
 	urls    []string
-	current atomic.Int64 // counts up; modulo the number of urls, the index of the one in use
+	current atomic.Int64 // only increases; modulo the number of urls, it is the index of the URL in use
 	name    string
 	zone    string
 	timeout time.Duration
@@ -42,8 +42,9 @@
 	done    chan struct{} // closed when the watch has ended
 }
 
-// Open starts the watch for a router in a zone. urls are the base URLs of the controllers: if one can't be reached the
-// next is used. timeout is how long a vote waits for its response; tlsConfig is nil for plain HTTP.
+// Open starts the watch for a router in a zone. urls are the base URLs of the controllers: if one can't be reached, the
+// next one is used. timeout limits each request other than the watch, and the dialing of connections; tlsConfig is nil for
+// plain HTTP.
 func Open(urls []string, name, zone string, tlsConfig *tls.Config, timeout time.Duration, handler Handler) *Client {
 	const idleConnections = 4
 	ctx, cancel := context.WithCancel(context.Background())
@@ -57,8 +58,8 @@
 	return c
 }
 
-// Close ends the watch and waits for it. Votes, reports and acknowledgements in flight end by themselves, within their
-// timeouts.
+// Close ends the watch and waits until it has ended. It does not wait for votes, reports and acknowledgements in flight,
+// which complete or fail within their timeouts.
 func (c *Client) Close() {
 	c.cancel()
 	<-c.done
@@ -67,15 +68,15 @@
 
 func (c *Client) baseURL() string { return c.urls[int(c.current.Load())%len(c.urls)] }
 
-// routerPath is the router's name as a part of a path.
+// routerPath returns the router's name escaped as a path segment.
 func (c *Client) routerPath() string { return url.PathEscape(c.name) }
 
-// withTimeout is a context for one request. It doesn't end with the client.
+// withTimeout returns a context for one request. Close does not cancel it.
 func (c *Client) withTimeout() (context.Context, context.CancelFunc) {
 	return context.WithTimeout(context.Background(), c.timeout)
 }
 
-// get requests a path of the controller in use.
+// get sends a GET request for a path to the controller in use.
 func (c *Client) get(ctx context.Context, path string) (*http.Response, error) {
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, c.baseURL()+path, nil)
 	if err != nil {
@@ -84,7 +85,7 @@
 	return c.http.Do(request)
 }
 
-// sendJSON sends a JSON text to a path of the controller in use.
+// sendJSON sends a request with a JSON body for a path to the controller in use.
 func (c *Client) sendJSON(ctx context.Context, method, path string, body []byte) (*http.Response, error) {
 	request, err := http.NewRequestWithContext(ctx, method, c.baseURL()+path, bytes.NewReader(body))
 	if err != nil {
@@ -94,18 +95,19 @@
 	return c.http.Do(request)
 }
 
-// notSentError is the error of a request that could not be made.
+// notSentError is the error of a request that could not be constructed and was not sent.
 type notSentError struct{ error }
 
 func (e *notSentError) Unwrap() error { return e.error }
 
-// isDialError reports whether a request failed because no connection came up, so that it surely did not arrive.
+// isDialError reports whether a request failed because no connection was established, so that it can't have reached a
+// controller.
 func isDialError(err error) bool {
 	var op *net.OpError
 	return errors.As(err, &op) && op.Op == "dial"
 }
 
-// decode reads the JSON text of an event or response.
+// decode decodes the JSON of an event or response.
 func decode[T any](text []byte) (T, error) {
 	var v T
 	err := json.Unmarshal(text, &v)
--- a/internal/controlclient/plan.go
+++ b/internal/controlclient/plan.go
@@ -10,9 +10,9 @@
 	"dapplefront/internal/api"
 )
 
-const maxPlanBytes = 16 << 20 // some 500,000 hosts
+const maxPlanBytes = 16 << 20 // enough for about 500,000 hosts
 
-// fetchPlan reads a version of the plan for the router's zone.
+// fetchPlan fetches a version of the plan for the router's zone.
 func (c *Client) fetchPlan(version uint64) (plan api.Plan, err error) {
 	ctx, cancel := c.withTimeout()
 	defer cancel()
@@ -20,15 +20,15 @@
 	if err != nil {
 		return plan, err
 	}
-	defer func() { _ = response.Body.Close() }() // read to its end or given up
+	defer func() { _ = response.Body.Close() }() // an error here doesn't affect the result
 	if response.StatusCode != http.StatusOK {
 		return plan, fmt.Errorf("status %s", response.Status)
 	}
 	return plan, json.NewDecoder(io.LimitReader(response.Body, maxPlanBytes)).Decode(&plan)
 }
 
-// AcknowledgePlan tells the controller in the background that a version is followed or, with a reason, that it is not.
-// It is sent once: the next version is acknowledged anew.
+// AcknowledgePlan notifies the controller in the background that the router follows a plan version or, if a reason is given,
+// that it does not. There are no retries, as the next version gets its own acknowledgement.
 func (c *Client) AcknowledgePlan(version uint64, reason string) {
 	go func() {
 		ctx, cancel := c.withTimeout()
@@ -40,9 +40,9 @@
 		}
 		response, err := c.sendJSON(ctx, http.MethodPut, fmt.Sprintf("/v1/plans/%d/routers/%s", version, c.routerPath()), body)
 		if err != nil {
-			c.handler.Failed(fmt.Errorf("the acknowledgement of plan %d: %w", version, err))
+			c.handler.Failed(fmt.Errorf("acknowledging plan %d: %w", version, err))
 			return
 		}
-		_ = response.Body.Close() // its status makes no difference
+		_ = response.Body.Close() // the client does the same for every status
 	}()
 }
--- a/internal/controlclient/report.go
+++ b/internal/controlclient/report.go
@@ -9,14 +9,14 @@
 	"dapplefront/internal/api"
 )
 
-// Retries of a report last a little longer than controllers take to elect a leader.
+// All attempts of a report together last slightly longer than controllers need to elect a leader.
 const (
 	reportAttempts = 6
 	reportBackoff  = 400 * time.Millisecond
 )
 
-// Report adds the outcomes of requests at a build, in the background. It is retried, at another controller where the
-// present one can't be reached, as long as it surely was not counted; one that may have been counted is not.
+// Report reports the outcomes of requests to a build in the background, by outcome; the controller adds them up. It retries
+// only while the report can't have been counted yet, and uses another controller if the current one can't be reached.
 func (c *Client) Report(build int, outcomes map[string]int) {
 	go func() {
 		body, err := json.Marshal(api.BuildReport{Requests: outcomes})
@@ -24,7 +24,7 @@
 			err = c.sendReportWithRetries(build, body)
 		}
 		if err != nil {
-			c.handler.Failed(fmt.Errorf("the report on build %d: %w", build, err))
+			c.handler.Failed(fmt.Errorf("reporting outcomes of build %d: %w", build, err))
 		}
 	}()
 }
@@ -40,7 +40,7 @@
 	return nil
 }
 
-// sendReport sends a report once; retry says that it surely was not counted and may be sent again.
+// sendReport sends a report once. retry is true if the report can't have been counted and may be sent again.
 func (c *Client) sendReport(build int, body []byte) (retry bool, err error) {
 	ctx, cancel := c.withTimeout()
 	defer cancel()
@@ -53,7 +53,7 @@
 	if err != nil {
 		return false, err
 	}
-	_ = response.Body.Close() // its status says all
+	_ = response.Body.Close() // the status alone decides
 	if response.StatusCode >= http.StatusMultipleChoices {
 		return response.StatusCode == http.StatusServiceUnavailable, fmt.Errorf("status %s", response.Status)
 	}
--- a/internal/controlclient/vote.go
+++ b/internal/controlclient/vote.go
@@ -13,13 +13,13 @@
 
 const maxReplyBytes = 64 << 10
 
-// CastVote casts a vote in the background by the given function and calls done once with its result; an error is
-// reported as well.
+// CastVote casts a vote in the background through the given function and calls done once with its result. An error is
+// also passed to Failed.
 func (h Handler) CastVote(build int, vote func() (policy.ReleaseStatus, error), done func(policy.ReleaseStatus)) {
 	go func() {
 		status, err := vote()
 		if err != nil {
-			h.Failed(fmt.Errorf("a vote on build %d: %w", build, err))
+			h.Failed(fmt.Errorf("vote on build %d: %w", build, err))
 		}
 		done(status)
 	}()
@@ -30,7 +30,8 @@
 	c.handler.CastVote(build, func() (policy.ReleaseStatus, error) { return c.vote(build, stage, choice) }, done)
 }
 
-// vote casts a vote. It was surely not counted if it could not be sent; without a response its result is unknown.
+// vote casts a vote. A vote that could not be sent was not counted, and its result is VoteRejected. Without a response the
+// result is VoteUnknown.
 func (c *Client) vote(build, stage int, choice policy.VoteChoice) (policy.ReleaseStatus, error) {
 	failed := func(result policy.VoteResult, err error) (policy.ReleaseStatus, error) {
 		return policy.ReleaseStatus{Build: build, Stage: stage, VoteResult: result}, err
@@ -49,19 +50,19 @@
 		}
 		return failed(policy.VoteUnknown, err)
 	}
-	defer func() { _ = response.Body.Close() }() // read to its end or given up
+	defer func() { _ = response.Body.Close() }() // an error here doesn't affect the result
 	switch response.StatusCode {
 	case http.StatusOK:
 	case http.StatusConflict, http.StatusNotFound:
 		return failed(policy.VoteStale, nil)
-	case http.StatusGatewayTimeout: // the leader was lost on the way
+	case http.StatusGatewayTimeout: // the leader was lost during the change, which may have been made
 		return failed(policy.VoteUnknown, fmt.Errorf("status %s", response.Status))
 	default:
 		return failed(policy.VoteRejected, fmt.Errorf("status %s", response.Status))
 	}
 	var release api.Release
 	if err := json.NewDecoder(io.LimitReader(response.Body, maxReplyBytes)).Decode(&release); err != nil {
-		return failed(policy.VoteUnknown, err) // accepted, by its status, but the release status is not known
+		return failed(policy.VoteUnknown, err) // the status says accepted, but the release status is not known
 	}
 	status, err := release.Status()
 	if err != nil {
--- a/internal/controlclient/watch.go
+++ b/internal/controlclient/watch.go
@@ -9,17 +9,17 @@
 	"dapplefront/internal/sse"
 )
 
-// watch follows the events of the controllers until ctx ends. After a failure it turns to the next controller.
+// watch receives events from the controllers until ctx is canceled. After a failure it continues with the next controller.
 func (c *Client) watch(ctx context.Context) {
 	defer close(c.done)
-	where := func() string { return c.baseURL() + "/v1/watch?router=" + url.QueryEscape(c.name) }
-	sse.Follow(ctx, c.http, where, c.handleEvent, func(err error) {
+	watchURL := func() string { return c.baseURL() + "/v1/watch?router=" + url.QueryEscape(c.name) }
+	sse.Follow(ctx, c.http, watchURL, c.handleEvent, func(err error) {
 		c.current.Add(1)
 		c.handler.Failed(err)
 	})
 }
 
-// handleEvent reads an event and reports it. Events of kinds that it doesn't know are of later controllers.
+// handleEvent decodes an event and calls its handler. It ignores events of unknown kinds, which later controllers may send.
 func (c *Client) handleEvent(event string, data []byte) error {
 	switch event {
 	case api.EventReleaseStatus:
@@ -53,7 +53,7 @@
 		return fmt.Errorf("event %s: %w", event, err)
 	}
 	if counts.Failures < 0 || counts.Samples < counts.Failures || counts.MeanMs < 0 || counts.AgeMs < 0 {
-		return fmt.Errorf("counts that make no sense: %s", data)
+		return fmt.Errorf("invalid counts: %s", data)
 	}
 	c.handler.Counts(counts)
 	return nil
@@ -65,13 +65,13 @@
 		return fmt.Errorf("event %s: %w", event, err)
 	}
 	if complaint.AgeMs < 0 {
-		return fmt.Errorf("a complaint that makes no sense: %s", data)
+		return fmt.Errorf("invalid complaint: %s", data)
 	}
 	c.handler.Complaint(complaint)
 	return nil
 }
 
-// handlePlan reads the plan that an event announces, which is too large for an event.
+// handlePlan fetches the plan that an event announces. A plan is too large to be sent in an event.
 func (c *Client) handlePlan(event string, data []byte) error {
 	notice, err := decode[api.PlanNotice](data)
 	if err != nil {
