--- a/internal/discovery/host_table_test.go
+++ b/internal/discovery/host_table_test.go
@@ -17,7 +17,7 @@
 	w, first, h := openTestWatch(t, d, known)
 	require.Len(t, first, 1)
 	old := first[0].ID
-	w.Ask()
+	w.Subscribe()
 	d.lines <- listJSON(41, false, endpointJSON("a", "draining", 1))
 	got := <-h.updates
 	require.Equal(t, old, got[0].ID)
--- a/internal/discovery/watch.go
+++ b/internal/discovery/watch.go
@@ -41,7 +41,7 @@
 	hosts    hostTable
 }
 
-// Open prepares a watch that starts from a previously known list, and returns the hosts of that list. Ask starts the watch.
+// Open prepares a watch that starts from a previously known list, and returns the hosts of that list. Subscribe starts the watch.
 func Open(address string, known EndpointList, handler eds.Handler) (*Watch, []eds.Host) {
 	w := &Watch{handler: handler, hosts: newHostTable()}
 	w.stream = jsonstream.New(address, WatchTimeouts, jsonstream.Handler{Open: w.openWatch, Ended: func(err error) {
@@ -54,8 +54,8 @@
 	return w, w.apply(known)
 }
 
-// Ask starts the watch. It does nothing while one is open.
-func (w *Watch) Ask() { w.stream.Open() }
+// Subscribe starts the watch. It does nothing while one is open.
+func (w *Watch) Subscribe() { w.stream.Open() }
 
 // SetAddress starts to watch another address immediately. The old watch is read until the new one has responded.
 func (w *Watch) SetAddress(address string) { w.stream.SetAddress(address) }
--- a/internal/downstream/server_test.go
+++ b/internal/downstream/server_test.go
@@ -117,10 +117,10 @@
 			require.Equal(t, 502, c.status())
 			unblock := h.blockLoop()
 			go h.loop.Post(func() { closes(h.server) }) // queued before the request
-			require.Eventually(t, func() bool { return h.loop.Waiting() == 1 }, 20*time.Second, time.Millisecond)
+			require.Eventually(t, func() bool { return h.loop.QueueLength() == 1 }, 20*time.Second, time.Millisecond)
 			conn := h.onlyConn()
 			c.get()
-			require.Eventually(t, func() bool { return conn.awaitingResponse.Load() == 1 && h.loop.Waiting() == 2 }, 20*time.Second, time.Millisecond)
+			require.Eventually(t, func() bool { return conn.awaitingResponse.Load() == 1 && h.loop.QueueLength() == 2 }, 20*time.Second, time.Millisecond)
 			conn.lastReadAt.Store(0) // the server takes the connection for long idle
 			unblock()
 			if name != "shutdown" {
@@ -145,7 +145,7 @@
 	unblock := h.blockLoop()
 	c := h.dial()
 	c.get()
-	require.Eventually(t, func() bool { return h.loop.Waiting() == 2 }, 20*time.Second, time.Millisecond, "the accept and the request are queued")
+	require.Eventually(t, func() bool { return h.loop.QueueLength() == 2 }, 20*time.Second, time.Millisecond, "the accept and the request are queued")
 	unblock()
 	require.Zero(t, c.status())
 	h.loop.Do(func() {}) // the queued work is done
--- a/internal/eds/watch.go
+++ b/internal/eds/watch.go
@@ -1,6 +1,6 @@
 // Package eds watches the endpoint list through xDS endpoint discovery (EDS) over gRPC, with complete lists
 // (state-of-the-world) or with changes (incremental). An invalid version is rejected (NACK) with the reason, and the last
-// accepted list stays in use. A stream that breaks is reported and is not opened again until Ask is called, because the
+// accepted list stays in use. A stream that breaks is reported and is not opened again until Subscribe is called, because the
 // caller decides when to retry. The next stream tells the service which versions the router has.
 package eds
 
@@ -38,7 +38,7 @@
 	closed bool
 }
 
-// New prepares a watch of the named resources; Ask starts it.
+// New prepares a watch of the named resources; Subscribe starts it.
 func New(address, nodeID string, resourceNames []string, incremental bool, handler Handler) (*Watch, error) {
 	conn, err := grpc.NewClient("passthrough:///"+address, grpc.WithTransportCredentials(insecure.NewCredentials()))
 	if err != nil {
@@ -48,8 +48,8 @@
 		conn: conn, list: newEndpointList()}, nil
 }
 
-// Ask opens the stream. It does nothing while one is open.
-func (w *Watch) Ask() {
+// Subscribe opens the stream. It does nothing while one is open.
+func (w *Watch) Subscribe() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if w.closed || w.cancel != nil {
--- a/internal/eventloop/loop.go
+++ b/internal/eventloop/loop.go
@@ -121,8 +121,8 @@
 // for less the older it is. Work that is due now may be late by as much. It must be called from the loop's work.
 func (l *Loop) Lag() policy.Time { return FromDuration(l.lag.at(l.clock.elapsed())) }
 
-// Waiting returns the number of queued pieces of work, not counting the batch that is running.
-func (l *Loop) Waiting() int {
+// QueueLength returns the number of queued pieces of work, not counting the batch that is running.
+func (l *Loop) QueueLength() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return len(l.queue)
--- a/internal/http1/body.go
+++ b/internal/http1/body.go
@@ -58,7 +58,7 @@
 		r.state = readingChunkSize
 	case f.lengths > 0:
 		return r.startSizedBody(f.length)
-	case r.response && r.limits.Framed:
+	case r.response && r.limits.RequireFraming:
 		return newError(http.StatusBadGateway, "the response has no length")
 	case r.response:
 		r.state = readingToEnd
--- a/internal/http1/reader.go
+++ b/internal/http1/reader.go
@@ -12,9 +12,9 @@
 
 // Limits are the limits of one message. Head and Body are in bytes, and at least 1.
 type Limits struct {
-	Head   int // start line and header fields
-	Body   int
-	Framed bool // a response must have a length or be chunked, because a lost connection looks like the end of other responses
+	Head           int // start line and header fields
+	Body           int
+	RequireFraming bool // a response must have a length or be chunked, because a lost connection looks like the end of other responses
 }
 
 type readState int
--- a/internal/node/router_config.go
+++ b/internal/node/router_config.go
@@ -72,7 +72,7 @@
 	r.Upstream = upstream.Config{ConnectTimeout: max(c.duration("Permissions.ConnectTimeoutUs"), minConnectTimeout),
 		IdleTimeout:           max(idle-idleMargin, idle/2, minUpstreamIdleTimeout),
 		MaxConnectionsPerHost: sockets, MaxConnections: maxUpstream,
-		Limits: http1.Limits{Head: maxHeadBytes, Body: maxResponseBytes, Framed: true}, Protocol: upstreamProtocol}
+		Limits: http1.Limits{Head: maxHeadBytes, Body: maxResponseBytes, RequireFraming: true}, Protocol: upstreamProtocol}
 	r.Downstream = downstream.Config{RouterName: c.Name, TransferTimeout: transferTimeout, IdleTimeout: clientIdleTimeout,
 		FirstRequestTimeout: firstRequestTimeout, ReclaimIdleAfter: reclaimIdleAfter, MaxConnections: sockets - maxUpstream, MaxPipelined: 1,
 		Limits: http1.Limits{Head: maxHeadBytes, Body: maxRequestBodyBytes}, Protocol: downstreamProtocol}
--- a/internal/proxy/attempt.go
+++ b/internal/proxy/attempt.go
@@ -57,7 +57,7 @@
 		p.countIfLate(r.downstream)
 		r.host = host
 		p.countOutcome(reportedSucceeded, r)
-		if p.faults == nil || !p.faults.Silent(r.id) {
+		if p.faults == nil || !p.faults.WithholdsResponse(r.id) {
 			r.downstream.Respond(result.Response, host)
 		}
 		r.cancelAttempts()
--- a/internal/proxy/config_test.go
+++ b/internal/proxy/config_test.go
@@ -175,8 +175,8 @@
 // noDiscovery is a watch that never delivers endpoints.
 type noDiscovery struct{}
 
-func (noDiscovery) Ask()   {}
-func (noDiscovery) Close() {}
+func (noDiscovery) Subscribe() {}
+func (noDiscovery) Close()     {}
 
 // Guards against sockets and goroutines that leak when a router can't start because its release client fails to open.
 func TestStartWith_ReleasesResourcesWhenReleaseClientFailsToOpen(t *testing.T) {
--- a/internal/proxy/events.go
+++ b/internal/proxy/events.go
@@ -68,7 +68,7 @@
 			timer := a.Timer
 			p.loop.After(a.Duration, func() { p.handleEvent(router.TimerFired{Timer: timer}) })
 		case router.WatchEndpoints:
-			p.discovery.Ask()
+			p.discovery.Subscribe()
 		case router.CastVote:
 			p.castVote(a)
 		case router.SendGossip:
--- a/internal/proxy/protocols.go
+++ b/internal/proxy/protocols.go
@@ -13,7 +13,7 @@
 
 // Discovery is a watch of the endpoint list.
 type Discovery interface {
-	Ask() // starts the watch, or resumes it after a failure; does nothing while it runs
+	Subscribe() // starts the watch, or resumes it after a failure; does nothing while it runs
 	Close()
 }
 
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -37,8 +37,8 @@
 	// Actions returns the actions that are carried out in place of those that the router returned for an event. hosts
 	// contains every host that was ever listed.
 	Actions(now policy.Time, e router.Event, actions []router.Action, hosts map[uint32]eds.Host) []router.Action
-	// Silent reports whether the final response to a request is withheld from its client.
-	Silent(requestID string) bool
+	// WithholdsResponse reports whether the final response to a request is withheld from its client.
+	WithholdsResponse(requestID string) bool
 }
 
 // Proxy is one running router.
@@ -189,7 +189,7 @@
 	}
 	p.execute(actions)
 	if config.Limits.PushedDiscovery { // the router does not poll a pushed list, but the stream must be opened
-		p.discovery.Ask()
+		p.discovery.Subscribe()
 	}
 }
 
--- a/internal/proxy/request.go
+++ b/internal/proxy/request.go
@@ -52,7 +52,7 @@
 	r.responseDue = false
 	p.counts.ClientsGone++
 	r.cancelAttempts()
-	p.handleEvent(router.ClientGone{RequestID: r.id})
+	p.handleEvent(router.ClientDisconnected{RequestID: r.id})
 	p.removeIfComplete(r)
 }
 
@@ -74,7 +74,7 @@
 		p.counts.Failed++
 		p.countOutcome(reportedFailed, r)
 	}
-	if p.faults == nil || !p.faults.Silent(r.id) {
+	if p.faults == nil || !p.faults.WithholdsResponse(r.id) {
 		if a.Kind == router.Reject {
 			r.downstream.Reject(a.Duration, "turned back; trying again is harmless")
 		} else {
--- a/internal/scenario/fault_injection.go
+++ b/internal/scenario/fault_injection.go
@@ -38,8 +38,10 @@
 		drainingSince: map[uint32]policy.Time{}}, nil
 }
 
-// Silent keeps every fortieth response from its client.
-func (i *faultInjector) Silent(string) bool { return i.violation == "answer" && i.calls.Add(1)%40 == 0 }
+// WithholdsResponse keeps every fortieth response from its client.
+func (i *faultInjector) WithholdsResponse(string) bool {
+	return i.violation == "answer" && i.calls.Add(1)%40 == 0
+}
 
 // Actions redirects attempts to a host that must not get them, or adds such an attempt.
 func (i *faultInjector) Actions(now policy.Time, event router.Event, actions []router.Action, hosts map[uint32]eds.Host) []router.Action {
--- a/internal/simadapter/mapping.go
+++ b/internal/simadapter/mapping.go
@@ -48,7 +48,7 @@
 		return router.AttemptEnded{RequestID: e.Ticket, Attempt: e.N, Outcome: outcomes[e.Code], Latency: ticks(e.RttUs), Done: e.Done,
 			Load: i.reportFields.FromValues(e.Metrics)}
 	case simwire.TimedOutClient:
-		return router.ClientGone{RequestID: e.Ticket}
+		return router.ClientDisconnected{RequestID: e.Ticket}
 	case simwire.AckFirst:
 		return router.ResponseStarted{RequestID: e.Ticket, Attempt: e.N}
 	case simwire.Due:
--- a/internal/testbed/discovery_test.go
+++ b/internal/testbed/discovery_test.go
@@ -71,7 +71,7 @@
 			b := RemoteBackend("127.0.0.1:2", Machine{ID: 2, Zone: "there", Cores: 1, Speed: 1}, 1)
 			server.Set(Endpoint{a, policy.Serving}, Endpoint{b, policy.Serving})
 			w := watch(t, server, protocol.incremental)
-			w.Ask()
+			w.Subscribe()
 			w.eventually(t, func() bool { return len(w.states) == 2 })
 			server.Set(Endpoint{a, policy.Draining})
 			w.eventually(t, func() bool { return w.states[1] == policy.Draining && w.states[2] == policy.Serving })
@@ -87,11 +87,11 @@
 
 			server.SetDown(true)
 			w.eventually(t, func() bool { return w.failed == 1 })
-			w.Ask()
+			w.Subscribe()
 			w.eventually(t, func() bool { return w.failed == 2 })
 			server.Set(Endpoint{b, policy.Draining}) // while no router can see it
 			server.SetDown(false)
-			w.Ask()
+			w.Subscribe()
 			w.eventually(t, func() bool { return w.states[2] == policy.Draining })
 		})
 	}
--- a/policy/analysis.go
+++ b/policy/analysis.go
@@ -221,7 +221,7 @@
 	for _, class := range classes {
 		counts := func(sample attemptSample) bool {
 			return sample.class == class && (sample.outcome != TimedOut ||
-				r.isWarmSample(sample) && !sample.impatient && r.release.status.Phase == Canary)
+				r.isWarmSample(sample) && !sample.shortTimeout && r.release.status.Phase == Canary)
 		}
 		classStrata, failing := strataByTime(c.canarySamples, c.baselineSamples, counts, excluded)
 		if r.judgesByStats() { // the statistics don't distinguish hosts; the router's own shadow attempts do
--- a/policy/invariants_test.go
+++ b/policy/invariants_test.go
@@ -149,7 +149,7 @@
 					request := l.requests[rapid.IntRange(max(0, len(l.requests)-5), len(l.requests)-1).Draw(d, "request")]
 					if l.answers[request] == 0 && !l.clientGone[request] {
 						l.clientGone[request] = true
-						f.router.ClientGone(f.now, request)
+						f.router.ClientDisconnected(f.now, request)
 						for _, attempt := range request.Attempts { // attempts not yet sent are canceled, the others run to their end
 							if attempt.outcome == Pending && rapid.Bool().Draw(d, "canceled") {
 								end(attempt, NotSent)
--- a/policy/latency.go
+++ b/policy/latency.go
@@ -4,14 +4,14 @@
 
 // attemptSample is the observation from one ended attempt.
 type attemptSample struct {
-	at        Time // when it ended
-	latency   Time
-	hostAge   Time // age of the host's process when the attempt was sent
-	host      *Host
-	class     *Class
-	outcome   Outcome
-	impatient bool    // the attempt timed out, and its client waits less than the latency objective
-	hostLoad  float64 // requests in flight at the host when the attempt was sent, as estimated
+	at           Time // when it ended
+	latency      Time
+	hostAge      Time // age of the host's process when the attempt was sent
+	host         *Host
+	class        *Class
+	outcome      Outcome
+	shortTimeout bool    // the attempt timed out, and its client waits less than the latency objective
+	hostLoad     float64 // requests in flight at the host when the attempt was sent, as estimated
 
 	slowdown         float64 // latency divided by the class's usual latency
 	unqueuedSlowdown float64 // slowdown without the part added by the host's load
@@ -40,8 +40,8 @@
 	host, class := attempt.Host, attempt.Request.Class
 	sample := attemptSample{at: r.now, latency: latency, hostAge: attempt.sentAt - attempt.hostStartedAt, host: host, class: class,
 		outcome: attempt.outcome, hostLoad: attempt.hostLoad,
-		impatient: attempt.outcome == TimedOut && attempt.Request.Timeout < class.LatencyObjective,
-		slowdown:  float64(latency) / float64(class.usualLatency)}
+		shortTimeout: attempt.outcome == TimedOut && attempt.Request.Timeout < class.LatencyObjective,
+		slowdown:     float64(latency) / float64(class.usualLatency)}
 	if r.limits.MaxGossipBytes > 0 { // if a class is slow at all hosts, no single host is at fault
 		sample.slowdown /= r.classSlowdown(class)
 	}
--- a/policy/request.go
+++ b/policy/request.go
@@ -123,7 +123,7 @@
 	{mayHaveExecuted, requestEnded, finished, (*Router).leaveAttemptsInFlight},
 }
 
-// RequestArrived accepts a request. From now on the router owes it one final answer, unless ClientGone is called first.
+// RequestArrived accepts a request. From now on the router owes it one final answer, unless ClientDisconnected is called first.
 func (r *Router) RequestArrived(now Time, request *Request) {
 	r.now, request.arrivedAt = now, now
 	r.traffic.arrivals = appendBounded(r.traffic.arrivals, trafficEvent{at: now, class: request.Class}, keptFleetEvents)
@@ -133,8 +133,8 @@
 	r.handleRequestEvent(request, requestArrived)
 }
 
-// ClientGone records that the client of a request has stopped waiting: an answer is no longer owed.
-func (r *Router) ClientGone(now Time, request *Request) {
+// ClientDisconnected records that the client of a request has stopped waiting: an answer is no longer owed.
+func (r *Router) ClientDisconnected(now Time, request *Request) {
 	r.now = now
 	r.handleRequestEvent(request, requestEnded)
 }
--- a/policy/retry_test.go
+++ b/policy/retry_test.go
@@ -36,7 +36,7 @@
 			require.Same(t, request.Attempts[0].Host.Zone, attempt.Host.Zone)
 		}
 		f.advance(Second)
-		f.router.ClientGone(f.now, request)
+		f.router.ClientDisconnected(f.now, request)
 	}
 	late := f.arrive(f.order)
 	late.Timeout = 9 * Second
--- a/record/describe.go
+++ b/record/describe.go
@@ -25,7 +25,7 @@
 		return fmt.Sprintf("request %s arrived: class %s, timeout %.1f ms", e.RequestID, e.Class, milliseconds(e.Timeout))
 	case router.AttemptEnded:
 		return fmt.Sprintf("attempt %d of request %s ended: %s after %.1f ms", e.Attempt, e.RequestID, outcomeText(e.Outcome), milliseconds(e.Latency))
-	case router.ClientGone:
+	case router.ClientDisconnected:
 		return fmt.Sprintf("client of request %s disconnected", e.RequestID)
 	case router.EndpointsChanged:
 		return fmt.Sprintf("endpoint list received: %d hosts", len(e.Hosts))
@@ -86,7 +86,7 @@
 		return e.RequestID == id
 	case router.AttemptEnded:
 		return e.RequestID == id
-	case router.ClientGone:
+	case router.ClientDisconnected:
 		return e.RequestID == id
 	}
 	return false
--- a/record/entry.go
+++ b/record/entry.go
@@ -25,7 +25,7 @@
 	entryRequestArrived       = 4
 	entryAttemptEnded         = 5
 	entryResponseStarted      = 6
-	entryClientGone           = 7
+	entryClientDisconnected   = 7
 	entryEndpointsChanged     = 8
 	entryEndpointsUnavailable = 9
 	entryReleaseChanged       = 10
@@ -97,8 +97,8 @@
 		b.message(entryAttemptEnded, func(b *encoder) { appendAttemptEnded(b, e) })
 	case router.ResponseStarted:
 		b.message(entryResponseStarted, func(b *encoder) { appendResponseStarted(b, e) })
-	case router.ClientGone:
-		b.message(entryClientGone, func(b *encoder) { appendClientGone(b, e) })
+	case router.ClientDisconnected:
+		b.message(entryClientDisconnected, func(b *encoder) { appendClientDisconnected(b, e) })
 	case router.EndpointsChanged:
 		b.message(entryEndpointsChanged, func(b *encoder) { appendEndpointsChanged(b, e) })
 	case router.EndpointsUnavailable:
@@ -134,8 +134,8 @@
 		return decodeAttemptEnded(f.bytes)
 	case entryResponseStarted:
 		return decodeResponseStarted(f.bytes)
-	case entryClientGone:
-		return decodeClientGone(f.bytes)
+	case entryClientDisconnected:
+		return decodeClientDisconnected(f.bytes)
 	case entryEndpointsChanged:
 		return decodeEndpointsChanged(f.bytes)
 	case entryEndpointsUnavailable:
--- a/record/helpers_test.go
+++ b/record/helpers_test.go
@@ -80,7 +80,7 @@
 			Key: fmt.Sprint("account-", random.IntN(20)), Timeout: 10_000, ClientRetry: random.IntN(9) == 0})
 		switch random.IntN(60) {
 		case 0:
-			handle(router.ClientGone{RequestID: strconv.Itoa(i)})
+			handle(router.ClientDisconnected{RequestID: strconv.Itoa(i)})
 		case 1:
 			h := hosts[random.IntN(12)]
 			h.State, h.StartedAt = policy.EndpointState(random.IntN(3)), now
--- a/record/request_events.go
+++ b/record/request_events.go
@@ -116,15 +116,17 @@
 	return e, err
 }
 
-// Field of the message Left, a router.ClientGone.
-const clientGoneRequestID = 1
+// Field of the message Left, a router.ClientDisconnected.
+const clientDisconnectedRequestID = 1
 
-func appendClientGone(b *encoder, e router.ClientGone) { b.text(clientGoneRequestID, e.RequestID) }
+func appendClientDisconnected(b *encoder, e router.ClientDisconnected) {
+	b.text(clientDisconnectedRequestID, e.RequestID)
+}
 
-func decodeClientGone(message []byte) (router.Event, error) {
-	var e router.ClientGone
+func decodeClientDisconnected(message []byte) (router.Event, error) {
+	var e router.ClientDisconnected
 	err := eachField(message, func(f field) error {
-		if f.number == clientGoneRequestID {
+		if f.number == clientDisconnectedRequestID {
 			e.RequestID = f.text()
 		}
 		return nil
--- a/router/events.go
+++ b/router/events.go
@@ -35,8 +35,8 @@
 	Attempt   int
 }
 
-// ClientGone reports that a client disconnected: its request needs no response any more.
-type ClientGone struct{ RequestID string }
+// ClientDisconnected reports that a client disconnected: its request needs no response any more.
+type ClientDisconnected struct{ RequestID string }
 
 // EndpointsChanged is an endpoint list: the complete list if Complete is set, otherwise only the hosts that have changed.
 type EndpointsChanged struct {
@@ -93,7 +93,7 @@
 func (RequestArrived) event()       {}
 func (AttemptEnded) event()         {}
 func (ResponseStarted) event()      {}
-func (ClientGone) event()           {}
+func (ClientDisconnected) event()   {}
 func (EndpointsChanged) event()     {}
 func (EndpointsUnavailable) event() {}
 func (ReleaseChanged) event()       {}
--- a/router/router.go
+++ b/router/router.go
@@ -88,8 +88,8 @@
 		r.attemptEnded(now, e)
 	case ResponseStarted:
 		r.responseStarted(now, e)
-	case ClientGone:
-		r.clientGone(now, e)
+	case ClientDisconnected:
+		r.clientDisconnected(now, e)
 	case EndpointsChanged:
 		r.endpointsChanged(now, e)
 	case EndpointsUnavailable:
@@ -162,9 +162,9 @@
 	r.forget(e.RequestID, q)
 }
 
-func (r *Router) clientGone(now policy.Time, e ClientGone) {
+func (r *Router) clientDisconnected(now policy.Time, e ClientDisconnected) {
 	if q := r.requests[e.RequestID]; q != nil {
-		r.policy.ClientGone(now, q.policy)
+		r.policy.ClientDisconnected(now, q.policy)
 		r.forget(e.RequestID, q)
 	}
 }
