--- a/internal/downstream/request.go
+++ b/internal/downstream/request.go
@@ -26,8 +26,8 @@
 	ClientRetry    bool
 	RemoteIP       netip.Addr
 
-	// OnClientGone is called from work of the loop if the client disconnects before the response. The handler sets it.
-	OnClientGone func()
+	// OnClientDisconnected is called from work of the loop if the client disconnects before the response. The handler sets it.
+	OnClientDisconnected func()
 
 	pending *pendingResponse
 }
@@ -70,7 +70,7 @@
 
 // parseRequest parses the headers that describe a request. The last pending response of c must be that of the request.
 func (s *Server) parseRequest(c *clientConn, m *http1.Message, startedAt policy.Time) (*Request, *http1.Error) {
-	r := &Request{Message: m, OnClientGone: func() {}, pending: c.pending[len(c.pending)-1], RemoteIP: c.remoteIP}
+	r := &Request{Message: m, OnClientDisconnected: func() {}, pending: c.pending[len(c.pending)-1], RemoteIP: c.remoteIP}
 	headers, err := s.protocol.readHeaders(m, s.headers)
 	if err != nil {
 		return nil, err
--- a/internal/downstream/response.go
+++ b/internal/downstream/response.go
@@ -26,7 +26,7 @@
 	body       []byte
 }
 
-// abandon marks a response that can't reach the client as answered and calls OnClientGone.
+// abandon marks a response that can't reach the client as answered and calls OnClientDisconnected.
 func (p *pendingResponse) abandon() {
 	if p.answered {
 		return
@@ -34,7 +34,7 @@
 	p.markAnswered()
 	if r := p.request; r != nil {
 		p.request = nil
-		r.OnClientGone()
+		r.OnClientDisconnected()
 	}
 }
 
--- a/internal/downstream/server_test.go
+++ b/internal/downstream/server_test.go
@@ -37,7 +37,7 @@
 	h := &testbench{T: t, loop: eventloop.New(), requests: make(chan *Request, 100)}
 	engine := transport.Start()
 	h.loop.Do(func() {
-		h.server = NewServer(h.loop, config, http1.NewBudget(1<<20), func(r *Request) { r.OnClientGone = func() {}; h.requests <- r })
+		h.server = NewServer(h.loop, config, http1.NewBudget(1<<20), func(r *Request) { r.OnClientDisconnected = func() {}; h.requests <- r })
 	})
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
--- a/internal/proxy/request.go
+++ b/internal/proxy/request.go
@@ -43,12 +43,12 @@
 	r := &request{id: strconv.FormatUint(p.lastRequestID, 36), downstream: d, responseDue: true}
 	p.requests[r.id] = r
 	p.counts.Received++
-	d.OnClientGone = func() { p.clientGone(r) }
+	d.OnClientDisconnected = func() { p.clientDisconnected(r) }
 	p.handleEvent(router.RequestArrived{RequestID: r.id, Class: d.Class, Tenant: d.Tenant, Key: d.Key, Timeout: d.Timeout,
 		ExpectedWork: d.ExpectedWork, ClientRetry: d.ClientRetry})
 }
 
-func (p *Proxy) clientGone(r *request) {
+func (p *Proxy) clientDisconnected(r *request) {
 	r.responseDue = false
 	p.counts.ClientsGone++
 	r.cancelAttempts()
--- a/policy/invariants_test.go
+++ b/policy/invariants_test.go
@@ -12,17 +12,17 @@
 // invariants records what a random sequence of events has led to for each request, to check the router's rules.
 type invariants struct {
 	*rapid.T
-	f               *fakeFleet
-	requests        []*Request
-	deadlines       map[*Request]Time
-	answers         map[*Request]int // number of final answers
-	clientGone      map[*Request]bool
-	drainingSince   map[*Host]Time // time since which a host has been draining or removed
-	canaryAttempts  []trafficEvent // attempts at a build with limited exposure
-	arrivals        []trafficEvent
-	checkedAttempts int // of f.attempts
-	checkedRejects  int // of f.rejected
-	checkedFailures int // of f.failed
+	f                  *fakeFleet
+	requests           []*Request
+	deadlines          map[*Request]Time
+	answers            map[*Request]int // number of final answers
+	clientDisconnected map[*Request]bool
+	drainingSince      map[*Host]Time // time since which a host has been draining or removed
+	canaryAttempts     []trafficEvent // attempts at a build with limited exposure
+	arrivals           []trafficEvent
+	checkedAttempts    int // of f.attempts
+	checkedRejects     int // of f.rejected
+	checkedFailures    int // of f.failed
 }
 
 // check checks what the router did since the last check.
@@ -31,7 +31,7 @@
 	for ; l.checkedAttempts < len(f.attempts); l.checkedAttempts++ {
 		attempt := f.attempts[l.checkedAttempts]
 		request, now := attempt.Request, f.now
-		if l.clientGone[request] || l.answers[request] > 0 {
+		if l.clientDisconnected[request] || l.answers[request] > 0 {
 			l.Fatalf("at %d: an attempt was sent for a request that is complete", now)
 		}
 		if f.timeouts[attempt] <= 0 || now+f.timeouts[attempt] > l.deadlines[request] {
@@ -97,7 +97,7 @@
 			config.Routers = rapid.SampledFrom([]int{1, 3, 300}).Draw(d, "routers")
 			config.Seed = rapid.Uint64().Draw(d, "seed")
 		})
-		l := &invariants{T: d, f: f, deadlines: map[*Request]Time{}, answers: map[*Request]int{}, clientGone: map[*Request]bool{}, drainingSince: map[*Host]Time{}}
+		l := &invariants{T: d, f: f, deadlines: map[*Request]Time{}, answers: map[*Request]int{}, clientDisconnected: map[*Request]bool{}, drainingSince: map[*Host]Time{}}
 		classes := []*Class{f.quote, f.order, f.payment}
 		pass := func(span Time) { // does what the owner of a router does: it ends attempts whose timeout has passed
 			for end := f.now + span; f.now < end; {
@@ -112,10 +112,10 @@
 			}
 		}
 		end := func(attempt *Attempt, outcome Outcome) {
-			if outcome == Succeeded && l.answers[attempt.Request] == 0 && !l.clientGone[attempt.Request] {
+			if outcome == Succeeded && l.answers[attempt.Request] == 0 && !l.clientDisconnected[attempt.Request] {
 				l.answers[attempt.Request]++ // the client has the response before AttemptEnded is called
 			}
-			f.router.AttemptEnded(f.now, attempt, outcome, f.now-attempt.sentAt, l.answers[attempt.Request] > 0 || l.clientGone[attempt.Request], nil)
+			f.router.AttemptEnded(f.now, attempt, outcome, f.now-attempt.sentAt, l.answers[attempt.Request] > 0 || l.clientDisconnected[attempt.Request], nil)
 		}
 		steps := map[string]func(){
 			"request": func() {
@@ -147,8 +147,8 @@
 			"client gone": func() {
 				if len(l.requests) > 0 {
 					request := l.requests[rapid.IntRange(max(0, len(l.requests)-5), len(l.requests)-1).Draw(d, "request")]
-					if l.answers[request] == 0 && !l.clientGone[request] {
-						l.clientGone[request] = true
+					if l.answers[request] == 0 && !l.clientDisconnected[request] {
+						l.clientDisconnected[request] = true
 						f.router.ClientDisconnected(f.now, request)
 						for _, attempt := range request.Attempts { // attempts not yet sent are canceled, the others run to their end
 							if attempt.outcome == Pending && rapid.Bool().Draw(d, "canceled") {
@@ -191,7 +191,7 @@
 		}
 		pass(4 * Second) // beyond the longest timeout
 		for _, request := range l.requests {
-			require.Equal(d, map[bool]int{true: 0, false: 1}[l.clientGone[request]], l.answers[request], "number of final answers to a request")
+			require.Equal(d, map[bool]int{true: 0, false: 1}[l.clientDisconnected[request]], l.answers[request], "number of final answers to a request")
 		}
 	})
 }
