--- a/internal/node/config.go
+++ b/internal/node/config.go
@@ -18,14 +18,14 @@
 	"dapplefront/policy"
 )
 
-// Least limits that a router can serve within.
+// Smallest limits under which a router can serve.
 const (
 	minMemoryMB = 24
 	minSockets  = 64
 )
 
-// File is the platform's configuration file: the object that the operators' protocol page calls the configuration. Its
-// JSON names are the operators'.
+// File is the platform's configuration file: the object that the operators' protocol page calls the configuration. The
+// page defines its JSON names.
 type File struct {
 	Name      string `json:"name"`
 	Listen    string `json:"listen"`
@@ -40,21 +40,21 @@
 		Address       string                 `json:"address"`
 		ReleaseStatus platform.ReleaseStatus `json:"news"`
 	} `json:"platform"`
-	Endpoints discovery.EndpointList `json:"known"` // the endpoint list as it was when the file was written
+	Endpoints discovery.EndpointList `json:"known"` // the endpoint list at the time when the file was written
 	Settings  json.RawMessage        `json:"settings"`
 }
 
-// Config is a checked configuration file and what the router derives from it.
+// Config is a checked configuration file and the values that the router derives from it.
 type Config struct {
 	File
 	Router   *routerconfig.Config
-	Release  policy.ReleaseStatus // of the newest build, when the file was written
+	Release  policy.ReleaseStatus // status of the newest build when the file was written
 	settings platformsettings.Settings
-	values   platformsettings.Values // the settings by path, to compare two files
+	values   platformsettings.Values // the settings by path, for comparing two files
 }
 
-// Read reads and checks the file that EDGE_CONFIG names. What the file leaves out of name, listen and discovery is taken
-// from EDGE_NAME, EDGE_LISTEN and EDGE_DISCOVERY. An error names the file and the field that is wrong.
+// Read reads and checks the file that EDGE_CONFIG names. If the file leaves out name, listen or discovery, the value comes
+// from EDGE_NAME, EDGE_LISTEN or EDGE_DISCOVERY. An error names the file and the invalid field.
 func Read(file string) (*Config, error) {
 	text, err := os.ReadFile(file)
 	if err != nil {
@@ -82,10 +82,10 @@
 	}
 	seed, err := strconv.ParseUint(c.Seed, 16, 64)
 	if err != nil {
-		return nil, fmt.Errorf("seed: up to 16 hexadecimal digits expected, not %q", c.Seed)
+		return nil, fmt.Errorf("seed: must be up to 16 hexadecimal digits, got %q", c.Seed)
 	}
 	if l := c.Limits; l.Cores <= 0 || l.MemoryMB < minMemoryMB || l.Sockets < minSockets {
-		return nil, fmt.Errorf("limits: cores above 0, memory_mb from %d and sockets from %d expected", minMemoryMB, minSockets)
+		return nil, fmt.Errorf("limits: cores must be above 0, memory_mb at least %d and sockets at least %d", minMemoryMB, minSockets)
 	}
 	if c.Release, err = c.Platform.ReleaseStatus.Status(); err != nil {
 		return nil, fmt.Errorf("platform.news: %w", err)
@@ -100,7 +100,7 @@
 	return c, nil
 }
 
-// applyEnvironment fills in what the file leaves out and the environment may give.
+// applyEnvironment fills in missing fields that the environment may provide.
 func (c *Config) applyEnvironment() {
 	for name, field := range map[string]*string{"EDGE_NAME": &c.Name, "EDGE_LISTEN": &c.Listen, "EDGE_DISCOVERY": &c.Discovery} {
 		if *field == "" {
@@ -109,7 +109,7 @@
 	}
 }
 
-// checkIdentity checks the name and the addresses. Only the own address may have port 0.
+// checkIdentity checks the name and the addresses. Only the listen address may have port 0.
 func (c *Config) checkIdentity() error {
 	if c.Name == "" {
 		return errors.New("name is missing")
@@ -117,7 +117,7 @@
 	for _, a := range []struct{ field, value string }{{"listen", c.Listen}, {"discovery", c.Discovery},
 		{"platform.address", c.Platform.Address}} {
 		if address, err := netip.ParseAddrPort(a.value); err != nil || address.Port() == 0 && a.field != "listen" {
-			return fmt.Errorf("%s: a numeric address and a port expected, not %q", a.field, a.value)
+			return fmt.Errorf("%s: must be a numeric IP address with a port, got %q", a.field, a.value)
 		}
 	}
 	return nil
@@ -132,19 +132,19 @@
 		return fmt.Errorf("settings.%s", strings.ReplaceAll(err.Error(), "\n", "; settings."))
 	}
 	c.settings = platformsettings.Read(c.values, seed)
-	// Whatever the settings allow, the platform's protocol has no messages between routers, no health checks and no
-	// sampled statistics. The policy must not wait for what never comes.
+	// The platform's protocol has no messages between routers, no health checks and no sampled statistics, even where
+	// the settings allow them. They are turned off so that the policy does not wait for data that never arrives.
 	r := &c.settings.Router
 	r.Limits.MaxGossipBytes, r.Limits.HealthChecks, r.Release.SampledShare = 0, false, 0
 	return nil
 }
 
-// fixedSettings are the settings that a running router can't change, by the ends of their paths.
+// fixedSettings lists the path suffixes of the settings that a running router can't change.
 var fixedSettings = []string{"MyZone", ".count", ".Name", ".Semantics", ".DedupScope", ".WindowUs", ".DeadlineUs", "Report.Fields",
 	"Permissions.ConnIdleUs", "Permissions.ConnectTimeoutUs", "Extra.CallTimeoutUs"}
 
-// checkChange returns an error that names all fields in which next differs and that a running router can't change; nil
-// where it can be applied.
+// checkChange returns an error that names all fields that differ in next but can't change in a running router. It returns
+// nil if next can be applied.
 func (c *Config) checkChange(next *Config) error {
 	var fields []string
 	if c.Name != next.Name {
@@ -170,5 +170,5 @@
 }
 
 func isFixedSetting(path string) bool {
-	return slices.ContainsFunc(fixedSettings, func(end string) bool { return strings.HasSuffix(path, end) })
+	return slices.ContainsFunc(fixedSettings, func(suffix string) bool { return strings.HasSuffix(path, suffix) })
 }
--- a/internal/node/config_test.go
+++ b/internal/node/config_test.go
@@ -11,7 +11,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-func TestEnvironmentFillsInMissingFields(t *testing.T) {
+func TestParse_TakesMissingFieldsFromEnvironment(t *testing.T) {
 	t.Setenv("EDGE_NAME", "n7")
 	t.Setenv("EDGE_LISTEN", "127.0.0.1:9001")
 	b := configJSON("127.0.0.1:1", "127.0.0.1:2")
@@ -21,7 +21,7 @@
 	require.Equal(t, "127.0.0.1:0", p.Router.Listen, "the file takes precedence")
 }
 
-func TestInvalidConfigurationNamesFileAndField(t *testing.T) {
+func TestRead_NamesFileAndInvalidField(t *testing.T) {
 	read := func(t *testing.T, text string) error {
 		t.Helper()
 		file := filepath.Join(t.TempDir(), "config.json")
@@ -58,20 +58,20 @@
 	require.Error(t, err)
 }
 
-// settingsAt is the object at a path in the settings of a configuration.
+// settingsAt returns the object at a path in the settings of a configuration.
 func settingsAt(b map[string]any, path ...string) map[string]any {
-	at := b["settings"].(map[string]any)
-	for _, p := range path {
-		at = at[p].(map[string]any)
+	object := b["settings"].(map[string]any)
+	for _, name := range path {
+		object = object[name].(map[string]any)
 	}
-	return at
+	return object
 }
 
 func classSettings(b map[string]any, n int) map[string]any {
 	return settingsAt(b)["Categories"].([]any)[n].(map[string]any)
 }
 
-func TestInvalidSettingsAreRejectedByPath(t *testing.T) {
+func TestParse_RejectsInvalidSettingsByPath(t *testing.T) {
 	for where, change := range map[string]func(map[string]any){
 		"settings.Obligations.DrainGraceUs: a number":      func(b map[string]any) { settingsAt(b, "Obligations")["DrainGraceUs"] = -1 },
 		"settings.Obligations.DrainGraceUs: missing":       func(b map[string]any) { delete(settingsAt(b, "Obligations"), "DrainGraceUs") },
@@ -105,14 +105,15 @@
 	classSettings(b, 0)["AimUs"], classSettings(b, 1)["AimUs"] = -1, "x"
 	_, err := parse([]byte(encode(t, b)))
 	require.ErrorContains(t, err, "settings.Categories.0.AimUs")
-	require.ErrorContains(t, err, "settings.Categories.1.AimUs", "all mistakes are named at once")
+	require.ErrorContains(t, err, "settings.Categories.1.AimUs", "the error names all invalid settings")
 }
 
-// One class or a dozen, tenants, pushed lists, and features allowed that the platform's protocol lacks.
-func TestValidSettingsOfAllKindsAreServed(t *testing.T) {
+// The cases cover one class, a dozen classes, tenants, pushed endpoint lists, and settings that allow features that the
+// platform's protocol lacks.
+func TestStart_ServesWithValidSettingsOfAllKinds(t *testing.T) {
 	for name, change := range map[string]func(map[string]any){
 		"one class": func(b map[string]any) { settingsAt(b)["Categories"] = settingsAt(b)["Categories"].([]any)[:1] },
-		"a dozen": func(b map[string]any) {
+		"a dozen classes": func(b map[string]any) {
 			all := settingsAt(b)["Categories"].([]any)
 			for n := range 9 {
 				c := maps.Clone(all[n%3].(map[string]any))
@@ -124,31 +125,31 @@
 		"tenants": func(b map[string]any) {
 			settingsAt(b)["Parties"] = []any{map[string]any{"Name": "a", "QuotaPerS": 5}, map[string]any{"Name": "b", "QuotaPerS": 7.5}}
 		},
-		"pushed": func(b map[string]any) { settingsAt(b)["RegistryMode"] = "pushed" },
+		"pushed endpoint lists": func(b map[string]any) { settingsAt(b)["RegistryMode"] = "pushed" },
 		"gossip and health checks": func(b map[string]any) {
 			settingsAt(b, "Permissions")["Peers"], settingsAt(b, "Permissions")["Probes"] = true, true
 		},
-		"statistics": func(b map[string]any) {
+		"sampled statistics": func(b map[string]any) {
 			settingsAt(b, "Extra")["MetricsPeriodUs"], settingsAt(b, "Extra")["SampledShare"] = 1000000, 0.5
 		},
 		"no load report":      func(b map[string]any) { settingsAt(b)["Report"] = map[string]any{"Fields": []string{}, "How": "off"} },
 		"hedging":             func(b map[string]any) { settingsAt(b, "Permissions")["SecondCopies"] = true },
-		"least limits":        func(b map[string]any) { b["limits"] = map[string]any{"cores": 0.1, "memory_mb": 24, "sockets": 64} },
+		"smallest limits":     func(b map[string]any) { b["limits"] = map[string]any{"cores": 0.1, "memory_mb": 24, "sockets": 64} },
 		"no releases by vote": func(b map[string]any) { settingsAt(b)["Extra"] = map[string]any{} },
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			m := newFakeHost(t, "a", respondOK)
-			at := newFakePlatform(t, m.entry())
-			b := configJSON(at.address(), at.address())
+			host := newFakeHost(t, "a", respondOK)
+			platform := newFakePlatform(t, host.entry())
+			b := configJSON(platform.address(), platform.address())
 			change(b)
 			p := parseConfig(t, b)
 			require.False(t, p.Router.Router.Limits.HealthChecks || p.Router.Router.Limits.MaxGossipBytes > 0 || p.Router.Router.Release.SampledShare > 0,
-				"features that the protocol lacks are off")
+				"features that the protocol lacks are turned off")
 			n, err := Start(p, slog.New(slog.DiscardHandler))
 			require.NoError(t, err)
 			t.Cleanup(n.Close)
-			r := &fixture{T: t, node: n, platform: at}
+			r := &fixture{T: t, node: n, platform: platform}
 			r.eventually(func() bool { got, _ := r.request("GET", "quote", ""); return got.status == 200 })
 		})
 	}
--- a/internal/node/fixture_test.go
+++ b/internal/node/fixture_test.go
@@ -24,28 +24,28 @@
 	mu        sync.Mutex
 	endpoints []string
 	votes     atomic.Int64
-	streams   atomic.Int64 // opened: watches and feeds
-	changes   chan string  // lines of the watch after its first
-	closing   chan bool    // closed before the server is: streams end
+	streams   atomic.Int64 // number of watches and feeds opened so far
+	changes   chan string  // lines that the watch sends after its first
+	closing   chan bool    // closed before the server is closed, to end the streams
 }
 
 func newFakePlatform(t *testing.T, endpoints ...string) *fakePlatform {
 	t.Helper()
 	p := &fakePlatform{endpoints: endpoints, changes: make(chan string, 10), closing: make(chan bool)}
 	p.Server = httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		say := func(text string) { _, _ = fmt.Fprint(w, text+"\n"); w.(http.Flusher).Flush() }
+		writeLine := func(text string) { _, _ = fmt.Fprint(w, text+"\n"); w.(http.Flusher).Flush() }
 		switch r.URL.Path {
 		case "/v1/endpoints":
 			p.streams.Add(1)
 			p.mu.Lock()
-			say(`{"revision":2,"complete":true,"members":[` + strings.Join(p.endpoints, ",") + `]}`)
+			writeLine(`{"revision":2,"complete":true,"members":[` + strings.Join(p.endpoints, ",") + `]}`)
 			p.mu.Unlock()
 			for {
 				select {
 				case text := <-p.changes:
-					say(text)
+					writeLine(text)
 				case <-time.After(500 * time.Millisecond):
-					say("")
+					writeLine("")
 				case <-r.Context().Done():
 					return
 				case <-p.closing:
@@ -54,9 +54,9 @@
 			}
 		case "/apis/fleet/feed":
 			p.streams.Add(1)
-			say(`{"type":"stage","object":` + releaseStatus + `}`)
+			writeLine(`{"type":"stage","object":` + releaseStatus + `}`)
 			for {
-				say("{}")
+				writeLine("{}")
 				select {
 				case <-time.After(100 * time.Millisecond):
 				case <-r.Context().Done():
@@ -71,7 +71,7 @@
 		}
 	}))
 	t.Cleanup(func() {
-		close(p.closing) // a node that still runs may open streams anew until the listener is closed
+		close(p.closing) // until the listener is closed, a running node may reopen streams
 		p.CloseClientConnections()
 		p.Close()
 	})
@@ -82,7 +82,7 @@
 
 const releaseStatus = `{"release":1,"tranche":0,"mode":"live","exposure":1,"old_ms":9000}`
 
-// fakeHost is a host whose responses a test writes itself.
+// fakeHost is a host whose responses the test writes.
 type fakeHost struct {
 	net.Listener
 	id          string
@@ -91,12 +91,12 @@
 	received    chan *http.Request
 }
 
-// newFakeHost serves each request by serve, which returns false to close the connection.
+// newFakeHost starts a host that passes each request to serve, which returns false to close the connection.
 func newFakeHost(t *testing.T, id string, serve func(c net.Conn, r *http.Request, body []byte) bool) *fakeHost {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
-	m := &fakeHost{Listener: l, id: id, received: make(chan *http.Request, 1000)}
+	host := &fakeHost{Listener: l, id: id, received: make(chan *http.Request, 1000)}
 	t.Cleanup(func() { _ = l.Close() })
 	go func() {
 		for {
@@ -104,7 +104,7 @@
 			if err != nil {
 				return
 			}
-			m.connections.Add(1)
+			host.connections.Add(1)
 			go func() {
 				defer func() { _ = c.Close() }()
 				in := bufio.NewReader(c)
@@ -117,9 +117,9 @@
 					if err != nil {
 						return
 					}
-					m.requests.Add(1)
+					host.requests.Add(1)
 					select {
-					case m.received <- r:
+					case host.received <- r:
 					default:
 					}
 					if !serve(c, r, body) {
@@ -129,11 +129,11 @@
 			}()
 		}
 	}()
-	return m
+	return host
 }
 
-func (m *fakeHost) entry() string {
-	return fmt.Sprintf(`{"id":%q,"host_port":%q,"locality":"here","cell":0,"phase":"up","size":1,"up_since_ms":0,"revision_no":1}`, m.id, m.Addr())
+func (host *fakeHost) entry() string {
+	return fmt.Sprintf(`{"id":%q,"host_port":%q,"locality":"here","cell":0,"phase":"up","size":1,"up_since_ms":0,"revision_no":1}`, host.id, host.Addr())
 }
 
 func respond(c net.Conn, status int, body string, fields ...string) {
@@ -141,16 +141,16 @@
 	for _, f := range fields {
 		head += f + "\r\n"
 	}
-	_, _ = fmt.Fprintf(c, "HTTP/1.1 %d Told\r\n%sContent-Length: %d\r\n\r\n%s", status, head, len(body), body)
+	_, _ = fmt.Fprintf(c, "HTTP/1.1 %d Status\r\n%sContent-Length: %d\r\n\r\n%s", status, head, len(body), body)
 }
 
-// respondOK responds with the id of the request.
+// respondOK sends a response that contains the id of the request.
 func respondOK(c net.Conn, r *http.Request, _ []byte) bool {
 	respond(c, 200, "for "+r.Header.Get("Request-Id"), "Server-Load: active=1,rps=2,avg_ms=3")
 	return true
 }
 
-// respondAfter responds to a POST only after a value on release.
+// respondAfter returns a handler that responds to a POST only after it has received a value from release.
 func respondAfter(release chan bool) func(net.Conn, *http.Request, []byte) bool {
 	return func(c net.Conn, r *http.Request, b []byte) bool {
 		if r.Method == http.MethodPost {
@@ -160,7 +160,7 @@
 	}
 }
 
-// configJSON is a configuration for a router with these services.
+// configJSON returns a configuration that uses the given discovery and platform addresses.
 func configJSON(discoveryAddress, platformAddress string) map[string]any {
 	class := func(name, semantics string, deadline int) map[string]any {
 		return map[string]any{"Name": name, "Semantics": semantics, "AimUs": 300000, "DeadlineUs": deadline, "Importance": 1,
@@ -190,7 +190,7 @@
 	return p
 }
 
-// fixture is one router on a platform of stand-ins.
+// fixture is a router on a fake platform.
 type fixture struct {
 	*testing.T
 	node     *Node
@@ -198,11 +198,11 @@
 	config   map[string]any
 }
 
-func startNode(t *testing.T, machines ...*fakeHost) *fixture {
+func startNode(t *testing.T, hosts ...*fakeHost) *fixture {
 	t.Helper()
 	var members []string
-	for _, m := range machines {
-		members = append(members, m.entry())
+	for _, host := range hosts {
+		members = append(members, host.entry())
 	}
 	r := &fixture{T: t, platform: newFakePlatform(t, members...)}
 	r.config = configJSON(r.platform.address(), r.platform.address())
@@ -215,15 +215,15 @@
 		}
 	})
 	require.Eventually(t, func() bool { return r.platform.streams.Load() == 2 }, 10*time.Second, time.Millisecond)
-	for _, m := range machines { // the endpoint list has arrived once each of them has responded
-		r.eventually(func() bool { r.request("GET", "quote", ""); return m.requests.Load() > 0 })
+	for _, host := range hosts { // once each host has received a request, the endpoint list has arrived
+		r.eventually(func() bool { r.request("GET", "quote", ""); return host.requests.Load() > 0 })
 	}
 	return r
 }
 
-func (r *fixture) eventually(is func() bool) {
+func (r *fixture) eventually(condition func() bool) {
 	r.Helper()
-	require.Eventually(r, is, 20*time.Second, time.Millisecond)
+	require.Eventually(r, condition, 20*time.Second, time.Millisecond)
 }
 
 // client is a raw connection to the router.
@@ -241,7 +241,7 @@
 	return &client{c, bufio.NewReader(c)}
 }
 
-// response is what a client got: status 0 for a connection that ended before one.
+// response is the response that a client received. Status 0 means that the connection ended before a whole response.
 type response struct {
 	status int
 	body   string
@@ -264,7 +264,7 @@
 
 var lastRequestID atomic.Int64
 
-// requestText is a valid request under a new id.
+// requestText returns a valid request with a new id.
 func requestText(method, class string, fields ...string) (text, id string) {
 	id = fmt.Sprintf("id%d", lastRequestID.Add(1))
 	text = method + " /api?x=1 HTTP/1.1\r\nHost: service\r\nRequest-Id: " + id + "\r\nRequest-Class: " + class +
@@ -289,7 +289,7 @@
 	return c.read(), id
 }
 
-// readiness is the status of the router's readiness.
+// readiness returns the status code of the router's readiness endpoint.
 func (r *fixture) readiness() int {
 	r.Helper()
 	c := r.connect()
--- a/internal/node/lifecycle_test.go
+++ b/internal/node/lifecycle_test.go
@@ -16,10 +16,10 @@
 	"github.com/stretchr/testify/require"
 )
 
-func TestReloadChangesAddressesWithoutLosingARequest(t *testing.T) {
-	m := newFakeHost(t, "a", respondOK)
-	r := startNode(t, m)
-	next := newFakePlatform(t, m.entry())
+func TestReload_ChangesAddressesWithoutFailingRequests(t *testing.T) {
+	host := newFakeHost(t, "a", respondOK)
+	r := startNode(t, host)
+	next := newFakePlatform(t, host.entry())
 	stop, done := make(chan bool), make(chan int)
 	go func() {
 		n := 0
@@ -31,7 +31,7 @@
 			default:
 			}
 			if got, _ := r.request("GET", "quote", ""); got.status != 200 {
-				t.Errorf("answered with %d", got.status)
+				t.Errorf("got status %d during the reload", got.status)
 			}
 			n++
 		}
@@ -41,7 +41,7 @@
 	require.NoError(t, r.node.Reload(parseConfig(t, b)))
 	r.eventually(func() bool { return next.streams.Load() == 2 })
 	r.platform.CloseClientConnections()
-	next.changes <- `{"revision":3,"complete":false,"members":[` + strings.Replace(m.entry(), `"a"`, `"b"`, 1) + `]}`
+	next.changes <- `{"revision":3,"complete":false,"members":[` + strings.Replace(host.entry(), `"a"`, `"b"`, 1) + `]}`
 	r.eventually(func() bool { _, known := r.node.watch.HostID("b", time.Now()); return known })
 	close(stop)
 	require.Positive(t, <-done)
@@ -53,10 +53,10 @@
 	require.ErrorContains(t, r.node.Reload(parseConfig(t, other)), "settings.MyZone")
 }
 
-func TestShutdownServesNewConnectionsAndRequestsInFlight(t *testing.T) {
+func TestShutdown_ServesNewConnectionsAndRequestsInFlight(t *testing.T) {
 	release := make(chan bool)
-	m := newFakeHost(t, "a", respondAfter(release))
-	r := startNode(t, m)
+	host := newFakeHost(t, "a", respondAfter(release))
+	r := startNode(t, host)
 	inFlight, idle := r.connect(), r.connect()
 	text, _ := requestText("POST", "order", "Idempotency-Key: k")
 	_, _ = io.WriteString(inFlight, text)
@@ -68,7 +68,7 @@
 	text, _ = requestText("GET", "quote")
 	_, _ = io.WriteString(idle, text)
 	got := idle.read()
-	require.Equal(t, 200, got.status, "a connection from before the shutdown is served")
+	require.Equal(t, 200, got.status, "a connection opened before the shutdown is served")
 	require.True(t, got.closes)
 	c, err := net.Dial("tcp", n.instance.Address().String())
 	require.NoError(t, err, "new connections are accepted")
@@ -79,10 +79,10 @@
 	require.Zero(t, <-ended)
 }
 
-// gatedServer accepts connections and responds to each only when a test says so.
+// gatedServer accepts connections and responds to each only when the test provides the response.
 type gatedServer struct {
 	net.Listener
-	responses chan string // to the connections, in order; empty to close one
+	responses chan string // one for each connection, in order; an empty one closes the connection
 }
 
 func newGatedServer(t *testing.T) *gatedServer {
@@ -113,10 +113,10 @@
 	return g
 }
 
-// A router is ready once its first attempts at the endpoint list and at the feed have succeeded or failed.
-func TestReadyAfterTheFirstAttemptAtDiscoveryAndFeed(t *testing.T) {
+// A router is ready once its first attempts to open the discovery watch and the feed have succeeded or failed.
+func TestNode_IsReadyAfterFirstDiscoveryAndFeedAttempts(t *testing.T) {
 	const head = "HTTP/1.1 200 OK\r\n\r\n"
-	for name, say := range map[string][2]string{
+	for name, responses := range map[string][2]string{
 		"both respond":       {head + `{"revision":2,"complete":true,"members":[]}`, head + `{"type":"stage","object":` + releaseStatus + "}"},
 		"both fail":          {"", ""},
 		"discovery responds": {head + `{"revision":2,"complete":true,"members":[]}`, ""},
@@ -127,11 +127,11 @@
 			require.NoError(t, err)
 			r := &fixture{T: t, node: n}
 			t.Cleanup(n.Close)
-			require.Equal(t, 503, r.readiness(), "no response yet")
-			list.responses <- say[0]
+			require.Equal(t, 503, r.readiness(), "neither discovery nor the feed has responded")
+			list.responses <- responses[0]
 			r.eventually(func() bool { return n.watch.Attempted() })
-			require.Equal(t, 503, r.readiness(), "no response of the feed")
-			feed.responses <- say[1]
+			require.Equal(t, 503, r.readiness(), "the feed has not responded")
+			feed.responses <- responses[1]
 			r.eventually(func() bool { return r.readiness() == 200 })
 			n.instance.StartDraining(time.Minute)
 			require.Equal(t, 503, r.readiness(), "not ready during a shutdown")
@@ -139,8 +139,8 @@
 	}
 }
 
-// A file that changes a fixed field is rejected by the field's name, and its addresses are not used.
-func TestReloadWithAFixedFieldChangedHasNoEffect(t *testing.T) {
+// A configuration that changes a fixed field is rejected with the field's name, and its addresses are not used.
+func TestReload_RejectsChangedFixedFields(t *testing.T) {
 	r := startNode(t, newFakeHost(t, "a", respondOK))
 	next := newFakePlatform(t)
 	for where, change := range map[string]func(map[string]any){
@@ -159,32 +159,32 @@
 	}
 	require.Equal(t, r.platform.address(), r.node.watch.Address())
 	require.Zero(t, next.streams.Load())
-	b := configJSON(r.platform.address(), r.platform.address()) // fields that may change
+	b := configJSON(r.platform.address(), r.platform.address()) // the changed fields may change in a running router
 	settingsAt(b, "Obligations")["DrainGraceUs"], classSettings(b, 0)["AimUs"] = 500000, 200000
 	require.NoError(t, r.node.Reload(parseConfig(t, b)))
 	got, _ := r.request("GET", "quote", "")
 	require.Equal(t, 200, got.status)
 }
 
-// Further signals during a shutdown, to terminate or to reload, cancel no request in flight.
-func TestSignalsDuringShutdownCancelNoRequest(t *testing.T) {
+// Further terminate and reload signals during a shutdown do not cancel requests in flight.
+func TestRun_IgnoresFurtherSignalsDuringShutdown(t *testing.T) {
 	release := make(chan bool)
-	m := newFakeHost(t, "a", respondAfter(release))
-	at := newFakePlatform(t, m.entry())
+	host := newFakeHost(t, "a", respondAfter(release))
+	platform := newFakePlatform(t, host.entry())
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
-	b := configJSON(at.address(), at.address())
+	b := configJSON(platform.address(), platform.address())
 	b["listen"] = l.Addr().String()
 	_ = l.Close()
 	file := filepath.Join(t.TempDir(), "config.json")
 	require.NoError(t, os.WriteFile(file, []byte(encode(t, b)), 0o600))
-	end, reload, ended := make(chan os.Signal), make(chan os.Signal), make(chan int, 1)
+	terminate, reload, ended := make(chan os.Signal), make(chan os.Signal), make(chan int, 1)
 	go func() {
-		left, err := Run(file, slog.New(slog.DiscardHandler), end, reload)
+		canceled, err := Run(file, slog.New(slog.DiscardHandler), terminate, reload)
 		if err != nil {
-			left = -1
+			canceled = -1
 		}
-		ended <- left
+		ended <- canceled
 	}()
 	dial := func() net.Conn {
 		c, err := net.Dial("tcp", b["listen"].(string))
@@ -205,19 +205,19 @@
 		return (&client{c, bufio.NewReader(c)}).read().status == 200
 	}, 20*time.Second, time.Millisecond)
 	require.NoError(t, os.WriteFile(file, []byte("half a fi"), 0o600))
-	reload <- syscall.SIGHUP // changes nothing
+	reload <- syscall.SIGHUP // the file is invalid, so the configuration stays
 	inFlight := dial()
 	text, id := requestText("POST", "order", "Idempotency-Key: k")
 	_, _ = io.WriteString(inFlight, text)
-	for q := range m.received {
+	for q := range host.received {
 		if q.Header.Get("Request-Id") == id {
 			break
 		}
 	}
-	end <- syscall.SIGTERM
-	end <- syscall.SIGTERM
+	terminate <- syscall.SIGTERM
+	terminate <- syscall.SIGTERM
 	reload <- syscall.SIGHUP
-	end <- syscall.SIGTERM
+	terminate <- syscall.SIGTERM
 	release <- true
 	got := (&client{inFlight, bufio.NewReader(inFlight)}).read()
 	require.Equal(t, 200, got.status)
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -1,6 +1,6 @@
 // Package node runs a router on the operators' platform: it reads the platform's configuration file, derives a router's
-// configuration from it, connects to discovery and to the control service, and follows the process's signals. Requests are
-// served by the same proxy as for any other router.
+// configuration from it, connects to discovery and to the control service, and handles the process's signals. The
+// same proxy serves the requests as in any other router.
 package node
 
 import (
@@ -16,12 +16,12 @@
 	"dapplefront/internal/proxy"
 )
 
-// Times of a graceful shutdown. They add up to less than the drain timeout plus 0.7 s, after which the platform may kill
+// Durations of a graceful shutdown. Their sum stays below the drain timeout plus 0.7 s, after which the platform may kill
 // the process.
 const (
-	lameDuckTime      = 750 * time.Millisecond // new connections are accepted: what arrives in the first 0.7 s has to be served
-	shutdownMargin    = 200 * time.Millisecond // by which draining ends before the drain timeout
-	lastResponseGrace = 100 * time.Millisecond // for clients to read their last responses
+	lameDuckTime      = 750 * time.Millisecond // new connections are still accepted: those that arrive in the first 0.7 s must be served
+	shutdownMargin    = 200 * time.Millisecond // draining ends this long before the drain timeout
+	lastResponseGrace = 100 * time.Millisecond // time for clients to read their last responses
 )
 
 // Node is a router that serves on the platform. Its methods are called from one goroutine.
@@ -33,7 +33,7 @@
 	platform *platform.Client
 }
 
-// Start starts a router. It listens when Start returns.
+// Start starts a router, which is listening when Start returns.
 func Start(c *Config, log *slog.Logger) (*Node, error) {
 	n := &Node{config: c, log: log}
 	var err error
@@ -52,8 +52,8 @@
 	return n, err
 }
 
-// Reload applies another configuration: its addresses at once, its settings between two events. Seed, endpoint list and
-// release status matter at a start alone. After an error nothing has changed.
+// Reload applies another configuration: the addresses at once, the settings between two events of the router. Seed,
+// endpoint list and release status are used only at start. If Reload returns an error, the configuration is unchanged.
 func (n *Node) Reload(next *Config) error {
 	if err := n.config.checkChange(next); err != nil {
 		return err
@@ -71,9 +71,9 @@
 	return nil
 }
 
-// Shutdown ends the router gracefully. At first it accepts new connections and closes each after its response, then it
-// stops listening and waits for requests in flight, up to the drain timeout or until abort is closed. It returns how many
-// requests were canceled.
+// Shutdown shuts the router down gracefully. At first it still accepts new connections and closes each connection after
+// its response. Then it stops listening and waits for requests in flight until the drain timeout has passed or abort is
+// closed. It returns the number of canceled requests.
 func (n *Node) Shutdown(abort <-chan struct{}) int {
 	drainTimeout := n.config.Router.DrainTimeout - shutdownMargin
 	n.instance.StartDraining(lameDuckTime + drainTimeout - lastResponseGrace)
@@ -84,5 +84,5 @@
 	return n.instance.Shutdown(drainTimeout, abort)
 }
 
-// Close ends the router at once.
+// Close stops the router immediately, without draining.
 func (n *Node) Close() { n.instance.Close() }
--- a/internal/node/requests_test.go
+++ b/internal/node/requests_test.go
@@ -14,20 +14,20 @@
 	"github.com/stretchr/testify/require"
 )
 
-func TestRequestIsForwardedUnchangedAndItsResponseReturned(t *testing.T) {
-	m := newFakeHost(t, "a", func(c net.Conn, r *http.Request, b []byte) bool {
+func TestNode_ForwardsRequestAndResponseUnchanged(t *testing.T) {
+	host := newFakeHost(t, "a", func(c net.Conn, r *http.Request, b []byte) bool {
 		n, _ := strconv.Atoi(r.Header.Get("Work-Hint"))
 		respond(c, 200, "for "+r.Header.Get("Request-Id")+strings.Repeat("x", n))
 		return true
 	})
-	r := startNode(t, m)
-	for len(m.received) > 0 {
-		<-m.received
+	r := startNode(t, host)
+	for len(host.received) > 0 {
+		<-host.received
 	}
 	got, id := r.request("POST", "order", "Idempotency-Key: k1")
 	require.Equal(t, 200, got.status)
 	require.Equal(t, "for "+id, got.body)
-	q := <-m.received
+	q := <-host.received
 	require.Equal(t, "/api?x=1", q.URL.String())
 	require.Equal(t, "POST", q.Method)
 	require.Equal(t, "k1", q.Header.Get("Idempotency-Key"))
@@ -40,44 +40,44 @@
 	require.Equal(t, 200, r.readiness())
 }
 
-// A malformed request gets an error response or a closed connection, and no host receives anything.
-func TestMalformedRequestsAreRejectedAndNotForwarded(t *testing.T) {
-	m := newFakeHost(t, "a", respondOK)
-	r := startNode(t, m)
+// A malformed request gets an error response or its connection is closed, and no host receives it.
+func TestNode_RejectsMalformedRequestsWithoutForwarding(t *testing.T) {
+	host := newFakeHost(t, "a", respondOK)
+	r := startNode(t, host)
 	headers := "Request-Id: x1\r\nRequest-Class: quote\r\nRequest-Timeout-Ms: 900\r\n"
 	get, pay := "GET /api HTTP/1.1\r\nHost: s\r\n", "POST /api HTTP/1.1\r\nHost: s\r\n"
 	bad := map[string]string{
-		"noise":                    "\x16\x03\x01\x02\x00\x01\x00\r\n\r\n",
-		"no request":               "hello there\r\n\r\n",
-		"a length beside chunks":   pay + strings.Replace(headers, "quote", "pay", 1) + "Content-Length: 4\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\nGET /api HTTP/1.1\r\nHost: s\r\n" + headers + "\r\n",
-		"chunks spelt oddly":       pay + strings.Replace(headers, "quote", "pay", 1) + "Transfer-Encoding: xchunked\r\n\r\n0\r\n\r\n",
-		"two lengths":              pay + strings.Replace(headers, "quote", "pay", 1) + "Content-Length: 2\r\nContent-Length: 3\r\n\r\nhi!",
-		"a negative length":        pay + strings.Replace(headers, "quote", "pay", 1) + "Content-Length: -2\r\n\r\nhi",
-		"a huge length":            pay + strings.Replace(headers, "quote", "pay", 1) + "Content-Length: 99999999999999999999\r\n\r\nhi",
-		"60 MB":                    pay + strings.Replace(headers, "quote", "pay", 1) + "Content-Length: 60000000\r\n\r\n" + strings.Repeat("x", 1<<20),
-		"an endless head":          get + "X: " + strings.Repeat("x", 40<<10),
-		"an unknown class":         get + strings.Replace(headers, "quote", "zzz", 1) + "\r\n",
-		"no class":                 get + "Request-Id: x1\r\nRequest-Timeout-Ms: 900\r\n\r\n",
-		"no request id":            get + "Request-Class: quote\r\nRequest-Timeout-Ms: 900\r\n\r\n",
-		"an empty request id":      get + "Request-Id:\r\nRequest-Class: quote\r\nRequest-Timeout-Ms: 900\r\n\r\n",
-		"two request ids":          get + "Request-Id: x2\r\n" + headers + "\r\n",
-		"no timeout":               get + "Request-Id: x1\r\nRequest-Class: quote\r\n\r\n",
-		"a timeout of no number":   get + strings.Replace(headers, "900", "soon", 1) + "\r\n",
-		"a timeout of 0":           get + strings.Replace(headers, "900", "0", 1) + "\r\n",
-		"a negative timeout":       get + strings.Replace(headers, "900", "-5", 1) + "\r\n",
-		"a decimal timeout":        get + strings.Replace(headers, "900", "9.5", 1) + "\r\n",
-		"an overflowing timeout":   get + strings.Replace(headers, "900", "99999999999999999999", 1) + "\r\n",
-		"another method":           strings.Replace(get, "GET", "POST", 1) + headers + "Content-Length: 2\r\n\r\nhi",
-		"a method not served":      strings.Replace(get, "GET", "PUT", 1) + headers + "Content-Length: 2\r\n\r\nhi",
-		"a body where none may be": get + headers + "Content-Length: 2\r\n\r\nhi",
-		"no key":                   pay + strings.Replace(headers, "quote", "order", 1) + "Content-Length: 2\r\n\r\nhi",
-		"a key where none may be":  pay + strings.Replace(headers, "quote", "pay", 1) + "Idempotency-Key: k\r\nContent-Length: 2\r\n\r\nhi",
-		"a work hint of no number": get + headers + "Work-Hint: lots\r\n\r\n",
-		"half a request":           pay + strings.Replace(headers, "quote", "pay", 1) + "Content-Length: 9\r\n\r\nhi",
-		"half a head":              get + "Request-",
-		"nothing":                  "",
+		"binary data":                          "\x16\x03\x01\x02\x00\x01\x00\r\n\r\n",
+		"no request line":                      "hello there\r\n\r\n",
+		"Content-Length with chunked encoding": pay + strings.Replace(headers, "quote", "pay", 1) + "Content-Length: 4\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\nGET /api HTTP/1.1\r\nHost: s\r\n" + headers + "\r\n",
+		"unknown transfer encoding":            pay + strings.Replace(headers, "quote", "pay", 1) + "Transfer-Encoding: xchunked\r\n\r\n0\r\n\r\n",
+		"two Content-Length headers":           pay + strings.Replace(headers, "quote", "pay", 1) + "Content-Length: 2\r\nContent-Length: 3\r\n\r\nhi!",
+		"negative Content-Length":              pay + strings.Replace(headers, "quote", "pay", 1) + "Content-Length: -2\r\n\r\nhi",
+		"overflowing Content-Length":           pay + strings.Replace(headers, "quote", "pay", 1) + "Content-Length: 99999999999999999999\r\n\r\nhi",
+		"body of 60 MB":                        pay + strings.Replace(headers, "quote", "pay", 1) + "Content-Length: 60000000\r\n\r\n" + strings.Repeat("x", 1<<20),
+		"oversized head":                       get + "X: " + strings.Repeat("x", 40<<10),
+		"unknown class":                        get + strings.Replace(headers, "quote", "zzz", 1) + "\r\n",
+		"no class":                             get + "Request-Id: x1\r\nRequest-Timeout-Ms: 900\r\n\r\n",
+		"no request id":                        get + "Request-Class: quote\r\nRequest-Timeout-Ms: 900\r\n\r\n",
+		"empty request id":                     get + "Request-Id:\r\nRequest-Class: quote\r\nRequest-Timeout-Ms: 900\r\n\r\n",
+		"two request ids":                      get + "Request-Id: x2\r\n" + headers + "\r\n",
+		"no timeout":                           get + "Request-Id: x1\r\nRequest-Class: quote\r\n\r\n",
+		"non-numeric timeout":                  get + strings.Replace(headers, "900", "soon", 1) + "\r\n",
+		"timeout of 0":                         get + strings.Replace(headers, "900", "0", 1) + "\r\n",
+		"negative timeout":                     get + strings.Replace(headers, "900", "-5", 1) + "\r\n",
+		"decimal timeout":                      get + strings.Replace(headers, "900", "9.5", 1) + "\r\n",
+		"overflowing timeout":                  get + strings.Replace(headers, "900", "99999999999999999999", 1) + "\r\n",
+		"method that does not match the class": strings.Replace(get, "GET", "POST", 1) + headers + "Content-Length: 2\r\n\r\nhi",
+		"unsupported method":                   strings.Replace(get, "GET", "PUT", 1) + headers + "Content-Length: 2\r\n\r\nhi",
+		"body of a GET request":                get + headers + "Content-Length: 2\r\n\r\nhi",
+		"missing idempotency key":              pay + strings.Replace(headers, "quote", "order", 1) + "Content-Length: 2\r\n\r\nhi",
+		"forbidden idempotency key":            pay + strings.Replace(headers, "quote", "pay", 1) + "Idempotency-Key: k\r\nContent-Length: 2\r\n\r\nhi",
+		"non-numeric work hint":                get + headers + "Work-Hint: lots\r\n\r\n",
+		"truncated body":                       pay + strings.Replace(headers, "quote", "pay", 1) + "Content-Length: 9\r\n\r\nhi",
+		"truncated head":                       get + "Request-",
+		"no bytes":                             "",
 	}
-	before := m.requests.Load()
+	before := host.requests.Load()
 	var all sync.WaitGroup
 	for name, text := range bad {
 		c := r.connect()
@@ -86,23 +86,23 @@
 			defer all.Done()
 			go func() { _, _ = io.WriteString(c, text) }()
 			if got := c.read(); got.status != 0 && (got.status < 400 || got.status > 599) {
-				t.Errorf("%s: answered with %d", name, got.status)
+				t.Errorf("%s: got status %d", name, got.status)
 			}
 			if _, err := io.Copy(io.Discard, c.in); err != nil && strings.Contains(err.Error(), "timeout") {
-				t.Errorf("%s: the connection stays open", name)
+				t.Errorf("%s: the connection was not closed", name)
 			}
 		}()
 	}
 	got, _ := r.request("GET", "quote", "")
-	require.Equal(t, 200, got.status, "valid requests are served meanwhile")
+	require.Equal(t, 200, got.status, "valid requests are served at the same time")
 	all.Wait()
-	require.Equal(t, before+1, m.requests.Load(), "no host received anything else")
+	require.Equal(t, before+1, host.requests.Load(), "no host received a malformed request")
 }
 
-func TestDuplicateRequestIDIsRejectedWhileTheFirstIsInFlight(t *testing.T) {
+func TestNode_RejectsRequestIDThatIsInFlight(t *testing.T) {
 	release := make(chan bool)
-	m := newFakeHost(t, "a", respondAfter(release))
-	r := startNode(t, m)
+	host := newFakeHost(t, "a", respondAfter(release))
+	r := startNode(t, host)
 	c, d := r.connect(), r.connect()
 	text, id := requestText("POST", "pay")
 	_, _ = io.WriteString(c, text)
@@ -115,10 +115,10 @@
 	require.Equal(t, "for "+id, got.body)
 	_, _ = io.WriteString(c, text)
 	release <- true
-	require.Equal(t, 200, c.read().status, "the id is free after the response")
+	require.Equal(t, 200, c.read().status, "the id can be used again after the response")
 }
 
-func TestIdleConnectionsAreClosedForNewOnesAtTheLimit(t *testing.T) {
+func TestNode_ClosesIdleConnectionsForNewOnesAtLimit(t *testing.T) {
 	r := startNode(t, newFakeHost(t, "a", respondOK))
 	for range 2 * r.node.config.Router.Downstream.MaxConnections {
 		r.connect()
@@ -128,12 +128,12 @@
 	require.LessOrEqual(t, connections, r.node.config.Router.Downstream.MaxConnections)
 }
 
-// A request that must not run twice goes to another host only if it surely did not run.
-func TestNonIdempotentRequestIsRetriedOnlyIfItSurelyDidNotRun(t *testing.T) {
+// A non-idempotent request is sent to another host only if it certainly did not run on the first one.
+func TestNode_RetriesNonIdempotentRequestOnlyIfNotStarted(t *testing.T) {
 	id := func(r *http.Request) string { return "for " + r.Header.Get("Request-Id") }
 	for name, x := range map[string]struct {
 		serve   func(net.Conn, *http.Request) bool
-		status  int // of the response; 200 is the other host's, or this one's where it is valid
+		status  int // of the client's response; 200 comes from the retry, or from the first host if its response is valid
 		retried bool
 	}{
 		"503 with Not-Started":    {func(c net.Conn, _ *http.Request) bool { respond(c, 503, "", "Not-Started: 1"); return true }, 200, true},
@@ -142,7 +142,7 @@
 		"500 with Not-Started":    {func(c net.Conn, _ *http.Request) bool { respond(c, 500, "", "Not-Started: 1"); return true }, 502, false},
 		"404":                     {func(c net.Conn, _ *http.Request) bool { respond(c, 404, "x"); return true }, 502, false},
 		"connection closed":       {func(net.Conn, *http.Request) bool { return false }, 502, false},
-		"connection closed within the response": {func(c net.Conn, _ *http.Request) bool {
+		"connection closed during the response": {func(c net.Conn, _ *http.Request) bool {
 			_, _ = fmt.Fprint(c, "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf")
 			return false
 		}, 502, false},
@@ -152,25 +152,25 @@
 		}, 502, false},
 		"malformed response":    {func(c net.Conn, _ *http.Request) bool { _, _ = fmt.Fprint(c, "\x00\x01zzz\r\n\r\n"); return true }, 502, false},
 		"malformed status line": {func(c net.Conn, _ *http.Request) bool { _, _ = fmt.Fprint(c, "HTTP/1.1 2zz\r\n\r\n"); return true }, 502, false},
-		"endless head": {func(c net.Conn, _ *http.Request) bool {
+		"oversized head": {func(c net.Conn, _ *http.Request) bool {
 			_, _ = fmt.Fprint(c, "HTTP/1.1 200 OK\r\nX: ", strings.Repeat("x", 40<<10))
 			return true
 		}, 502, false},
-		"a response of 3 GB": {func(c net.Conn, _ *http.Request) bool {
+		"response of 3 GB": {func(c net.Conn, _ *http.Request) bool {
 			_, _ = fmt.Fprint(c, "HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\nxxx")
 			return true
 		}, 502, false},
 		"no response": {func(net.Conn, *http.Request) bool { return true }, 504, false},
-		"an informational response first": {func(c net.Conn, r *http.Request) bool {
+		"informational response first": {func(c net.Conn, r *http.Request) bool {
 			_, _ = fmt.Fprint(c, "HTTP/1.1 103 Early\r\nLink: x\r\n\r\n")
 			respond(c, 200, id(r))
 			return true
 		}, 200, false},
-		"a malformed load report": {func(c net.Conn, r *http.Request) bool {
+		"malformed load report": {func(c net.Conn, r *http.Request) bool {
 			respond(c, 200, id(r), "Server-Load: active=lots,,")
 			return true
 		}, 200, false},
-		"a second response": {func(c net.Conn, r *http.Request) bool { respond(c, 200, id(r)); respond(c, 200, "again"); return true }, 200, false},
+		"second response": {func(c net.Conn, r *http.Request) bool { respond(c, 200, id(r)); respond(c, 200, "again"); return true }, 200, false},
 		"bytes after the response": {func(c net.Conn, r *http.Request) bool {
 			respond(c, 200, id(r))
 			_, _ = fmt.Fprint(c, "zzz")
@@ -185,9 +185,9 @@
 				if q.Method != http.MethodPost {
 					return respondOK(c, q, b)
 				}
-				strange := false
-				once.Do(func() { strange = true; first <- q.Header.Get("Request-Id") })
-				if strange {
+				isFirst := false
+				once.Do(func() { isFirst = true; first <- q.Header.Get("Request-Id") })
+				if isFirst {
 					return x.serve(c, q)
 				}
 				return respondOK(c, q, b)
@@ -203,7 +203,7 @@
 			}
 			attempts := a.requests.Load() + b.requests.Load() - before
 			require.Equal(t, map[bool]int64{false: 1, true: 2}[x.retried], attempts)
-			for range 4 { // what came after the response belongs to no request
+			for range 4 { // bytes after the response are not taken for another request's response
 				got, id := r.request("GET", "quote", "")
 				require.Equal(t, 200, got.status)
 				require.Equal(t, "for "+id, got.body)
@@ -212,12 +212,12 @@
 	}
 }
 
-// Where hedging is off, the connection of a canceled attempt is closed before the next attempt is sent.
-func TestAttemptIsCanceledBeforeItsRetryIsSent(t *testing.T) {
+// If hedging is off, the connection of a canceled attempt is closed before the next attempt is sent.
+func TestNode_ClosesCanceledAttemptBeforeRetry(t *testing.T) {
 	var mu sync.Mutex
 	var silent net.Conn
 	var silentID string
-	odd := make(chan string, 100)
+	findings := make(chan string, 100)
 	serve := func(c net.Conn, q *http.Request, b []byte) bool {
 		id := q.Header.Get("Request-Id")
 		mu.Lock()
@@ -230,7 +230,7 @@
 		case id == silentID:
 			_ = silent.SetReadDeadline(time.Now().Add(20 * time.Millisecond))
 			if _, err := silent.Read(make([]byte, 1)); err == nil || strings.Contains(err.Error(), "timeout") {
-				odd <- fmt.Sprint("the first attempt's connection is still open: ", err)
+				findings <- fmt.Sprint("the first attempt's connection is still open: ", err)
 			}
 			silent, silentID = nil, ""
 		}
@@ -242,12 +242,12 @@
 		require.Equal(t, 200, got.status)
 		require.Equal(t, "for "+id, got.body)
 	}
-	require.Empty(t, odd)
+	require.Empty(t, findings)
 }
 
-func TestResponseCutAtAnyByteIsAFailure(t *testing.T) {
+func TestNode_FailsNonIdempotentRequestOnTruncatedResponse(t *testing.T) {
 	var mu sync.Mutex
-	cutAt, attempts := 0, 0
+	truncateAt, attempts := 0, 0
 	serve := func(c net.Conn, q *http.Request, b []byte) bool {
 		if q.Method == http.MethodGet {
 			return respondOK(c, q, b)
@@ -256,16 +256,16 @@
 		mu.Lock()
 		defer mu.Unlock()
 		attempts++
-		_, _ = io.WriteString(c, text[:min(cutAt, len(text))])
-		return cutAt >= len(text)
+		_, _ = io.WriteString(c, text[:min(truncateAt, len(text))])
+		return truncateAt >= len(text)
 	}
 	r := startNode(t, newFakeHost(t, "a", serve))
-	for cutAt < 42 {
+	for truncateAt < 42 {
 		got, _ := r.request("POST", "pay", "")
-		require.Equal(t, 502, got.status, "cut at byte %d", cutAt)
+		require.Equal(t, 502, got.status, "response truncated at byte %d", truncateAt)
 		mu.Lock()
-		cutAt++
-		require.Equal(t, cutAt, attempts, "a non-idempotent request that may have run is not retried")
+		truncateAt++
+		require.Equal(t, truncateAt, attempts, "a non-idempotent request that may have run is not retried")
 		mu.Unlock()
 	}
 	got, _ := r.request("POST", "pay", "")
@@ -273,15 +273,15 @@
 	require.Equal(t, "body", got.body)
 }
 
-func TestRejectionCarriesRetryAfter(t *testing.T) {
-	m := newFakeHost(t, "a", func(c net.Conn, r *http.Request, b []byte) bool {
+func TestNode_SetsRetryAfterOnRejection(t *testing.T) {
+	host := newFakeHost(t, "a", func(c net.Conn, r *http.Request, b []byte) bool {
 		if r.Method == http.MethodPost {
 			respond(c, 503, "", "Not-Started: 1")
 			return true
 		}
 		return respondOK(c, r, b)
 	})
-	r := startNode(t, m)
+	r := startNode(t, host)
 	got, _ := r.request("POST", "pay", "")
 	require.Equal(t, 503, got.status)
 	require.Regexp(t, `^\d+\.\d+$`, got.Get("Retry-After"))
--- a/internal/node/router_config.go
+++ b/internal/node/router_config.go
@@ -14,20 +14,20 @@
 	"dapplefront/policy"
 )
 
-// Sizes and times of the router on the platform that its settings don't give.
+// Limits and timeouts that the platform's settings don't provide.
 const (
 	maxHeadBytes        = 16 << 10
 	maxRequestBodyBytes = 64 << 10
-	maxResponseBytes    = 1 << 20 // some hosts answer with more than the protocol's 64 KiB
+	maxResponseBytes    = 1 << 20 // some hosts send more than the protocol's 64 KiB
 
-	// reservedSockets are descriptors beside client and host connections: the poller, standard streams, the listener,
-	// two watches of discovery, two feeds, votes.
+	// reservedSockets is the number of descriptors reserved for uses other than client and host connections: the poller,
+	// standard streams, the listener, two discovery watches, two feeds, and votes.
 	reservedSockets = 28
 
-	minDrainTimeout   = 3 * time.Second // the longest request timeout counts where it is longer
+	minDrainTimeout   = 3 * time.Second // the longest request timeout applies instead if it is longer
 	minConnectTimeout = 50 * time.Millisecond
 
-	// idleMargin is subtracted from the time that a host keeps an idle connection, as it may close it a little early.
+	// idleMargin is subtracted from a host's idle timeout, because the host may close an idle connection slightly early.
 	idleMargin             = 2 * time.Second
 	minUpstreamIdleTimeout = time.Second
 
@@ -35,12 +35,12 @@
 	clientIdleTimeout   = 2100 * time.Millisecond
 	firstRequestTimeout = 2300 * time.Millisecond
 
-	// reclaimIdleAfter is how long a client connection has to be idle before it is closed to make room once all
-	// connections are taken. A client whose idle connection ends opens another, while a rejected connection is a
+	// reclaimIdleAfter is the minimum idle time of a client connection before it may be closed in favor of a new one at
+	// the connection limit. A client whose idle connection is closed opens another, while a rejected connection is a
 	// rejected request.
 	reclaimIdleAfter = 200 * time.Millisecond
 
-	defaultRequestTimeout = time.Minute // of a class without a deadline
+	defaultRequestTimeout = time.Minute // for a class without a deadline
 )
 
 // downstreamProtocol names the headers of "Clients to routers" in the operators' protocol page.
@@ -53,7 +53,7 @@
 	NotStartedStatuses: []int{http.StatusServiceUnavailable, http.StatusGatewayTimeout}, OnlyStatusOK: true, StartsWhenComplete: true,
 	Load: loadReport}
 
-// loadReport reads the load report that any response may carry; nil for none.
+// loadReport parses a response's load report. It returns nil if the response carries none.
 func loadReport(m *http1.Message) (*policy.LoadReport, error) {
 	text, ok := m.Lookup("Server-Load")
 	if !ok {
@@ -62,7 +62,7 @@
 	return platformsettings.ParseReport(text)
 }
 
-// routerConfig derives the router's configuration from the file's limits and settings.
+// routerConfig derives the proxy's configuration from the file's limits and settings.
 func (c *Config) routerConfig() *routerconfig.Config {
 	sockets := c.Limits.Sockets - reservedSockets
 	maxUpstream := sockets * 9 / 20
@@ -84,7 +84,7 @@
 	return r
 }
 
-// duration is the setting at path, which is given in microseconds.
+// duration returns the setting at path, which is in microseconds.
 func (c *Config) duration(path string) time.Duration {
 	return time.Duration(c.values.Int(path)) * time.Microsecond
 }
--- a/internal/node/run.go
+++ b/internal/node/run.go
@@ -8,11 +8,12 @@
 	"sync"
 )
 
-// Run serves by the configuration in file until a signal comes on terminate, and returns how many requests were canceled
-// by the end. A signal on reload reads the file again; a file with a mistake changes nothing and is logged.
+// Run serves with the configuration in file until a signal arrives on terminate. It then shuts down gracefully and returns
+// the number of requests that the shutdown canceled. A signal on reload reads the file again; if that fails, Run logs the
+// error and keeps the current configuration.
 //
-// While the router shuts down, further signals are ignored except an interrupt, which cancels the requests in flight: the
-// platform may send SIGTERM more than once.
+// During the shutdown, further signals are ignored, because the platform may send SIGTERM more than once. Only an
+// interrupt takes effect: it cancels the requests in flight.
 func Run(file string, log *slog.Logger, terminate, reload <-chan os.Signal) (canceled int, err error) {
 	c, err := Read(file)
 	if err != nil {
@@ -27,10 +28,10 @@
 		select {
 		case <-reload:
 			if err := n.reloadFile(file); err != nil {
-				log.Error("the configuration is not changed", "file", file, "error", err)
+				log.Error("configuration reload failed; keeping the current configuration", "file", file, "error", err)
 			}
-		case sign := <-terminate:
-			log.Info("shutting down", "signal", sign.String())
+		case sig := <-terminate:
+			log.Info("shutting down", "signal", sig.String())
 			return n.shutdownIgnoring(terminate, reload), nil
 		}
 	}
@@ -44,16 +45,16 @@
 	return n.Reload(next)
 }
 
-// shutdownIgnoring shuts down while it receives signals, so that none of them blocks its sender or takes effect, except
-// an interrupt, which aborts the shutdown.
+// shutdownIgnoring shuts down while it receives and ignores signals, so that no sender blocks. Only an interrupt takes
+// effect: it aborts the shutdown.
 func (n *Node) shutdownIgnoring(terminate, reload <-chan os.Signal) (canceled int) {
 	abort, done := make(chan struct{}), make(chan struct{})
 	var receiver sync.WaitGroup
 	receiver.Go(func() {
 		for {
 			select {
-			case sign := <-terminate:
-				if sign == os.Interrupt {
+			case sig := <-terminate:
+				if sig == os.Interrupt {
 					close(abort)
 					return
 				}
@@ -68,11 +69,11 @@
 	return n.Shutdown(abort)
 }
 
-// ApplyLimits holds the process to the limits of its configuration: as many threads of Go code as whole cores, at least
-// one, and a soft limit for the heap of 60% of the memory, the rest being left to the kernel's buffers and the binary.
+// ApplyLimits applies the configured limits to the process. GOMAXPROCS is the number of whole cores, but at least one. The
+// Go runtime's soft memory limit is 60% of the memory; the rest is left to the kernel's buffers and the binary.
 func (c *Config) ApplyLimits() {
-	const collectAtPercent = 200
+	const gcPercent = 200
 	runtime.GOMAXPROCS(max(1, int(c.Limits.Cores)))
 	debug.SetMemoryLimit(int64(c.Limits.MemoryMB) << 20 * 6 / 10)
-	debug.SetGCPercent(collectAtPercent)
+	debug.SetGCPercent(gcPercent)
 }
--- a/internal/node/soak_test.go
+++ b/internal/node/soak_test.go
@@ -26,26 +26,26 @@
 	"github.com/stretchr/testify/require"
 )
 
-// The soak runs a router as a process on loopback, sends it signals in series and judges what clients and hosts saw. By
-// hand, SOAK_SEEDS says how many seeds are run and SOAK_FIRST the first one.
+// The soak test runs a router as a process on loopback, sends it a series of signals and checks what clients and hosts
+// observe. For manual runs, SOAK_SEEDS sets the number of seeds and SOAK_FIRST the first seed.
 const (
-	soakRouterVariable = "DAPPLEFRONT_SOAK_ROUTER" // makes a process of this test the router; the configuration file
+	soakRouterVariable = "DAPPLEFRONT_SOAK_ROUTER" // the configuration file; if it is set, the test process runs the router
 	soakSeedsVariable  = "SOAK_SEEDS"
 	soakFirstVariable  = "SOAK_FIRST"
 	soakSeeds          = 8
 
-	soakPatience = 900 * time.Millisecond // that clients say; the longest deadline of the classes is a second
-	// An answer up to soakLateAllowed after its time is late; a later one counts as lost.
-	soakLateAllowed  = 500 * time.Millisecond
-	soakKillAfter    = 1700 * time.Millisecond // after SIGTERM: the longest deadline and 0.7 s
-	soakGrace        = 300 * time.Millisecond  // that attempts may still reach a host after it was told to drain
-	soakTransit      = 150 * time.Millisecond  // allowed for what is under way
-	soakCrossing     = 10 * time.Millisecond   // a connection that ends so soon after a request was sent crossed it
-	soakClients      = 8
-	soakCrowd        = 100
-	soakGoroutineEnd = 2 * time.Second // for the goroutines of a router that has ended
-	exitSoakLeak     = 9
-	soakEnded        = "ended" // what a router's process writes when the router has ended
+	soakTimeout = 900 * time.Millisecond // the clients' request timeout; the longest deadline of the classes is 1 s
+	// A response up to soakLateAllowed after the request timeout is late; after that, it counts as lost.
+	soakLateAllowed      = 500 * time.Millisecond
+	soakKillAfter        = 1700 * time.Millisecond // after SIGTERM: the longest deadline plus 0.7 s
+	soakDrainGrace       = 300 * time.Millisecond  // how long attempts may still arrive at a host after it is reported as draining
+	soakTransitMargin    = 150 * time.Millisecond  // additional allowance for attempts in transit
+	soakCloseRace        = 10 * time.Millisecond   // a request sent this shortly before its connection ends raced with the close
+	soakClients          = 8
+	soakExtraClients     = 100
+	soakGoroutineTimeout = 2 * time.Second // how long the goroutines of a stopped router may take to end
+	exitSoakLeak         = 9
+	soakStoppedLine      = "ended" // the line that the router's process writes when the router has stopped
 )
 
 func TestMain(m *testing.M) {
@@ -55,7 +55,7 @@
 	os.Exit(m.Run())
 }
 
-// runSoakRouter is the router's process. It fails if goroutines or descriptors are left when the router has ended.
+// runSoakRouter runs the router in its own process. It fails if goroutines or descriptors leak after the router has stopped.
 func runSoakRouter(file string) int {
 	terminate, reload := make(chan os.Signal, 2), make(chan os.Signal, 1)
 	signal.Notify(terminate, syscall.SIGTERM)
@@ -65,12 +65,12 @@
 		fmt.Fprintln(os.Stderr, "run:", err)
 		return 1
 	}
-	fmt.Println(soakEnded)
-	const poller = 2 // descriptors of the runtime's poller, which come with the first socket
-	for end := time.Now().Add(soakGoroutineEnd); runtime.NumGoroutine() > goroutines || openDescriptors() > descriptors+poller; time.Sleep(5 * time.Millisecond) {
+	fmt.Println(soakStoppedLine)
+	const poller = 2 // descriptors that the runtime's poller opens with the first socket
+	for end := time.Now().Add(soakGoroutineTimeout); runtime.NumGoroutine() > goroutines || openDescriptors() > descriptors+poller; time.Sleep(5 * time.Millisecond) {
 		if time.Now().After(end) {
 			stacks := make([]byte, 1<<20)
-			fmt.Fprintf(os.Stderr, "left: %d goroutines, %d descriptors\n%s", runtime.NumGoroutine()-goroutines, openDescriptors()-descriptors,
+			fmt.Fprintf(os.Stderr, "leaked: %d goroutines, %d descriptors\n%s", runtime.NumGoroutine()-goroutines, openDescriptors()-descriptors,
 				stacks[:runtime.Stack(stacks, true)])
 			return exitSoakLeak
 		}
@@ -83,19 +83,20 @@
 	return len(entries)
 }
 
-// soakNumber is a number from the environment.
-func soakNumber(t *testing.T, variable string, otherwise int) int {
+// soakNumber returns a number from the environment, or byDefault if the variable is not set.
+func soakNumber(t *testing.T, variable string, byDefault int) int {
 	t.Helper()
 	text := os.Getenv(variable)
 	if text == "" {
-		return otherwise
+		return byDefault
 	}
 	n, err := strconv.Atoi(text)
 	require.NoError(t, err)
 	return n
 }
 
-// Guards against requests without an answer, attempts at draining hosts and leaks, as signals come in series.
+// Guards against requests without a response, attempts sent to draining hosts, and leaks when several signals follow each
+// other.
 func TestSoak_AnswersEveryRequestAcrossSignals(t *testing.T) {
 	first, seeds := soakNumber(t, soakFirstVariable, 1), soakNumber(t, soakSeedsVariable, soakSeeds)
 	for seed := first; seed < first+seeds; seed++ {
@@ -103,21 +104,21 @@
 	}
 }
 
-// soak is one play of the soak.
+// soak is one run of the soak test.
 type soak struct {
 	*testing.T
-	random     *rand.Rand // of the goroutine that sends signals
-	hosts      []*fakeHost
-	platforms  [2]*fakePlatform
-	present    int // the platform of the newest configuration
-	configFile string
-	address    string
-	process    *exec.Cmd
-	lines      io.Reader // of the process
-	output     strings.Builder
+	random         *rand.Rand // used by the goroutine that sends signals
+	hosts          []*fakeHost
+	platforms      [2]*fakePlatform
+	activePlatform int // index of the platform in the newest configuration
+	configFile     string
+	address        string
+	process        *exec.Cmd
+	lines          io.Reader // standard output of the process
+	output         strings.Builder
 
-	terminatedAt atomic.Int64 // when SIGTERM was sent, in ns; 0 before
-	noNewAfter   atomic.Int64 // when clients cease to connect, in ns; 0 for not yet
+	terminatedAt     atomic.Int64 // when SIGTERM was sent, as Unix time in ns; 0 before that
+	stopConnectingAt atomic.Int64 // when clients stop opening connections, as Unix time in ns; 0 before it is set
 
 	mu       sync.Mutex
 	outcomes map[string]int
@@ -147,7 +148,7 @@
 	return s
 }
 
-// newHost starts a host that needs up to 0.2 s for a request, and now and then doesn't answer one.
+// newHost starts a host that takes up to 0.2 s for a request and leaves 1% of the requests without a response.
 func (s *soak) newHost(id string, random *rand.Rand) *fakeHost {
 	var mu sync.Mutex
 	var host *fakeHost
@@ -169,12 +170,12 @@
 func (s *soak) attemptArrived(host *fakeHost) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if host == s.drained && time.Since(s.drainAt) > soakGrace+soakTransit {
-		s.findings = append(s.findings, fmt.Sprintf("host %s got an attempt %v after it was told to drain", host.id, time.Since(s.drainAt)))
+	if host == s.drained && time.Since(s.drainAt) > soakDrainGrace+soakTransitMargin {
+		s.findings = append(s.findings, fmt.Sprintf("host %s received an attempt %v after it was reported as draining", host.id, time.Since(s.drainAt)))
 	}
 }
 
-// writeConfig writes the router's configuration with one of the platforms.
+// writeConfig writes a router configuration that uses the platform with the given index.
 func (s *soak) writeConfig(platform int) {
 	b := configJSON(s.platforms[platform].address(), s.platforms[platform].address())
 	b["listen"] = s.address
@@ -186,23 +187,23 @@
 func (s *soak) run() {
 	s.startRouter()
 	var clients sync.WaitGroup
-	crowd := s.random.IntN(3) == 0
+	manyClients := s.random.IntN(3) == 0
 	n := soakClients
-	if crowd {
-		n += soakCrowd
+	if manyClients {
+		n += soakExtraClients
 	}
 	for i := range n {
 		random := rand.New(rand.NewPCG(s.random.Uint64(), uint64(i)))
-		clients.Go(func() { s.runClient(random, crowd) })
+		clients.Go(func() { s.runClient(random, manyClients) })
 	}
 	s.pause(300, 600)
 	s.reloadSeries()
-	s.pause(500, 700) // until the newest configuration's watch is the only one
+	s.pause(500, 700) // until only the newest configuration's watch is open
 	s.drainHost()
 	s.pause(300, 900)
 	s.terminate()
 	clients.Wait()
-	s.Logf("crowd %v: %v", crowd, s.outcomes)
+	s.Logf("many clients %v: %v", manyClients, s.outcomes)
 	require.Empty(s, s.findings, s.output.String())
 	require.Positive(s, s.outcomes["200"])
 }
@@ -232,22 +233,22 @@
 	}, 20*time.Second, 5*time.Millisecond)
 }
 
-// pause waits for a random time between two, in ms.
+// pause sleeps for a random time from least to most, in ms.
 func (s *soak) pause(least, most int) {
 	time.Sleep(time.Duration(least+s.random.IntN(most-least+1)) * time.Millisecond)
 }
 
-// reloadSeries sends SIGHUP a few times in a row, each with the configuration changed before.
+// reloadSeries sends SIGHUP one to four times in a row and rewrites the configuration before each.
 func (s *soak) reloadSeries() {
 	for range 1 + s.random.IntN(4) {
-		s.present = s.random.IntN(2)
-		s.writeConfig(s.present)
+		s.activePlatform = s.random.IntN(2)
+		s.writeConfig(s.activePlatform)
 		_ = s.process.Process.Signal(syscall.SIGHUP)
 		s.pause(0, 60)
 	}
 }
 
-// drainHost has both platforms tell that a host drains.
+// drainHost has both platforms report that a host is draining.
 func (s *soak) drainHost() {
 	host := s.hosts[s.random.IntN(len(s.hosts))]
 	draining := strings.Replace(host.entry(), `"phase":"up"`, `"phase":"draining"`, 1)
@@ -262,14 +263,15 @@
 		p.mu.Unlock()
 		p.changes <- `{"revision":3,"complete":false,"members":[` + draining + `]}`
 	}
-	// What is written on the open watch counts as told.
-	require.Eventually(s, func() bool { return len(s.platforms[s.present].changes) == 0 }, 10*time.Second, time.Millisecond)
+	// The router counts as notified once the message is written to the open watch.
+	require.Eventually(s, func() bool { return len(s.platforms[s.activePlatform].changes) == 0 }, 10*time.Second, time.Millisecond)
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.drained, s.drainAt = host, time.Now()
 }
 
-// terminate sends SIGTERM, with SIGHUP beside it, and kills the process at the earliest moment that the page allows.
+// terminate sends SIGTERM, with SIGHUP before and after it, and kills the process at the earliest time that the operators'
+// protocol page allows.
 func (s *soak) terminate() {
 	if s.random.IntN(2) == 0 {
 		s.writeConfig(s.random.IntN(2))
@@ -279,7 +281,7 @@
 	require.NoError(s, s.process.Process.Signal(syscall.SIGTERM))
 	now := time.Now()
 	s.terminatedAt.Store(now.UnixNano())
-	s.noNewAfter.Store(now.Add(time.Duration(200+s.random.IntN(200)) * time.Millisecond).UnixNano())
+	s.stopConnectingAt.Store(now.Add(time.Duration(200+s.random.IntN(200)) * time.Millisecond).UnixNano())
 	for range s.random.IntN(3) {
 		s.pause(0, 300)
 		_ = s.process.Process.Signal(syscall.SIGHUP)
@@ -287,7 +289,7 @@
 	s.awaitEnd(now)
 }
 
-// awaitEnd waits for the router's end, or kills it, and then for that of its process.
+// awaitEnd waits until the router has stopped, or kills it, and then waits until its process has exited.
 func (s *soak) awaitEnd(terminated time.Time) {
 	line := make(chan string, 1)
 	go func() {
@@ -296,13 +298,13 @@
 	}()
 	select {
 	case text := <-line:
-		require.Equal(s, soakEnded, text, s.output.String())
-		s.count("ended by itself")
+		require.Equal(s, soakStoppedLine, text, s.output.String())
+		s.count("exited before the kill")
 		require.NoError(s, s.process.Wait(), s.output.String())
 	case <-time.After(time.Until(terminated.Add(soakKillAfter))):
 		s.count("killed")
 		_ = s.process.Process.Kill()
-		_ = s.process.Wait() // it was killed
+		_ = s.process.Wait() // the error only says that the process was killed
 	}
 }
 
@@ -312,43 +314,43 @@
 	s.mu.Unlock()
 }
 
-func (s *soak) find(format string, values ...any) {
+func (s *soak) addFinding(format string, values ...any) {
 	s.mu.Lock()
 	s.findings = append(s.findings, fmt.Sprintf(format, values...))
 	s.mu.Unlock()
 }
 
-// mayConnect reports whether clients still open connections.
+// mayConnect reports whether clients may still open connections.
 func (s *soak) mayConnect() bool {
-	at := s.noNewAfter.Load()
+	at := s.stopConnectingAt.Load()
 	return at == 0 || time.Now().UnixNano() < at
 }
 
-// runClient sends requests one after the other, on a connection for as long as that stays open.
-func (s *soak) runClient(random *rand.Rand, crowd bool) {
+// runClient sends requests one after the other, on each connection until it closes.
+func (s *soak) runClient(random *rand.Rand, manyClients bool) {
 	for s.mayConnect() {
 		conn, err := net.Dial("tcp", s.address)
 		if err != nil {
 			if s.terminatedAt.Load() == 0 {
-				s.find("no connection: %v", err)
+				s.addFinding("connection failed: %v", err)
 			}
 			return
 		}
-		s.useConnection(conn, random, crowd)
+		s.useConnection(conn, random, manyClients)
 		_ = conn.Close()
 	}
 }
 
-// useConnection sends requests until the connection ends.
-func (s *soak) useConnection(conn net.Conn, random *rand.Rand, crowd bool) {
+// useConnection sends requests until the connection closes.
+func (s *soak) useConnection(conn net.Conn, random *rand.Rand, manyClients bool) {
 	in := bufio.NewReader(conn)
 	for {
-		rest := 20
-		if crowd {
-			rest = 400
+		maxPauseMs := 20
+		if manyClients {
+			maxPauseMs = 400
 		}
-		time.Sleep(time.Duration(random.IntN(rest)) * time.Millisecond)
-		if _, err := in.Peek(in.Buffered()); err != nil || hasEnded(conn, in) {
+		time.Sleep(time.Duration(random.IntN(maxPauseMs)) * time.Millisecond)
+		if _, err := in.Peek(in.Buffered()); err != nil || isClosed(conn, in) {
 			return
 		}
 		text, _ := requestText("POST", "order", "Idempotency-Key: k"+strconv.Itoa(random.Int()))
@@ -359,7 +361,7 @@
 			text, _ = requestText("POST", "pay")
 		}
 		sentAt := time.Now()
-		_ = conn.SetDeadline(sentAt.Add(soakPatience + soakLateAllowed))
+		_ = conn.SetDeadline(sentAt.Add(soakTimeout + soakLateAllowed))
 		_, err := io.WriteString(conn, text)
 		var got *http.Response
 		if err == nil {
@@ -372,7 +374,7 @@
 		_, err = io.Copy(io.Discard, got.Body)
 		_ = got.Body.Close()
 		if err != nil {
-			s.find("a response was cut off %v after its request was sent: %v", time.Since(sentAt), err)
+			s.addFinding("response truncated %v after its request was sent: %v", time.Since(sentAt), err)
 			return
 		}
 		s.count(strconv.Itoa(got.StatusCode))
@@ -382,24 +384,24 @@
 	}
 }
 
-// hasEnded reports whether the router has closed the connection.
-func hasEnded(conn net.Conn, in *bufio.Reader) bool {
+// isClosed reports whether the router has closed the connection or sent unexpected bytes.
+func isClosed(conn net.Conn, in *bufio.Reader) bool {
 	_ = conn.SetReadDeadline(time.Now().Add(100 * time.Microsecond))
 	_, err := in.Peek(1)
 	var netErr net.Error
 	return err == nil || !errors.As(err, &netErr) || !netErr.Timeout()
 }
 
-// unanswered judges a request that got no response.
+// unanswered records a request that got no response. It is a finding unless the request raced with the connection's close.
 func (s *soak) unanswered(sentAt time.Time, err error) {
 	waited := time.Since(sentAt)
-	if waited < soakCrossing {
-		s.count("crossed the end of the connection")
+	if waited < soakCloseRace {
+		s.count("raced with the connection's close")
 		return
 	}
 	since := time.Duration(0)
 	if at := s.terminatedAt.Load(); at != 0 {
 		since = sentAt.Sub(time.Unix(0, at))
 	}
-	s.find("no answer to a request sent %v after SIGTERM, %v later: %v", since, waited, err)
+	s.addFinding("request sent %v after SIGTERM got no response within %v: %v", since, waited, err)
 }
