--- a/internal/platform/client.go
+++ b/internal/platform/client.go
@@ -14,13 +14,14 @@
 	"dapplefront/internal/jsonstream"
 )
 
-// Backoff before the feed is opened again: none after a first failure, then minBackoff, doubled each time.
+// Backoff before the feed is reopened. The first failure has none; each further failure in a row doubles it, from
+// minBackoff up to maxBackoff.
 const (
 	minBackoff = 100 * time.Millisecond
 	maxBackoff = time.Second
 )
 
-// FeedTimeouts are the times that the feed may be silent; it sends a keep-alive every second.
+// FeedTimeouts limit how long the feed may be silent. The platform sends a keep-alive every second.
 var FeedTimeouts = jsonstream.Timeouts{FirstValue: 2 * time.Second, Idle: 3500 * time.Millisecond}
 
 // Client is one router's client. It is safe for concurrent use.
@@ -30,14 +31,14 @@
 	voteTimeout  time.Duration
 	feed         *jsonstream.Stream
 	http         *http.Client
-	feedFailures atomic.Int64 // in a row
+	feedFailures atomic.Int64 // number of consecutive failures
 
-	ctx    context.Context // of votes
+	ctx    context.Context // parent context of votes
 	cancel context.CancelFunc
 }
 
-// Open opens the feed. hostID tells which host an endpoint's name stood for at a time; voteTimeout is how long a vote
-// waits for its answer.
+// Open opens the feed. hostID returns the host that an endpoint's name referred to at the given time. voteTimeout limits
+// how long a vote waits for its response.
 func Open(address string, voteTimeout time.Duration, hostID func(string, time.Time) (uint32, bool), handler controlclient.Handler) *Client {
 	c := &Client{handler: handler, hostID: hostID, voteTimeout: voteTimeout, http: jsonstream.NewHTTPClient()}
 	c.ctx, c.cancel = context.WithCancel(context.Background())
@@ -47,16 +48,16 @@
 	return c
 }
 
-// SetAddress uses another address at once. The old feed is read until the new one has responded.
+// SetAddress switches to another address at once. The old feed is read until the new one has responded.
 func (c *Client) SetAddress(address string) { c.feed.SetAddress(address) }
 
-// Address is the address in use.
+// Address returns the address in use.
 func (c *Client) Address() string { return c.feed.Address() }
 
-// Attempted reports whether a first feed has responded or failed.
+// Attempted reports whether the first attempt to open the feed has received a response or failed.
 func (c *Client) Attempted() bool { return c.feed.Attempted() }
 
-// Close ends the client. Votes in flight end with an unknown result.
+// Close stops the client. Votes in flight end with an unknown result.
 func (c *Client) Close() {
 	c.cancel()
 	c.feed.Close()
@@ -74,7 +75,7 @@
 	time.AfterFunc(min(maxBackoff, minBackoff<<min(failures-2, maxDoublings)), c.feed.Open)
 }
 
-// handleFeedValue handles one message of the feed; an error ends the feed.
+// handleFeedValue handles one message of the feed. If it returns an error, the feed is closed.
 func (c *Client) handleFeedValue(text json.RawMessage) error {
 	var m message
 	if err := json.Unmarshal(text, &m); err != nil {
@@ -107,7 +108,7 @@
 	return nil
 }
 
-// handleComplaint reports a complaint of a host that is known; others are dropped.
+// handleComplaint reports a complaint about a known host and drops any other.
 func (c *Client) handleComplaint(text json.RawMessage) error {
 	var m complaint
 	if err := json.Unmarshal(text, &m); err != nil {
--- a/internal/platform/client_test.go
+++ b/internal/platform/client_test.go
@@ -16,10 +16,10 @@
 	"dapplefront/policy"
 )
 
-// fakePlatform is a control service whose responses a test writes byte by byte.
+// fakePlatform is a control service whose responses the test writes byte by byte.
 type fakePlatform struct {
 	net.Listener
-	feeds chan net.Conn // open feeds, their response head sent
+	feeds chan net.Conn // open feeds whose response head has been sent
 	votes chan string   // bodies of votes
 }
 
@@ -82,7 +82,7 @@
 	return c, h
 }
 
-func TestFeedReportsStatusesAndComplaintsAndIsReopened(t *testing.T) {
+func TestFeed_ReportsStatusesAndComplaintsAndReopens(t *testing.T) {
 	s := newFakePlatform(t, nil)
 	_, h := openTestClient(t, s, time.Second)
 	feed := <-s.feeds
@@ -100,16 +100,16 @@
 		feed = <-s.feeds
 		writeChunk(feed, "{}\n")
 	}
-	require.Empty(t, h.releases, "an invalid message reports nothing")
+	require.Empty(t, h.releases, "an invalid message is not reported")
 	writeChunk(feed, `{"type":"stage","object":`+statusJSON)
 	_ = feed.Close()
 	feed = <-s.feeds
-	require.Empty(t, h.releases, "nor does a partial one")
+	require.Empty(t, h.releases, "a partial message is not reported")
 	writeChunk(feed, `{"type":"stage","object":`+statusJSON+"}\n")
 	require.Equal(t, status, <-h.releases)
 }
 
-func TestVoteResultByResponse(t *testing.T) {
+func TestVote_MapsResponseToResult(t *testing.T) {
 	accepted := status
 	accepted.VoteResult = policy.VoteAccepted
 	unaccepted := func(a policy.VoteResult) policy.ReleaseStatus {
@@ -120,13 +120,13 @@
 		want policy.ReleaseStatus
 	}{
 		"accepted": {func(c net.Conn, _ string) { writeResponse(c, 200, statusJSON) }, accepted},
-		"an informational response first": {func(c net.Conn, _ string) {
+		"informational response first": {func(c net.Conn, _ string) {
 			_, _ = fmt.Fprint(c, "HTTP/1.1 103 Early\r\n\r\n")
 			writeResponse(c, 200, statusJSON)
 		}, accepted},
 		"rate limit":         {func(c net.Conn, _ string) { writeResponse(c, 429, `{"error":"too_many_calls"}`) }, unaccepted(policy.VoteRejected)},
 		"stale":              {func(c net.Conn, _ string) { writeResponse(c, 409, `{"error":"out_of_date"}`) }, unaccepted(policy.VoteStale)},
-		"an error":           {func(c net.Conn, _ string) { writeResponse(c, 500, `{"error":"unavailable"}`) }, unaccepted(policy.VoteRejected)},
+		"internal error":     {func(c net.Conn, _ string) { writeResponse(c, 500, `{"error":"unavailable"}`) }, unaccepted(policy.VoteRejected)},
 		"bad request":        {func(c net.Conn, _ string) { writeResponse(c, 400, `{"error":"bad_request"}`) }, unaccepted(policy.VoteRejected)},
 		"unknown error":      {func(c net.Conn, _ string) { writeResponse(c, 429, `{"error":"zzz"}`) }, unaccepted(policy.VoteUnknown)},
 		"malformed body":     {func(c net.Conn, _ string) { writeResponse(c, 200, "\x01\x02") }, unaccepted(policy.VoteUnknown)},
@@ -144,12 +144,12 @@
 			c.Vote(42, 1, policy.Promote, func(n policy.ReleaseStatus) { done <- n })
 			require.Equal(t, x.want, <-done)
 			require.JSONEq(t, `{"release":42,"tranche":1,"ruling":"go"}`, <-s.votes)
-			require.Empty(t, s.votes, "a vote is sent once")
+			require.Empty(t, s.votes, "a vote is sent only once")
 		})
 	}
 }
 
-func TestVoteWithoutResponseIsUnknownAndOneNotSentIsRejected(t *testing.T) {
+func TestVote_IsUnknownWithoutResponseAndRejectedIfNotSent(t *testing.T) {
 	s := newFakePlatform(t, func(net.Conn, string) { select {} })
 	c, _ := openTestClient(t, s, 100*time.Millisecond)
 	done := make(chan policy.ReleaseStatus, 1)
@@ -160,7 +160,7 @@
 	require.Equal(t, policy.VoteRejected, (<-done).VoteResult)
 }
 
-func TestFeedAndVotesMoveToAnotherAddress(t *testing.T) {
+func TestSetAddress_MovesFeedAndVotes(t *testing.T) {
 	old, next := newFakePlatform(t, nil), newFakePlatform(t, func(c net.Conn, _ string) { writeResponse(c, 200, statusJSON) })
 	c, h := openTestClient(t, old, time.Second)
 	feed := <-old.feeds
@@ -170,7 +170,7 @@
 	require.Equal(t, status, <-h.releases, "the old feed is read until the new one responds")
 	writeChunk(<-next.feeds, "{}\n")
 	_, err := feed.Read(make([]byte, 1))
-	require.Error(t, err, "then it is closed")
+	require.Error(t, err, "the old feed is closed once the new one has responded")
 	done := make(chan policy.ReleaseStatus, 1)
 	c.Vote(42, 1, policy.Promote, func(n policy.ReleaseStatus) { done <- n })
 	require.Equal(t, policy.VoteAccepted, (<-done).VoteResult)
--- a/internal/platform/vote.go
+++ b/internal/platform/vote.go
@@ -19,14 +19,15 @@
 	c.handler.CastVote(build, func() (policy.ReleaseStatus, error) { return c.vote(build, stage, choice) }, done)
 }
 
-// vote casts a vote. It was surely not counted if it could not be written whole, or if the platform says so.
+// vote casts a vote. The vote is certainly not counted if the request could not be written completely or if the platform
+// says so; after any other failure, its result is unknown.
 func (c *Client) vote(build, stage int, choice policy.VoteChoice) (policy.ReleaseStatus, error) {
 	failed := func(result policy.VoteResult, err error) (policy.ReleaseStatus, error) {
 		return policy.ReleaseStatus{Build: build, Stage: stage, VoteResult: result}, err
 	}
 	ctx, cancel := context.WithTimeout(c.ctx, c.voteTimeout)
 	defer cancel()
-	var written atomic.Bool // all of the request, so that the vote may be counted
+	var written atomic.Bool // whether the whole request was written, so that the vote may have been counted
 	ctx = httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{WroteRequest: func(w httptrace.WroteRequestInfo) {
 		written.Store(w.Err == nil)
 	}})
@@ -41,7 +42,7 @@
 		}
 		return failed(policy.VoteRejected, err)
 	}
-	defer func() { _ = response.Body.Close() }() // read to its end or given up
+	defer func() { _ = response.Body.Close() }() // the body has been read or is no longer needed
 	text, err := io.ReadAll(io.LimitReader(response.Body, maxReplyBytes))
 	if err != nil {
 		return failed(policy.VoteUnknown, err)
