--- a/internal/platformsettings/check.go
+++ b/internal/platformsettings/check.go
@@ -7,7 +7,7 @@
 	"strconv"
 )
 
-// numberRule is what a number in the settings may be.
+// numberRule restricts the values of a number in the settings.
 type numberRule struct {
 	path     string
 	min, max float64
@@ -16,25 +16,25 @@
 }
 
 const (
-	maxMicroseconds = 1e12 // eleven days, beyond any time that a router acts by
-	maxCount        = 1e9  // of anything counted
+	maxMicroseconds = 1e12 // more than eleven days, longer than any time that a router uses
+	maxCount        = 1e9  // limit of every count and amount
 )
 
-// duration is the rule for a time in microseconds.
+// duration returns the rule for a duration in microseconds.
 func duration(path string, required bool) numberRule {
 	return numberRule{path, 0, maxMicroseconds, required, true}
 }
 
 func share(path string, required bool) numberRule { return numberRule{path, 0, 1, required, false} }
 
-func count(path string, least float64, required bool) numberRule {
-	return numberRule{path, least, maxCount, required, true}
+func count(path string, minimum float64, required bool) numberRule {
+	return numberRule{path, minimum, maxCount, required, true}
 }
 
 func amount(path string) numberRule { return numberRule{path, 0, maxCount, false, false} }
 
-// numberRules are the rules for the numbers outside lists. A required number has no default; any other may be left out,
-// and means then that there is no such thing.
+// numberRules are the rules for the numbers outside lists. A required number has no default. Any other number may be left
+// out, which means that the settings have no such limit, price or feature.
 var numberRules = []numberRule{
 	count("Balancers", 1, true), count("Rank", 0, true), amount("OverShareWorth"),
 	duration("Obligations.DrainGraceUs", true), duration("Obligations.ColdUs", false), share("Obligations.StartCapacity", false),
@@ -49,10 +49,10 @@
 	duration("Extra.BakeUs", false), duration("Extra.StageTimeUs", false),
 }
 
-// flags are the ways to write a setting that is on or off, or left out.
+// flags are the valid values of a setting that is on or off. The empty value stands for a setting that is left out.
 var flags = []string{"", "true", "false", "0", "1"}
 
-// choiceRules are the settings that have one of some values. An empty one says that the setting may be left out.
+// choiceRules are the settings that take one of a fixed set of values. An empty value means that the setting may be left out.
 var choiceRules = []struct {
 	path   string
 	values []string
@@ -67,7 +67,8 @@
 	{"Permissions.Cancel", flags},
 }
 
-// Check returns all mistakes in the settings, each a *PathError, joined by errors.Join; nil if there are none.
+// Check returns the errors of all invalid settings, each a *PathError, joined by errors.Join. It returns nil if all settings
+// are valid.
 func Check(v Values) error {
 	c := &checker{values: v}
 	for _, rule := range numberRules {
@@ -80,17 +81,17 @@
 	c.exposureCaps()
 	c.classes()
 	c.tenants()
-	return errors.Join(c.mistakes...)
+	return errors.Join(c.errs...)
 }
 
-// checker collects the mistakes in settings.
+// checker collects the errors of invalid settings.
 type checker struct {
-	values   Values
-	mistakes []error
+	values Values
+	errs   []error
 }
 
 func (c *checker) fail(path, format string, values ...any) {
-	c.mistakes = append(c.mistakes, &PathError{path, fmt.Sprintf(format, values...)})
+	c.errs = append(c.errs, &PathError{path, fmt.Sprintf(format, values...)})
 }
 
 func (c *checker) number(r numberRule) {
@@ -103,23 +104,23 @@
 	}
 	n, err := strconv.ParseFloat(text, 64)
 	if inRange := n >= r.min && n <= r.max; err != nil || !inRange || r.integer && n != float64(int64(n)) {
-		c.fail(r.path, "a number from %v to %v expected, not %q", r.min, r.max, text)
+		c.fail(r.path, "must be a number from %v to %v, got %q", r.min, r.max, text)
 	}
 }
 
 func (c *checker) choice(path string, allowed ...string) {
 	if !slices.Contains(allowed, c.values[path]) {
-		c.fail(path, "one of %q expected, not %q", allowed, c.values[path])
+		c.fail(path, "must be one of %q, got %q", allowed, c.values[path])
 	}
 }
 
-// name checks the name of an item of a list, which has to differ from the names already seen.
+// name checks the name of a list item, which must differ from the names already seen.
 func (c *checker) name(path string, seen map[string]bool) {
 	switch name := c.values[path]; {
 	case name == "":
 		c.fail(path, "missing")
 	case seen[name]:
-		c.fail(path, "%q stands twice", name)
+		c.fail(path, "duplicate name %q", name)
 	default:
 		seen[name] = true
 	}
@@ -130,7 +131,7 @@
 		c.fail("MyZone", "missing")
 	}
 	if routers := c.values.Int("Balancers"); routers > 0 && c.values.Int("Rank") >= routers {
-		c.fail("Rank", "less than Balancers expected")
+		c.fail("Rank", "must be less than Balancers")
 	}
 }
 
@@ -138,14 +139,14 @@
 	for i, text := range c.values.List("Extra.StageCap") {
 		n, err := strconv.ParseFloat(text, 64)
 		if inRange := n >= 0 && n <= 1; err != nil || !inRange {
-			c.fail(fmt.Sprintf("Extra.StageCap.%d", i), "a number from 0 to 1 expected, not %q", text)
+			c.fail(fmt.Sprintf("Extra.StageCap.%d", i), "must be a number from 0 to 1, got %q", text)
 		}
 	}
 }
 
 func (c *checker) classes() {
 	if c.values.count("Categories") < 1 {
-		c.fail("Categories", "at least one expected")
+		c.fail("Categories", "must have at least one entry")
 	}
 	seen := map[string]bool{}
 	for i := range c.values.count("Categories") {
--- a/internal/platformsettings/report.go
+++ b/internal/platformsettings/report.go
@@ -9,11 +9,11 @@
 	"dapplefront/policy"
 )
 
-// ReportFields are the names of a load report's fields, in their order, as the settings name them.
+// ReportFields are the names of a load report's fields, in the order that the settings give.
 type ReportFields []string
 
-// FromValues reads a report of values in the order of the fields. What is not reported is negative; no values are no
-// report.
+// FromValues builds a load report from values in the order of the fields. A value that is not reported is negative. If
+// values is nil, there is no report and FromValues returns nil.
 func (f ReportFields) FromValues(values []float64) *policy.LoadReport {
 	if values == nil {
 		return nil
@@ -25,8 +25,8 @@
 	return r
 }
 
-// ParseReport reads a report of names with values, such as "active=7,rps=2.5", of any known fields. A part that can't be
-// read is an error, and nothing of the report counts then.
+// ParseReport parses a load report of name=value pairs, such as "active=7,rps=2.5". Unknown names are skipped. If any pair
+// is malformed, it returns an error and no report.
 func ParseReport(text string) (*policy.LoadReport, error) {
 	const maxQuoted = 100 // bytes of the report in the error
 	r := emptyReport()
@@ -34,19 +34,20 @@
 		name, value, ok := strings.Cut(strings.TrimSpace(pair), "=")
 		v, err := strconv.ParseFloat(value, 64)
 		if !ok || err != nil || math.IsNaN(v) || math.IsInf(v, 0) || v < 0 {
-			return nil, fmt.Errorf("the load report %q can't be read", text[:min(len(text), maxQuoted)])
+			return nil, fmt.Errorf("malformed load report %q", text[:min(len(text), maxQuoted)])
 		}
 		setField(r, name, v)
 	}
 	return r, nil
 }
 
-// emptyReport is a report without any value.
+// emptyReport returns a report without any values.
 func emptyReport() *policy.LoadReport {
 	return &policy.LoadReport{ActiveRequests: -1, QueuedRequests: -1, CPUUtilization: -1, MeanLatency: -1, RequestsPerSecond: -1}
 }
 
-// setField maps a field of "Parameters" in the operators' page on the wire to the report's. Others are skipped.
+// setField sets the report's field for a name from "Parameters" in the operators' page on the wire. Unknown names are
+// skipped.
 func setField(r *policy.LoadReport, name string, value float64) {
 	const ticksPerMillisecond = 10
 	switch name {
--- a/internal/platformsettings/settings.go
+++ b/internal/platformsettings/settings.go
@@ -1,7 +1,8 @@
-// Package platformsettings maps the operators' settings of a router to the configuration of its policy. The paths and
-// words of the settings, such as Categories, Parties and Obligations, are those of "Parameters" in the operators' page on
-// the simulator's wire; nothing outside this package and package node knows them. The simulator sends them in pairs, the
-// platform as nested JSON: both become Values first, so that they can't differ. Times are given in microseconds.
+// Package platformsettings maps the operators' settings of a router to the configuration of its policy. The section
+// "Parameters" in the operators' page on the simulator's wire defines the paths and values of the settings, such as
+// Categories, Parties and Obligations; only this package and package node use them. The simulator sends the settings as
+// path=value pairs, the platform as nested JSON. Both forms become Values first, so that the same settings give the same
+// configuration. Times are in microseconds.
 package platformsettings
 
 import (
@@ -11,7 +12,7 @@
 	"dapplefront/router"
 )
 
-// Words of the settings.
+// Values of settings that take one of a fixed set of values.
 const (
 	semanticsRepeatable = "repeatable"
 	semanticsByKey      = "by_key"
@@ -32,7 +33,7 @@
 	countsClass = "class"
 )
 
-// The router's terms for the words of the settings. A word that is missing here stands for the zero value.
+// Maps from values of the settings to the policy's constants. A value that is not listed maps to the zero value.
 var (
 	idempotencies = map[string]policy.Idempotency{semanticsRepeatable: policy.Idempotent, semanticsByKey: policy.IdempotentWithKey,
 		semanticsOnce: policy.NonIdempotent}
@@ -40,17 +41,18 @@
 	promotionModes = map[string]policy.PromotionMode{controlShare: policy.Quorum, controlTimer: policy.Timed}
 )
 
-// maxGossipBytes is the limit of a message between routers, which the page on the wire states and the settings don't.
+// maxGossipBytes is the maximum size of a message between routers. The page on the wire defines it; the settings don't
+// include it.
 const maxGossipBytes = 256
 
-// Settings are the settings of a router in the policy's terms.
+// Settings are the settings of a router, converted to the configuration of its policy.
 type Settings struct {
 	Router      router.Config
 	Report      ReportFields
-	StatsWindow policy.Time // the time that the release controller's statistics cover
+	StatsWindow policy.Time // the period that the release controller's statistics cover
 }
 
-// Read maps settings that Check accepts. The seed is not part of them.
+// Read converts settings that satisfy Check. The seed is an argument because the settings don't contain it.
 func Read(v Values, seed uint64) Settings {
 	s := Settings{Report: v.List("Report.Fields")}
 	s.Router = router.Config{Seed: seed, Routers: int(v.Int("Balancers")), Rank: int(v.Int("Rank")), Zone: v["MyZone"],
--- a/internal/platformsettings/settings_test.go
+++ b/internal/platformsettings/settings_test.go
@@ -25,7 +25,7 @@
 	"Extra.Control": "share", "Extra.StageCap": "0.096,0.48,1", "Extra.AyesNeeded": "2", "Extra.MetricsPeriodUs": "1500000",
 	"Extra.SampledShare": "0.5"}
 
-func TestPairsAndJSONGiveTheSameSettings(t *testing.T) {
+func TestRead_GivesSameSettingsForPairsAndJSON(t *testing.T) {
 	p, err := Flatten([]byte(nestedSettings))
 	require.NoError(t, err)
 	got, want := Read(p, 7), Read(flattenedSettings, 7)
@@ -39,7 +39,7 @@
 	require.Equal(t, policy.Time(15000), got.StatsWindow)
 }
 
-func TestInvalidJSONIsRejectedWithItsPath(t *testing.T) {
+func TestFlatten_RejectsInvalidJSONWithPath(t *testing.T) {
 	for _, text := range []string{``, `7`, `[1]`, `{"a":`, `{"a":[1,{"b":2}]}`} {
 		_, err := Flatten([]byte(text))
 		require.Error(t, err, text)
@@ -48,7 +48,7 @@
 	require.ErrorContains(t, err, "a.b")
 }
 
-func TestInvalidLoadReportIsRejectedWhole(t *testing.T) {
+func TestParseReport_RejectsMalformedReports(t *testing.T) {
 	r := ReportFields{"rps", "avg_ms", "active"}
 	got, err := ParseReport("active=7, rps=2.5,avg_ms=40")
 	require.NoError(t, err)
--- a/internal/platformsettings/values.go
+++ b/internal/platformsettings/values.go
@@ -13,13 +13,13 @@
 // microsecondsPerTick is the resolution of policy.Time.
 const microsecondsPerTick = 100
 
-// FromMicroseconds converts microseconds to the policy's time; parts of a tick are dropped.
+// FromMicroseconds converts microseconds to the policy's time, truncated to whole ticks.
 func FromMicroseconds(us int64) policy.Time { return policy.Time(us / microsecondsPerTick) }
 
 // ToMicroseconds converts the policy's time to microseconds.
 func ToMicroseconds(t policy.Time) int64 { return int64(t) * microsecondsPerTick }
 
-// PathError is a mistake in the settings.
+// PathError is the error of an invalid setting.
 type PathError struct {
 	Path   string
 	Reason string
@@ -27,20 +27,20 @@
 
 func (e *PathError) Error() string { return e.Path + ": " + e.Reason }
 
-// Values are settings by path, as "Permissions.MaxAttempts". A list of objects is stored as its length at PATH.count and
-// its parts at PATH.0 and so on, a list of plain values as one value with commas between them.
+// Values are settings by path, such as "Permissions.MaxAttempts". A list of objects is stored as its length at PATH.count
+// and its objects at PATH.0 and so on. A list of plain values is stored as one comma-separated value.
 type Values map[string]string
 
-// Int is the whole number at path; 0 if it is absent or not a number.
+// Int returns the whole number at path, or 0 if it is absent or not a number.
 func (v Values) Int(path string) int64 { return int64(v.Float(path)) }
 
-// Float is the number at path; 0 if it is absent or not a number.
+// Float returns the number at path, or 0 if it is absent or not a number.
 func (v Values) Float(path string) float64 { return float(v[path]) }
 
-// Bool reports whether path is switched on.
+// Bool reports whether the setting at path is on.
 func (v Values) Bool(path string) bool { return v[path] == "true" || v[path] == "1" }
 
-// List is the list of plain values at path.
+// List returns the list of plain values at path.
 func (v Values) List(path string) []string {
 	if v[path] == "" {
 		return nil
@@ -48,18 +48,19 @@
 	return strings.Split(v[path], ",")
 }
 
-// time is the time at path, which is given in microseconds.
+// time returns the duration at path, which is in microseconds, as the policy's time.
 func (v Values) time(path string) policy.Time { return FromMicroseconds(v.Int(path)) }
 
-// count is the length of the list of objects at path.
+// count returns the length of the list of objects at path.
 func (v Values) count(path string) int { return int(v.Int(path + ".count")) }
 
 func float(text string) float64 {
-	f, _ := strconv.ParseFloat(text, 64) // 0 for what is not a number
+	f, _ := strconv.ParseFloat(text, 64) // 0 if text is not a number
 	return f
 }
 
-// Flatten reads a JSON object as values by path. A *PathError names a list that mixes plain values with others.
+// Flatten converts a JSON object to values by path. It returns a *PathError for a list that mixes plain values with objects
+// or lists.
 func Flatten(text []byte) (Values, error) {
 	d := json.NewDecoder(bytes.NewReader(text))
 	d.UseNumber()
@@ -109,7 +110,7 @@
 	case plain == nil:
 		v[path+".count"] = strconv.Itoa(len(list))
 	case len(plain) < len(list):
-		return &PathError{path, "plain values and others in one list"}
+		return &PathError{path, "list mixes plain values with objects or lists"}
 	default:
 		v[path] = strings.Join(plain, ",")
 	}
