--- a/internal/routerconfig/change.go
+++ b/internal/routerconfig/change.go
@@ -6,22 +6,22 @@
 	"reflect"
 )
 
-// CheckChange checks whether a running router can apply another configuration. The error joins one for each section that
-// differs in something that a running router can't change. What may change: routers and rank, all of [rules], [peers] and
-// [probes], all of [desk] but how to reach it and vote-timeout, the register's pushed and ask-within, the promised time,
-// earnings and late share of categories, and the quotas of customers.
+// CheckChange checks whether a running router can apply another configuration. The error joins one error for each group of
+// settings that differs but can't change in a running router. These settings can change: routers and rank; all of [rules],
+// [peers] and [probes]; all of [desk] except its addresses, certificates and vote-timeout; pushed and ask-within of
+// [register]; the promised time, earnings and late share of categories; the quotas of customers.
 func (c *Config) CheckChange(next *Config) error {
 	var errs []error
-	fixed := func(what string, a, b any) {
+	fixed := func(settings string, a, b any) {
 		if !reflect.DeepEqual(a, b) {
-			errs = append(errs, fmt.Errorf("%s can't change in a running router", what))
+			errs = append(errs, fmt.Errorf("%s can't change in a running router", settings))
 		}
 	}
 	fixed("[router] name", c.Name, next.Name)
 	fixed("[router] listen", c.Listen, next.Listen)
 	fixed("[router] last-list", c.EndpointCache, next.EndpointCache)
 	fixed("[router] seed", c.Router.Seed, next.Router.Seed)
-	fixed("[clients], paths, patience and networks", c.Downstream, next.Downstream)
+	fixed("[clients], paths and patience of categories, and networks of customers", c.Downstream, next.Downstream)
 	fixed("[clients] held", c.MaxBodyBytes, next.MaxBodyBytes)
 	fixed("[hosts]", c.Upstream, next.Upstream)
 	fixed("[register] address, names and ask", c.Discovery, next.Discovery)
--- a/internal/routerconfig/config.go
+++ b/internal/routerconfig/config.go
@@ -1,5 +1,5 @@
-// Package routerconfig is the configuration of a router process. It is read from an INI file, whose sections and keys
-// docs/operate-router.md defines, and checked as a whole.
+// Package routerconfig reads and checks the configuration of a router process. docs/operate-router.md defines the sections
+// and keys of its INI file.
 package routerconfig
 
 import (
@@ -18,48 +18,48 @@
 type Config struct {
 	Name          string
 	Listen        string
-	EndpointCache string        // the file that keeps the last endpoint list; empty for none
-	DrainTimeout  time.Duration // how long requests in flight may take after a signal to shut down
-	MaxBodyBytes  int           // of all bodies held at one time
+	EndpointCache string        // the file that stores the last endpoint list; empty to disable the cache
+	DrainTimeout  time.Duration // how long requests in flight may take after a shutdown signal
+	MaxBodyBytes  int           // limit of the total size of all bodies held at one time
 	Router        router.Config
 	Downstream    downstream.Config
 	Upstream      upstream.Config
 	Discovery     Discovery
 	ControlPlane  ControlPlane
-	Records       *record.Config // nil for none
-	Gossip        *gossip.Config // nil for none
+	Records       *record.Config // nil if recording is disabled
+	Gossip        *gossip.Config // nil if gossip is disabled
 	HealthCheck   HealthCheck
 }
 
-// HealthCheck is how hosts are checked. It matters only where the router's limits allow health checks.
+// HealthCheck configures the health checks of hosts. It is used only if the router's limits allow health checks.
 type HealthCheck struct {
 	Path    string
 	Timeout time.Duration
 }
 
-// Discovery is where the endpoint list is.
+// Discovery configures where the endpoint list comes from.
 type Discovery struct {
 	Address     string   // of the xDS service
 	Resources   []string // names of the endpoint resources
-	Incremental bool     // asks for changes in place of complete lists
+	Incremental bool     // whether to request changes instead of complete lists
 }
 
-// ControlPlane is where the release controllers are.
+// ControlPlane configures the connections to the release controllers.
 type ControlPlane struct {
 	URLs         []string
-	Certificates certs.Files   // for connections to them; empty for plain HTTP
-	StatsWindow  time.Duration // the time that their statistics cover
+	Certificates certs.Files   // for connections to the controllers; empty for plain HTTP
+	StatsWindow  time.Duration // the period that the controllers' statistics cover
 }
 
-// Read reads a router's configuration from a file. The error joins all mistakes, each an inifile.SyntaxError; the
-// configuration is not to be used then.
+// Read reads a router's configuration from a file. The error joins all mistakes in the file, each an inifile.SyntaxError.
+// If it is not nil, the configuration must not be used.
 func Read(file string) (*Config, error) {
 	f := inifile.Read(file)
 	c := From(f)
 	return c, f.Err()
 }
 
-// From reads a router's configuration; mistakes are kept by the file.
+// From reads a router's configuration from f. Mistakes are collected in f and returned by f.Err.
 func From(f *inifile.File) *Config {
 	c := &Config{}
 	c.readRouter(f.Section("router"))
--- a/internal/routerconfig/sections.go
+++ b/internal/routerconfig/sections.go
@@ -18,10 +18,10 @@
 	"dapplefront/router"
 )
 
-// This file maps sections and keys of the INI file to the configuration, a function for each section. Nothing else knows
-// their names.
+// This file maps the sections and keys of the INI file to the configuration, with one function for each section. No other
+// file reads them.
 
-// Values of [category NAME] repeat, of its group, and of [desk] control, that stand for something else than the default.
+// Values of repeat and group in [category NAME], and of control in [desk].
 const (
 	repeatRetriable     = "retriable"
 	repeatFingerprinted = "fingerprinted"
@@ -36,7 +36,7 @@
 	controlClock = "clock"
 )
 
-// The router's terms for these values. A value that is missing here stands for the zero value.
+// Maps from these values to the policy's constants. A value that is not listed maps to the zero value.
 var (
 	idempotencies = map[string]policy.Idempotency{repeatRetriable: policy.Idempotent, repeatFingerprinted: policy.IdempotentWithKey,
 		repeatBinding: policy.NonIdempotent}
@@ -44,7 +44,7 @@
 	promotionModes = map[string]policy.PromotionMode{controlShare: policy.Quorum, controlClock: policy.Timed}
 )
 
-// ticks reads a time in the policy's unit.
+// ticks converts a duration to the policy's unit of time.
 func ticks(d time.Duration) policy.Time { return eventloop.FromDuration(d) }
 
 func (c *Config) readRouter(p inifile.Section) {
@@ -53,10 +53,10 @@
 	c.Router = router.Config{Seed: p.Seed("seed", "1"), Routers: p.Int("routers", "1", 1, 100_000),
 		Rank: p.Int("rank", "0", 0, 99_999), Zone: p.Text("location", inifile.Required)}
 	if c.Router.Rank >= c.Router.Routers {
-		p.AddError("rank", "rank = %d: less than routers (%d) expected", c.Router.Rank, c.Router.Routers)
+		p.AddError("rank", "rank = %d: must be less than routers (%d)", c.Router.Rank, c.Router.Routers)
 	}
 	if strings.ContainsAny(c.Name, " ,\t") {
-		p.AddError("name", "name = %s: a name without spaces and commas expected", c.Name)
+		p.AddError("name", "name = %s: must not contain spaces, tabs or commas", c.Name)
 	}
 }
 
@@ -66,7 +66,7 @@
 		MaxConnections: p.Int("links", "20000", 1, 1<<20), MaxPipelined: p.Int("at-once", "16", 1, 1024),
 		Limits: http1.Limits{Head: p.Bytes("largest-head", "16KiB"), Body: p.Bytes("largest-body", "1MiB")}}
 	if c.MaxBodyBytes < 2*c.Downstream.Limits.Body {
-		p.AddError("held", "held: at least twice largest-body expected")
+		p.AddError("held", "held: must be at least twice largest-body")
 	}
 	c.Router.Limits.MaxRequestsInFlight = p.Int("open", "20000", 1, 1<<24)
 }
@@ -106,10 +106,10 @@
 	c.Router.Limits.HealthChecks = true
 	c.HealthCheck = HealthCheck{Path: p.Text("path", inifile.Required), Timeout: p.Duration("within", "250ms")}
 	if !strings.HasPrefix(c.HealthCheck.Path, "/") || strings.ContainsAny(c.HealthCheck.Path, " \t") {
-		p.AddError("path", "path = %s: a path such as /probe expected", c.HealthCheck.Path)
+		p.AddError("path", "path = %s: must be a path such as /probe", c.HealthCheck.Path)
 	}
 	if c.HealthCheck.Timeout <= 0 {
-		p.AddError("within", "within: more than no time expected")
+		p.AddError("within", "within: must be more than 0")
 	}
 }
 
@@ -120,11 +120,11 @@
 	c.Gossip = &gossip.Config{Rank: c.Router.Rank, MaxBytes: p.Int("most", "256", 32, 1200), Addresses: p.List("addresses", inifile.Required)}
 	c.Router.Limits.MaxGossipBytes = c.Gossip.MaxBytes
 	if n := len(c.Gossip.Addresses); n != c.Router.Routers {
-		p.AddError("addresses", "addresses: one for each of the %d routers expected, by rank; there are %d", c.Router.Routers, n)
+		p.AddError("addresses", "addresses: must list one for each of the %d routers, in order of rank; got %d", c.Router.Routers, n)
 	}
 	for i, a := range c.Gossip.Addresses {
 		if _, err := netip.ParseAddrPort(a); err != nil || slices.Contains(c.Gossip.Addresses[:i], a) {
-			p.AddError("addresses", "addresses: %s: a numeric address and port of its own expected", a)
+			p.AddError("addresses", "addresses: %s: must be a numeric IP address with a port, and listed only once", a)
 		}
 	}
 }
@@ -136,7 +136,7 @@
 	c.Records = &record.Config{Dir: p.Text("folder", inifile.Required), Name: c.Name, MaxFileBytes: int64(p.Bytes("size", "64MiB")),
 		MaxFileAge: p.Duration("age", "1h"), MaxBytes: int64(p.Bytes("most", "1GiB"))}
 	if c.Records.MaxBytes < 2*c.Records.MaxFileBytes {
-		p.AddError("most", "most: at least twice size expected")
+		p.AddError("most", "most: must be at least twice size")
 	}
 }
 
@@ -144,18 +144,18 @@
 	c.ControlPlane.URLs = p.List("url", inifile.Required)
 	for _, u := range c.ControlPlane.URLs {
 		if !strings.HasPrefix(u, "http://") && !strings.HasPrefix(u, "https://") {
-			p.AddError("url", "url = %s: http://HOST:PORT expected, with commas between several", u)
+			p.AddError("url", "url = %s: must be http://HOST:PORT or https://HOST:PORT; separate several URLs by commas", u)
 		}
 	}
 	files := certs.Files{Certificate: p.Text("certificate", ""), Key: p.Text("key", ""), Authority: p.Text("authority", "")}
 	if (files.Certificate == "") != (files.Key == "") || (files.Key == "") != (files.Authority == "") {
-		p.AddError("certificate", "certificate, key and authority: all three expected, or none")
+		p.AddError("certificate", "certificate, key and authority: must be set together or not at all")
 	}
 	c.ControlPlane.Certificates = files
 	c.Router.Release = readRelease(p)
 	c.ControlPlane.StatsWindow = p.Duration("counts-over", "2s")
 	if caps := c.Router.Release.ExposureCaps; slices.Contains(caps, 0) || !slices.IsSorted(caps) {
-		p.AddError("caps", "caps: shares above 0%%, none smaller than the one before, expected")
+		p.AddError("caps", "caps: must be shares above 0%%, each at least as large as the one before")
 	}
 }
 
@@ -207,7 +207,7 @@
 	}
 	timeout := ticks(p.Duration("patience", inifile.Required))
 	if timeout < class.LatencyObjective {
-		p.AddError("patience", "patience: at least the promised time expected")
+		p.AddError("patience", "patience: must be at least the promised time")
 	}
 	c.Router.Classes = append(c.Router.Classes, class)
 	c.Downstream.Classes = append(c.Downstream.Classes, downstream.Class{Name: name, Paths: p.List("paths", ""),
