--- a/internal/simwire/body.go
+++ b/internal/simwire/body.go
@@ -8,11 +8,11 @@
 	"dapplefront/internal/platformsettings"
 )
 
-// codes are the results of attempts and health checks.
+// codes are the valid results of attempts and health checks.
 var codes = []string{CodeServed, CodeServerError, CodeTurnedAway, CodeNoAnswer, CodeNoConnection, CodeConnectionLost, CodeCalledOff,
 	CodeNotSent}
 
-// bodyReaders read the values of an event from its line, in the order of the wire.
+// bodyReaders read the values of an event from its line, in their order on the wire. The keys are the names of events.
 var bodyReaders = map[string]func(*Reader, *lineParser) any{
 	"LAUNCH": readLaunch,
 	"VIEW":   (*Reader).readView,
@@ -50,17 +50,17 @@
 	},
 }
 
-// readBody reads the rest of an event's line. What is wrong with it is kept by the line.
+// readBody reads the rest of an event's line. The lineParser keeps the first error.
 func (r *Reader) readBody(name string, p *lineParser) any {
 	read, ok := bodyReaders[name]
 	if !ok {
-		p.fail("a known event")
+		p.fail("the name of a known event")
 		return nil
 	}
 	return read(r, p)
 }
 
-// readView reads a view, with the entries of the list that it refers to.
+// readView reads a VIEW and looks up the entries of the LEDGER that it refers to.
 func (r *Reader) readView(p *lineParser) any {
 	v := View{How: p.oneOf("a kind of list", ViewChanges, ViewFull, ViewCached, ViewFailed)}
 	p.integer("a version")
@@ -96,7 +96,7 @@
 	author := int(p.integer("a peer"))
 	body, err := base64.StdEncoding.DecodeString(p.part())
 	if err != nil {
-		p.fail("a body in base64")
+		p.fail("a base64-encoded body")
 	}
 	return FromPeer{author, body}
 }
--- a/internal/simwire/events.go
+++ b/internal/simwire/events.go
@@ -1,18 +1,18 @@
-// Package simwire reads and prints the lines that the simulator and an adapter exchange, as the operators' page on the
-// simulator's wire defines them. The types of this package keep that page's names, units and words, in the manner of
-// generated code; package simadapter maps them to the router's terms. Times are in microseconds.
+// Package simwire reads and writes the lines that the simulator and an adapter exchange, as the operators' page on the
+// simulator's wire defines them. Like generated code, the types of this package keep that page's names, units and values;
+// package simadapter maps them to the router's types. Times are in microseconds.
 package simwire
 
 import "dapplefront/internal/platformsettings"
 
-// Batch is what happened at one moment.
+// Batch holds the events that happened at one time.
 type Batch struct {
 	Now    int64 // the simulator's clock
 	Number int64
 	Events []Event
 }
 
-// Event is an event for one instance. Its body is one of the types below.
+// Event is an event of one instance. Its body is one of the types below.
 type Event struct {
 	Instance int
 	Body     any
@@ -52,7 +52,7 @@
 const (
 	ViewChanges = "D" // the changed entries
 	ViewFull    = "F" // the complete list
-	ViewCached  = "C" // the complete list as the instance last had it
+	ViewCached  = "C" // the complete list that the instance had last
 	ViewFailed  = "X" // discovery failed; no entries
 )
 
@@ -66,7 +66,7 @@
 // Bits of Incoming.Marks.
 const (
 	MarkHint  = 1 // WorkHintUs is valid
-	MarkRetry = 2 // a client's retry
+	MarkRetry = 2 // the request is a client's retry
 )
 
 // AckFirst is ACK_FIRST: the response of an attempt has started.
@@ -78,7 +78,7 @@
 // PhaseTold is PHASE_TOLD: the status of the newest build.
 type PhaseTold struct {
 	Image, Tranche, Standing int
-	Asked                    bool   // the reply to a JUDGE
+	Asked                    bool   // whether this is the reply to a JUDGE
 	Code                     string // one of the Code constants
 	Allowed                  float64
 	AgeUs                    int64
@@ -106,7 +106,7 @@
 	Metrics []float64
 }
 
-// TimedOutClient is TIMED_OUT_CLIENT: the client has gone or its final answer is overdue.
+// TimedOutClient is TIMED_OUT_CLIENT: the client has disconnected or its final response is overdue.
 type TimedOutClient struct{ Ticket string }
 
 // Due is DUE: a timer has fired.
@@ -119,7 +119,7 @@
 	AgeUs int64
 }
 
-// FromPeer is FROM_PEER: a message of another instance.
+// FromPeer is FROM_PEER: a message from another instance.
 type FromPeer struct {
 	Author int
 	Body   []byte
--- a/internal/simwire/line.go
+++ b/internal/simwire/line.go
@@ -7,21 +7,22 @@
 	"strings"
 )
 
-// lineParser takes the parts of one line, which single spaces separate, and keeps the first error.
+// lineParser reads the parts of one line, which are separated by single spaces, and keeps the first error. A part that is
+// "-" or missing counts as absent.
 type lineParser struct {
-	line       int // its number
+	line       int // line number
 	text, rest string
 	err        error
 }
 
-// expected is the error of a line that is not what was wanted.
+// expected returns the error for a line that doesn't contain what was expected.
 func (p *lineParser) expected(what string) error {
 	const maxQuoted = 120 // bytes
 	text := p.text
 	if len(text) > maxQuoted {
 		text = text[:maxQuoted] + "..."
 	}
-	return fmt.Errorf("line %d: %s expected in %q", p.line, what, text)
+	return fmt.Errorf("line %d: expected %s in %q", p.line, what, text)
 }
 
 func (p *lineParser) fail(what string) {
@@ -30,7 +31,7 @@
 	}
 }
 
-// part takes the next part; an absent one is empty.
+// part returns the next part, or an empty string if it is absent.
 func (p *lineParser) part() string {
 	part, rest, _ := strings.Cut(p.rest, " ")
 	p.rest = rest
@@ -40,7 +41,7 @@
 	return part
 }
 
-// required takes the next part, which must not be absent.
+// required returns the next part and fails if it is absent.
 func (p *lineParser) required(what string) string {
 	part := p.part()
 	if part == "" {
@@ -49,7 +50,7 @@
 	return part
 }
 
-// integer takes a whole number; an absent one is 0.
+// integer returns the next part as a whole number, or 0 if it is absent.
 func (p *lineParser) integer(what string) int64 {
 	part := p.part()
 	if part == "" {
@@ -57,12 +58,12 @@
 	}
 	n, err := strconv.ParseInt(part, 10, 64)
 	if err != nil {
-		p.fail(what + ", a whole number,")
+		p.fail(what + " (a whole number)")
 	}
 	return n
 }
 
-// float takes a number; an absent one is 0.
+// float returns the next part as a number, or 0 if it is absent.
 func (p *lineParser) float(what string) float64 {
 	part := p.part()
 	if part == "" {
@@ -70,7 +71,7 @@
 	}
 	n, err := strconv.ParseFloat(part, 64)
 	if err != nil {
-		p.fail(what + ", a number,")
+		p.fail(what + " (a number)")
 	}
 	return n
 }
@@ -78,13 +79,13 @@
 func (p *lineParser) host() uint32 {
 	n, err := strconv.ParseUint(p.part(), 10, 32)
 	if err != nil {
-		p.fail("a host's number")
+		p.fail("a host number")
 	}
 	return uint32(n)
 }
 
-// bool takes 1 or 0; an absent one is false.
-func (p *lineParser) bool() bool { return p.oneOf("1 or 0", "", "0", "1") == "1" }
+// bool returns whether the next part is 1. It must be 0, 1 or absent.
+func (p *lineParser) bool() bool { return p.oneOf("a flag", "", "0", "1") == "1" }
 
 func (p *lineParser) oneOf(what string, allowed ...string) string {
 	part := p.part()
@@ -94,7 +95,8 @@
 	return part
 }
 
-// numbers takes numbers with commas between them; one that is not given is -1. An absent list is nil.
+// numbers returns the next part as a list of comma-separated numbers. A number that is not given is -1; an absent list is
+// nil.
 func (p *lineParser) numbers() []float64 {
 	list := p.part()
 	if list == "" {
@@ -106,7 +108,7 @@
 		if err != nil {
 			n = -1
 			if part != "-" && part != "" {
-				p.fail("load figures")
+				p.fail("comma-separated numbers")
 			}
 		}
 		numbers = append(numbers, n)
--- a/internal/simwire/reader.go
+++ b/internal/simwire/reader.go
@@ -9,18 +9,18 @@
 )
 
 const (
-	maxLists   = 16 // numbers of LEDGERs
+	maxLists   = 16 // LEDGERs are numbered from 0 to maxLists-1
 	bufferSize = 1 << 20
 )
 
 // Reader reads batches.
 type Reader struct {
 	in    *bufio.Reader
-	line  int // the number of the last line read
+	line  int // number of the last line read
 	lists [maxLists][]Entry
 }
 
-// NewReader reads batches from in.
+// NewReader returns a Reader that reads batches from in.
 func NewReader(in io.Reader) *Reader { return &Reader{in: bufio.NewReaderSize(in, bufferSize)} }
 
 // nextLine returns the next line that is not blank.
@@ -41,8 +41,8 @@
 	}
 }
 
-// Batch reads one batch. io.EOF says that input ended between batches; any other error names the line and what was
-// expected there.
+// Batch reads one batch. It returns io.EOF if the input ends between batches. The error for a malformed batch names the
+// line and what was expected there.
 func (r *Reader) Batch() (Batch, error) {
 	p, err := r.nextLine()
 	if err != nil {
@@ -65,7 +65,7 @@
 	for {
 		p, err := r.nextLine()
 		if errors.Is(err, io.EOF) {
-			return fmt.Errorf("line %d: input ended inside a batch: EOF_BATCH expected", r.line+1)
+			return fmt.Errorf("line %d: input ended inside a batch: expected EOF_BATCH", r.line+1)
 		}
 		if err != nil {
 			return err
@@ -81,7 +81,7 @@
 			}
 		default:
 			if !selected {
-				return p.expected("SELECT before the first event")
+				return p.expected("SELECT before the first event of the batch")
 			}
 			body := r.readBody(name, &p)
 			if p.err == nil {
@@ -118,10 +118,10 @@
 func (r *Reader) readEntry() (Entry, error) {
 	p, err := r.nextLine()
 	if err != nil {
-		return Entry{}, fmt.Errorf("line %d: input ended inside a list: M expected", r.line+1)
+		return Entry{}, fmt.Errorf("line %d: input ended inside a list: expected M", r.line+1)
 	}
 	if p.part() != "M" {
-		return Entry{}, p.expected("M, an entry of the list")
+		return Entry{}, p.expected("M (a list entry)")
 	}
 	e := Entry{Host: p.host(), Site: p.part(), FamilyType: p.part(), Cell: p.integer("a cell")}
 	e.Mode = p.oneOf("a mode", ModeInService, ModeTerminating, ModeTerminated)
--- a/internal/simwire/writer.go
+++ b/internal/simwire/writer.go
@@ -7,14 +7,14 @@
 	"strconv"
 )
 
-// Writer prints replies. An error of the output is returned by End.
+// Writer prints replies. Write errors are returned by End.
 type Writer struct {
 	out      *bufio.Writer
 	line     []byte // the line being printed
-	instance int    // of the last AT line; -1 at the start of a reply
+	instance int    // instance of the last AT line; -1 at the start of a reply
 }
 
-// NewWriter prints replies to out.
+// NewWriter returns a Writer that prints replies to out.
 func NewWriter(out io.Writer) *Writer {
 	return &Writer{out: bufio.NewWriterSize(out, bufferSize), instance: -1}
 }
@@ -28,7 +28,7 @@
 	w.printLine(name, values...)
 }
 
-// End ends the reply to a batch and sends it.
+// End completes the reply to a batch and flushes it.
 func (w *Writer) End(batch int64) error {
 	w.instance = -1
 	w.printLine("EOR", batch)
@@ -49,5 +49,5 @@
 		}
 	}
 	w.line = append(w.line, '\n')
-	_, _ = w.out.Write(w.line) // the writer keeps the error until Flush
+	_, _ = w.out.Write(w.line) // bufio.Writer returns the error from Flush
 }
