--- a/internal/simadapter/adapter.go
+++ b/internal/simadapter/adapter.go
@@ -1,5 +1,5 @@
-// Package simadapter connects the router library to the simulator: events of the simulator's wire become the router's
-// events, and the router's actions become lines of the wire. It takes no decisions.
+// Package simadapter connects the router library to the simulator: it converts events of the simulator's wire to the
+// router's events, and the router's actions to lines of the wire. It makes no decisions.
 package simadapter
 
 import (
@@ -14,7 +14,8 @@
 	"dapplefront/router"
 )
 
-// Run answers batches from in on out until input ends between two batches. An error of the input names its line.
+// Run reads batches from in and writes the reply to each to out, until the input ends between two batches. The error for
+// malformed input names the line.
 func Run(in io.Reader, out io.Writer) error {
 	r, w := simwire.NewReader(in), simwire.NewWriter(out)
 	instances := map[int]*instance{}
@@ -35,7 +36,7 @@
 	}
 }
 
-// handleBatch hands the events of a batch to their instances. Events of an instance that is not running are dropped.
+// handleBatch passes the events of a batch to their instances. Events of an instance that is not running are dropped.
 func handleBatch(instances map[int]*instance, out *simwire.Writer, b simwire.Batch) error {
 	now := platformsettings.FromMicroseconds(b.Now)
 	for _, e := range b.Events {
@@ -57,14 +58,14 @@
 	return nil
 }
 
-// instance is a running router, with the settings that its events are read by.
+// instance is a running router, with the settings that the adapter needs to convert its events.
 type instance struct {
 	id           int
 	out          *simwire.Writer
 	router       *router.Router
-	actions      []router.Action // of the last event; its memory is used again
+	actions      []router.Action // actions that followed the last event; the slice is reused
 	reportFields platformsettings.ReportFields
-	statsWindow  policy.Time // the time that statistics cover
+	statsWindow  policy.Time // the period that statistics cover
 }
 
 func launch(id int, out *simwire.Writer, now policy.Time, l simwire.Launch) *instance {
@@ -75,7 +76,7 @@
 	return i
 }
 
-// handle hands an event to the router and prints the actions that follow.
+// handle passes an event to the router and prints the resulting actions.
 func (i *instance) handle(now policy.Time, body any) error {
 	e := i.routerEvent(body)
 	if e == nil {
@@ -87,7 +88,7 @@
 	return err
 }
 
-// printActions prints the router's actions as lines of the wire, by "Requests" in the operators' page.
+// printActions prints the router's actions as lines of the wire, as "Requests" in the operators' page defines them.
 func (i *instance) printActions() {
 	for _, a := range i.actions {
 		switch a.Kind {
--- a/internal/simadapter/adapter_test.go
+++ b/internal/simadapter/adapter_test.go
@@ -18,14 +18,14 @@
 	return out.String(), err
 }
 
-func TestRequestIsAttemptedAndEventsOfUnknownRequestsAreIgnored(t *testing.T) {
+func TestRun_SendsAttemptAndIgnoresEventsOfUnknownRequests(t *testing.T) {
 	out, err := runAfterLaunch(t, "INCOMING rq_1 quote - - 500000 - 0\nENDED rq_9 0 7 served 10 1 -\nTIMED_OUT_CLIENT rq_8\n")
 	require.NoError(t, err)
 	require.Contains(t, out, "TRY rq_1 7 ")
 	require.Contains(t, out, "EOR 2")
 }
 
-func TestMalformedLineIsAnErrorThatNamesIt(t *testing.T) {
+func TestRun_NamesMalformedLine(t *testing.T) {
 	for _, bad := range []string{"INCOMING rq_1 quote - - soon - 0\n", "NONSENSE 1\n", "DUE x\n",
 		"ENDED rq_1 0 7 perhaps 10 1 -\n", "VIEW Z 1 0\n", "LEDGER 0 2\nM 7 a std 0 in_service 1 1 -\n"} {
 		_, err := runAfterLaunch(t, bad)
--- a/internal/simadapter/mapping.go
+++ b/internal/simadapter/mapping.go
@@ -7,7 +7,7 @@
 	"dapplefront/router"
 )
 
-// This file maps the names and words of the simulator's wire, by the operators' page, to the router's terms.
+// This file maps the names and values of the simulator's wire, which the operators' page defines, to the router's types.
 
 var outcomes = map[string]policy.Outcome{
 	simwire.CodeServed:         policy.Succeeded,
@@ -34,10 +34,10 @@
 	simwire.ModeTerminated:  policy.Removed,
 }
 
-// ticks converts a time of the wire.
+// ticks converts a time of the wire, in microseconds, to the policy's unit.
 func ticks(us int64) policy.Time { return platformsettings.FromMicroseconds(us) }
 
-// routerEvent is the router's event for the body of an event of the wire; nil if it has none.
+// routerEvent returns the router's event for the body of a wire event, or nil if there is none.
 func (i *instance) routerEvent(body any) router.Event {
 	switch e := body.(type) {
 	case simwire.View:
@@ -90,7 +90,7 @@
 	return r
 }
 
-// releaseEvent maps a release status. Phases have the same numbers on the wire as in the policy.
+// releaseEvent converts a release status. The numbers of the phases on the wire are the same as in the policy.
 func releaseEvent(e simwire.PhaseTold) router.Event {
 	s := policy.ReleaseStatus{Build: e.Image, Stage: e.Tranche, Phase: policy.Phase(e.Standing), ExposureCap: e.Allowed, Age: ticks(e.AgeUs)}
 	if e.Asked {
