--- a/internal/audit/evaluation.go
+++ b/internal/audit/evaluation.go
@@ -31,39 +31,40 @@
 	return verdicts
 }
 
-// evaluation goes through the events in order and keeps what the rules depend on.
+// evaluation processes the events in time order and holds the state that the rules depend on.
 type evaluation struct {
 	limits     Limits
 	stalls     []interval
-	end        time.Duration // when the last event was
+	end        time.Duration // time of the last event
 	requests   map[string]*request
-	order      []*request
+	order      []*request // in the order in which they were sent
 	operations map[string]*operation
 	routers    map[string]*routerState
-	arrivals   map[*Host][]event // while the backend warms up
+	arrivals   map[*Host][]event // at each backend during its warm-up
 	verdicts   map[string]*Verdict
 }
 
-// request is one request of a client.
+// request is one request that a client sent. A client's retry is a request of its own.
 type request struct {
 	event
-	sentTo      *routerState
-	incarnation int           // of the router's process that it was sent to
-	routerDown  bool          // there was no such process just then
-	endedAt     time.Duration // when the client had its response, lost it or left; 0 for not yet
-	endNoticed  time.Duration // how much later the client noticed
-	ending      eventKind
-	arrivals    []*event
-	rejectedBy  map[*Host]bool
+	sentTo           *routerState
+	incarnation      int           // number of the router process that it was sent to
+	routerDown       bool          // no router process was running when it was sent
+	endedAt          time.Duration // when the client received the response, lost its connection or closed it; 0 until then
+	endObserverDelay time.Duration // how much later the client observed that end
+	ending           eventKind
+	arrivals         []*event
+	rejectedBy       map[*Host]bool
 }
 
-// operation is a request with all its retries by the client.
-type operation struct{ runs int }
+// operation is a request together with all retries of it by the client.
+type operation struct{ effects int }
 
-// routerState is what is known of a router since its process started; what outlives the process is marked so.
+// routerState is what is known of a router since its current process started. Fields marked "outlives the process" carry
+// over to the next process.
 type routerState struct {
 	incarnation    int             // outlives the process
-	stoppedAt      []time.Duration // of each incarnation; outlives the process
+	stoppedAt      []time.Duration // by incarnation; outlives the process
 	pauses         []interval      // outlives the process
 	down           bool
 	startedAt      time.Duration
@@ -110,7 +111,7 @@
 	return r
 }
 
-// report adds a finding about what happened between two times; it is doubtful if the machine stalled meanwhile.
+// report adds a finding about the time between from and to. The finding is doubtful if the machine stalled in that time.
 func (ev *evaluation) report(rule string, from, to time.Duration, format string, values ...any) {
 	f := Finding{Rule: rule, At: to, Text: fmt.Sprintf(format, values...)}
 	for _, s := range ev.stalls {
@@ -130,7 +131,7 @@
 	switch e.kind {
 	case requestSent:
 		ev.handleRequest(e)
-	case responseReceived, connectionLost, clientLeft, connectFailed:
+	case responseReceived, connectionLost, clientDisconnected, connectFailed:
 		ev.handleEnding(e)
 	case attemptArrived:
 		ev.handleAttempt(e)
@@ -138,7 +139,7 @@
 		if q := ev.requests[e.requestID]; q != nil {
 			q.rejectedBy[e.host] = true
 		}
-	case effectRan:
+	case effectApplied:
 		if q := ev.requests[e.requestID]; q != nil {
 			ev.judgeEffect(q, e)
 		}
@@ -180,10 +181,10 @@
 	switch {
 	case q == nil:
 	case q.endedAt == 0:
-		q.endedAt, q.endNoticed, q.ending = e.at, e.noticed, e.kind
+		q.endedAt, q.endObserverDelay, q.ending = e.at, e.observerDelay, e.kind
 		ev.judgeRejection(q, e)
 	case e.kind == responseReceived:
-		ev.report(RuleAnswer, q.endedAt, e.at, "task %s had a second answer", e.requestID)
+		ev.report(RuleAnswer, q.endedAt, e.at, "request %s received a second response", e.requestID)
 	}
 }
 
--- a/internal/audit/event.go
+++ b/internal/audit/event.go
@@ -13,10 +13,10 @@
 	responseReceived
 	connectionLost
 	connectFailed
-	clientLeft
+	clientDisconnected
 	attemptArrived
 	attemptRejected
-	effectRan
+	effectApplied
 	endpointsAcknowledged
 	releaseAnnounced
 	routerStarting
@@ -24,26 +24,26 @@
 	routerPaused
 )
 
-// event is one observation. Which fields count depends on its kind.
+// event is one observation. The kind determines which fields are used.
 type event struct {
-	at          time.Duration
-	noticed     time.Duration // how much later than at the observer itself noticed the event
-	kind        eventKind
-	requestID   string // of one request of a client
-	operationID string // shared by a request and its retries by the client
-	router      string
-	class       string
-	outcome     string
-	timeout     time.Duration // of the client; of a pause, its length
-	host        *Host
-	work        float64 // seconds
-	release     ReleaseStatus
-	states      map[uint32]policy.EndpointState
+	at            time.Duration
+	observerDelay time.Duration // how much later than at the observer saw the event
+	kind          eventKind
+	requestID     string // one per request that a client sends, including each retry
+	operationID   string // shared by a request and its retries by the client
+	router        string
+	class         string
+	outcome       string
+	timeout       time.Duration // the client's timeout, or the length of a pause
+	host          *Host
+	work          float64 // seconds
+	release       ReleaseStatus
+	states        map[uint32]policy.EndpointState
 }
 
-// RemoteEvent is what a backend in another process saw, with its clock.
+// RemoteEvent is an event that a backend in another process observed. At is on that process's clock.
 type RemoteEvent struct {
-	Kind      string // arrived, unseen or ran
+	Kind      string // a key of remoteKinds
 	At        time.Time
 	RequestID string
 	Router    string
@@ -51,4 +51,4 @@
 	Work      float64 // seconds
 }
 
-var remoteKinds = map[string]eventKind{"arrived": attemptArrived, "unseen": attemptRejected, "ran": effectRan}
+var remoteKinds = map[string]eventKind{"arrived": attemptArrived, "unseen": attemptRejected, "ran": effectApplied}
--- a/internal/audit/recorder.go
+++ b/internal/audit/recorder.go
@@ -9,12 +9,12 @@
 
 const (
 	heartbeatInterval = 5 * time.Millisecond
-	stallThreshold    = 60 * time.Millisecond // a heartbeat this late means that the machine stalled
+	stallThreshold    = 60 * time.Millisecond // a longer gap between heartbeats means that the machine stalled
 )
 
 type interval struct{ from, to time.Duration }
 
-// Recorder collects events. It is safe for concurrent use. Its clock starts at 0 when it is made.
+// Recorder collects events. It is safe for concurrent use. Its clock starts at 0 when it is created.
 type Recorder struct {
 	start time.Time
 
@@ -48,7 +48,7 @@
 	}
 }
 
-// Heartbeat notes that the machine runs at a time.
+// Heartbeat records that the machine was running at now. It records a stall if the previous heartbeat is too long ago.
 func (r *Recorder) Heartbeat(now time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -58,16 +58,16 @@
 	r.lastHeartbeat = now
 }
 
-// Close stops the heartbeat and waits for it.
+// Close stops the heartbeat and waits until its goroutine has returned.
 func (r *Recorder) Close() {
 	close(r.stop)
 	<-r.done
 }
 
-// Now is the recorder's time.
+// Now returns the current time on the recorder's clock.
 func (r *Recorder) Now() time.Duration { return time.Since(r.start) }
 
-// At is the recorder's time at t.
+// At converts t to the recorder's clock.
 func (r *Recorder) At(t time.Time) time.Duration { return t.Sub(r.start) }
 
 func (r *Recorder) add(e event) {
@@ -79,82 +79,82 @@
 	r.events = append(r.events, e)
 }
 
-// addAt adds an event that took place at a time and was noticed now.
+// addAt adds an event that took place at a time and is observed now.
 func (r *Recorder) addAt(at time.Time, e event) {
 	now := r.Now()
 	e.at = min(now, max(1, r.At(at)))
-	e.noticed = now - e.at
+	e.observerDelay = now - e.at
 	r.add(e)
 }
 
-// RequestSent notes that the kernel of a client sent a request at a time. A request and the client's retries of it share
-// the operation's id.
+// RequestSent records that a client's kernel sent a request at a time. A request and the client's retries of it share the
+// operation id.
 func (r *Recorder) RequestSent(at time.Time, requestID, operationID, router, class string, timeout time.Duration) {
 	r.addAt(at, event{kind: requestSent, requestID: requestID, operationID: operationID, router: router, class: class, timeout: timeout})
 }
 
-// ResponseReceived notes that the kernel of a client had a complete response at a time. outcome is empty where the router
-// did not accept the request.
+// ResponseReceived records that a client's kernel had received a complete response at a time. outcome is empty if the
+// router did not accept the request.
 func (r *Recorder) ResponseReceived(at time.Time, requestID, outcome string) {
 	r.addAt(at, event{kind: responseReceived, requestID: requestID, outcome: outcome})
 }
 
-// ConnectFailed notes that no connection to the router could be made.
+// ConnectFailed records that the client could not connect to the router.
 func (r *Recorder) ConnectFailed(requestID string) {
 	r.add(event{kind: connectFailed, requestID: requestID})
 }
 
-// ConnectionLost notes that the client's connection ended without a response.
+// ConnectionLost records that the client's connection ended without a response.
 func (r *Recorder) ConnectionLost(requestID string) {
 	r.add(event{kind: connectionLost, requestID: requestID})
 }
 
-// ClientLeft notes that the client closed its connection before a response.
-func (r *Recorder) ClientLeft(requestID string) {
-	r.add(event{kind: clientLeft, requestID: requestID})
+// ClientDisconnected records that the client closed its connection before a response.
+func (r *Recorder) ClientDisconnected(requestID string) {
+	r.add(event{kind: clientDisconnected, requestID: requestID})
 }
 
-// AttemptArrived notes an attempt that reached the kernel of a backend at a time, with its work in seconds.
+// AttemptArrived records that an attempt reached a backend's kernel at a time. work is in seconds.
 func (r *Recorder) AttemptArrived(at time.Time, h *Host, router, requestID, class string, work float64) {
 	r.addAt(at, event{kind: attemptArrived, host: h, router: router, requestID: requestID, class: class, work: work})
 }
 
-// AttemptRejected notes that a backend is about to reject an attempt that it has not begun.
+// AttemptRejected records that a backend is about to reject an attempt that it has not started.
 func (r *Recorder) AttemptRejected(h *Host, requestID string) {
 	r.add(event{kind: attemptRejected, host: h, requestID: requestID})
 }
 
-// EffectRan notes that a request's effect took place at a backend.
-func (r *Recorder) EffectRan(h *Host, requestID string) {
-	r.add(event{kind: effectRan, host: h, requestID: requestID})
+// EffectApplied records that a backend has applied the effect of a request.
+func (r *Recorder) EffectApplied(h *Host, requestID string) {
+	r.add(event{kind: effectApplied, host: h, requestID: requestID})
 }
 
-// EndpointsAcknowledged notes which states of endpoints a router is known to have been told, when it acknowledges them.
+// EndpointsAcknowledged records endpoint states by backend id at the moment when a router acknowledges them.
 func (r *Recorder) EndpointsAcknowledged(router string, states map[uint32]policy.EndpointState) {
 	r.add(event{kind: endpointsAcknowledged, router: router, states: states})
 }
 
-// ReleaseAnnounced notes a release status as it goes out to a router.
+// ReleaseAnnounced records a release status at the moment when it is sent to a router.
 func (r *Recorder) ReleaseAnnounced(router string, s ReleaseStatus) {
 	r.add(event{kind: releaseAnnounced, router: router, release: s})
 }
 
-// RouterPaused notes that the scenario keeps a router from running for a while from now on.
+// RouterPaused records that the scenario suspends a router for d from now on.
 func (r *Recorder) RouterPaused(router string, d time.Duration) {
 	r.add(event{kind: routerPaused, router: router, timeout: d})
 }
 
-// RouterStopping notes that a router's process is about to be ended.
+// RouterStopping records that a router's process is about to be terminated.
 func (r *Recorder) RouterStopping(router string) {
 	r.add(event{kind: routerStopping, router: router})
 }
 
-// RouterStarting notes that a router's new process is about to start.
+// RouterStarting records that a router's new process is about to start.
 func (r *Recorder) RouterStarting(router string) {
 	r.add(event{kind: routerStarting, router: router})
 }
 
-// AddRemote notes what a backend in another process saw. Events of an unknown kind are dropped.
+// AddRemote records an event that a backend in another process observed. It drops events of unknown kinds.
 func (r *Recorder) AddRemote(h *Host, e RemoteEvent) {
 	kind, known := remoteKinds[e.Kind]
 	if !known {
@@ -166,7 +166,7 @@
 	})
 }
 
-// LastArrival is when an attempt last reached a backend of a build; 0 for never.
+// LastArrival returns the time at which an attempt last reached a backend of a build, or 0 if none has.
 func (r *Recorder) LastArrival(build int) (at time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -178,7 +178,8 @@
 	return at
 }
 
-// CountCrossZone counts the attempts that reached backends, and those of them that left their router's zone.
+// CountCrossZone returns the number of attempts that reached backends, and how many of them reached a backend outside the
+// zone of their router. zones maps each router's name to its zone.
 func (r *Recorder) CountCrossZone(zones map[string]string) (all, crossZone int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/testbed/backend.go
+++ b/internal/testbed/backend.go
@@ -66,7 +66,7 @@
 	// AttemptArrived is called for an attempt that the kernel received at a time; work is in seconds.
 	AttemptArrived(at time.Time, h *audit.Host, router, requestID, class string, work float64)
 	AttemptRejected(h *audit.Host, requestID string)
-	EffectRan(h *audit.Host, requestID string)
+	EffectApplied(h *audit.Host, requestID string)
 }
 
 // RequestCounter is called for each response of a backend, concurrently.
@@ -310,7 +310,7 @@
 	}
 	if request.class.Idempotency != policy.IdempotentWithKey || b.keys.First(request.key, request.class.DedupWindow) {
 		if b.observer != nil {
-			b.observer.EffectRan(b.Audited, request.id)
+			b.observer.EffectApplied(b.Audited, request.id)
 		}
 	}
 	if draw("wrong", request.id, strconv.Itoa(b.Build.Number)) < b.Build.WrongAnswerRate {
--- a/internal/testbed/client_attempt.go
+++ b/internal/testbed/client_attempt.go
@@ -50,7 +50,7 @@
 	if err != nil {
 		closeAndLog("connection after an error", conn)
 		if isTimeout(err) {
-			c.recorder.ClientLeft(a.attemptID())
+			c.recorder.ClientDisconnected(a.attemptID())
 			return Score{TimedOut: 1}, 0
 		}
 		c.recorder.ConnectionLost(a.attemptID())
--- a/internal/testbed/observer.go
+++ b/internal/testbed/observer.go
@@ -103,8 +103,8 @@
 	o.send(message{RemoteEvent: audit.RemoteEvent{Kind: "unseen", At: time.Now(), RequestID: requestID}})
 }
 
-// EffectRan reports the effect of a request.
-func (o *remoteObserver) EffectRan(_ *audit.Host, requestID string) {
+// EffectApplied reports the effect of a request.
+func (o *remoteObserver) EffectApplied(_ *audit.Host, requestID string) {
 	o.send(message{RemoteEvent: audit.RemoteEvent{Kind: "ran", At: time.Now(), RequestID: requestID}})
 }
 
