--- a/agent/doc.go
+++ b/agent/doc.go
@@ -1,25 +1,26 @@
-// Package agent decides what the build agent of one host does: fetch a build, verify it, start it beside the one that
-// serves, wait until it has warmed up, replace the earlier build once the newer one is released, and roll back. It is a
-// state machine without I/O and clock. Inputs go in with their time, effects come out. Orders are numbered goals, so that
-// one that arrives twice or late does nothing. The state is plain data and is to be saved before its effects are carried
-// out:
+// Package agent is the state machine of the build agent of one host. It decides when to fetch a build, verify it, start it
+// beside the stable build, wait until it has warmed up, retire the stable build once the newer build is released, and roll
+// back. It performs no I/O and reads no clock: the caller passes in each input with the current time and executes the
+// effects that Handle returns. Each order has a number and a goal, so an order that arrives twice or late has no effect.
+// The state is plain data. The caller saves it before it executes the effects:
 //
 //	m := agent.New(limits)
 //	effects := m.Handle(now, agent.Order{Number: 1, Digest: d, Build: 7, Goal: agent.GoalServe})
-//	save(m.State)          // first
-//	carryOut(effects)      // then; each outcome is handled as a further input
+//	save(m.State)
+//	execute(effects)       // the outcome of each effect is passed to Handle as a further input
 //
-// After a crash of the agent, Resume takes the saved state and the processes that were found, and returns the effects
-// that may not have been carried out.
+// After a crash of the agent, Resume takes the saved state and the processes that are still running, and returns the
+// effects that may not have been executed.
 //
 // # Invariants
 //
-// Whatever comes in, in whatever order: no build is started that has not been verified, and the stable build isn't
-// drained before a candidate has been released and serves, unless an order rolls it back.
+// The following holds for any sequence of inputs. A build is started only after it has been verified. The stable build is
+// drained only after a candidate has been released and serves, or when an order rolls the stable build back.
 //
 // # Transitions
 //
-// An instance is one build on the host. Its phase changes by this table; all other pairs of phase and event are ignored.
+// An instance is one build on the host. This table lists the transitions between its phases; all other pairs of phase and
+// event are ignored.
 //
 //	phase       event        next phase  effects
 //	idle        proceed      fetching    Fetch
@@ -47,7 +48,7 @@
 //	stopping    failed       stopping    Stop
 //	failed      retire       removed
 //
-// "proceed" means that the goal allows the next step, "retire" that the build is to leave the host, "failed" that an
-// operation failed, "retry" that a backoff has elapsed. An idle build that is to leave is removed at once. A build that is
-// released is never given up after crashes, as nothing else would serve.
+// The event "proceed" means that the goal allows the next step, "retire" that the build is to be removed from the host,
+// "failed" that an operation failed, and "retry" that a backoff has elapsed. An idle build that is retired is removed
+// immediately. A released build is restarted without limit, because no other build would serve in its place.
 package agent
--- a/agent/effect.go
+++ b/agent/effect.go
@@ -2,46 +2,46 @@
 
 import "time"
 
-// Effect is something to be carried out. All of them may be carried out twice.
+// Effect is an operation that the caller of Handle executes. Effects are idempotent: each may be executed twice.
 type Effect interface{ effect() }
 
 type (
-	// Fetch fetches the manifest, its signatures and the files. Fetched or OperationFailed follows.
+	// Fetch fetches the manifest, its signatures and the files. Its outcome is Fetched or OperationFailed.
 	Fetch struct {
 		Digest               string
 		AllowBelowMinVersion bool
 	}
-	// Verify verifies the signatures and all files, and installs the build. Verified or OperationFailed follows.
+	// Verify verifies the signatures and all files, and installs the build. Its outcome is Verified or OperationFailed.
 	Verify struct {
 		Digest               string
 		AllowBelowMinVersion bool
 	}
-	// Start starts the process. Started or OperationFailed follows, then Ready or OperationFailed.
+	// Start starts the process. Its outcome is Started or OperationFailed; Ready or OperationFailed follows Started.
 	Start struct{ Digest string }
-	// Watch takes over a process that runs already. Ready and Exited follow as after Start.
-	Watch struct{ Digest string }
+	// Adopt takes over a process that is already running. Ready and Exited follow as after Start.
+	Adopt struct{ Digest string }
 	// PublishEndpoint reports the state of the instance's endpoint.
 	PublishEndpoint struct {
 		Digest string
 		State  EndpointState
 	}
-	// AwaitWarmUp waits until the build has run for the warm-up time. WarmedUp follows.
+	// AwaitWarmUp waits until the build has run for the warm-up time. Its outcome is WarmedUp.
 	AwaitWarmUp struct{ Digest string }
-	// AwaitDrain waits until no new requests can arrive. Drained follows.
+	// AwaitDrain waits until no new requests can arrive. Its outcome is Drained.
 	AwaitDrain struct{ Digest string }
-	// Stop terminates the process, and kills it where it doesn't end in time. Exited or OperationFailed follows, also
-	// where no process runs.
+	// Stop terminates the process, and kills it if it doesn't exit in time. Its outcome is Exited or OperationFailed,
+	// even if no process is running.
 	Stop struct{ Digest string }
-	// Backoff waits. BackoffElapsed follows.
+	// Backoff waits for Delay before a crashed build is restarted. Its outcome is BackoffElapsed.
 	Backoff struct {
 		Digest string
 		Delay  time.Duration
 	}
-	// Cancel ends a fetch or verification under way; nothing follows.
+	// Cancel cancels a fetch or verification in progress. It has no outcome.
 	Cancel struct{ Digest string }
 	// CollectGarbage removes the files of builds that State does not name.
 	CollectGarbage struct{}
-	// ReportTransition reports a change of phase or a failure.
+	// ReportTransition reports a change of phase, a failure or an exit to the controller.
 	ReportTransition struct {
 		Build    int
 		Digest   string
@@ -54,7 +54,7 @@
 func (Fetch) effect()            {}
 func (Verify) effect()           {}
 func (Start) effect()            {}
-func (Watch) effect()            {}
+func (Adopt) effect()            {}
 func (PublishEndpoint) effect()  {}
 func (AwaitWarmUp) effect()      {}
 func (AwaitDrain) effect()       {}
--- a/agent/machine.go
+++ b/agent/machine.go
@@ -5,31 +5,31 @@
 	"time"
 )
 
-// Limits bound how often and how soon a crashed build is started again.
+// Limits bound how often and how soon a crashed build is restarted.
 type Limits struct {
-	MaxCrashes      int           `json:"maxCrashes"`      // consecutive, after which a build that isn't released has failed
-	CrashBackoff    time.Duration `json:"crashBackoff"`    // before the first restart; it doubles with each further one
-	MaxCrashBackoff time.Duration `json:"maxCrashBackoff"` // the longest backoff
-	CrashResetAfter time.Duration `json:"crashResetAfter"` // time in a phase after which earlier crashes no longer count
+	MaxCrashes      int           `json:"maxCrashes"`      // consecutive crashes; after one more, an unreleased build has failed
+	CrashBackoff    time.Duration `json:"crashBackoff"`    // delay of the first restart; it doubles with each further restart
+	MaxCrashBackoff time.Duration `json:"maxCrashBackoff"` // upper bound of the delay
+	CrashResetAfter time.Duration `json:"crashResetAfter"` // a build that spent more time in a phase has its crash count reset
 }
 
 // Machine is the state machine of one host's agent. It is not safe for concurrent use.
 type Machine struct {
 	State   State
 	limits  Limits
-	now     time.Time // of the input that is handled
-	effects []Effect  // of the input that is handled
+	now     time.Time // of the current input
+	effects []Effect  // of the current input
 }
 
-// New returns the machine of a host that runs nothing.
+// New returns the state machine of a host without builds.
 func New(limits Limits) *Machine { return &Machine{limits: limits} }
 
-// Handle changes the state by an input and returns the effects to be carried out, in order.
+// Handle applies an input to the state and returns the effects to execute, in order.
 func (m *Machine) Handle(now time.Time, in Input) []Effect {
 	m.now, m.effects = now, nil
 	switch in := in.(type) {
 	case Order:
-		m.order(in)
+		m.applyOrder(in)
 	case Fetched:
 		m.apply(in.Digest, fetched, "")
 	case Verified:
@@ -60,21 +60,22 @@
 
 func (m *Machine) emit(e Effect) { m.effects = append(m.effects, e) }
 
-// apply applies an event to a build's instance, if there is one.
+// apply applies an event to the instance of a build, if there is one.
 func (m *Machine) apply(digest string, e event, cause string) {
 	if i := m.State.Instance(digest); i != nil {
 		m.step(i, e, cause)
 	}
 }
 
-// reconcile takes the steps that goals allow, promotes a released candidate and forgets instances that are removed.
+// reconcile takes the steps that the candidate's goal allows, makes a released candidate the stable build once it serves,
+// and drops instances that are removed.
 func (m *Machine) reconcile() {
 	s := &m.State
 	if c := s.Candidate; c != nil {
 		if c.Phase == Idle || c.Phase == Staged && c.Goal >= GoalServe && c.Verified {
 			m.step(c, proceed, "")
 		}
-		if c.Phase == Failed && c.Goal >= GoalServe { // it stays known as failed until an order says otherwise
+		if c.Phase == Failed && c.Goal >= GoalServe { // the candidate stays in the state as failed until the next order
 			m.emit(CollectGarbage{})
 		}
 		if c.Phase == Serving && c.Goal >= GoalRelease {
@@ -89,7 +90,8 @@
 	}
 }
 
-// retire makes an instance leave the host. It stays known until it is removed. nil is ignored.
+// retire starts the removal of an instance from the host. The instance stays in the state until it is removed. It does
+// nothing if i is nil.
 func (m *Machine) retire(i *Instance, cause string) {
 	if i == nil {
 		return
--- a/agent/machine_test.go
+++ b/agent/machine_test.go
@@ -15,7 +15,7 @@
 	startTime = time.Date(2026, 12, 1, 12, 0, 0, 0, time.UTC)
 )
 
-// newServingMachine returns a machine whose build "one" is released and serves.
+// newServingMachine returns a machine whose stable build "one" is in the Serving phase.
 func newServingMachine(t *testing.T) *Machine {
 	t.Helper()
 	m := New(limits)
@@ -27,7 +27,7 @@
 	return m
 }
 
-// reportedPhases returns the phases that were reported as reached.
+// reportedPhases returns the target phases of all reported transitions.
 func reportedPhases(effects []Effect) (out []Phase) {
 	for _, e := range effects {
 		if r, ok := e.(ReportTransition); ok {
@@ -37,26 +37,26 @@
 	return out
 }
 
-// handle has a machine handle inputs and returns all effects.
-func handle(m *Machine, inputs ...Input) (all []Effect) {
+// handleAll passes inputs to a machine and returns all effects.
+func handleAll(m *Machine, inputs ...Input) (all []Effect) {
 	for _, in := range inputs {
 		all = append(all, m.Handle(startTime, in)...)
 	}
 	return all
 }
 
-func TestAReleasedCandidateReplacesTheStableBuildAndNotBefore(t *testing.T) {
+func TestMachine_ReplacesStableBuildOnlyAfterCandidateIsReleased(t *testing.T) {
 	m := newServingMachine(t)
-	all := handle(m, Order{Number: 2, Digest: "two", Build: 2, Goal: GoalStage}, Fetched{"two"}, Verified{"two"})
+	all := handleAll(m, Order{Number: 2, Digest: "two", Build: 2, Goal: GoalStage}, Fetched{"two"}, Verified{"two"})
 	require.Equal(t, []Phase{Fetching, Verifying, Staged}, reportedPhases(all))
-	require.NotContains(t, all, Start{"two"}, "it waits for the goal serve")
-	all = handle(m, Order{Number: 3, Digest: "two", Build: 2, Goal: GoalServe}, Started{"two", Process{Pid: 2}}, Ready{"two"}, WarmedUp{"two"})
+	require.NotContains(t, all, Start{"two"}, "a staged build is not started before it has the goal serve")
+	all = handleAll(m, Order{Number: 3, Digest: "two", Build: 2, Goal: GoalServe}, Started{"two", Process{Pid: 2}}, Ready{"two"}, WarmedUp{"two"})
 	require.Contains(t, all, Start{"two"})
 	require.Contains(t, all, PublishEndpoint{"two", EndpointServing})
 	require.NotContains(t, all, PublishEndpoint{"one", EndpointDraining}, "the stable build stays until the candidate is released")
-	all = handle(m, Order{Number: 4, Digest: "two", Build: 2, Goal: GoalRelease})
+	all = handleAll(m, Order{Number: 4, Digest: "two", Build: 2, Goal: GoalRelease})
 	require.Contains(t, all, PublishEndpoint{"one", EndpointDraining})
-	all = handle(m, Drained{"one"}, Exited{"one", "as told"})
+	all = handleAll(m, Drained{"one"}, Exited{"one", "as told"})
 	require.Contains(t, all, Stop{"one"})
 	require.Contains(t, all, PublishEndpoint{"one", EndpointRemoved})
 	require.Contains(t, all, CollectGarbage{})
@@ -64,66 +64,66 @@
 	require.Len(t, m.State.Instances(), 1)
 }
 
-func TestARollbackOvertakesAnyStepUnderWay(t *testing.T) {
+func TestMachine_RollsBackCandidateInAnyPhase(t *testing.T) {
 	rollback := Order{Number: 9, Digest: "two", Build: 2, Goal: GoalRollback}
 	steps := []Input{Order{Number: 2, Digest: "two", Build: 2, Goal: GoalServe}, Fetched{"two"}, Verified{"two"},
 		Started{"two", Process{Pid: 2}}, Ready{"two"}, WarmedUp{"two"}}
 	for n := 1; n <= len(steps); n++ {
 		m := newServingMachine(t)
-		handle(m, steps[:n]...)
-		all := handle(m, rollback)
-		all = append(all, handle(m, steps[n:]...)...) // outcomes of what was under way still arrive
-		all = append(all, handle(m, Drained{"two"}, Exited{"two", "as told"})...)
+		handleAll(m, steps[:n]...)
+		all := handleAll(m, rollback)
+		all = append(all, handleAll(m, steps[n:]...)...) // outcomes of earlier effects still arrive
+		all = append(all, handleAll(m, Drained{"two"}, Exited{"two", "as told"})...)
 		require.Len(t, m.State.Instances(), 1, "after %d steps", n)
 		require.Equal(t, Serving, m.State.Stable.Phase)
 		require.Equal(t, Removed, reportedPhases(all)[len(reportedPhases(all))-1])
-		require.Empty(t, handle(m, steps[0]), "an older order that arrives late is ignored")
+		require.Empty(t, handleAll(m, steps[0]), "an older order that arrives late is ignored")
 	}
 }
 
-func TestTheStableBuildIsRolledBackToAnOlderOne(t *testing.T) {
+func TestMachine_RollsBackStableBuildToOlderBuild(t *testing.T) {
 	m := newServingMachine(t)
-	all := handle(m, Order{Number: 2, Digest: "one", Build: 1, Goal: GoalRollback, RollbackTo: "zero", RollbackToBuild: 0})
+	all := handleAll(m, Order{Number: 2, Digest: "one", Build: 1, Goal: GoalRollback, RollbackTo: "zero", RollbackToBuild: 0})
 	require.Contains(t, all, PublishEndpoint{"one", EndpointDraining})
 	require.Contains(t, all, Fetch{"zero", true})
-	handle(m, Drained{"one"}, Exited{"one", ""}, Fetched{"zero"}, Verified{"zero"}, Started{"zero", Process{Pid: 3}}, Ready{"zero"}, WarmedUp{"zero"})
+	handleAll(m, Drained{"one"}, Exited{"one", ""}, Fetched{"zero"}, Verified{"zero"}, Started{"zero", Process{Pid: 3}}, Ready{"zero"}, WarmedUp{"zero"})
 	require.Equal(t, "zero", m.State.Stable.Digest)
 }
 
-func TestACrashingBuildIsRestartedWithBackoffThenFails(t *testing.T) {
+func TestMachine_RestartsCrashingBuildWithBackoffThenFails(t *testing.T) {
 	m := newServingMachine(t)
-	handle(m, Order{Number: 2, Digest: "two", Build: 2, Goal: GoalServe}, Fetched{"two"}, Verified{"two"})
+	handleAll(m, Order{Number: 2, Digest: "two", Build: 2, Goal: GoalServe}, Fetched{"two"}, Verified{"two"})
 	var delays []time.Duration
 	for range 3 {
-		for _, e := range handle(m, Started{"two", Process{Pid: 2}}, Exited{"two", "exit status 1"}, BackoffElapsed{"two"}) {
+		for _, e := range handleAll(m, Started{"two", Process{Pid: 2}}, Exited{"two", "exit status 1"}, BackoffElapsed{"two"}) {
 			if b, ok := e.(Backoff); ok {
 				delays = append(delays, b.Delay)
 			}
 		}
 	}
 	require.Equal(t, []time.Duration{100 * time.Millisecond, 200 * time.Millisecond, 400 * time.Millisecond}, delays)
-	all := handle(m, Exited{"two", "exit status 1"})
+	all := handleAll(m, Exited{"two", "exit status 1"})
 	require.Equal(t, Failed, m.State.Candidate.Phase)
 	require.Contains(t, all, Stop{"two"})
 	require.Equal(t, Serving, m.State.Stable.Phase)
 	require.Equal(t, "exit status 1", all[len(all)-2].(ReportTransition).Cause)
 }
 
-func TestAReleasedBuildIsRestartedForever(t *testing.T) {
+func TestMachine_RestartsReleasedBuildWithoutLimit(t *testing.T) {
 	m := newServingMachine(t)
 	for range 20 {
-		handle(m, Exited{"one", "killed"}, BackoffElapsed{"one"})
+		handleAll(m, Exited{"one", "killed"}, BackoffElapsed{"one"})
 	}
 	require.Equal(t, Starting, m.State.Stable.Phase)
 }
 
-// No path starts an unverified build, and the stable build is there until a candidate has been released and serves.
-// Inputs come in any order, sensible or not, with restarts from the saved state in between.
-func TestNoPathStartsAnUnverifiedBuildOrDrainsTheStableOneEarly(t *testing.T) {
+// No sequence of inputs starts an unverified build, or drains the stable build before a released candidate serves. Inputs
+// come in random order, whether or not they match the state, with restarts from the saved state in between.
+func TestMachine_KeepsInvariantsForInputsInAnyOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := New(limits)
 		now, number := startTime, uint64(0)
-		verifying, verified := map[string]bool{}, map[string]bool{} // what was to be verified, and passed, as seen from outside
+		verifying, verified := map[string]bool{}, map[string]bool{} // builds that were to be verified, and that passed, according to effects and inputs
 		running := map[string]bool{}
 		released, rolledBack := "", map[string]bool{}
 		digest := rapid.SampledFrom([]string{"a", "b", "c"})
@@ -136,7 +136,7 @@
 					verifying[e.Digest] = true
 				case Start:
 					if !verified[e.Digest] {
-						t.Fatalf("%s is started unverified", e.Digest)
+						t.Fatalf("%s is started without verification", e.Digest)
 					}
 					running[e.Digest] = true
 				case Stop:
@@ -147,7 +147,7 @@
 					if e.State == EndpointDraining && e.Digest == released && !rolledBack[e.Digest] {
 						r := m.State.Stable
 						if r == nil || r.Digest == e.Digest || r.Phase != Serving {
-							t.Fatalf("the released build %s drains and nothing serves in its place", e.Digest)
+							t.Fatalf("the released build %s is drained while no other build serves", e.Digest)
 						}
 					}
 				}
@@ -191,7 +191,7 @@
 				in = Drained{d}
 			case 10:
 				in = BackoffElapsed{d}
-			default: // kill -9, and a start with what was saved
+			default: // the agent is killed and restarts from the saved state
 				raw, err := json.Marshal(m.State)
 				if err != nil {
 					t.Fatal(err)
--- a/agent/order.go
+++ b/agent/order.go
@@ -1,7 +1,7 @@
 package agent
 
-// order applies an order whose number is above the last one's. Orders that make no sense are ignored.
-func (m *Machine) order(o Order) {
+// applyOrder applies an order whose number is above that of the last order. Invalid orders are ignored.
+func (m *Machine) applyOrder(o Order) {
 	if o.Number <= m.State.LastOrder || o.Goal < GoalStage || o.Goal > GoalRollback || o.Digest == "" {
 		return
 	}
@@ -12,26 +12,26 @@
 	}
 	s := &m.State
 	if s.Stable != nil && s.Stable.Digest == o.Digest {
-		m.retire(s.Candidate, "order") // the stable build is wanted: no candidate is
+		m.retire(s.Candidate, "order") // the order names the stable build, so no candidate is needed
 		return
 	}
 	if c := s.Candidate; c != nil && c.Digest == o.Digest {
 		if c.Goal = max(c.Goal, o.Goal); c.Phase != Failed || c.Goal != o.Goal {
 			return
 		}
-		m.step(c, retire, "order") // it is ordered in spite of its failure
+		m.step(c, retire, "order") // the order retries the failed build
 	} else {
 		m.retire(s.Candidate, "order")
 	}
 	if s.Instance(o.Digest) != nil {
-		return // it is still retiring; the controller orders it again once it is removed
+		return // the instance is still retiring; the controller orders the build again once it is removed
 	}
 	s.Candidate = &Instance{
 		Build: o.Build, Digest: o.Digest, Phase: Idle, Goal: o.Goal, AllowBelowMinVersion: o.AllowBelowMinVersion, PhaseSince: m.now,
 	}
 }
 
-// rollBack retires a candidate, or the stable build in favour of the one that the order names.
+// rollBack retires a candidate, or replaces the stable build by the build that the order names.
 func (m *Machine) rollBack(o Order) {
 	const cause = "take-back"
 	s := &m.State
@@ -41,7 +41,7 @@
 	case s.Stable != nil && s.Stable.Digest == o.Digest:
 		m.retire(s.Stable, cause)
 		if s.Candidate != nil && s.Candidate.Digest == o.RollbackTo {
-			s.Candidate.Goal = GoalRelease // it is on its way already
+			s.Candidate.Goal = GoalRelease // the replacement is already the candidate
 			return
 		}
 		if o.RollbackTo == "" {
--- a/agent/resume.go
+++ b/agent/resume.go
@@ -2,11 +2,11 @@
 
 import "time"
 
-// exitedWhileDown is the cause of an exit that no agent saw.
+// exitedWhileDown is the cause of an exit that happened while no agent was running.
 const exitedWhileDown = "it ended while no agent ran"
 
-// Resume returns the machine of a saved state. findProcess returns an instance's process where it still runs. The
-// effects are those that may not have been carried out, or whose outcome was not handled.
+// Resume returns the state machine for a saved state, and the effects that may not have been executed or whose outcome
+// was not handled. findProcess returns the process of an instance and whether it is still running.
 func Resume(now time.Time, limits Limits, s State, findProcess func(Instance) (Process, bool)) (*Machine, []Effect) {
 	m := &Machine{State: s, limits: limits, now: now}
 	for _, i := range s.Instances() {
@@ -20,18 +20,18 @@
 	return m, m.effects
 }
 
-// resume continues one instance in its phase.
+// resume emits the effects that continue an instance from its saved phase.
 func (m *Machine) resume(i *Instance, alive bool) {
 	switch i.Phase {
 	case Fetching:
 		m.fetch(i)
-	case Staged: // its files may have changed in the meantime
+	case Staged: // the files may have changed while no agent was running
 		m.verifyAgain(i)
 	case Verifying:
 		m.verify(i)
 	case Starting:
 		if alive {
-			m.emit(Watch{i.Digest})
+			m.emit(Adopt{i.Digest})
 		} else {
 			m.verifyAgain(i)
 		}
@@ -40,7 +40,7 @@
 			m.step(i, exited, exitedWhileDown)
 			return
 		}
-		m.emit(Watch{i.Digest})
+		m.emit(Adopt{i.Digest})
 		m.emit(PublishEndpoint{i.Digest, EndpointServing})
 		if i.Phase == WarmingUp {
 			m.emit(AwaitWarmUp{i.Digest})
@@ -50,14 +50,14 @@
 			m.step(i, exited, exitedWhileDown)
 			return
 		}
-		m.emit(Watch{i.Digest})
+		m.emit(Adopt{i.Digest})
 		m.drain(i)
 	case Stopping, Failed:
-		m.stop(i) // Exited follows also where nothing runs
+		m.stop(i) // Exited follows even if no process is running
 	}
 }
 
-// verifyAgain returns to the verification of a build before it is started.
+// verifyAgain returns an instance to the Verifying phase, so that its build is verified again before it is started.
 func (m *Machine) verifyAgain(i *Instance) {
 	i.Phase, i.Verified, i.PhaseSince = Verifying, false, m.now
 	m.verify(i)
--- a/agent/transitions.go
+++ b/agent/transitions.go
@@ -1,33 +1,33 @@
 package agent
 
-// event is what moves an instance from one phase to the next.
+// event triggers a transition of an instance to its next phase.
 type event int
 
 const (
-	proceed event = iota // its goal allows the next step
+	proceed event = iota // the goal allows the next step
 	fetched
 	verified
 	ready
 	warmedUp
-	exited // its process has ended
+	exited // the process has exited
 	failed // an operation failed
-	retire // it is to leave the host
+	retire // the instance is to be removed from the host
 	drained
 	retry // a backoff has elapsed
 )
 
-// defaultCauses are reported where an input brings no cause of its own.
+// defaultCauses are the causes reported for events whose input has none.
 var defaultCauses = map[event]string{
 	proceed: "order", fetched: "all files are there", verified: "signatures and files are right",
 	ready: "ready by its word and its probe", warmedUp: "warm", drained: "nothing new can come", retry: "pause over",
 }
 
-// transition is one line of the table in the package's documentation.
+// transition is one row of the table in the package documentation.
 type transition struct {
 	from   Phase
 	event  event
 	to     Phase
-	action func(*Machine, *Instance) // may set another phase; nil for none
+	action func(*Machine, *Instance) // may override the phase; nil if there is nothing to do
 }
 
 var transitions = []transition{
@@ -53,11 +53,11 @@
 	{Draining, drained, Stopping, (*Machine).stop},
 	{Draining, exited, Removed, (*Machine).unpublish},
 	{Stopping, exited, Removed, (*Machine).unpublish},
-	{Stopping, failed, Stopping, (*Machine).stop}, // a process that could not be started may have left something behind
+	{Stopping, failed, Stopping, (*Machine).stop}, // a failed start may have left processes running
 	{Failed, retire, Removed, nil},
 }
 
-// step applies the table. It reports a change of phase, a failure and an exit.
+// step applies the transition for an event, if the table has one. It reports every change of phase, failure and exit.
 func (m *Machine) step(i *Instance, e event, cause string) {
 	for _, t := range transitions {
 		if t.from != i.Phase || t.event != e {
@@ -108,7 +108,7 @@
 	m.emit(AwaitDrain{i.Digest})
 }
 
-// crashPublished handles the exit of an instance whose endpoint is published.
+// crashPublished handles the crash of an instance whose endpoint is published.
 func (m *Machine) crashPublished(i *Instance) {
 	m.unpublish(i)
 	if m.now.Sub(i.PhaseSince) > m.limits.CrashResetAfter {
@@ -117,15 +117,15 @@
 	m.crash(i)
 }
 
-// crash starts a build again after a backoff that doubles each time, or gives it up after MaxCrashes. One that has been
-// released is never given up: nothing else is there to serve.
+// crash restarts a build after a backoff that doubles with each crash. An unreleased build with more than MaxCrashes
+// crashes fails. A released build is restarted without limit, because no other build would serve in its place.
 func (m *Machine) crash(i *Instance) {
 	const maxDoublings = 16
 	i.Crashes++
 	i.Process = Process{}
 	if i.Crashes > m.limits.MaxCrashes && !i.Released {
 		i.Phase = Failed
-		m.stop(i) // what it may have left behind
+		m.stop(i) // the build may have left processes running
 		return
 	}
 	delay := m.limits.CrashBackoff << min(i.Crashes-1, maxDoublings)
--- a/internal/agentd/effects.go
+++ b/internal/agentd/effects.go
@@ -17,7 +17,7 @@
 		a.runTask(e.Digest, func(ctx context.Context) { a.verify(ctx, e) })
 	case agent.Start:
 		a.runTask(e.Digest, func(ctx context.Context) { a.start(ctx, e.Digest) })
-	case agent.Watch:
+	case agent.Adopt:
 		i := a.machine.State.Instance(e.Digest)
 		p, starting := i.Process, i.Phase == agent.Starting
 		a.runTask(e.Digest, func(ctx context.Context) { a.adopt(ctx, e.Digest, p, starting) })
