--- a/agent/doc.go
+++ b/agent/doc.go
@@ -1,8 +1,8 @@
-// Package agent is the state machine of the build agent of one host. It decides when to fetch a build, verify it, start it
-// beside the stable build, wait until it has warmed up, retire the stable build once the newer build is released, and roll
-// back. It performs no I/O and reads no clock: the caller passes in each input with the current time and executes the
-// effects that Handle returns. Each order has a number and a goal, so an order that arrives twice or late has no effect.
-// The state is plain data. The caller saves it before it executes the effects:
+// Package agent is the state machine of the build agent of one host. It decides when to fetch a build, verify it, start
+// it beside the stable build, wait until it has warmed up, retire the stable build once the newer build is released,
+// and roll back. It performs no I/O and reads no clock: the caller passes in each input with the current time and
+// executes the effects that Handle returns. Orders are numbered in ascending order, so one that arrives twice or late
+// has no effect. The state is plain data. The caller saves it before it executes the effects:
 //
 //	m := agent.New(limits)
 //	effects := m.Handle(now, agent.Order{Number: 1, Digest: d, Build: 7, Goal: agent.GoalServe})
@@ -14,13 +14,13 @@
 //
 // # Invariants
 //
-// The following holds for any sequence of inputs. A build is started only after it has been verified. The stable build is
-// drained only after a candidate has been released and serves, or when an order rolls the stable build back.
+// The following holds for any sequence of inputs. A build is started only after it has been verified. The stable build
+// is drained only after a candidate has been released and serves, or when an order rolls the stable build back.
 //
 // # Transitions
 //
-// An instance is one build on the host. This table lists the transitions between its phases; all other pairs of phase and
-// event are ignored.
+// An instance is one build on the host. This table lists the transitions between its phases; all other pairs of phase
+// and event are ignored.
 //
 //	phase       event        next phase  effects
 //	idle        proceed      fetching    Fetch
--- a/agent/input.go
+++ b/agent/input.go
@@ -1,11 +1,12 @@
 package agent
 
-// Input is an event that the state machine handles. All inputs but Order name an instance by the digest of its manifest;
-// an input for an instance that no longer exists is ignored.
+// Input is an event that the state machine handles. All inputs but Order name an instance by the digest of its
+// manifest; an input for an instance that no longer exists is ignored.
 type Input interface{ input() }
 
 type (
-	// Order sets the controller's goal for a build. An order whose number is not above that of the last order is ignored.
+	// Order sets the controller's goal for a build. An order whose number is not above that of the last order is
+	// ignored.
 	Order struct {
 		Number               uint64
 		Digest               string // of the manifest
--- a/agent/machine.go
+++ b/agent/machine.go
@@ -67,8 +67,8 @@
 	}
 }
 
-// reconcile takes the steps that the candidate's goal allows, makes a released candidate the stable build once it serves,
-// and drops instances that are removed.
+// reconcile takes the steps that the candidate's goal allows, makes a released candidate the stable build once it
+// serves, and drops instances that are removed.
 func (m *Machine) reconcile() {
 	s := &m.State
 	if c := s.Candidate; c != nil {
--- a/agent/state.go
+++ b/agent/state.go
@@ -48,7 +48,8 @@
 // ParseGoal returns the goal of a name, or 0 if the name is unknown.
 func ParseGoal(name string) Goal { return Goal(max(0, slices.Index(goalNames, name))) }
 
-// EndpointState is the state with which endpoint discovery lists an instance. The strings are reported to the controller.
+// EndpointState is the state with which endpoint discovery lists an instance. The strings are reported to the
+// controller.
 type EndpointState string
 
 // The states of an endpoint.
--- a/internal/agentd/agent.go
+++ b/internal/agentd/agent.go
@@ -19,7 +19,7 @@
 	"dapplefront/internal/process"
 )
 
-// Agent is one running agent.
+// Agent is the running build agent of one host.
 type Agent struct {
 	config  Config
 	log     *slog.Logger
@@ -29,24 +29,24 @@
 	runner  process.Runner
 	http    *http.Client
 
-	controllerIndex atomic.Int64 // of the controller in use; it only grows
+	controllerIndex atomic.Int64 // index of the controller in use, modulo their number; it only grows
 
-	ctx        context.Context // ends with Close and Stop
-	cancelAll  context.CancelFunc
-	goroutines sync.WaitGroup
-	inputs     chan struct{} // wakes run: there are inputs
-	reports    chan struct{} // wakes sendReports: there may be reports
+	ctx           context.Context // canceled by Close and Stop
+	cancelAll     context.CancelFunc
+	goroutines    sync.WaitGroup
+	inboxChanged  chan struct{} // wakes run after an input was added
+	outboxChanged chan struct{} // wakes sendReports after reports may have been added
 
 	mu         sync.Mutex
-	machine    *agent.Machine // changed by run only, under mu
+	machine    *agent.Machine // changed only by run, with mu held
 	inbox      []agent.Input
-	outbox     []api.AgentReport // those that no controller has accepted yet
-	lastReport uint64            // number of the last report
-	cancels    map[string]context.CancelFunc
-	keyRing    *build.KeyRing // the present one
+	outbox     []api.AgentReport             // reports that no controller has accepted yet
+	lastReport uint64                        // number of the latest report
+	cancels    map[string]context.CancelFunc // of the latest operation for each digest
+	keyRing    *build.KeyRing                // the key ring in use
 }
 
-// Start starts an agent that continues where the last one in its folder left off. It fails with artifact.ErrLocked while
+// Start starts an agent, which continues from the state saved in its folder. It fails with artifact.ErrLocked while
 // another agent uses the folder.
 func Start(c Config, log *slog.Logger) (*Agent, error) {
 	if c.FreePort == nil {
@@ -67,9 +67,9 @@
 	}
 	a := &Agent{
 		config: c, log: log.With("agent", c.Name), store: store, journal: j, fetcher: store.NewFetcher(c.Source),
-		runner: process.Runner{Owner: dir, OutputDir: filepath.Join(dir, outputDir), MaxOutputBytes: c.MaxOutputBytes, Env: c.Env},
-		http:   &http.Client{Transport: &http.Transport{TLSClientConfig: c.TLS}},
-		inputs: make(chan struct{}, 1), reports: make(chan struct{}, 1), cancels: map[string]context.CancelFunc{},
+		runner:       process.Runner{Owner: dir, OutputDir: filepath.Join(dir, outputDir), MaxOutputBytes: c.MaxOutputBytes, Env: c.Env},
+		http:         &http.Client{Transport: &http.Transport{TLSClientConfig: c.TLS}},
+		inboxChanged: make(chan struct{}, 1), outboxChanged: make(chan struct{}, 1), cancels: map[string]context.CancelFunc{},
 		lastReport: saved.LastReport, outbox: saved.Reports,
 	}
 	a.keyRing = a.loadKeyRing()
@@ -91,7 +91,7 @@
 	outputDir   = "output"
 )
 
-// openJournal opens the journal, makes the folders and returns what was saved.
+// openJournal opens the journal, creates the folders and returns the saved entry.
 func openJournal(c Config) (*journal.Journal, journal.Entry, error) {
 	j, err := journal.Open(filepath.Join(c.Dir, "journal"))
 	if err != nil {
@@ -111,7 +111,7 @@
 	return j, saved, nil
 }
 
-// resume continues with a saved state.
+// resume restores the state machine from a saved state and executes the effects that may be outstanding.
 func (a *Agent) resume(s agent.State) error {
 	machine, effects := agent.Resume(time.Now(), a.config.Limits, s, a.findProcess)
 	a.machine = machine
@@ -119,14 +119,15 @@
 	if err := a.journal.Save(a.entry()); err != nil {
 		return err
 	}
-	a.wakeReports()
+	a.notifyOutbox()
 	for _, e := range effects {
-		a.carryOut(e)
+		a.execute(e)
 	}
 	return nil
 }
 
-// findProcess finds an instance's process: the one in the state, or one that an earlier agent started but could not save.
+// findProcess returns the running process of an instance: the one in the state, or one that an earlier agent started
+// but could not save.
 func (a *Agent) findProcess(i agent.Instance) (agent.Process, bool) {
 	if process.Alive(i.Process) {
 		return i.Process, true
@@ -138,14 +139,14 @@
 	return agent.Process{}, false
 }
 
-// Close ends the agent. Its builds continue to run, and the next agent in this folder takes them over.
+// Close shuts the agent down. Its builds continue to run, and the next agent in this folder adopts them.
 func (a *Agent) Close() {
 	a.cancelAll()
 	a.goroutines.Wait()
 	a.closeFiles()
 }
 
-// Stop ends the agent and all processes that it runs.
+// Stop shuts the agent down and stops the processes of all its builds.
 func (a *Agent) Stop() {
 	a.cancelAll()
 	a.goroutines.Wait()
@@ -169,7 +170,7 @@
 // spawn runs a function in a goroutine that Close and Stop wait for.
 func (a *Agent) spawn(do func()) { a.goroutines.Go(do) }
 
-// sleep waits; it reports false where the context ends first.
+// sleep waits for a duration. It reports false if the context ends first.
 func sleep(ctx context.Context, d time.Duration) bool {
 	select {
 	case <-ctx.Done():
--- a/internal/agentd/config.go
+++ b/internal/agentd/config.go
@@ -11,21 +11,21 @@
 
 // Config is an agent's configuration.
 type Config struct {
-	Name             string          `json:"name"`             // of the host, as the controller knows it
-	Dir              string          `json:"dir"`              // for files, state and builds' output
-	Controller       string          `json:"controller"`       // URL, or several with commas between them; after a failure the next is used
-	TLS              *tls.Config     `json:"-"`                // towards controllers; nil for plain HTTP
-	Source           artifact.Source `json:"source"`           // of manifests and files
-	MaxArtifactBytes int64           `json:"maxArtifactBytes"` // of builds' files on disk
-	MaxOutputBytes   int64           `json:"maxOutputBytes"`   // of each build's output that are kept
-	KeyRing          *build.KeyRing  `json:"keyRing"`          // the initial one; later ones are found on the mirrors
+	Name             string          `json:"name"`             // name of the host at the controller
+	Dir              string          `json:"dir"`              // folder for files, state and the output of builds
+	Controller       string          `json:"controller"`       // URL, or several separated by commas; after a failure the next one is used
+	TLS              *tls.Config     `json:"-"`                // for connections to controllers; nil for plain HTTP
+	Source           artifact.Source `json:"source"`           // where manifests and files are fetched from
+	MaxArtifactBytes int64           `json:"maxArtifactBytes"` // limit on the files of builds on disk
+	MaxOutputBytes   int64           `json:"maxOutputBytes"`   // output kept of each build
+	KeyRing          *build.KeyRing  `json:"keyRing"`          // initial key ring; later versions are fetched from the mirrors
 	Limits           agent.Limits    `json:"limits"`
-	WarmUp           time.Duration   `json:"warmUp"`     // from a process's start
-	DrainDelay       time.Duration   `json:"drainDelay"` // after which an endpoint published as draining gets no new requests
-	Env              []string        `json:"env"`        // of builds, beside the agent's own
+	WarmUp           time.Duration   `json:"warmUp"`     // measured from the start of the process
+	DrainDelay       time.Duration   `json:"drainDelay"` // time after which an endpoint published as draining receives no new requests
+	Env              []string        `json:"env"`        // environment of builds, added to that of the agent
 
-	// AfterSave and BeforeSave are the journal's hooks for tests. FreePort returns a free port; nil for one that the
-	// system chooses.
+	// AfterSave and BeforeSave are the journal's hooks for tests. FreePort returns a free TCP port; if it is nil, the
+	// system chooses the port.
 	AfterSave  func(n int)         `json:"-"`
 	BeforeSave func(n int) error   `json:"-"`
 	FreePort   func() (int, error) `json:"-"`
--- a/internal/agentd/controller.go
+++ b/internal/agentd/controller.go
@@ -15,20 +15,20 @@
 	"dapplefront/internal/sse"
 )
 
-// reportTimeout bounds one request that sends reports.
+// reportTimeout is the timeout of one request that sends reports.
 const reportTimeout = 2 * time.Second
 
-// agentURL is the base of this agent's resources at the controller in use.
+// agentURL returns the base URL of this agent's resources at the controller in use.
 func (a *Agent) agentURL() string {
 	all := strings.Split(a.config.Controller, ",")
 	controller := strings.TrimSpace(all[int(a.controllerIndex.Load())%len(all)])
 	return strings.TrimSuffix(controller, "/") + "/v1/agents/" + url.PathEscape(a.config.Name)
 }
 
-// useNextController moves on after a failure.
+// useNextController switches to the next controller after a failure.
 func (a *Agent) useNextController() { a.controllerIndex.Add(1) }
 
-// followOrders watches the stream of orders until the agent ends.
+// followOrders watches the stream of orders until the agent shuts down.
 func (a *Agent) followOrders() {
 	sse.Follow(a.ctx, a.http, func() string { return a.agentURL() + "/orders" }, a.receiveOrder, func(err error) {
 		a.useNextController()
@@ -36,7 +36,7 @@
 	})
 }
 
-// receiveOrder queues an order of the stream.
+// receiveOrder validates an order received on the stream and queues it.
 func (a *Agent) receiveOrder(event string, data []byte) error {
 	if event != "order" {
 		return nil
@@ -47,7 +47,7 @@
 	}
 	goal := agent.ParseGoal(o.Goal)
 	if goal == 0 || !isDigest(o.Digest) || o.ReplacementDigest != "" && !isDigest(o.ReplacementDigest) {
-		return fmt.Errorf("an order that makes no sense: %s", data)
+		return fmt.Errorf("invalid order: %s", data)
 	}
 	a.submit(agent.Order{
 		Number: o.Number, Digest: o.Digest, Build: o.Build, Goal: goal, AllowBelowMinVersion: o.AllowOlder, RollbackTo: o.ReplacementDigest,
@@ -56,7 +56,7 @@
 	return nil
 }
 
-// isDigest reports whether a text is a SHA-256 in hexadecimal. Digests become parts of paths.
+// isDigest reports whether a text is a SHA-256 digest in lower-case hexadecimal. Digests become parts of paths.
 func isDigest(text string) bool {
 	return len(text) == 64 && strings.Trim(text, "0123456789abcdef") == ""
 }
--- a/internal/agentd/disk_test.go
+++ b/internal/agentd/disk_test.go
@@ -13,16 +13,16 @@
 	"dapplefront/build"
 )
 
-func TestAFullStoreLeavesTheRunningBuildUntouched(t *testing.T) {
+func TestAgent_KeepsStableBuildServingWhenStoreIsFull(t *testing.T) {
 	h := newHarness(t)
 	c := h.config()
-	c.MaxArtifactBytes = 150_000 // one build and not much more
+	c.MaxArtifactBytes = 150_000 // enough for one build and little more
 	a, err := Start(c, slog.New(slog.DiscardHandler))
 	require.NoError(t, err)
 	defer a.Stop()
 	one := h.releaseFirst()
 	big := make([]byte, 100_000)
-	m, files := h.pack(2, "well")
+	m, files := h.newBuild(2, "well")
 	files[build.Digest(big)] = big
 	m.Files = append(m.Files, build.File{Path: "big", Size: int64(len(big)), SHA256: build.Digest(big)})
 	raw, _ := m.Bytes()
@@ -31,11 +31,11 @@
 	h.await(two, agent.Failed)
 	s := a.State()
 	require.Contains(t, s.Instance(two).Reason, "limit on bytes held")
-	require.Equal(t, "1", answer(a, one))
+	require.Equal(t, "1", responseBody(a, one))
 	require.NoFileExists(t, filepath.Join(h.dir, "part", build.Digest(big)))
 }
 
-func TestAFullDiskAtAnyWriteOfTheJournalOnlyDelays(t *testing.T) {
+func TestAgent_RetriesAnyJournalWriteOnFullDisk(t *testing.T) {
 	for at := range 12 {
 		h := newHarness(t)
 		c, refused := h.config(), 0
@@ -53,18 +53,18 @@
 		h.await(one, agent.Serving)
 		h.order(two, "release")
 		h.await(one, agent.Removed)
-		require.Equal(t, "2", answer(a, two))
+		require.Equal(t, "2", responseBody(a, two))
 		require.Len(t, h.startsOf("1"), 1, "full at write %d", at+1)
 		require.Len(t, h.startsOf("2"), 1, "full at write %d", at+1)
 		a.Stop()
 	}
 }
 
-func TestAStoreLimitReachedByAFetchFailsThatBuildOnly(t *testing.T) {
+func TestAgent_FailsOnlyBuildWhoseFetchExceedsStoreLimit(t *testing.T) {
 	h := newHarness(t)
 	one := h.publishValid(1, "well")
 	c := h.config()
-	m, files := h.pack(2, "well")
+	m, files := h.newBuild(2, "well")
 	extra := make([]byte, 300<<10)
 	files[build.Digest(extra)] = extra
 	m.Files = append(m.Files, build.File{Path: "extra", Size: int64(len(extra)), SHA256: build.Digest(extra)})
@@ -79,10 +79,10 @@
 		mark := h.controller.ReportCount("h1")
 		h.order(one, "release")
 		require.NotEmpty(t, h.controller.AwaitAfter("h1", mark, one, 10*time.Second, string(agent.Serving), string(agent.Failed)))
-		before := answer(a, one)
+		before := responseBody(a, one)
 		h.order(two, "release")
 		require.Equal(t, string(agent.Failed), h.controller.AwaitAfter("h1", mark, two, 10*time.Second, string(agent.Failed), string(agent.Serving)))
-		require.Equal(t, before, answer(a, one))
+		require.Equal(t, before, responseBody(a, one))
 		require.Empty(t, h.startsOf("2"))
 		a.Stop()
 	}
--- a/internal/agentd/doc.go
+++ b/internal/agentd/doc.go
@@ -1,7 +1,9 @@
-// Package agentd runs the build agent of one host: it receives the controller's orders, has package agent decide, saves
-// the state and carries the effects out, which are to fetch, verify, start, check and stop builds. It makes no decisions
-// of its own, and while no controller can be reached it continues with the goals it has.
+// Package agentd runs the build agent of one host. It receives orders from the controller, passes them to the state
+// machine of package agent, saves the state and executes the effects: it fetches, verifies, starts, checks and stops
+// builds. All decisions are made by package agent. While no controller is reachable, the agent continues with the goals
+// it has.
 //
-// The goroutine of (*Agent).run handles one input after the other: decide, save, carry out. Whatever takes time runs in
-// a goroutine of its own and ends as a further input. Close and Stop cancel all of them and wait for them.
+// The goroutine of (*Agent).run handles inputs one at a time: it passes the input to the state machine, saves the state
+// and executes the effects. Each effect that takes time runs in its own goroutine, which queues its outcome as a
+// further input. Close and Stop cancel these goroutines and wait for them.
 package agentd
--- a/internal/agentd/effects.go
+++ b/internal/agentd/effects.go
@@ -8,23 +8,23 @@
 	"dapplefront/build"
 )
 
-// carryOut carries an effect out, in the background where it takes time.
-func (a *Agent) carryOut(e agent.Effect) {
+// execute executes an effect, in its own goroutine if it takes time.
+func (a *Agent) execute(e agent.Effect) {
 	switch e := e.(type) {
 	case agent.Fetch:
-		a.runTask(e.Digest, func(ctx context.Context) { a.fetch(ctx, e) })
+		a.runOperation(e.Digest, func(ctx context.Context) { a.fetch(ctx, e) })
 	case agent.Verify:
-		a.runTask(e.Digest, func(ctx context.Context) { a.verify(ctx, e) })
+		a.runOperation(e.Digest, func(ctx context.Context) { a.verify(ctx, e) })
 	case agent.Start:
-		a.runTask(e.Digest, func(ctx context.Context) { a.start(ctx, e.Digest) })
+		a.runOperation(e.Digest, func(ctx context.Context) { a.start(ctx, e.Digest) })
 	case agent.Adopt:
 		i := a.machine.State.Instance(e.Digest)
 		p, starting := i.Process, i.Phase == agent.Starting
-		a.runTask(e.Digest, func(ctx context.Context) { a.adopt(ctx, e.Digest, p, starting) })
+		a.runOperation(e.Digest, func(ctx context.Context) { a.adopt(ctx, e.Digest, p, starting) })
 	case agent.Cancel:
-		a.cancelTask(e.Digest)
+		a.cancelOperation(e.Digest)
 	case agent.Stop:
-		a.cancelTask(e.Digest)
+		a.cancelOperation(e.Digest)
 		a.spawn(func() { a.stopBuild(e.Digest) })
 	case agent.AwaitWarmUp:
 		startedAt := time.Now()
@@ -38,7 +38,7 @@
 		a.submitAfter(e.Delay, agent.BackoffElapsed{Digest: e.Digest})
 	case agent.CollectGarbage:
 		a.collectGarbage()
-	case agent.PublishEndpoint, agent.ReportTransition: // addReports has put them into the outbox
+	case agent.PublishEndpoint, agent.ReportTransition: // addReports has already added them to the outbox
 	}
 }
 
@@ -51,9 +51,9 @@
 	})
 }
 
-// runTask runs a function for a build in the background. Its context ends with the build's next task, with cancelTask
-// and with the agent.
-func (a *Agent) runTask(digest string, do func(context.Context)) {
+// runOperation runs an operation of a build in its own goroutine. Its context ends when the next operation of the build
+// starts, when cancelOperation is called, and when the agent shuts down.
+func (a *Agent) runOperation(digest string, do func(context.Context)) {
 	ctx, cancel := context.WithCancel(a.ctx)
 	a.mu.Lock()
 	if earlier := a.cancels[digest]; earlier != nil {
@@ -64,8 +64,8 @@
 	a.spawn(func() { do(ctx) })
 }
 
-// cancelTask ends the build's task, if one is running.
-func (a *Agent) cancelTask(digest string) {
+// cancelOperation cancels the operation of a build, if one is in progress.
+func (a *Agent) cancelOperation(digest string) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if cancel := a.cancels[digest]; cancel != nil {
@@ -74,16 +74,16 @@
 	}
 }
 
-// submitFrom queues a task's outcome unless the task was canceled.
-func (a *Agent) submitFrom(ctx context.Context, in agent.Input) {
+// submitUnlessCanceled queues the outcome of an operation unless the operation was canceled.
+func (a *Agent) submitUnlessCanceled(ctx context.Context, in agent.Input) {
 	if ctx.Err() == nil {
 		a.submit(in)
 	}
 }
 
-// failTask queues the failure of a task unless it was canceled.
-func (a *Agent) failTask(ctx context.Context, digest string, err error) {
-	a.submitFrom(ctx, agent.OperationFailed{Digest: digest, Reason: err.Error()})
+// submitFailure queues the failure of an operation unless the operation was canceled.
+func (a *Agent) submitFailure(ctx context.Context, digest string, err error) {
+	a.submitUnlessCanceled(ctx, agent.OperationFailed{Digest: digest, Reason: err.Error()})
 }
 
 // collectGarbage removes the files of builds that the state does not name.
@@ -94,7 +94,7 @@
 		if m, err := a.readManifest(i.Digest); err == nil {
 			keep[i.Digest] = m
 		} else if i.Phase == agent.Fetching {
-			return // its files are not known yet
+			return // the files of this build are not known yet, so none can be removed
 		}
 	}
 	if err := a.store.CollectGarbage(keep); err != nil {
--- a/internal/agentd/fetch.go
+++ b/internal/agentd/fetch.go
@@ -28,14 +28,14 @@
 	return filepath.Join(a.config.Dir, manifestDir, digest+".sigs")
 }
 
-// fetch fetches the manifest and its signatures, and the files only of a build whose signatures are valid.
+// fetch fetches the manifest and its signatures and, if the signatures are valid, the files.
 func (a *Agent) fetch(ctx context.Context, e agent.Fetch) {
 	a.updateKeyRing(ctx)
 	if err := a.fetchBuild(ctx, e); err != nil {
-		a.failTask(ctx, e.Digest, err)
+		a.submitFailure(ctx, e.Digest, err)
 		return
 	}
-	a.submitFrom(ctx, agent.Fetched{Digest: e.Digest})
+	a.submitUnlessCanceled(ctx, agent.Fetched{Digest: e.Digest})
 }
 
 func (a *Agent) fetchBuild(ctx context.Context, e agent.Fetch) error {
@@ -49,7 +49,8 @@
 	return a.fetcher.Fetch(ctx, m)
 }
 
-// fetchManifest fetches a manifest and its signatures from the first mirror that has them, with several attempts.
+// fetchManifest fetches a manifest and its signatures from the first mirror that has them. Each attempt tries all
+// mirrors.
 func (a *Agent) fetchManifest(ctx context.Context, digest string) error {
 	if raw, err := os.ReadFile(a.manifestFile(digest)); err == nil && build.Digest(raw) == digest {
 		return nil
@@ -70,7 +71,8 @@
 	return last
 }
 
-// fetchManifestFrom stores the signatures before the manifest, so that a manifest on disk has signatures beside it.
+// fetchManifestFrom fetches a manifest and its signatures from one mirror. It saves the signatures before the manifest,
+// so that every manifest on disk has its signatures.
 func (a *Agent) fetchManifestFrom(ctx context.Context, mirror, digest string) error {
 	raw, err := a.get(ctx, mirror, "/manifest/"+digest)
 	if err != nil {
@@ -108,16 +110,16 @@
 	return io.ReadAll(io.LimitReader(response.Body, build.MaxManifestBytes+1))
 }
 
-// verify verifies the signatures and all files of a build, and installs it. After a failure the manifest is fetched anew
-// the next time.
+// verify verifies the signatures and all files of a build, and installs it. After a failure it removes the manifest
+// and the signatures, so that the next fetch downloads them again.
 func (a *Agent) verify(ctx context.Context, e agent.Verify) {
 	if err := a.verifyBuild(e); err != nil {
 		_ = os.Remove(a.signaturesFile(e.Digest))
 		_ = os.Remove(a.manifestFile(e.Digest))
-		a.failTask(ctx, e.Digest, err)
+		a.submitFailure(ctx, e.Digest, err)
 		return
 	}
-	a.submitFrom(ctx, agent.Verified{Digest: e.Digest})
+	a.submitUnlessCanceled(ctx, agent.Verified{Digest: e.Digest})
 }
 
 func (a *Agent) verifyBuild(e agent.Verify) error {
@@ -132,7 +134,7 @@
 	return err
 }
 
-// verifiedManifest reads a manifest that was fetched and verifies its signatures by the present key ring.
+// verifiedManifest reads a fetched manifest and verifies its signatures with the current key ring.
 func (a *Agent) verifiedManifest(digest string, allowBelowMinVersion bool) (*build.Manifest, error) {
 	raw, err := os.ReadFile(a.manifestFile(digest))
 	if err != nil {
@@ -153,7 +155,7 @@
 	return m, err
 }
 
-// readManifest reads the manifest of a build that was verified before.
+// readManifest reads the manifest of a build that was verified earlier. It doesn't check the signatures again.
 func (a *Agent) readManifest(digest string) (*build.Manifest, error) {
 	raw, err := os.ReadFile(a.manifestFile(digest))
 	if err != nil {
--- a/internal/agentd/fetch_test.go
+++ b/internal/agentd/fetch_test.go
@@ -17,11 +17,11 @@
 	"dapplefront/internal/testbed"
 )
 
-func TestAnInterruptedFetchResumesAfterARestart(t *testing.T) {
+func TestAgent_ResumesInterruptedFetchAfterRestart(t *testing.T) {
 	h := newHarness(t)
 	big := make([]byte, 3<<20)
 	_, _ = rand.Read(big)
-	m, files := h.pack(1, "well")
+	m, files := h.newBuild(1, "well")
 	files[build.Digest(big)] = big
 	m.Files = append(m.Files, build.File{Path: "big", Size: int64(len(big)), SHA256: build.Digest(big)})
 	raw, _ := m.Bytes()
@@ -42,7 +42,7 @@
 	a = h.start()
 	defer a.Stop()
 	h.await(d, agent.Staged)
-	again := a.fetcher.FetchedBytes() - 2<<20 // two of three were left
+	again := a.fetcher.FetchedBytes() - 2<<20 // 2 of the 3 MiB were missing after the restart
 	for _, body := range files {
 		if len(body) < 1<<20 {
 			again -= int64(len(body))
@@ -51,7 +51,7 @@
 	require.LessOrEqual(t, again, int64(64<<10), "at most one chunk is fetched twice")
 }
 
-func TestAFileThatChangedOnTheMirrorIsNotAppendedToTheOld(t *testing.T) {
+func TestAgent_RestartsDownloadOfFileThatChangedOnMirror(t *testing.T) {
 	h := newHarness(t)
 	d := h.publishValid(1, "well")
 	n := 0
@@ -72,7 +72,7 @@
 	h.await(d, agent.Serving)
 }
 
-func TestARunningAgentTakesANewKeyRing(t *testing.T) {
+func TestAgent_UpdatesKeyRingWhileRunning(t *testing.T) {
 	h := newHarness(t)
 	a := h.start()
 	defer func() { a.Stop() }()
@@ -89,15 +89,15 @@
 		h.mirrors[0].Put("/ring/2", raw)
 		h.mirrors[0].Put("/ring/2.sigs", sigs)
 	}
-	put(0) // too few: the old ring stays
+	put(0) // one signature is below the threshold, so the old key ring stays in use
 	h.releaseFirst()
 	put(0, 1)
-	two := h.publishValid(2, "well") // by ada and ben, who has no word any more
+	two := h.publishValid(2, "well") // signed by ada and ben, whose key the new key ring no longer has
 	h.order(two, "release")
 	h.await(two, agent.Failed)
 	a.Close()
-	a = h.start() // which keeps the new ring
-	m, files := h.pack(3, "well")
+	a = h.start() // the restarted agent keeps the new key ring
+	m, files := h.newBuild(3, "well")
 	raw3, _ := m.Bytes()
 	three := h.publish(raw3, files, 0, 2)
 	h.order(three, "release")
--- a/internal/agentd/harness_test.go
+++ b/internal/agentd/harness_test.go
@@ -23,24 +23,25 @@
 	"dapplefront/internal/testbed"
 )
 
-// harness is a controller, two mirrors, signers, and a witness: a socket to which every build that starts connects.
+// harness runs a controller and two mirrors, holds the signers' keys, and records which builds have started: every
+// build that starts connects to startListener.
 type harness struct {
 	*testing.T
-	controller *testbed.Controller
-	mirrors    [2]*testbed.Mirror
-	ring       *build.KeyRing
-	keys       []minisign.PrivateKey
-	dir        string
-	witness    net.Listener
+	controller    *testbed.Controller
+	mirrors       [2]*testbed.Mirror
+	ring          *build.KeyRing
+	keys          []minisign.PrivateKey
+	dir           string
+	startListener net.Listener
 
 	mu      sync.Mutex
-	started []string // versions, in the order in which they started
+	started []string // versions of the builds, in the order in which they started
 }
 
 func newHarness(t *testing.T) *harness {
 	t.Helper()
 	h := &harness{T: t, dir: t.TempDir()}
-	//nolint:usetesting // a file system in memory, where syncing costs nothing; t.TempDir is the fallback
+	//nolint:usetesting // an in-memory file system makes syncs cheap; t.TempDir is the fallback
 	if dir, err := os.MkdirTemp("/dev/shm", "dapplefront-"); err == nil {
 		h.dir = dir
 		t.Cleanup(func() { _ = os.RemoveAll(dir) })
@@ -68,12 +69,12 @@
 		}
 		h.ring.Keys, h.keys = append(h.ring.Keys, k), append(h.keys, s)
 	}
-	h.witness, err = net.Listen("tcp", "127.0.0.1:0")
+	h.startListener, err = net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
-	t.Cleanup(func() { _ = h.witness.Close() })
+	t.Cleanup(func() { _ = h.startListener.Close() })
 	go func() {
 		for {
-			c, err := h.witness.Accept()
+			c, err := h.startListener.Accept()
 			if err != nil {
 				return
 			}
@@ -87,11 +88,11 @@
 	return h
 }
 
-// pack returns the manifest of a build that behaves as serveBuild has it, and its files by digest.
-func (h *harness) pack(version int, how string) (*build.Manifest, map[string][]byte) {
+// newBuild returns the manifest of a build and its files by digest. behavior is one that serveBuild knows.
+func (h *harness) newBuild(version int, behavior string) (*build.Manifest, map[string][]byte) {
 	exe, err := os.Executable()
 	require.NoError(h, err)
-	run := []byte(fmt.Sprintf("#!/bin/sh\nDAPPLEFRONT_TEST_BUILD=%d,%s,%s exec %s\n", version, how, h.witness.Addr(), exe))
+	run := []byte(fmt.Sprintf("#!/bin/sh\nDAPPLEFRONT_TEST_BUILD=%d,%s,%s exec %s\n", version, behavior, h.startListener.Addr(), exe))
 	data := []byte(strings.Repeat("shared by all builds ", 5000))
 	files := map[string][]byte{build.Digest(run): run, build.Digest(data): data}
 	m := &build.Manifest{Format: 1, Name: "shop", Group: "tacoma", Version: version, Start: []string{"run.sh", "{port}"},
@@ -101,7 +102,8 @@
 	return m, files
 }
 
-// publish signs a manifest with some keys, puts all on the mirrors and returns the digest.
+// publish signs a manifest with some keys, puts the manifest, signatures and files on both mirrors and returns the
+// digest.
 func (h *harness) publish(raw []byte, files map[string][]byte, keys ...int) string {
 	digest := build.Digest(raw)
 	var signatures [][]byte
@@ -126,9 +128,9 @@
 	return one
 }
 
-// publishValid publishes a build with enough valid signatures.
-func (h *harness) publishValid(version int, how string) string {
-	m, files := h.pack(version, how)
+// publishValid publishes a build with as many valid signatures as the key ring requires.
+func (h *harness) publishValid(version int, behavior string) string {
+	m, files := h.newBuild(version, behavior)
 	raw, err := m.Bytes()
 	require.NoError(h, err)
 	return h.publish(raw, files, 0, 1)
@@ -153,13 +155,13 @@
 	h.controller.Order("h1", api.Order{Digest: digest, Build: 1, Goal: goal})
 }
 
-// await waits until the controller has a report that the build reached a phase.
+// await waits until the agent has reported to the controller that the build reached a phase.
 func (h *harness) await(digest string, p agent.Phase) {
 	h.Helper()
 	require.True(h, h.controller.Await("h1", digest, string(p), 15*time.Second), "%s: %+v", p, h.controller.Reports("h1"))
 }
 
-// startsOf returns one entry for each start of a build.
+// startsOf returns one entry for each start of a version.
 func (h *harness) startsOf(name string) (out []string) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -171,8 +173,9 @@
 	return out
 }
 
-// answer returns the body with which a build responds.
-func answer(a *Agent, digest string) string {
+// responseBody requests / from a build and returns the response's body. It returns the error's text if the request
+// fails, and "" if the agent has no such build.
+func responseBody(a *Agent, digest string) string {
 	s := a.State()
 	r := s.Instance(digest)
 	if r == nil {
--- a/internal/agentd/invalid_builds_test.go
+++ b/internal/agentd/invalid_builds_test.go
@@ -15,9 +15,9 @@
 	"dapplefront/internal/testbed"
 )
 
-// A thousand builds, each invalid in a way that is drawn: none ever starts, by the witness's account, the stable build
-// keeps serving, and a valid build that follows is released.
-func TestNoInvalidBuildEverStarts(t *testing.T) {
+// Orders the release of 1000 builds (100 with -short), each invalid in a randomly chosen way. None of them connects to
+// the start listener, the stable build keeps serving, and a valid build ordered afterwards is released.
+func TestAgent_NeverStartsInvalidBuild(t *testing.T) {
 	builds := 1000
 	if testing.Short() {
 		builds = 100
@@ -31,16 +31,16 @@
 	one := h.releaseFirst()
 	r := mathrand.New(mathrand.NewPCG(1, 2))
 	for n := range builds {
-		m, files := h.pack(2+n, "well")
+		m, files := h.newBuild(2+n, "well")
 		keys, body := []int{0, 1}, m.Files[0].SHA256
-		var broken testbed.ReplyFault
+		var fault testbed.ReplyFault
 		target := "/sha256/" + body
-		change := func(how func([]byte) []byte) {
-			broken.Body = how(append([]byte(nil), files[body]...))
+		change := func(corrupt func([]byte) []byte) {
+			fault.Body = corrupt(append([]byte(nil), files[body]...))
 		}
 		raw, err := m.Bytes()
 		require.NoError(t, err)
-		mirrorsManifest := raw
+		servedManifest := raw
 		switch r.IntN(14) {
 		case 0:
 			change(func(b []byte) []byte { b[r.IntN(len(b))] ^= byte(1 + r.IntN(255)); return b })
@@ -50,66 +50,66 @@
 			change(func(b []byte) []byte { return append(b, "echo more\n"...) })
 		case 3:
 			change(func(b []byte) []byte { return []byte(strings.Repeat("x", len(b))) })
-		case 4: // truncated, with a manifest that looks right but is not the signed one
+		case 4: // a truncated file, with a manifest that matches it but isn't the signed one
 			m.Files[0].Size--
 			cut := files[body][:m.Files[0].Size]
 			m.Files[0].SHA256 = build.Digest(cut)
 			files[m.Files[0].SHA256] = cut
-			mirrorsManifest, _ = m.Bytes()
+			servedManifest, _ = m.Bytes()
 		case 5:
 			keys = []int{r.IntN(3)}
 		case 6:
-			keys = []int{r.IntN(3), 3} // one that has expired
+			keys = []int{r.IntN(3), 3} // the second key has expired
 		case 7:
-			keys = []int{r.IntN(3), 4} // one that was revoked
+			keys = []int{r.IntN(3), 4} // the second key is revoked
 		case 8:
 			keys = []int{2, 2, 2}
 		case 9:
 			m.Group = "muscat"
 			raw, _ = m.Bytes()
-			mirrorsManifest = raw
+			servedManifest = raw
 		case 10:
 			raw = []byte(strings.Replace(string(raw), `"data/shared"`, `"../../../shared"`, 1))
-			mirrorsManifest = raw
+			servedManifest = raw
 		case 11:
-			target, broken = "/signatures/", testbed.ReplyFault{Body: []byte(`["rubbish","` + strings.Repeat("x", r.IntN(300)) + `"]`)}
+			target, fault = "/signatures/", testbed.ReplyFault{Body: []byte(`["rubbish","` + strings.Repeat("x", r.IntN(300)) + `"]`)}
 		case 12:
-			broken = testbed.ReplyFault{CutAfter: 1 + r.IntN(len(files[body])-1)}
+			fault = testbed.ReplyFault{CutAfter: 1 + r.IntN(len(files[body])-1)}
 			h.ring.MinVersion = 0
 		default:
-			target, broken = "/manifest/", testbed.ReplyFault{Body: []byte(`{"format":1}`)}
+			target, fault = "/manifest/", testbed.ReplyFault{Body: []byte(`{"format":1}`)}
 		}
 		d := h.publish(raw, files, keys...)
 		ordered := d
-		if string(mirrorsManifest) != string(raw) { // the order names what the signers never saw
-			ordered = build.Digest(mirrorsManifest)
+		if string(servedManifest) != string(raw) { // the order names a manifest that was not signed
+			ordered = build.Digest(servedManifest)
 			for _, mirror := range h.mirrors {
-				mirror.Put("/manifest/"+ordered, mirrorsManifest)
+				mirror.Put("/manifest/"+ordered, servedManifest)
 				mirror.PutSignatures(ordered, minisign.Sign(h.keys[0], raw), minisign.Sign(h.keys[1], raw))
 			}
 		}
-		isCut := broken.CutAfter > 0
+		isTruncated := fault.CutAfter > 0
 		for _, mirror := range h.mirrors {
 			mirror.SetFault(func(path string, b []byte) testbed.ReplyFault {
-				if !strings.HasPrefix(path, target) || broken.Body == nil && !isCut {
+				if !strings.HasPrefix(path, target) || fault.Body == nil && !isTruncated {
 					return testbed.ReplyFault{}
 				}
-				if isCut { // never a byte more
+				if isTruncated { // every reply ends after its first byte
 					return testbed.ReplyFault{CutAfter: 1, Body: []byte(strings.Repeat("y", len(b)))}
 				}
-				return broken
+				return fault
 			})
 		}
 		h.order(ordered, "release")
 		if !h.controller.Await("h1", ordered, string(agent.Failed), 15*time.Second) {
-			t.Fatalf("build %d is not refused: %+v", n, a.State())
+			t.Fatalf("build %d has not failed: %+v", n, a.State())
 		}
 	}
 	h.mu.Lock()
 	started := append([]string(nil), h.started...)
 	h.mu.Unlock()
 	require.Equal(t, []string{"1"}, started)
-	require.Equal(t, "1", answer(a, one))
+	require.Equal(t, "1", responseBody(a, one))
 	for _, mirror := range h.mirrors {
 		mirror.SetFault(nil)
 	}
--- a/internal/agentd/keyring.go
+++ b/internal/agentd/keyring.go
@@ -11,12 +11,13 @@
 	"dapplefront/internal/atomicfile"
 )
 
-// maxKeyRingUpdates bounds how many versions are caught up with before one fetch.
+// maxKeyRingUpdates bounds the number of later key ring versions that are fetched before one fetch of a build.
 const maxKeyRingUpdates = 100
 
 func (a *Agent) keyRingFile() string { return filepath.Join(a.config.Dir, "ring.json") }
 
-// loadKeyRing returns the configured key ring, or a later one that was saved.
+// loadKeyRing returns the saved key ring if it is for the same host group as the configured one and of a later version,
+// otherwise the configured one.
 func (a *Agent) loadKeyRing() *build.KeyRing {
 	raw, err := os.ReadFile(a.keyRingFile())
 	if err != nil {
@@ -35,8 +36,8 @@
 	return a.keyRing
 }
 
-// updateKeyRing fetches later key rings, one version after the other, each signed by the keys of the one before. A mirror
-// that has none, or an invalid one, changes nothing.
+// updateKeyRing fetches later key rings one version at a time; each must be signed by keys of the previous version.
+// Mirrors without a later key ring, or with an invalid one, are skipped.
 func (a *Agent) updateKeyRing(ctx context.Context) {
 	for range maxKeyRingUpdates {
 		next := a.fetchNextKeyRing(ctx, a.currentKeyRing())
@@ -50,18 +51,18 @@
 	}
 }
 
-// fetchNextKeyRing returns the key ring that follows the present one, from the first mirror with a valid one, and saves
-// it; nil if no mirror has one.
-func (a *Agent) fetchNextKeyRing(ctx context.Context, present *build.KeyRing) *build.KeyRing {
-	path := "/ring/" + strconv.Itoa(present.Version+1)
+// fetchNextKeyRing fetches the version after the current key ring from the first mirror with a valid one, saves it and
+// returns it. It returns nil if no mirror has one.
+func (a *Agent) fetchNextKeyRing(ctx context.Context, current *build.KeyRing) *build.KeyRing {
+	path := "/ring/" + strconv.Itoa(current.Version+1)
 	for _, mirror := range a.config.Source.Mirrors {
 		raw, err := a.get(ctx, mirror, path)
 		if err != nil {
 			continue
 		}
-		next, err := a.acceptKeyRing(ctx, present, mirror, path, raw)
+		next, err := a.acceptKeyRing(ctx, current, mirror, path, raw)
 		if err != nil {
-			a.log.Warn("key ring rejected", "version", present.Version+1, "error", err)
+			a.log.Warn("key ring rejected", "version", current.Version+1, "error", err)
 			continue
 		}
 		return next
@@ -69,8 +70,8 @@
 	return nil
 }
 
-// acceptKeyRing verifies the signatures of a key ring that a mirror served, and saves it.
-func (a *Agent) acceptKeyRing(ctx context.Context, present *build.KeyRing, mirror, path string, raw []byte) (*build.KeyRing, error) {
+// acceptKeyRing verifies a key ring from a mirror by its signatures and saves it.
+func (a *Agent) acceptKeyRing(ctx context.Context, current *build.KeyRing, mirror, path string, raw []byte) (*build.KeyRing, error) {
 	text, err := a.get(ctx, mirror, path+".sigs")
 	if err != nil {
 		return nil, err
@@ -79,7 +80,7 @@
 	if err != nil {
 		return nil, err
 	}
-	next, err := present.Next(raw, signatures, time.Now())
+	next, err := current.Next(raw, signatures, time.Now())
 	if err != nil {
 		return nil, err
 	}
--- a/internal/agentd/lifecycle_test.go
+++ b/internal/agentd/lifecycle_test.go
@@ -15,7 +15,7 @@
 	"dapplefront/internal/testbed"
 )
 
-func TestABuildIsStagedServedRolledBackAndReleasedByOrders(t *testing.T) {
+func TestAgent_StagesServesRollsBackAndReleasesBuild(t *testing.T) {
 	h := newHarness(t)
 	a := h.start()
 	defer a.Stop()
@@ -24,19 +24,19 @@
 	h.await(one, agent.Serving)
 	h.order(two, "stage")
 	h.await(two, agent.Staged)
-	require.Equal(t, "1", answer(a, one))
-	require.Empty(t, h.startsOf("2"), "it may not start yet")
+	require.Equal(t, "1", responseBody(a, one))
+	require.Empty(t, h.startsOf("2"), "a staged build is not started")
 	h.order(two, "serve")
 	h.await(two, agent.Serving)
-	require.Equal(t, "1", answer(a, one), "the stable build stays until the candidate is released")
-	require.Equal(t, "2", answer(a, two))
+	require.Equal(t, "1", responseBody(a, one), "the stable build stays until the candidate is released")
+	require.Equal(t, "2", responseBody(a, two))
 	h.order(two, "take-back")
 	h.await(two, agent.Removed)
-	require.Equal(t, "1", answer(a, one))
+	require.Equal(t, "1", responseBody(a, one))
 	require.Empty(t, a.runner.Find(two))
 	h.order(two, "release")
 	h.await(one, agent.Removed)
-	require.Equal(t, "2", answer(a, two))
+	require.Equal(t, "2", responseBody(a, two))
 	require.Empty(t, a.runner.Find(one))
 	var requests int
 	for _, m := range h.mirrors {
@@ -46,10 +46,10 @@
 			}
 		}
 	}
-	require.Equal(t, 1, requests, "equal files are shared")
+	require.Equal(t, 1, requests, "a file that both builds contain is fetched once")
 }
 
-func TestBuildsThatFailToStartOrToStopAreEnded(t *testing.T) {
+func TestAgent_StopsBuildThatCrashesHangsOrIgnoresSIGTERM(t *testing.T) {
 	h := newHarness(t)
 	a := h.start()
 	defer a.Stop()
@@ -57,8 +57,8 @@
 	crash := h.publishValid(2, "crash")
 	h.order(crash, "release")
 	h.await(crash, agent.Failed)
-	require.Len(t, h.startsOf("2"), 3, "once, and twice again")
-	silent, files := h.pack(3, "silent")
+	require.Len(t, h.startsOf("2"), 3, "one start and two restarts")
+	silent, files := h.newBuild(3, "silent")
 	silent.Ready.Within = build.Duration(200 * time.Millisecond)
 	raw, _ := silent.Bytes()
 	never := h.publish(raw, files, 0, 2)
@@ -66,19 +66,19 @@
 	h.await(never, agent.Failed)
 	s := a.State()
 	require.Contains(t, s.Instance(never).Reason, "not ready in time")
-	for i, how := range []string{"stubborn", "fork"} {
-		d := h.publishValid(4+i, how)
+	for i, behavior := range []string{"stubborn", "fork"} {
+		d := h.publishValid(4+i, behavior)
 		h.order(d, "serve")
 		h.await(d, agent.Serving)
 		require.NotEmpty(t, a.runner.Find(d))
 		h.order(d, "take-back")
 		h.await(d, agent.Removed)
-		require.Empty(t, a.runner.Find(d), "%s: nothing of it runs any more", how)
+		require.Empty(t, a.runner.Find(d), "%s: processes of the build are still running", behavior)
 	}
-	require.Equal(t, "1", answer(a, one))
+	require.Equal(t, "1", responseBody(a, one))
 }
 
-func TestARollbackOvertakesAStartAndAFetch(t *testing.T) {
+func TestAgent_RollsBackBuildDuringStartAndFetch(t *testing.T) {
 	h := newHarness(t)
 	a := h.start()
 	defer a.Stop()
@@ -98,10 +98,10 @@
 	h.order(fetching, "take-back")
 	h.await(fetching, agent.Removed)
 	require.Empty(t, h.startsOf("3"))
-	require.Equal(t, "1", answer(a, one))
+	require.Equal(t, "1", responseBody(a, one))
 }
 
-func TestAPortInUseCostsOneStart(t *testing.T) {
+func TestAgent_RestartsBuildWhenPortIsInUse(t *testing.T) {
 	h := newHarness(t)
 	occupied, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
@@ -118,10 +118,10 @@
 	defer a.Stop()
 	one := h.releaseFirst()
 	require.Len(t, h.startsOf("1"), 2)
-	require.Equal(t, "1", answer(a, one))
+	require.Equal(t, "1", responseBody(a, one))
 }
 
-func TestASecondAgentOnOneFolderIsRefused(t *testing.T) {
+func TestStart_FailsWhileAnotherAgentUsesFolder(t *testing.T) {
 	h := newHarness(t)
 	a := h.start()
 	defer a.Stop()
--- a/internal/agentd/main_test.go
+++ b/internal/agentd/main_test.go
@@ -18,7 +18,7 @@
 	"dapplefront/internal/process"
 )
 
-// The test binary is also the process of the builds, and an agent to be killed.
+// TestMain runs the tests or, if an environment variable says so, the process of a build or an agent that kills itself.
 func TestMain(m *testing.M) {
 	switch {
 	case os.Getenv("DAPPLEFRONT_TEST_BUILD") != "":
@@ -30,11 +30,11 @@
 	}
 }
 
-// serveBuild is a build's process. Its specification is VERSION,BEHAVIOR,WITNESS.
+// serveBuild is the main function of a build's process. Its specification is VERSION,BEHAVIOR,START_LISTENER.
 func serveBuild(specification string) {
 	parts := strings.Split(specification, ",")
-	version, behavior, witness := parts[0], parts[1], parts[2]
-	if c, err := net.Dial("tcp", witness); err == nil { // a start is seen at a socket
+	version, behavior, startListener := parts[0], parts[1], parts[2]
+	if c, err := net.Dial("tcp", startListener); err == nil { // reports the start to the test
 		_, _ = fmt.Fprintln(c, version)
 		_ = c.Close()
 	}
@@ -47,7 +47,7 @@
 		signal.Ignore(syscall.SIGTERM)
 	case "fork":
 		c := exec.Command("/bin/sh", "-c", "sleep 1000")
-		c.SysProcAttr = &syscall.SysProcAttr{Setsid: true} // out of the group
+		c.SysProcAttr = &syscall.SysProcAttr{Setsid: true} // leaves the process group
 		_ = c.Start()
 	}
 	_ = os.WriteFile(os.Getenv(process.ReadyVariable), []byte("ready"), 0o600)
@@ -56,7 +56,7 @@
 	}))
 }
 
-// runAgent is an agent in a process of its own, which kills itself at one of its writes.
+// runAgent is the main function of an agent in its own process. The agent kills itself after one of its journal writes.
 func runAgent() {
 	var c Config
 	raw, err := os.ReadFile(os.Getenv("DAPPLEFRONT_TEST_AGENT"))
--- a/internal/agentd/process.go
+++ b/internal/agentd/process.go
@@ -18,17 +18,17 @@
 
 const (
 	readyPollInterval   = 10 * time.Millisecond
-	exitPollInterval    = 20 * time.Millisecond // of processes that this agent didn't start
+	exitPollInterval    = 20 * time.Millisecond // for processes that an earlier agent started
 	healthCheckTimeout  = time.Second
-	defaultDrainTimeout = time.Second // where the manifest can't be read
+	defaultDrainTimeout = time.Second // used if the manifest can't be read
 	trimInterval        = time.Second
 )
 
-// start starts an installed build and waits until it is ready.
+// start starts a verified build and waits until it is ready.
 func (a *Agent) start(ctx context.Context, digest string) {
 	m, dir, port, err := a.prepareStart(digest)
 	if err != nil {
-		a.failTask(ctx, digest, err)
+		a.submitFailure(ctx, digest, err)
 		return
 	}
 	if ctx.Err() != nil {
@@ -36,22 +36,22 @@
 	}
 	p, exited, err := a.runner.Start(digest, dir, commandLine(m.Start, port), port)
 	if err != nil {
-		a.failTask(ctx, digest, err)
+		a.submitFailure(ctx, digest, err)
 		return
 	}
-	a.submitFrom(ctx, agent.Started{Digest: digest, Process: p})
+	a.submitUnlessCanceled(ctx, agent.Started{Digest: digest, Process: p})
 	a.spawn(func() {
 		select {
 		case err := <-exited:
-			a.submitFrom(ctx, agent.Exited{Digest: digest, Reason: err.Error()})
+			a.submitUnlessCanceled(ctx, agent.Exited{Digest: digest, Reason: err.Error()})
 		case <-ctx.Done():
 		}
 	})
 	a.awaitReady(ctx, digest, m, port, time.Now())
 }
 
-// prepareStart returns what is needed to start a build: its manifest, folder and a free port. What an earlier attempt
-// may have left running is stopped.
+// prepareStart returns the manifest, the folder and a free port for the start of a build. It stops processes that an
+// earlier attempt may have left running.
 func (a *Agent) prepareStart(digest string) (m *build.Manifest, dir string, port int, err error) {
 	if m, err = a.readManifest(digest); err != nil {
 		return nil, "", 0, err
@@ -66,7 +66,7 @@
 	return m, dir, port, err
 }
 
-// commandLine fills the port into a manifest's command.
+// commandLine replaces {port} in a manifest's start command by the port.
 func commandLine(arguments []string, port int) []string {
 	line := make([]string, len(arguments))
 	for i, argument := range arguments {
@@ -75,12 +75,13 @@
 	return line
 }
 
-// adopt takes over a process that an earlier agent started.
+// adopt takes over a process that an earlier agent started, and polls for its exit. If the build is still starting, it
+// also waits until the build is ready.
 func (a *Agent) adopt(ctx context.Context, digest string, p agent.Process, starting bool) {
 	a.spawn(func() {
 		for ctx.Err() == nil {
 			if !process.Alive(p) {
-				a.submitFrom(ctx, agent.Exited{Digest: digest, Reason: "its process has ended"})
+				a.submitUnlessCanceled(ctx, agent.Exited{Digest: digest, Reason: "its process has ended"})
 				return
 			}
 			sleep(ctx, exitPollInterval)
@@ -91,21 +92,21 @@
 	}
 	m, err := a.readManifest(digest)
 	if err != nil {
-		a.failTask(ctx, digest, err)
+		a.submitFailure(ctx, digest, err)
 		return
 	}
-	a.submitFrom(ctx, agent.Started{Digest: digest, Process: p})
+	a.submitUnlessCanceled(ctx, agent.Started{Digest: digest, Process: p})
 	a.awaitReady(ctx, digest, m, p.Port, time.Now())
 }
 
-// awaitReady waits until a build has declared itself ready and passes its health check. One that doesn't in time is
-// killed.
+// awaitReady waits until a build has declared itself ready and passes its health check. A build that isn't ready in
+// time is killed.
 func (a *Agent) awaitReady(ctx context.Context, digest string, m *build.Manifest, port int, began time.Time) {
 	client := &http.Client{Timeout: healthCheckTimeout}
 	url := fmt.Sprintf("http://127.0.0.1:%d%s", port, m.Ready.Path)
 	for ctx.Err() == nil {
 		if _, err := os.Stat(a.runner.ReadyFile(digest)); err == nil && healthy(client, url) {
-			a.submitFrom(ctx, agent.Ready{Digest: digest})
+			a.submitUnlessCanceled(ctx, agent.Ready{Digest: digest})
 			return
 		}
 		if time.Since(began) > time.Duration(m.Ready.Within) {
@@ -116,9 +117,10 @@
 	}
 }
 
-// failNotReady kills a build that isn't ready in time. The task is canceled first, so that its exit isn't submitted too.
+// failNotReady kills a build that isn't ready in time. It cancels the operation first, so that the exit isn't queued as
+// a further input.
 func (a *Agent) failNotReady(ctx context.Context, digest string) {
-	a.cancelTask(digest)
+	a.cancelOperation(digest)
 	if ctx.Err() != nil && a.ctx.Err() == nil {
 		_ = a.runner.Stop(digest, 0)
 		a.submit(agent.OperationFailed{Digest: digest, Reason: "it was not ready in time"})
@@ -134,7 +136,7 @@
 	return response.StatusCode == http.StatusOK
 }
 
-// stopBuild stops a build's processes.
+// stopBuild stops all processes of a build.
 func (a *Agent) stopBuild(digest string) {
 	within := defaultDrainTimeout
 	if m, err := a.readManifest(digest); err == nil {
@@ -148,8 +150,8 @@
 	a.submit(agent.Exited{Digest: digest, Reason: "as told"})
 }
 
-// freePort returns a port that nobody listens on. Where another process takes it before the build does, the build's
-// start fails and the next attempt gets another.
+// freePort returns a TCP port on which no process listens. If another process takes it before the build does, the start
+// of the build fails and the next attempt uses another port.
 func freePort() (port int, err error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -159,7 +161,7 @@
 	return l.Addr().(*net.TCPAddr).Port, nil
 }
 
-// trimOutputs keeps builds' output within its bounds.
+// trimOutputs trims the output of all builds once per trimInterval.
 func (a *Agent) trimOutputs() {
 	for sleep(a.ctx, trimInterval) {
 		s := a.State()
--- a/internal/agentd/reports.go
+++ b/internal/agentd/reports.go
@@ -10,12 +10,12 @@
 )
 
 const (
-	maxReports       = 1000 // in the outbox while no controller accepts them; then the oldest are dropped
+	maxReports       = 1000 // limit of the outbox while no controller accepts reports; beyond it the oldest are dropped
 	reportRetryDelay = 200 * time.Millisecond
-	shownDigestChars = 12 // of a digest in the log
+	shownDigestChars = 12 // length of a digest in log messages
 )
 
-// addReports puts the reports among effects into the outbox, so that they are saved with the state.
+// addReports adds the reports among effects to the outbox, so that they are saved with the state.
 func (a *Agent) addReports(effects []agent.Effect) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -41,7 +41,7 @@
 	}
 }
 
-// endpointReport describes an instance's endpoint. The caller holds a.mu.
+// endpointReport returns the report on an instance's endpoint. The caller holds a.mu.
 func (a *Agent) endpointReport(e agent.PublishEndpoint) api.AgentReport {
 	r := api.AgentReport{Digest: e.Digest, EndpointState: string(e.State), AtMs: time.Now().UnixMilli()}
 	if i := a.machine.State.Instance(e.Digest); i != nil {
@@ -51,20 +51,21 @@
 	return r
 }
 
-func (a *Agent) wakeReports() {
+func (a *Agent) notifyOutbox() {
 	select {
-	case a.reports <- struct{}{}:
+	case a.outboxChanged <- struct{}{}:
 	default:
 	}
 }
 
-// sendReports sends the outbox, in order, until the agent ends. A batch is sent again until a controller accepts it.
+// sendReports sends the reports in the outbox, in order, until the agent shuts down. It retries each batch until a
+// controller accepts it.
 func (a *Agent) sendReports() {
 	for {
 		select {
 		case <-a.ctx.Done():
 			return
-		case <-a.reports:
+		case <-a.outboxChanged:
 		}
 		for a.ctx.Err() == nil {
 			batch := a.pendingReports()
@@ -87,7 +88,7 @@
 	return append([]api.AgentReport(nil), a.outbox...)
 }
 
-// removeReports removes the reports up to a number, which a controller has accepted.
+// removeReports removes the reports that a controller has accepted: those up to the number last.
 func (a *Agent) removeReports(last uint64) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
--- a/internal/agentd/restart_test.go
+++ b/internal/agentd/restart_test.go
@@ -15,27 +15,27 @@
 	"dapplefront/agent"
 )
 
-func TestAnAgentWithoutAControllerKeepsServing(t *testing.T) {
+func TestAgent_KeepsBuildServingWithoutController(t *testing.T) {
 	h := newHarness(t)
 	a := h.start()
 	defer func() { a.Stop() }()
 	one := h.releaseFirst()
 	h.controller.SetDown(true)
-	a.Close() // and is restarted meanwhile
+	a.Close() // the agent restarts while the controller is down
 	a = h.start()
 	time.Sleep(100 * time.Millisecond)
-	require.Equal(t, "1", answer(a, one))
-	require.Len(t, h.startsOf("1"), 1, "it was adopted, not started again")
+	require.Equal(t, "1", responseBody(a, one))
+	require.Len(t, h.startsOf("1"), 1, "the running build is adopted, not restarted")
 	s := a.State()
 	require.NoError(t, syscall.Kill(-s.Stable.Process.Pid, syscall.SIGKILL))
-	require.Eventually(t, func() bool { return answer(a, one) == "1" && len(h.startsOf("1")) == 2 }, 10*time.Second, 10*time.Millisecond)
+	require.Eventually(t, func() bool { return responseBody(a, one) == "1" && len(h.startsOf("1")) == 2 }, 10*time.Second, 10*time.Millisecond)
 	h.controller.SetDown(false)
-	h.await(one, agent.Starting) // what happened meanwhile is reported
+	h.await(one, agent.Starting) // the restart is reported once the controller is back
 }
 
-// An agent that is killed at each of its writes, one after the other, and started again, ends in the same state: the
-// second build is released and serves with one process, the first is removed.
-func TestAnAgentKilledAtAnyWriteEndsInTheSameState(t *testing.T) {
+// Kills the agent after its first journal write, restarts it, and repeats this for each further write. The agent always
+// ends in the same state: the second build is released and serves with one process, and the first build is removed.
+func TestAgent_ReachesSameStateAfterKillAtAnyWrite(t *testing.T) {
 	exe, err := os.Executable()
 	require.NoError(t, err)
 	kills := 0
@@ -54,7 +54,7 @@
 		died := make(chan struct{})
 		go func() { _ = command.Wait(); close(died) }()
 		ordered := make(chan bool, 1)
-		go func() { // the second order comes once the first is carried out
+		go func() { // the second order is sent once the first build serves
 			ordered <- h.controller.Await("h1", one, string(agent.Serving), 10*time.Second)
 			h.order(two, "release")
 		}()
@@ -65,7 +65,7 @@
 		case <-died:
 			killed = true
 			kills++
-		case removed := <-done: // it needed fewer writes
+		case removed := <-done: // the agent made fewer writes than at
 			_ = command.Process.Kill()
 			<-died
 			require.True(t, removed, "at %d: %+v", at, h.controller.Reports("h1"))
@@ -76,7 +76,7 @@
 			s := a.State()
 			return s.Stable != nil && s.Stable.Digest == two && s.Stable.Phase == agent.Serving && len(s.Retiring) == 0 && s.Candidate == nil
 		}, 15*time.Second, 5*time.Millisecond, "killed at write %d: %+v", at, h.controller.Reports("h1"))
-		require.Equal(t, "2", answer(a, two))
+		require.Equal(t, "2", responseBody(a, two))
 		require.Len(t, a.runner.Find(two), 1, "killed at write %d", at)
 		require.Empty(t, a.runner.Find(one), "killed at write %d", at)
 		require.LessOrEqual(t, len(h.startsOf("1")), 2)
--- a/internal/agentd/run.go
+++ b/internal/agentd/run.go
@@ -9,7 +9,7 @@
 	"dapplefront/internal/journal"
 )
 
-// saveRetryDelay is the time between attempts to save the state.
+// saveRetryDelay is the delay before a failed attempt to save the state is retried.
 const saveRetryDelay = 200 * time.Millisecond
 
 // submit queues an input.
@@ -18,12 +18,12 @@
 	a.inbox = append(a.inbox, in)
 	a.mu.Unlock()
 	select {
-	case a.inputs <- struct{}{}:
+	case a.inboxChanged <- struct{}{}:
 	default:
 	}
 }
 
-// run handles inputs one after the other.
+// run handles inputs one at a time until the agent shuts down.
 func (a *Agent) run() {
 	for {
 		in := a.nextInput()
@@ -31,7 +31,7 @@
 			select {
 			case <-a.ctx.Done():
 				return
-			case <-a.inputs:
+			case <-a.inboxChanged:
 			}
 			continue
 		}
@@ -41,7 +41,7 @@
 	}
 }
 
-// nextInput takes an input from the queue; nil if there is none.
+// nextInput removes the first input from the inbox and returns it, or nil if the inbox is empty.
 func (a *Agent) nextInput() (in agent.Input) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -51,9 +51,9 @@
 	return in
 }
 
-// handle decides on one input, saves the state and carries out the effects. Where the state can't be saved nothing is
-// carried out: it is restored, and the input is handled again until it can be saved. It reports false where the agent
-// ends first.
+// handle passes an input to the state machine, saves the state and executes the effects. If the state can't be saved,
+// no effect is executed: the earlier state is restored, and the input is handled again until the state can be saved. It
+// reports false if the agent shuts down first or the state can't be restored.
 func (a *Agent) handle(in agent.Input) bool {
 	before, err := json.Marshal(a.entry())
 	for err == nil {
@@ -64,9 +64,9 @@
 		saveErr := a.journal.Save(a.entry())
 		if saveErr == nil {
 			for _, e := range effects {
-				a.carryOut(e)
+				a.execute(e)
 			}
-			a.wakeReports()
+			a.notifyOutbox()
 			return true
 		}
 		a.log.Error("the state can't be written down; nothing is done", "error", saveErr)
@@ -78,7 +78,7 @@
 	return false
 }
 
-// restore returns to a state that entry returned.
+// restore restores the state and the reports from an encoded journal entry.
 func (a *Agent) restore(text []byte) error {
 	var e journal.Entry
 	if err := json.Unmarshal(text, &e); err != nil {
@@ -90,7 +90,7 @@
 	return nil
 }
 
-// entry returns what is to be saved.
+// entry returns the journal entry of the current state.
 func (a *Agent) entry() journal.Entry {
 	a.mu.Lock()
 	defer a.mu.Unlock()
