--- a/build/doc.go
+++ b/build/doc.go
@@ -1,7 +1,9 @@
-// Package build describes builds so that a host can verify, before it starts one, that trusted signers have approved it. A
-// Manifest lists the files with their SHA-256, how to start the build, how to check that it is ready and how to drain it.
-// A KeyRing says whose signatures count, from when to when, and how many a build needs.
+// Package build describes builds so that a host can verify, before it starts a build, that trusted signers have
+// approved it. A Manifest lists the files with their SHA-256 digests, how to start the build, how to check that it is
+// ready and how to drain it. A KeyRing holds the public keys of the trusted signers, their validity periods, and the
+// number of signatures that a build needs.
 //
-// Signatures are Ed25519 in minisign's format (https://jedisct1.github.io/minisign/), over the bytes of the manifest. The
-// package reads no files and no clock: the caller brings bytes and the time.
+// Signatures are Ed25519 signatures over the bytes of the manifest, in minisign's format
+// (https://jedisct1.github.io/minisign/). The package reads neither files nor the clock: the caller passes in the bytes
+// and the time.
 package build
--- a/build/keyring.go
+++ b/build/keyring.go
@@ -10,10 +10,10 @@
 const (
 	keyRingFormat = 1
 	maxKeys       = 100
-	maxSignatures = 100 // beside one manifest or key ring
+	maxSignatures = 100 // of one manifest or key ring
 )
 
-// Key is the public key of one signer. It is valid from NotBefore until before NotAfter.
+// Key is the public key of one signer. It is valid from NotBefore, inclusive, to NotAfter, exclusive.
 type Key struct {
 	Name      string    `json:"name"`
 	PublicKey string    `json:"public"` // in minisign's text form
@@ -22,20 +22,20 @@
 	Revoked   bool      `json:"revoked,omitempty"`
 }
 
-// KeyRing says whose signatures count. A later key ring replaces it only with signatures by its keys.
+// KeyRing holds the keys whose signatures are accepted. Only a key ring signed by these keys can replace it.
 type KeyRing struct {
 	Format     int    `json:"format"`    // 1
-	Version    int    `json:"version"`   // from 1; a key ring is never replaced by one of a lower or equal version
-	Threshold  int    `json:"threshold"` // signatures by different keys that a build needs
+	Version    int    `json:"version"`   // 1 or more; a key ring is replaced only by one with a higher version
+	Threshold  int    `json:"threshold"` // number of different keys that must have signed a build or the next key ring
 	Keys       []Key  `json:"keys"`
-	Group      string `json:"group"` // the host group
-	MinVersion int    `json:"floor"` // builds below it are refused, unless a rollback orders them
+	Group      string `json:"group"` // the host group whose builds are accepted
+	MinVersion int    `json:"floor"` // builds with a lower version are refused, unless a rollback orders them
 }
 
 // ReadKeyRing decodes and validates a key ring. Its errors are *RefusedError.
 func ReadKeyRing(raw []byte) (*KeyRing, error) {
 	if len(raw) > MaxManifestBytes {
-		return nil, refused(Malformed, "ring: %d bytes", len(raw))
+		return nil, refused(Malformed, "ring: too large: %d bytes", len(raw))
 	}
 	var r KeyRing
 	if err := decodeStrict(raw, &r); err != nil {
@@ -54,7 +54,7 @@
 	case r.Threshold < 1 || r.Threshold > len(r.Keys) || len(r.Keys) > maxKeys:
 		return refused(Malformed, "ring: threshold: 1 to the number of keys (%d) expected, not %d", len(r.Keys), r.Threshold)
 	case !isName(r.Group):
-		return refused(Malformed, "ring: group: letters, digits, dots and dashes expected, not %q", r.Group)
+		return refused(Malformed, "ring: group: letters, digits, dots, dashes and underscores expected, not %q", r.Group)
 	case r.MinVersion < 0:
 		return refused(Malformed, "ring: floor: 0 or more expected")
 	}
@@ -65,19 +65,19 @@
 			return refused(Malformed, "ring: keys[%d].public: %v", i, err)
 		}
 		if !isName(k.Name) || names[k.Name] || ids[public.ID()] {
-			return refused(Malformed, "ring: keys[%d]: a name and a key of its own expected", i)
+			return refused(Malformed, "ring: keys[%d]: valid name expected, name and public key must be unique", i)
 		}
 		if !k.NotBefore.Before(k.NotAfter) {
-			return refused(Malformed, "ring: keys[%d]: from before to expected", i)
+			return refused(Malformed, "ring: keys[%d]: from must be before to", i)
 		}
 		names[k.Name], ids[public.ID()] = true, true
 	}
 	return nil
 }
 
-// Verify verifies the bytes of a manifest: enough valid signatures, this key ring's host group, and a version not below
-// the minimum unless a rollback orders it. The manifest is decoded only after its signatures have been verified. It
-// returns the names of the signers, also with an error; errors are *RefusedError.
+// Verify verifies the bytes of a manifest: it needs Threshold valid signatures, this key ring's host group and, unless
+// a rollback orders the build, a version of at least MinVersion. The manifest is decoded only after its signatures have
+// been verified. Verify returns the names of the signers even if it fails. Its errors are *RefusedError.
 func (r *KeyRing) Verify(raw []byte, signatures [][]byte, now time.Time, allowBelowMinVersion bool) (*Manifest, []string, error) {
 	signers, err := r.verifySignatures(raw, signatures, now)
 	if err != nil {
@@ -95,8 +95,8 @@
 	return m, signers, nil
 }
 
-// Next verifies the bytes of a later key ring, which this one's keys must have signed, and returns it. Its version must be
-// higher, its minimum version not lower. Errors are *RefusedError.
+// Next verifies the bytes of a later key ring and returns it. Keys of this key ring must have signed it, its version
+// must be higher, and its minimum version must not be lower. Errors are *RefusedError.
 func (r *KeyRing) Next(raw []byte, signatures [][]byte, now time.Time) (*KeyRing, error) {
 	if _, err := r.verifySignatures(raw, signatures, now); err != nil {
 		return nil, err
@@ -106,11 +106,11 @@
 	case err != nil:
 		return nil, err
 	case next.Version <= r.Version:
-		return nil, refused(StaleKeyRing, "version %d, %d is held", next.Version, r.Version)
+		return nil, refused(StaleKeyRing, "version %d, current version %d", next.Version, r.Version)
 	case next.Group != r.Group:
 		return nil, refused(WrongGroup, "%s, not %s", next.Group, r.Group)
 	case next.MinVersion < r.MinVersion:
-		return nil, refused(BelowMinVersion, "floor %d, %d is held: a floor never falls", next.MinVersion, r.MinVersion)
+		return nil, refused(BelowMinVersion, "floor %d, current floor %d: the floor must not decrease", next.MinVersion, r.MinVersion)
 	}
 	return next, nil
 }
--- a/build/keyring_test.go
+++ b/build/keyring_test.go
@@ -13,7 +13,7 @@
 
 var now = time.Date(2026, 12, 1, 12, 0, 0, 0, time.UTC)
 
-// newKeyRing returns a key ring of three keys with a threshold of two, and the private keys.
+// newKeyRing returns a key ring of three keys with a threshold of two, and the matching private keys.
 func newKeyRing(t *testing.T) (*KeyRing, []minisign.PrivateKey) {
 	t.Helper()
 	r := &KeyRing{Format: 1, Version: 1, Threshold: 2, Group: "tacoma", MinVersion: 5}
@@ -30,8 +30,8 @@
 	return r, private
 }
 
-// reasonOf returns the reason of a refusal; "" for other errors.
-func reasonOf(err error) Reason {
+// refusalReason returns the reason of a *RefusedError, or "" for other errors.
+func refusalReason(err error) Reason {
 	var r *RefusedError
 	if errors.As(err, &r) {
 		return r.Reason
@@ -39,12 +39,12 @@
 	return ""
 }
 
-func TestABuildNeedsEnoughValidSignatures(t *testing.T) {
+func TestKeyRing_RequiresThresholdOfValidSignatures(t *testing.T) {
 	r, keys := newKeyRing(t)
 	raw, err := sampleManifest().Bytes()
 	require.NoError(t, err)
-	sign := func(of ...int) (all [][]byte) {
-		for _, i := range of {
+	sign := func(signers ...int) (all [][]byte) {
+		for _, i := range signers {
 			all = append(all, minisign.Sign(keys[i], raw))
 		}
 		return all
@@ -57,7 +57,7 @@
 	check := func(want Reason, signatures [][]byte, at time.Time) {
 		t.Helper()
 		_, _, err := r.Verify(raw, signatures, at, false)
-		require.Equal(t, want, reasonOf(err), "%v", err)
+		require.Equal(t, want, refusalReason(err), "%v", err)
 	}
 	check(TooFewSignatures, sign(1), now)
 	check(TooFewSignatures, sign(1, 1), now)
@@ -66,16 +66,16 @@
 	check(KeyNotValid, sign(0, 1), now.Add(-2*time.Hour))
 	check(BadSignature, [][]byte{sign(0)[0], minisign.Sign(keys[1], append(raw, ' '))}, now)
 	check(BadSignature, [][]byte{[]byte("rubbish")}, now)
-	_, stranger, _ := minisign.GenerateKey(rand.Reader)
-	check(UnknownKey, [][]byte{sign(0)[0], minisign.Sign(stranger, raw)}, now)
+	_, unknown, _ := minisign.GenerateKey(rand.Reader)
+	check(UnknownKey, [][]byte{sign(0)[0], minisign.Sign(unknown, raw)}, now)
 	r.Keys[1].Revoked = true
 	check(KeyRevoked, sign(0, 1), now)
 	m, _, err = r.Verify(raw, sign(0, 1, 2), now, false)
-	require.NoError(t, err, "two good ones are enough beside a revoked one")
+	require.NoError(t, err, "two valid signatures suffice even if a third key is revoked")
 	require.NotNil(t, m)
 }
 
-func TestBuildsOfOtherGroupsOrBelowTheMinimumVersionAreRefused(t *testing.T) {
+func TestKeyRing_RefusesOtherGroupAndVersionBelowMinimum(t *testing.T) {
 	r, keys := newKeyRing(t)
 	verify := func(change func(*Manifest), allowBelowMinVersion bool) error {
 		m := sampleManifest()
@@ -85,12 +85,12 @@
 		_, _, err = r.Verify(raw, [][]byte{minisign.Sign(keys[0], raw), minisign.Sign(keys[1], raw)}, now, allowBelowMinVersion)
 		return err
 	}
-	require.Equal(t, WrongGroup, reasonOf(verify(func(m *Manifest) { m.Group = "muscat" }, false)))
-	require.Equal(t, BelowMinVersion, reasonOf(verify(func(m *Manifest) { m.Version = 4 }, false)))
-	require.NoError(t, verify(func(m *Manifest) { m.Version = 4 }, true), "a rollback may order it")
+	require.Equal(t, WrongGroup, refusalReason(verify(func(m *Manifest) { m.Group = "muscat" }, false)))
+	require.Equal(t, BelowMinVersion, refusalReason(verify(func(m *Manifest) { m.Version = 4 }, false)))
+	require.NoError(t, verify(func(m *Manifest) { m.Version = 4 }, true), "a rollback may order a build below the minimum version")
 }
 
-func TestAKeyRingIsReplacedOnlyByItsOwnKeys(t *testing.T) {
+func TestKeyRing_NextRequiresSignaturesByCurrentKeys(t *testing.T) {
 	r, keys := newKeyRing(t)
 	other, _ := newKeyRing(t)
 	next := *r
@@ -101,15 +101,15 @@
 	require.NoError(t, err)
 	require.Equal(t, 2, got.Version)
 	_, err = r.Next(raw, [][]byte{minisign.Sign(keys[0], raw)}, now)
-	require.Equal(t, TooFewSignatures, reasonOf(err))
+	require.Equal(t, TooFewSignatures, refusalReason(err))
 	_, err = got.Next(raw, [][]byte{minisign.Sign(keys[0], raw), minisign.Sign(keys[1], raw)}, now)
-	require.Equal(t, UnknownKey, reasonOf(err), "a key that was removed no longer counts")
+	require.Equal(t, UnknownKey, refusalReason(err), "signatures by a removed key don't count")
 	back := *r
 	raw, _ = json.Marshal(back)
 	_, err = r.Next(raw, [][]byte{minisign.Sign(keys[0], raw), minisign.Sign(keys[1], raw)}, now)
-	require.Equal(t, StaleKeyRing, reasonOf(err))
+	require.Equal(t, StaleKeyRing, refusalReason(err))
 	back.Version, back.MinVersion = 3, 1
 	raw, _ = json.Marshal(back)
 	_, err = r.Next(raw, [][]byte{minisign.Sign(keys[0], raw), minisign.Sign(keys[1], raw)}, now)
-	require.Equal(t, BelowMinVersion, reasonOf(err))
+	require.Equal(t, BelowMinVersion, refusalReason(err))
 }
--- a/build/manifest.go
+++ b/build/manifest.go
@@ -10,7 +10,7 @@
 	"unicode/utf8"
 )
 
-// Limits of a manifest; those of real services are far smaller.
+// Limits of a manifest. The manifests of real services are far smaller.
 const (
 	MaxManifestBytes = 1 << 20 // of the manifest itself
 	MaxFiles         = 10_000
@@ -31,10 +31,10 @@
 	Executable bool   `json:"run,omitempty"`
 }
 
-// Duration is a time with a unit in JSON, such as "5s".
+// Duration is a duration whose JSON form is a string with a unit, such as "5s".
 type Duration time.Duration
 
-// UnmarshalJSON accepts a time above 0 and up to an hour.
+// UnmarshalJSON accepts durations above 0 and up to one hour.
 func (d *Duration) UnmarshalJSON(b []byte) error {
 	var text string
 	if err := json.Unmarshal(b, &text); err != nil {
@@ -48,35 +48,35 @@
 	return nil
 }
 
-// MarshalJSON writes a time with a unit.
+// MarshalJSON returns the duration as a string with a unit.
 func (d Duration) MarshalJSON() ([]byte, error) { return json.Marshal(time.Duration(d).String()) }
 
-// Manifest describes a build. The first element of Start is the path of an executable file, the others are its arguments;
-// {port} stands for the port that the process is to listen on.
+// Manifest describes a build. The first element of Start is the path of an executable file, the others are its
+// arguments. {port} in an argument is replaced by the port on which the process must listen.
 type Manifest struct {
 	Format  int      `json:"format"` // 1
 	Name    string   `json:"name"`
-	Group   string   `json:"group"`   // the host group that it is for
-	Version int      `json:"version"` // the build's number, from 1; later builds have higher ones
+	Group   string   `json:"group"`   // the host group that may run the build
+	Version int      `json:"version"` // number of the build, 1 or more; later builds have higher numbers
 	Files   []File   `json:"files"`
 	Start   []string `json:"start"`
 	Ready   struct {
-		Path   string   `json:"path"`   // of an HTTP health check that returns 200 once the build is ready
-		Within Duration `json:"within"` // of its start
+		Path   string   `json:"path"`   // of an HTTP health check that returns status 200 once the build is ready
+		Within Duration `json:"within"` // time from the start of the process until it must be ready
 	} `json:"ready"`
 	Drain struct {
-		Within Duration `json:"within"` // between SIGTERM and SIGKILL
+		Within Duration `json:"within"` // time between SIGTERM and SIGKILL
 	} `json:"drain"`
 }
 
-// Digest returns the SHA-256 of bytes in hexadecimal. That of a manifest's bytes names the build.
+// Digest returns the SHA-256 digest of bytes in hexadecimal. The digest of a manifest's bytes identifies the build.
 func Digest(raw []byte) string {
 	sum := sha256.Sum256(raw)
 	return hex.EncodeToString(sum[:])
 }
 
-// ReadManifest decodes and validates a manifest. It refuses what two readers could understand differently: unknown or
-// repeated fields, or anything after the end. The error names the field.
+// ReadManifest decodes and validates a manifest. It refuses input that two decoders could interpret differently:
+// unknown or repeated fields, or data after the end. The error names the field.
 func ReadManifest(raw []byte) (*Manifest, error) {
 	if len(raw) > MaxManifestBytes {
 		return nil, fmt.Errorf("manifest: %d bytes, at most %d expected", len(raw), MaxManifestBytes)
@@ -94,7 +94,7 @@
 	return &m, nil
 }
 
-// Bytes validates the manifest and returns it as it is signed.
+// Bytes validates the manifest and returns the encoded form that signers sign.
 func (m *Manifest) Bytes() ([]byte, error) {
 	if err := m.Validate(); err != nil {
 		return nil, err
@@ -103,7 +103,7 @@
 	return append(raw, '\n'), err
 }
 
-// Size is the number of bytes of all files.
+// Size returns the total size of all files in bytes.
 func (m *Manifest) Size() (n int64) {
 	for _, f := range m.Files {
 		n += f.Size
--- a/build/manifest_test.go
+++ b/build/manifest_test.go
@@ -15,7 +15,7 @@
 	return m
 }
 
-func TestInvalidManifestsAreRefusedByField(t *testing.T) {
+func TestReadManifest_NamesInvalidField(t *testing.T) {
 	raw, err := sampleManifest().Bytes()
 	require.NoError(t, err)
 	for want, bad := range map[string]string{
@@ -57,11 +57,11 @@
 			t.Fatal(err)
 		}
 		if _, err := ReadManifest(again); err != nil {
-			t.Fatalf("what was read is not to be read again: %v", err)
+			t.Fatalf("a decoded manifest is refused after it was encoded again: %v", err)
 		}
 		for _, file := range m.Files {
 			if strings.HasPrefix(file.Path, "/") || strings.Contains("/"+file.Path+"/", "/../") {
-				t.Fatalf("path %q", file.Path)
+				t.Fatalf("path %q is not below the build's folder", file.Path)
 			}
 		}
 	})
--- a/build/refused.go
+++ b/build/refused.go
@@ -2,10 +2,10 @@
 
 import "fmt"
 
-// Reason says why something was refused. Its strings are reported.
+// Reason says why a build or key ring was refused. The strings are reported to the controller.
 type Reason string
 
-// The reasons.
+// Reasons of a refusal.
 const (
 	TooFewSignatures Reason = "too few signatures"
 	BadSignature     Reason = "a signature is wrong"
@@ -18,7 +18,7 @@
 	Malformed        Reason = "it is malformed"
 )
 
-// RefusedError is the error of a verification that failed.
+// RefusedError is returned when a manifest or key ring fails its verification.
 type RefusedError struct {
 	Reason Reason
 	Detail string // may be empty
--- a/build/signature.go
+++ b/build/signature.go
@@ -9,8 +9,8 @@
 	"aead.dev/minisign"
 )
 
-// verifySignatures returns the names of the keys that have signed a message. It fails where they are fewer than the
-// threshold, with the reason why the first invalid signature doesn't count. Each key counts once.
+// verifySignatures returns the names of the keys that have signed a message. Each key counts once. If there are fewer
+// keys than the threshold, it fails with the reason why the first invalid signature was refused.
 func (r *KeyRing) verifySignatures(message []byte, signatures [][]byte, now time.Time) (signers []string, err error) {
 	if len(signatures) > maxSignatures {
 		return nil, refused(Malformed, "%d signatures", len(signatures))
@@ -35,13 +35,13 @@
 	return signers, refused(TooFewSignatures, "%d of %d", len(signers), r.Threshold)
 }
 
-// verifySignature returns the name of the key by which a signature is valid now, or why it is not.
+// verifySignature returns the name of the key that made a signature, or the reason why the signature is not valid now.
 func (r *KeyRing) verifySignature(message, text []byte, now time.Time) (signer string, refusal *RefusedError) {
 	var s minisign.Signature
 	if err := s.UnmarshalText(text); err != nil {
 		return "", refused(BadSignature, "%v", err)
 	}
-	k, public, ok := r.key(s.KeyID)
+	k, public, ok := r.findKey(s.KeyID)
 	switch {
 	case !ok:
 		return "", refused(UnknownKey, "key %X", s.KeyID)
@@ -55,8 +55,8 @@
 	return k.Name, nil
 }
 
-// key finds a key by minisign's id.
-func (r *KeyRing) key(id uint64) (Key, minisign.PublicKey, bool) {
+// findKey returns the key with a minisign key ID, and its decoded form.
+func (r *KeyRing) findKey(id uint64) (Key, minisign.PublicKey, bool) {
 	for _, k := range r.Keys {
 		var public minisign.PublicKey
 		if public.UnmarshalText([]byte(k.PublicKey)) == nil && public.ID() == id {
--- a/build/strict_json.go
+++ b/build/strict_json.go
@@ -9,11 +9,11 @@
 	"strings"
 )
 
-// maxNesting bounds the nesting of objects and lists.
+// maxNesting bounds the nesting depth of objects and lists.
 const maxNesting = 17
 
-// decodeStrict decodes JSON that no two readers could understand differently: without unknown or repeated fields, and
-// with nothing after the end.
+// decodeStrict decodes JSON and rejects input that two decoders could interpret differently: unknown or repeated
+// fields, or data after the end.
 func decodeStrict(raw []byte, into any) error {
 	if err := rejectAmbiguous(raw); err != nil {
 		return err
@@ -23,7 +23,8 @@
 	return d.Decode(into)
 }
 
-// rejectAmbiguous checks that no object names a field twice, in any case, and that nothing follows the first object.
+// rejectAmbiguous fails if an object has two fields whose names differ at most in case, or if data follows the first
+// value.
 func rejectAmbiguous(raw []byte) error {
 	d := json.NewDecoder(bytes.NewReader(raw))
 	var open scopes
@@ -51,16 +52,17 @@
 	}
 }
 
-// scope is an object or list that has begun and not ended.
+// scope is an object or list whose end has not been read yet.
 type scope struct {
-	names      map[string]bool // of an object, in lower case; nil for a list
-	expectName bool            // of an object: the next token is a name
+	names      map[string]bool // field names of an object, in lower case; nil for a list
+	expectName bool            // for an object: the next token is a field name
 }
 
-// scopes are those around a token, the innermost last.
+// scopes are the objects and lists that enclose a token, the innermost last.
 type scopes []*scope
 
-// accept follows one token. It reports whether the token ended a scope, and fails for a repeated name.
+// accept updates the scopes by one token. It reports whether the token closed a scope. It fails for a repeated name and
+// for nesting that is too deep.
 func (s *scopes) accept(token json.Token) (closed bool, err error) {
 	switch token {
 	case json.Delim('{'), json.Delim('['):
@@ -84,14 +86,14 @@
 	if innermost.names == nil {
 		return closed, nil
 	}
-	if closed || !innermost.expectName { // the end of a value: a name or the object's end is next
+	if closed || !innermost.expectName { // the value is complete: a field name or the end of the object is next
 		innermost.expectName = true
 		return closed, nil
 	}
 	return false, innermost.addName(token)
 }
 
-// addName notes a field's name; its value is next.
+// addName records the name of a field. The next token is its value.
 func (s *scope) addName(token json.Token) error {
 	text, _ := token.(string)
 	name := strings.ToLower(text)
--- a/build/validate.go
+++ b/build/validate.go
@@ -8,9 +8,9 @@
 	"strings"
 )
 
-const maxNameBytes = 100 // of a build, a group, a signer
+const maxNameBytes = 100 // length limit for the names of builds, groups and signers
 
-// invalid is the error of a manifest's field.
+// invalid returns the error for an invalid field of a manifest.
 func invalid(field, format string, values ...any) error {
 	return fmt.Errorf("manifest: %s: %s", field, fmt.Sprintf(format, values...))
 }
@@ -88,7 +88,7 @@
 	return false
 }
 
-// pathSet finds paths that collide, also on disks that don't distinguish case.
+// pathSet detects paths that collide, including on case-insensitive file systems.
 type pathSet struct {
 	files, folders map[string]bool // in lower case
 }
@@ -108,8 +108,8 @@
 	return nil
 }
 
-// isName reports whether a text is made of ASCII letters, digits, dots, dashes and underscores, and doesn't begin with a
-// dot or dash.
+// isName reports whether a text consists of at most maxNameBytes ASCII letters, digits, dots, dashes and underscores,
+// isn't empty and doesn't begin with a dot or dash.
 func isName(s string) bool {
 	if s == "" || len(s) > maxNameBytes || s[0] == '.' || s[0] == '-' {
 		return false
@@ -124,7 +124,7 @@
 	return true
 }
 
-// validatePath accepts plain paths below the build's folder only.
+// validatePath accepts only normalized relative paths below the build's folder.
 func validatePath(p string) error {
 	isControl := func(c rune) bool { return c < ' ' || c == 0x7f }
 	switch {
