--- a/internal/artifact/bundle.go
+++ b/internal/artifact/bundle.go
@@ -10,14 +10,15 @@
 	"dapplefront/internal/atomicfile"
 )
 
-// Folders of a bundle, as a mirror serves them; files are in contentDir.
+// Folders of a bundle, under the names by which mirrors serve them. Its files are in contentDir.
 const (
 	manifestDir  = "manifest"
 	signatureDir = "signatures"
 )
 
-// Pack makes a bundle of a folder: it writes the files to out/sha256 and the manifest, whose Files it fills in, to
-// out/manifest/DIGEST, and returns the manifest's digest. It fails for anything but regular files and folders.
+// Pack creates a bundle from a folder and returns the manifest's digest. It writes the files to out/sha256, sets Files
+// of the manifest, and writes the manifest to out/manifest/DIGEST. It fails if the folder contains anything other than
+// regular files and folders.
 func Pack(folder, out string, m *build.Manifest) (string, error) {
 	for _, sub := range []string{contentDir, manifestDir, signatureDir} {
 		if err := os.MkdirAll(filepath.Join(out, sub), 0o755); err != nil {
@@ -46,10 +47,10 @@
 	return digest, atomicfile.Write(filepath.Join(out, manifestDir, digest), raw, 0o644)
 }
 
-// packFile copies one file into the bundle and describes it.
+// packFile copies one file into the bundle and returns its entry for the manifest.
 func packFile(folder, path string, e fs.DirEntry, out string) (f build.File, err error) {
 	if !e.Type().IsRegular() {
-		return f, fmt.Errorf("%s: a plain file expected", path)
+		return f, fmt.Errorf("%s: not a regular file", path)
 	}
 	raw, err := os.ReadFile(path)
 	if err != nil {
--- a/internal/artifact/doc.go
+++ b/internal/artifact/doc.go
@@ -1,7 +1,7 @@
-// Package artifact stores the files of builds on a host by their SHA-256, fetches them from mirrors, and makes the bundles
-// that mirrors serve.
+// Package artifact stores the files of builds on a host by their SHA-256 digests, fetches them from mirrors, and
+// creates the bundles that mirrors serve.
 //
-// Builds share equal files. A file is fetched under a temporary name, synced, verified and only then renamed, so that a
-// file in the store always has the content that its digest names, also after a crash or a full disk. An installed build
-// is a folder of hard links into the store.
+// Builds share files with equal content. A file is fetched under a temporary name, verified and synced, and only then
+// renamed, so that the content of a file in the store always matches its digest, even after a crash or on a full disk.
+// An installed build is a folder of hard links into the store.
 package artifact
--- a/internal/artifact/download.go
+++ b/internal/artifact/download.go
@@ -13,23 +13,24 @@
 	"dapplefront/build"
 )
 
-// download completes the part of a file from one mirror (RFC 9110, 14 and 13.1.5): by Range, and If-Range where the
-// version is known, so that a file that has changed on the mirror isn't appended to what was fetched of another one.
+// download fetches the missing rest of a partly fetched file from one mirror (RFC 9110, sections 14 and 13.1.5). It
+// sends Range, and If-Range if the entity tag is known, so that a file that has changed on the mirror isn't appended to
+// bytes of the earlier version.
 func (f *Fetcher) download(ctx context.Context, mirror string, file build.File) error {
-	have := f.partBytes(file)
-	if have > file.Size {
+	offset := f.partBytes(file)
+	if offset > file.Size {
 		f.removePart(file)
-		have = 0
+		offset = 0
 	}
-	if err := f.store.checkCapacity(file, have); err != nil {
+	if err := f.store.checkCapacity(file, offset); err != nil {
 		return err
 	}
-	if have == file.Size && have > 0 {
-		return nil // it is complete but was not committed
+	if offset == file.Size && offset > 0 {
+		return nil // the file is complete but was not committed
 	}
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	request, err := f.newRequest(ctx, mirror, file, have)
+	request, err := f.newRequest(ctx, mirror, file, offset)
 	if err != nil {
 		return err
 	}
@@ -42,11 +43,11 @@
 	defer func() { _ = response.Body.Close() }()
 	flags := os.O_CREATE | os.O_WRONLY | os.O_APPEND
 	switch response.StatusCode {
-	case http.StatusOK: // from the start
+	case http.StatusOK: // the body starts at the first byte
 		flags = os.O_CREATE | os.O_WRONLY | os.O_TRUNC
-		have = 0
+		offset = 0
 	case http.StatusPartialContent:
-		if err := checkContentRange(response.Header.Get("Content-Range"), have); err != nil {
+		if err := checkContentRange(response.Header.Get("Content-Range"), offset); err != nil {
 			return err
 		}
 	case http.StatusRequestedRangeNotSatisfiable:
@@ -55,58 +56,60 @@
 	default:
 		return fmt.Errorf("status %s", response.Status)
 	}
-	if err := f.saveVersion(file, mirror, response.Header.Get("ETag")); err != nil {
+	if err := f.saveETag(file, mirror, response.Header.Get("ETag")); err != nil {
 		return err
 	}
-	return f.writePart(ctx, file, flags, response.Body, file.Size-have, idle)
+	return f.writePart(ctx, file, flags, response.Body, file.Size-offset, idle)
 }
 
-// idleTimeout is the time without a byte after which a download has failed.
+// idleTimeout returns the time without received bytes after which a download fails.
 func (f *Fetcher) idleTimeout() time.Duration { return max(f.source.IdleTimeout, time.Millisecond) }
 
-// newRequest asks for a file from a position on.
-func (f *Fetcher) newRequest(ctx context.Context, mirror string, file build.File, have int64) (*http.Request, error) {
+// newRequest returns a request for the bytes of a file from an offset on.
+func (f *Fetcher) newRequest(ctx context.Context, mirror string, file build.File, offset int64) (*http.Request, error) {
 	url := strings.TrimSuffix(mirror, "/") + "/sha256/" + file.SHA256
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
 	if err != nil {
 		return nil, err
 	}
-	if have > 0 {
-		request.Header.Set("Range", fmt.Sprintf("bytes=%d-", have))
-		if tag := f.savedVersion(file, mirror); tag != "" {
+	if offset > 0 {
+		request.Header.Set("Range", fmt.Sprintf("bytes=%d-", offset))
+		if tag := f.savedETag(file, mirror); tag != "" {
 			request.Header.Set("If-Range", tag)
 		}
 	}
 	return request, nil
 }
 
-// checkContentRange checks that a response continues where the part ends.
-func checkContentRange(header string, have int64) error {
+// checkContentRange fails unless a response starts at the offset at which the partial file ends.
+func checkContentRange(header string, offset int64) error {
 	var from int64
-	if _, err := fmt.Sscanf(header, "bytes %d-", &from); err != nil || from != have {
-		return fmt.Errorf("a range from %d was asked for, %q came", have, header)
+	if _, err := fmt.Sscanf(header, "bytes %d-", &from); err != nil || from != offset {
+		return fmt.Errorf("a range from %d was asked for, %q came", offset, header)
 	}
 	return nil
 }
 
-// saveVersion saves the mirror and the entity tag of what is fetched. Weak tags don't promise equal bytes and aren't kept.
-func (f *Fetcher) saveVersion(file build.File, mirror, tag string) error {
+// saveETag saves the mirror and the entity tag of a partial file. A weak tag isn't saved, because it doesn't guarantee
+// identical bytes.
+func (f *Fetcher) saveETag(file build.File, mirror, tag string) error {
 	if strings.HasPrefix(tag, "W/") {
 		tag = ""
 	}
-	return os.WriteFile(f.versionPath(file), []byte(mirror+"\n"+tag), 0o644)
+	return os.WriteFile(f.etagPath(file), []byte(mirror+"\n"+tag), 0o644)
 }
 
-// savedVersion returns the entity tag of the part if it is from this mirror: mirrors don't know each other's tags.
-func (f *Fetcher) savedVersion(file build.File, mirror string) string {
-	version, _ := os.ReadFile(f.versionPath(file))
-	if from, tag, _ := strings.Cut(string(version), "\n"); from == mirror {
+// savedETag returns the entity tag of a partial file, or "" if it came from another mirror: a mirror doesn't know the
+// entity tags of other mirrors.
+func (f *Fetcher) savedETag(file build.File, mirror string) string {
+	saved, _ := os.ReadFile(f.etagPath(file))
+	if from, tag, _ := strings.Cut(string(saved), "\n"); from == mirror {
 		return tag
 	}
 	return ""
 }
 
-// writePart writes a response's body to the part.
+// writePart writes the body of a response to the partial file.
 func (f *Fetcher) writePart(ctx context.Context, file build.File, flags int, body io.Reader, missing int64, idle *time.Timer) error {
 	out, err := os.OpenFile(f.partPath(file), flags, 0o644)
 	if err != nil {
@@ -119,8 +122,8 @@
 	return err
 }
 
-// copy writes what arrives, chunk by chunk, and fails after more or fewer bytes than are missing. It restarts the idle
-// timer with each chunk and stops it while the rate limit holds the download back.
+// copy copies the body chunk by chunk and fails if it has more or fewer bytes than are missing. It restarts the idle
+// timer with each chunk, and stops the timer while the rate limit delays the download.
 func (f *Fetcher) copy(ctx context.Context, out io.Writer, in io.Reader, missing int64, idle *time.Timer) error {
 	buffer := make([]byte, chunkBytes)
 	for {
@@ -133,7 +136,7 @@
 			if _, err := out.Write(buffer[:n]); err != nil {
 				return err
 			}
-			if err := f.count(ctx, n, idle); err != nil {
+			if err := f.throttle(ctx, n, idle); err != nil {
 				return err
 			}
 		}
@@ -148,8 +151,8 @@
 	}
 }
 
-// count counts received bytes and waits as the rate limit requires.
-func (f *Fetcher) count(ctx context.Context, n int, idle *time.Timer) error {
+// throttle adds n to the number of fetched bytes and waits as long as the rate limit requires.
+func (f *Fetcher) throttle(ctx context.Context, n int, idle *time.Timer) error {
 	f.mu.Lock()
 	f.fetched += int64(n)
 	f.mu.Unlock()
--- a/internal/artifact/fetcher.go
+++ b/internal/artifact/fetcher.go
@@ -18,24 +18,24 @@
 	"dapplefront/build"
 )
 
-// Source says where files are fetched from: mirrors that serve each file at /sha256/DIGEST.
+// Source configures where files are fetched from: mirrors that serve each file at /sha256/DIGEST.
 type Source struct {
 	Mirrors           []string      `json:"mirrors"`           // base URLs
-	MaxBytesPerSecond int           `json:"maxBytesPerSecond"` // over all files; 0 for no limit
-	MaxAttempts       int           `json:"maxAttempts"`       // of one file, over all mirrors; one that brings new bytes doesn't count
-	Backoff           time.Duration `json:"backoff"`           // after the first failed attempt; it doubles with each further one
-	IdleTimeout       time.Duration `json:"idleTimeout"`       // without a byte, after which an attempt has failed
-	Client            *http.Client  `json:"-"`                 // nil for a default one
+	MaxBytesPerSecond int           `json:"maxBytesPerSecond"` // total over all files; 0 for no limit
+	MaxAttempts       int           `json:"maxAttempts"`       // per file, over all mirrors; an attempt that received new bytes doesn't count
+	Backoff           time.Duration `json:"backoff"`           // after the first failed attempt; it doubles with each further failed attempt
+	IdleTimeout       time.Duration `json:"idleTimeout"`       // time without received bytes after which an attempt fails
+	Client            *http.Client  `json:"-"`                 // nil for a default client
 }
 
 const (
-	chunkBytes          = 64 << 10 // written at once
+	chunkBytes          = 64 << 10 // bytes read and written at a time
 	maxBackoffDoublings = 6
-	versionSuffix       = ".etag" // of the file beside a part that holds its mirror and entity tag
+	etagSuffix          = ".etag" // of the file that holds the mirror and entity tag of a partial file
 )
 
-// partDigest returns the digest that the name of a file in the folder of parts bears.
-func partDigest(name string) string { return strings.TrimSuffix(name, versionSuffix) }
+// partDigest returns the digest in the name of a file in partDir.
+func partDigest(name string) string { return strings.TrimSuffix(name, etagSuffix) }
 
 // Fetcher fetches files into a store. It is safe for concurrent use.
 type Fetcher struct {
@@ -44,11 +44,11 @@
 	limiter *rate.Limiter // nil for no limit
 
 	mu      sync.Mutex
-	mirrors []string // the one that failed last is the last
-	fetched int64    // bytes
+	mirrors []string // the mirror that failed most recently is last
+	fetched int64    // bytes received so far
 }
 
-// NewFetcher returns a fetcher into this store.
+// NewFetcher returns a fetcher that adds files to this store.
 func (s *Store) NewFetcher(source Source) *Fetcher {
 	if source.Client == nil {
 		source.Client = &http.Client{}
@@ -60,15 +60,15 @@
 	return f
 }
 
-// FetchedBytes is the number of bytes that were received so far.
+// FetchedBytes returns the number of bytes received so far.
 func (f *Fetcher) FetchedBytes() int64 {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.fetched
 }
 
-// Fetch fetches all files of a build that are not in the store. A part of an earlier attempt is resumed. The error names
-// the file; parts stay for the next attempt, unless their content is wrong or the disk is full.
+// Fetch fetches all files of a build that are not in the store. It resumes partial files of earlier attempts. The error
+// names the file. A partial file is kept for the next attempt unless its content is wrong or the disk is full.
 func (f *Fetcher) Fetch(ctx context.Context, m *build.Manifest) error {
 	for _, file := range m.Files {
 		if f.store.Has(file) {
@@ -81,7 +81,8 @@
 	return nil
 }
 
-// fetchFile fetches one file, from one mirror after the other. An attempt that brought new bytes doesn't count.
+// fetchFile fetches one file and switches to the next mirror after each failed attempt. An attempt that received new
+// bytes doesn't count towards MaxAttempts.
 func (f *Fetcher) fetchFile(ctx context.Context, file build.File) error {
 	var last error
 	for failures := 0; failures < max(1, f.source.MaxAttempts); {
@@ -95,7 +96,7 @@
 			return ctx.Err()
 		}
 		if errors.Is(err, ErrFull) || errors.Is(err, syscall.ENOSPC) {
-			f.removePart(file) // the running build needs the space more
+			f.removePart(file) // free the space for the running build
 			return err
 		}
 		last = fmt.Errorf("%s: %w", mirror, err)
@@ -110,7 +111,7 @@
 	return last
 }
 
-// fetchFrom downloads what is missing of a file from one mirror and commits it.
+// fetchFrom downloads the missing bytes of a file from one mirror and commits the file.
 func (f *Fetcher) fetchFrom(ctx context.Context, mirror string, file build.File) error {
 	if err := f.download(ctx, mirror, file); err != nil {
 		return err
@@ -118,11 +119,11 @@
 	if err := f.store.commit(file); err != nil {
 		return err
 	}
-	_ = os.Remove(f.versionPath(file))
+	_ = os.Remove(f.etagPath(file))
 	return nil
 }
 
-// backOff waits for d, doubled with each failure, with jitter, so that hosts don't come back all at once.
+// backOff waits for d, doubled with each failure. Jitter spreads the retries of different hosts.
 func backOff(ctx context.Context, d time.Duration, failures int) error {
 	d <<= min(failures, maxBackoffDoublings)
 	if d <= 0 {
@@ -136,14 +137,14 @@
 	}
 }
 
-// preferredMirror returns the mirror that has not failed for the longest time.
+// preferredMirror returns the mirror whose last failure was the longest time ago.
 func (f *Fetcher) preferredMirror() string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.mirrors[0]
 }
 
-// demote makes a mirror that failed the last choice.
+// demote moves a mirror that failed to the end of the list.
 func (f *Fetcher) demote(mirror string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -152,10 +153,10 @@
 	}
 }
 
-func (f *Fetcher) partPath(file build.File) string    { return f.store.partPath(file.SHA256) }
-func (f *Fetcher) versionPath(file build.File) string { return f.partPath(file) + versionSuffix }
+func (f *Fetcher) partPath(file build.File) string { return f.store.partPath(file.SHA256) }
+func (f *Fetcher) etagPath(file build.File) string { return f.partPath(file) + etagSuffix }
 
-// partBytes is the size of what was fetched of a file in earlier attempts.
+// partBytes returns the size of the partial file that earlier attempts have fetched.
 func (f *Fetcher) partBytes(file build.File) int64 {
 	info, err := os.Stat(f.partPath(file))
 	if err != nil {
@@ -166,5 +167,5 @@
 
 func (f *Fetcher) removePart(file build.File) {
 	_ = os.Remove(f.partPath(file))
-	_ = os.Remove(f.versionPath(file))
+	_ = os.Remove(f.etagPath(file))
 }
--- a/internal/artifact/install.go
+++ b/internal/artifact/install.go
@@ -7,7 +7,7 @@
 	"dapplefront/build"
 )
 
-// Install makes a folder of a verified build and returns its path. The folder is complete or not there.
+// Install creates the folder of a verified build and returns its path. The folder exists only once it is complete.
 func (s *Store) Install(digest string, m *build.Manifest) (string, error) {
 	dir := filepath.Join(s.dir, installsDir, digest)
 	if _, err := os.Stat(dir); err == nil {
@@ -32,8 +32,8 @@
 	return dir, syncDir(filepath.Join(s.dir, installsDir))
 }
 
-// CollectGarbage removes all installed builds but some, by their digests, and all files that none of these needs. It
-// goes on after an error and returns the first.
+// CollectGarbage removes all installed builds whose digests are not in keep, and all files that no build in keep needs.
+// It continues after an error and returns the first one.
 func (s *Store) CollectGarbage(keep map[string]*build.Manifest) error {
 	needed := map[string]bool{}
 	for _, m := range keep {
@@ -54,7 +54,8 @@
 	return first
 }
 
-// removeExcept removes what isn't to be kept of a folder. It goes on after an error and returns the first.
+// removeExcept removes the entries of a folder for which keep returns false. It continues after an error and returns
+// the first one.
 func (s *Store) removeExcept(sub string, keep func(name string) bool) error {
 	entries, first := os.ReadDir(filepath.Join(s.dir, sub))
 	for _, e := range entries {
--- a/internal/artifact/keys.go
+++ b/internal/artifact/keys.go
@@ -14,8 +14,9 @@
 	"dapplefront/build"
 )
 
-// GenerateKeys writes a key pair for each name to dir (NAME.key), encrypted where there is a password, and ring.json: the
-// key ring with these keys added, valid from notBefore to notAfter. It overwrites nothing.
+// GenerateKeys generates a key pair for each name. It writes the private keys to dir as NAME.key, encrypted if there is
+// a password, and the key ring with the public keys added as ring.json. The keys are valid from notBefore to notAfter.
+// It fails if one of the files exists.
 func GenerateKeys(dir string, names []string, password string, ring build.KeyRing, notBefore, notAfter time.Time) (*build.KeyRing, error) {
 	type newFile struct {
 		path string
@@ -43,7 +44,7 @@
 	files[0] = newFile{filepath.Join(dir, "ring.json"), text}
 	for _, f := range files {
 		if _, err := os.Stat(f.path); err == nil {
-			return nil, fmt.Errorf("%s is there already", f.path)
+			return nil, fmt.Errorf("%s already exists", f.path)
 		}
 	}
 	for _, f := range files {
@@ -54,7 +55,7 @@
 	return &ring, nil
 }
 
-// generateKey returns both halves of a new key pair in minisign's text form.
+// generateKey returns the public and the private key of a new key pair in minisign's text form.
 func generateKey(password string) (publicText, privateText []byte, err error) {
 	public, private, err := minisign.GenerateKey(rand.Reader)
 	if err != nil {
@@ -72,7 +73,7 @@
 	return publicText, privateText, err
 }
 
-// writeNew writes a file that must not exist, for the owner alone.
+// writeNew creates a file that only the owner can access. It fails if the file exists.
 func writeNew(path string, text []byte) error {
 	f, err := os.OpenFile(path, os.O_CREATE|os.O_EXCL|os.O_WRONLY, 0o600)
 	if err != nil {
--- a/internal/artifact/sign.go
+++ b/internal/artifact/sign.go
@@ -15,15 +15,15 @@
 	"dapplefront/internal/atomicfile"
 )
 
-// Sign adds a signature to the bundle in out, by the key in a file, which password decrypts if it is encrypted. A
-// signature of that key which is there already stays the only one.
+// Sign adds a signature to the bundle in out, made with the private key in keyFile. password decrypts an encrypted key.
+// It does nothing if the bundle already has a valid signature by that key.
 func Sign(out, digest, keyFile, password string) error {
 	raw, err := os.ReadFile(filepath.Join(out, manifestDir, digest))
 	if err != nil {
 		return err
 	}
 	if _, err := build.ReadManifest(raw); err != nil || build.Digest(raw) != digest {
-		return errors.Join(fmt.Errorf("%s is no manifest of that digest", digest), err)
+		return errors.Join(fmt.Errorf("%s: invalid manifest or wrong digest", digest), err)
 	}
 	private, err := readPrivateKey(keyFile, password)
 	if err != nil {
@@ -62,7 +62,7 @@
 	return private, nil
 }
 
-// readSignatures returns the signatures of a bundle; none where it was never signed.
+// readSignatures returns the signatures of a bundle, or none if it has not been signed.
 func readSignatures(out, digest string) (signatures []string, err error) {
 	raw, err := os.ReadFile(filepath.Join(out, signatureDir, digest))
 	if errors.Is(err, fs.ErrNotExist) {
@@ -74,15 +74,15 @@
 	return signatures, err
 }
 
-// Verify verifies the bundle in out as an agent would, with all files, and returns the names of the signers. A
-// *build.RefusedError says why it is refused.
+// Verify verifies the signatures and all files of the bundle in out, as an agent does, and returns the names of the
+// signers. A *build.RefusedError says why an agent would refuse the bundle.
 func Verify(out, digest string, ring *build.KeyRing, now time.Time) (*build.Manifest, []string, error) {
 	raw, err := os.ReadFile(filepath.Join(out, manifestDir, digest))
 	if err != nil {
 		return nil, nil, err
 	}
 	if build.Digest(raw) != digest {
-		return nil, nil, &build.RefusedError{Reason: build.Malformed, Detail: "the manifest has another digest"}
+		return nil, nil, &build.RefusedError{Reason: build.Malformed, Detail: "the manifest has a different digest"}
 	}
 	texts, err := readSignatures(out, digest)
 	if err != nil {
--- a/internal/artifact/store.go
+++ b/internal/artifact/store.go
@@ -17,21 +17,21 @@
 	installsDir = "builds" // installed builds by their manifests' digests
 )
 
-// ErrLocked says that another process uses the folder, ErrFull that a file would exceed the limit on stored bytes.
+// ErrLocked means that another process uses the folder, ErrFull that a file would exceed the limit on stored bytes.
 var (
 	ErrLocked = errors.New("another agent holds this folder")
 	ErrFull   = errors.New("the limit on bytes held is reached")
 )
 
-// Store is a folder of files. Only one process can use it at a time.
+// Store is a folder of files and installed builds. Only one process can use it at a time.
 type Store struct {
 	dir      string
 	maxBytes int64
 	lock     *os.File
 }
 
-// Open opens a store and creates its folder if it is missing. maxBytes bounds all files, those being fetched included. It
-// fails with ErrLocked while another process uses the folder.
+// Open opens a store and creates its folder if it is missing. maxBytes bounds the size of all files, including those
+// being fetched. Open fails with ErrLocked while another process uses the folder.
 func Open(dir string, maxBytes int64) (*Store, error) {
 	for _, sub := range []string{contentDir, partDir, installsDir} {
 		if err := os.MkdirAll(filepath.Join(dir, sub), 0o755); err != nil {
@@ -49,19 +49,19 @@
 	return &Store{dir: dir, maxBytes: maxBytes, lock: lock}, nil
 }
 
-// Close releases the folder.
+// Close releases the lock on the folder.
 func (s *Store) Close() error { return s.lock.Close() }
 
 func (s *Store) contentPath(digest string) string { return filepath.Join(s.dir, contentDir, digest) }
 func (s *Store) partPath(digest string) string    { return filepath.Join(s.dir, partDir, digest) }
 
-// Has reports whether a file was fetched and verified.
+// Has reports whether the store has a file, by its name and size. Its content was verified before it was stored.
 func (s *Store) Has(f build.File) bool {
 	info, err := os.Stat(s.contentPath(f.SHA256))
 	return err == nil && info.Mode().IsRegular() && info.Size() == f.Size
 }
 
-// UsedBytes is the size of all files, those being fetched included.
+// UsedBytes returns the size of all files, including those being fetched.
 func (s *Store) UsedBytes() (n int64, err error) {
 	for _, sub := range []string{contentDir, partDir} {
 		entries, err := os.ReadDir(filepath.Join(s.dir, sub))
@@ -77,26 +77,27 @@
 	return n, nil
 }
 
-// checkCapacity returns ErrFull where the rest of a file, of which there are have bytes, doesn't fit.
-func (s *Store) checkCapacity(f build.File, have int64) error {
+// checkCapacity returns ErrFull if the rest of a file doesn't fit. fetched is the number of bytes of the file already
+// stored.
+func (s *Store) checkCapacity(f build.File, fetched int64) error {
 	used, err := s.UsedBytes()
 	if err != nil {
 		return err
 	}
-	if used+f.Size-have > s.maxBytes {
-		return fmt.Errorf("%w: %d bytes held, %d more wanted, %d allowed", ErrFull, used, f.Size-have, s.maxBytes)
+	if used+f.Size-fetched > s.maxBytes {
+		return fmt.Errorf("%w: %d bytes held, %d more wanted, %d allowed", ErrFull, used, f.Size-fetched, s.maxBytes)
 	}
 	return nil
 }
 
-// commit verifies a fetched part and makes it a file of the store. A part with other content is removed.
+// commit verifies a completely fetched file and moves it into contentDir. If the content is wrong, the file is removed.
 func (s *Store) commit(f build.File) error {
 	part := s.partPath(f.SHA256)
 	if err := verifyFile(part, f); err != nil {
 		_ = os.Remove(part)
 		return err
 	}
-	if err := os.Chmod(part, 0o555); err != nil { // an executable may have the same content as a file that is none
+	if err := os.Chmod(part, 0o555); err != nil { // an executable may share its content with a file that isn't executable
 		return err
 	}
 	if err := os.Rename(part, s.contentPath(f.SHA256)); err != nil {
--- a/internal/artifact/store_test.go
+++ b/internal/artifact/store_test.go
@@ -18,7 +18,7 @@
 	"dapplefront/internal/testbed"
 )
 
-// newStore returns an empty store, and a mirror with the files of a build of these sizes.
+// newStore returns an empty store, and a mirror that serves a build whose files have random content and these sizes.
 func newStore(tb testing.TB, sizes ...int) (*artifact.Store, *testbed.Mirror, *build.Manifest) {
 	tb.Helper()
 	store, err := artifact.Open(tb.TempDir(), 1<<30)
@@ -38,7 +38,7 @@
 	return store, mirror, manifest
 }
 
-func TestAMirrorThatFailedIsTriedLast(t *testing.T) {
+func TestFetcher_TriesFailedMirrorLast(t *testing.T) {
 	store, good, manifest := newStore(t, 1000, 1000, 1000, 1000)
 	bad, err := testbed.StartMirror()
 	require.NoError(t, err)
@@ -49,15 +49,15 @@
 	require.Len(t, good.Requests(), 4)
 }
 
-func TestTheRateLimitIsKept(t *testing.T) {
+func TestFetcher_RespectsRateLimit(t *testing.T) {
 	store, mirror, manifest := newStore(t, 400<<10)
 	f := store.NewFetcher(artifact.Source{Mirrors: []string{mirror.URL()}, MaxAttempts: 1, MaxBytesPerSecond: 200 << 10, IdleTimeout: 100 * time.Millisecond})
 	began := time.Now()
 	require.NoError(t, f.Fetch(context.Background(), manifest))
-	require.Greater(t, time.Since(began), 800*time.Millisecond, "the first second's worth comes at once")
+	require.Greater(t, time.Since(began), 800*time.Millisecond, "the first 200 KiB arrive without delay")
 }
 
-func TestGarbageCollectionRemovesOldBuildsAndKeepsSharedFiles(t *testing.T) {
+func TestStore_CollectGarbageRemovesOldBuildsAndKeepsSharedFiles(t *testing.T) {
 	store, mirror, manifest := newStore(t, 10, 20, 30)
 	f := store.NewFetcher(artifact.Source{Mirrors: []string{mirror.URL()}, MaxAttempts: 1, IdleTimeout: time.Second})
 	require.NoError(t, f.Fetch(context.Background(), manifest))
@@ -75,7 +75,7 @@
 	require.EqualValues(t, 50, used)
 }
 
-func TestAFileThatChangedOnDiskIsFoundAndFetchedAgain(t *testing.T) {
+func TestStore_VerifyRemovesFileThatChangedOnDisk(t *testing.T) {
 	store, mirror, manifest := newStore(t, 5000)
 	f := store.NewFetcher(artifact.Source{Mirrors: []string{mirror.URL()}, MaxAttempts: 1, IdleTimeout: time.Second})
 	require.NoError(t, f.Fetch(context.Background(), manifest))
@@ -93,7 +93,8 @@
 	require.NoError(t, store.Verify(manifest))
 }
 
-// BenchmarkFetch fetches a file of 64 MiB, checks and syncs it; BenchmarkCopy copies it with io.Copy and syncs it.
+// BenchmarkFetch fetches, verifies and syncs a file of 64 MiB. For comparison, BenchmarkCopy copies the file with
+// io.Copy and syncs it.
 func BenchmarkFetch(b *testing.B) {
 	store, mirror, manifest := newStore(b, 64<<20)
 	f := store.NewFetcher(artifact.Source{Mirrors: []string{mirror.URL()}, MaxAttempts: 1, IdleTimeout: 10 * time.Second})
--- a/internal/artifact/verify.go
+++ b/internal/artifact/verify.go
@@ -11,16 +11,17 @@
 	"dapplefront/build"
 )
 
-// DigestMismatchError says that a file's content is not what its digest says. Want and Got are digests in hexadecimal.
+// DigestMismatchError means that the content of a file doesn't match its digest. Want and Got are digests in
+// hexadecimal.
 type DigestMismatchError struct{ Path, Want, Got string }
 
-// Error names the file and the beginnings of both digests.
+// Error returns a text with the file's path and the first digits of both digests.
 func (e *DigestMismatchError) Error() string {
 	return fmt.Sprintf("%s: wrong bytes: %.12s expected, not %.12s", e.Path, e.Want, e.Got)
 }
 
-// Verify reads all files of a build again, as files may change on disk. It returns a *DigestMismatchError for the first
-// that has other content, and removes that one, so that it is fetched again.
+// Verify reads and verifies all files of a build, because files may change on disk. It returns a *DigestMismatchError
+// for the first file with wrong content and removes that file, so that it is fetched again.
 func (s *Store) Verify(m *build.Manifest) error {
 	for _, f := range m.Files {
 		path := s.contentPath(f.SHA256)
@@ -41,7 +42,7 @@
 	if err != nil {
 		return err
 	}
-	defer func() { _ = file.Close() }() // it is only read
+	defer func() { _ = file.Close() }() // opened only for reading
 	sum := sha256.New()
 	n, err := io.Copy(sum, file)
 	if err != nil {
@@ -53,12 +54,12 @@
 	return file.Sync()
 }
 
-// syncDir makes the names in a folder durable.
+// syncDir syncs a folder to disk, so that renames in it survive a crash.
 func syncDir(dir string) error {
 	f, err := os.Open(dir)
 	if err != nil {
 		return err
 	}
-	defer func() { _ = f.Close() }() // it is only read
+	defer func() { _ = f.Close() }() // opened only for reading
 	return f.Sync()
 }
