--- a/internal/process/doc.go
+++ b/internal/process/doc.go
@@ -1,6 +1,6 @@
-// Package process starts, finds and stops the processes of builds (Linux; it reads /proc).
+// Package process starts, finds and stops the processes of builds. It reads /proc and therefore requires Linux.
 //
-// A build's process leads a process group of its own and appends its output to a file, so that it outlives the agent. A
-// variable in its environment names the agent and the build. By it the process and all that it has forked are found
-// again, also by the next agent.
+// The process of a build leads its own process group and appends its output to a file, so that it outlives the agent.
+// An environment variable names the agent and the build. By this variable the agent, or a later agent, finds the
+// process and all processes that it has forked.
 package process
--- a/internal/process/runner.go
+++ b/internal/process/runner.go
@@ -14,43 +14,43 @@
 
 // Environment variables of a build's process.
 const (
-	OwnerVariable = "DAPPLEFRONT_BUILD" // the agent and the build that it belongs to
-	PortVariable  = "DAPPLEFRONT_PORT"  // where it is to listen
-	ReadyVariable = "DAPPLEFRONT_READY" // the file that it creates once it is ready
+	OwnerVariable = "DAPPLEFRONT_BUILD" // the agent and the build that the process belongs to
+	PortVariable  = "DAPPLEFRONT_PORT"  // the port on which the process must listen
+	ReadyVariable = "DAPPLEFRONT_READY" // the file that the process creates once it is ready
 )
 
 const (
 	stopPollInterval = 5 * time.Millisecond
-	killTimeout      = time.Second // after SIGKILL
+	killTimeout      = time.Second // for processes to exit after SIGKILL
 )
 
 // Runner runs the processes of one agent.
 type Runner struct {
-	Owner          string   // names this agent among those of the host
-	OutputDir      string   // for output and ready files
-	Env            []string // added to the agent's own environment
-	MaxOutputBytes int64    // kept of each build's output when it is trimmed
+	Owner          string   // identifies this agent among the agents of the host
+	OutputDir      string   // folder of output files and ready files
+	Env            []string // added to the environment of the agent
+	MaxOutputBytes int64    // size to which the output of a build is trimmed
 }
 
-// ownerValue is the value of OwnerVariable.
+// ownerValue returns the value of OwnerVariable for a build.
 func (r Runner) ownerValue(digest string) string { return r.Owner + "/" + digest }
 
-// ReadyFile is the file by which a build declares that it is ready.
+// ReadyFile returns the path of the file that a build creates to declare itself ready.
 func (r Runner) ReadyFile(digest string) string { return filepath.Join(r.OutputDir, digest+".ready") }
 
-// OutputFile is the file to which a build's output is appended.
+// OutputFile returns the path of the file to which the output of a build is appended.
 func (r Runner) OutputFile(digest string) string { return filepath.Join(r.OutputDir, digest+".log") }
 
-// Start starts a build in its folder. The first element of command is the path of a file below that folder. The channel
-// receives one error, never nil, when the process ends; the goroutine that waits for it ends then too, as a process may
-// outlive its agent.
+// Start starts a build in its folder dir. The first element of command is the path of a file below dir. The channel
+// receives one error, never nil, when the process exits. A process may outlive its agent, so the goroutine that waits
+// for the exit ends only then.
 func (r Runner) Start(digest, dir string, command []string, port int) (agent.Process, <-chan error, error) {
 	_ = os.Remove(r.ReadyFile(digest))
 	output, err := os.OpenFile(r.OutputFile(digest), os.O_CREATE|os.O_WRONLY|os.O_APPEND, 0o600)
 	if err != nil {
 		return agent.Process{}, nil, err
 	}
-	defer func() { _ = output.Close() }() // the process has a descriptor of its own
+	defer func() { _ = output.Close() }() // the process has its own descriptor
 	c := exec.Command(filepath.Join(dir, filepath.FromSlash(command[0])), command[1:]...)
 	c.Dir = dir
 	c.Stdout, c.Stderr = output, output
@@ -72,8 +72,9 @@
 	return agent.Process{Pid: c.Process.Pid, StartTicks: ticks, Port: port, StartedAt: time.Now()}, exited, nil
 }
 
-// Stop terminates a build: SIGTERM to its process group and to whatever else bears its owner variable, and SIGKILL where
-// that has not ended within a time. It returns once none of these processes runs, or an error a second after SIGKILL.
+// Stop stops all processes of a build. It sends SIGTERM to the process group and to all other processes with the
+// build's OwnerVariable, and SIGKILL to those that haven't exited within the given time. It returns once none of these
+// processes is running, or fails if some are still running one second after the first SIGKILL.
 func (r Runner) Stop(digest string, within time.Duration) error {
 	r.signal(digest, syscall.SIGTERM)
 	for end := time.Now().Add(within); time.Now().Before(end); time.Sleep(stopPollInterval) {
@@ -89,7 +90,8 @@
 	return errors.New("processes of the build are still there after SIGKILL")
 }
 
-// signal sends a signal to a build's processes, by group where one leads its group, and returns their number.
+// signal sends a signal to the processes of a build and returns their number. If a process leads its group, the signal
+// goes to the whole group.
 func (r Runner) signal(digest string, s syscall.Signal) int {
 	found := r.Find(digest)
 	for _, p := range found {
@@ -102,8 +104,8 @@
 	return len(found)
 }
 
-// TrimOutput drops the older part of a build's output once it is larger than twice MaxOutputBytes. Output that is written
-// at that moment may be lost.
+// TrimOutput trims the output of a build to its last MaxOutputBytes if it is larger than twice that size. Output
+// written during the trim may be lost.
 func (r Runner) TrimOutput(digest string) (err error) {
 	path := r.OutputFile(digest)
 	info, err := os.Stat(path)
@@ -120,7 +122,7 @@
 	if err != nil && n == 0 {
 		return err
 	}
-	if err := f.Truncate(0); err != nil { // the process appends, so it continues at the new end
+	if err := f.Truncate(0); err != nil { // the process opened the file for appending, so it continues at the new end
 		return err
 	}
 	_, err = f.WriteAt(tail[:n], 0)
--- a/internal/process/runner_test.go
+++ b/internal/process/runner_test.go
@@ -12,7 +12,7 @@
 	"dapplefront/agent"
 )
 
-// newRunner returns a runner, and the folder of a build whose command is run.sh.
+// newRunner returns a runner, and the folder of a build whose command run.sh runs a shell script.
 func newRunner(t *testing.T, script string) (Runner, string) {
 	t.Helper()
 	dir := t.TempDir()
@@ -20,7 +20,7 @@
 	return Runner{Owner: dir, OutputDir: t.TempDir(), MaxOutputBytes: 100}, dir
 }
 
-func TestAStartedProcessIsFoundUntilItIsStopped(t *testing.T) {
+func TestRunner_FindsProcessUntilItIsStopped(t *testing.T) {
 	r, dir := newRunner(t, "echo started; exec sleep 1000\n")
 	p, exited, err := r.Start("digest", dir, []string{"run.sh"}, 4711)
 	require.NoError(t, err)
@@ -37,12 +37,12 @@
 	case err := <-exited:
 		require.ErrorContains(t, err, "signal: terminated")
 	case <-time.After(5 * time.Second):
-		t.Fatal("the exit is not reported")
+		t.Fatal("no exit was reported within 5 s")
 	}
 	require.False(t, Alive(p))
 }
 
-func TestAProcessThatIgnoresSIGTERMIsKilled(t *testing.T) {
+func TestRunner_KillsProcessThatIgnoresSIGTERM(t *testing.T) {
 	r, dir := newRunner(t, "trap '' TERM; touch \"$DAPPLEFRONT_READY\"; while true; do sleep 1000; done\n")
 	p, exited, err := r.Start("digest", dir, []string{"run.sh"}, 1)
 	require.NoError(t, err)
@@ -53,14 +53,14 @@
 	require.False(t, Alive(p))
 }
 
-func TestAnExitWithStatus0IsReportedAsAnError(t *testing.T) {
+func TestRunner_ReportsExitStatus0AsError(t *testing.T) {
 	r, dir := newRunner(t, "exit 0\n")
 	_, exited, err := r.Start("digest", dir, []string{"run.sh"}, 1)
 	require.NoError(t, err)
 	require.EqualError(t, <-exited, "exit status 0")
 }
 
-func TestAliveTellsALaterProcessWithTheSamePidApart(t *testing.T) {
+func TestAlive_RejectsLaterProcessWithSamePID(t *testing.T) {
 	ticks, err := startTicks(os.Getpid())
 	require.NoError(t, err)
 	require.True(t, Alive(agent.Process{Pid: os.Getpid(), StartTicks: ticks}))
@@ -68,9 +68,9 @@
 	require.False(t, Alive(agent.Process{}))
 }
 
-func TestTrimOutputKeepsTheLatestOutput(t *testing.T) {
+func TestRunner_TrimOutputKeepsLatestOutput(t *testing.T) {
 	r, _ := newRunner(t, "")
-	require.NoError(t, r.TrimOutput("digest"), "no output yet")
+	require.NoError(t, r.TrimOutput("digest"), "a missing output file is no error")
 	for _, c := range []struct {
 		name    string
 		written int
