--- a/agent/machine.go
+++ b/agent/machine.go
@@ -10,7 +10,7 @@
 	MaxCrashes      int           `json:"maxCrashes"`      // consecutive crashes; after one more, an unreleased build has failed
 	CrashBackoff    time.Duration `json:"crashBackoff"`    // delay of the first restart; it doubles with each further restart
 	MaxCrashBackoff time.Duration `json:"maxCrashBackoff"` // upper bound of the delay
-	CrashResetAfter time.Duration `json:"crashResetAfter"` // a build that spent more time in a phase has its crash count reset
+	CrashResetAfter time.Duration `json:"crashResetAfter"` // a crash later than this in WarmingUp or Serving resets the count
 }
 
 // Machine is the state machine of one host's agent. It is not safe for concurrent use.
--- a/agent/machine_test.go
+++ b/agent/machine_test.go
@@ -117,8 +117,9 @@
 	require.Equal(t, Starting, m.State.Stable.Phase)
 }
 
-// No sequence of inputs starts an unverified build, or drains the stable build before a released candidate serves.
-// Inputs come in random order, whether or not they match the state, with restarts from the saved state in between.
+// TestMachine_KeepsInvariantsForInputsInAnyOrder checks that no sequence of inputs starts an unverified build, or
+// drains the stable build before a released candidate serves. Inputs come in random order, whether or not they match
+// the state, with restarts from the saved state in between.
 func TestMachine_KeepsInvariantsForInputsInAnyOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := New(limits)
--- a/agent/state.go
+++ b/agent/state.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// Phase is the stage of an instance's lifecycle. The strings are stored and reported, so they must not change.
+// Phase is the state of an instance in its lifecycle. The strings are stored and reported, so they must not change.
 type Phase string
 
 // The phases, in the order in which a build passes through them. Failed may follow any phase up to Starting.
@@ -23,14 +23,14 @@
 	Failed    Phase = "failed"
 )
 
-// Goal is the phase that an order wants a build to reach on this host. The values are stored, so they must not change.
+// Goal is how far an order wants a build to progress on this host. The values are stored, so they must not change.
 type Goal int
 
 // The goals; each includes those before it, except GoalRollback.
 const (
 	GoalStage    Goal = iota + 1 // fetch and verify the build
 	GoalServe                    // start the build beside the stable build
-	GoalRelease                  // replace the stable build by the build
+	GoalRelease                  // replace the stable build by this build
 	GoalRollback                 // remove the build in whichever phase it is
 )
 
--- a/internal/agentd/invalid_builds_test.go
+++ b/internal/agentd/invalid_builds_test.go
@@ -15,8 +15,9 @@
 	"dapplefront/internal/testbed"
 )
 
-// Orders the release of 1000 builds (100 with -short), each invalid in a randomly chosen way. None of them connects to
-// the start listener, the stable build keeps serving, and a valid build ordered afterwards is released.
+// TestAgent_NeverStartsInvalidBuild orders the release of 1000 builds (100 with -short), each invalid in a randomly
+// chosen way. None of them connects to the start listener, the stable build keeps serving, and a valid build ordered
+// afterwards is released.
 func TestAgent_NeverStartsInvalidBuild(t *testing.T) {
 	builds := 1000
 	if testing.Short() {
--- a/internal/agentd/restart_test.go
+++ b/internal/agentd/restart_test.go
@@ -33,8 +33,9 @@
 	h.await(one, agent.Starting) // the restart is reported once the controller is back
 }
 
-// Kills the agent after its first journal write, restarts it, and repeats this for each further write. The agent always
-// ends in the same state: the second build is released and serves with one process, and the first build is removed.
+// TestAgent_ReachesSameStateAfterKillAtAnyWrite kills an agent after its first journal write, starts it again, and
+// repeats this for each further write. The agent always ends in the same state: the second build is released and serves
+// with one process, and the first build is removed.
 func TestAgent_ReachesSameStateAfterKillAtAnyWrite(t *testing.T) {
 	exe, err := os.Executable()
 	require.NoError(t, err)
