--- a/internal/planreport/report_test.go
+++ b/internal/planreport/report_test.go
@@ -63,8 +63,8 @@
 	var out bytes.Buffer
 	require.NoError(t, o.Print(&out, p, true))
 	for _, want := range []string{
-		"08:00: 5 tasks a second can't be served: port is asked 9 tasks a second, 0.9 s of work; port has only hosts started less than 5s ago: 4 tasks a second at most",
-		"09:00: 8 tasks a second can't be served: north is asked 38 tasks a second", "the loss of the host", "does not fit at", "25.0000%"} {
+		"08:00: 5 requests/s can't be served: zone port has a demand of 9 requests/s, 0.9 s of work per second; zone port has only hosts that started less than 5s ago: at most 4 requests/s",
+		"09:00: 8 requests/s can't be served: zone north has a demand of 38 requests/s", "the loss of host", "does not fit at", "25.0000%"} {
 		require.Contains(t, out.String(), want)
 	}
 	for _, name := range []string{"plan.svg", "plan.png"} {
--- a/plan/benchmark_test.go
+++ b/plan/benchmark_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// benchmarkModel is a model of three zones with five classes over twelve steps.
+// benchmarkModel returns a model of three zones with five classes over twelve steps.
 func benchmarkModel(hosts int) *Model {
 	m := singleClassModel(nil)
 	r := rand.New(rand.NewPCG(1, 1))
@@ -16,22 +16,22 @@
 	for i := range 5 {
 		m.Classes = append(m.Classes, Class{Name: fmt.Sprint("c", i), Work: .02 + .01*float64(i), PriorityWeight: float64(1 + i)})
 	}
-	places := []string{"north", "port", "south"}
-	can := map[string]float64{}
+	zones := []string{"north", "port", "south"}
+	capacity := map[string]float64{}
 	for i := range hosts {
-		h := Host{Name: fmt.Sprintf("h%05d", i), Zone: places[i%3], Build: 1, Weight: 1 + r.Float64(), StartsAt: -week}
+		h := Host{Name: fmt.Sprintf("h%05d", i), Zone: zones[i%3], Build: 1, Weight: 1 + r.Float64(), StartsAt: -week}
 		if r.IntN(10) == 0 {
 			h.StartsAt = -time.Duration(r.IntN(4000)) * time.Millisecond
 		}
-		can[h.Zone] += h.Weight
+		capacity[h.Zone] += h.Weight
 		m.Hosts = append(m.Hosts, h)
 	}
 	for n := range 12 {
 		var d []Demand
-		for p, place := range places {
+		for p, zone := range zones {
 			load := .5 + .45*float64((n+4*p)%12)/11 // the zones reach their peaks one after the other
 			for i, c := range m.Classes {
-				d = append(d, Demand{place, c.Name, can[place] * load / 5 / (.02 + .01*float64(i)), 0})
+				d = append(d, Demand{zone, c.Name, capacity[zone] * load / 5 / (.02 + .01*float64(i)), 0})
 			}
 		}
 		m.Forecast = append(m.Forecast, Forecast{At: time.Duration(n) * time.Hour, Demand: d})
@@ -57,7 +57,7 @@
 	for _, n := range []int{30, 300, 3000, 10000} {
 		m := benchmarkModel(n)
 		for i := range m.Forecast[0].Demand[:5] {
-			m.Forecast[0].Demand[i].Rate *= 2.1 // north must cross
+			m.Forecast[0].Demand[i].Rate *= 2.1 // above the capacity of north
 		}
 		m.Forecast = m.Forecast[:1]
 		b.Run(fmt.Sprintf("hosts=%d", n), func(b *testing.B) {
@@ -74,20 +74,20 @@
 	for _, n := range []int{300, 3000, 10000} {
 		m := benchmarkModel(n)
 		m.Forecast = m.Forecast[:1]
-		gone := *m
-		gone.Hosts = m.Hosts[1:]
+		withoutHost := *m
+		withoutHost.Hosts = m.Hosts[1:]
 		b.Run(fmt.Sprintf("carried/hosts=%d", n), func(b *testing.B) {
-			k := newPublisher()
+			publisher := newPublisher()
 			for i := 0; b.Loop(); i++ {
-				o, err := k.Update(0, []*Model{m, &gone}[i%2])
-				if err != nil || i > 0 && (o.Recomputed || o.Changed != 1) {
-					b.Fatal(o, err)
+				update, err := publisher.Update(0, []*Model{m, &withoutHost}[i%2])
+				if err != nil || i > 0 && (update.Recomputed || update.Changed != 1) {
+					b.Fatal(update, err)
 				}
 			}
 		})
-		b.Run(fmt.Sprintf("anew/hosts=%d", n), func(b *testing.B) {
+		b.Run(fmt.Sprintf("recomputed/hosts=%d", n), func(b *testing.B) {
 			for i := 0; b.Loop(); i++ {
-				if _, err := newPublisher().Update(0, []*Model{m, &gone}[i%2]); err != nil {
+				if _, err := newPublisher().Update(0, []*Model{m, &withoutHost}[i%2]); err != nil {
 					b.Fatal(err)
 				}
 			}
--- a/plan/capacity.go
+++ b/plan/capacity.go
@@ -7,11 +7,11 @@
 	"time"
 )
 
-// micro is the precision of all figures inside the solver, which are integers of millionths: fine enough for requests a
-// second, and sums stay exact.
+// micro is the precision of all figures in the solver. They are integers in millionths, which is precise enough for
+// request rates and keeps sums exact.
 const micro = 1e6
 
-// toMicros rounds a figure to the nearest millionth, floorMicros and ceilMicros to the safe side.
+// toMicros rounds a figure to the nearest millionth. floorMicros rounds capacities down and ceilMicros rounds demand up.
 func toMicros(v float64) int64    { return int64(math.Round(v * micro)) }
 func floorMicros(v float64) int64 { return int64(math.Floor(v*micro + 1e-6)) }
 func ceilMicros(v float64) int64  { return int64(math.Ceil(v*micro - 1e-6)) }
@@ -19,24 +19,24 @@
 // zoneDemand is the demand of a zone during a step, in millionths.
 type zoneDemand struct {
 	zone       string
-	rate       int64   // requests a second
-	work       int64   // seconds of work a second
-	value      int64   // priority weight a second
+	rate       int64   // requests per second
+	work       int64   // seconds of work per second
+	value      int64   // priority weight per second
 	classRates []int64 // rate by class
 }
 
 // hostCapacity is the capacity of a host during a step, in millionths.
 type hostCapacity struct {
 	host       *Host
-	work       int64 // seconds of work a second, less the reserve
-	unreserved int64 // seconds of work a second, with the reserve
-	maxRate    int64 // requests a second; -1 for no bound
+	work       int64 // seconds of work per second, without the reserve
+	unreserved int64 // seconds of work per second, including the reserve
+	maxRate    int64 // requests per second; -1 for no bound
 	warmingUp  bool
-	isCanary   bool // it runs the build that is being released and gets shadow requests only
+	isCanary   bool // the host runs the build that is being released and gets shadow requests only
 }
 
-// CapacityFactor is the share of its weight that a host can do at a moment; 0 before it starts and once it drains. It
-// rises linearly during slow start, as routers have it.
+// CapacityFactor returns the share of a host's weight that is available at a time: 0 before the host starts and once it
+// drains. It rises linearly during slow start, in the same way as in routers.
 func (s SlowStart) CapacityFactor(h *Host, at time.Duration) float64 {
 	age := at - h.StartsAt
 	switch {
@@ -48,8 +48,8 @@
 	return s.InitialCapacity + (1-s.InitialCapacity)*float64(age)/float64(s.Duration)
 }
 
-// hostCapacities returns the capacities of the hosts that have any at a moment, by name. Hosts that run the canary build
-// are marked; 0 for none.
+// hostCapacities returns the capacities of the hosts that have any at a time, sorted by name. It sets isCanary for hosts
+// that run the canary build, which is 0 if there is none.
 func hostCapacities(hosts []Host, l Limits, at time.Duration, canary int) []hostCapacity {
 	out := make([]hostCapacity, 0, len(hosts))
 	for i := range hosts {
@@ -74,7 +74,7 @@
 	return out
 }
 
-// zoneDemands returns the demands of the zones that have any, by name.
+// zoneDemands returns the demands of the zones that have any, sorted by name.
 func (m *Model) zoneDemands(f Forecast) []zoneDemand {
 	byZone := map[string]*zoneDemand{}
 	classIndex := map[string]int{}
@@ -96,7 +96,7 @@
 		z.rate += rate
 		z.classRates[i] += rate
 		z.work += ceilMicros(float64(rate) / micro * c.Work)
-		z.value += max(1, toMicros(float64(rate)/micro*c.PriorityWeight)) // requests of no value are still to be served
+		z.value += max(1, toMicros(float64(rate)/micro*c.PriorityWeight)) // requests without value must be served too
 	}
 	out := make([]zoneDemand, 0, len(byZone))
 	for _, z := range byZone {
--- a/plan/carry.go
+++ b/plan/carry.go
@@ -6,14 +6,14 @@
 	"math"
 )
 
-// carry returns the weights in force for the hosts of a step: hosts keep their weights, a new one gets what others of its
-// pool have for each second of work, one that is gone has none.
+// carry returns the weights in force, carried over to the hosts of a step. Hosts keep their weights. A new host gets the
+// weight that other hosts of its pool have per second of work. A removed host has no weight.
 func (p *Publisher) carry(s *Step) (map[string]Weights, evaluation, error) {
 	carried := map[string]Weights{}
 	for _, d := range s.demands {
 		w, ok := p.current.ByZone[d.zone]
 		if !ok {
-			return nil, evaluation{}, fmt.Errorf("%s was asked for nothing before", d.zone)
+			return nil, evaluation{}, fmt.Errorf("the version in force has no weights for zone %s", d.zone)
 		}
 		n := Weights{CrossZoneShare: w.CrossZoneShare, ShadowShare: w.ShadowShare}
 		n.Local = s.carryWeights(w.Local, func(p pool) bool { return p.zone == d.zone })
@@ -26,7 +26,7 @@
 	return carried, v, err
 }
 
-// carryWeights carries the weights of the hosts of some pools.
+// carryWeights carries over the weights of the hosts of the pools that include selects.
 func (s *Step) carryWeights(last map[string]uint64, include func(pool) bool) map[string]uint64 {
 	carried := make(map[string]uint64, len(last))
 	for _, p := range s.pools {
@@ -48,12 +48,12 @@
 	return carried
 }
 
-// carryWeight returns the weight of one host. weight and work are the sums of the hosts of its pool that had a weight.
+// carryWeight returns the weight of one host. weight and work are the sums over the hosts of its pool that had a weight.
 func (s *Step) carryWeight(p pool, h hostCapacity, last map[string]uint64, weight, work uint64) uint64 {
 	w, ok := last[h.host.Name]
 	capacity := uint64(h.work)
 	switch {
-	case ok && w > capacity: // it has less capacity than it had
+	case ok && w > capacity: // the host's capacity has decreased
 		return capacity
 	case !ok && work > 0:
 		return uint64(float64(weight) / float64(work) * float64(h.work))
@@ -67,19 +67,19 @@
 	return w
 }
 
-// warmedUpWeight returns the weight of a host that may have got it while it warmed up: that of the others of its pool for
-// its work, where this is far more.
+// warmedUpWeight returns the weight of a host that has warmed up but may still have its weight from slow start. If the
+// weight is clearly below the one that the other hosts of the pool have for the same work, the host gets theirs.
 func warmedUpWeight(w, work, othersWeight, othersWork uint64) uint64 {
-	const far = 0.9 // below this part of the others' weight it isn't a rounding error
-	if expected := float64(othersWeight) / float64(othersWork) * float64(work); float64(w) < far*expected {
+	const minRatio = 0.9 // a lower ratio to the other hosts' weight is not a rounding error
+	if expected := float64(othersWeight) / float64(othersWork) * float64(work); float64(w) < minRatio*expected {
 		return uint64(math.Round(expected))
 	}
 	return w
 }
 
-// boundedWeight returns a weight that keeps a host within the bound on its rate, given the weights of all others.
+// boundedWeight returns a weight that keeps a host within its rate bound, given the weights of all other hosts.
 func (s *Step) boundedWeight(h hostCapacity, last map[string]uint64) uint64 {
-	const margin = 0.9 // the sum of weights may shrink a little before the next update
+	const margin = 0.9 // the sum of the weights may decrease slightly before the next update
 	var sum uint64
 	for _, w := range last {
 		sum += w
@@ -96,8 +96,8 @@
 	return min(uint64(h.work), uint64(margin*float64(h.maxRate)/float64(rate)*float64(sum)))
 }
 
-// minUtilization is a lower bound of the largest utilization of any shares: all work over all capacity, and that of each
-// zone by itself where no requests need go to other zones.
+// minUtilization returns a lower bound on the largest utilization that any shares can have: all work divided by all
+// capacity and, if no requests have to go to other zones, the same ratio for each zone.
 func (s *Step) minUtilization() float64 {
 	var work, capacity int64
 	for _, d := range s.demands {
@@ -120,8 +120,8 @@
 	return least
 }
 
-// minCrossZoneRate is a lower bound, in requests a second, of the traffic between zones of any shares: what the hosts of
-// each zone can't serve.
+// minCrossZoneRate returns a lower bound on the cross-zone traffic that any shares can have, in requests per second: the
+// demand of each zone that its own hosts can't serve.
 func (s *Step) minCrossZoneRate() (sum float64) {
 	for _, d := range s.demands {
 		capacity := 0.0
@@ -141,7 +141,7 @@
 	return sum
 }
 
-// totalRate is the demand of all zones in requests a second.
+// totalRate returns the demand of all zones in requests per second.
 func (s *Step) totalRate() (sum float64) {
 	for _, d := range s.demands {
 		sum += float64(d.rate) / micro
@@ -149,7 +149,7 @@
 	return sum
 }
 
-// setShadowShares sets how many shadow requests the stage allows in each zone.
+// setShadowShares sets the share of shadow requests that the stage allows in each zone.
 func (s *Step) setShadowShares(m *Model, stage, canary int, weights map[string]Weights) {
 	if canary == 0 {
 		for zone, w := range weights {
--- a/plan/conflict.go
+++ b/plan/conflict.go
@@ -6,17 +6,18 @@
 	"slices"
 )
 
-// maxConflictTries bounds the sets of constraints that are tried: with more than three zones and every limit there are
-// too many sets of four.
+// maxConflictTries bounds the number of constraint sets that are tried. With more than three zones and all limits set,
+// there are too many sets of four constraints to try them all.
 const maxConflictTries = 3000
 
-// conflictingConstraints returns a smallest set of constraints that contradict each other. One set is found by leaving out
-// constraints one by one as long as the others still contradict each other; then all smaller sets are tried.
+// conflictingConstraints returns a smallest set of constraints that conflict with each other. It first finds one set by
+// removing constraints one by one while the remaining ones still conflict. Then it tries smaller sets, by increasing size,
+// up to maxConflictTries sets.
 func (s *Step) conflictingConstraints() []constraint {
 	all := s.constraints()
 	found := slices.Clone(all)
 	for i := 0; i < len(found); {
-		if rest := slices.Delete(slices.Clone(found), i, i+1); s.contradict(rest) {
+		if rest := slices.Delete(slices.Clone(found), i, i+1); s.infeasibleUnder(rest) {
 			found = rest
 		} else {
 			i++
@@ -24,7 +25,7 @@
 	}
 	left := maxConflictTries
 	for size := 1; size < len(found) && left > 0; size++ {
-		if smaller := firstSubset(all, size, &left, s.contradict); smaller != nil {
+		if smaller := firstSubset(all, size, &left, s.infeasibleUnder); smaller != nil {
 			found = smaller
 			break
 		}
@@ -35,7 +36,7 @@
 	return found
 }
 
-// constraints returns all constraints of a step, the less informative kinds first, as these are left out first.
+// constraints returns all constraints of a step. The less informative kinds come first, so that they are removed first.
 func (s *Step) constraints() (all []constraint) {
 	for _, d := range s.demands {
 		all = append(all, constraint{demandConstraint, d.zone})
@@ -65,15 +66,15 @@
 	return all
 }
 
-// contradict reports whether demand is left unserved under some constraints only.
-func (s *Step) contradict(some []constraint) bool {
+// infeasibleUnder reports whether some constraints alone leave demand unserved.
+func (s *Step) infeasibleUnder(some []constraint) bool {
 	l := s.program(func(c constraint) bool { return slices.Contains(some, c) }, nil)
 	l.minimizeShed()
 	return slices.ContainsFunc(l.shed, func(column int) bool { return l.value(column).Sign() > 0 })
 }
 
-// firstSubset returns the first subset of a size, with a demand in it, for which a condition is true; nil if there is none
-// or no tries are left.
+// firstSubset returns the first subset of the given size that contains a demand and satisfies the condition. It returns nil
+// if there is none, or once left, the number of remaining tries, has reached 0.
 func firstSubset(all []constraint, size int, left *int, condition func([]constraint) bool) []constraint {
 	var some []constraint
 	isDemand := func(c constraint) bool { return c.kind == demandConstraint }
@@ -98,12 +99,12 @@
 	return nil
 }
 
-// zoneSummary is what descriptions say of a zone's hosts.
+// zoneSummary summarizes a zone's hosts for descriptions of constraints.
 type zoneSummary struct {
 	hosts, warmingUp int
-	work             float64 // seconds a second
-	maxRate          float64 // requests a second, of the hosts that have a bound
-	bounded          bool    // some host has a bound
+	work             float64 // capacity in seconds of work per second, without the reserve
+	maxRate          float64 // requests per second that the hosts with a rate bound can get
+	bounded          bool    // at least one host has a rate bound
 }
 
 func (s *Step) summarize(zone string) (z zoneSummary) {
@@ -124,34 +125,34 @@
 	return z
 }
 
-// describe describes a constraint for operators.
+// describe returns a description of a constraint for operators.
 func (s *Step) describe(c constraint) string {
 	z := s.summarize(c.zone)
 	switch c.kind {
 	case demandConstraint:
 		for _, d := range s.demands {
 			if d.zone == c.zone {
-				return fmt.Sprintf("%s is asked %.4g tasks a second, %.4g s of work", c.zone, float64(d.rate)/micro, float64(d.work)/micro)
+				return fmt.Sprintf("zone %s has a demand of %.4g requests/s, %.4g s of work per second", c.zone, float64(d.rate)/micro, float64(d.work)/micro)
 			}
 		}
 	case capacityConstraint:
-		return fmt.Sprintf("%s has %d hosts for %.4g s of work a second, %.3g%% kept in reserve", c.zone, z.hosts, z.work, 100*s.limits.Reserve)
+		return fmt.Sprintf("zone %s has %d hosts with a capacity of %.4g s of work per second, without the reserve of %.3g%%", c.zone, z.hosts, z.work, 100*s.limits.Reserve)
 	case rateConstraint:
 		if z.warmingUp == z.hosts && z.bounded {
-			return fmt.Sprintf("%s has only hosts started less than %v ago: %.4g tasks a second at most", c.zone,
+			return fmt.Sprintf("zone %s has only hosts that started less than %v ago: at most %.4g requests/s", c.zone,
 				s.limits.SlowStart.Duration, z.maxRate)
 		}
-		return fmt.Sprintf("%d hosts in %s started less than %v ago or are bounded: %.4g tasks a second at most", max(z.warmingUp, 1), c.zone,
+		return fmt.Sprintf("%d hosts in zone %s started less than %v ago or have a rate bound: at most %.4g requests/s", max(z.warmingUp, 1), c.zone,
 			s.limits.SlowStart.Duration, z.maxRate)
 	case crossZoneConstraint:
 		if z.hosts > 0 {
-			return fmt.Sprintf("at most %.3g%% of the tasks of %s may cross", 100*s.limits.MaxCrossZone, c.zone)
+			return fmt.Sprintf("at most %.3g%% of the requests of zone %s may go to other zones", 100*s.limits.MaxCrossZone, c.zone)
 		}
-		return fmt.Sprintf("%s has no host, and at most %.3g%% of its tasks may cross", c.zone, 100*s.limits.MaxCrossZone)
+		return fmt.Sprintf("zone %s has no host, and at most %.3g%% of its requests may go to other zones", c.zone, 100*s.limits.MaxCrossZone)
 	case zoneBalanceConstraint:
-		return fmt.Sprintf("%s may be used at most %.3g times as much as the fleet", c.zone, s.limits.MaxZoneImbalance)
+		return fmt.Sprintf("the utilization of zone %s may be at most %.3g times that of the fleet", c.zone, s.limits.MaxZoneImbalance)
 	case hostBalanceConstraint:
-		return fmt.Sprintf("no host in %s may be used more than %.3g times as much as its location", c.zone, s.limits.MaxHostImbalance)
+		return fmt.Sprintf("the utilization of each host in zone %s may be at most %.3g times that of the zone", c.zone, s.limits.MaxHostImbalance)
 	}
-	return fmt.Sprintf("%s: bound %d", c.zone, c.kind)
+	return fmt.Sprintf("zone %s: constraint of kind %d", c.zone, c.kind)
 }
--- a/plan/diff.go
+++ b/plan/diff.go
@@ -11,16 +11,16 @@
 // Change is one figure in which two plans differ.
 type Change struct {
 	At       time.Duration
-	Metric   string // unserved, crossing (both in requests a second) or use (a share of the capacity)
+	Metric   string // unserved, crossing (both in requests per second) or use (a share of the capacity)
 	Zone     string // "" for all
 	Was, Now float64
 }
 
-// minChange is the least relative change that is reported, and the least change of figures below 1.
+// minChange is the smallest change that is reported: relative for figures above 1, absolute for smaller ones.
 const minChange = 1e-3
 
-// Diff returns the differences between two plans in the steps that both have: unserved requests, traffic between zones and
-// the utilization of each zone.
+// Diff returns the differences between two plans in the steps that both have: unserved requests, cross-zone traffic and the
+// utilization of each zone.
 func Diff(a, b *Plan) (out []Change) {
 	for _, s := range a.Steps {
 		i := slices.IndexFunc(b.Steps, func(t *Step) bool { return t.At == s.At })
--- a/plan/evaluate.go
+++ b/plan/evaluate.go
@@ -6,15 +6,15 @@
 	"math/big"
 )
 
-// evaluation is what routers that follow weights would bring about.
+// evaluation is the traffic that results if routers follow the weights.
 type evaluation struct {
-	maxUtilization float64 // of any host, of its capacity less the reserve
-	crossZoneRate  float64 // requests a second
+	maxUtilization float64 // largest utilization of a host, relative to its capacity without the reserve
+	crossZoneRate  float64 // requests per second
 }
 
-// evaluate computes in integers what each host would get from routers that follow weights, and returns the limits that
-// this would break as an error. Integer weights can't meet shares exactly: a millionth beyond a limit is accepted, which
-// is less than routers can count, and hosts may use the reserve.
+// evaluate computes in integers the load of each host if routers follow the weights, and returns an error that lists the
+// limits that this would break. Integer weights can't match shares exactly. Therefore, limits may be exceeded by a
+// millionth, which is less than routers can count, and hosts may use the reserve.
 func (s *Step) evaluate(weights map[string]Weights) (evaluation, error) {
 	e := evaluator{step: s, weights: weights, denominator: big.NewInt(nano), sums: make([]weightSums, len(s.demands))}
 	for g, d := range s.demands {
@@ -45,12 +45,12 @@
 }
 
 // weightSums are the sums of the weights in a zone's table.
-type weightSums struct{ near, far uint64 }
+type weightSums struct{ local, remote uint64 }
 
-// tableLoad is what one table of weights brings to a host.
+// tableLoad is the load that one table of weights puts on hosts.
 type tableLoad struct {
 	weights    map[string]uint64
-	work, rate *big.Int // for each unit of weight
+	work, rate *big.Int // per unit of weight
 }
 
 func (e *evaluator) fail(format string, values ...any) {
@@ -60,15 +60,15 @@
 // addDemand checks the weights of a zone and extends the denominator by their sums.
 func (e *evaluator) addDemand(g int, d zoneDemand) {
 	w := e.weights[d.zone]
-	e.sums[g] = weightSums{near: e.sum(d, w.Local), far: e.sum(d, w.Remote)}
+	e.sums[g] = weightSums{local: e.sum(d, w.Local), remote: e.sum(d, w.Remote)}
 	sums := e.sums[g]
-	if sums.near == 0 && w.CrossZoneShare < nano || sums.far == 0 && w.CrossZoneShare > 0 {
+	if sums.local == 0 && w.CrossZoneShare < nano || sums.remote == 0 && w.CrossZoneShare > 0 {
 		if e.served(g).Sign() > 0 {
-			e.fail("no host has a weight for tasks taken in %s", d.zone)
+			e.fail("no host has a weight for requests of zone %s", d.zone)
 		}
 		return
 	}
-	for _, n := range []uint64{sums.near, sums.far} {
+	for _, n := range []uint64{sums.local, sums.remote} {
 		if n > 0 {
 			e.denominator = new(big.Int).Mul(e.denominator, new(big.Int).SetUint64(n))
 		}
@@ -76,23 +76,23 @@
 	crossZone := big.NewRat(int64(w.CrossZoneShare), nano)
 	crossZone.Mul(crossZone, e.served(g))
 	if limit := e.step.limits.MaxCrossZone; limit < 1 && crossZone.Cmp(big.NewRat(toMicros(limit), micro)) > 0 {
-		e.fail("%.4g%% of the tasks of %s cross", float64(w.CrossZoneShare)/nano*100, d.zone)
+		e.fail("%.4g%% of the requests of zone %s go to other zones, which exceeds the limit", float64(w.CrossZoneShare)/nano*100, d.zone)
 	}
 	e.result.crossZoneRate += float64(w.CrossZoneShare) / nano * float64(d.rate) / micro
 }
 
-// sum adds up weights and checks that their hosts can get requests.
+// sum returns the sum of the weights and checks that their hosts can get requests.
 func (e *evaluator) sum(d zoneDemand, weights map[string]uint64) (sum uint64) {
 	for name, w := range weights {
 		if m, ok := e.step.members[name]; !ok || m.isCanary {
-			e.fail("%s has a weight for %s, but can't get tasks", name, d.zone)
+			e.fail("host %s has a weight for zone %s, but can't get requests", name, d.zone)
 		}
 		sum += w
 	}
 	return sum
 }
 
-// served is the share of a zone's requests that is not shed; all of them in a step that was not solved.
+// served returns the share of a zone's requests that is not shed, which is 1 in a step that was not solved.
 func (e *evaluator) served(g int) *big.Rat {
 	served := big.NewRat(1, 1)
 	if e.step.shed != nil {
@@ -101,14 +101,14 @@
 	return served
 }
 
-// addLoads adds what both tables of a zone bring to hosts.
+// addLoads adds the loads of both tables of a zone.
 func (e *evaluator) addLoads(g int, d zoneDemand) {
 	w := e.weights[d.zone]
-	e.addLoad(g, d, w.Local, e.sums[g].near, nano-min(nano, w.CrossZoneShare))
-	e.addLoad(g, d, w.Remote, e.sums[g].far, w.CrossZoneShare)
+	e.addLoad(g, d, w.Local, e.sums[g].local, nano-min(nano, w.CrossZoneShare))
+	e.addLoad(g, d, w.Remote, e.sums[g].remote, w.CrossZoneShare)
 }
 
-// addLoad adds what a table brings that gets a part of a zone's requests, in billionths.
+// addLoad adds the load of a table that distributes a part of a zone's requests, in billionths.
 func (e *evaluator) addLoad(g int, d zoneDemand, weights map[string]uint64, sum, part uint64) {
 	if sum == 0 {
 		return
@@ -123,7 +123,7 @@
 	})
 }
 
-// addHost adds up what a host gets and checks its limits.
+// addHost computes the load of a host and checks it against the host's limits.
 func (e *evaluator) addHost(h hostCapacity) {
 	e.work.SetInt64(0)
 	e.rate.SetInt64(0)
@@ -135,19 +135,19 @@
 		}
 	}
 	if !e.within(&e.work, h.unreserved) {
-		e.fail("%s would get more work than it can do", h.host.Name)
+		e.fail("the work for host %s would exceed its capacity", h.host.Name)
 	}
 	if h.maxRate >= 0 && !e.within(&e.rate, h.maxRate) {
-		e.fail("%s would get more than the %.4g tasks a second that it may", h.host.Name, float64(h.maxRate)/micro)
+		e.fail("the request rate for host %s would exceed its bound of %.4g requests/s", h.host.Name, float64(h.maxRate)/micro)
 	}
 	capacity := new(big.Int).Mul(e.denominator, big.NewInt(max(1, h.work)))
 	utilization, _ := new(big.Rat).SetFrac(&e.work, capacity).Float64()
 	e.result.maxUtilization = max(e.result.maxUtilization, utilization)
 }
 
-// within reports whether a figure is at most a limit, with a millionth of it, or of a unit, beyond.
+// within reports whether a figure exceeds a limit by at most a millionth of the sum of the limit and one unit.
 func (e *evaluator) within(got *big.Int, limit int64) bool {
-	const unit = micro // a second of work or a request, in millionths
+	const unit = micro // one second of work or one request, in millionths
 	e.bound.Mul(big.NewInt(limit), e.denominator)
 	e.product.Mul(big.NewInt(limit+unit), e.denominator)
 	e.bound.Add(&e.bound, e.product.Div(&e.product, big.NewInt(micro)))
--- a/plan/follower.go
+++ b/plan/follower.go
@@ -8,12 +8,12 @@
 // Offer is a version of weights as a router receives it.
 type Offer struct {
 	Version        uint64
-	Build          int           // the canary build that it was made for; 0 for none
+	Build          int           // canary build that the version was computed for; 0 for none
 	ShadowShare    float64       // shadow requests to that build, as a share of the requests
 	CrossZoneShare float64       // share of the requests that go to other zones
-	LocalWeights   []HostWeight  // of hosts of the router's zone
-	RemoteWeights  []HostWeight  // of hosts of other zones
-	ValidFor       time.Duration // from its receipt
+	LocalWeights   []HostWeight  // weights of hosts in the router's zone
+	RemoteWeights  []HostWeight  // weights of hosts in other zones
+	ValidFor       time.Duration // validity from the time of receipt
 }
 
 // HostWeight is the weight of a host.
@@ -22,31 +22,32 @@
 	Weight float64
 }
 
-// KnownHost is what the router knows of a host.
+// KnownHost is the router's view of a host.
 type KnownHost struct {
-	IsLocal  bool    // it is in the router's zone
-	Weight   float64 // its weight in endpoint discovery; 0 for unknown
+	IsLocal  bool    // the host is in the router's zone
+	Weight   float64 // weight from endpoint discovery; 0 if unknown
 	Age      time.Duration
-	IsCanary bool // it runs the canary build
+	IsCanary bool // the host runs the canary build
 }
 
-// Fleet is what a router knows when it receives a version.
+// Fleet is a router's view of the fleet when it receives a version.
 type Fleet struct {
 	Hosts       map[uint32]KnownHost
-	CanaryBuild int           // the canary build; 0 for none
-	ShadowCap   float64       // of the shadow requests to it, as a share of the requests
-	SlowStart   time.Duration // of slow start
+	CanaryBuild int           // 0 if there is no canary build
+	ShadowCap   float64       // upper bound on shadow requests to the canary build, as a share of the requests
+	SlowStart   time.Duration // duration of slow start
 }
 
-// Follower accepts or rejects versions of weights for a router. The last accepted version stays in force when a later one
-// is rejected. Routers use weights as a hint and decide on requests themselves.
+// Follower accepts or rejects versions of weights for a router. If a version is rejected, the last accepted one stays in
+// force. Routers use weights as a hint and make their own decision for each request.
 type Follower struct{ last uint64 }
 
-// Held returns the number of the version in force; 0 for none.
-func (f *Follower) Held() uint64 { return f.last }
+// Version returns the number of the version in force; 0 for none.
+func (f *Follower) Version() uint64 { return f.last }
 
-// Offer accepts a version or returns the reason why it is rejected, which the controller is told: it is not newer, has
-// expired, is malformed, would break the cap of the canary build, favors hosts in slow start, or is about other hosts.
+// Offer accepts a version or returns the reason for its rejection, which the router reports to the controller. A version
+// is rejected if it is not newer than the one in force, has expired, is malformed, would exceed the cap of the canary
+// build, gives weight to canary hosts, favors hosts in slow start, has no weight above 0, or names mostly unknown hosts.
 func (f *Follower) Offer(o Offer, fleet Fleet) error {
 	if err := f.checkVersion(o, fleet); err != nil {
 		return err
@@ -75,10 +76,10 @@
 
 const (
 	maxHostWeight = 1e18
-	tolerance     = 1e-6 // of shares and weights that were rounded
+	tolerance     = 1e-6 // for rounding errors in shares and weights
 )
 
-// checkVersion checks all of a version but its weights.
+// checkVersion checks all fields of a version except its weights.
 func (f *Follower) checkVersion(o Offer, fleet Fleet) error {
 	switch {
 	case o.Version == f.last:
@@ -96,8 +97,8 @@
 	return nil
 }
 
-// checkWeight checks the weight of one host. It reports whether the router knows the host: the version may be made from a
-// newer endpoint list.
+// checkWeight checks the weight of one host and reports whether the router knows the host. A version may name unknown hosts
+// because it may have been computed from a newer endpoint list.
 func (f Fleet) checkWeight(version uint64, w HostWeight, isLocal bool, largestWarmedUp float64) (known bool, err error) {
 	if !(w.Weight >= 0 && w.Weight < maxHostWeight) {
 		return false, fmt.Errorf("version %d: host %d has the weight %g", version, w.Host, w.Weight)
@@ -114,7 +115,8 @@
 	return true, nil
 }
 
-// largestWarmedUp returns the largest weight, relative to its size, of a local host that has warmed up; 0 for none.
+// largestWarmedUp returns the largest planned weight of a local host that has warmed up, relative to its weight in endpoint
+// discovery; 0 if there is no such host.
 func largestWarmedUp(o Offer, fleet Fleet) (largest float64) {
 	for _, w := range o.LocalWeights {
 		if host, ok := fleet.Hosts[w.Host]; ok && host.Age >= fleet.SlowStart && host.Weight > 0 {
@@ -124,7 +126,8 @@
 	return largest
 }
 
-// favors reports whether a host in slow start has more weight, relative to its size, than any that has warmed up.
+// favors reports whether a host in slow start has a larger planned weight, relative to its weight in endpoint discovery,
+// than every host that has warmed up.
 func (f Fleet) favors(host KnownHost, w HostWeight, largestWarmedUp float64) bool {
 	return host.Age < f.SlowStart && largestWarmedUp > 0 && host.Weight > 0 && w.Weight/host.Weight > largestWarmedUp*(1+tolerance)
 }
--- a/plan/follower_test.go
+++ b/plan/follower_test.go
@@ -15,7 +15,7 @@
 	return o
 }
 
-func TestFollowerRejectsAVersionWithTheReason(t *testing.T) {
+func TestFollower_RejectsVersionWithReason(t *testing.T) {
 	fleet := Fleet{CanaryBuild: 2, ShadowCap: .05, SlowStart: 5 * time.Second, Hosts: map[uint32]KnownHost{1: {IsLocal: true, Weight: 1, Age: week},
 		2: {IsLocal: true, Weight: 1, Age: week}, 3: {IsLocal: true, Weight: 1, Age: time.Second}, 4: {IsLocal: true, Weight: 1, Age: week, IsCanary: true}}}
 	var f Follower
@@ -33,7 +33,7 @@
 		"shares from 0 to 1 expect": func() Offer { o := offerOf(6, 1, 1); o.CrossZoneShare = 1.5; return o }(),
 	} {
 		require.ErrorContains(t, f.Offer(o, fleet), want)
-		require.Equal(t, uint64(5), f.Held(), "the last good one stays")
+		require.Equal(t, uint64(5), f.Version(), "the last accepted version stays in force")
 	}
 	require.NoError(t, f.Offer(offerOf(7, 1, 1), fleet))
 }
--- a/plan/helpers_test.go
+++ b/plan/helpers_test.go
@@ -11,7 +11,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestMain draws the same cases each time, so that a run's verdict is about the code; PLAN_DRAW=new draws others.
+// TestMain makes rapid draw the same cases in each run, so that results depend only on the code. With PLAN_DRAW=new each run
+// draws new cases.
 func TestMain(m *testing.M) {
 	flag.Parse()
 	if os.Getenv("PLAN_DRAW") == "" {
@@ -23,30 +24,30 @@
 
 const week = 7 * 24 * time.Hour
 
-// hostsIn returns hosts of a zone with the same weight that have warmed up.
-func hostsIn(location string, n int, size float64) (out []Host) {
+// hostsIn returns n hosts of a zone that have the same weight and have warmed up.
+func hostsIn(zone string, n int, weight float64) (out []Host) {
 	for i := range n {
-		out = append(out, Host{Name: fmt.Sprintf("%s-%d", location, i), Zone: location, Build: 1, Weight: size, StartsAt: -week})
+		out = append(out, Host{Name: fmt.Sprintf("%s-%d", zone, i), Zone: zone, Build: 1, Weight: weight, StartsAt: -week})
 	}
 	return out
 }
 
-// forecastOf returns one step with demand by zone.
+// forecastOf returns a forecast of one step with the given rates by zone.
 func forecastOf(rates map[string]float64) []Forecast {
 	var d []Demand
-	for l, r := range rates {
-		d = append(d, Demand{Zone: l, Class: "quote", Rate: r})
+	for zone, rate := range rates {
+		d = append(d, Demand{Zone: zone, Class: "quote", Rate: rate})
 	}
 	return []Forecast{{Demand: d}}
 }
 
-// singleClassModel returns a model of one class with 100 ms of work a request.
+// singleClassModel returns a model of one class with 100 ms of work per request.
 func singleClassModel(rates map[string]float64, hosts ...[]Host) *Model {
 	return &Model{Classes: []Class{{Name: "quote", Work: .1, PriorityWeight: 1}}, Hosts: slices.Concat(hosts...), Forecast: forecastOf(rates),
 		Limits: Limits{MaxCrossZone: 1, CrossZonePrice: .02, SlowStart: SlowStart{Duration: 5 * time.Second, InitialCapacity: .33, MaxRequests: 4, Window: 2 * time.Second}}}
 }
 
-// solveFirstStep returns the first step of a model.
+// solveFirstStep solves a model and returns the first step.
 func solveFirstStep(t *testing.T, m *Model) *Step {
 	t.Helper()
 	p, err := Solve(m)
--- a/plan/heuristic.go
+++ b/plan/heuristic.go
@@ -5,9 +5,9 @@
 	"slices"
 )
 
-// solveLocally solves the common case without a linear program: each zone serves its own demand, so that nothing crosses
-// zones, which no shares can better, and the most even utilization within a zone is found by filling its pools to one
-// level. It reports false, with nothing changed, where some zone can't, or where a limit on imbalance needs more.
+// solveLocally solves the common case without a linear program: each zone serves its own demand. This is optimal because
+// there is no cross-zone traffic, and filling the pools of a zone to the same level gives the most even utilization. It
+// reports false and changes nothing if a zone can't serve its demand or a limit on imbalance would be exceeded.
 func (s *Step) solveLocally() bool {
 	zonePools := map[string][]int{}
 	capacity := map[string]int64{}
@@ -41,8 +41,8 @@
 	return true
 }
 
-// fillZone shares a zone's demand out among its own pools. It returns shares of all pools; nil where the zone's can't
-// take it all, or not within the limit on imbalance.
+// fillZone distributes a zone's demand over its own pools. It returns the shares of all pools of the step, or nil if the
+// zone's pools can't serve the demand within the limit on imbalance.
 func (s *Step) fillZone(d zoneDemand, zonePools []int, capacity int64) []*big.Rat {
 	pools := make([]pool, len(zonePools))
 	for i, p := range zonePools {
@@ -71,13 +71,13 @@
 	return shares
 }
 
-// fillPools shares work and requests a second out among pools: all get one utilization, but for those whose bound on
-// their rate keeps them below it. It returns nil where they can't take it all.
+// fillPools distributes work and requests per second over pools. All pools get the same utilization, except those that
+// their rate bound keeps below it. It returns nil if the pools can't serve all the requests.
 func fillPools(pools []pool, work, rate *big.Rat) []*big.Rat {
 	type boundedPool struct {
 		pool        int
-		share       *big.Rat // of all requests, at its bound
-		utilization *big.Rat // at its bound
+		share       *big.Rat // share of all requests at the rate bound
+		utilization *big.Rat // utilization at the rate bound
 	}
 	var bounded []boundedPool
 	var capacity int64
@@ -91,7 +91,7 @@
 	slices.SortStableFunc(bounded, func(a, b boundedPool) int { return a.utilization.Cmp(b.utilization) })
 	shares := make([]*big.Rat, len(pools))
 	left := big.NewRat(1, 1)
-	level := new(big.Rat) // the utilization of those that are not at their bounds
+	level := new(big.Rat) // utilization of the pools that are not at their bounds
 	for n := 0; capacity > 0; n++ {
 		level.Quo(new(big.Rat).Mul(left, work), big.NewRat(capacity, 1))
 		if n == len(bounded) || bounded[n].utilization.Cmp(level) >= 0 {
--- a/plan/infeasible.go
+++ b/plan/infeasible.go
@@ -9,25 +9,25 @@
 	"time"
 )
 
-// Infeasibility says why a step can't serve all demand, and what would make it feasible.
+// Infeasibility explains why a step can't serve all demand and which relaxations would make it feasible.
 type Infeasibility struct {
-	UnservedRate float64      // requests a second
-	Conflicts    []string     // descriptions of the smallest set of constraints that contradict each other
-	Relaxations  []Relaxation // each is enough by itself; the cheapest first
+	UnservedRate float64      // requests per second
+	Conflicts    []string     // descriptions of the smallest set of constraints that conflict with each other
+	Relaxations  []Relaxation // alternatives, each sufficient on its own, sorted by increasing price
 }
 
 // Relaxation is the least relaxation of one kind that makes a step feasible.
 type Relaxation struct {
 	Description string
-	Price       float64 // in priority weight a second
+	Price       float64 // in priority weight per second
 }
 
-// String describes the infeasibility in one line.
+// String returns a description of the infeasibility in one line.
 func (i *Infeasibility) String() string {
 	var b strings.Builder
-	fmt.Fprintf(&b, "%.4g tasks a second can't be served: %s", i.UnservedRate, strings.Join(i.Conflicts, "; "))
+	fmt.Fprintf(&b, "%.4g requests/s can't be served: %s", i.UnservedRate, strings.Join(i.Conflicts, "; "))
 	for n, r := range i.Relaxations {
-		fmt.Fprintf(&b, "%s%s (%.4g in earnings a second)", []string{". What would do: ", "; or "}[min(n, 1)], r.Description, r.Price)
+		fmt.Fprintf(&b, "%s%s (cost: %.4g in earnings per second)", []string{". Possible relaxations: ", "; or "}[min(n, 1)], r.Description, r.Price)
 	}
 	return b.String()
 }
@@ -50,7 +50,7 @@
 	return result
 }
 
-// shedUnserved is to shed what the solution leaves unserved.
+// shedUnserved returns the relaxation that sheds the requests that the solution leaves unserved.
 func (s *Step) shedUnserved() Relaxation {
 	value := new(big.Rat)
 	var parts []string
@@ -58,14 +58,15 @@
 		if s.shed[g].Sign() > 0 {
 			value.Add(value, new(big.Rat).Mul(s.shed[g], big.NewRat(d.value, micro)))
 			rate, _ := new(big.Rat).Mul(s.shed[g], big.NewRat(d.rate, micro)).Float64()
-			parts = append(parts, fmt.Sprintf("%.4g tasks a second of %s", rate, d.zone))
+			parts = append(parts, fmt.Sprintf("%.4g requests/s of zone %s", rate, d.zone))
 		}
 	}
 	price, _ := value.Float64()
-	return Relaxation{"turn back " + strings.Join(parts, " and "), price}
+	return Relaxation{"shed " + strings.Join(parts, " and "), price}
 }
 
-// relaxCrossZone is the least traffic between zones with which all demand would be served, if any.
+// relaxCrossZone returns the least cross-zone traffic with which all demand would be served. It reports false if no amount
+// of it suffices.
 func (m *Model) relaxCrossZone(s *Step) (Relaxation, bool) {
 	if s.limits.MaxCrossZone >= 1 {
 		return Relaxation{}, false
@@ -82,15 +83,16 @@
 	var parts []string
 	for _, d := range free.demands {
 		if rate := free.CrossZoneRate(d.zone); rate > 0 {
-			parts = append(parts, fmt.Sprintf("%.3g%% of the tasks of %s", 100*rate*micro/float64(d.rate), d.zone))
+			parts = append(parts, fmt.Sprintf("%.3g%% of the requests of zone %s", 100*rate*micro/float64(d.rate), d.zone))
 		}
 	}
 	price := free.CrossZoneRate("") * m.Limits.CrossZonePrice
-	return Relaxation{"let " + strings.Join(parts, " and ") + " cross", price}, true
+	return Relaxation{"let " + strings.Join(parts, " and ") + " go to other zones", price}, true
 }
 
-// waitForWarmUp is the time, to a tenth of a second, until all demand of this step could be served as hosts warm up; none
-// where it is not within the step. Half of what is shed at present is the price, as it falls meanwhile.
+// waitForWarmUp returns the time, rounded up to a tenth of a second, at which enough hosts have warmed up to serve all
+// demand of the step. It reports false if this time is not within the step. The price is half of the price of the demand
+// that is shed at the step's start, because the shed demand decreases while hosts warm up.
 func (m *Model) waitForWarmUp(s *Step, step int, shedPrice float64) (Relaxation, bool) {
 	const precision = 100 * time.Millisecond
 	feasible := func(at time.Duration) bool {
@@ -116,10 +118,10 @@
 		}
 	}
 	high = (high + precision - 1).Truncate(precision)
-	return Relaxation{fmt.Sprintf("wait until %v, when the hosts are warm enough, and turn back less and less meanwhile", high), shedPrice / 2}, true
+	return Relaxation{fmt.Sprintf("wait until %v after the plan's start, when enough hosts have warmed up, and shed less and less until then", high), shedPrice / 2}, true
 }
 
-// warmedUpAt is when the last host of a step has warmed up.
+// warmedUpAt returns the time at which the last host of a step has warmed up.
 func (m *Model) warmedUpAt(s *Step) (last time.Duration) {
 	hosts, _, _ := m.hostsAt(s.At)
 	for _, h := range hosts {
--- a/plan/losses.go
+++ b/plan/losses.go
@@ -5,15 +5,17 @@
 	"slices"
 )
 
-// Loss is a loss of hosts that would leave demand unserved in a step, also once routers know of it and follow new shares.
+// Loss is a loss of hosts that would leave demand unserved in a step even after routers follow shares computed without
+// these hosts.
 type Loss struct {
 	Step         int // from 0
 	Lost         string
-	UnservedRate float64 // requests a second
+	UnservedRate float64 // requests per second
 }
 
-// UnsurvivedLosses tries the losses that the limits require to be survived, in every step: of any one zone, whose requests
-// may then all go to other zones, and of the largest host of each pool.
+// UnsurvivedLosses tries, in every step, the losses that the limits require the fleet to survive, and returns those that
+// leave demand unserved: the loss of each zone, whose requests may then all go to other zones, and of the largest host of
+// each pool.
 func (p *Plan) UnsurvivedLosses() (out []Loss) {
 	for step := range p.model.Forecast {
 		out = append(out, p.zoneLosses(step)...)
@@ -34,7 +36,7 @@
 		last = x.zone
 		inZone := func(h hostCapacity) bool { return h.host.Zone == x.zone }
 		if rate := p.model.unservedWithout(step, inZone, x.zone); rate > 0 {
-			out = append(out, Loss{Step: step, Lost: "the location " + x.zone, UnservedRate: rate})
+			out = append(out, Loss{Step: step, Lost: "zone " + x.zone, UnservedRate: rate})
 		}
 	}
 	return out
@@ -48,14 +50,14 @@
 		largest := slices.MaxFunc(x.hosts, func(a, b hostCapacity) int { return cmp.Compare(a.work, b.work) })
 		isLargest := func(h hostCapacity) bool { return h.host.Name == largest.host.Name }
 		if rate := p.model.unservedWithout(step, isLargest, ""); rate > 0 {
-			out = append(out, Loss{Step: step, Lost: "the host " + largest.host.Name, UnservedRate: rate})
+			out = append(out, Loss{Step: step, Lost: "host " + largest.host.Name, UnservedRate: rate})
 		}
 	}
 	return out
 }
 
-// unservedWithout returns the unserved rate without some hosts. The requests of the zone unbounded may all go to other
-// zones.
+// unservedWithout returns the unserved rate without the lost hosts. The limit on cross-zone traffic does not apply to the
+// zone unbounded.
 func (m *Model) unservedWithout(step int, lost func(hostCapacity) bool, unbounded string) float64 {
 	f := m.Forecast[step]
 	hosts, _, canary := m.hostsAt(f.At)
--- a/plan/model.go
+++ b/plan/model.go
@@ -9,82 +9,82 @@
 // Class is a class of requests.
 type Class struct {
 	Name           string
-	Work           float64 // seconds of work of a request on a host of weight 1
+	Work           float64 // seconds that a request takes on a host of weight 1
 	Idempotency    policy.Idempotency
-	PriorityWeight float64 // of a request that is answered in time
+	PriorityWeight float64 // value of a request that is answered in time
 }
 
-// Host is a host that can get requests.
+// Host is a host that can serve requests.
 type Host struct {
 	Name     string
 	Zone     string
 	Build    int
-	Weight   float64       // seconds of work a second once it has warmed up
-	StartsAt time.Duration // when its process starts, from the plan's start; negative for earlier
-	DrainsAt time.Duration // when it drains, from the plan's start; 0 for never
-	MaxRate  float64       // requests a second, whatever its state; 0 for no bound
+	Weight   float64       // capacity in seconds of work per second once it has warmed up
+	StartsAt time.Duration // when its process starts, relative to the plan's start; negative for an earlier start
+	DrainsAt time.Duration // when it starts to drain, relative to the plan's start; 0 for never
+	MaxRate  float64       // requests per second, whether warming up or not; 0 for no bound
 }
 
 // Demand is the demand of one class in one zone during a step.
 type Demand struct {
 	Zone, Class string
-	Rate        float64 // requests a second
-	StdDev      float64 // of the forecast, in requests a second
+	Rate        float64 // requests per second
+	StdDev      float64 // standard deviation of the forecast, in requests per second
 }
 
 // Forecast is the demand of one step.
 type Forecast struct {
-	At     time.Duration // from the plan's start
+	At     time.Duration // relative to the plan's start
 	Demand []Demand
 }
 
-// SlowStart says how hosts that have just started are treated.
+// SlowStart limits the traffic to hosts that have recently started.
 type SlowStart struct {
-	Duration        time.Duration // until a host has its full capacity
-	InitialCapacity float64       // as a share of its weight; it rises linearly
-	MaxRequests     float64       // to a host of weight 1 within any Window, times its capacity factor; 0 for no bound
+	Duration        time.Duration // time from the start of a host until it has its full capacity
+	InitialCapacity float64       // capacity at the start as a share of the host's weight; it rises linearly
+	MaxRequests     float64       // bound per Window for a host of weight 1, scaled by the capacity factor; 0 for no bound
 	Window          time.Duration
 }
 
 // Limits are the constraints of a plan.
 type Limits struct {
-	Reserve          float64 // of each host's capacity that is kept free
+	Reserve          float64 // share of each host's capacity that is not planned
 	SlowStart        SlowStart
 	MaxCrossZone     float64 // share of a zone's requests that may go to other zones
-	CrossZonePrice   float64 // of a request that goes to another zone, in priority weight
-	MaxZoneImbalance float64 // a zone's utilization over the fleet's, at most; 0 for no bound
-	MaxHostImbalance float64 // a host's utilization over its zone's, at most; 0 for no bound
-	StdDevs          float64 // the demand planned for is the forecast and so many standard deviations
-	SurviveHostLoss  bool    // any one host's loss must leave all demand served
-	SurviveZoneLoss  bool    // any one zone's loss must leave all demand served
+	CrossZonePrice   float64 // cost of a request that goes to another zone, in priority weight
+	MaxZoneImbalance float64 // upper bound on a zone's utilization divided by the fleet's; 0 for no bound
+	MaxHostImbalance float64 // upper bound on a host's utilization divided by its zone's; 0 for no bound
+	StdDevs          float64 // standard deviations that are added to the forecast demand
+	SurviveHostLoss  bool    // all demand must still be served after the loss of any one host
+	SurviveZoneLoss  bool    // all demand must still be served after the loss of any one zone
 }
 
 // Stage is one stage of a release.
 type Stage struct {
-	At        time.Duration // when its hosts start, from the plan's start
+	At        time.Duration // when its hosts start, relative to the plan's start
 	HostShare float64       // share of the hosts that run the build
-	ShadowCap float64       // shadow requests, as a share of all requests, at most
+	ShadowCap float64       // upper bound on shadow requests, as a share of all requests
 }
 
 // Release is a build that is rolled out in stages during the plan.
 type Release struct {
 	Build         int
 	Stages        []Stage
-	ReleasedAt    time.Duration // when its hosts begin to serve requests; 0 for after the plan
-	GuardedStages int           // the first stages, which get idempotent requests only
-	CapPerClass   bool          // the cap is a share of the requests that may be shadowed, not of all
-	SideBySide    bool          // its hosts are additional, not replacements
+	ReleasedAt    time.Duration // when its hosts begin to serve requests; 0 if this is after the end of the plan
+	GuardedStages int           // number of first stages that get idempotent requests only
+	CapPerClass   bool          // the cap is a share of the requests that may be shadowed, not of all requests
+	SideBySide    bool          // hosts of the build are added and do not replace others
 }
 
-// Model is all that a plan is made from.
+// Model is the input of a plan.
 type Model struct {
 	Classes       []Class
 	Hosts         []Host
 	Forecast      []Forecast
 	Limits        Limits
-	Release       *Release // nil for none
-	CurrentShares Shares   // those in force; nil for none
+	Release       *Release // nil if no build is being released
+	CurrentShares Shares   // shares in force; nil if there are none
 }
 
-// Shares are shares of a zone's requests, by zone and host.
+// Shares are the shares of a zone's requests, by zone and host.
 type Shares map[string]map[string]float64
--- a/plan/pools.go
+++ b/plan/pools.go
@@ -7,22 +7,22 @@
 	"slices"
 )
 
-// pool is the hosts of a zone that differ in their weights only: they have no bound on their rate, or the same bound for
-// each second of work. A pool's requests are divided among its hosts by capacity, which gives all the same utilization,
-// so that the pools of a zone can do exactly what its hosts can.
+// pool is a group of hosts of a zone that differ only in their weights: they have no rate bound, or the same rate bound per
+// second of work. A pool's requests are divided among its hosts in proportion to capacity, so that all hosts have the same
+// utilization. Therefore, the pools of a zone can serve exactly the same demand as its hosts.
 type pool struct {
 	zone      string
 	hosts     []hostCapacity
-	work      int64 // millionths of a second of work a second, of all hosts
-	maxRate   int64 // millionths of a request a second, of all hosts; -1 for no bound
-	warmingUp bool  // some of them are
+	work      int64 // capacity of all hosts in millionths of a second of work per second
+	maxRate   int64 // rate bound of all hosts in millionths of a request per second; -1 for no bound
+	warmingUp bool  // at least one host is warming up
 }
 
-// maxBoundedPools is the largest number of pools of bounded hosts in a zone. Beyond it neighbors are merged and the
-// narrower bound counts for both, so that a plan may give such hosts less than they can take, never more.
+// maxBoundedPools is the largest number of pools of rate-bounded hosts in a zone. If there are more, neighboring pools are
+// merged and the lower bound applies to both. A plan may then give such hosts less than they can serve, but never more.
 const maxBoundedPools = 6
 
-// groupPools groups hosts into pools, in an order that depends on the hosts only.
+// groupPools groups hosts into pools. The order of the pools depends only on the hosts, not on map iteration.
 func groupPools(hosts []hostCapacity) []pool {
 	byZone := map[string][]hostCapacity{}
 	for _, h := range hosts {
@@ -33,13 +33,13 @@
 		pools = append(pools, mergePools(zonePools(zone, byZone[zone]))...)
 	}
 	for i := range pools {
-		pools[i].addUp()
+		pools[i].setTotals()
 	}
 	return pools
 }
 
-// zonePools groups the hosts of one zone: unbounded ones first, then by their bound for each second of work, the widest
-// first.
+// zonePools groups the hosts of one zone into pools: first the hosts without a rate bound, then the others by decreasing
+// bound per second of work.
 func zonePools(zone string, hosts []hostCapacity) (pools []pool) {
 	slices.SortStableFunc(hosts, func(a, b hostCapacity) int {
 		if a.maxRate < 0 || b.maxRate < 0 {
@@ -60,7 +60,7 @@
 	return pools
 }
 
-// sameRatio reports whether two hosts have the same bound for each second of work, or both none.
+// sameRatio reports whether two hosts have the same rate bound per second of work, or both have no bound.
 func sameRatio(a, b hostCapacity) bool {
 	if a.maxRate < 0 || b.maxRate < 0 {
 		return a.maxRate < 0 && b.maxRate < 0
@@ -74,7 +74,8 @@
 	return x.Cmp(new(big.Int).Mul(big.NewInt(c), big.NewInt(b)))
 }
 
-// mergePools merges bounded pools until there are few enough: always the two neighbors with the fewest hosts.
+// mergePools merges rate-bounded pools until there are at most maxBoundedPools. Each time, it merges the two neighbors with
+// the fewest hosts.
 func mergePools(pools []pool) []pool {
 	for {
 		count, best := 0, -1
@@ -97,10 +98,10 @@
 
 func (p pool) bounded() bool { return p.hosts[0].maxRate >= 0 }
 
-// mergedHosts is the number of hosts of a pool and the one before it.
+// mergedHosts returns the number of hosts in a pool and in the one before it.
 func mergedHosts(pools []pool, i int) int { return len(pools[i].hosts) + len(pools[i-1].hosts) }
 
-// joinNarrower joins hosts with a wide bound and hosts with a narrow one, which then counts for all.
+// joinNarrower joins hosts with a higher rate bound and hosts with a lower one. The lower bound then applies to all.
 func joinNarrower(wide, narrow []hostCapacity) []hostCapacity {
 	joined := slices.Clone(wide)
 	for i := range joined {
@@ -110,9 +111,10 @@
 	return append(joined, narrow...)
 }
 
-// addUp sets the pool's capacity. Its bound is the rate at which the first of its hosts reaches its own bound, as requests
-// are divided by capacity; equal ratios may differ by a millionth because figures are integers.
-func (p *pool) addUp() {
+// setTotals sets the pool's capacity and rate bound. Requests are divided in proportion to capacity, so the pool's bound is
+// the rate at which the first of its hosts reaches its own bound. Hosts with equal ratios may differ by a millionth because
+// all figures are integers.
+func (p *pool) setTotals() {
 	p.maxRate = -1
 	for _, h := range p.hosts {
 		p.work += h.work
--- a/plan/program.go
+++ b/plan/program.go
@@ -2,13 +2,13 @@
 
 import "math/big"
 
-// constraint is a group of rows that can be left out, to see which constraints contradict each other.
+// constraint is a group of rows that can be left out to find out which constraints conflict with each other.
 type constraint struct {
 	kind constraintKind
 	zone string
 }
 
-// constraintKind says what a constraint keeps. Explanations list constraints in this order.
+// constraintKind is the kind of limit that a constraint enforces. Explanations list constraints in this order.
 type constraintKind int
 
 const (
@@ -20,25 +20,25 @@
 	hostBalanceConstraint
 )
 
-// everyConstraint keeps all constraints.
+// everyConstraint selects all constraints.
 func everyConstraint(constraint) bool { return true }
 
-// linearProgram is the linear program of one step. Its columns are, for each zone's demand, what is shed and, for each
-// pool, its share, divided into what it has at present and what is added; then the largest utilization. Goals are met in
-// order by the minimize methods.
+// linearProgram is the linear program of one step. For each zone's demand it has a column for the share that is shed and,
+// for each pool, columns for the pool's share, split into the part retained from the current shares and the part added to
+// them. The last column is the largest utilization. The minimize methods meet the goals in order.
 type linearProgram struct {
 	*simplex
 	demands         []zoneDemand
 	pools           []pool
 	zonePools       map[string][]int // pools by zone
 	shed            []int            // column by demand
-	kept            [][]int          // column by demand and pool; -1 where the pool has nothing at present
+	retained        [][]int          // column by demand and pool; -1 where the pool has no current share
 	added           [][]int          // column by demand and pool
 	maxUtilization  int              // column
 	utilizationRows []int            // by pool
 }
 
-// program returns the program of a step with the constraints to be kept.
+// program returns the linear program of a step with the constraints that keep selects.
 func (s *Step) program(keep func(constraint) bool, current Shares) *linearProgram {
 	l := &linearProgram{pools: s.pools, zonePools: map[string][]int{}, utilizationRows: make([]int, len(s.pools))}
 	for _, d := range s.demands {
@@ -49,38 +49,38 @@
 	for p, x := range l.pools {
 		l.zonePools[x.zone] = append(l.zonePools[x.zone], p)
 	}
-	now := l.currentShares(current)
-	l.addColumns(now)
+	present := l.currentShares(current)
+	l.addColumns(present)
 	l.addDemandRows()
 	l.addPoolRows(keep)
 	if s.limits.MaxCrossZone < 1 {
 		l.addCrossZoneRows(keep, s.limits.MaxCrossZone)
 	}
 	l.addBalanceRows(keep, s.limits)
-	l.addKeptRows(now)
+	l.addRetainedRows(present)
 	l.addSlacks()
 	return l
 }
 
-func (l *linearProgram) addColumns(now [][]int64) {
+func (l *linearProgram) addColumns(present [][]int64) {
 	count := 0
 	next := func() int { count++; return count - 1 }
 	for g := range l.demands {
 		l.shed = append(l.shed, next())
-		kept, added := make([]int, len(l.pools)), make([]int, len(l.pools))
+		retained, added := make([]int, len(l.pools)), make([]int, len(l.pools))
 		for p := range l.pools {
-			if kept[p] = -1; now != nil && now[g][p] > 0 {
-				kept[p] = next()
+			if retained[p] = -1; present != nil && present[g][p] > 0 {
+				retained[p] = next()
 			}
 			added[p] = next()
 		}
-		l.kept, l.added = append(l.kept, kept), append(l.added, added)
+		l.retained, l.added = append(l.retained, retained), append(l.added, added)
 	}
 	l.maxUtilization = next()
 	l.simplex = newSimplex(count)
 }
 
-// addDemandRows: each zone's requests are all shared out or shed.
+// addDemandRows adds the rows by which all of each zone's requests are either served or shed.
 func (l *linearProgram) addDemandRows() {
 	for g := range l.demands {
 		var terms []term
@@ -91,7 +91,7 @@
 	}
 }
 
-// addPoolRows: capacity, rate and largest utilization of each pool.
+// addPoolRows adds the rows for the capacity, the rate bound and the utilization of each pool.
 func (l *linearProgram) addPoolRows(keep func(constraint) bool) {
 	for p, x := range l.pools {
 		if keep(constraint{capacityConstraint, x.zone}) {
@@ -108,7 +108,7 @@
 	}
 }
 
-// addCrossZoneRows: the share of each zone's requests that other zones may get.
+// addCrossZoneRows adds the rows that limit the share of each zone's requests that goes to other zones.
 func (l *linearProgram) addCrossZoneRows(keep func(constraint) bool, limit float64) {
 	for g, d := range l.demands {
 		if !keep(constraint{crossZoneConstraint, d.zone}) {
@@ -124,7 +124,8 @@
 	}
 }
 
-// addBalanceRows: the utilization of zones against the fleet's and of pools against their zone's.
+// addBalanceRows adds the rows that limit the utilization of zones relative to the fleet's and of pools relative to their
+// zone's.
 func (l *linearProgram) addBalanceRows(keep func(constraint) bool, limits Limits) {
 	var totalWork, totalCapacity int64
 	capacity := map[string]int64{}
@@ -147,7 +148,8 @@
 	}
 }
 
-// addHostBalanceRow: work of the pool x capacity of the zone <= limit x capacity of the pool x work of the zone.
+// addHostBalanceRow adds the row: work of the pool x capacity of the zone <= limit x capacity of the pool x work of the
+// zone.
 func (l *linearProgram) addHostBalanceRow(p int, limit float64, zoneCapacity int64) {
 	var terms []term
 	for _, q := range l.zonePools[l.pools[p].zone] {
@@ -162,18 +164,18 @@
 	l.addRow(new(big.Int), -1, terms...)
 }
 
-// addKeptRows: what is kept is no more than what a pool has at present.
-func (l *linearProgram) addKeptRows(now [][]int64) {
+// addRetainedRows adds the rows that limit the retained part of a pool's share to its current share.
+func (l *linearProgram) addRetainedRows(present [][]int64) {
 	for g := range l.demands {
 		for p := range l.pools {
-			if l.kept[g][p] >= 0 {
-				l.addRow(big.NewInt(now[g][p]), -1, smallTerm(l.kept[g][p], micro))
+			if l.retained[g][p] >= 0 {
+				l.addRow(big.NewInt(present[g][p]), -1, smallTerm(l.retained[g][p], micro))
 			}
 		}
 	}
 }
 
-// work is the work that some pools get.
+// work returns the terms of the work that some pools get.
 func (l *linearProgram) work(pools ...int) (terms []term) {
 	for _, p := range pools {
 		for g, d := range l.demands {
@@ -183,15 +185,15 @@
 	return terms
 }
 
-// appendShare appends a pool's share of a zone's requests, times a factor.
+// appendShare appends the terms of a pool's share of a zone's requests, times a factor.
 func (l *linearProgram) appendShare(terms []term, g, p int, factor *big.Int) []term {
-	if c := l.kept[g][p]; c >= 0 {
+	if c := l.retained[g][p]; c >= 0 {
 		terms = append(terms, term{c, factor})
 	}
 	return append(terms, term{l.added[g][p], factor})
 }
 
-// scaledShare is factor x a x b / c, rounded down, with a factor in millionths; 0 where c is.
+// scaledShare returns factor x a x b / c, rounded down, with the factor in millionths; 0 if c is 0.
 func scaledShare(factor, a, b, c int64) *big.Int {
 	v := new(big.Int).Mul(big.NewInt(factor), big.NewInt(a))
 	v.Mul(v, big.NewInt(b))
@@ -201,7 +203,7 @@
 	return v.Div(v, new(big.Int).Mul(big.NewInt(c), big.NewInt(micro)))
 }
 
-// currentShares is what pools have at present of each zone's requests, in millionths; nil where nothing is in force.
+// currentShares returns the pools' current shares of each zone's requests, in millionths; nil if no shares are in force.
 func (l *linearProgram) currentShares(current Shares) [][]int64 {
 	if current == nil {
 		return nil
@@ -218,7 +220,7 @@
 	return out
 }
 
-// minimizeShed is the first goal: as little value shed as possible.
+// minimizeShed meets the first goal: minimize the value of shed requests.
 func (l *linearProgram) minimizeShed() {
 	cost := map[int]int64{}
 	for g, d := range l.demands {
@@ -227,7 +229,7 @@
 	l.minimize(cost)
 }
 
-// minimizeCrossZone is the second goal: as few requests to other zones as possible.
+// minimizeCrossZone meets the second goal: minimize the rate of requests to other zones.
 func (l *linearProgram) minimizeCrossZone() {
 	cost := map[int]int64{}
 	for g, d := range l.demands {
@@ -236,7 +238,7 @@
 				continue
 			}
 			cost[l.added[g][p]] = d.rate
-			if c := l.kept[g][p]; c >= 0 {
+			if c := l.retained[g][p]; c >= 0 {
 				cost[c] = d.rate
 			}
 		}
@@ -244,10 +246,10 @@
 	l.minimize(cost)
 }
 
-// minimizeUtilization is the third goal: the largest utilization as small as possible, then the largest of the pools that
-// need not have it, and so on. In each round a further column is how far below the last utilization the others can stay
-// (the lexicographic optimum of flows with several sources: Megiddo, Optimal Flows in Networks with Multiple Sources and
-// Sinks, 1974).
+// minimizeUtilization meets the third goal: minimize the largest utilization, then the largest one among the pools that can
+// stay below it, and so on. Each round adds a column for the distance by which these pools can stay below the last
+// utilization, and maximizes it (the lexicographic optimum of flows with several sources: Megiddo, Optimal Flows in
+// Networks with Multiple Sources and Sinks, 1974).
 func (l *linearProgram) minimizeUtilization() {
 	l.minimize(map[int]int64{l.maxUtilization: 1})
 	for range l.pools {
@@ -264,11 +266,11 @@
 	}
 }
 
-// minimizeChange is the last goal: as much as possible of the present shares is kept.
+// minimizeChange meets the last goal: retain as much as possible of the current shares.
 func (l *linearProgram) minimizeChange() {
 	cost := map[int]int64{}
 	for g, d := range l.demands {
-		for _, c := range l.kept[g] {
+		for _, c := range l.retained[g] {
 			if c >= 0 {
 				cost[c] = -d.rate
 			}
@@ -279,14 +281,14 @@
 	}
 }
 
-// readSolution takes the shares out of the solution.
+// readSolution stores the shares of the solution in a step.
 func (l *linearProgram) readSolution(s *Step) {
 	s.shares, s.shed = nil, nil
 	for g := range l.demands {
 		shares := make([]*big.Rat, len(l.pools))
 		for p := range l.pools {
 			shares[p] = l.value(l.added[g][p])
-			if c := l.kept[g][p]; c >= 0 {
+			if c := l.retained[g][p]; c >= 0 {
 				shares[p].Add(shares[p], l.value(c))
 			}
 		}
--- a/plan/property_test.go
+++ b/plan/property_test.go
@@ -13,7 +13,7 @@
 	"dapplefront/policy"
 )
 
-// drawModel draws a model of three zones.
+// drawModel draws a model of three zones and two classes.
 func drawModel(t *rapid.T) *Model {
 	m := singleClassModel(nil)
 	m.Classes = append(m.Classes, Class{Name: "order", Work: .04, Idempotency: policy.NonIdempotent, PriorityWeight: 3})
@@ -22,31 +22,31 @@
 	m.Limits.MaxZoneImbalance = rapid.SampledFrom([]float64{0, 0, 1.25}).Draw(t, "between")
 	m.Limits.MaxHostImbalance = rapid.SampledFrom([]float64{0, 0, 1.5}).Draw(t, "within")
 	var d []Demand
-	for _, place := range []string{"north", "port", "south"} {
-		n := rapid.IntRange(0, 6).Draw(t, place)
-		for i, h := range hostsIn(place, n, 1) {
-			h.Weight = rapid.SampledFrom([]float64{.5, 1, 2, 40}).Draw(t, fmt.Sprintf("size %d", i))
+	for _, zone := range []string{"north", "port", "south"} {
+		n := rapid.IntRange(0, 6).Draw(t, zone)
+		for i, h := range hostsIn(zone, n, 1) {
+			h.Weight = rapid.SampledFrom([]float64{.5, 1, 2, 40}).Draw(t, fmt.Sprintf("weight %d", i))
 			if rapid.IntRange(0, 2).Draw(t, "cold") == 0 {
 				h.StartsAt = -time.Duration(rapid.IntRange(0, 5).Draw(t, "age")) * time.Second
 			}
 			m.Hosts = append(m.Hosts, h)
 		}
 		for _, c := range []string{"quote", "order"} {
-			d = append(d, Demand{Zone: place, Class: c, Rate: float64(rapid.IntRange(0, 80).Draw(t, "rate"))})
+			d = append(d, Demand{Zone: zone, Class: c, Rate: float64(rapid.IntRange(0, 80).Draw(t, "rate"))})
 		}
 	}
 	m.Forecast = []Forecast{{Demand: d}}
 	return m
 }
 
-// solveDrawn returns the first step of a model that rapid has drawn.
+// solveDrawn solves a drawn model and returns the first step.
 func solveDrawn(t require.TestingT, m *Model) *Step {
 	p, err := Solve(m)
 	require.NoError(t, err)
 	return p.Steps[0]
 }
 
-func TestMoreCapacityIsNeverWorse(t *testing.T) {
+func TestSolve_ServesNoLessWithAnAdditionalHost(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := drawModel(t)
 		before := solveDrawn(t, m)
@@ -54,7 +54,8 @@
 		more.Hosts = append(slices.Clone(m.Hosts), Host{Name: "more", Zone: rapid.SampledFrom([]string{"north", "port"}).Draw(t, "where"),
 			Build: 1, Weight: 3, StartsAt: -week})
 		after := solveDrawn(t, &more)
-		// The limit on imbalance is relative to the fleet's utilization, which further hosts lower: it may bind earlier.
+		// The limits on imbalance are relative to an average utilization. Additional hosts lower it, so that the limits may
+		// become tighter.
 		if m.Limits.MaxZoneImbalance > 0 || m.Limits.MaxHostImbalance > 0 {
 			return
 		}
@@ -65,7 +66,7 @@
 	})
 }
 
-// shedValue is the value that is shed, in priority weight a second.
+// shedValue returns the value of the shed requests, in priority weight per second.
 func shedValue(s *Step) (sum float64) {
 	for g, o := range s.demands {
 		v, _ := new(big.Rat).Mul(s.shed[g], big.NewRat(o.value, micro)).Float64()
@@ -74,7 +75,7 @@
 	return sum
 }
 
-func TestTheOrderOfHostsDoesNotMatter(t *testing.T) {
+func TestSolve_IsIndependentOfHostOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := drawModel(t)
 		a := solveDrawn(t, m)
@@ -89,7 +90,7 @@
 	})
 }
 
-func TestScalingAllScalesThePlan(t *testing.T) {
+func TestSolve_ScalesWithCapacityAndDemand(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := drawModel(t)
 		by := float64(rapid.SampledFrom([]int{2, 10, 1000}).Draw(t, "by"))
@@ -107,16 +108,16 @@
 		b := solveDrawn(t, &other)
 		require.InEpsilon(t, 1+by*a.UnservedRate(), 1+b.UnservedRate(), 1e-5)
 		if a.UnservedRate() > 0 {
-			return // of origins that earn alike, either may go without
+			return // among zones with the same value per request, either may be left unserved
 		}
 		require.InEpsilon(t, 1+by*a.CrossZoneRate(""), 1+b.CrossZoneRate(""), 1e-5)
-		for _, h := range m.Hosts { // whose requests a host gets may differ between equal solutions, how many not
+		for _, h := range m.Hosts { // equal solutions may differ in the zones whose requests a host gets, but not in its work
 			require.InDelta(t, hostWork(a, h.Name), hostWork(b, h.Name)/by, 1e-4) // capacities are rounded down to millionths
 		}
 	})
 }
 
-// hostWork is a host's work, in seconds a second.
+// hostWork returns a host's work, in seconds per second.
 func hostWork(s *Step, host string) float64 {
 	sum := new(big.Rat)
 	for _, o := range s.demands {
@@ -126,26 +127,26 @@
 	return v
 }
 
-func TestTheHeuristicEqualsTheLinearPrograms(t *testing.T) {
-	quick := 0
+func TestSolveLocally_EqualsLinearPrograms(t *testing.T) {
+	solvedLocally := 0
 	rapid.Check(t, func(t *rapid.T) {
 		m := drawModel(t)
 		s := solveDrawn(t, m)
 		if !s.local {
 			return
 		}
-		quick++
+		solvedLocally++
 		l := s.program(everyConstraint, nil)
 		l.minimizeShed()
 		l.minimizeCrossZone()
 		l.minimizeUtilization()
-		slow := *s
-		l.readSolution(&slow)
+		byPrograms := *s
+		l.readSolution(&byPrograms)
 		for g := range s.shares {
 			for p := range s.shares[g] {
-				require.Zero(t, s.shares[g][p].Cmp(slow.shares[g][p]), "%v, %v by programs", s.shares, slow.shares)
+				require.Zero(t, s.shares[g][p].Cmp(byPrograms.shares[g][p]), "%v, %v by linear programs", s.shares, byPrograms.shares)
 			}
 		}
 	})
-	require.Positive(t, quick)
+	require.Positive(t, solvedLocally)
 }
--- a/plan/publisher.go
+++ b/plan/publisher.go
@@ -5,38 +5,41 @@
 	"time"
 )
 
-// Publisher makes versions of weights as hosts come and go. It is a state machine without a clock: what it publishes
-// depends only on the models that it is given, so that controllers with the same models publish the same.
+// Publisher publishes versions of weights as hosts are added and removed. It is a state machine without a clock: its output
+// depends only on the models and times that it is given, so that controllers with the same input publish the same versions.
 //
-// A change of one host moves one weight in each zone's table, its own, as long as the weights of the others keep every
-// limit and remain within Tolerance of the optimum. Only then are all weights recomputed, and where the present ones still
-// keep the limits, only after RecomputeDelay outside the tolerance.
+// A change of one host changes only the weight of that host in each zone's table, as long as the resulting weights keep all
+// limits and remain within Tolerance of the optimum. Otherwise, all weights are recomputed: at once if they break a limit,
+// or after they have been outside the tolerance for RecomputeDelay.
 type Publisher struct {
-	Tolerance      float64       // relative to the least possible utilization and traffic between zones
-	RecomputeDelay time.Duration // outside the tolerance before all weights are recomputed
-	ValidFor       time.Duration // of a version
+	// Tolerance is the accepted excess over the least possible utilization, as a share of it, and over the least possible
+	// cross-zone traffic, as a share of all requests.
+	Tolerance      float64
+	RecomputeDelay time.Duration // time outside the tolerance before all weights are recomputed
+	ValidFor       time.Duration // validity of a version
 
-	current      *Published
-	outside      bool // the weights in force are outside the tolerance
-	outsideSince time.Duration
+	current             *Published
+	outOfTolerance      bool // the weights in force are outside the tolerance
+	outOfToleranceSince time.Duration
 }
 
-// Last returns the version in force; nil for none.
+// Last returns the version in force; nil if there is none.
 func (p *Publisher) Last() *Published { return p.current }
 
-// Restore sets the version in force, as it was stored.
-func (p *Publisher) Restore(v *Published) { p.current, p.outside = v, false }
+// Restore sets the version in force to a stored one.
+func (p *Publisher) Restore(v *Published) { p.current, p.outOfTolerance = v, false }
 
-// Update is the outcome of an update of the fleet.
+// Update is the result of Publisher.Update.
 type Update struct {
-	Published  *Published // nil where the last version stays in force
-	Changed    int        // weights that differ from the last version
-	Recomputed bool       // all weights were recomputed, rather than carried over
+	Published  *Published // nil if the last version stays in force
+	Changed    int        // number of weights that differ from the last version
+	Recomputed bool       // whether all weights were recomputed rather than carried over
 	Reason     string
-	Infeasible *Infeasibility // nil where all demand is served
+	Infeasible *Infeasibility // nil if all demand is served
 }
 
-// Update considers the fleet as it is now, which is the first step of the model. It fails for an invalid model.
+// Update publishes a new version if the current fleet, which is the first step of the model, requires one. It fails for an
+// invalid model.
 func (p *Publisher) Update(now time.Duration, m *Model) (Update, error) {
 	if err := m.Validate(); err != nil {
 		return Update{}, err
@@ -59,8 +62,8 @@
 	return p.recompute(now, m, hosts, next)
 }
 
-// carryOver returns the weights in force for the present hosts. It reports false where they break a limit, or have been
-// outside the tolerance for RecomputeDelay.
+// carryOver returns the weights in force, carried over to the current hosts. It reports false if these weights break a limit
+// or have been outside the tolerance for RecomputeDelay.
 func (p *Publisher) carryOver(now time.Duration, s *Step) (map[string]Weights, bool) {
 	weights, v, err := p.carry(s)
 	if err != nil {
@@ -68,12 +71,12 @@
 	}
 	switch {
 	case p.withinTolerance(s, v):
-		p.outside = false
+		p.outOfTolerance = false
 		return weights, true
-	case !p.outside:
-		p.outside, p.outsideSince = true, now
+	case !p.outOfTolerance:
+		p.outOfTolerance, p.outOfToleranceSince = true, now
 	}
-	return weights, now-p.outsideSince < p.RecomputeDelay
+	return weights, now-p.outOfToleranceSince < p.RecomputeDelay
 }
 
 func (p *Publisher) withinTolerance(s *Step, v evaluation) bool {
@@ -81,16 +84,17 @@
 		v.crossZoneRate <= s.minCrossZoneRate()+p.Tolerance*s.totalRate()
 }
 
-// isDue reports whether a version has to be published though no weight has changed.
+// isDue reports whether a version has to be published although no weight has changed.
 func (p *Publisher) isDue(now time.Duration, next Published) bool {
 	return p.current.Until-now < p.ValidFor/2 || p.current.Build != next.Build || p.current.Stage != next.Stage && next.Build != 0
 }
 
-// recompute computes all weights, with as little change of the present shares as the other goals allow.
+// recompute computes all weights, with as little change of the current shares as the other goals allow.
 func (p *Publisher) recompute(now time.Duration, m *Model, hosts []Host, next Published) (Update, error) {
 	reduced := *m
 	reduced.CurrentShares = p.currentShares(hosts)
-	reduced.Limits.SlowStart.MaxRequests *= 1 - p.Tolerance/2 // so that bounded hosts keep their weights when others come or go
+	// The lower bound lets hosts in slow start keep their weights when other hosts are added or removed.
+	reduced.Limits.SlowStart.MaxRequests *= 1 - p.Tolerance/2
 	s, err := reduced.step(0)
 	if err != nil {
 		return Update{}, err
@@ -103,7 +107,7 @@
 	if p.current != nil {
 		changed = Changed(p.current.ByZone, weights)
 	}
-	p.outside = false
+	p.outOfTolerance = false
 	if p.current != nil && changed == 0 && s.Infeasible == nil && p.current.Until-now >= p.ValidFor/2 {
 		return Update{}, nil
 	}
@@ -111,7 +115,7 @@
 	return p.publish(now, next, Update{Changed: changed, Recomputed: true, Reason: "weighed anew", Infeasible: s.Infeasible}), nil
 }
 
-// publish numbers a version and puts it in force.
+// publish assigns the next number to a version and puts it in force.
 func (p *Publisher) publish(now time.Duration, next Published, u Update) Update {
 	next.Version, next.Until = 1, now+p.ValidFor
 	if p.current != nil {
@@ -121,7 +125,7 @@
 	return u
 }
 
-// currentShares returns the shares that the hosts have by the version in force; nil for none.
+// currentShares returns the hosts' shares according to the version in force; nil if there is none.
 func (p *Publisher) currentShares(hosts []Host) Shares {
 	if p.current == nil {
 		return nil
@@ -140,7 +144,7 @@
 	return shares
 }
 
-// addShares divides a part of a zone's requests among the hosts that are present, by their weights.
+// addShares divides a part of a zone's requests among the hosts that are present, in proportion to their weights.
 func addShares(shares map[string]float64, weights map[string]uint64, present map[string]bool, part float64) {
 	var sum uint64
 	for name, weight := range weights {
--- a/plan/release_test.go
+++ b/plan/release_test.go
@@ -7,7 +7,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-func TestHostsDuringAReleaseSideBySideAndInPlace(t *testing.T) {
+func TestHostsAt_AddsOrReplacesHostsDuringRelease(t *testing.T) {
 	for _, sideBySide := range []bool{false, true} {
 		m := singleClassModel(nil, hostsIn("north", 4, 1), hostsIn("south", 4, 1))
 		m.Release = &Release{Build: 2, Stages: []Stage{{time.Hour, .25, .05}, {2 * time.Hour, .5, .5}}, ReleasedAt: 3 * time.Hour, SideBySide: sideBySide}
@@ -40,6 +40,6 @@
 				zones[h.Zone]++
 			}
 		}
-		require.Equal(t, map[string]int{"north": 1, "south": 1}, zones, "the zones in turn")
+		require.Equal(t, map[string]int{"north": 1, "south": 1}, zones, "one host of each zone in turn")
 	}
 }
--- a/plan/rollout.go
+++ b/plan/rollout.go
@@ -9,7 +9,8 @@
 	"time"
 )
 
-// hostsAt returns the hosts at a moment, the stage that the release is in, from 0, and the canary build; 0 for none.
+// hostsAt returns the hosts at a time, the stage of the release, counted from 0, and the canary build, which is 0 if there
+// is none.
 func (m *Model) hostsAt(at time.Duration) (hosts []Host, stage, canary int) {
 	r := m.Release
 	if r == nil {
@@ -30,7 +31,8 @@
 	return m.hostsInStage(stage), stage, r.Build
 }
 
-// hostsAfterRelease returns the hosts once the release is over: all run its build, and the earlier ones are gone.
+// hostsAfterRelease returns the hosts after the end of the release: all run its build, and hosts of earlier builds have been
+// replaced or removed.
 func (m *Model) hostsAfterRelease() (hosts []Host) {
 	r := m.Release
 	last := m.hostsInStage(len(r.Stages) - 1)
@@ -50,13 +52,13 @@
 	return hosts
 }
 
-// sideBySideName is the name of the additional host beside one of the model's.
+// sideBySideName returns the name of the host that is added beside a host of the model.
 func sideBySideName(name string, build int) string { return fmt.Sprintf("%s+%d", name, build) }
 
-// hostsInStage returns the hosts in a stage of the release. As many as the stage says run its build, each since the stage
-// that brought it.
+// hostsInStage returns the hosts in a stage of the release. The number of hosts that run the build follows from the stage's
+// HostShare, and each of them starts in the first stage that includes it.
 func (m *Model) hostsInStage(stage int) []Host {
-	const rounding = 1e-9 // of a share times a number of hosts
+	const rounding = 1e-9 // rounding error of a share times a number of hosts
 	r := m.Release
 	order := m.rolloutOrder()
 	hosts := slices.Clone(m.Hosts)
@@ -77,7 +79,8 @@
 	return hosts
 }
 
-// rolloutOrder returns the hosts in the order in which they get a build: by name, the zones in turn.
+// rolloutOrder returns the indices of the hosts in the order in which they get the build: one host of each zone in turn, by
+// name within a zone.
 func (m *Model) rolloutOrder() (order []int) {
 	byZone := map[string][]int{}
 	for i, h := range m.Hosts {
--- a/plan/search_test.go
+++ b/plan/search_test.go
@@ -17,21 +17,21 @@
 	"github.com/stretchr/testify/require"
 )
 
-// exhaustiveCase is a case of the exhaustive search: up to eight hosts in up to three zones, with integers throughout, and
-// requests of one unit of work. It shares no code with the solver.
+// exhaustiveCase is a case of the exhaustive search: up to eight hosts in up to three zones. All figures are integers, and
+// each request is one unit of work. The search shares no code with the solver.
 type exhaustiveCase struct {
-	zoneOf       []int // of each host
-	capacity     []int // requests a second
-	maxRate      []int // requests a second in slow start; -1 for a host that has warmed up
+	zoneOf       []int // by host
+	capacity     []int // requests per second, by host
+	maxRate      []int // requests per second in slow start, by host; -1 for a host that has warmed up
 	canary       []bool
-	demand       []int // requests a second, by zone
+	demand       []int // requests per second, by zone
 	maxCrossZone int   // percent of a zone's requests
 	shadowCap    int   // shadow requests, in percent of a zone's requests
 }
 
-// searchResult is what the search finds: the most that can be served and the least traffic between zones with it, by trying
-// every assignment of requests to hosts; the utilizations of all hosts, by trying every set of demands that could be the
-// tightest; and the shadow requests.
+// searchResult is the result of the search: the largest number of requests that can be served and the least cross-zone
+// traffic that this needs, found by trying every assignment of requests to hosts; the utilizations of all hosts, found by
+// trying every set of demands that could be the tightest; and the shadow requests.
 type searchResult struct {
 	served, crossZone int
 	utilizations      []*big.Rat
@@ -45,17 +45,17 @@
 		total += n
 	}
 	if out.served == total {
-		out.utilizations = c.level()
+		out.utilizations = c.mostEvenUtilizations()
 	}
 	for l, n := range c.demand {
 		allowed := big.NewRat(int64(n*c.shadowCap), 100)
-		room := 0
+		capacity := 0
 		for h := range c.zoneOf {
 			if c.canary[h] && c.zoneOf[h] == l {
-				room += c.limit(h)
+				capacity += c.limit(h)
 			}
 		}
-		if r := big.NewRat(int64(room), 1); r.Cmp(allowed) < 0 {
+		if r := big.NewRat(int64(capacity), 1); r.Cmp(allowed) < 0 {
 			allowed = r
 		}
 		out.shadows = append(out.shadows, allowed)
@@ -70,14 +70,13 @@
 	return c.capacity[h]
 }
 
-// assign tries every assignment: the state is what each host has got, four bits each, with the least traffic between zones
-// for each state.
-// A request of a zone goes to any host that can take it, or to none.
+// assign tries every assignment of requests to hosts. A request of a zone goes to any host that can serve it, or to none. The
+// state is the number of requests of each host, in four bits each, and maps to the least cross-zone traffic that leads to it.
 func (c exhaustiveCase) assign() searchResult {
 	const leftAt, crossedAt = 32, 36
 	states := map[uint64]int8{0: 0}
 	for l, n := range c.demand {
-		// Requests of one zone are alike: hosts in order, each with any number of what is left.
+		// Requests of one zone are interchangeable: each host in order gets any number of the remaining ones.
 		now := make(map[uint64]int8, len(states))
 		for s, x := range states {
 			now[s|uint64(n)<<leftAt] = x
@@ -126,36 +125,37 @@
 	return best
 }
 
-// level finds the utilizations of the most even shares with all demand served and the least traffic between zones: what a
-// zone can't serve itself goes to others. For every set of demands, the hosts that may serve it need some utilization; the
-// set that needs the highest fixes that of its hosts, and the others follow among themselves.
-func (c exhaustiveCase) level() []*big.Rat {
+// mostEvenUtilizations returns the utilizations of the most even shares that serve all demand with the least cross-zone
+// traffic: only what a zone can't serve itself goes to other zones. Every set of demands requires a utilization of the hosts
+// that may serve it. The set that requires the highest one determines the utilization of its hosts. This is repeated for the
+// remaining demands and hosts.
+func (c exhaustiveCase) mostEvenUtilizations() []*big.Rat {
 	type demand struct {
 		hosts []int
 		n     int
 	}
 	var demands []demand
 	for l, n := range c.demand {
-		var here, there []int
-		room := 0
+		var local, remote []int
+		capacity := 0
 		for h := range c.zoneOf {
 			switch {
 			case c.canary[h]:
 			case c.zoneOf[h] == l:
-				here = append(here, h)
-				room += c.limit(h)
+				local = append(local, h)
+				capacity += c.limit(h)
 			default:
-				there = append(there, h)
+				remote = append(remote, h)
 			}
 		}
-		if stays := min(n, room); stays > 0 {
-			demands = append(demands, demand{here, stays})
+		if servedLocally := min(n, capacity); servedLocally > 0 {
+			demands = append(demands, demand{local, servedLocally})
 		}
-		if n > room {
-			demands = append(demands, demand{there, n - room})
+		if n > capacity {
+			demands = append(demands, demand{remote, n - capacity})
 		}
 	}
-	uses := map[int]*big.Rat{}
+	utilizations := map[int]*big.Rat{}
 	for len(demands) > 0 {
 		var top *big.Rat
 		topSet := 0
@@ -166,13 +166,13 @@
 				if set&(1<<i) != 0 {
 					n += d.n
 					for _, h := range d.hosts {
-						if uses[h] == nil {
+						if utilizations[h] == nil {
 							hosts[h] = true
 						}
 					}
 				}
 			}
-			v := c.levelOf(hosts, n)
+			v := c.fillLevel(hosts, n)
 			if top == nil || v.Cmp(top) > 0 || v.Cmp(top) == 0 && set&topSet == topSet {
 				top, topSet = v, set
 			}
@@ -184,8 +184,8 @@
 				continue
 			}
 			for _, h := range d.hosts {
-				if uses[h] == nil {
-					uses[h] = c.useAt(h, top)
+				if utilizations[h] == nil {
+					utilizations[h] = c.utilizationAt(h, top)
 				}
 			}
 		}
@@ -196,16 +196,16 @@
 		if c.canary[h] || c.limit(h) == 0 && c.maxRate[h] < 0 {
 			continue
 		}
-		if uses[h] == nil {
-			uses[h] = new(big.Rat)
+		if utilizations[h] == nil {
+			utilizations[h] = new(big.Rat)
 		}
-		out = append(out, uses[h])
+		out = append(out, utilizations[h])
 	}
 	return out
 }
 
-// useAt is a host's utilization when all are filled to a level, which its bound may keep it below.
-func (c exhaustiveCase) useAt(h int, level *big.Rat) *big.Rat {
+// utilizationAt returns a host's utilization when all hosts are filled to a level. A rate bound may keep the host below it.
+func (c exhaustiveCase) utilizationAt(h int, level *big.Rat) *big.Rat {
 	if c.maxRate[h] >= 0 {
 		if b := big.NewRat(int64(c.maxRate[h]), int64(c.capacity[h])); b.Cmp(level) < 0 {
 			return b
@@ -214,17 +214,18 @@
 	return level
 }
 
-// levelOf is the level at which hosts serve n requests: between which two of their bounds it lies is tried out.
-func (c exhaustiveCase) levelOf(hosts map[int]bool, n int) *big.Rat {
-	marks := []*big.Rat{big.NewRat(1, 1)}
+// fillLevel returns the level to which hosts have to be filled to serve n requests. It tries the intervals between the
+// utilizations at which hosts reach their rate bounds.
+func (c exhaustiveCase) fillLevel(hosts map[int]bool, n int) *big.Rat {
+	ends := []*big.Rat{big.NewRat(1, 1)} // of the intervals
 	for h := range hosts {
 		if c.maxRate[h] >= 0 {
-			marks = append(marks, big.NewRat(int64(c.maxRate[h]), int64(c.capacity[h])))
+			ends = append(ends, big.NewRat(int64(c.maxRate[h]), int64(c.capacity[h])))
 		}
 	}
-	slices.SortFunc(marks, (*big.Rat).Cmp)
+	slices.SortFunc(ends, (*big.Rat).Cmp)
 	low := new(big.Rat)
-	for _, high := range marks {
+	for _, high := range ends {
 		fixed, free := new(big.Rat), 0
 		for h := range hosts {
 			if c.maxRate[h] >= 0 && big.NewRat(int64(c.maxRate[h]), int64(c.capacity[h])).Cmp(low) <= 0 {
@@ -242,7 +243,7 @@
 		}
 		low = high
 	}
-	return low // they hold it only when full
+	return low // the hosts serve n requests only when full
 }
 
 // model returns the same case as a model.
@@ -267,7 +268,8 @@
 	return m
 }
 
-// compare compares the solver with the search. It returns whether all demand can be served, and how they differ.
+// compare compares the results of the solver and the search. It returns whether all demand can be served, and a description
+// of the first difference, which is empty if there is none.
 func (c exhaustiveCase) compare(r *rand.Rand) (all bool, differs string) {
 	want := c.search()
 	all = want.utilizations != nil
@@ -294,7 +296,7 @@
 		return all, fmt.Sprintf("%g served, %d by search", got, want.served)
 	}
 	if got := s.CrossZoneRate(""); got-float64(want.crossZone) > 1e-9 || float64(want.crossZone)-got > 1e-9 {
-		return all, fmt.Sprintf("%g cross, %d by search", got, want.crossZone)
+		return all, fmt.Sprintf("%g requests to other zones, %d by search", got, want.crossZone)
 	}
 	if want.utilizations != nil {
 		var got []*big.Rat
@@ -304,58 +306,59 @@
 			}
 		}
 		slices.SortFunc(got, (*big.Rat).Cmp)
-		// Hosts that may do nothing at all stand in no pool of the solver's.
-		uses := want.utilizations
-		slices.SortFunc(uses, (*big.Rat).Cmp)
-		if len(got) != len(uses) {
-			return all, fmt.Sprintf("%d uses, %d by search", len(got), len(uses))
+		// Hosts without capacity are in none of the solver's pools.
+		utilizations := want.utilizations
+		slices.SortFunc(utilizations, (*big.Rat).Cmp)
+		if len(got) != len(utilizations) {
+			return all, fmt.Sprintf("%d utilizations, %d by search", len(got), len(utilizations))
 		}
-		for i := range uses {
-			if got[i].Cmp(uses[i]) != 0 {
-				return all, fmt.Sprintf("uses %v, %v by search", got, uses)
+		for i := range utilizations {
+			if got[i].Cmp(utilizations[i]) != 0 {
+				return all, fmt.Sprintf("utilizations %v, %v by search", got, utilizations)
 			}
 		}
 	}
 	for l, name := range []string{"east", "north", "port"}[:len(c.demand)] {
 		for _, x := range s.Shadows {
 			if v, _ := want.shadows[l].Float64(); x.Zone == name && cmp.Compare(x.PlannedRate-v, 1e-9) > 0 || x.Zone == name && v-x.PlannedRate > 1e-9 {
-				return all, fmt.Sprintf("%g copies in %s, %g by search", x.PlannedRate, name, v)
+				return all, fmt.Sprintf("%g shadow requests of %s, %g by search", x.PlannedRate, name, v)
 			}
 		}
 	}
 	return all, ""
 }
 
-// drawCase draws a case of the grid: weights 1 to 4 (at times far larger), with a bound or without, up to three zones, at
-// times one without hosts, canary builds, limits on traffic between zones and caps.
+// drawCase draws a case of the grid: weights from 1 to 4 (sometimes 12), with or without rate bounds, up to three zones,
+// some of them without hosts, canary builds, limits on cross-zone traffic and shadow caps.
 func drawCase(r *rand.Rand) exhaustiveCase {
 	n := 1 + r.IntN(8)
 	zones := 1 + r.IntN(3)
 	c := exhaustiveCase{maxCrossZone: []int{0, 25, 50, 100}[r.IntN(4)], shadowCap: []int{0, 5, 10, 50, 100}[r.IntN(5)]}
-	tests := r.IntN(3) == 0
+	hasCanaries := r.IntN(3) == 0
 	for range n {
 		c.zoneOf = append(c.zoneOf, r.IntN(zones))
-		size := 1 + r.IntN(4)
+		capacity := 1 + r.IntN(4)
 		if r.IntN(20) == 0 {
-			size = 12
+			capacity = 12
 		}
-		c.capacity = append(c.capacity, size)
-		may := -1
+		c.capacity = append(c.capacity, capacity)
+		maxRate := -1
 		if r.IntN(3) == 0 {
-			may = 1 + r.IntN(2)
+			maxRate = 1 + r.IntN(2)
 		}
-		c.maxRate = append(c.maxRate, may)
-		c.canary = append(c.canary, tests && r.IntN(4) == 0)
+		c.maxRate = append(c.maxRate, maxRate)
+		c.canary = append(c.canary, hasCanaries && r.IntN(4) == 0)
 	}
 	for range zones {
 		n := r.IntN(9)
-		c.demand = append(c.demand, n-n%map[int]int{0: 1, 25: 4, 50: 2, 100: 1}[c.maxCrossZone]) // so that whole requests meet the bound
+		c.demand = append(c.demand, n-n%map[int]int{0: 1, 25: 4, 50: 2, 100: 1}[c.maxCrossZone]) // the limit is a whole number
 	}
 	return c
 }
 
-// TestSmallCasesEqualAnExhaustiveSearch takes a part of the grid at random; PLAN_CASES sets how many cases (docs/plan.md).
-func TestSmallCasesEqualAnExhaustiveSearch(t *testing.T) {
+// TestSolve_EqualsExhaustiveSearchInSmallCases compares random cases of the grid. PLAN_CASES sets their number and makes the
+// seed depend on the time (docs/plan.md).
+func TestSolve_EqualsExhaustiveSearchInSmallCases(t *testing.T) {
 	n, seed := 2000, uint64(1)
 	if v, err := strconv.Atoi(os.Getenv("PLAN_CASES")); err == nil {
 		n, seed = v, uint64(time.Now().UnixNano())
@@ -379,16 +382,16 @@
 		})
 	}
 	wait.Wait()
-	t.Logf("%d cases equal, %d of them with no share that serves all", n, unserved.Load())
+	t.Logf("%d cases equal, %d of them with unserved demand", n, unserved.Load())
 }
 
-func TestTheSearchFindsAWrongSolver(t *testing.T) {
+func TestExhaustiveSearch_DetectsWrongCapacity(t *testing.T) {
 	c := exhaustiveCase{zoneOf: []int{0, 0}, capacity: []int{2, 2}, maxRate: []int{-1, 1}, canary: []bool{false, false}, demand: []int{3}, maxCrossZone: 100}
 	r := rand.New(rand.NewPCG(1, 1))
 	_, differs := c.compare(r)
 	require.Empty(t, differs)
 	wrong := c
-	wrong.capacity = []int{1, 2} // as if the solver had left a host's second core out
+	wrong.capacity = []int{1, 2} // as if the solver had left out one unit of a host's capacity
 	require.NotEqual(t, wrong.search().served, c.search().served)
 	want := c.search()
 	require.Equal(t, 3, want.served)
--- a/plan/shadow.go
+++ b/plan/shadow.go
@@ -6,18 +6,18 @@
 	"dapplefront/policy"
 )
 
-// ShadowTraffic is what the canary build gets of a zone's requests: shadow requests, never the originals.
+// ShadowTraffic is the planned traffic from a zone to the canary build. It consists of shadow requests only.
 type ShadowTraffic struct {
 	Zone        string
-	AllowedRate float64    // requests a second that the stage's cap allows
-	PlannedRate float64    // requests a second that its hosts can take of them
+	AllowedRate float64    // requests per second that the stage's cap allows
+	PlannedRate float64    // the part of AllowedRate that the canary hosts can serve
 	rate        *big.Rat   // PlannedRate in millionths
-	work        *big.Rat   // millionths of a second of work a second
+	work        *big.Rat   // millionths of a second of work per second
 	shares      []*big.Rat // by canary pool
 }
 
-// planShadows shares the shadow requests that a stage allows out among the canary hosts of the same zone: as many as the
-// cap and the hosts allow.
+// planShadows distributes each zone's shadow requests over the canary hosts of the same zone: as many as the stage's cap
+// and the hosts' capacity allow.
 func (s *Step) planShadows(m *Model, stage int) {
 	for _, d := range s.demands {
 		s.Shadows = append(s.Shadows, s.planZoneShadows(m, d, stage))
@@ -53,7 +53,7 @@
 	return t
 }
 
-// shadowCapacity is the rate that pools can take of requests with so much work each.
+// shadowCapacity returns the rate at which pools can serve requests with perRequest work each.
 func shadowCapacity(pools []pool, perRequest *big.Rat) *big.Rat {
 	sum := new(big.Rat)
 	for _, x := range pools {
@@ -66,7 +66,8 @@
 	return sum
 }
 
-// shadowDemand is the rate and the work, in millionths a second, of the shadow requests that a stage allows of a zone.
+// shadowDemand returns the rate and the work, in millionths per second, of the shadow requests that a stage allows for a
+// zone.
 func (d zoneDemand) shadowDemand(m *Model, r *Release, stage int) (rate, work *big.Rat) {
 	var eligible, load int64
 	for i, c := range m.Classes {
@@ -84,7 +85,7 @@
 	}
 	rate = new(big.Rat).Mul(big.NewRat(toMicros(r.Stages[stage].ShadowCap), micro), big.NewRat(capped, 1))
 	if all := big.NewRat(eligible, 1); all.Cmp(rate) < 0 {
-		rate = all // a request is shadowed once at most
+		rate = all // a request has at most one shadow request
 	}
 	return rate, new(big.Rat).Mul(rate, big.NewRat(load, eligible))
 }
--- a/plan/shares.go
+++ b/plan/shares.go
@@ -2,7 +2,7 @@
 
 import "math/big"
 
-// Share is the exact share of a zone's requests that a host gets; 0 for a zone or host that the step doesn't know.
+// Share returns the exact share of a zone's requests that a host gets; 0 if the zone or host is not part of the step.
 func (s *Step) Share(zone, host string) *big.Rat {
 	m, ok := s.members[host]
 	if !ok || m.isCanary {
@@ -16,7 +16,7 @@
 	return new(big.Rat)
 }
 
-// ShadowShare is the exact share of a zone's shadow requests that a canary host gets; 0 for all others.
+// ShadowShare returns the exact share of a zone's shadow requests that a canary host gets; 0 for all other hosts.
 func (s *Step) ShadowShare(zone, host string) *big.Rat {
 	m, ok := s.members[host]
 	if !ok || !m.isCanary {
@@ -30,7 +30,7 @@
 	return new(big.Rat)
 }
 
-// UnservedRate is the requests a second that are shed.
+// UnservedRate returns the rate of requests that are shed, in requests per second.
 func (s *Step) UnservedRate() float64 {
 	sum := new(big.Rat)
 	for g, d := range s.demands {
@@ -40,7 +40,8 @@
 	return v
 }
 
-// CrossZoneRate is the requests a second of a zone, or of all with "", that go to other zones.
+// CrossZoneRate returns the rate of a zone's requests that go to other zones, in requests per second. The zone "" stands for
+// all zones.
 func (s *Step) CrossZoneRate(zone string) float64 {
 	sum := new(big.Rat)
 	for g, d := range s.demands {
@@ -54,7 +55,8 @@
 	return v
 }
 
-// Utilization is the planned share of the capacity, less the reserve, of a zone's hosts, or of all with "".
+// Utilization returns the planned work of a zone's hosts divided by their capacity without the reserve. The zone "" stands
+// for all zones.
 func (s *Step) Utilization(zone string) float64 {
 	sum, capacity := new(big.Rat), int64(0)
 	for p, x := range s.pools {
@@ -73,19 +75,19 @@
 	return v
 }
 
-// PoolUtilization is the utilization of hosts of one zone that differ in their weights only.
+// PoolUtilization is the utilization of a group of hosts of one zone that differ only in their weights.
 type PoolUtilization struct {
 	Zone        string
 	Hosts       int
-	WarmingUp   bool    // some of them are
-	Capacity    float64 // seconds of work a second, less the reserve
-	MaxRate     float64 // requests a second; -1 for no bound
-	Rate        float64 // requests a second
+	WarmingUp   bool    // at least one host is warming up
+	Capacity    float64 // seconds of work per second, without the reserve
+	MaxRate     float64 // requests per second; -1 for no bound
+	Rate        float64 // requests per second
 	Utilization float64 // share of Capacity
 	exact       *big.Rat
 }
 
-// PoolUtilizations returns the utilizations of all pools that can serve requests, by zone.
+// PoolUtilizations returns the utilizations of all pools that can serve requests, sorted by zone.
 func (s *Step) PoolUtilizations() (out []PoolUtilization) {
 	for p, x := range s.pools {
 		utilization, rate := new(big.Rat), new(big.Rat)
--- a/plan/simplex.go
+++ b/plan/simplex.go
@@ -2,23 +2,23 @@
 
 import "math/big"
 
-// simplex is a linear program in integers, solved without rounding: the tableau holds integers over one common
-// denominator, and each pivot divides by the last pivot, which leaves no remainder (Bareiss, Sylvester's Identity and
-// Multistep Integer-Preserving Gaussian Elimination, 1968; for the tableau: Edmonds and Maurras, 1997). Pivots follow
-// Bland's rule (New Finite Pivoting Rules for the Simplex Method, 1977), so that it always ends, and the result depends
-// only on the order of rows and columns, not on the scale of the figures.
+// simplex is a linear program in integers that is solved without rounding. The tableau holds integers over one common
+// denominator, and each pivot step divides by the previous pivot, which leaves no remainder (Bareiss, Sylvester's Identity
+// and Multistep Integer-Preserving Gaussian Elimination, 1968; for the tableau: Edmonds and Maurras, 1997). Pivots follow
+// Bland's rule (New Finite Pivoting Rules for the Simplex Method, 1977). Therefore, the algorithm always terminates, and
+// the result depends only on the order of rows and columns, not on the scale of the figures.
 //
-// A row is a sum that must be at most a bound of 0 or more, or equal to it where a column that is in no other row takes
-// the rest. So all columns at 0 is a feasible start.
+// A row is a sum of columns with an upper bound of 0 or more. If the row has a remainder column, which is in no other row,
+// the sum equals the bound. Therefore, the solution with all other columns at 0 is feasible and is the starting point.
 //
-// Goals are met one after the other (lexicographic programming): once a goal is met, columns that would harm it are barred
-// for good, so that later goals change only what leaves all earlier ones as they are.
+// Goals are met one after the other (lexicographic programming). Once a goal is met, the columns that would worsen it are
+// excluded from the basis permanently, so that later goals can't change the value of earlier ones.
 type simplex struct {
-	rows        [][]*big.Int // the last entry of each is the bound
+	rows        [][]*big.Int // the last entry of each row is the bound
 	denominator *big.Int
 	basis       []int  // by row, the column that is in the solution
 	rowOf       []int  // by column, its row in the basis, or -1
-	barred      []bool // by column
+	excluded    []bool // by column
 	slack       []int  // by row, its slack column or -1
 	columns     int
 
@@ -26,25 +26,26 @@
 }
 
 func newSimplex(columns int) *simplex {
-	s := &simplex{denominator: big.NewInt(1), columns: columns, rowOf: make([]int, columns), barred: make([]bool, columns)}
+	s := &simplex{denominator: big.NewInt(1), columns: columns, rowOf: make([]int, columns), excluded: make([]bool, columns)}
 	for i := range s.rowOf {
 		s.rowOf[i] = -1
 	}
 	return s
 }
 
-// term is a column's part of a row.
+// term is a column with its factor in a row.
 type term struct {
 	column int
 	factor *big.Int
 }
 
-// smallTerm is a term whose factor fits 64 bits.
+// smallTerm returns a term whose factor fits into 64 bits.
 func smallTerm(column int, factor int64) term { return term{column, big.NewInt(factor)} }
 
-// addRow adds a row and returns its number. A column rest of 0 or above takes what is left of the bound and must be in no
-// other row; with a negative rest a slack does, and the row is an upper bound. All rows are added before addSlacks.
-func (s *simplex) addRow(bound *big.Int, rest int, terms ...term) int {
+// addRow adds a row and returns its number. If remainder is 0 or more, it is the column that takes the difference between
+// the bound and the sum of the terms, and it must be in no other row. If it is negative, addSlacks adds a slack column, and
+// the bound is an upper bound. All rows must be added before addSlacks is called.
+func (s *simplex) addRow(bound *big.Int, remainder int, terms ...term) int {
 	row := make([]*big.Int, s.columns)
 	for _, t := range terms {
 		if row[t.column] == nil {
@@ -52,24 +53,24 @@
 		}
 		row[t.column].Add(row[t.column], t.factor)
 	}
-	if rest >= 0 {
-		row[rest] = big.NewInt(1)
-		s.rowOf[rest] = len(s.rows)
+	if remainder >= 0 {
+		row[remainder] = big.NewInt(1)
+		s.rowOf[remainder] = len(s.rows)
 	}
 	s.rows = append(s.rows, append(row, new(big.Int).Set(bound)))
-	s.basis = append(s.basis, rest)
+	s.basis = append(s.basis, remainder)
 	s.slack = append(s.slack, -1)
 	return len(s.rows) - 1
 }
 
-// addSlacks gives all rows without a rest their slacks. It is called once, before the first goal.
+// addSlacks adds slack columns for all rows without a remainder column. It is called once, before the first goal.
 func (s *simplex) addSlacks() {
 	for i, column := range s.basis {
 		if column < 0 {
 			s.basis[i] = s.columns
 			s.slack[i] = s.columns
 			s.rowOf = append(s.rowOf, i)
-			s.barred = append(s.barred, false)
+			s.excluded = append(s.excluded, false)
 			s.columns++
 		}
 	}
@@ -89,8 +90,8 @@
 	}
 }
 
-// addColumn adds a column whose part in each row is given by factors of rows' slacks (B^-1 a is the same sum of the
-// slacks' columns), and returns its number.
+// addColumn adds a column and returns its number. factors gives the column's factor in each original row, by row. Its
+// entries in the tableau, B^-1 a, are the sum of the slack columns of these rows times the factors.
 func (s *simplex) addColumn(factors map[int]int64) int {
 	column := s.columns
 	for i, r := range s.rows {
@@ -102,37 +103,37 @@
 		s.rows[i] = append(r[:s.columns:s.columns], v, bound)
 	}
 	s.columns++
-	s.rowOf, s.barred = append(s.rowOf, -1), append(s.barred, false)
+	s.rowOf, s.excluded = append(s.rowOf, -1), append(s.excluded, false)
 	return column
 }
 
-// minimize minimizes the sum of cost times column and bars the columns that would raise it again. The sum must be bounded
-// below.
+// minimize minimizes the sum of cost times column and excludes the columns that would increase it again. The sum must be
+// bounded below.
 func (s *simplex) minimize(cost map[int]int64) {
-	price := s.prices(cost)
+	reduced := s.reducedCosts(cost)
 	for {
-		entering := s.enteringColumn(price)
+		entering := s.enteringColumn(reduced)
 		if entering < 0 {
 			break
 		}
 		leaving := s.leavingRow(entering)
 		if leaving < 0 {
-			panic("plan: a goal without a bound, which the model's rows rule out")
+			panic("plan: the goal is unbounded, which the rows of the model rule out")
 		}
-		s.pivot(leaving, entering, price)
+		s.pivot(leaving, entering, reduced)
 	}
 	for j := range s.columns {
-		if s.rowOf[j] < 0 && price[j].Sign() > 0 {
-			s.barred[j] = true
+		if s.rowOf[j] < 0 && reduced[j].Sign() > 0 {
+			s.excluded[j] = true
 		}
 	}
 }
 
-// prices returns the price of each column, times the denominator: its own cost less that of the columns that it would
-// push out.
-func (s *simplex) prices(cost map[int]int64) []*big.Int {
-	price := make([]*big.Int, s.columns+1)
-	for j := range price {
+// reducedCosts returns the reduced cost of each column, times the denominator: the column's cost minus the cost of the basis
+// columns that it would displace.
+func (s *simplex) reducedCosts(cost map[int]int64) []*big.Int {
+	reduced := make([]*big.Int, s.columns+1)
+	for j := range reduced {
 		v := new(big.Int)
 		if c, ok := cost[j]; ok {
 			v.Mul(big.NewInt(c), s.denominator)
@@ -142,23 +143,23 @@
 				v.Sub(v, s.product1.Mul(s.rows[i][j], big.NewInt(c)))
 			}
 		}
-		price[j] = v
+		reduced[j] = v
 	}
-	return price
+	return reduced
 }
 
-// enteringColumn returns the first column that lowers the cost; -1 for none.
-func (s *simplex) enteringColumn(price []*big.Int) int {
+// enteringColumn returns the first column that lowers the cost; -1 if there is none.
+func (s *simplex) enteringColumn(reduced []*big.Int) int {
 	for j := range s.columns {
-		if !s.barred[j] && s.rowOf[j] < 0 && price[j].Sign() < 0 {
+		if !s.excluded[j] && s.rowOf[j] < 0 && reduced[j].Sign() < 0 {
 			return j
 		}
 	}
 	return -1
 }
 
-// leavingRow returns the row that binds first as a column grows, of equals the one whose column has the lowest number; -1
-// for none.
+// leavingRow returns the row whose bound is reached first as the entering column grows; -1 if there is none. Among several
+// such rows it returns the one whose basis column has the lowest number.
 func (s *simplex) leavingRow(entering int) int {
 	best := -1
 	for i, r := range s.rows {
@@ -178,21 +179,21 @@
 	return best
 }
 
-// pivot puts a column into the basis in place of a row's.
-func (s *simplex) pivot(row, column int, price []*big.Int) {
+// pivot replaces the basis column of a row by another column, and updates the reduced costs.
+func (s *simplex) pivot(row, column int, reduced []*big.Int) {
 	pivotRow := s.rows[row]
 	for i, r := range s.rows {
 		if i != row {
 			s.eliminate(r, pivotRow, column)
 		}
 	}
-	s.eliminate(price, pivotRow, column)
+	s.eliminate(reduced, pivotRow, column)
 	s.denominator = new(big.Int).Set(pivotRow[column])
 	s.rowOf[s.basis[row]] = -1
 	s.basis[row], s.rowOf[column] = column, row
 }
 
-// eliminate removes a column from a row, by multiples of the pivot row. The division leaves no remainder.
+// eliminate makes a column's entry in a row 0 by subtracting a multiple of the pivot row. The division is exact.
 func (s *simplex) eliminate(row, pivotRow []*big.Int, column int) {
 	pivot := pivotRow[column]
 	divide := s.denominator.Cmp(big.NewInt(1)) != 0
@@ -218,6 +219,6 @@
 	return new(big.Rat).SetFrac(s.rows[s.rowOf[column]][s.columns], s.denominator)
 }
 
-// isTight reports whether a row's bound is reached in every solution that meets all goals so far, as far as barred columns
-// show it.
-func (s *simplex) isTight(row int) bool { return s.barred[s.slack[row]] }
+// isTight reports whether a row's bound is reached in every solution that meets all goals so far. It is false where this
+// does not follow from the excluded columns.
+func (s *simplex) isTight(row int) bool { return s.excluded[s.slack[row]] }
--- a/plan/simplex_test.go
+++ b/plan/simplex_test.go
@@ -8,8 +8,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// bestCorner finds the least value of two goals, one after the other, over all corners of a set of rows sum <= bound with
-// columns of 0 or more: each choice of as many tight bounds as there are columns is solved for where they meet.
+// bestCorner returns the least values of two goals, optimized one after the other, over all corners of the set given by rows
+// sum <= bound and columns of 0 or more. It computes a corner for each choice of as many tight bounds as there are columns.
 func bestCorner(rows [][]int64, bounds []int64, first, second []int64) (a, b *big.Rat) {
 	n := len(first)
 	all := append([][]int64{}, rows...)
@@ -52,7 +52,7 @@
 	return a, b
 }
 
-// intersection is the point where the rows are all tight; nil if there is not exactly one.
+// intersection returns the point at which all rows are tight; nil if there is not exactly one.
 func intersection(rows [][]int64, right []int64, some []int) []*big.Rat {
 	n := len(some)
 	m := make([][]*big.Rat, n)
@@ -88,7 +88,7 @@
 	return x
 }
 
-func TestGoalsInOrderEqualTheBestCorner(t *testing.T) {
+func TestSimplex_MeetsGoalsInOrder(t *testing.T) {
 	r := rand.New(rand.NewPCG(1, 2))
 	for range 3000 {
 		n, m := 1+r.IntN(4), 1+r.IntN(4)
@@ -100,7 +100,7 @@
 			}
 			rows, bounds = append(rows, row), append(bounds, int64(r.IntN(6)))
 		}
-		all := make([]int64, n) // so that every goal has a bound
+		all := make([]int64, n) // bounds every goal
 		first, second := make([]int64, n), make([]int64, n)
 		for j := range n {
 			all[j], first[j], second[j] = 1, int64(r.IntN(7)-3), int64(r.IntN(7)-3)
--- a/plan/solve.go
+++ b/plan/solve.go
@@ -6,40 +6,40 @@
 	"time"
 )
 
-// Plan is the shares of all steps of a forecast.
+// Plan holds the shares for all steps of a forecast.
 type Plan struct {
 	Steps []*Step
 	model *Model
 }
 
-// Model returns what the plan was made from.
+// Model returns the model that the plan was computed from.
 func (p *Plan) Model() *Model { return p.model }
 
-// Step is the shares of one step of the forecast. Its methods give them host by host.
+// Step holds the shares for one step of the forecast. Its methods return them host by host.
 type Step struct {
-	At         time.Duration   // from the plan's start
-	Infeasible *Infeasibility  // nil where all demand is served
-	Shadows    []ShadowTraffic // to the canary build, by zone; empty where there is none
+	At         time.Duration   // relative to the plan's start
+	Infeasible *Infeasibility  // nil if all demand is served
+	Shadows    []ShadowTraffic // shadow requests to the canary build, by zone; empty if there is no canary build
 
 	limits      Limits
 	demands     []zoneDemand
 	pools       []pool
 	canaryPools []pool
-	shares      [][]*big.Rat          // by demand and pool, of the zone's requests
-	shed        []*big.Rat            // by demand
+	shares      [][]*big.Rat          // share of the zone's requests by demand and pool
+	shed        []*big.Rat            // share of the zone's requests that is shed, by demand
 	members     map[string]poolMember // by host
-	local       bool                  // found without a linear program
+	local       bool                  // the shares were found without a linear program
 }
 
-// poolMember says which pool a host is in.
+// poolMember is a host's membership in a pool.
 type poolMember struct {
-	pool     int
+	pool     int // index into pools or canaryPools
 	work     int64
 	isCanary bool // the pool is one of canaryPools
 }
 
-// Solve makes a plan with a step for each step of the forecast. It fails for an invalid model. Limits that can't all be
-// kept are no error: the step says so in Infeasible.
+// Solve computes a plan with a step for each step of the forecast. It fails for an invalid model. It is not an error if a
+// step can't keep all limits: the step then has Infeasible set.
 func Solve(m *Model) (*Plan, error) {
 	if err := m.Validate(); err != nil {
 		return nil, err
@@ -68,7 +68,7 @@
 		s.Infeasible = m.infeasibility(s, n)
 	}
 	if err := s.verify(m, hosts, stage, canary); err != nil {
-		return nil, fmt.Errorf("plan at %v: the shares don't stand up to the check, which is a fault of the solver: %w", f.At, err)
+		return nil, fmt.Errorf("plan at %v: solver fault: the computed shares fail verification: %w", f.At, err)
 	}
 	return s, nil
 }
@@ -80,7 +80,7 @@
 	return s
 }
 
-// groupHosts groups the hosts into pools, those of the canary build apart.
+// groupHosts groups the hosts into pools. Hosts of the canary build are in separate pools.
 func (s *Step) groupHosts(hosts []hostCapacity) {
 	var serving, canaries []hostCapacity
 	for _, h := range hosts {
@@ -104,7 +104,7 @@
 	}
 }
 
-// solve finds the shares: directly where each zone can serve itself, else by linear programs.
+// solve computes the shares: directly if each zone can serve its own demand, otherwise by linear programs.
 func (s *Step) solve(current Shares) {
 	if s.local = s.solveLocally(); s.local {
 		return
@@ -117,10 +117,11 @@
 	l.readSolution(s)
 }
 
-// minimizeUnserved finds no more than what can be served.
+// minimizeUnserved computes shares that serve as much demand as possible, without the other goals.
 func (s *Step) minimizeUnserved() { s.minimizeUnservedUnder(everyConstraint) }
 
-// minimizeUnservedUnder is minimizeUnserved without the constraints that keep refuses, unless each zone can serve itself.
+// minimizeUnservedUnder is minimizeUnserved with only the constraints that keep selects. If each zone can serve its own
+// demand, all constraints are met and keep is not used.
 func (s *Step) minimizeUnservedUnder(keep func(constraint) bool) {
 	if s.solveLocally() {
 		return
--- a/plan/stages.go
+++ b/plan/stages.go
@@ -2,19 +2,19 @@
 
 import "slices"
 
-// StageFeasibility says whether a stage of the release would be feasible during a step, with its hosts warmed up.
+// StageFeasibility describes whether a stage of the release would be feasible during a step, with its hosts warmed up.
 type StageFeasibility struct {
 	Stage, Step  int     // from 0
-	Hosts        int     // that run its build
-	UnservedRate float64 // requests a second of the demand that the other hosts could not serve
-	AllowedRate  float64 // shadow requests a second that the stage's cap allows
-	PlannedRate  float64 // shadow requests a second that its hosts could take of them
+	Hosts        int     // number of hosts that run the released build
+	UnservedRate float64 // requests per second that the other hosts could not serve
+	AllowedRate  float64 // shadow requests per second that the stage's cap allows
+	PlannedRate  float64 // the part of AllowedRate that the stage's hosts could serve
 }
 
 // Feasible reports whether the stage leaves all demand served.
 func (f StageFeasibility) Feasible() bool { return f.UnservedRate == 0 }
 
-// CheckStages tries every stage of the release in every step, before it starts; nil where there is no release.
+// CheckStages checks the feasibility of every stage of the release in every step. It returns nil if there is no release.
 func (p *Plan) CheckStages() (out []StageFeasibility, err error) {
 	m := p.model
 	if m.Release == nil {
--- a/plan/verify.go
+++ b/plan/verify.go
@@ -5,18 +5,18 @@
 	"math/big"
 )
 
-// verifier checks the shares of a step host by host, in exact rationals and with figures that it takes from the model
-// itself. It relies on nothing that the solver computed but the shares.
+// verifier checks the shares of a step host by host, in exact rationals. It takes all other figures from the model and uses
+// no other results of the solver.
 type verifier struct {
 	step       *Step
 	model      *Model
 	stage      int
 	demands    []zoneDemand
 	hosts      []hostCapacity
-	work, rate rationals // by host, in millionths a second
+	work, rate rationals // by host, in millionths per second
 }
 
-// rationals are sums by name.
+// rationals holds sums by name.
 type rationals map[string]*big.Rat
 
 func (r rationals) add(name string, v *big.Rat) {
@@ -26,7 +26,7 @@
 	r[name].Add(r[name], v)
 }
 
-// verify checks every limit of a step. Its errors are faults of the solver.
+// verify checks that the step's shares keep every limit. An error means a fault of the solver.
 func (s *Step) verify(m *Model, hosts []Host, stage, canary int) error {
 	v := verifier{
 		step: s, model: m, stage: stage, demands: m.zoneDemands(m.forecastAt(s)),
@@ -50,7 +50,7 @@
 	return v.checkBalance()
 }
 
-// checkDemand checks that a zone's requests are all shared out or shed, and adds up what its hosts get.
+// checkDemand checks that all of a zone's requests are either served or shed, and adds them to the load of the hosts.
 func (v *verifier) checkDemand(d zoneDemand, shed *big.Rat) error {
 	sum, crossZone := new(big.Rat).Set(shed), new(big.Rat)
 	for _, h := range v.hosts {
@@ -60,10 +60,10 @@
 			continue
 		}
 		if share.Sign() < 0 {
-			return fmt.Errorf("%s gets less than nothing from %s", name, d.zone)
+			return fmt.Errorf("host %s has a negative share of zone %s", name, d.zone)
 		}
 		if h.isCanary {
-			return fmt.Errorf("%s runs the build on trial, but gets tasks from %s", name, d.zone)
+			return fmt.Errorf("host %s runs the canary build, but has a share of zone %s", name, d.zone)
 		}
 		sum.Add(sum, share)
 		if h.host.Zone != d.zone {
@@ -73,16 +73,16 @@
 		v.rate.add(name, new(big.Rat).Mul(share, big.NewRat(d.rate, 1)))
 	}
 	if sum.Cmp(big.NewRat(1, 1)) != 0 || shed.Sign() < 0 {
-		return fmt.Errorf("shares of %s sum up to %s", d.zone, sum.FloatString(9))
+		return fmt.Errorf("the shares of zone %s sum up to %s instead of 1, or the shed share is negative", d.zone, sum.FloatString(9))
 	}
 	limit := v.step.limits.MaxCrossZone
 	if limit < 1 && crossZone.Cmp(big.NewRat(toMicros(limit), micro)) > 0 {
-		return fmt.Errorf("%s of the tasks of %s cross", crossZone.FloatString(9), d.zone)
+		return fmt.Errorf("a share of %s of the requests of zone %s goes to other zones, which exceeds the limit", crossZone.FloatString(9), d.zone)
 	}
 	return nil
 }
 
-// checkShadows checks a zone's shadow requests against the stage's cap, and adds up what hosts get of them.
+// checkShadows checks a zone's shadow requests against the stage's cap, and adds them to the load of the hosts.
 func (v *verifier) checkShadows(t ShadowTraffic) error {
 	allowed := new(big.Rat)
 	for _, d := range v.demands {
@@ -91,7 +91,7 @@
 		}
 	}
 	if t.rate.Cmp(allowed) > 0 {
-		return fmt.Errorf("copies in %s go beyond the cap of stage %d", t.Zone, v.stage+1)
+		return fmt.Errorf("the shadow requests of zone %s exceed the cap of stage %d", t.Zone, v.stage+1)
 	}
 	for _, h := range v.hosts {
 		name := h.host.Name
@@ -100,7 +100,7 @@
 			continue
 		}
 		if !h.isCanary {
-			return fmt.Errorf("%s gets copies, but does not run the build on trial", name)
+			return fmt.Errorf("host %s gets shadow requests, but does not run the canary build", name)
 		}
 		v.work.add(name, new(big.Rat).Mul(share, t.work))
 		v.rate.add(name, new(big.Rat).Mul(share, t.rate))
@@ -108,17 +108,17 @@
 	return nil
 }
 
-// checkHost checks what a host gets against its capacity and its bound.
+// checkHost checks the load of a host against its capacity and its rate bound.
 func (v *verifier) checkHost(h hostCapacity) error {
 	work, rate := v.work[h.host.Name], v.rate[h.host.Name]
 	if work == nil {
 		return nil
 	}
 	if work.Cmp(big.NewRat(h.work, 1)) > 0 {
-		return fmt.Errorf("%s gets %s of work, %d can be done", h.host.Name, work.FloatString(3), h.work)
+		return fmt.Errorf("host %s gets %s µs of work per second, its capacity is %d µs", h.host.Name, work.FloatString(3), h.work)
 	}
 	if h.maxRate >= 0 && rate.Cmp(big.NewRat(h.maxRate, 1)) > 0 {
-		return fmt.Errorf("%s gets %s tasks, %d are allowed", h.host.Name, rate.FloatString(3), h.maxRate)
+		return fmt.Errorf("host %s gets %s millionths of a request per second, its bound is %d", h.host.Name, rate.FloatString(3), h.maxRate)
 	}
 	return nil
 }
@@ -144,7 +144,7 @@
 	for zone, work := range zoneWork {
 		bound := scaledShare(toMicros(limits.MaxZoneImbalance), totalWork, capacity[zone], totalCapacity)
 		if limits.MaxZoneImbalance > 0 && work.Cmp(new(big.Rat).SetInt(bound)) > 0 {
-			return fmt.Errorf("%s is used more than the balance between locations allows", zone)
+			return fmt.Errorf("the utilization of zone %s exceeds the limit on imbalance between zones", zone)
 		}
 	}
 	if limits.MaxHostImbalance == 0 {
@@ -158,13 +158,13 @@
 		bound := new(big.Rat).Mul(big.NewRat(toMicros(limits.MaxHostImbalance), micro), zoneWork[h.host.Zone])
 		bound.Mul(bound, big.NewRat(h.work, capacity[h.host.Zone]))
 		if work.Cmp(bound) > 0 {
-			return fmt.Errorf("%s is used more than the balance within its location allows", h.host.Name)
+			return fmt.Errorf("the utilization of host %s exceeds the limit on imbalance within its zone", h.host.Name)
 		}
 	}
 	return nil
 }
 
-// forecastAt returns the forecast that a step was made from.
+// forecastAt returns the forecast that a step was computed from.
 func (m *Model) forecastAt(s *Step) Forecast {
 	for _, f := range m.Forecast {
 		if f.At == s.At {
--- a/plan/weights.go
+++ b/plan/weights.go
@@ -7,29 +7,29 @@
 	"time"
 )
 
-// Weights are what the routers of one zone follow: integers in the same unit for all hosts, so that a host that comes or
-// goes changes no other's.
+// Weights are the host weights for the routers of one zone. They are integers in the same unit for all hosts, so that adding
+// or removing a host does not change the weights of others.
 type Weights struct {
-	Local          map[string]uint64 `json:"near"`             // hosts of the zone, in millionths of a second of work a second
-	Remote         map[string]uint64 `json:"far,omitempty"`    // hosts of other zones
+	Local          map[string]uint64 `json:"near"`             // hosts of the zone, in millionths of a second of work per second
+	Remote         map[string]uint64 `json:"far,omitempty"`    // hosts of other zones, in the same unit
 	CrossZoneShare uint64            `json:"cross,omitempty"`  // share of the requests that go to other zones, in billionths
 	ShadowShare    uint64            `json:"copies,omitempty"` // planned shadow requests, in millionths of the requests
 }
 
-// nano is the precision of Weights.Cross, at which rounding adds far less than any host may get.
+// nano is the precision of Weights.CrossZoneShare. At this precision, the rounding error is far below any host's share.
 const nano = 1e9
 
 // Published is a numbered version of the weights of all zones.
 type Published struct {
 	Version uint64             `json:"version"`
-	Stage   int                `json:"stage"` // of the release
+	Stage   int                `json:"stage"` // stage of the release, from 0
 	Build   int                `json:"build"` // the canary build; 0 for none
 	ByZone  map[string]Weights `json:"for"`   // by zone
-	Until   time.Duration      `json:"-"`     // when it expires, on the publisher's clock
+	Until   time.Duration      `json:"-"`     // when the version expires, on the publisher's clock
 }
 
-// Weights converts a step's exact shares to integers. It returns the weights also where these break a limit, with an error
-// that says which.
+// Weights converts a step's exact shares to integer weights. If these break a limit, it returns the weights together with an
+// error that names the limit.
 func (s *Step) Weights() (map[string]Weights, error) {
 	weights := map[string]Weights{}
 	for g, d := range s.demands {
@@ -41,7 +41,7 @@
 
 func (s *Step) zoneWeights(g int, d zoneDemand) Weights {
 	w := Weights{Local: map[string]uint64{}}
-	s.weighPools(g, w.Local, func(p pool) bool { return p.zone == d.zone })
+	s.setWeights(g, w.Local, func(p pool) bool { return p.zone == d.zone })
 	crossZone := new(big.Rat)
 	for p, x := range s.pools {
 		if x.zone != d.zone {
@@ -50,7 +50,7 @@
 	}
 	if crossZone.Sign() > 0 {
 		w.Remote = map[string]uint64{}
-		s.weighPools(g, w.Remote, func(p pool) bool { return p.zone != d.zone })
+		s.setWeights(g, w.Remote, func(p pool) bool { return p.zone != d.zone })
 		served := new(big.Rat).Sub(big.NewRat(1, 1), s.shed[g])
 		w.CrossZoneShare = scaleDown(crossZone.Quo(crossZone, served), nano)
 	}
@@ -62,9 +62,9 @@
 	return w
 }
 
-// weighPools gives each host of some pools its weight: its capacity times the pool's utilization by this demand, relative
-// to the largest of these pools.
-func (s *Step) weighPools(g int, weights map[string]uint64, include func(pool) bool) {
+// setWeights sets the weight of each host of the pools that include selects: the host's capacity times the utilization of
+// its pool by this demand, relative to the largest such utilization.
+func (s *Step) setWeights(g int, weights map[string]uint64, include func(pool) bool) {
 	largest := new(big.Rat)
 	utilization := make([]*big.Rat, len(s.pools))
 	for p, x := range s.pools {
@@ -91,13 +91,13 @@
 	}
 }
 
-// scaleDown is v times n, rounded down.
+// scaleDown returns v times n, rounded down.
 func scaleDown(v *big.Rat, n int64) uint64 {
 	x := new(big.Int).Mul(v.Num(), big.NewInt(n))
 	return x.Div(x, v.Denom()).Uint64()
 }
 
-// Changed counts the weights and the shares between zones in which two versions differ.
+// Changed returns the number of weights and cross-zone shares in which two versions differ.
 func Changed(a, b map[string]Weights) (n int) {
 	zones := map[string]bool{}
 	for zone := range a {
--- a/plan/what_if.go
+++ b/plan/what_if.go
@@ -9,13 +9,13 @@
 
 // WhatIf returns the model as it would be after an event:
 //
-//	lose LOCATION         all hosts of a zone are lost
+//	lose LOCATION         all hosts of a zone are lost, and cross-zone traffic is not limited
 //	lose host NAME        one host is lost
 //	cold LOCATION         all hosts of a zone start at the plan's start
-//	demand xN [LOCATION]  demand is N times the forecast, everywhere or in a zone
+//	demand xN [LOCATION]  demand is N times the forecast, in all zones or in one
 //	no release            there is no release
 //
-// It fails for other texts, and for hosts and zones that don't exist.
+// It returns an error for any other event, and for hosts and zones that don't exist.
 func (m *Model) WhatIf(event string) (*Model, error) {
 	out := *m
 	out.Hosts = slices.Clone(m.Hosts)
@@ -55,7 +55,7 @@
 		return err
 	}
 	m.Hosts = slices.DeleteFunc(m.Hosts, func(h Host) bool { return h.Zone == zone })
-	m.Limits.MaxCrossZone = 1 // its requests have nowhere else to go
+	m.Limits.MaxCrossZone = 1 // the zone's requests can only be served in other zones
 	return nil
 }
 
@@ -71,7 +71,7 @@
 	return nil
 }
 
-// scaleDemand multiplies the demand of a zone, or of all with "", by a factor of the form xN.
+// scaleDemand multiplies the demand of a zone by a factor of the form xN. The zone "" stands for all zones.
 func (m *Model) scaleDemand(text, zone string) error {
 	const maxFactor = 1000
 	var factor float64
@@ -94,7 +94,7 @@
 
 func (m *Model) requireZone(zone string) error {
 	if !slices.ContainsFunc(m.Hosts, func(h Host) bool { return h.Zone == zone }) {
-		return fmt.Errorf("no host stands in %s", zone)
+		return fmt.Errorf("no host is in zone %s", zone)
 	}
 	return nil
 }
