--- a/internal/planreport/doc.go
+++ b/internal/planreport/doc.go
@@ -1,3 +1,3 @@
-// Package planreport reads the model of a plan from an INI file, and writes plans as tables and pictures. Package plan
-// computes them.
+// Package planreport reads the model of a plan from an INI file and writes plans as tables and plots. Package plan computes
+// the plans.
 package planreport
--- a/internal/planreport/model.go
+++ b/internal/planreport/model.go
@@ -11,10 +11,10 @@
 	"dapplefront/policy"
 )
 
-// defaultAge is how long ago hosts started by default: long enough to have warmed up.
+// defaultAge is the default age of hosts at the plan's start: long enough to have warmed up.
 const defaultAge = 30 * 24 * time.Hour
 
-// FromFile reads a report from a file that was parsed. Errors are added to the file.
+// FromFile reads a report from a parsed file. Errors are added to the file.
 func FromFile(f *inifile.File) *Report {
 	settings := f.Section("plan")
 	r := &Report{Model: &plan.Model{}, Start: timeOfDay(settings, "start", "00:00")}
@@ -55,7 +55,7 @@
 	}
 }
 
-// idempotencies are the values of "repeat"; all others are idempotent.
+// idempotencies maps the values of the key "repeat". The value "retriable" is not listed: it means Idempotent, the zero value.
 var idempotencies = map[string]policy.Idempotency{"fingerprinted": policy.IdempotentWithKey, "binding": policy.NonIdempotent}
 
 func (r *Report) readClass(s inifile.Section, name string) {
@@ -79,7 +79,7 @@
 	h.StartsAt = -ago
 	if s.Text("starts", "-") != "-" {
 		if s.Text("started", "-") != "-" {
-			s.AddError("starts", "started (so long ago) or starts (so long after the plan's start) expected, not both")
+			s.AddError("starts", "started (time before the plan's start) or starts (time after the plan's start) expected, not both")
 		}
 		h.StartsAt = in
 	}
@@ -92,7 +92,7 @@
 	}
 }
 
-// readDemand reads requests a second by class: one figure for all steps, or one for each.
+// readDemand reads request rates by class: one figure for all steps, or one for each step.
 func (r *Report) readDemand(s inifile.Section, zone string) {
 	spread := s.Share("spread", "0%")
 	for _, c := range r.Model.Classes {
@@ -105,7 +105,7 @@
 			text := figures[min(n, len(figures)-1)]
 			rate, err := strconv.ParseFloat(text, 64)
 			if err != nil || !(rate >= 0 && rate <= 1e7) {
-				s.AddError(c.Name, "%s: %s: tasks a second from 0 to 10 million expected", c.Name, text)
+				s.AddError(c.Name, "%s: %s: requests per second from 0 to 10 million expected", c.Name, text)
 				break
 			}
 			f := &r.Model.Forecast[n]
@@ -141,7 +141,7 @@
 		CapPerClass: s.Bool("by-category", "off"), SideBySide: s.Bool("beside", "off"), ReleasedAt: s.Duration("released", "0s")}
 	shares, caps, at := s.Shares("shares", "!"), s.Shares("caps", "!"), s.List("at", "!")
 	if len(shares) != len(caps) || len(shares) != len(at) {
-		s.AddError("shares", "shares, caps and at: as many of each expected, not %d, %d and %d", len(shares), len(caps), len(at))
+		s.AddError("shares", "shares, caps and at: the same number of values in each expected, not %d, %d and %d", len(shares), len(caps), len(at))
 		return
 	}
 	for n := range shares {
--- a/internal/planreport/plot.go
+++ b/internal/planreport/plot.go
@@ -19,8 +19,8 @@
 	"dapplefront/plan"
 )
 
-// Plot draws a plan into a file, .svg or .png: utilization by zone and step, the rates of requests and, with a release,
-// how much of each step's demand each stage would leave unserved.
+// Plot writes plots of a plan to an .svg or .png file: the utilization by zone, the request rates and, if the model has a
+// release, the unserved request rate for each stage, all of them by step.
 func (r *Report) Plot(file string, p *plan.Plan) error {
 	plots, err := r.plots(p)
 	if err != nil {
@@ -37,7 +37,7 @@
 		c := vgimg.New(width, height)
 		canvas, write = c, func(w io.Writer) error { _, err := vgimg.PngCanvas{Canvas: c}.WriteTo(w); return err }
 	default:
-		return fmt.Errorf("%s: a picture ends with .svg or .png, not %q", file, ending)
+		return fmt.Errorf("%s: a file name that ends with .svg or .png expected, not %q", file, ending)
 	}
 	tiles := draw.Tiles{Rows: len(plots), Cols: 1, PadY: 5 * vg.Millimeter}
 	for i, c := range plot.Align(plots, tiles, draw.New(canvas)) {
@@ -60,7 +60,7 @@
 	return errors.Join(write(f), f.Close())
 }
 
-// plots returns one plot a row.
+// plots returns the plots, one per row.
 func (r *Report) plots(p *plan.Plan) ([][]*plot.Plot, error) {
 	utilization, err := utilizationPlot(p)
 	if err != nil {
@@ -81,7 +81,7 @@
 	return plots, nil
 }
 
-// stepPlot draws one line for each name over the steps.
+// stepPlot returns a plot with one line per name over the steps.
 func stepPlot(title, unit string, p *plan.Plan, names []string, value func(name string, step int) float64) (*plot.Plot, error) {
 	const legendSpace = 1.25 // times the largest value
 	g := plot.New()
@@ -92,7 +92,7 @@
 		for n, s := range p.Steps {
 			points = append(points, plotter.XY{X: s.At.Hours(), Y: value(name, n)})
 		}
-		if n := len(p.Steps); n > 1 { // the last step lasts as long as the one before
+		if n := len(p.Steps); n > 1 { // the last step is drawn with the length of the step before
 			points = append(points, plotter.XY{X: 2*points[n-1].X - points[n-2].X, Y: points[n-1].Y})
 		}
 		l, err := plotter.NewLine(points)
@@ -112,13 +112,13 @@
 }
 
 func utilizationPlot(p *plan.Plan) (*plot.Plot, error) {
-	return stepPlot("Use of what hosts can do, less the reserve", "%", p, zones(p.Model()), func(zone string, step int) float64 {
+	return stepPlot("Utilization of the hosts' capacity without the reserve", "%", p, zones(p.Model()), func(zone string, step int) float64 {
 		return 100 * p.Steps[step].Utilization(zone)
 	})
 }
 
 func ratePlot(p *plan.Plan) (*plot.Plot, error) {
-	return stepPlot("Tasks a second", "tasks/s", p, []string{"asked", "crossing", "unserved", "copies"}, func(name string, step int) float64 {
+	return stepPlot("Request rates", "tasks/s", p, []string{"asked", "crossing", "unserved", "copies"}, func(name string, step int) float64 {
 		s := p.Steps[step]
 		switch name {
 		case "asked":
@@ -138,7 +138,7 @@
 		return nil, err
 	}
 	var names []string
-	unserved := map[string]map[int]float64{} // by stage's name and step
+	unserved := map[string]map[int]float64{} // by stage name and step
 	for n := range p.Model().Release.Stages {
 		name := fmt.Sprintf("stage %d", n+1)
 		names = append(names, name)
@@ -149,7 +149,7 @@
 			}
 		}
 	}
-	return stepPlot("Unserved, were a stage to stand", "tasks/s", p, names, func(name string, step int) float64 {
+	return stepPlot("Unserved requests by stage of the release", "tasks/s", p, names, func(name string, step int) float64 {
 		return unserved[name][step]
 	})
 }
--- a/internal/planreport/printer.go
+++ b/internal/planreport/printer.go
@@ -6,7 +6,7 @@
 	"text/tabwriter"
 )
 
-// printer writes text and keeps the first error.
+// printer writes text. After an error it writes nothing more and keeps the error.
 type printer struct {
 	w   io.Writer
 	err error
@@ -18,7 +18,7 @@
 	}
 }
 
-// table writes rows whose cells end with tabs, in columns.
+// table writes rows as aligned columns. Each cell ends with a tab.
 func (p *printer) table(rows func(*printer)) {
 	if p.err != nil {
 		return
--- a/internal/planreport/report.go
+++ b/internal/planreport/report.go
@@ -10,13 +10,13 @@
 	"dapplefront/plan"
 )
 
-// Report is what a file says, and writes plans of it.
+// Report holds the model that is read from a file, and writes plans for it.
 type Report struct {
 	Model *plan.Model
 	Start time.Duration // time of day at which the plan starts
 }
 
-// Read reads and validates a file. Its errors name the file, and the line where one is to blame.
+// Read reads and validates a file. Its errors name the file and, for an error at a certain line, the line.
 func Read(file string) (*Report, error) {
 	f := inifile.Read(file)
 	r := FromFile(f)
@@ -29,7 +29,7 @@
 	return r, nil
 }
 
-// Clock returns a moment of the plan as a time of day.
+// Clock returns a time relative to the plan's start as a time of day.
 func (r *Report) Clock(at time.Duration) string {
 	const day = 24 * time.Hour
 	t := (r.Start + at) % day
@@ -39,7 +39,7 @@
 	return fmt.Sprintf("%02d:%02d", int(t.Hours()), int(t.Minutes())%60)
 }
 
-// zones returns all zones of a model, by name.
+// zones returns the names of all zones of a model, sorted.
 func zones(m *plan.Model) []string {
 	all := map[string]bool{}
 	for _, h := range m.Hosts {
@@ -53,7 +53,7 @@
 	return slices.Sorted(maps.Keys(all))
 }
 
-// plannedRate is the demand that a step is planned for, in requests a second.
+// plannedRate returns the demand that a step is planned for, in requests per second.
 func plannedRate(m *plan.Model, step int) (rate float64) {
 	for _, d := range m.Forecast[step].Demand {
 		rate += max(0, d.Rate+m.Limits.StdDevs*d.StdDev)
@@ -61,7 +61,7 @@
 	return rate
 }
 
-// shadowRate is the shadow requests a second that a step plans.
+// shadowRate returns the planned rate of shadow requests in a step, in requests per second.
 func shadowRate(s *plan.Step) (rate float64) {
 	for _, t := range s.Shadows {
 		rate += t.PlannedRate
--- a/internal/planreport/report_test.go
+++ b/internal/planreport/report_test.go
@@ -12,19 +12,19 @@
 	"dapplefront/plan"
 )
 
-func TestEveryInvalidSettingIsReportedWithItsLine(t *testing.T) {
-	s := inifile.Parse("plan.ini", "[plan]\nstart = 25:00\nsteps = 3\nstep = 1h\n[category quote]\nwork = 30\nrepeat = retriable\n"+
+func TestFromFile_ReportsEveryInvalidSettingWithItsLine(t *testing.T) {
+	file := inifile.Parse("plan.ini", "[plan]\nstart = 25:00\nsteps = 3\nstep = 1h\n[category quote]\nwork = 30\nrepeat = retriable\n"+
 		"[hosts north]\ncount = -1\n[demand north]\nquote = 1, 2\n[bounds]\nreserve = 100%\n[release]\nbuild = 2\nshares = 1%\ncaps = 1%, 2%\nat = 1h\n")
-	FromFile(s)
-	err := s.Err()
+	FromFile(file)
+	err := file.Err()
 	for _, want := range []string{"plan.ini:2: [plan] start = 25:00", "plan.ini:6: [category quote] work = 30", "plan.ini:9: [hosts north] count = -1",
 		"plan.ini:11: [demand north] quote: one figure, or one for each of 3 steps expected, not 2", "plan.ini:13: [bounds] reserve",
-		"plan.ini:16: [release] shares, caps and at: as many of each"} {
+		"plan.ini:16: [release] shares, caps and at: the same number of values in each"} {
 		require.ErrorContains(t, err, want)
 	}
 }
 
-const small = `[plan]
+const smallPlan = `[plan]
 start = 08:00
 steps = 2
 [category quote]
@@ -53,36 +53,36 @@
 at = 1h
 `
 
-func TestAPlanIsPrintedDrawnAndCompared(t *testing.T) {
+func TestReport_PrintsPlotsAndComparesPlans(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "plan.ini")
-	require.NoError(t, os.WriteFile(file, []byte(small), 0o600))
-	o, err := Read(file)
+	require.NoError(t, os.WriteFile(file, []byte(smallPlan), 0o600))
+	report, err := Read(file)
 	require.NoError(t, err)
-	p, err := plan.Solve(o.Model)
+	p, err := plan.Solve(report.Model)
 	require.NoError(t, err)
 	var out bytes.Buffer
-	require.NoError(t, o.Print(&out, p, true))
+	require.NoError(t, report.Print(&out, p, true))
 	for _, want := range []string{
 		"08:00: 5 requests/s can't be served: zone port has a demand of 9 requests/s, 0.9 s of work per second; zone port has only hosts that started less than 5s ago: at most 4 requests/s",
-		"09:00: 8 requests/s can't be served: zone north has a demand of 38 requests/s", "the loss of host", "does not fit at", "25.0000%"} {
+		"09:00: 8 requests/s can't be served: zone north has a demand of 38 requests/s", "the loss of host", "infeasible at", "25.0000%"} {
 		require.Contains(t, out.String(), want)
 	}
 	for _, name := range []string{"plan.svg", "plan.png"} {
-		picture := filepath.Join(t.TempDir(), name)
-		require.NoError(t, o.Plot(picture, p))
-		s, err := os.Stat(picture)
+		plotFile := filepath.Join(t.TempDir(), name)
+		require.NoError(t, report.Plot(plotFile, p))
+		info, err := os.Stat(plotFile)
 		require.NoError(t, err)
-		require.Greater(t, s.Size(), int64(5000))
+		require.Greater(t, info.Size(), int64(5000))
 	}
-	require.ErrorContains(t, o.Plot("plan.gif", p), ".svg or .png")
-	other, err := o.Model.WhatIf("demand x0.5 port")
+	require.ErrorContains(t, report.Plot("plan.gif", p), ".svg or .png")
+	other, err := report.Model.WhatIf("demand x0.5 port")
 	require.NoError(t, err)
 	q, err := plan.Solve(other)
 	require.NoError(t, err)
 	out.Reset()
-	require.NoError(t, o.PrintDiff(&out, plan.Diff(p, q)))
+	require.NoError(t, report.PrintDiff(&out, plan.Diff(p, q)))
 	require.Regexp(t, `08:00\s+unserved\s+all\s+5.0/s\s+0.5/s`, out.String())
 	out.Reset()
-	require.NoError(t, o.PrintDiff(&out, plan.Diff(p, p)))
+	require.NoError(t, report.PrintDiff(&out, plan.Diff(p, p)))
 	require.Equal(t, "no difference\n", out.String())
 }
--- a/internal/planreport/tables.go
+++ b/internal/planreport/tables.go
@@ -8,8 +8,8 @@
 	"dapplefront/plan"
 )
 
-// Print writes a plan as tables: rates and utilization by step, what is infeasible and why, losses that are not survived,
-// stages of the release and, if wanted, the shares of all hosts.
+// Print writes a plan as tables: rates and utilization by step, explanations of infeasible steps, losses that leave demand
+// unserved, the feasibility of the release's stages and, if hosts is set, the shares of all hosts.
 func (r *Report) Print(w io.Writer, p *plan.Plan, hosts bool) error {
 	m := p.Model()
 	stages, err := p.CheckStages()
@@ -26,7 +26,7 @@
 	}
 	r.printLosses(out, p)
 	if len(stages) > 0 {
-		out.printf("\nbuild %d, stage by stage, were it to stand at each step:\n", m.Release.Build)
+		out.printf("\nbuild %d, feasibility of each stage at each step:\n", m.Release.Build)
 		out.table(func(t *printer) { r.printStages(t, p, stages) })
 	}
 	if hosts {
@@ -59,17 +59,17 @@
 	}
 	losses := p.UnsurvivedLosses()
 	if len(losses) == 0 {
-		out.printf("\nevery loss asked for is survived at every step\n")
+		out.printf("\nat every step, all demand can be served after each loss that the plan must survive\n")
 		return
 	}
 	for _, l := range losses {
-		out.printf("\n%s: the loss of %s is not survived: %.4g tasks a second unserved", r.Clock(p.Steps[l.Step].At), l.Lost, l.UnservedRate)
+		out.printf("\n%s: the loss of %s leaves %.4g requests/s unserved", r.Clock(p.Steps[l.Step].At), l.Lost, l.UnservedRate)
 	}
 	out.printf("\n")
 }
 
 func (r *Report) printStages(t *printer, p *plan.Plan, results []plan.StageFeasibility) {
-	t.printf("stage\thosts\tcap\tcopies/s\tfits\tdoes not fit at\t\n")
+	t.printf("stage\thosts\tcap\tcopies/s\tfits\tinfeasible at\t\n")
 	for n, stage := range p.Model().Release.Stages {
 		var infeasible []string
 		hosts, shadows := 0, 0.0
@@ -87,7 +87,7 @@
 	}
 }
 
-// firstFew joins the first few of a list and counts the others.
+// firstFew joins the first few entries of a list and appends the number of the others.
 func firstFew(all []string) string {
 	const few = 3
 	if len(all) == 0 {
@@ -104,7 +104,7 @@
 	all := zones(p.Model())
 	t.printf("time\thost\t")
 	for _, zone := range all {
-		t.printf("of %s\t", zone)
+		t.printf("share of %s\t", zone)
 	}
 	t.printf("\n")
 	for _, s := range p.Steps {
