--- a/internal/inifile/file.go
+++ b/internal/inifile/file.go
@@ -1,9 +1,9 @@
-// Package inifile reads INI files so that all mistakes are reported together, each with its file and line and with what
-// was expected. Times and shares carry units. A key or a section that nobody reads is a mistake.
+// Package inifile reads INI files and reports all mistakes together, each with its file, its line and what was expected.
+// Durations, shares and sizes have units. A key or a section that the program does not read is a mistake.
 //
 //	f := inifile.Read("router.ini")
 //	grace := f.Section("rules").Duration("grace", "2s")
-//	if err := f.Done(); err != nil { ... }
+//	if err := f.Err(); err != nil { ... }
 package inifile
 
 import (
@@ -30,16 +30,16 @@
 type File struct {
 	name      string
 	ini       *ini.File
-	lines     map[position]int // where each section and key is
-	requested map[position]bool
-	sections  []string // in the order of the file
+	lines     map[position]int  // line numbers of sections and keys
+	requested map[position]bool // sections and keys that the program has read
+	sections  []string          // in the order of the file
 	errs      []SyntaxError
 }
 
-// position names a key of a section, or the section itself by an empty key.
+// position identifies a key of a section, or the section itself if key is empty.
 type position struct{ section, key string }
 
-// Read reads a file. Its mistakes are reported by Done, as is a file that can't be read.
+// Read reads a file. Err reports its mistakes, or that the file can't be read.
 func Read(file string) *File {
 	text, err := os.ReadFile(file)
 	f := Parse(file, string(text))
@@ -49,11 +49,11 @@
 	return f
 }
 
-// Parse reads a text that came from file.
+// Parse reads the text of a file. The name file is used in errors only.
 func Parse(file, text string) *File {
 	f := &File{name: file, lines: map[position]int{}, requested: map[position]bool{}}
 	lines := strings.Split(text, "\n")
-	wellFormed := make([]string, len(lines)) // what the ini package is given; an empty line for one with a mistake
+	wellFormed := make([]string, len(lines)) // input of the ini package; lines with mistakes are empty
 	section := ""
 	for i, line := range lines {
 		switch line = withoutComment(line); {
@@ -74,7 +74,7 @@
 	return f
 }
 
-// withoutComment is a line without its comment and without spaces around it.
+// withoutComment returns a line without its comment and without surrounding spaces.
 func withoutComment(line string) string {
 	line, _, _ = strings.Cut(strings.TrimSpace(line), " #")
 	line, _, _ = strings.Cut(line, " ;")
@@ -85,8 +85,8 @@
 	return line
 }
 
-// parseHeader reads the line that starts a section, and sets section. It returns the line in a plain form, or nothing
-// for a line with a mistake. A second header of a section is reported and continues it.
+// parseHeader parses a section header and sets section. It returns the header in normalized form, or "" if it is malformed.
+// A second header of the same section is reported as a mistake and continues the section.
 func (f *File) parseHeader(line string, number int, section *string) string {
 	if !strings.HasSuffix(line, "]") {
 		f.addError(number, "[section] expected, not %q", line)
@@ -95,7 +95,7 @@
 	*section = strings.Join(strings.Fields(line[1:len(line)-1]), " ")
 	at := position{section: *section}
 	if f.lines[at] > 0 {
-		f.addError(number, "section [%s] stands on line %d already", *section, f.lines[at])
+		f.addError(number, "section [%s] has already been defined on line %d", *section, f.lines[at])
 	} else {
 		f.sections = append(f.sections, *section)
 	}
@@ -103,7 +103,7 @@
 	return "[" + *section + "]"
 }
 
-// parseKey reads a line with a key and its value, and returns it in a plain form; nothing for a line with a mistake.
+// parseKey parses a line with a key and a value. It returns the line in normalized form, or "" if the line has a mistake.
 func (f *File) parseKey(line string, number int, section string) string {
 	key, value, ok := strings.Cut(line, "=")
 	if key = strings.TrimSpace(key); !ok || key == "" {
@@ -112,7 +112,7 @@
 	}
 	at := position{section, key}
 	if f.lines[at] > 0 {
-		f.addError(number, "%s stands on line %d already", key, f.lines[at])
+		f.addError(number, "%s has already been set on line %d", key, f.lines[at])
 		return ""
 	}
 	f.lines[at] = number
@@ -123,17 +123,17 @@
 	f.errs = append(f.errs, SyntaxError{f.name, line, fmt.Sprintf(format, values...)})
 }
 
-// Err returns all mistakes so far, each a SyntaxError, joined in the order of their lines; nil if there are none. Keys
-// and sections that have not been read by then are mistakes. It starts anew after that.
+// Err returns all mistakes found so far, each as a SyntaxError, joined in the order of their lines; nil if there are none.
+// Keys and sections that the program has not read by then are mistakes. Err then clears the list of mistakes.
 func (f *File) Err() error {
 	for at, line := range f.lines {
 		if f.requested[at] {
 			continue
 		}
 		if at.key != "" {
-			f.addError(line, "no one knows %q in [%s]", at.key, at.section)
+			f.addError(line, "unknown key %q in [%s]", at.key, at.section)
 		} else {
-			f.addError(line, "no one knows the section [%s]", at.section)
+			f.addError(line, "unknown section [%s]", at.section)
 		}
 	}
 	slices.SortStableFunc(f.errs, func(a, b SyntaxError) int { return cmp.Compare(a.Line, b.Line) })
@@ -145,14 +145,14 @@
 	return errors.Join(errs...)
 }
 
-// Section is the section of that name; one that is absent has only default values.
+// Section returns the section of that name. A section that is absent has only default values.
 func (f *File) Section(name string) Section {
 	f.requested[position{section: name}] = true
 	return Section{f, name}
 }
 
-// Sections returns the sections whose names start with kind and a space, in the order of the file, with the rest of
-// their names.
+// Sections returns the sections whose names start with kind and a space, in the order of the file, and the rest of their
+// names.
 func (f *File) Sections(kind string) (sections []Section, names []string) {
 	for _, section := range f.sections {
 		if name, ok := strings.CutPrefix(section, kind+" "); ok {
