--- a/internal/jsonstream/stream.go
+++ b/internal/jsonstream/stream.go
@@ -1,5 +1,5 @@
-// Package jsonstream follows a stream of JSON values: the response to a GET whose chunked body stays open, such as a
-// watch. The stream may move to another address; the old connection is read until the new one has delivered a value.
+// Package jsonstream reads a stream of JSON values: the response to a GET request whose chunked body stays open, such as a
+// watch. The stream may move to another address. The old connection is read until the new one has delivered a value.
 package jsonstream
 
 import (
@@ -16,46 +16,46 @@
 )
 
 var (
-	errIdle     = errors.New("it is silent")
-	errReplaced = errors.New("a newer stream has taken its place")
+	errIdle     = errors.New("the connection has been silent for too long")
+	errReplaced = errors.New("replaced by a newer connection")
 )
 
 // Handler handles the events of a stream. Its functions are called one at a time, from goroutines of the stream.
 type Handler struct {
-	// Open is called for each connection. It returns the path to request and the handler of the values that arrive, however
-	// they are spread over lines. An error of the handler ends the connection.
+	// Open is called for each connection. It returns the path to request and the handler of the values that arrive,
+	// regardless of line breaks between or within them. An error of the handler ends the connection.
 	Open func() (path string, handle func(json.RawMessage) error)
-	// Ended is called when the newest connection has ended and no other is open.
+	// Ended is called when the newest connection has ended, unless it was to an earlier address or the stream is closed.
 	Ended func(err error)
 }
 
-// Timeouts are the times that a connection may be silent.
+// Timeouts limit how long a connection may be silent.
 type Timeouts struct {
-	FirstValue time.Duration // until the first value, connecting included
-	Idle       time.Duration // from then on, between two reads of any bytes
+	FirstValue time.Duration // until the first value, including the time to connect
+	Idle       time.Duration // after the first value, between two reads of any bytes
 }
 
-const maxValueBytes = 4 << 20 // some 20,000 entries of an endpoint list
+const maxValueBytes = 4 << 20 // about 20,000 entries of an endpoint list
 
-// NewHTTPClient returns a client that uses each connection for one request, follows no redirects, and doesn't compress.
-// That makes it exact what became of a request.
+// NewHTTPClient returns a client that uses each connection for one request, follows no redirects and doesn't compress, so
+// that the outcome of each request is unambiguous.
 func NewHTTPClient() *http.Client {
 	return &http.Client{Transport: &http.Transport{DisableKeepAlives: true, DisableCompression: true, ReadBufferSize: 4 << 10,
 		WriteBufferSize: 2 << 10, MaxResponseHeaderBytes: 16 << 10, DialContext: (&net.Dialer{Timeout: time.Second}).DialContext},
 		CheckRedirect: func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse }}
 }
 
-// Stream follows one address at a time. It is safe for concurrent use.
+// Stream reads the stream from one address at a time. It is safe for concurrent use.
 type Stream struct {
 	handler  Handler
 	timeouts Timeouts
 	client   *http.Client
 
-	mu          sync.Mutex // never held while the handler is called
+	mu          sync.Mutex // not held while the handler is called
 	address     string
-	connections []*connection // the newest last
+	connections []*connection // open connections, the newest last
 	closed      bool
-	wg          sync.WaitGroup // of the connections' goroutines
+	wg          sync.WaitGroup // goroutines of the connections
 
 	handling  sync.Mutex // held while the handler is called
 	attempted atomic.Bool
@@ -67,22 +67,22 @@
 	gotValue atomic.Bool
 }
 
-// New prepares a stream; Open starts it.
+// New returns a stream that is not connected. Open connects it.
 func New(address string, t Timeouts, h Handler) *Stream {
 	return &Stream{handler: h, timeouts: t, client: NewHTTPClient(), address: address}
 }
 
-// Address is the address followed, or to be followed by Open.
+// Address returns the address of the stream.
 func (s *Stream) Address() string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.address
 }
 
-// Attempted reports whether a first attempt is over: its first value was handled, or it has ended.
+// Attempted reports whether a first attempt to connect has completed: its first value was handled, or it has ended.
 func (s *Stream) Attempted() bool { return s.attempted.Load() }
 
-// Open connects, unless the newest connection is to the present address.
+// Open connects to the stream's address, unless the newest connection is to this address.
 func (s *Stream) Open() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -98,7 +98,7 @@
 	})
 }
 
-// SetAddress follows another address from now on.
+// SetAddress changes the address of the stream and connects to it.
 func (s *Stream) SetAddress(address string) {
 	s.mu.Lock()
 	s.address = address
@@ -106,7 +106,7 @@
 	s.Open()
 }
 
-// Close ends the stream for good and waits until the handler is called no more.
+// Close closes the stream permanently and waits until all calls of the handler have returned.
 func (s *Stream) Close() {
 	s.mu.Lock()
 	s.closed = true
@@ -138,7 +138,7 @@
 	s.attempted.Store(true)
 }
 
-// follow reads one connection to its end. The error names the address.
+// follow reads one connection until it ends. The error names the address.
 func (s *Stream) follow(ctx context.Context, c *connection) error {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
@@ -151,8 +151,8 @@
 	return fmt.Errorf("%s: %w", c.address, err)
 }
 
-// readValues requests the stream and delivers its values until an error. It resets the idle timer at each read, once a
-// first value has arrived.
+// readValues requests the stream and delivers its values until an error occurs. After the first value it resets the idle
+// timer at each read.
 func (s *Stream) readValues(ctx context.Context, c *connection, idle *time.Timer) error {
 	s.handling.Lock()
 	path, handle := s.handler.Open()
@@ -165,7 +165,7 @@
 	if err != nil {
 		return err
 	}
-	defer func() { _ = response.Body.Close() }() // its end is of no interest
+	defer func() { _ = response.Body.Close() }() // the error is irrelevant
 	if response.StatusCode != http.StatusOK {
 		return fmt.Errorf("status %s", response.Status)
 	}
@@ -176,7 +176,7 @@
 	}}
 	for values := json.NewDecoder(body); ; {
 		var value json.RawMessage
-		if err := values.Decode(&value); err != nil { // a partial value at the end is dropped
+		if err := values.Decode(&value); err != nil { // a partial value at the end is discarded
 			return err
 		}
 		body.remaining = maxValueBytes
@@ -196,7 +196,7 @@
 
 func (b *boundedBody) Read(to []byte) (int, error) {
 	if b.remaining == 0 {
-		return 0, fmt.Errorf("a value is longer than %d bytes", maxValueBytes)
+		return 0, fmt.Errorf("a JSON value is longer than %d bytes", maxValueBytes)
 	}
 	n, err := b.Reader.Read(to[:min(len(to), b.remaining)])
 	if b.remaining -= n; n > 0 {
@@ -205,7 +205,7 @@
 	return n, err
 }
 
-// deliver hands a value to its handler, unless a newer connection has delivered one. The first value of a connection
+// deliver passes a value to its handler, unless a newer connection has delivered a value. The first value of a connection
 // ends all older connections.
 func (s *Stream) deliver(c *connection, value json.RawMessage, handle func(json.RawMessage) error) error {
 	s.handling.Lock()
--- a/internal/jsonstream/stream_test.go
+++ b/internal/jsonstream/stream_test.go
@@ -11,7 +11,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// fakeServer sends what a test writes to values, to one client at a time; "end" cuts the client off.
+// fakeServer sends the texts that a test writes to values to one client at a time. The text "end" aborts the connection.
 type fakeServer struct {
 	*httptest.Server
 	values chan string
@@ -40,9 +40,9 @@
 
 func (s *fakeServer) address() string { return s.Listener.Addr().String() }
 
-// The end of a connection to an earlier address is not reported, even if the newer connection has failed meanwhile: its
-// end was reported, and a second report would start a second series of retries.
-func TestEndOfAnOlderConnectionIsNotReported(t *testing.T) {
+// The end of a connection to an earlier address is not reported, even if the newer connection has failed in the meantime:
+// the end of the newer connection was reported, and a second report would start a second series of retries.
+func TestStream_DoesNotReportEndOfOlderConnection(t *testing.T) {
 	old, next := newFakeServer(t), newFakeServer(t)
 	received, ended := make(chan string, 10), make(chan error, 10)
 	s := New(old.address(), Timeouts{FirstValue: time.Minute, Idle: time.Minute}, Handler{
