--- a/plan/what_if.go
+++ b/plan/what_if.go
@@ -15,7 +15,7 @@
 //	demand xN [LOCATION]  demand is N times the forecast, in all zones or in one
 //	no release            there is no release
 //
-// It returns an error for any other event, and for hosts and zones that don't exist.
+// It returns an error for any other event, and if the host or zone of a lose or cold event doesn't exist.
 func (m *Model) WhatIf(event string) (*Model, error) {
 	out := *m
 	out.Hosts = slices.Clone(m.Hosts)
