--- a/internal/api/events.go
+++ b/internal/api/events.go
@@ -1,14 +1,14 @@
 package api
 
-// Kinds of the watch's events that routers are sent.
+// Kinds of events that the watch sends to routers. Each comment names the type of the event's data.
 const (
-	EventReleaseStatus = "news"      // Release: the newest release's status
+	EventReleaseStatus = "news"      // Release: the status of the newest release
 	EventCounts        = "counts"    // Counts
 	EventComplaint     = "complaint" // Complaint
 	EventPlan          = "plan"      // PlanNotice
 )
 
-// Counts is what was counted of one build and class.
+// Counts are the counted responses of one build in one class.
 type Counts struct {
 	Build    int     `json:"build"`
 	Class    string  `json:"category"`
@@ -18,7 +18,7 @@
 	AgeMs    int64   `json:"ageMs"`
 }
 
-// Complaint is a client's statement that an answer was wrong.
+// Complaint is a client's complaint about a wrong response.
 type Complaint struct {
 	Router string `json:"router"`
 	Host   uint32 `json:"host"`
@@ -26,7 +26,8 @@
 	AgeMs  int64  `json:"ageMs"` // since the request was sent
 }
 
-// PlanNotice says that a version of a plan is there. The plan itself is read apart, as it may be far larger than an event.
+// PlanNotice announces a version of a plan. Routers get the plan itself in a separate request, because it may be far larger than
+// an event.
 type PlanNotice struct {
 	Version uint64 `json:"version"`
 }
--- a/internal/api/plan.go
+++ b/internal/api/plan.go
@@ -8,35 +8,36 @@
 	"dapplefront/plan"
 )
 
-// Units of the plan's whole-number weights.
+// Units of the shares in plan.Weights, which are integers.
 const (
-	shadowShareUnits    = 1e6 // Weights.Copies is in millionths
-	crossZoneShareUnits = 1e9 // Weights.Cross is in billionths
+	shadowShareUnits    = 1e6 // Weights.ShadowShare is in millionths
+	crossZoneShareUnits = 1e9 // Weights.CrossZoneShare is in billionths
 )
 
 // Plan is a version of a plan for the routers of one zone.
 type Plan struct {
 	Version    uint64 `json:"version"`
-	Build      int    `json:"build,omitempty"` // the canary when it was made
-	ValidForMs int64  `json:"forMs"`           // how long it may be followed from now on
+	Build      int    `json:"build,omitempty"` // the canary build when the plan was made
+	ValidForMs int64  `json:"forMs"`           // the plan expires this long after the response
 	plan.Weights
 }
 
-// Published is a plan's version for all zones.
+// Published is a version of a plan for all zones.
 type Published struct {
 	Build      int                     `json:"build,omitempty"`
 	Stage      int                     `json:"stage,omitempty"`
 	ValidForMs int64                   `json:"forMs"`
-	For        map[string]plan.Weights `json:"for"` // by zone
+	For        map[string]plan.Weights `json:"for"` // weights by zone
 }
 
-// PlanAck is a router's acknowledgement of a version.
+// PlanAck is a router's acknowledgment of a version of a plan.
 type PlanAck struct {
 	Followed bool   `json:"followed"`
-	Reason   string `json:"reason,omitempty"` // why it is not followed
+	Reason   string `json:"reason,omitempty"` // why the router does not follow the plan
 }
 
-// Offered is the plan in the terms of package plan. Hosts are named by their ids in decimals; another name is an error.
+// Offered converts the plan to the type of package plan. Hosts are named by their ids in decimal. It fails if a name is not such
+// an id.
 func (p Plan) Offered() (plan.Offer, error) {
 	local, err := p.hostWeights(p.Local)
 	if err != nil {
--- a/internal/api/release.go
+++ b/internal/api/release.go
@@ -7,13 +7,13 @@
 	"dapplefront/policy"
 )
 
-// Phases and VoteChoices are the names of the policy's constants, by their values.
+// Phases and VoteChoices are the names of the constants of policy.Phase and policy.VoteChoice, indexed by the constants' values.
 var (
 	Phases      = []string{"trial", "going-back", "released", "withdrawn"}
 	VoteChoices = []string{"none", "on", "hold", "back"}
 )
 
-// unitsPerMs is how many units of policy.Time are a millisecond.
+// unitsPerMs is the number of units of policy.Time in a millisecond.
 const unitsPerMs = policy.Second / 1000
 
 // Release is the status of a release.
@@ -22,53 +22,53 @@
 	Stage       int     `json:"stage"`
 	Phase       string  `json:"phase"` // one of Phases
 	ExposureCap float64 `json:"cap"`
-	AgeMs       int64   `json:"ageMs"` // since this status began
+	AgeMs       int64   `json:"ageMs"` // since the release has had this status
 	Version     int64   `json:"version"`
 }
 
-// Status is the release in the policy's terms. An unknown phase or a value out of its range is an error.
+// Status converts the release to the type of package policy. It fails if the phase is unknown or a value is out of range.
 func (r Release) Status() (policy.ReleaseStatus, error) {
 	phase := slices.Index(Phases, r.Phase)
 	validCap := r.ExposureCap >= 0 && r.ExposureCap <= 1 // false for NaN
 	if phase < 0 || r.Build < 1 || r.Stage < 0 || !validCap || r.AgeMs < 0 {
-		return policy.ReleaseStatus{}, fmt.Errorf("news of a release that makes no sense: %+v", r)
+		return policy.ReleaseStatus{}, fmt.Errorf("invalid release status: %+v", r)
 	}
 	return policy.ReleaseStatus{Build: r.Build, Stage: r.Stage, Phase: policy.Phase(phase), ExposureCap: r.ExposureCap,
 		Age: policy.Time(r.AgeMs) * unitsPerMs}, nil
 }
 
-// ReleaseObject is a release as the controller shows it: what was asked for, and how it stands.
+// ReleaseObject is a release as the controller returns it: the fields of its creation, and its current status.
 type ReleaseObject struct {
 	Release
 	Digest    string            `json:"digest,omitempty"`
 	Note      string            `json:"note,omitempty"`
 	Labels    map[string]string `json:"labels,omitempty"`
 	Steps     []Step            `json:"steps,omitempty"`
-	CreatedMs int64             `json:"createdMs"`       // of the controllers' time
-	WaitsFor  string            `json:"waits,omitempty"` // the step that holds back the present stage's hosts
-	Votes     *Votes            `json:"votes,omitempty"` // of the newest release
-	Requests  map[string]int    `json:"tasks,omitempty"` // requests by outcome: finished, turned back, scrapped
-	Hosts     map[string]int    `json:"hosts,omitempty"` // by state
+	CreatedMs int64             `json:"createdMs"`       // on the controllers' clock
+	WaitsFor  string            `json:"waits,omitempty"` // the step that the deployment of the current stage waits for
+	Votes     *Votes            `json:"votes,omitempty"` // only for the newest release
+	Requests  map[string]int    `json:"tasks,omitempty"` // number of requests by outcome: finished, turned back, scrapped
+	Hosts     map[string]int    `json:"hosts,omitempty"` // number of hosts by state
 	History   []HistoryEntry    `json:"trace,omitempty"`
 }
 
-// ReleaseList is a page of releases, by build.
+// ReleaseList is a page of releases, in order of their builds.
 type ReleaseList struct {
 	Releases []ReleaseObject `json:"releases"`
-	Next     int             `json:"next,omitempty"` // for ?after= where there are more
+	Next     int             `json:"next,omitempty"` // value of ?after= for the next page; 0 if this is the last one
 }
 
-// Step is something that must be done before a stage's hosts start.
+// Step is a task that must be done before the hosts of a stage start.
 type Step struct {
 	Name         string `json:"name"`
 	Stage        int    `json:"stage"`
-	Irreversible bool   `json:"final,omitempty"`    // once done, the build can't be rolled back
-	ExpectedMs   int64  `json:"withinMs,omitempty"` // a step that takes longer counts as stalled; 0 for no limit
+	Irreversible bool   `json:"final,omitempty"`    // once the step is done, the build can't be rolled back
+	ExpectedMs   int64  `json:"withinMs,omitempty"` // a step that takes longer is stalled; 0 means no limit
 	State        string `json:"state,omitempty"`    // later, waiting, stalled, done
 	By           string `json:"by,omitempty"`       // who reported it done
 }
 
-// Votes are the votes that stand, and the quorums.
+// Votes are the numbers of valid votes, and the quorums.
 type Votes struct {
 	Promote        int `json:"on"`
 	Rollback       int `json:"back"`
@@ -78,11 +78,11 @@
 
 // HistoryEntry is one line of a release's history.
 type HistoryEntry struct {
-	AtMs int64  `json:"atMs"` // of the controllers' time
+	AtMs int64  `json:"atMs"` // on the controllers' clock
 	Text string `json:"what"`
 }
 
-// CreateRelease asks for a release; with the header Idempotency-Key it may be repeated.
+// CreateRelease requests a release. The request may be repeated if it has the header Idempotency-Key.
 type CreateRelease struct {
 	Build  int               `json:"build"`
 	Digest string            `json:"digest,omitempty"`
@@ -91,13 +91,13 @@
 	Steps  []Step            `json:"steps,omitempty"`
 }
 
-// PatchRelease changes a release's note and labels; null removes a label.
+// PatchRelease changes the note and the labels of a release. A label whose value is null is removed.
 type PatchRelease struct {
 	Note   *string            `json:"note,omitempty"`
 	Labels map[string]*string `json:"labels,omitempty"`
 }
 
-// StepDone reports a step done, by whom.
+// StepDone reports that a step is done, and who did it.
 type StepDone struct {
 	By string `json:"by,omitempty"`
 }
@@ -108,7 +108,7 @@
 	Choice string `json:"voice"` // one of VoteChoices
 }
 
-// BuildReport adds requests at a build by their outcome, and replaces its hosts by state.
+// BuildReport adds to the numbers of a build's requests by outcome, and replaces the numbers of its hosts by state.
 type BuildReport struct {
 	Requests map[string]int `json:"tasks,omitempty"`
 	Hosts    map[string]int `json:"hosts,omitempty"`
--- a/internal/api/status.go
+++ b/internal/api/status.go
@@ -1,26 +1,26 @@
 package api
 
-// Status is how a controller stands, as it sees itself.
+// Status is a controller's view of its own status.
 type Status struct {
 	Name         string            `json:"name"`
 	IsLeader     bool              `json:"leads"`
 	Leader       string            `json:"leader,omitempty"`
-	LagMs        int64             `json:"behindMs"` // since it heard of the leader
-	Version      uint64            `json:"version"`  // log index of the last command applied
+	LagMs        int64             `json:"behindMs"` // since the controller last heard from the leader
+	Version      uint64            `json:"version"`  // log index of the last applied command
 	Events       uint64            `json:"events"`   // id of the newest event
-	Routers      int               `json:"routers"`  // that are members
+	Routers      int               `json:"routers"`  // number of member routers
 	Watchers     int               `json:"watchers"`
-	SlowWatchers int               `json:"slow"`    // cut off since it started
-	Members      map[string]string `json:"members"` // of the Raft group: addresses by name
+	SlowWatchers int               `json:"slow"`    // slow watchers disconnected since the controller started
+	Members      map[string]string `json:"members"` // members of the Raft group: addresses by name
 }
 
-// Controller is where another controller is reached.
+// Controller holds the addresses of another controller.
 type Controller struct {
-	Address string `json:"address,omitempty"` // for Raft: takes it into the group
-	URL     string `json:"url,omitempty"`     // of its REST interface
+	Address string `json:"address,omitempty"` // Raft address; if set, the controller is added to the Raft group
+	URL     string `json:"url,omitempty"`     // URL of its REST interface
 }
 
-// Problem is an error in the form of RFC 9457, with the field of the request that was wrong.
+// Problem is a problem document as in RFC 9457, with the name of the invalid field of the request.
 type Problem struct {
 	Type   string `json:"type"`
 	Title  string `json:"title"`
