--- a/api/pages.go
+++ b/api/pages.go
@@ -9,7 +9,7 @@
 	"go.yaml.in/yaml/v3"
 )
 
-// Page is both descriptions as one page to read, in Markdown (docs/interface.md).
+// Page renders both descriptions as one document in Markdown (docs/interface.md).
 func Page() (string, error) {
 	var p page
 	if err := yaml.Unmarshal(OpenAPI, &p.openAPI); err != nil {
@@ -18,18 +18,18 @@
 	if err := yaml.Unmarshal(AsyncAPI, &p.asyncAPI); err != nil {
 		return "", fmt.Errorf("asyncapi.yaml: %w", err)
 	}
-	p.printf("# The release controller's interface\n\nMade from `api/openapi.yaml` and `api/asyncapi.yaml` by `go run ./api/pages`; a test\n"+
-		"holds both to the running program.\n\n%s\n\n", text(p.openAPI, "info", "description"))
+	p.printf("# The release controller's interface\n\nGenerated from `api/openapi.yaml` and `api/asyncapi.yaml` by `go run ./api/pages`; a test\n"+
+		"compares both with the running program.\n\n%s\n\n", text(p.openAPI, "info", "description"))
 	p.writeRequests()
 	p.writeEvents()
 	p.writeObjects()
 	return p.out.String(), nil
 }
 
-// node is a part of a description: a mapping of YAML.
+// node is a YAML mapping in a description.
 type node = map[string]any
 
-// page is a page under way.
+// page holds the parsed descriptions and the document written so far.
 type page struct {
 	openAPI, asyncAPI node
 	out               strings.Builder
@@ -107,13 +107,13 @@
 	for _, field := range sortedKeys(properties) {
 		presence := ""
 		if slices.Contains(required, any(field)) {
-			presence = "always"
+			presence = "required"
 		}
 		p.printf("| %s | %s | %s |\n", field, describeType(subtree(properties, field)), presence)
 	}
 }
 
-// resolve follows a reference within the OpenAPI description.
+// resolve resolves a reference within the OpenAPI description, and returns other mappings as they are.
 func (p *page) resolve(x any) node {
 	m, _ := x.(node)
 	if ref, ok := m["$ref"].(string); ok {
@@ -122,7 +122,7 @@
 	return m
 }
 
-// subtree is the mapping at a path; nil for none.
+// subtree returns the mapping at a path, or nil if there is none.
 func subtree(of node, path ...string) node {
 	for _, name := range path {
 		of, _ = of[name].(node)
@@ -130,7 +130,7 @@
 	return of
 }
 
-// text is the string at a path; empty for none.
+// text returns the string at a path, or "" if there is none.
 func text(of node, path ...string) string {
 	parent, name := path[:len(path)-1], path[len(path)-1]
 	s, _ := subtree(of, parent...)[name].(string)
@@ -139,13 +139,13 @@
 
 func sortedKeys(of node) []string { return slices.Sorted(maps.Keys(of)) }
 
-// link is a reference to a schema as a link to its heading on the page.
+// link converts a reference to a schema to a link to the schema's heading in the document.
 func link(ref string) string {
 	name := ref[strings.LastIndex(ref, "/")+1:]
 	return fmt.Sprintf("[%s](#%s)", name, strings.ToLower(name))
 }
 
-// describeType says in a few words which values a schema allows.
+// describeType returns a short description of the values that a schema allows.
 func describeType(schema node) string {
 	if ref := text(schema, "$ref"); ref != "" {
 		return link(ref)
@@ -162,7 +162,7 @@
 		out = "list of " + describeType(items)
 	}
 	if values, ok := schema["additionalProperties"].(node); ok {
-		out = "any names, each " + describeType(values)
+		out = "map of " + describeType(values)
 	}
 	if least, ok := schema["minimum"]; ok {
 		out += fmt.Sprintf(", from %v", least)
--- a/api/pages/main.go
+++ b/api/pages/main.go
@@ -1,4 +1,4 @@
-// Command pages writes docs/interface.md from the descriptions in package api. It runs at the root of the repository.
+// Command pages generates docs/interface.md from the descriptions in package api. Run it at the root of the repository.
 package main
 
 import (
--- a/api/pages_test.go
+++ b/api/pages_test.go
@@ -7,10 +7,10 @@
 	"github.com/stretchr/testify/require"
 )
 
-func TestPage_IsWhatTheDocumentationHas(t *testing.T) {
+func TestPage_EqualsCheckedInDocument(t *testing.T) {
 	page, err := Page()
 	require.NoError(t, err)
 	written, err := os.ReadFile("../docs/interface.md")
 	require.NoError(t, err)
-	require.Equal(t, page, string(written), "go run ./api/pages")
+	require.Equal(t, page, string(written), "docs/interface.md is out of date: go run ./api/pages")
 }
