--- a/api/pages.go
+++ b/api/pages.go
@@ -107,7 +107,7 @@
 	for _, field := range sortedKeys(properties) {
 		presence := ""
 		if slices.Contains(required, any(field)) {
-			presence = "required"
+			presence = "always"
 		}
 		p.printf("| %s | %s | %s |\n", field, describeType(subtree(properties, field)), presence)
 	}
