--- a/client/client.go
+++ b/client/client.go
@@ -1,14 +1,14 @@
-// Package client calls the release controller's REST interface, for people and programs.
+// Package client is a client of the release controller's REST interface, for the command line and other programs.
 //
 //	c := client.New([]string{"http://127.0.0.1:7300", "http://127.0.0.1:7301"}, nil)
 //	r, err := c.Create(ctx, api.CreateRelease{Build: 7}, "deploy-4711")
 //	c.Watch(ctx, func(event string, data []byte) error { ... }, func(err error) { ... })
 //
-// It knows several instances and goes to the next one where one is out of reach or knows no leader, until the context ends.
-// A change that may have been made is repeated only where that is harmless: with an idempotency key, or where the change
-// itself is idempotent. Otherwise the error wraps ErrOutcomeUnknown.
+// A client is given the URLs of several instances. If an instance is unreachable or knows no leader, the client tries the next
+// one, until the context ends. A change that may have been made already is retried only if it is idempotent, or if it has an
+// idempotency key. Otherwise the client returns an error that wraps ErrOutcomeUnknown, or the controller's *Error with status 504.
 //
-// A request that the controller rejects gives an *Error.
+// For a request that the controller rejects, the client returns an *Error.
 package client
 
 import (
@@ -29,10 +29,10 @@
 	"dapplefront/internal/api"
 )
 
-// ErrOutcomeUnknown says that a change may have been made or not.
-var ErrOutcomeUnknown = errors.New("it may have been done")
+// ErrOutcomeUnknown is returned if the client can't tell whether a change was made.
+var ErrOutcomeUnknown = errors.New("outcome unknown: the change may have been made")
 
-// Error is a controller's answer that is a problem (RFC 9457).
+// Error is a controller's error response, as a problem document (RFC 9457).
 type Error struct{ api.Problem }
 
 func (e *Error) Error() string {
@@ -43,8 +43,8 @@
 }
 
 const (
-	maxAnswerBytes    = 64 << 20
-	minBackoff        = 100 * time.Millisecond // once all instances have been tried; it doubles up to maxBackoff
+	maxResponseBytes  = 64 << 20
+	minBackoff        = 100 * time.Millisecond // before the second round over all instances; doubles each round up to maxBackoff
 	maxBackoff        = 2 * time.Second
 	idleConnsPerHost  = 4
 	firstFailedStatus = http.StatusMultipleChoices
@@ -54,10 +54,10 @@
 type Client struct {
 	urls    []string
 	http    *http.Client
-	current atomic.Int64 // modulo the number of urls: the instance to call
+	current atomic.Int64 // the instance in use, modulo the number of URLs
 }
 
-// New makes a client of the instances at these URLs. h may be nil.
+// New returns a client of the instances at these URLs. It uses a default HTTP client if h is nil.
 func New(urls []string, h *http.Client) *Client {
 	if h == nil {
 		h = &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: idleConnsPerHost}}
@@ -71,17 +71,17 @@
 
 func (c *Client) url(instance int64) string { return c.urls[int(instance)%len(c.urls)] }
 
-// call is one request to the controllers.
+// call is a request to the controllers, which may take several attempts.
 type call struct {
 	method     string
 	path       string
 	header     http.Header
-	body       any  // sent as JSON; nil for none
-	out        any  // where the answer's JSON goes; nil for nowhere
-	idempotent bool // it may be repeated where it may have been carried out
+	body       any  // sent as JSON; nil for no body
+	out        any  // the response's JSON is decoded into it; nil to ignore the response
+	idempotent bool // it may be retried even if it may have been carried out
 }
 
-// do tries one instance after the other until one answers or the context ends.
+// do sends a request to one instance after another until one responds or the context ends.
 func (c *Client) do(ctx context.Context, call call) error {
 	var body []byte
 	if call.body != nil {
@@ -100,9 +100,9 @@
 			return nil
 		case !call.retryable(err):
 			return err
-		case isUnanswered(err) && ctx.Err() != nil:
+		case hasNoResponse(err) && ctx.Err() != nil:
 			return errors.Join(ctx.Err(), last)
-		case isUnanswered(err) && !call.idempotent && !isNotSent(err):
+		case hasNoResponse(err) && !call.idempotent && !isNotSent(err):
 			return fmt.Errorf("%w: %w", ErrOutcomeUnknown, err)
 		}
 		last = err
@@ -119,28 +119,29 @@
 	}
 }
 
-// retryable tells whether another instance may be asked after an answer: 503 says that nothing was done, 504 that it may
-// have been. Whether a request that was not answered may be repeated is for the caller to see.
+// retryable reports whether a request may be retried at another instance after a response: 503 means that nothing was changed,
+// 504 that the change may have been made. It returns true if there was no response; then the caller must check whether a retry
+// is safe.
 func (call call) retryable(err error) bool {
-	var answer *Error
-	if !errors.As(err, &answer) {
+	var response *Error
+	if !errors.As(err, &response) {
 		return true
 	}
-	return answer.Status == http.StatusServiceUnavailable || answer.Status == http.StatusGatewayTimeout && call.idempotent
+	return response.Status == http.StatusServiceUnavailable || response.Status == http.StatusGatewayTimeout && call.idempotent
 }
 
-// isUnanswered tells whether an error is none that a controller answered with.
-func isUnanswered(err error) bool {
-	var answer *Error
-	return !errors.As(err, &answer)
+// hasNoResponse reports whether an error occurred without a response of a controller.
+func hasNoResponse(err error) bool {
+	var response *Error
+	return !errors.As(err, &response)
 }
 
-// isNotSent tells whether a request surely has not reached the instance.
+// isNotSent reports whether an error shows that the request did not reach the instance.
 func isNotSent(err error) bool {
 	if errors.Is(err, syscall.ECONNREFUSED) {
 		return true
 	}
-	for op := (*net.OpError)(nil); errors.As(err, &op); err = op.Err { // a proxy's wraps the dialer's
+	for op := (*net.OpError)(nil); errors.As(err, &op); err = op.Err { // the error of a proxy wraps that of the dialer
 		if op.Op == "dial" {
 			return true
 		}
@@ -148,7 +149,7 @@
 	return false
 }
 
-// attempt sends a request to one instance and reads its answer.
+// attempt sends a request to one instance and reads its response.
 func (c *Client) attempt(ctx context.Context, call call, url string, body []byte) error {
 	request, err := http.NewRequestWithContext(ctx, call.method, url+call.path, bytes.NewReader(body))
 	if err != nil {
@@ -164,8 +165,8 @@
 	if err != nil {
 		return err
 	}
-	defer func() { _ = response.Body.Close() }() // what matters of it has been read
-	text, err := io.ReadAll(io.LimitReader(response.Body, maxAnswerBytes))
+	defer func() { _ = response.Body.Close() }() // the body has been read, or reading it has failed
+	text, err := io.ReadAll(io.LimitReader(response.Body, maxResponseBytes))
 	if err != nil {
 		return err
 	}
@@ -178,10 +179,10 @@
 	return json.Unmarshal(text, call.out)
 }
 
-// problemOf is the error of an answer that failed; one without a problem document has its status at least.
+// problemOf returns the error of a failed response. If the response has no problem document, the error has only its status.
 func problemOf(response *http.Response, text []byte) *Error {
 	e := &Error{api.Problem{Title: response.Status}}
-	_ = json.Unmarshal(text, &e.Problem) // it may be no problem document
+	_ = json.Unmarshal(text, &e.Problem) // the text may not be a problem document
 	e.Status = response.StatusCode
 	return e
 }
--- a/client/client_test.go
+++ b/client/client_test.go
@@ -15,7 +15,8 @@
 	"dapplefront/internal/api"
 )
 
-// instance is a controller that gives one answer to all requests, and counts them. Status 0 closes the connection.
+// instance starts a controller that sends the same response to all requests, and counts them. For status 0 it closes the
+// connection instead.
 func instance(t *testing.T, status int, body string) (url string, requests *atomic.Int64) {
 	t.Helper()
 	requests = new(atomic.Int64)
@@ -31,7 +32,7 @@
 	return s.URL, requests
 }
 
-// refusing is a URL where nobody listens.
+// refusing returns a URL at which connections are refused.
 func refusing(t *testing.T) string {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -41,21 +42,21 @@
 	return url
 }
 
-func TestClient_CreateGoesToTheNextInstanceOnlyWhereThatIsHarmless(t *testing.T) {
+func TestClient_CreateRetriesAtNextInstanceOnlyIfSafe(t *testing.T) {
 	for _, c := range []struct {
 		name    string
-		status  int // of the first instance; -1 where it refuses connections, 0 where it closes them
+		status  int // of the first instance; -1 if it refuses connections, 0 if it closes them
 		key     string
-		reached bool // the second instance
-		problem int  // status of the error; 0 for none of a controller
+		reached bool // the second instance received the request
+		problem int  // status of the controller's error; 0 if the error is not a controller's
 		err     string
 	}{
 		{"refused connection", -1, "", true, 0, ""},
 		{"no leader", 503, "", true, 0, ""},
-		{"unclear with a key", 504, "k", true, 0, ""},
-		{"unclear without a key", 504, "", false, 504, "Gateway Timeout: lost"},
-		{"lost answer with a key", 0, "k", true, 0, ""},
-		{"lost answer without a key", 0, "", false, 0, "it may have been done: "},
+		{"unknown outcome with a key", 504, "k", true, 0, ""},
+		{"unknown outcome without a key", 504, "", false, 504, "Gateway Timeout: lost"},
+		{"lost response with a key", 0, "k", true, 0, ""},
+		{"lost response without a key", 0, "", false, 0, "outcome unknown: the change may have been made: "},
 		{"rejection with a key", 409, "k", false, 409, "Conflict: build: lost"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -90,13 +91,13 @@
 	}
 }
 
-func TestClient_TriesUntilTheContextEnds(t *testing.T) {
+func TestClient_RetriesUntilContextEnds(t *testing.T) {
 	url, requests := instance(t, http.StatusServiceUnavailable, "")
 	ctx, cancel := context.WithTimeout(context.Background(), 500*time.Millisecond)
 	defer cancel()
 	_, err := client.New([]string{url}, nil).Get(ctx, 2, true)
 	require.ErrorIs(t, err, context.DeadlineExceeded)
 	var problem *client.Error
-	require.ErrorAs(t, err, &problem, "with the last answer")
+	require.ErrorAs(t, err, &problem, "the error must include the last response")
 	require.Greater(t, requests.Load(), int64(1))
 }
--- a/client/operations.go
+++ b/client/operations.go
@@ -16,7 +16,7 @@
 
 func controllerPath(name string) string { return "/v1/controllers/" + url.PathEscape(name) }
 
-// ifMatch is the header of a change that is for one version; none for 0.
+// ifMatch returns the headers of a change that is only for one version, or none for version 0.
 func ifMatch(version int64) http.Header {
 	if version == 0 {
 		return nil
@@ -24,7 +24,8 @@
 	return http.Header{"If-Match": {strconv.Quote(strconv.FormatInt(version, 10))}}
 }
 
-// Create asks for a release. With an idempotency key it may be repeated, and is where the answer is lost.
+// Create requests a release. With an idempotency key, the request may be repeated, and the client itself retries it if the
+// response is lost.
 func (c *Client) Create(ctx context.Context, a api.CreateRelease, key string) (r api.ReleaseObject, err error) {
 	var header http.Header
 	if key != "" {
@@ -34,7 +35,7 @@
 	return r, err
 }
 
-// Get returns one release; with fresh, surely as it stands at the leader.
+// Get returns one release. If fresh is set, the leader responds with its newest state.
 func (c *Client) Get(ctx context.Context, build int, fresh bool) (r api.ReleaseObject, err error) {
 	path := releasePath(build)
 	if fresh {
@@ -44,7 +45,7 @@
 	return r, err
 }
 
-// List returns all releases that have the labels ("name=value") and the phase; empty ones match all.
+// List returns all releases that have the labels ("name=value") and the phase. No labels, or an empty phase, match all releases.
 func (c *Client) List(ctx context.Context, labels []string, phase string) (all []api.ReleaseObject, err error) {
 	query := url.Values{"label": labels}
 	if phase != "" {
@@ -63,7 +64,7 @@
 	}
 }
 
-// Patch changes note and labels of the release at a version; 0 is for any.
+// Patch changes the note and the labels of a release if it has this version. Version 0 matches any version.
 func (c *Client) Patch(ctx context.Context, build int, a api.PatchRelease, version int64) (r api.ReleaseObject, err error) {
 	err = c.do(ctx, call{method: http.MethodPatch, path: releasePath(build), header: ifMatch(version), body: a, out: &r, idempotent: version == 0})
 	return r, err
@@ -75,57 +76,58 @@
 	return r, err
 }
 
-// Delete drops the object of a release that is over.
+// Delete deletes the object of a release that has ended.
 func (c *Client) Delete(ctx context.Context, build int) error {
 	return c.do(ctx, call{method: http.MethodDelete, path: releasePath(build)})
 }
 
-// CompleteStep reports a step done.
+// CompleteStep reports that a step is done, and who did it.
 func (c *Client) CompleteStep(ctx context.Context, build int, step, by string) (r api.ReleaseObject, err error) {
 	err = c.do(ctx, call{method: http.MethodPut, path: releasePath(build) + "/steps/" + url.PathEscape(step), body: api.StepDone{By: by}, out: &r,
 		idempotent: true})
 	return r, err
 }
 
-// CompleteOrder reports that an order of hosts has been carried out: "ready" for one to deploy, "gone" for one to retire.
+// CompleteOrder reports that an order for a build's hosts has been carried out: "ready" for an order to deploy them, "gone" for
+// an order to retire them.
 func (c *Client) CompleteOrder(ctx context.Context, build int, order string) error {
 	return c.do(ctx, call{method: http.MethodPut, path: releasePath(build) + "/orders/" + order, idempotent: true})
 }
 
-// OrderAgent gives a host's agent an order and returns its number.
+// OrderAgent sends an order to a host's agent and returns the order's number.
 func (c *Client) OrderAgent(ctx context.Context, agent string, o api.Order) (number uint64, err error) {
 	err = c.do(ctx, call{method: http.MethodPost, path: agentPath(agent) + "/orders", body: o, out: &o})
 	return o.Number, err
 }
 
-// EmitCounts passes on what was counted of a build and class to all watchers.
+// EmitCounts sends the counted responses of a build in a class to all watchers.
 func (c *Client) EmitCounts(ctx context.Context, a api.Counts) error {
 	return c.do(ctx, call{method: http.MethodPost, path: "/v1/counts", body: a})
 }
 
-// PublishPlan publishes a plan's version.
+// PublishPlan publishes a version of a plan.
 func (c *Client) PublishPlan(ctx context.Context, version uint64, a api.Published) error {
 	return c.do(ctx, call{method: http.MethodPut, path: "/v1/plans/" + strconv.FormatUint(version, 10), body: a})
 }
 
-// Status is how the instance that answers stands.
+// Status returns the status of the instance that responds.
 func (c *Client) Status(ctx context.Context) (s api.Status, err error) {
 	err = c.do(ctx, call{method: http.MethodGet, path: "/v1/status", out: &s, idempotent: true})
 	return s, err
 }
 
-// AddController takes a controller into the group.
+// AddController adds a controller to the Raft group, or stores its URL.
 func (c *Client) AddController(ctx context.Context, name string, a api.Controller) error {
 	return c.do(ctx, call{method: http.MethodPut, path: controllerPath(name), body: a, idempotent: true})
 }
 
-// RemoveController takes a controller out of the group for good.
+// RemoveController removes a controller from the group permanently.
 func (c *Client) RemoveController(ctx context.Context, name string) error {
 	return c.do(ctx, call{method: http.MethodDelete, path: controllerPath(name), idempotent: true})
 }
 
-// Watch follows events at any of the instances until ctx ends, and resumes a watch that broke after its last event. onEvent
-// is called with each event; where it fails, or the watch breaks, onError is called and the watch goes on.
+// Watch receives events from any of the instances until ctx ends. If the watch breaks, it resumes after the last event received.
+// onEvent is called for each event. onError is called if onEvent fails or the watch breaks; the watch then continues.
 func (c *Client) Watch(ctx context.Context, onEvent func(event string, data []byte) error, onError func(error)) {
 	watchURL := func() string { return c.url(c.current.Load()) + "/v1/watch" }
 	sse.Follow(ctx, c.http, watchURL, onEvent, func(err error) {
