--- a/cmd/simadapter/main.go
+++ b/cmd/simadapter/main.go
@@ -1,4 +1,5 @@
-// Command drill lets the decisions play on the simulator's wire.
+// Command simadapter runs the router library in the simulator: it reads the simulator's events from standard input and writes
+// the router's actions to standard output.
 package main
 
 import (
