--- a/cmd/dapplefront/agent.go
+++ b/cmd/dapplefront/agent.go
@@ -11,10 +11,10 @@
 	var stopBuilds bool
 	c := &cobra.Command{
 		Use:   "agent FILE",
-		Short: "Run a host's build agent by a file of settings",
+		Short: "Run a host's build agent with settings from a file",
 		Args:  cobra.ExactArgs(1),
-		Long: "Run a host's build agent by a file of settings (docs/operate-agent.md). SIGTERM ends the agent; the builds run on and\n" +
-			"the next agent in its folder takes them over. With --all they end too.",
+		Long: "Run a host's build agent with settings from a file (docs/operate-agent.md). SIGTERM stops the agent; its builds continue\n" +
+			"to run, and the next agent with the same folder takes them over. With --all, the builds are stopped too.",
 		RunE: func(_ *cobra.Command, args []string) error {
 			log, err := options.logger("info")
 			if err != nil {
@@ -38,6 +38,6 @@
 			return nil
 		},
 	}
-	c.Flags().BoolVar(&stopBuilds, "all", false, "end the builds with the agent")
+	c.Flags().BoolVar(&stopBuilds, "all", false, "stop the builds too when the agent stops")
 	return c
 }
--- a/cmd/dapplefront/agent_config.go
+++ b/cmd/dapplefront/agent_config.go
@@ -12,7 +12,7 @@
 	"dapplefront/internal/inifile"
 )
 
-// readAgentConfig reads an agent's settings; mistakes are kept by the file.
+// readAgentConfig reads an agent's settings. It records mistakes in the file.
 func readAgentConfig(file *inifile.File) agentd.Config {
 	s := file.Section("agent")
 	config := agentd.Config{
@@ -49,7 +49,8 @@
 	return source
 }
 
-// readAgentCertificates opens the certificates towards controllers and mirrors; nil where the section is missing.
+// readAgentCertificates returns the TLS configuration for connections to controllers and mirrors, or nil if the section is
+// missing.
 func readAgentCertificates(s inifile.Section) *tls.Config {
 	if !s.Has() {
 		return nil
@@ -66,7 +67,7 @@
 	return ring.Client()
 }
 
-// readKeyRing reads the keys that builds must be signed with.
+// readKeyRing reads the key ring whose keys must sign builds.
 func readKeyRing(s inifile.Section) *build.KeyRing {
 	name := s.Text("ring", "!")
 	if name == "" {
--- a/cmd/dapplefront/backend.go
+++ b/cmd/dapplefront/backend.go
@@ -10,32 +10,32 @@
 	"dapplefront/internal/testbed"
 )
 
-// backendStopTimeout is how long a backend may take to answer what is in flight once it is told to end.
+// backendStopTimeout limits how long a stopping backend waits for its requests in flight.
 const backendStopTimeout = 5 * time.Second
 
 func backendCommand(options *logOptions) *cobra.Command {
-	var kinds []string
+	var classes []string
 	var cores, build int
 	var speed float64
 	c := &cobra.Command{
 		Use:   "backend",
-		Short: "Run a stand-in backend that works on requests by sleeping",
+		Short: "Run a test backend that simulates work by sleeping",
 		Args:  cobra.NoArgs,
 		RunE: func(*cobra.Command, []string) error {
 			log, err := options.logger("info")
 			if err != nil {
 				return err
 			}
-			world := testbed.Environment{Classes: map[string]testbed.Class{}, Keys: &testbed.KeyStore{}}
-			for _, text := range kinds {
-				kind, err := parseKind(text)
+			environment := testbed.Environment{Classes: map[string]testbed.Class{}, Keys: &testbed.KeyStore{}}
+			for _, text := range classes {
+				class, err := parseClass(text)
 				if err != nil {
 					return err
 				}
-				world.Classes[kind.Name] = kind
+				environment.Classes[class.Name] = class
 			}
 			machine := testbed.Machine{ID: 1, Zone: "here", Cores: cores, Speed: speed, ColdCapacity: 1}
-			backend, err := testbed.StartBackend(machine, testbed.Build{Number: build}, false, world)
+			backend, err := testbed.StartBackend(machine, testbed.Build{Number: build}, false, environment)
 			if err != nil {
 				return err
 			}
@@ -45,15 +45,15 @@
 			return nil
 		},
 	}
-	c.Flags().StringSliceVar(&kinds, "kind", []string{"quote=30ms"}, "classes of requests and the work of a request of each")
-	c.Flags().IntVar(&cores, "cores", 2, "requests that it works on at once")
-	c.Flags().IntVar(&build, "build", 1, "the build that it runs")
-	c.Flags().Float64Var(&speed, "speed", 1, "times the usual")
+	c.Flags().StringSliceVar(&classes, "kind", []string{"quote=30ms"}, "request classes with the mean work of a request, as NAME=TIME")
+	c.Flags().IntVar(&cores, "cores", 2, "number of requests processed at once")
+	c.Flags().IntVar(&build, "build", 1, "number of the build that the backend runs")
+	c.Flags().Float64Var(&speed, "speed", 1, "speed, as a multiple of the usual speed")
 	return c
 }
 
-// parseKind reads a class of requests with its mean work, such as quote=30ms.
-func parseKind(text string) (testbed.Class, error) {
+// parseClass parses a request class with the mean work of a request, such as quote=30ms.
+func parseClass(text string) (testbed.Class, error) {
 	name, work, ok := strings.Cut(text, "=")
 	d, err := time.ParseDuration(work)
 	if !ok || err != nil {
--- a/cmd/dapplefront/build.go
+++ b/cmd/dapplefront/build.go
@@ -11,11 +11,11 @@
 	"dapplefront/internal/artifact"
 )
 
-// passwordVariable holds the password of encrypted private keys.
+// passwordVariable is the environment variable with the password of encrypted private keys.
 const passwordVariable = "DAPPLEFRONT_KEY_PASSWORD"
 
 func buildCommand() *cobra.Command {
-	c := &cobra.Command{Use: "build", Short: "Pack, sign and verify builds, and make keys and rings"}
+	c := &cobra.Command{Use: "build", Short: "Pack, sign and verify builds, and generate keys and key rings"}
 	c.AddCommand(packCommand(), signCommand(), verifyCommand(), keysCommand())
 	return c
 }
@@ -27,7 +27,7 @@
 	var readyTimeout, drainTimeout time.Duration
 	c := &cobra.Command{
 		Use:   "pack FOLDER",
-		Short: "Make a build of a folder: files by digest, and a manifest to sign",
+		Short: "Pack a folder into a build: its files, stored by digest, and a manifest to sign",
 		Args:  cobra.ExactArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
 			m := &build.Manifest{Format: 1, Name: name, Group: group, Version: version, Start: start}
@@ -41,14 +41,14 @@
 		},
 	}
 	f := c.Flags()
-	f.StringVar(&out, "out", "mirror", "the folder that a mirror serves")
-	f.StringVar(&name, "name", "", "the build's name")
-	f.StringVar(&group, "group", "", "the host group that it is for")
-	f.IntVar(&version, "version", 0, "its number, higher than that of earlier builds")
-	f.StringArrayVar(&start, "start", nil, "its command, a word each; the first is a file of the folder, {port} the port to listen on")
-	f.StringVar(&ready, "ready", "/ready", "the path of its readiness check")
-	f.DurationVar(&readyTimeout, "ready-within", 10*time.Second, "how long it may take to get ready")
-	f.DurationVar(&drainTimeout, "drain-within", 10*time.Second, "how long it may take to end")
+	f.StringVar(&out, "out", "mirror", "folder that a mirror serves")
+	f.StringVar(&name, "name", "", "name of the build")
+	f.StringVar(&group, "group", "", "host group that the build is for")
+	f.IntVar(&version, "version", 0, "number of the build, higher than the numbers of earlier builds")
+	f.StringArrayVar(&start, "start", nil, "command that starts the build; repeat the flag for each word; the first word is a file of the folder, {port} stands for the port to listen on")
+	f.StringVar(&ready, "ready", "/ready", "path of the readiness check")
+	f.DurationVar(&readyTimeout, "ready-within", 10*time.Second, "how long the build may take to become ready")
+	f.DurationVar(&drainTimeout, "drain-within", 10*time.Second, "how long the build may take to stop")
 	return c
 }
 
@@ -58,14 +58,14 @@
 		Use:   "sign DIGEST",
 		Short: "Add a signature to a packed build",
 		Args:  cobra.ExactArgs(1),
-		Long: "Add a signature to a packed build. The key is a file that `build keys new` has written; an encrypted one is opened with\n" +
-			"the password in DAPPLEFRONT_KEY_PASSWORD.",
+		Long: "Add a signature to a packed build. The key is a file written by `build keys`; an encrypted key is decrypted with the\n" +
+			"password in DAPPLEFRONT_KEY_PASSWORD.",
 		RunE: func(_ *cobra.Command, args []string) error {
 			return artifact.Sign(out, args[0], key, os.Getenv(passwordVariable))
 		},
 	}
-	c.Flags().StringVar(&out, "out", "mirror", "the folder that a mirror serves")
-	c.Flags().StringVar(&key, "key", "", "the file of the private key")
+	c.Flags().StringVar(&out, "out", "mirror", "folder that a mirror serves")
+	c.Flags().StringVar(&key, "key", "", "file of the private key")
 	return c
 }
 
@@ -97,8 +97,8 @@
 			return nil
 		},
 	}
-	c.Flags().StringVar(&out, "out", "mirror", "the folder that a mirror serves")
-	c.Flags().StringVar(&ring, "ring", "ring.json", "the file of trusted keys")
+	c.Flags().StringVar(&out, "out", "mirror", "folder that a mirror serves")
+	c.Flags().StringVar(&ring, "ring", "ring.json", "file of the key ring with the trusted keys")
 	return c
 }
 
@@ -107,10 +107,10 @@
 	var threshold, days int
 	c := &cobra.Command{
 		Use:   "keys NAME ...",
-		Short: "Make a key pair for each name, and a ring that trusts them",
+		Short: "Generate a key pair for each name, and a key ring that trusts these keys",
 		Args:  cobra.MinimumNArgs(1),
-		Long: "Make a key pair for each name (NAME.key, encrypted with the password in DAPPLEFRONT_KEY_PASSWORD if that is set) and\n" +
-			"ring.json, which trusts them. Nothing that exists is written over.",
+		Long: "Generate a key pair for each name (NAME.key, encrypted with the password in DAPPLEFRONT_KEY_PASSWORD if it is set), and\n" +
+			"ring.json, a key ring that trusts these keys. Existing files are not overwritten.",
 		RunE: func(c *cobra.Command, args []string) error {
 			now := time.Now()
 			wanted := build.KeyRing{Format: 1, Version: 1, Threshold: threshold, Group: group}
@@ -118,12 +118,12 @@
 			if err != nil {
 				return err
 			}
-			c.Printf("ring.json: %d of %d keys sign for %s\n", ring.Threshold, len(ring.Keys), ring.Group)
+			c.Printf("ring.json: signatures by %d of %d keys are required for %s\n", ring.Threshold, len(ring.Keys), ring.Group)
 			return nil
 		},
 	}
-	c.Flags().StringVar(&group, "group", "", "the host group")
-	c.Flags().IntVar(&threshold, "threshold", 1, "how many signatures a build needs")
-	c.Flags().IntVar(&days, "days", 365, "how long the keys are valid")
+	c.Flags().StringVar(&group, "group", "", "host group of the key ring")
+	c.Flags().IntVar(&threshold, "threshold", 1, "number of signatures that a build needs")
+	c.Flags().IntVar(&days, "days", 365, "number of days for which the keys are valid")
 	return c
 }
--- a/cmd/dapplefront/check.go
+++ b/cmd/dapplefront/check.go
@@ -12,7 +12,7 @@
 func checkCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:   "check FILE",
-		Short: "Check a file of settings of a router, an agent or a controller, a plan or a scenario, and tell every mistake",
+		Short: "Check the settings of a router, an agent or a controller, a plan or a scenario, and print all mistakes",
 		Args:  cobra.ExactArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
 			file := inifile.Read(args[0])
@@ -27,7 +27,7 @@
 	}
 }
 
-// readAny reads a file as what its first section says that it is; mistakes are kept by the file.
+// readAny reads a file of any type. The type is determined by the sections of the file. readAny records mistakes in the file.
 func readAny(file *inifile.File) {
 	switch {
 	case file.Section("day").Has():
--- a/cmd/dapplefront/commands_test.go
+++ b/cmd/dapplefront/commands_test.go
@@ -6,7 +6,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-func TestEarlierCommandNamesAreHiddenAliases(t *testing.T) {
+func TestRootCommand_HidesAliasesOfRenamedCommands(t *testing.T) {
 	root := rootCommand()
 	for alias, name := range map[string]string{"day": "scenario", "host": "backend", "register": "endpoints", "load": "loadgen"} {
 		t.Run(alias, func(t *testing.T) {
--- a/cmd/dapplefront/controller.go
+++ b/cmd/dapplefront/controller.go
@@ -24,7 +24,7 @@
 	}
 }
 
-// runController serves by a file of settings until a signal ends it.
+// runController runs a controller with settings from a file until a signal stops it.
 func runController(file string, log *slog.Logger) error {
 	config, err := openControllerConfig(file)
 	if err != nil {
@@ -44,9 +44,9 @@
 	log.Info("listening", "url", server.URL(), "peers", node.Address())
 	awaitTermination()
 	if leads, _ := node.IsLeader(); leads {
-		err := node.TransferLeadership() // another instance takes over at once, where there is one
+		err := node.TransferLeadership() // so that another instance, if there is one, takes over at once
 		if err != nil && !errors.Is(err, controller.ErrOnlyInstance) {
-			log.Warn("leadership not handed over; the others choose a leader", "error", err)
+			log.Warn("leadership transfer failed; the other instances must elect a leader", "error", err)
 		}
 	}
 	server.Close()
--- a/cmd/dapplefront/controller_config.go
+++ b/cmd/dapplefront/controller_config.go
@@ -23,14 +23,14 @@
 	grants       []controller.Grant
 }
 
-// openControllerConfig reads a controller's settings from a file; the error names every mistake with its line.
+// openControllerConfig reads a controller's settings from a file. The error lists all mistakes with their lines.
 func openControllerConfig(name string) (controllerConfig, error) {
 	file := inifile.Read(name)
 	config := readControllerConfig(file)
 	return config, file.Err()
 }
 
-// readControllerConfig reads a controller's settings; mistakes are kept by the file.
+// readControllerConfig reads a controller's settings. It records mistakes in the file.
 func readControllerConfig(file *inifile.File) controllerConfig {
 	var config controllerConfig
 	config.readNode(file.Section("controller"))
@@ -72,7 +72,7 @@
 	}
 	shares, caps := s.Shares("shares", "3%, 12%, 40%, 100%"), s.Shares("caps", "4%, 15%, 50%, 100%")
 	if len(shares) != len(caps) {
-		s.AddError("caps", "caps: as many as shares expected, %d and not %d", len(shares), len(caps))
+		s.AddError("caps", "caps: as many values as in shares expected, %d and not %d", len(shares), len(caps))
 	}
 	for i := range min(len(shares), len(caps)) {
 		rules.Stages = append(rules.Stages, release.Stage{HostShare: shares[i], ExposureCap: caps[i]})
@@ -99,7 +99,7 @@
 	config.peers = s.List("controllers", "")
 }
 
-// readGrants reads who may do what.
+// readGrants reads the grants, which define which callers have which roles.
 func (config *controllerConfig) readGrants(file *inifile.File) {
 	sections, names := file.Sections("grant")
 	for i, s := range sections {
@@ -111,13 +111,13 @@
 			grant.Roles = append(grant.Roles, controller.Role(role))
 		}
 		if len(grant.CommonNames) > 0 && !file.Section("tls").Has() {
-			s.AddError("names", "[grant %s] goes by certificates, but there is no section [tls]", names[i])
+			s.AddError("names", "[grant %s] requires certificates, but there is no section [tls]", names[i])
 		}
 		config.grants = append(config.grants, grant)
 	}
 }
 
-// readNetworks reads the networks of a grant; nil for none.
+// readNetworks reads the networks of a grant. It returns nil if there are none.
 func readNetworks(s inifile.Section) *netipx.IPSet {
 	prefixes := s.Networks("networks", "")
 	if len(prefixes) == 0 {
@@ -134,7 +134,7 @@
 	return set
 }
 
-// secure puts certificates and grants in force.
+// secure applies the certificates and grants to the configuration of the node and the server.
 func (config *controllerConfig) secure() error {
 	if config.certificates == (certs.Files{}) && len(config.grants) == 0 {
 		return nil
--- a/cmd/dapplefront/endpoints.go
+++ b/cmd/dapplefront/endpoints.go
@@ -17,7 +17,7 @@
 	var address, group string
 	c := &cobra.Command{
 		Use:   "endpoints ADDRESS=ZONE=BUILD ...",
-		Short: "Run stand-in endpoint discovery (xDS) with a fixed list",
+		Short: "Run a test server for endpoint discovery (xDS) with a fixed list of endpoints",
 		Args:  cobra.MinimumNArgs(1),
 		RunE: func(_ *cobra.Command, args []string) error {
 			log, err := options.logger("info")
@@ -45,12 +45,12 @@
 			return nil
 		},
 	}
-	c.Flags().StringVar(&address, "listen", "127.0.0.1:9000", "where to listen")
-	c.Flags().StringVar(&group, "group", "shop", "the first part of the resources' names")
+	c.Flags().StringVar(&address, "listen", "127.0.0.1:9000", "address to listen on")
+	c.Flags().StringVar(&group, "group", "shop", "first part of the resource names")
 	return c
 }
 
-// parseEndpoint reads ADDRESS=ZONE=BUILD as the host with this id.
+// parseEndpoint parses ADDRESS=ZONE=BUILD. It returns a backend with the given host id, and its zone.
 func parseEndpoint(text string, id uint32) (h *testbed.Backend, zone string, err error) {
 	parts := strings.Split(text, "=")
 	if len(parts) != 3 {
--- a/cmd/dapplefront/loadgen.go
+++ b/cmd/dapplefront/loadgen.go
@@ -13,11 +13,11 @@
 
 // loadOptions are the flags of the loadgen command.
 type loadOptions struct {
-	rate      float64 // requests a second
+	rate      float64 // requests per second
 	seconds   int
 	path      string
 	class     string
-	objective time.Duration // answers within this are in time
+	objective time.Duration // a response within this time is in time
 	timeout   time.Duration
 }
 
@@ -32,12 +32,12 @@
 		},
 	}
 	f := c.Flags()
-	f.Float64Var(&o.rate, "rate", 100, "requests a second")
-	f.IntVar(&o.seconds, "seconds", 10, "how long")
-	f.StringVar(&o.path, "path", "/quote", "what to ask for")
-	f.StringVar(&o.class, "category", "quote", "the class's name in the report")
-	f.DurationVar(&o.objective, "promised", 500*time.Millisecond, "answers within this are in time")
-	f.DurationVar(&o.timeout, "patience", 2*time.Second, "how long a client waits")
+	f.Float64Var(&o.rate, "rate", 100, "requests per second")
+	f.IntVar(&o.seconds, "seconds", 10, "duration in seconds")
+	f.StringVar(&o.path, "path", "/quote", "path to request")
+	f.StringVar(&o.class, "category", "quote", "name of the request class")
+	f.DurationVar(&o.objective, "promised", 500*time.Millisecond, "responses within this time are in time")
+	f.DurationVar(&o.timeout, "patience", 2*time.Second, "how long a client waits for a response")
 	return c
 }
 
@@ -56,14 +56,14 @@
 	scores, times := clients.Scores()
 	s, latencies := scores[o.class], times[o.class]
 	slices.Sort(latencies)
-	c.Printf("asked %d, in time %d, late %d, turned back %d, scrapped %d, refused %d, lost %d\n",
+	c.Printf("requests %d, in time %d, late %d, rejected %d, failed %d, refused %d, lost %d\n",
 		s.Asked, s.InTime, s.Late, s.Rejected, s.Failed, s.Refused, s.Lost+s.TimedOut)
 	c.Printf("p50 %v, p90 %v, p99 %v, longest %v\n",
 		quantile(latencies, .5), quantile(latencies, .9), quantile(latencies, .99), quantile(latencies, 1))
 	return nil
 }
 
-// quantile is the value below which this share of the sorted latencies lies, 0 for none.
+// quantile returns the value below which the given share of the sorted latencies lies, or 0 if there are no latencies.
 func quantile(sorted []time.Duration, share float64) time.Duration {
 	if len(sorted) == 0 {
 		return 0
--- a/cmd/dapplefront/logging.go
+++ b/cmd/dapplefront/logging.go
@@ -9,13 +9,13 @@
 	"github.com/lmittmann/tint"
 )
 
-// logOptions are the flags about logging that all commands have.
+// logOptions are the flags for logging, which all commands have.
 type logOptions struct {
-	level  string // debug, info, warn or error; empty for the command's default
+	level  string // debug, info, warn or error; "" for the command's default
 	format string // text or json
 }
 
-// logger returns a logger to standard error. An option that can't be read is an error that names its flag.
+// logger returns a logger that writes to standard error. If an option is invalid, the error names its flag.
 func (o *logOptions) logger(defaultLevel string) (*slog.Logger, error) {
 	text := o.level
 	if text == "" {
--- a/cmd/dapplefront/main.go
+++ b/cmd/dapplefront/main.go
@@ -1,5 +1,5 @@
-// Command dapplefront runs a router, a release controller or a build agent, the tools that go with them, and a testbed
-// that plays scenarios of faults on loopback.
+// Command dapplefront runs a router, a release controller or a build agent, their tools, and a testbed that runs scenarios
+// of faults on loopback.
 package main
 
 import (
@@ -15,19 +15,19 @@
 // version is set when a release is built.
 var version = "0.1.0-dev"
 
-// Exit codes beside 0. A command that ends with exitFailed has said why on its own.
+// Exit codes other than 0. A command that returns exitFailed has already printed the reason.
 const (
 	exitFailed = 1
 	exitUsage  = 2
 )
 
-// exitCode is an error that ends the program with this code and without a further message.
+// exitCode is an error that makes the program exit with this code without printing another message.
 type exitCode int
 
 func (e exitCode) Error() string { return fmt.Sprintf("exit %d", int(e)) }
 
 func main() {
-	testbed.RunIfBackendProcess() // does not return in a process that a scenario with agents started as a host
+	testbed.RunIfBackendProcess() // does not return in a process that a scenario with agents started as a backend
 	err := rootCommand().Execute()
 	var code exitCode
 	switch {
@@ -49,8 +49,8 @@
 	root.SetOut(os.Stdout)
 	var options logOptions
 	flags := root.PersistentFlags()
-	flags.StringVar(&options.level, "log", "", "how much to log: debug, info, warn or error (default error for a scenario, info else)")
-	flags.StringVar(&options.format, "log-form", "text", "text or json")
+	flags.StringVar(&options.level, "log", "", "log level: debug, info, warn or error (default error for scenario, info for all other commands)")
+	flags.StringVar(&options.format, "log-form", "text", "log format: text or json")
 	root.AddCommand(
 		routerCommand(&options), nodeCommand(&options), checkCommand(), replayCommand(),
 		controllerCommand(&options), storeCommand(), releaseCommand(),
@@ -64,7 +64,7 @@
 	return root
 }
 
-// addWithAlias adds a command, and the same under its earlier name without a line in the help.
+// addWithAlias adds a command, and the same command under its earlier name, which the help does not list.
 func addWithAlias(root *cobra.Command, alias string, command func() *cobra.Command) {
 	hidden := command()
 	hidden.Use = alias + hidden.Use[len(hidden.Name()):]
--- a/cmd/dapplefront/node.go
+++ b/cmd/dapplefront/node.go
@@ -11,7 +11,7 @@
 	"dapplefront/internal/node"
 )
 
-// configVariable names the file of a router's configuration on the operators' platform.
+// configVariable is the environment variable with the name of the router's configuration file on the operators' platform.
 const configVariable = "EDGE_CONFIG"
 
 func nodeCommand(options *logOptions) *cobra.Command {
@@ -19,8 +19,8 @@
 		Use:   "node",
 		Short: "Run a router on the operators' platform",
 		Args:  cobra.NoArgs,
-		Long: "Run a router on the operators' platform, by the configuration that EDGE_CONFIG names (docs/operate-node.md).\n" +
-			"SIGTERM drains it; SIGHUP reads the configuration anew; one with a mistake changes nothing.",
+		Long: "Run a router on the operators' platform with the configuration file named by EDGE_CONFIG (docs/operate-node.md).\n" +
+			"SIGTERM drains the router. SIGHUP reloads the configuration; a configuration with a mistake changes nothing.",
 		RunE: func(*cobra.Command, []string) error {
 			log, err := options.logger("info")
 			if err != nil {
@@ -33,8 +33,8 @@
 			terminate, reload := make(chan os.Signal, 2), make(chan os.Signal, 1)
 			signal.Notify(terminate, syscall.SIGTERM, os.Interrupt)
 			signal.Notify(reload, syscall.SIGHUP)
-			left, err := node.Run(file, log, terminate, reload)
-			if err == nil && left > 0 {
+			canceled, err := node.Run(file, log, terminate, reload)
+			if err == nil && canceled > 0 {
 				err = exitCode(exitFailed)
 			}
 			return err
--- a/cmd/dapplefront/plan.go
+++ b/cmd/dapplefront/plan.go
@@ -10,15 +10,15 @@
 )
 
 func planCommand() *cobra.Command {
-	var picture, whatIf string
+	var plotFile, whatIf string
 	var hosts bool
 	c := &cobra.Command{
 		Use:   "plan FILE",
-		Short: "Plan traffic shares ahead",
+		Short: "Plan future traffic shares for a fleet",
 		Args:  cobra.ExactArgs(1),
-		Long: "Plan traffic shares ahead for a fleet and a forecast (FILE), step by step: within what hosts can do, caps, budgets of\n" +
-			"hosts that warm up, traffic between zones and balance. Says what contradicts what where nothing fits, and what would do.\n" +
-			"Ends with 0 when all is served at every step, 1 when not, 2 when the file makes no sense.",
+		Long: "Plan future traffic shares for a fleet and a forecast (FILE) at each step: within host capacity, caps and warm-up budgets,\n" +
+			"with little traffic between zones and good balance. Prints conflicting limits and possible remedies if demand is unserved.\n" +
+			"Exits with 0 if all demand is served at every step, 1 if not, 2 if the file is invalid.",
 		RunE: func(c *cobra.Command, args []string) error {
 			report, solution, err := solvePlan(args[0], whatIf)
 			if err != nil {
@@ -27,8 +27,8 @@
 			if err := report.Print(c.OutOrStdout(), solution, hosts); err != nil {
 				return err
 			}
-			if picture != "" {
-				if err := report.Plot(picture, solution); err != nil {
+			if plotFile != "" {
+				if err := report.Plot(plotFile, solution); err != nil {
 					return err
 				}
 			}
@@ -40,9 +40,9 @@
 			return nil
 		},
 	}
-	c.Flags().StringVar(&picture, "plot", "", "also draw the plan into this file, .svg or .png")
+	c.Flags().StringVar(&plotFile, "plot", "", "also draw the plan to this file, .svg or .png")
 	c.Flags().StringVar(&whatIf, "what-if", "", `change the fleet or the forecast first: "lose LOCATION", "lose host NAME", "cold LOCATION", "demand xN [LOCATION]" or "no release"`)
-	c.Flags().BoolVar(&hosts, "hosts", false, "also each host's share")
+	c.Flags().BoolVar(&hosts, "hosts", false, "also print the share of each host")
 	c.AddCommand(planDiffCommand())
 	return c
 }
@@ -51,7 +51,7 @@
 	var whatIf string
 	c := &cobra.Command{
 		Use:   "diff FILE FILE",
-		Short: "Tell in what two plans differ",
+		Short: "Print the differences between two plans",
 		Args:  cobra.ExactArgs(2),
 		RunE: func(c *cobra.Command, args []string) error {
 			report, before, err := solvePlan(args[0], "")
@@ -65,11 +65,11 @@
 			return report.PrintDiff(c.OutOrStdout(), plan.Diff(before, after))
 		},
 	}
-	c.Flags().StringVar(&whatIf, "what-if", "", "change the second one first")
+	c.Flags().StringVar(&whatIf, "what-if", "", "change the fleet or the forecast of the second plan first")
 	return c
 }
 
-// solvePlan reads a fleet and its forecast, changes them as whatIf says, and solves the plan.
+// solvePlan reads a fleet and its forecast, applies the change whatIf if it is not empty, and solves the plan.
 func solvePlan(file, whatIf string) (*planreport.Report, *plan.Plan, error) {
 	report, err := planreport.Read(file)
 	if err != nil {
--- a/cmd/dapplefront/release.go
+++ b/cmd/dapplefront/release.go
@@ -25,18 +25,18 @@
 	files   certs.Files
 }
 
-// releaseCommand speaks to controllers. It ends with 0 when done, 1 when the controller says no, 2 when it can't be
-// reached.
+// releaseCommand sends requests to controllers. It exits with 0 if the request succeeded, 1 if the controller rejected it, 2 if
+// no controller could be reached.
 func releaseCommand() *cobra.Command {
 	var o releaseOptions
-	root := &cobra.Command{Use: "release", Short: "Create, read, watch and withdraw releases"}
+	root := &cobra.Command{Use: "release", Short: "Create, show, watch and withdraw releases"}
 	f := root.PersistentFlags()
-	f.StringSliceVar(&o.urls, "url", []string{"http://127.0.0.1:7300"}, "controllers, with commas between them")
-	f.StringVarP(&o.output, "output", "o", "table", "table or json")
-	f.DurationVar(&o.timeout, "within", 10*time.Second, "how long to try")
-	f.StringVar(&o.files.Certificate, "certificate", "", "PEM file of the caller's certificate")
-	f.StringVar(&o.files.Key, "key-file", "", "PEM file of its key")
-	f.StringVar(&o.files.Authority, "authority", "", "PEM file of the authority that controllers' certificates come from")
+	f.StringSliceVar(&o.urls, "url", []string{"http://127.0.0.1:7300"}, "URLs of the controllers, separated by commas")
+	f.StringVarP(&o.output, "output", "o", "table", "output format: table or json")
+	f.DurationVar(&o.timeout, "within", 10*time.Second, "time limit for the request, including retries")
+	f.StringVar(&o.files.Certificate, "certificate", "", "PEM file of the client certificate")
+	f.StringVar(&o.files.Key, "key-file", "", "PEM file of the private key of the client certificate")
+	f.StringVar(&o.files.Authority, "authority", "", "PEM file of the certificate authority that issued the controllers' certificates")
 	_ = root.RegisterFlagCompletionFunc("output", cobra.FixedCompletions([]string{"table", "json"}, cobra.ShellCompDirectiveNoFileComp))
 	root.AddCommand(
 		o.createCommand(), o.getCommand(), o.listCommand(), o.withdrawCommand(), o.votesCommand(), o.stepCommand(),
@@ -45,10 +45,10 @@
 	return root
 }
 
-// action is what one of the release commands does.
+// action is the implementation of a release command.
 type action func(ctx context.Context, c *cobra.Command, controllers *client.Client, args []string) error
 
-// run does an action within the timeout.
+// run returns a command function that runs an action with the timeout.
 func (o *releaseOptions) run(do action) func(*cobra.Command, []string) error {
 	return o.follow(func(ctx context.Context, c *cobra.Command, controllers *client.Client, args []string) error {
 		ctx, cancel := context.WithTimeout(ctx, o.timeout)
@@ -57,7 +57,8 @@
 	})
 }
 
-// follow does an action until a signal ends it. What the controller refuses is printed and ends with 1.
+// follow returns a command function that runs an action until a signal stops it. If the controller rejects the request, the
+// function prints the error and the program exits with 1.
 func (o *releaseOptions) follow(do action) func(*cobra.Command, []string) error {
 	return func(c *cobra.Command, args []string) error {
 		if o.output != "table" && o.output != "json" {
@@ -70,16 +71,16 @@
 			return err
 		}
 		err = do(ctx, c, client.New(o.urls, transport), args)
-		var refused *client.Error
-		if errors.As(err, &refused) {
-			c.PrintErrln("dapplefront:", refused)
+		var rejected *client.Error
+		if errors.As(err, &rejected) {
+			c.PrintErrln("dapplefront:", rejected)
 			return exitCode(exitFailed)
 		}
 		return err
 	}
 }
 
-// httpClient returns a client with the caller's certificate; nil where there is none.
+// httpClient returns an HTTP client that uses the client certificate, or nil if no certificate is given.
 func (o *releaseOptions) httpClient() (*http.Client, error) {
 	if o.files == (certs.Files{}) {
 		return nil, nil
@@ -91,10 +92,10 @@
 	return &http.Client{Transport: &http.Transport{TLSClientConfig: ring.Client()}}, nil
 }
 
-// buildAction is what a release command does whose first argument is a build.
+// buildAction is the implementation of a release command whose first argument is a build.
 type buildAction func(ctx context.Context, c *cobra.Command, controllers *client.Client, build int, args []string) error
 
-// runForBuild reads the build and does an action within the timeout.
+// runForBuild returns a command function that parses the build and runs an action with the timeout.
 func (o *releaseOptions) runForBuild(do buildAction) func(*cobra.Command, []string) error {
 	return o.run(func(ctx context.Context, c *cobra.Command, controllers *client.Client, args []string) error {
 		build, err := parseBuild(args[0])
@@ -116,7 +117,7 @@
 func (o *releaseOptions) createCommand() *cobra.Command {
 	var key, note, digest string
 	var labels, steps []string
-	c := &cobra.Command{Use: "create BUILD", Short: "Ask for a release", Args: cobra.ExactArgs(1)}
+	c := &cobra.Command{Use: "create BUILD", Short: "Request a release", Args: cobra.ExactArgs(1)}
 	c.RunE = o.runForBuild(func(ctx context.Context, c *cobra.Command, controllers *client.Client, build int, _ []string) error {
 		request := api.CreateRelease{Build: build, Digest: digest, Note: note, Labels: map[string]string{}}
 		for _, text := range labels {
@@ -139,20 +140,20 @@
 		}
 		return o.print(c, r)
 	})
-	c.Flags().StringVar(&key, "key", "", "creation may be repeated under this key")
-	c.Flags().StringVar(&note, "note", "", "for people")
-	c.Flags().StringVar(&digest, "digest", "", "of the build's manifest")
+	c.Flags().StringVar(&key, "key", "", "idempotency key: a request with the same key may be repeated")
+	c.Flags().StringVar(&note, "note", "", "note for operators")
+	c.Flags().StringVar(&digest, "digest", "", "digest of the build's manifest")
 	c.Flags().StringSliceVar(&labels, "label", nil, "NAME=VALUE")
-	c.Flags().StringSliceVar(&steps, "step", nil, "NAME@STAGE: what must be done before a stage; NAME@STAGE! for what can't be undone")
+	c.Flags().StringSliceVar(&steps, "step", nil, "NAME@STAGE: a step that must be done before a stage; NAME@STAGE! if the step can't be undone")
 	return c
 }
 
-// parseStep reads NAME@STAGE, with ! behind it where there is no way back.
+// parseStep parses NAME@STAGE, or NAME@STAGE! for a step that can't be undone.
 func parseStep(text string) (api.Step, error) {
 	name, stageText, ok := strings.Cut(text, "@")
 	stage, err := strconv.Atoi(strings.TrimSuffix(stageText, "!"))
 	if !ok || err != nil {
-		return api.Step{}, fmt.Errorf("--step %s: NAME@STAGE expected, with ! behind it where there is no way back", text)
+		return api.Step{}, fmt.Errorf("--step %s: NAME@STAGE expected, or NAME@STAGE! for a step that can't be undone", text)
 	}
 	return api.Step{Name: name, Stage: stage, Irreversible: strings.HasSuffix(stageText, "!")}, nil
 }
@@ -210,7 +211,7 @@
 func (o *releaseOptions) votesCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:   "votes BUILD",
-		Short: "Tell how the votes stand",
+		Short: "Print the votes on a build",
 		Args:  cobra.ExactArgs(1),
 		RunE: o.runForBuild(func(ctx context.Context, c *cobra.Command, controllers *client.Client, build int, _ []string) error {
 			r, err := controllers.Get(ctx, build, true)
@@ -220,7 +221,7 @@
 			v := r.Votes
 			switch {
 			case v == nil:
-				c.Printf("build %d is not the newest release: no votes stand\n", build)
+				c.Printf("build %d is not the newest release: there are no votes on it\n", build)
 			case o.output == "json":
 				return json.NewEncoder(c.OutOrStdout()).Encode(v)
 			default:
@@ -234,7 +235,7 @@
 func (o *releaseOptions) stepCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:   "step BUILD NAME",
-		Short: "Report a step done",
+		Short: "Report that a step is done",
 		Args:  cobra.ExactArgs(2),
 		RunE: o.runForBuild(func(ctx context.Context, c *cobra.Command, controllers *client.Client, build int, args []string) error {
 			r, err := controllers.CompleteStep(ctx, build, args[0], "dapplefront release step")
@@ -249,7 +250,7 @@
 func (o *releaseOptions) watchCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:   "watch",
-		Short: "Follow what happens",
+		Short: "Print events as they occur",
 		Args:  cobra.NoArgs,
 		RunE: o.follow(func(ctx context.Context, c *cobra.Command, controllers *client.Client, _ []string) error {
 			onEvent := func(event string, data []byte) error {
@@ -267,7 +268,7 @@
 func (o *releaseOptions) statusCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:   "status",
-		Short: "Tell how a controller stands",
+		Short: "Print the status of a controller",
 		Args:  cobra.NoArgs,
 		RunE: o.run(func(ctx context.Context, c *cobra.Command, controllers *client.Client, _ []string) error {
 			status, err := controllers.Status(ctx)
@@ -282,7 +283,7 @@
 func (o *releaseOptions) joinCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:   "join NAME ADDRESS",
-		Short: "Take a controller in as a member, which runs with an empty store",
+		Short: "Add a controller, which runs with an empty store, to the Raft group",
 		Args:  cobra.ExactArgs(2),
 		RunE: o.run(func(ctx context.Context, _ *cobra.Command, controllers *client.Client, args []string) error {
 			return controllers.AddController(ctx, args[0], api.Controller{Address: args[1]})
@@ -293,7 +294,7 @@
 func (o *releaseOptions) partCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:   "part NAME",
-		Short: "Take a controller out for good",
+		Short: "Remove a controller from the Raft group permanently",
 		Args:  cobra.ExactArgs(1),
 		RunE: o.run(func(ctx context.Context, _ *cobra.Command, controllers *client.Client, args []string) error {
 			return controllers.RemoveController(ctx, args[0])
--- a/cmd/dapplefront/release_output.go
+++ b/cmd/dapplefront/release_output.go
@@ -13,7 +13,7 @@
 	"dapplefront/internal/api"
 )
 
-// print shows releases as a table or as JSON; one alone is no list.
+// print prints releases as a table or as JSON. In JSON, a single release is printed as an object, not as a list.
 func (o *releaseOptions) print(c *cobra.Command, releases ...api.ReleaseObject) error {
 	if o.output == "json" {
 		if len(releases) == 1 {
@@ -46,7 +46,7 @@
 	return err
 }
 
-// printHistory shows a release's steps and the lines of its history.
+// printHistory prints the steps and the history of a release.
 func printHistory(c *cobra.Command, r api.ReleaseObject) error {
 	return printTable(c.OutOrStdout(), func(table io.Writer) (err error) {
 		for _, s := range r.Steps {
@@ -61,7 +61,7 @@
 	})
 }
 
-// printTable writes columns that fill separates with tabs.
+// printTable aligns the columns that fill writes, which are separated by tabs.
 func printTable(to io.Writer, fill func(table io.Writer) error) error {
 	table := tabwriter.NewWriter(to, 0, 0, 2, ' ', 0)
 	return errors.Join(fill(table), table.Flush())
--- a/cmd/dapplefront/replay.go
+++ b/cmd/dapplefront/replay.go
@@ -13,17 +13,17 @@
 	"dapplefront/record"
 )
 
-// recordName is the name of a file of records, with its router's.
+// recordName matches the name of a record file; its group is the router's name.
 var recordName = regexp.MustCompile(`^(.*)-\d{8}T\d{6}\.\d{6}-\d{6}\.rec$`)
 
 func replayCommand() *cobra.Command {
 	var explain string
 	c := &cobra.Command{
 		Use:   "replay FILE|FOLDER...",
-		Short: "Run decision records through the library and compare every action",
+		Short: "Replay decision records with the router library and compare every action",
 		Args:  cobra.MinimumNArgs(1),
-		Long: "Run decision records through the library alone and compare every action with the recorded one.\n" +
-			"Ends with 0 when all are equal, 1 when one differs, 2 when there is nothing to compare.",
+		Long: "Replay decision records with the router library alone and compare every action with the recorded one.\n" +
+			"Exits with 0 if all actions are equal, 1 if any differ, 2 if there is nothing to compare.",
 		RunE: func(c *cobra.Command, args []string) error {
 			byRouter, err := recordFiles(args)
 			if err != nil {
@@ -47,11 +47,11 @@
 			return nil
 		},
 	}
-	c.Flags().StringVar(&explain, "explain", "", "tell the history of the request with this id")
+	c.Flags().StringVar(&explain, "explain", "", "print the history of the request with this id")
 	return c
 }
 
-// recordFiles finds the files of records that paths name, by router.
+// recordFiles returns the record files at the paths, which are files or folders, by router.
 func recordFiles(paths []string) (map[string][]string, error) {
 	byRouter := map[string][]string{}
 	for _, path := range paths {
@@ -76,7 +76,7 @@
 	return byRouter, nil
 }
 
-// replayRouter replays one router's files and prints what it found.
+// replayRouter replays one router's files and prints the result.
 func replayRouter(c *cobra.Command, name string, files []string, explain string) (*record.Report, error) {
 	slices.Sort(files)
 	var trace func(record.Entry)
@@ -87,9 +87,9 @@
 	if err != nil {
 		return nil, err
 	}
-	c.Printf("%s: %d entries with %d actions in %d lives, %d differ\n", name, report.Entries, report.Actions, report.Starts, report.Differences)
+	c.Printf("%s: %d entries with %d actions in %d starts, %d differ\n", name, report.Entries, report.Actions, report.Starts, report.Differences)
 	for _, gap := range report.Gaps {
-		c.Printf("  %s: %d entries up to the next start are not compared\n", gap, report.Skipped)
+		c.Printf("  %s: %d entries until the next start are not compared\n", gap, report.Skipped)
 	}
 	if report.First != nil {
 		c.Printf("the first difference of %s: %s", name, report.First)
--- a/cmd/dapplefront/router.go
+++ b/cmd/dapplefront/router.go
@@ -15,11 +15,11 @@
 func routerCommand(options *logOptions) *cobra.Command {
 	return &cobra.Command{
 		Use:   "router FILE",
-		Short: "Run a router by a file of settings",
+		Short: "Run a router with settings from a file",
 		Args:  cobra.ExactArgs(1),
-		Long: "Run a router by a file of settings (docs/operate-router.md). SIGTERM or an interrupt drains: no new requests, those\n" +
-			"in flight get their answer, then it ends with 0. A second signal ends it at once with 1. SIGHUP reads the file anew; one\n" +
-			"with a mistake, or with a change that a running router can't make, changes nothing (docs/migration.md).",
+		Long: "Run a router with settings from a file (docs/operate-router.md). SIGTERM or an interrupt drains it: no new requests\n" +
+			"are accepted, those in flight get their responses, then it exits with 0. A second signal makes it exit at once with 1.\n" +
+			"SIGHUP reloads the file; a mistake, or a change that a running router can't make, changes nothing (docs/migration.md).",
 		RunE: func(_ *cobra.Command, args []string) error {
 			log, err := options.logger("info")
 			if err != nil {
@@ -30,7 +30,7 @@
 	}
 }
 
-// runRouter serves by a file of settings until a signal ends it, and drains.
+// runRouter runs a router with settings from a file until a signal stops it, and then drains the router.
 func runRouter(file string, log *slog.Logger) error {
 	config, err := routerconfig.Read(file)
 	if err != nil {
@@ -61,7 +61,7 @@
 	return nil
 }
 
-// reloadRouter reads the file anew and returns the configuration then in force.
+// reloadRouter reloads the file and returns the configuration that is then in effect.
 func reloadRouter(p *proxy.Proxy, config *routerconfig.Config, file string, log *slog.Logger) *routerconfig.Config {
 	next, err := routerconfig.Read(file)
 	if err == nil {
--- a/cmd/dapplefront/scenario.go
+++ b/cmd/dapplefront/scenario.go
@@ -22,24 +22,24 @@
 	seconds     int
 	list        bool
 	agents      bool
-	secure      bool
+	tls         bool
 	quiet       bool
 	records     string
 	controllers int
-	shares      string
+	trafficPlan string
 	report      string
-	breach      string
+	violation   string
 }
 
 func scenarioCommand(options *logOptions) *cobra.Command {
 	var o scenarioOptions
 	c := &cobra.Command{
 		Use:   "scenario [FILE]",
-		Short: "Play a scenario of faults on loopback and judge the five rules",
+		Short: "Run a scenario of faults on loopback and check the five rules",
 		Args:  cobra.MaximumNArgs(1),
-		Long: "Play a scenario of faults on loopback: routers, backends, endpoint discovery, release controller and clients, by a\n" +
-			"script (FILE) or drawn by chance.\n" +
-			"Ends with 0 when every rule was kept, 1 when one broke, 2 when it could not run or the audit can't tell.",
+		Long: "Run a scenario of faults on loopback, with routers, backends, endpoint discovery, a release controller and clients. The\n" +
+			"scenario is read from a script (FILE) or generated at random.\n" +
+			"Exits with 0 if every rule was kept, 1 if a rule was broken, 2 if the scenario could not run or the audit can't tell.",
 		RunE: func(c *cobra.Command, args []string) error {
 			if o.list {
 				listScenarios(c)
@@ -49,26 +49,26 @@
 			if err != nil {
 				return err
 			}
-			plan, err := o.plan(args)
+			spec, err := o.spec(args)
 			if err != nil {
 				return err
 			}
-			return o.play(c, plan, log)
+			return o.run(c, spec, log)
 		},
 	}
 	f := c.Flags()
-	f.StringVar(&o.kind, "kind", "mixed", "what kind of scenario to draw; --list names them")
-	f.Uint64Var(&o.seed, "seed", 1, "seed of the random draws")
-	f.IntVar(&o.seconds, "seconds", 30, "how long the scenario is")
-	f.BoolVar(&o.list, "list", false, "name the kinds")
+	f.StringVar(&o.kind, "kind", "mixed", "kind of scenario to generate; --list prints the kinds")
+	f.Uint64Var(&o.seed, "seed", 1, "seed of the random generator")
+	f.IntVar(&o.seconds, "seconds", 30, "length of the scenario in seconds")
+	f.BoolVar(&o.list, "list", false, "print the kinds of scenarios")
 	f.BoolVar(&o.agents, "agents", false, "run the backends as processes under build agents")
-	f.BoolVar(&o.secure, "tls", false, "let controllers, routers, agents and clients speak TLS, with roles")
-	f.BoolVar(&o.quiet, "quiet", false, "no line a second")
-	f.StringVar(&o.records, "records", "", "keep the routers' decision records in this folder, for replay")
-	f.IntVar(&o.controllers, "controllers", 0, "how many release controllers: 1, 3 or 5; of several, one is ended at every stage")
-	f.StringVar(&o.shares, "shares", "", "what routers are told of traffic shares planned ahead: none, plan, stale or absurd")
+	f.BoolVar(&o.tls, "tls", false, "use TLS, with roles, between controllers, routers, agents and clients")
+	f.BoolVar(&o.quiet, "quiet", false, "do not print a line of progress each second")
+	f.StringVar(&o.records, "records", "", "write the routers' decision records to this folder, for replay")
+	f.IntVar(&o.controllers, "controllers", 0, "number of release controllers: 1, 3 or 5; if there are several, one is restarted at every stage")
+	f.StringVar(&o.trafficPlan, "shares", "", "plans of traffic shares that routers receive: none, plan, stale or absurd")
 	f.StringVar(&o.report, "report", "", "also write the report to this file, as JSON")
-	f.StringVar(&o.breach, "breach", "", "build the routers wrong on purpose: answer, effect, drain, cold or exposure")
+	f.StringVar(&o.violation, "breach", "", "make the routers violate this rule on purpose: answer, effect, drain, cold or exposure")
 	return c
 }
 
@@ -77,43 +77,43 @@
 	for i := range names {
 		c.Printf("%-14s %s\n", names[i], texts[i])
 	}
-	c.Println("\nSeveral joined by + come together, as in bad-some+slow.")
+	c.Println("\nSeveral kinds joined by + are combined, as in bad-some+slow.")
 }
 
-// plan reads or draws what is to be played.
-func (o *scenarioOptions) plan(args []string) (p scenario.Spec, err error) {
+// spec reads or generates the scenario to run.
+func (o *scenarioOptions) spec(args []string) (s scenario.Spec, err error) {
 	if len(args) == 1 {
-		p, err = scenario.ReadFile(args[0])
+		s, err = scenario.ReadFile(args[0])
 	} else {
-		p, err = scenario.Generate(o.kind, o.seed, time.Duration(o.seconds)*time.Second)
+		s, err = scenario.Generate(o.kind, o.seed, time.Duration(o.seconds)*time.Second)
 	}
 	if err != nil {
-		return p, err
+		return s, err
 	}
-	if o.shares != "" {
-		if !slices.Contains(scenario.TrafficPlans, o.shares) {
-			return p, fmt.Errorf("--shares %s: %s expected", o.shares, strings.Join(scenario.TrafficPlans, ", "))
+	if o.trafficPlan != "" {
+		if !slices.Contains(scenario.TrafficPlans, o.trafficPlan) {
+			return s, fmt.Errorf("--shares %s: %s expected", o.trafficPlan, strings.Join(scenario.TrafficPlans, ", "))
 		}
-		p.TrafficPlan = o.shares
+		s.TrafficPlan = o.trafficPlan
 	}
 	if o.controllers > 0 {
-		p.Controllers = o.controllers
+		s.Controllers = o.controllers
 	}
-	p.Records = o.records
-	p.Violation = o.breach
-	p.TLS = p.TLS || o.secure
-	p.Agents = p.Agents || o.agents
-	return p, nil
+	s.Records = o.records
+	s.Violation = o.violation
+	s.TLS = s.TLS || o.tls
+	s.Agents = s.Agents || o.agents
+	return s, nil
 }
 
-func (o *scenarioOptions) play(c *cobra.Command, plan scenario.Spec, log *slog.Logger) error {
+func (o *scenarioOptions) run(c *cobra.Command, spec scenario.Spec, log *slog.Logger) error {
 	ctx, stop := interruptContext()
 	defer stop()
 	var progress io.Writer
 	if !o.quiet {
 		progress = c.OutOrStdout()
 	}
-	result, err := scenario.Run(ctx, plan, log, progress)
+	result, err := scenario.Run(ctx, spec, log, progress)
 	if err != nil {
 		return err
 	}
--- a/cmd/dapplefront/signals.go
+++ b/cmd/dapplefront/signals.go
@@ -7,17 +7,17 @@
 	"syscall"
 )
 
-// interruptContext returns a context that ends with an interrupt.
+// interruptContext returns a context that is canceled by an interrupt.
 func interruptContext() (context.Context, context.CancelFunc) {
 	return signal.NotifyContext(context.Background(), os.Interrupt)
 }
 
-// terminationContext returns a context that ends with an interrupt or SIGTERM.
+// terminationContext returns a context that is canceled by an interrupt or SIGTERM.
 func terminationContext() (context.Context, context.CancelFunc) {
 	return signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 }
 
-// awaitTermination returns once an interrupt or SIGTERM has come.
+// awaitTermination waits for an interrupt or SIGTERM.
 func awaitTermination() {
 	ctx, stop := terminationContext()
 	defer stop()
--- a/cmd/dapplefront/store.go
+++ b/cmd/dapplefront/store.go
@@ -10,7 +10,7 @@
 )
 
 func storeCommand() *cobra.Command {
-	c := &cobra.Command{Use: "store", Short: "Look after a controller's store; the controller must not run"}
+	c := &cobra.Command{Use: "store", Short: "Check, export, import or repair the store of a controller; the controller must not be running"}
 	c.AddCommand(storeCheckCommand(), storeExportCommand(), storeImportCommand(), storeRepairCommand())
 	return c
 }
@@ -18,7 +18,7 @@
 func storeCheckCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:   "check FILE",
-		Short: "Go through every page and entry of the store that FILE names",
+		Short: "Check every page and entry of the store that the settings in FILE name",
 		Args:  cobra.ExactArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
 			config, err := openControllerConfig(args[0])
@@ -38,7 +38,7 @@
 func storeExportCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:   "export FILE",
-		Short: "Write the state that the store holds",
+		Short: "Print the state in the store",
 		Args:  cobra.ExactArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
 			config, err := openControllerConfig(args[0])
@@ -53,7 +53,7 @@
 func storeImportCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:   "import FILE STATE",
-		Short: "Make a new store of one member out of an exported state",
+		Short: "Create a new store with one member from an exported state",
 		Args:  cobra.ExactArgs(2),
 		RunE: func(_ *cobra.Command, args []string) error {
 			config, err := openControllerConfig(args[0])
@@ -72,7 +72,7 @@
 func storeRepairCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:   "repair FILE",
-		Short: "Keep what can be read of a damaged store; the damaged file stays beside it",
+		Short: "Recover the readable entries of a damaged store; the damaged file is kept beside it",
 		Args:  cobra.ExactArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
 			config, err := openControllerConfig(args[0])
@@ -83,7 +83,7 @@
 			if err != nil {
 				return err
 			}
-			c.Printf("entries up to %d are kept; let the other controllers bring it up to date\n", kept)
+			c.Printf("entries up to %d are kept; the other controllers must bring this one up to date\n", kept)
 			return nil
 		},
 	}
