--- a/internal/scenario/agent_builds.go
+++ b/internal/scenario/agent_builds.go
@@ -21,7 +21,7 @@
 // buildGroup is the group that builds and their signing keys belong to.
 const buildGroup = "day"
 
-// newKeyRing creates the keys that sign builds, of which two must.
+// newKeyRing creates three keys for signing builds. A build needs the signatures of two of them.
 func (f *agentFleet) newKeyRing() (*build.KeyRing, error) {
 	ring := &build.KeyRing{Format: 1, Version: 1, Threshold: 2, Group: buildGroup}
 	for _, name := range []string{"ada", "ben", "cyd"} {
@@ -40,9 +40,10 @@
 	return ring, nil
 }
 
-// startAgents starts an agent on each machine, orders build 1 and waits until all serve it, with slow start over.
+// startAgents starts an agent on each machine, orders build 1, and waits until all machines serve it and their slow start
+// has ended.
 func (f *agentFleet) startAgents(keyRing *build.KeyRing) error {
-	for i := range f.machines { // known before the first agent reports
+	for i := range f.machines { // complete before the first agent reports
 		f.names, f.deployed = append(f.names, fmt.Sprintf("h%d", i+1)), append(f.deployed, map[int]bool{1: true})
 	}
 	for i, name := range f.names {
@@ -86,7 +87,8 @@
 	}, f.log)
 }
 
-// publishBuild packs a build, signs it as its kind allows, and puts it on the mirror.
+// publishBuild packs a build, signs it and puts it on the mirror. A build of kind bad-signed gets only one signature; of
+// one of kind bad-bytes, each file on the mirror is corrupted.
 func (f *agentFleet) publishBuild(b testbed.Build, kind string) error {
 	folder, err := os.MkdirTemp(f.run.dir, "build-")
 	if err != nil {
--- a/internal/scenario/agent_fleet.go
+++ b/internal/scenario/agent_fleet.go
@@ -23,13 +23,13 @@
 )
 
 const (
-	orderTimeout     = 30 * time.Second // for an agent to carry out an order; it reports failures much sooner
-	maxQueuedUpdates = 4096             // endpoint updates that wait until they are due
+	orderTimeout     = 30 * time.Second // time limit for an agent to carry out an order; it reports failures much sooner
+	maxQueuedUpdates = 4096             // capacity of the queue of endpoint updates that are not yet due
 )
 
-// agentFleet is all backends, as processes under agents. Builds are packed, signed and put on a mirror; the agent of
-// each machine fetches, verifies, starts and removes them by orders; discovery lists what agents report. It is the
-// deployer of scenarios with agents.
+// agentFleet runs all backends as processes under agents. Builds are packed, signed and put on a mirror. On orders, the
+// agent of each machine fetches, verifies, starts and removes them. Discovery lists the endpoints that agents report.
+// agentFleet is the deployer of scenarios with agents.
 type agentFleet struct {
 	run         *run
 	log         *slog.Logger
@@ -38,34 +38,35 @@
 	observer    *testbed.ObserverServer
 	signingKeys []minisign.PrivateKey
 	machines    []testbed.Machine
-	names       []string // of the agents, by machine
+	names       []string // names of the agents, by machine
 	agents      []*agentd.Agent
 	updates     chan endpointUpdate
 	publisher   sync.WaitGroup
 
 	mu        sync.Mutex
-	digests   map[int]string // by build
-	builds    map[string]int // by digest
+	digests   map[int]string // digests of the manifests, by build
+	builds    map[string]int // build numbers, by digest
 	hostIDs   map[string]uint32
 	hosts     map[uint32]*testbed.Backend
-	deployed  []map[int]bool        // by machine, the builds that were ordered there
-	retiredAt map[int]time.Duration // by build, when its removal was ordered
+	deployed  []map[int]bool        // by machine: the builds that the agent was ordered to run
+	retiredAt map[int]time.Duration // by build: when its removal was ordered
 }
 
-// endpointUpdate is what discovery is to list, and when.
+// endpointUpdate is an endpoint that discovery lists from the due time on.
 type endpointUpdate struct {
 	due      time.Time
 	endpoint testbed.Endpoint
 }
 
-// AgentStatistics is how long things took by the agents' reports.
+// AgentStatistics holds the durations of deployment steps, computed from the agents' reports.
 type AgentStatistics struct {
-	PhaseDurations      map[string][]time.Duration `json:"Phases"`  // spent in each phase, over all agents and builds
-	OrderToReady        []time.Duration            `json:"Serving"` // over all builds but the first
-	TrafficAfterRemoval map[int]time.Duration      `json:"Retired"` // by build, from the order to remove it to its last request
+	PhaseDurations      map[string][]time.Duration `json:"Phases"`  // time spent in each phase, over all agents and builds
+	OrderToReady        []time.Duration            `json:"Serving"` // from the start of fetching to the start of warm-up, for all builds but the first
+	TrafficAfterRemoval map[int]time.Duration      `json:"Retired"` // by build: from the order to remove it to its last request
 }
 
-// newAgentFleet starts all agents and waits until build 1 serves everywhere. After an error the fleet must be closed too.
+// newAgentFleet starts all agents and waits until all serve build 1. The caller must close the fleet even if an error is
+// returned.
 func newAgentFleet(r *run) (*agentFleet, error) {
 	f := &agentFleet{run: r, log: r.log, digests: map[int]string{}, builds: map[string]int{}, hostIDs: map[string]uint32{},
 		hosts: map[uint32]*testbed.Backend{}, retiredAt: map[int]time.Duration{}, updates: make(chan endpointUpdate, maxQueuedUpdates),
@@ -90,7 +91,7 @@
 	return f, f.startAgents(keyRing)
 }
 
-// statistics evaluates the reports.
+// statistics computes the statistics from all reports so far.
 func (f *agentFleet) statistics() *AgentStatistics {
 	statistics := &AgentStatistics{PhaseDurations: map[string][]time.Duration{}, TrafficAfterRemoval: map[int]time.Duration{}}
 	for _, name := range f.names {
@@ -106,7 +107,7 @@
 	return statistics
 }
 
-// addReports evaluates the reports of one agent.
+// addReports adds the durations that one agent's reports show.
 func (s *AgentStatistics) addReports(reports []api.AgentReport) {
 	phaseSince, orderedAt := map[string]int64{}, map[string]int64{} // by digest, in milliseconds
 	for _, r := range reports {
@@ -126,7 +127,7 @@
 	}
 }
 
-// hostID is the ID of the host at an address; a new address gets the next one.
+// hostID returns the ID of the host at an address. A new address gets the next free ID.
 func (f *agentFleet) hostID(address string) uint32 {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -136,7 +137,8 @@
 	return f.hostIDs[address]
 }
 
-// handleReport takes in an agent's report: endpoints to list, and builds that failed, which are rolled back.
+// handleReport processes an agent's report: it queues an update of a reported endpoint, and requests the rollback of a
+// build that failed.
 func (f *agentFleet) handleReport(name string, r api.AgentReport) {
 	if r.EndpointState != "" && r.Address != "" {
 		endpoint := testbed.Endpoint{Backend: f.host(name, r), State: endpointState(r.EndpointState)}
@@ -154,7 +156,7 @@
 	}
 }
 
-// endpointState is the state for discovery of an endpoint that an agent reports.
+// endpointState converts an endpoint state that an agent reports to the state that discovery lists.
 func endpointState(reported string) policy.EndpointState {
 	switch reported {
 	case string(agent.EndpointDraining):
@@ -165,7 +167,7 @@
 	return policy.Serving
 }
 
-// host is the host of which an agent reports.
+// host returns the host that an agent's report refers to.
 func (f *agentFleet) host(agentName string, r api.AgentReport) *testbed.Backend {
 	id := f.hostID(r.Address)
 	f.mu.Lock()
@@ -180,7 +182,7 @@
 	return f.hosts[id]
 }
 
-// machine is an agent's machine; the zero value for an agent of another fleet.
+// machine returns the machine of an agent, or the zero value if the agent does not belong to this fleet.
 func (f *agentFleet) machine(agentName string) testbed.Machine {
 	for i, name := range f.names {
 		if name == agentName {
@@ -190,7 +192,7 @@
 	return testbed.Machine{}
 }
 
-// publishUpdates lets discovery list the endpoint updates when they are due, until close.
+// publishUpdates passes each endpoint update to discovery when it is due. It returns after close.
 func (f *agentFleet) publishUpdates() {
 	for update := range f.updates {
 		time.Sleep(time.Until(update.due))
@@ -198,14 +200,14 @@
 	}
 }
 
-// deploy lets a share of the machines run a build (deployer). All fetch and verify it first; starts are paced by zone:
-// a third of its machines at once, the next when these are ready.
+// deploy runs a build on a share of the machines (deployer). All of them fetch and verify it first. In each zone a third
+// of the zone's machines start it at a time; the next third follows when these are ready.
 func (f *agentFleet) deploy(ctx context.Context, build int, share float64) {
 	digest, chosen := f.chooseMachines(build, share)
 	var failed atomic.Bool
-	order := func(goal string, reached agent.Phase) func(machine int) {
+	order := func(goal string, targetPhase agent.Phase) func(machine int) {
 		return func(machine int) {
-			if !f.orderAndAwait(ctx, machine, api.Order{Digest: digest, Build: build, Goal: goal}, reached) {
+			if !f.orderAndAwait(ctx, machine, api.Order{Digest: digest, Build: build, Goal: goal}, targetPhase) {
 				failed.Store(true)
 			}
 		}
@@ -231,7 +233,8 @@
 	}
 }
 
-// chooseMachines marks a build as deployed on as many further machines as its share lacks, and returns these.
+// chooseMachines chooses as many further machines for a build as it lacks for its share, marks the build as deployed on
+// them and returns them.
 func (f *agentFleet) chooseMachines(build int, share float64) (digest string, chosen []int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -253,16 +256,17 @@
 	return f.digests[build], chosen
 }
 
-// orderAndAwait orders a machine's agent to bring a build to a phase; false if the build fails or that takes too long.
-func (f *agentFleet) orderAndAwait(ctx context.Context, machine int, order api.Order, reached agent.Phase) bool {
+// orderAndAwait sends an order to a machine's agent and waits until the build is in the target phase. It returns false if
+// the build fails or is removed, or after orderTimeout.
+func (f *agentFleet) orderAndAwait(ctx context.Context, machine int, order api.Order, targetPhase agent.Phase) bool {
 	name := f.names[machine]
 	seen := f.reports.count(name)
 	f.reports.sendOrder(name, order)
-	phase := f.reports.await(ctx, name, seen, order.Digest, orderTimeout, string(agent.Failed), string(agent.Removed), string(reached))
-	return phase == string(reached)
+	phase := f.reports.await(ctx, name, seen, order.Digest, orderTimeout, string(agent.Failed), string(agent.Removed), string(targetPhase))
+	return phase == string(targetPhase)
 }
 
-// forEach does something for all machines at the same time, and waits for it.
+// forEach calls do for all machines concurrently and waits until all calls have returned.
 func forEach(machines []int, do func(machine int)) {
 	var wait sync.WaitGroup
 	for _, machine := range machines {
@@ -271,8 +275,8 @@
 	wait.Wait()
 }
 
-// retire removes a build from all machines (deployer): an earlier one by the release of the newer in its place, a newer
-// one by a rollback.
+// retire removes a build from all machines (deployer). Agents remove an older build when they are told that the newer one
+// is released, and a newer build when they are told to take it back.
 func (f *agentFleet) retire(ctx context.Context, build int) {
 	status := f.run.controllers.status()
 	previous := f.run.controllers.previousBuild()
@@ -281,7 +285,7 @@
 	order := api.Order{Digest: f.digests[status.Build], Build: status.Build, Goal: "release"}
 	if status.Build == build {
 		order = api.Order{Digest: digest, Build: build, Goal: "take-back", ReplacementDigest: f.digests[previous], ReplacementBuild: previous}
-	} else if status.Phase != policy.Released { // a canary that a newer one has replaced
+	} else if status.Phase != policy.Released { // a canary that a newer canary has replaced
 		order = api.Order{Digest: digest, Build: build, Goal: "take-back"}
 	}
 	f.retiredAt[build] = f.run.recorder.Now()
@@ -304,7 +308,7 @@
 	}
 }
 
-// killBackends kills the processes of a share of the hosts, at least one; their agents start them again, cold.
+// killBackends kills the backend processes of a share of the hosts, at least one. Their agents restart them, cold.
 func (f *agentFleet) killBackends(share float64) {
 	for i, a := range f.agents {
 		if float64(i) >= math.Max(1, math.Round(share*float64(len(f.agents)))) {
@@ -320,7 +324,7 @@
 	}
 }
 
-// close stops the agents with their processes. No report may come any more.
+// close stops the agents and their processes. The caller must make sure that no report is handled any more.
 func (f *agentFleet) close() {
 	close(f.updates)
 	var stops sync.WaitGroup
--- a/internal/scenario/agent_reports.go
+++ b/internal/scenario/agent_reports.go
@@ -11,7 +11,7 @@
 	"dapplefront/internal/api"
 )
 
-// agentReports keeps what agents have reported to the controllers, and gives agents orders.
+// agentReports stores the reports that agents have sent to the controllers, and sends orders to agents.
 type agentReports struct {
 	controllers *controllerGroup
 	onReport    func(agent string, report api.AgentReport) // called for each report, in order
@@ -27,14 +27,14 @@
 	return a
 }
 
-// handleEvent takes in an agent event of the controllers' watch.
+// handleEvent stores the report in an agent event of the controllers' watch, and calls onReport.
 func (a *agentReports) handleEvent(data []byte) error {
 	var event struct {
 		Agent  string          `json:"agent"`
 		Report api.AgentReport `json:"report"`
 	}
 	if err := json.Unmarshal(data, &event); err != nil {
-		return fmt.Errorf("report of an agent: %w", err)
+		return fmt.Errorf("decode an agent's report: %w", err)
 	}
 	a.mu.Lock()
 	a.reports[event.Agent] = append(a.reports[event.Agent], event.Report)
@@ -45,26 +45,26 @@
 	return nil
 }
 
-// sendOrder gives an agent an order; an error is logged.
+// sendOrder sends an agent an order through the controllers. It logs an error.
 func (a *agentReports) sendOrder(agent string, order api.Order) {
-	a.controllers.call(func(ctx context.Context) error {
+	a.controllers.request(func(ctx context.Context) error {
 		_, err := a.controllers.client.OrderAgent(ctx, agent, order)
 		return err
 	})
 }
 
-// list are an agent's reports so far.
+// list returns an agent's reports so far.
 func (a *agentReports) list(agent string) []api.AgentReport {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return slices.Clone(a.reports[agent])
 }
 
-// count is the number of an agent's reports so far.
+// count returns the number of an agent's reports so far.
 func (a *agentReports) count(agent string) int { return len(a.list(agent)) }
 
-// await waits until an agent reports a build in one of some phases, and returns that phase. It passes over the agent's
-// first reports, as many as skip says. It returns an empty phase after the timeout, or when the context ends.
+// await waits until an agent reports that a build is in one of the given phases, and returns that phase. It ignores the
+// agent's first skip reports. It returns an empty phase after the timeout or when the context ends.
 func (a *agentReports) await(ctx context.Context, agent string, skip int, digest string, timeout time.Duration, phases ...string) string {
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
--- a/internal/scenario/certificates.go
+++ b/internal/scenario/certificates.go
@@ -11,10 +11,10 @@
 	"dapplefront/internal/testbed"
 )
 
-// certificateTTL is how long a certificate is valid: longer than any scenario.
+// certificateTTL is the validity period of a certificate, which is longer than any scenario.
 const certificateTTL = 2 * time.Hour
 
-// grants are the roles of certificates by their common names: controllers and the scenario itself, routers, agents and
+// grants maps the common names of certificates to roles. In order: controllers and the scenario itself, routers, agents,
 // clients.
 var grants = []controller.Grant{
 	{CommonNames: []string{"c?", "day"}, Roles: controller.Roles},
@@ -40,8 +40,8 @@
 	return i.authority.Issue(name, certificateTTL)
 }
 
-// ring issues a certificate and reads it back, as a program does at its start.
-func (i *certificateIssuer) ring(name string) (*certs.Reloader, error) {
+// reloader issues a certificate and reads it from its files, as a program does when it starts.
+func (i *certificateIssuer) reloader(name string) (*certs.Reloader, error) {
 	files, err := i.issue(name)
 	if err != nil {
 		return nil, err
@@ -49,14 +49,14 @@
 	return certs.Open(files)
 }
 
-// clientTLS is the TLS configuration by which a name reaches the controllers; nil without TLS.
+// clientTLS returns the TLS configuration for connections to the controllers under a common name; nil without TLS.
 func (i *certificateIssuer) clientTLS(name string) (*tls.Config, error) {
 	if i == nil {
 		return nil, nil
 	}
-	ring, err := i.ring(name)
+	reloader, err := i.reloader(name)
 	if err != nil {
 		return nil, err
 	}
-	return ring.Client(), nil
+	return reloader.Client(), nil
 }
--- a/internal/scenario/controller_instance.go
+++ b/internal/scenario/controller_instance.go
@@ -23,7 +23,7 @@
 	server *controller.Server
 }
 
-// newInstance configures a controller; the first one bootstraps the group.
+// newInstance configures a controller. The one with index 0 bootstraps the group.
 func (g *controllerGroup) newInstance(index int, o controllerOptions) (*controllerInstance, error) {
 	name := fmt.Sprintf("c%d", index+1)
 	instance := &controllerInstance{
@@ -46,13 +46,13 @@
 	if o.issuer == nil {
 		return instance, nil
 	}
-	ring, err := o.issuer.ring(name)
+	reloader, err := o.issuer.reloader(name)
 	if err != nil {
 		return nil, err
 	}
 	peers := []string{"c?"}
-	instance.nodeConfig.StreamLayer = controller.TLSStreamLayer(ring, peers)
-	instance.serverConfig.Authorizer = &controller.Authorizer{ServerTLS: ring.Server(), ClientTLS: ring.Client(), Grants: grants, Peers: peers}
+	instance.nodeConfig.StreamLayer = controller.TLSStreamLayer(reloader, peers)
+	instance.serverConfig.Authorizer = &controller.Authorizer{ServerTLS: reloader.Server(), ClientTLS: reloader.Client(), Grants: grants, Peers: peers}
 	return instance, nil
 }
 
@@ -70,8 +70,8 @@
 	return err
 }
 
-// keepAddresses lets later starts listen where the first one does.
-func (i *controllerInstance) keepAddresses() {
+// pinAddresses makes later starts listen on the addresses that the first start was given.
+func (i *controllerInstance) pinAddresses() {
 	url := i.server.URL()
 	i.nodeConfig.Listen = i.node.Address()
 	i.serverConfig.Listen = url[strings.Index(url, "//")+2:]
@@ -86,7 +86,7 @@
 	}
 	i.server.Close()
 	if err := i.node.Close(); err != nil {
-		log.Warn("controller not closed", "controller", i.nodeConfig.Name, "error", err)
+		log.Warn("failed to close controller", "controller", i.nodeConfig.Name, "error", err)
 	}
 	i.node = nil
 }
@@ -101,7 +101,7 @@
 	return leads
 }
 
-// read reads the instance's state; false while it is down.
+// read calls f with the instance's state. It returns false while the instance is down.
 func (i *controllerInstance) read(f func(*control.State)) bool {
 	i.mu.Lock()
 	defer i.mu.Unlock()
--- a/internal/scenario/controllers.go
+++ b/internal/scenario/controllers.go
@@ -24,13 +24,13 @@
 )
 
 const (
-	controllerTimeout = 10 * time.Second // for a controller to join and for an election, at the start
-	callTimeout       = 5 * time.Second  // for a call of the controllers
-	planValidFor      = 4 * time.Second  // of a published traffic plan
+	controllerStartTimeout   = 10 * time.Second // time limit at the start for a controller to join and for an election
+	controllerRequestTimeout = 5 * time.Second  // timeout of a request to the controllers
+	planValidFor             = 4 * time.Second  // validity of a published traffic plan
 )
 
-// deployer carries out the orders of a release. Both methods return when the order is complete or the context ends;
-// they tell the controllers of a completed order.
+// deployer carries out the orders of a release. Both methods return when the order is complete or the context ends. They
+// report a completed order to the controllers.
 type deployer interface {
 	deploy(ctx context.Context, build int, share float64)
 	retire(ctx context.Context, build int)
@@ -44,13 +44,13 @@
 	Phase policy.Phase  `json:"Phase"`
 }
 
-// RestartCounts counts the controllers that were ended and started again.
+// RestartCounts counts the restarts of controllers.
 type RestartCounts struct {
 	All     int
-	Leaders int // of them, those that led
+	Leaders int // restarts of an instance that was the leader
 }
 
-// controllerGroup is the scenario's release controllers: one, three or five instances of the real one, on loopback.
+// controllerGroup is the scenario's release controllers: one, three or five instances of the real controller on loopback.
 type controllerGroup struct {
 	log       *slog.Logger
 	recorder  *audit.Recorder
@@ -61,32 +61,32 @@
 
 	ctx        context.Context // ends with stopBackground
 	cancel     context.CancelFunc
-	background sync.WaitGroup // the watch, orders of releases, counts and restarts
+	background sync.WaitGroup // the watch, the orders of releases, the reports of request counts, and restarts
 
 	mu          sync.Mutex
 	deployer    deployer
 	agents      *agentReports // nil without agents
 	transitions []Transition
-	extraDelay  time.Duration // injected fault: status and counts are late
-	stalled     bool          // injected fault: no call is answered
+	extraDelay  time.Duration // injected fault: additional delay of status notifications and request counts
+	stalled     bool          // injected fault: the controllers answer no request
 	counts      map[countKey]*requestCounts
 	acks        map[uint64]map[string]api.PlanAck // by version of the traffic plan and router
 	restarts    RestartCounts
 }
 
-// countKey is what requests are counted by.
+// countKey groups the counted requests.
 type countKey struct {
 	build int
 	class string
 }
 
-// requestCounts are the responses of a build's backends in one class since they were last sent to the controllers.
+// requestCounts counts the responses of a build's backends in one class since the counts were last sent to the controllers.
 type requestCounts struct {
 	failures, samples, successes int
-	latency                      time.Duration // sum over the successes
+	latency                      time.Duration // sum of the latencies of the successes
 }
 
-// controllerOptions are what a group of controllers is started with.
+// controllerOptions configures a group of controllers.
 type controllerOptions struct {
 	count    int
 	rules    release.Rules
@@ -97,7 +97,7 @@
 	log      *slog.Logger
 }
 
-// startControllers starts the controllers, at which build 1 counts as released, and waits until one leads.
+// startControllers starts the controllers with build 1 as the released build, and waits until one of them is the leader.
 func startControllers(o controllerOptions) (*controllerGroup, error) {
 	ctx, cancel := context.WithCancel(context.Background())
 	g := &controllerGroup{log: o.log, recorder: o.recorder, params: o.params, dir: o.dir, ctx: ctx, cancel: cancel,
@@ -130,7 +130,7 @@
 		if err := instance.start(o.log); err != nil {
 			return fmt.Errorf("start controller %s: %w", instance.nodeConfig.Name, err)
 		}
-		instance.keepAddresses()
+		instance.pinAddresses()
 		urls = append(urls, instance.serverConfig.URL)
 		g.client = client.New(urls, httpClient)
 		if i == 0 {
@@ -140,39 +140,39 @@
 			return fmt.Errorf("add controller %s: %w", instance.nodeConfig.Name, err)
 		}
 	}
-	for deadline := time.Now().Add(controllerTimeout); g.leader() == nil; time.Sleep(5 * time.Millisecond) {
+	for deadline := time.Now().Add(controllerStartTimeout); g.leader() == nil; time.Sleep(5 * time.Millisecond) {
 		if time.Now().After(deadline) {
-			return errors.New("no controller leads")
+			return errors.New("no controller became the leader")
 		}
 	}
 	return nil
 }
 
 func (g *controllerGroup) addMember(instance *controllerInstance) error {
-	ctx, cancel := context.WithTimeout(g.ctx, controllerTimeout)
+	ctx, cancel := context.WithTimeout(g.ctx, controllerStartTimeout)
 	defer cancel()
 	member := api.Controller{Address: instance.nodeConfig.Listen, URL: instance.serverConfig.URL}
 	return g.client.AddController(ctx, instance.nodeConfig.Name, member)
 }
 
-// stopBackground ends the watch and all work on orders, and waits for it. The controllers still answer.
+// stopBackground ends the watch and all background work, and waits for it. The controllers still answer requests.
 func (g *controllerGroup) stopBackground() {
 	g.cancel()
 	g.background.Wait()
 }
 
-// stop stops all: background work first, then the controllers, whose stores it removes.
+// stop stops the background work, then the controllers, and removes the controllers' stores.
 func (g *controllerGroup) stop() {
 	g.stopBackground()
 	for _, instance := range g.instances {
 		instance.stop(g.log)
 	}
 	if err := os.RemoveAll(g.dir); err != nil {
-		g.log.Warn("controllers' stores not removed", "folder", g.dir, "error", err)
+		g.log.Warn("failed to remove the controllers' stores", "folder", g.dir, "error", err)
 	}
 }
 
-// leader is the instance that leads; nil if there is none.
+// leader returns the instance that is the leader, or nil if there is none.
 func (g *controllerGroup) leader() *controllerInstance {
 	for _, instance := range g.instances {
 		if instance.leads() {
@@ -182,7 +182,8 @@
 	return nil
 }
 
-// restartInstance ends the leader or another instance, and starts it again with its old store after a while.
+// restartInstance stops the leader or another instance, and starts it again after 400 to 800 ms with the same store. It
+// does nothing if there are fewer than three instances or none is the leader.
 func (g *controllerGroup) restartInstance(ofLeader bool) {
 	if len(g.instances) < 3 {
 		return
@@ -203,7 +204,7 @@
 	chosen.stop(g.log)
 	time.Sleep(time.Duration(400+rand.IntN(400)) * time.Millisecond)
 	if err := chosen.start(g.log); err != nil {
-		g.log.Error("controller does not restart", "controller", chosen.nodeConfig.Name, "error", err)
+		g.log.Error("failed to restart controller", "controller", chosen.nodeConfig.Name, "error", err)
 	}
 }
 
@@ -213,7 +214,8 @@
 	return g.restarts
 }
 
-// injectedFault is the fault that the controllers' servers show: how late they notify, and whether calls go unanswered.
+// injectedFault returns the fault that the controllers' servers simulate: the delay of their notifications, and whether
+// requests go unanswered.
 func (g *controllerGroup) injectedFault() (delay time.Duration, stalled bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -244,13 +246,13 @@
 	g.agents = reports
 }
 
-// recordStatus tells the audit which status was sent to a router.
+// recordStatus records for the audit which status was sent to a router.
 func (g *controllerGroup) recordStatus(router string, r api.Release) {
 	released := r.Phase == api.Phases[policy.Released]
 	g.recorder.ReleaseAnnounced(router, audit.ReleaseStatus{Build: r.Build, Stage: r.Stage, Released: released, ExposureCap: r.ExposureCap})
 }
 
-// handleEvent takes in an event of the watch: orders are carried out in the background, and transitions recorded.
+// handleEvent handles an event of the watch. It starts carrying out orders in the background, and records transitions.
 func (g *controllerGroup) handleEvent(event string, data []byte) error {
 	g.mu.Lock()
 	d, agents := g.deployer, g.agents
@@ -286,7 +288,8 @@
 	return nil
 }
 
-// recordTransition records a transition, once. Each stage of a canary costs one instance; in stages 1 and 2 the leader.
+// recordTransition records a transition unless it is the last one recorded. In each stage of a canary one instance is
+// restarted: the leader in stages 1 and 2, another one in the other stages.
 func (g *controllerGroup) recordTransition(status policy.ReleaseStatus) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -312,7 +315,8 @@
 	return append([]Transition(nil), g.transitions...)
 }
 
-// emitCounts sends the counts of requests every two seconds, each time a second late and the injected delay more.
+// emitCounts sends the request counts to the controllers every two seconds, each time with a delay of one second plus the
+// injected delay.
 func (g *controllerGroup) emitCounts() {
 	for sleep(g.ctx, 2*time.Second) {
 		g.mu.Lock()
@@ -328,13 +332,13 @@
 				if c.successes > 0 {
 					message.MeanMs = float64(c.latency.Microseconds()) / 1000 / float64(c.successes)
 				}
-				g.call(func(ctx context.Context) error { return g.client.EmitCounts(ctx, message) })
+				g.request(func(ctx context.Context) error { return g.client.EmitCounts(ctx, message) })
 			}
 		})
 	}
 }
 
-// countRequest counts a request that a backend has answered; a share of them is counted, drawn by chance.
+// countRequest counts a request that a backend has answered. A random sample of countedShare of the requests is counted.
 func (g *controllerGroup) countRequest(build int, class string, latency time.Duration, failed bool) {
 	if rand.Float64() >= countedShare {
 		return
@@ -355,18 +359,18 @@
 	}
 }
 
-// call calls the controllers; an error is logged.
-func (g *controllerGroup) call(do func(ctx context.Context) error) {
-	ctx, cancel := context.WithTimeout(g.ctx, callTimeout)
+// request sends a request to the controllers. It logs an error.
+func (g *controllerGroup) request(do func(ctx context.Context) error) {
+	ctx, cancel := context.WithTimeout(g.ctx, controllerRequestTimeout)
 	defer cancel()
 	if err := do(ctx); err != nil {
-		g.log.Warn("call of the controllers failed", "error", err)
+		g.log.Warn("request to the controllers failed", "error", err)
 	}
 }
 
-// submit passes on what happened to the fleet or was offered; routers submit their votes themselves.
+// submit sends an offered build or an event of the fleet to the controllers. Routers send their votes themselves.
 func (g *controllerGroup) submit(input release.Input) {
-	g.call(func(ctx context.Context) error {
+	g.request(func(ctx context.Context) error {
 		switch in := input.(type) {
 		case release.Offer:
 			_, err := g.client.Create(ctx, api.CreateRelease{Build: in.Build}, fmt.Sprint("day-", in.Build))
@@ -379,11 +383,11 @@
 			_, err := g.client.RollBack(ctx, in.Build)
 			return err
 		}
-		return fmt.Errorf("%T can't be submitted by the fleet", input)
+		return fmt.Errorf("the fleet can't submit input of type %T", input)
 	})
 }
 
-// read reads the state of the leader or, without one, of any instance that runs.
+// read calls f with the state of the leader or, without one, of the first instance that runs.
 func (g *controllerGroup) read(f func(*control.State)) {
 	for _, instance := range append([]*controllerInstance{g.leader()}, g.instances...) {
 		if instance != nil && instance.read(f) {
@@ -402,10 +406,10 @@
 	return build
 }
 
-// firstURL is the address of the first instance.
+// firstURL returns the URL of the first instance.
 func (g *controllerGroup) firstURL() string { return g.instances[0].serverConfig.URL }
 
-// urls are the addresses of all instances, with commas between them.
+// urls returns the URLs of all instances, separated by commas.
 func (g *controllerGroup) urls() string {
 	var all []string
 	for _, instance := range g.instances {
@@ -416,13 +420,13 @@
 
 func (g *controllerGroup) publishPlan(p *plan.Published) {
 	g.recordPlanAcks()
-	g.call(func(ctx context.Context) error {
+	g.request(func(ctx context.Context) error {
 		published := api.Published{Build: p.Build, Stage: p.Stage, ValidForMs: planValidFor.Milliseconds(), For: p.ByZone}
 		return g.client.PublishPlan(ctx, p.Version, published)
 	})
 }
 
-// recordPlanAcks keeps the routers' acknowledgements of the active plan, before the next one takes its place.
+// recordPlanAcks stores the routers' acknowledgements of the active plan, before the next plan replaces it.
 func (g *controllerGroup) recordPlanAcks() {
 	g.read(func(s *control.State) {
 		active, _ := s.ActivePlan(s.Clock())
@@ -439,7 +443,7 @@
 	})
 }
 
-// planAcks are the acknowledgements of all plans so far, by version and router.
+// planAcks returns the acknowledgements of all plans so far, by version and router.
 func (g *controllerGroup) planAcks() map[uint64]map[string]api.PlanAck {
 	g.recordPlanAcks()
 	g.mu.Lock()
--- a/internal/scenario/run.go
+++ b/internal/scenario/run.go
@@ -75,7 +75,7 @@
 		Elapsed: time.Since(started), Stages: r.stageScores, Plans: plans,
 		ControllerRestarts: r.controllers.restartCounts(), ConfigUpdates: r.configUpdates}
 	result.Scores, result.Latencies = r.clients.Scores()
-	r.controllers.call(func(ctx context.Context) (err error) {
+	r.controllers.request(func(ctx context.Context) (err error) {
 		result.Releases, err = r.controllers.client.List(ctx, nil, "")
 		return err
 	})
