--- a/internal/scenario/agent_fleet.go
+++ b/internal/scenario/agent_fleet.go
@@ -275,8 +275,8 @@
 	wait.Wait()
 }
 
-// retire removes a build from all machines (deployer). Agents remove an older build when they are told that the newer one
-// is released, and a newer build when they are told to take it back.
+// retire removes a build from all machines (deployer). Agents remove an older build on a "release" order for the newer one,
+// and a newer build on a "take-back" order.
 func (f *agentFleet) retire(ctx context.Context, build int) {
 	status := f.run.controllers.status()
 	previous := f.run.controllers.previousBuild()
--- a/internal/scenario/config_switch.go
+++ b/internal/scenario/config_switch.go
@@ -10,14 +10,14 @@
 	"dapplefront/internal/routerconfig"
 )
 
-// otherConfig is what the name of a router's second configuration file ends with.
+// otherConfig is the suffix of the name of a router's second configuration file.
 const otherConfig = ".next"
 
-// switchConfig updates all routers to another configuration while they run, one after the other, and back to the one
-// that they started with.
+// switchConfig updates all running routers, one after the other, to their second configuration, and after the duration of
+// the fault back to the one that they started with.
 func (r *run) switchConfig(ctx context.Context, fault Fault) {
 	if err := r.writeOtherConfigs(); err != nil {
-		r.log.Error("no other configuration", "error", err)
+		r.log.Error("failed to write the second configurations", "error", err)
 		return
 	}
 	r.updateConfigs(otherConfig)
@@ -59,7 +59,7 @@
 	return addresses, nil
 }
 
-// updateConfigs lets each router that runs read its configuration file with a suffix.
+// updateConfigs updates each running router to the configuration in its file with the given suffix.
 func (r *run) updateConfigs(suffix string) {
 	for _, router := range r.routers {
 		config, err := routerconfig.Read(router.configFile + suffix)
@@ -67,7 +67,7 @@
 			err = p.UpdateConfig(config)
 		}
 		if err != nil {
-			r.log.Error("router keeps its configuration", "router", router.name, "error", err)
+			r.log.Error("failed to update router configuration", "router", router.name, "error", err)
 			continue
 		}
 		r.mu.Lock()
--- a/internal/scenario/config_switch_test.go
+++ b/internal/scenario/config_switch_test.go
@@ -11,8 +11,9 @@
 	"dapplefront/record"
 )
 
-// The configuration change of docs/migration.md and back, with requests of every idempotency in flight: the audit judges
-// the rules by what clients and backends saw, and the decision records replay to the same actions.
+// The routers make the configuration change of docs/migration.md and its reverse while requests of every idempotency are
+// in flight. The audit judges the rules by what clients and backends observed, and the decision records replay to the same
+// actions.
 func TestRun_KeepsTheRulesAcrossConfigUpdates(t *testing.T) {
 	spec, err := Generate("switch", 3, 9*time.Second)
 	require.NoError(t, err)
@@ -23,7 +24,7 @@
 	require.NoError(t, result.Print(&out))
 	require.Equal(t, 0, result.ExitCode(), out.String())
 	require.Contains(t, out.String(), "rules kept: 5 of 5\n")
-	require.Equal(t, 2*spec.Routers, result.ConfigUpdates, "each router went there and back")
+	require.Equal(t, 2*spec.Routers, result.ConfigUpdates, "each router is updated to the second configuration and back")
 	for _, class := range []string{"quote", "order", "transfer"} {
 		require.Positive(t, result.Scores[class].InTime, class)
 		require.Zero(t, result.Scores[class].Lost, class)
--- a/internal/scenario/fault_injection.go
+++ b/internal/scenario/fault_injection.go
@@ -12,38 +12,39 @@
 	"dapplefront/router"
 )
 
-// Violations are the ways in which routers can be made to violate a rule on purpose, by the names of the rules.
+// Violations are the rules that routers can be made to violate on purpose.
 var Violations = []string{"answer", "effect", "drain", "cold", "exposure"}
 
-// faultInjector makes a router violate one rule. The audit must find that.
+// faultInjector makes a router violate one rule. The audit must detect the violation.
 type faultInjector struct {
 	violation     string
 	slowStart     policy.Time
 	drainGrace    policy.Time
-	calls         atomic.Int64
-	drainingSince map[uint32]policy.Time // by host, when it was first seen to drain
+	requests      atomic.Int64           // requests that the injected violation applies to
+	drainingSince map[uint32]policy.Time // by host: when its draining was first observed
 	status        policy.ReleaseStatus
 }
 
-// newFaultInjector is the injector for a violation; nil for none.
+// newFaultInjector returns the injector for a violation, or nil for an empty violation.
 func newFaultInjector(violation string, params parameters) (proxy.FaultInjector, error) {
 	if violation == "" {
 		return nil, nil
 	}
 	if !slices.Contains(Violations, violation) {
 		last := len(Violations) - 1
-		return nil, fmt.Errorf("no breach is called %q; %s or %s expected", violation, strings.Join(Violations[:last], ", "), Violations[last])
+		return nil, fmt.Errorf("unknown breach %q; %s or %s expected", violation, strings.Join(Violations[:last], ", "), Violations[last])
 	}
 	return &faultInjector{violation: violation, slowStart: policyTime(params.slowStart), drainGrace: policyTime(params.drainGrace),
 		drainingSince: map[uint32]policy.Time{}}, nil
 }
 
-// WithholdsResponse keeps every fortieth response from its client.
+// WithholdsResponse reports true for every fortieth response if rule "answer" is to be violated.
 func (i *faultInjector) WithholdsResponse(string) bool {
-	return i.violation == "answer" && i.calls.Add(1)%40 == 0
+	return i.violation == "answer" && i.requests.Add(1)%40 == 0
 }
 
-// Actions redirects attempts to a host that must not get them, or adds such an attempt.
+// Actions redirects the attempts of an arriving request to a host that must not receive them. For rule "effect" it instead
+// adds a duplicate attempt to every fifth transfer request.
 func (i *faultInjector) Actions(now policy.Time, event router.Event, actions []router.Action, hosts map[uint32]eds.Host) []router.Action {
 	i.observe(now, event, hosts)
 	target, ok := i.target(now, hosts)
@@ -59,16 +60,16 @@
 			actions[n].Host = target
 			continue
 		}
-		if request.Class == "transfer" && i.calls.Add(1)%5 == 0 && target != action.Host {
-			again := action
-			again.Attempt, again.Host = action.Attempt+100, target
-			return append(actions, again)
+		if request.Class == "transfer" && i.requests.Add(1)%5 == 0 && target != action.Host {
+			duplicate := action
+			duplicate.Attempt, duplicate.Host = action.Attempt+100, target
+			return append(actions, duplicate)
 		}
 	}
 	return actions
 }
 
-// observe notes the release's status and the hosts that drain.
+// observe records the release status and when hosts were first seen draining.
 func (i *faultInjector) observe(now policy.Time, event router.Event, hosts map[uint32]eds.Host) {
 	if e, ok := event.(router.ReleaseChanged); ok && e.Status.Build > 0 {
 		if result := e.Status.VoteResult; result == policy.Unsolicited || result == policy.VoteAccepted {
@@ -82,7 +83,8 @@
 	}
 }
 
-// target is the host with the highest ID of those that an attempt would violate the rule at, if there is one now.
+// target returns the host with the highest ID among those where an attempt would violate the rule. ok is false if there is
+// no such host now.
 func (i *faultInjector) target(now policy.Time, hosts map[uint32]eds.Host) (target uint32, ok bool) {
 	for id, h := range hosts {
 		violates := false
--- a/internal/scenario/faults.go
+++ b/internal/scenario/faults.go
@@ -8,13 +8,13 @@
 	"dapplefront/release"
 )
 
-// The clients' retries without a fault.
+// The clients' retry behavior while no fault changes it.
 const (
 	defaultClientRetries    = 2
 	defaultClientRetryDelay = 100 * time.Millisecond
 )
 
-// schedule starts rollouts and faults in the background at the times of the specification.
+// schedule starts rollouts and faults in the background at the times that the specification gives.
 func (r *run) schedule(ctx context.Context) {
 	for i, rollout := range r.spec.Rollouts {
 		r.after(ctx, rollout.At, func() { r.offer(i+2, rollout.Kind) })
@@ -24,7 +24,7 @@
 	}
 }
 
-// after does something in the background after a delay, unless the context ends before.
+// after calls do in the background after a delay, unless the context ends first.
 func (r *run) after(ctx context.Context, delay time.Duration, do func()) {
 	r.background.Go(func() {
 		if sleep(ctx, delay) {
@@ -33,7 +33,7 @@
 	})
 }
 
-// sleep waits for a duration; false if the context ended before.
+// sleep waits for a duration. It returns false if the context ended first.
 func sleep(ctx context.Context, d time.Duration) bool {
 	select {
 	case <-ctx.Done():
@@ -43,12 +43,12 @@
 	}
 }
 
-// offer makes a build of a kind and offers it to the controllers for release.
+// offer creates a build of the given kind and offers it to the controllers for release.
 func (r *run) offer(number int, kind string) {
 	b := r.newBuild(number, kind)
 	if r.agentFleet != nil {
 		if err := r.agentFleet.publishBuild(b, kind); err != nil {
-			r.log.Error("build not published", "build", number, "error", err)
+			r.log.Error("failed to publish build", "build", number, "error", err)
 			return
 		}
 	} else {
@@ -57,7 +57,7 @@
 	r.controllers.submit(release.Offer{Build: number})
 }
 
-// newBuild draws how a build of a kind behaves.
+// newBuild draws the behavior of a build of the given kind.
 func (r *run) newBuild(number int, kind string) testbed.Build {
 	b := testbed.Build{Number: number, SpeedFactor: .95 + .1*r.randomFloat()}
 	switch kind {
@@ -77,7 +77,7 @@
 	return b
 }
 
-// inject injects a fault for its duration, or to the end of the scenario, and takes it back.
+// inject injects a fault for its duration or until the end of the scenario, and then removes it.
 func (r *run) inject(ctx context.Context, fault Fault) {
 	r.log.Info("fault injected", "kind", fault.Kind, "duration", fault.Duration, "share", fault.Share, "magnitude", fault.Magnitude)
 	defer r.log.Info("fault ended", "kind", fault.Kind)
@@ -86,10 +86,10 @@
 	}
 }
 
-// injection injects a fault, waits for its duration and takes it back.
+// injection injects a fault, waits for its duration and removes it.
 type injection func(r *run, ctx context.Context, fault Fault)
 
-// faultInjections are the injections by kind of fault.
+// faultInjections maps kinds of faults to their injections.
 var faultInjections = map[string]injection{
 	"die":        (*run).crashHosts,
 	"lose-place": (*run).crashZone,
@@ -146,7 +146,7 @@
 	func(f *testbed.Fault, fault Fault) { f.Slowdown = fault.Magnitude },
 	func(f *testbed.Fault) { f.Slowdown = 0 })
 
-// hostFault is a fault of a share of the hosts.
+// hostFault returns an injection that changes a share of the hosts.
 func hostFault(set func(*testbed.Fault, Fault), reset func(*testbed.Fault)) injection {
 	return func(r *run, ctx context.Context, fault Fault) {
 		hosts := r.localFleet.sample(fault.Share)
@@ -156,7 +156,7 @@
 	}
 }
 
-// clientFault is a change of all clients' behavior.
+// clientFault returns an injection that changes the behavior of all clients.
 func clientFault(set func(*testbed.Behavior, Fault), reset func(*testbed.Behavior)) injection {
 	return func(r *run, ctx context.Context, fault Fault) {
 		r.clients.ChangeBehavior(func(b *testbed.Behavior) { set(b, fault) })
@@ -171,10 +171,11 @@
 	}
 }
 
-// seconds converts a magnitude in seconds.
+// seconds converts a number of seconds to a duration.
 func seconds(n float64) time.Duration { return time.Duration(n * float64(time.Second)) }
 
-// crashHosts kills some hosts. It returns when they are back, but with agents at once.
+// crashHosts kills a share of the hosts. Without agents it returns when they have been replaced; with agents, which restart
+// them, it returns immediately.
 func (r *run) crashHosts(_ context.Context, fault Fault) {
 	if r.agentFleet != nil {
 		r.agentFleet.killBackends(fault.Share)
@@ -183,13 +184,13 @@
 	r.localFleet.crash(r.localFleet.sample(fault.Share), fault.Duration)
 }
 
-// crashZone kills all hosts of the last zone.
+// crashZone kills all hosts of the last zone and returns when they have been replaced.
 func (r *run) crashZone(_ context.Context, fault Fault) {
 	zones := r.params.zones
 	r.localFleet.crash(r.localFleet.inZone(zones[len(zones)-1]), fault.Duration)
 }
 
-// blockRouter lets some hosts block the connections of one router.
+// blockRouter makes a share of the hosts block the connections of one router.
 func (r *run) blockRouter(ctx context.Context, fault Fault) {
 	name := r.routers[int(r.randomFloat()*float64(len(r.routers)))].name
 	block := hostFault(
@@ -198,7 +199,7 @@
 	block(r, ctx, fault)
 }
 
-// pauseHosts pauses some hosts for moments, every one and a half seconds.
+// pauseHosts pauses a share of the hosts for 0.2 to 0.5 s, every 1.5 seconds.
 func (r *run) pauseHosts(ctx context.Context, fault Fault) {
 	hosts := r.localFleet.sample(fault.Share)
 	for end := time.Now().Add(fault.Duration); time.Now().Before(end); {
@@ -211,7 +212,8 @@
 	}
 }
 
-// drainHosts drains some hosts and replaces them later. A drain that has begun outlasts the scenario.
+// drainHosts drains a share of the hosts and replaces them after the duration of the fault. A drain that has begun is
+// completed even if the scenario ends first.
 func (r *run) drainHosts(ctx context.Context, fault Fault) {
 	hosts := r.localFleet.sample(fault.Share)
 	for _, h := range hosts {
@@ -222,7 +224,7 @@
 	}
 }
 
-// delayReports delays the load reports of all hosts, and the controllers' status and counts with them.
+// delayReports delays the load reports of all hosts, and also the controllers' status notifications and request counts.
 func (r *run) delayReports(ctx context.Context, fault Fault) {
 	delay := seconds(fault.Magnitude)
 	r.controllers.setExtraDelay(delay)
--- a/internal/scenario/local_fleet.go
+++ b/internal/scenario/local_fleet.go
@@ -14,18 +14,18 @@
 	"dapplefront/release"
 )
 
-// backendStopTimeout is how long a backend may take for its open requests at its stop.
+// backendStopTimeout is the time limit for a backend that stops to complete its requests in flight.
 const backendStopTimeout = 2 * time.Second
 
-// localFleet is all backends, inside this process: it starts, drains and replaces them, and publishes them to
-// discovery. It is the deployer of scenarios without agents.
+// localFleet runs all backends inside this process. It starts, drains and replaces them, and publishes them to discovery.
+// It is the deployer of scenarios without agents.
 type localFleet struct {
 	environment testbed.Environment
 	discovery   *testbed.DiscoveryServer
 	controllers *controllerGroup
 	params      parameters
 	machines    []testbed.Machine // without IDs
-	background  sync.WaitGroup    // late endpoint updates
+	background  sync.WaitGroup    // delayed endpoint updates
 
 	mu     sync.Mutex
 	rand   *rand.Rand
@@ -34,15 +34,15 @@
 	hosts  []*backend
 	closed bool
 
-	requests          atomic.Int64 // lately, of all builds
-	requestsToSlowing atomic.Int64 // of them, those to a build that slows the fleet
+	requests               atomic.Int64 // recent requests to all builds
+	requestsToSlowingBuild atomic.Int64 // recent requests to a build that slows the fleet
 }
 
 // backend is a backend on one of the fleet's machines.
 type backend struct {
 	*testbed.Backend
 	machine  int
-	draining bool // or killed: no longer chosen for anything
+	draining bool // set also when it is killed: faults and deployments no longer choose it
 }
 
 func newLocalFleet(spec Spec, params parameters, environment testbed.Environment, discovery *testbed.DiscoveryServer,
@@ -56,7 +56,7 @@
 	return f
 }
 
-// newMachines draws the machines that a scenario's backends run on, without their IDs.
+// newMachines draws the machines that a scenario's backends run on. Their IDs are not set.
 func newMachines(spec Spec, params parameters, r *rand.Rand) (machines []testbed.Machine) {
 	for i := range spec.Hosts {
 		zone := i % len(params.zones)
@@ -67,8 +67,8 @@
 	return machines
 }
 
-// spreadMachine is the machine that comes i-th when a build is deployed. Machines far apart come first, so that each
-// zone has some of an early stage's backends.
+// spreadMachine returns the index of the machine that is i-th in the order in which a build is deployed. Successive
+// machines are far apart, so that each zone has some of an early stage's backends.
 func spreadMachine(i, build, machines int) int {
 	const stride = 7
 	if machines%stride == 0 {
@@ -77,32 +77,32 @@
 	return (i*stride + build) % machines
 }
 
-// machinesFor is how many machines a share of them is, at least one.
+// machinesFor returns the number of machines that make up a share of all machines, rounded up and at least one.
 func machinesFor(share float64, machines int) int {
 	return max(1, int(math.Ceil(share*float64(machines)-1e-9)))
 }
 
-// countRequest counts a response for the controllers, and for the slowdown by a build that slows the fleet.
+// countRequest counts an answered request for the controllers' counts and for the slowdown by a build that slows the fleet.
 func (f *localFleet) countRequest(build int, class string, latency time.Duration, failed bool) {
 	f.requests.Add(1)
 	f.mu.Lock()
 	slows := f.builds[build].FleetSlowdown
 	f.mu.Unlock()
 	if slows > 0 {
-		f.requestsToSlowing.Add(1)
+		f.requestsToSlowingBuild.Add(1)
 	}
 	f.controllers.countRequest(build, class, latency, failed)
 }
 
-// decayTraffic halves the counts of requests, so that the slowdown follows the traffic.
+// decayTraffic halves the request counts, so that the slowdown follows recent traffic.
 func (f *localFleet) decayTraffic() {
 	f.requests.Store(f.requests.Load() / 2)
-	f.requestsToSlowing.Store(f.requestsToSlowing.Load() / 2)
+	f.requestsToSlowingBuild.Store(f.requestsToSlowingBuild.Load() / 2)
 }
 
-// slowdown is how many times slower all backends are for a build that slows them: 1 to 3.
+// slowdown returns the factor, from 1 to 3, by which all backends are slowed by a build that slows the fleet.
 func (f *localFleet) slowdown() float64 {
-	all, slowing := f.requests.Load(), f.requestsToSlowing.Load()
+	all, slowing := f.requests.Load(), f.requestsToSlowingBuild.Load()
 	if slowing == 0 || all == 0 {
 		return 1
 	}
@@ -115,7 +115,7 @@
 	f.builds[b.Number] = b
 }
 
-// startBackend starts a backend on a machine, without publishing it; nil once the fleet is closed.
+// startBackend starts a backend on a machine without publishing it. It returns nil once the fleet is closed.
 func (f *localFleet) startBackend(machine, build int, cold bool) (*backend, error) {
 	f.mu.Lock()
 	f.lastID++
@@ -137,7 +137,7 @@
 	return host, nil
 }
 
-// publish lets discovery list hosts in a state.
+// publish makes discovery list hosts in the given state.
 func (f *localFleet) publish(state policy.EndpointState, hosts ...*backend) {
 	var endpoints []testbed.Endpoint
 	for _, h := range hosts {
@@ -146,7 +146,7 @@
 	f.discovery.Set(endpoints...)
 }
 
-// active are the hosts of a build that are not draining; of all builds for 0.
+// active returns the hosts of a build that are not draining. Build 0 stands for all builds.
 func (f *localFleet) active(build int) (hosts []*backend) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -158,12 +158,12 @@
 	return hosts
 }
 
-// inZone are the hosts of a zone that are not draining.
+// inZone returns the hosts of a zone that are not draining.
 func (f *localFleet) inZone(zone string) []*backend {
 	return slices.DeleteFunc(f.active(0), func(h *backend) bool { return h.Zone != zone })
 }
 
-// sample draws a share of the hosts, at least one.
+// sample draws a share of the hosts that are not draining, at least one.
 func (f *localFleet) sample(share float64) []*backend {
 	all := f.active(0)
 	f.mu.Lock()
@@ -172,7 +172,7 @@
 	return all[:min(len(all), max(1, int(math.Round(share*float64(len(all))))))]
 }
 
-// deploy lets a share of the machines run a build (deployer).
+// deploy runs a build on a share of the machines (deployer).
 func (f *localFleet) deploy(ctx context.Context, build int, share float64) {
 	want := machinesFor(share, len(f.machines))
 	occupied := map[int]bool{}
@@ -194,7 +194,7 @@
 	}
 }
 
-// deployOn starts a cold backend after the time that a process takes to start, and publishes it.
+// deployOn waits for the simulated start time of a process, starts a cold backend and publishes it.
 func (f *localFleet) deployOn(ctx context.Context, machine, build int) {
 	f.mu.Lock()
 	startTime := time.Duration((.2 + .8*f.rand.Float64()) * float64(f.params.backendStartTime))
@@ -215,7 +215,7 @@
 	}
 }
 
-// drain drains hosts and stops them; where the context ends before that, they are left to close.
+// drain drains hosts and stops them. If the context ends first, the hosts keep running until close kills them.
 func (f *localFleet) drain(ctx context.Context, hosts []*backend) {
 	if len(hosts) == 0 {
 		return
@@ -236,7 +236,7 @@
 	}
 }
 
-// remove takes hosts out of discovery and out of the fleet.
+// remove removes hosts from discovery and from the fleet.
 func (f *localFleet) remove(hosts []*backend) {
 	f.publish(policy.Removed, hosts...)
 	f.mu.Lock()
@@ -252,7 +252,8 @@
 	stops.Wait()
 }
 
-// crash kills hosts at once. Discovery learns of it late; after a downtime others start cold on their machines.
+// crash kills hosts immediately. Discovery removes them after a delay, and after the downtime cold hosts start on the same
+// machines.
 func (f *localFleet) crash(hosts []*backend, downtime time.Duration) {
 	f.markDraining(hosts)
 	for _, h := range hosts {
@@ -266,7 +267,7 @@
 		active[h.Build.Number] = true
 	}
 	for _, h := range hosts {
-		if !active[h.Build.Number] { // its build has been retired meanwhile
+		if !active[h.Build.Number] { // no host runs its build any more: it has been retired
 			continue
 		}
 		if started, err := f.startBackend(h.machine, h.Build.Number, true); err == nil && started != nil {
@@ -278,7 +279,7 @@
 	}
 }
 
-// replace starts cold backends on the machines of hosts that were drained, where their build still serves.
+// replace starts cold backends on the machines of drained hosts, unless their build has no active host left.
 func (f *localFleet) replace(drained []*backend) {
 	for _, h := range drained {
 		build := h.Build.Number
@@ -292,7 +293,7 @@
 	}
 }
 
-// close kills all hosts. No other work on the fleet may run.
+// close kills all hosts. The caller must make sure that nothing else works on the fleet.
 func (f *localFleet) close() {
 	f.background.Wait()
 	f.mu.Lock()
--- a/internal/scenario/parameters.go
+++ b/internal/scenario/parameters.go
@@ -11,33 +11,34 @@
 )
 
 const (
-	// transitTime is what the audit allows for a message between two sockets: many times what loopback takes.
+	// transitTime is the time that the audit allows for a message between two sockets. It is many times the transit time on
+	// loopback.
 	transitTime = 150 * time.Millisecond
-	// routerVoteTTL is how long a router's vote counts.
+	// routerVoteTTL is the time for which a router's vote is valid.
 	routerVoteTTL = 8 * time.Second
-	// maxVotesPerSecond is how many votes a controller takes from one router.
+	// maxVotesPerSecond is the number of votes per second that a controller accepts from one router.
 	maxVotesPerSecond = 30
-	// countedShare is the share of the requests that backends report to the controllers.
+	// countedShare is the share of the requests that is counted for the controllers.
 	countedShare = 0.4
 )
 
-// parameters are the limits of the rules and the delays that all scenarios have in common.
+// parameters holds the limits of the rules and the delays that all scenarios have in common.
 type parameters struct {
 	zones              []string
-	drainGrace         time.Duration // how long routers may still send to a draining host
-	slowStart          time.Duration // how long a started host is cold
-	coldCapacity       float64       // share of its capacity that a host has at its start
-	coldOverloadFactor float64       // times the capacity that a cold host bears over the window
+	drainGrace         time.Duration // time for which routers may still send attempts to a draining host
+	slowStart          time.Duration // time for which a host is cold after its start
+	coldCapacity       float64       // share of its full capacity that a host has at its start
+	coldOverloadFactor float64       // load, in multiples of its capacity, that a cold host withstands over the window
 	coldOverloadWindow time.Duration
 	exposureWindow     time.Duration
-	exposureAllowance  float64       // attempts at the canary within the window, beside the capped share
+	exposureAllowance  float64       // attempts at the canary within the window in addition to the capped share
 	exposureCaps       []float64     // share of the attempts that may reach the canary, by stage
 	hostShares         []float64     // share of the hosts that run the canary, by stage
-	guardedStages      int           // first stages that take idempotent requests only
-	backendStartTime   time.Duration // longest start of a host's process
-	endpointDelay      time.Duration // from a change of the fleet to its endpoint update
-	drainDelay         time.Duration // how long a host runs after it was listed as draining
-	statusDelay        time.Duration // from a change of the release to the routers' notification
+	guardedStages      int           // number of first stages in which the canary gets idempotent requests only
+	backendStartTime   time.Duration // longest start time of a host's process
+	endpointDelay      time.Duration // time from a change of the fleet to its endpoint update
+	drainDelay         time.Duration // time for which a host runs after it was listed as draining
+	statusDelay        time.Duration // time from a change of the release status to the notification of the routers
 }
 
 // requestClasses are the classes of requests that clients send.
@@ -78,10 +79,10 @@
 	return p
 }
 
-// routerZone is the zone of the router with an index.
+// routerZone returns the zone of the router with the given index.
 func (p parameters) routerZone(i int) string { return p.zones[i%len(p.zones)] }
 
-// releaseRules are the rules by which the controllers promote a release and roll it back.
+// releaseRules returns the rules by which the controllers promote and roll back a release.
 func (p parameters) releaseRules(routers int) release.Rules {
 	var stages []release.Stage
 	for i, limit := range p.exposureCaps {
@@ -91,10 +92,10 @@
 		PromoteQuorum: promoteQuorum(routers), RollbackQuorum: 1}
 }
 
-// promoteQuorum is how many of the routers must vote for a promotion.
+// promoteQuorum returns the number of routers that must vote for a promotion.
 func promoteQuorum(routers int) int { return max(1, routers/2) }
 
-// auditLimits are the limits by which the audit judges the rules.
+// auditLimits returns the limits by which the audit judges the rules.
 func (p parameters) auditLimits() audit.Limits {
 	limits := audit.Limits{
 		Classes:            map[string]audit.Class{},
--- a/internal/scenario/port.go
+++ b/internal/scenario/port.go
@@ -6,8 +6,8 @@
 	"golang.org/x/sys/unix"
 )
 
-// reservedPort keeps a port of the loopback address from being given to anyone who asks for any port. A listener that
-// asks for this one gets it, again and again.
+// reservedPort reserves a port of the loopback address: the system does not assign it to a socket that binds to any free
+// port. A listener that binds to this port explicitly gets it, any number of times.
 type reservedPort struct {
 	descriptor int
 	address    string
@@ -26,7 +26,7 @@
 			err = fmt.Errorf("reserve a port: %w", err)
 		}
 	}()
-	// A socket that has this option and doesn't listen leaves the port to a listener that has it too.
+	// While a socket with this option does not listen, a listener that also has the option can bind to the same port.
 	if err := unix.SetsockoptInt(descriptor, unix.SOL_SOCKET, unix.SO_REUSEADDR, 1); err != nil {
 		return nil, err
 	}
--- a/internal/scenario/routers.go
+++ b/internal/scenario/routers.go
@@ -16,7 +16,7 @@
 	"dapplefront/policy"
 )
 
-// routerInstance is one router of the scenario. Its name, configuration file and port outlive restarts.
+// routerInstance is one router of the scenario. It keeps its name, configuration file and port across restarts.
 type routerInstance struct {
 	name       string
 	configFile string
@@ -24,10 +24,10 @@
 
 	mu        sync.Mutex
 	proxy     *proxy.Proxy    // nil while it is down
-	loopStats eventloop.Stats // of the proxies that were stopped
+	loopStats eventloop.Stats // sum over the proxies that were stopped
 }
 
-// stop ends a proxy that was detached from the instance, at once.
+// stop closes a proxy that was detached from the instance, without a graceful shutdown, and adds its event loop statistics.
 func (i *routerInstance) stop(p *proxy.Proxy) {
 	p.Close()
 	stats := p.LoopStats()
@@ -36,7 +36,7 @@
 	i.loopStats.Merge(&stats)
 }
 
-// allLoopStats is how late and how long the event loops' work was, of all of the router's proxies.
+// allLoopStats returns the event loop statistics of all of the router's proxies, stopped and running.
 func (i *routerInstance) allLoopStats() eventloop.Stats {
 	var stats eventloop.Stats
 	if p := i.running(); p != nil {
@@ -48,14 +48,14 @@
 	return stats
 }
 
-// running is the router's proxy; nil while it is down.
+// running returns the router's proxy; nil while it is down.
 func (i *routerInstance) running() *proxy.Proxy {
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	return i.proxy
 }
 
-// detach takes the proxy out of the instance, for whoever stops it; nil while it is down.
+// detach removes the proxy from the instance and returns it, so that the caller can stop it; nil while it is down.
 func (i *routerInstance) detach() *proxy.Proxy {
 	i.mu.Lock()
 	defer i.mu.Unlock()
@@ -64,7 +64,7 @@
 	return p
 }
 
-// startRouters starts all routers and returns them as targets of the clients.
+// startRouters starts all routers and returns their addresses as targets for the clients.
 func (r *run) startRouters() ([]testbed.Target, error) {
 	var targets []testbed.Target
 	for i := range r.spec.Routers {
@@ -81,7 +81,7 @@
 	return targets, nil
 }
 
-// newRouter chooses a router's address and writes its configuration file, as an operator would.
+// newRouter reserves a router's port and writes its configuration file, as an operator would.
 func (r *run) newRouter(index int) (*routerInstance, error) {
 	port, err := reservePort()
 	if err != nil {
@@ -100,7 +100,7 @@
 	return router, nil
 }
 
-// routerConfig is the text of a router's INI file.
+// routerConfig returns the text of a router's INI file.
 func (r *run) routerConfig(index int, router *routerInstance) (string, error) {
 	p := r.params
 	var b strings.Builder
@@ -165,7 +165,7 @@
 	return nil
 }
 
-// killRouter stops a router at once, without a graceful shutdown.
+// killRouter stops a router immediately, without a graceful shutdown.
 func (r *run) killRouter(router *routerInstance) {
 	if p := router.detach(); p != nil {
 		r.recorder.RouterStopping(router.name)
@@ -173,7 +173,7 @@
 	}
 }
 
-// restartRouters kills routers in batches; each starts again with nothing but its cached endpoint list.
+// restartRouters kills and restarts routers in batches. A restarted router has no state but its cached endpoint list.
 func (r *run) restartRouters(ctx context.Context, fault Fault) {
 	batchSize := max(1, int(fault.Share*float64(len(r.routers))))
 	for from := 0; from < len(r.routers); from += batchSize {
@@ -184,7 +184,7 @@
 		sleep(ctx, time.Duration((.5+r.randomFloat())*float64(time.Second)))
 		for _, router := range batch {
 			if err := r.startRouter(router); err != nil {
-				r.log.Error("router does not restart", "router", router.name, "error", err)
+				r.log.Error("failed to restart router", "router", router.name, "error", err)
 			}
 		}
 		if !sleep(ctx, fault.Duration/time.Duration(len(r.routers))) {
@@ -193,7 +193,7 @@
 	}
 }
 
-// stallRouters stalls the event loops of some routers every two seconds.
+// stallRouters stalls the event loops of a share of the routers every two seconds.
 func (r *run) stallRouters(ctx context.Context, fault Fault) {
 	for end := time.Now().Add(fault.Duration); time.Now().Before(end); {
 		for _, router := range r.sampleRouters(fault.Share) {
@@ -211,7 +211,7 @@
 	}
 }
 
-// sampleRouters draws a share of the routers, at least one.
+// sampleRouters draws each router with the probability share. It returns the first router if none was drawn.
 func (r *run) sampleRouters(share float64) (sample []*routerInstance) {
 	for _, router := range r.routers {
 		if r.randomFloat() < share {
--- a/internal/scenario/spec.go
+++ b/internal/scenario/spec.go
@@ -12,19 +12,19 @@
 	"dapplefront/internal/inifile"
 )
 
-// Fault is a fault that is injected for a while.
+// Fault is a fault that is injected for a limited time.
 type Fault struct {
 	Kind      string        `json:"Kind"`
-	At        time.Duration `json:"At"` // from the scenario's start
+	At        time.Duration `json:"At"` // offset from the scenario's start
 	Duration  time.Duration `json:"For"`
-	Share     float64       `json:"Share"` // of hosts or routers, by kind
-	Magnitude float64       `json:"Size"`  // by kind: a factor of slowness or rate, a share of requests, or seconds
+	Share     float64       `json:"Share"` // share of the hosts or routers, depending on the kind
+	Magnitude float64       `json:"Size"`  // depending on the kind: a slowdown or rate factor, a number of retries, a share of requests, or seconds
 }
 
 // Rollout is a build that is offered for release.
 type Rollout struct {
-	At   time.Duration `json:"At"`   // from the scenario's start
-	Kind string        `json:"Kind"` // good, or what is wrong with the build
+	At   time.Duration `json:"At"`   // offset from the scenario's start
+	Kind string        `json:"Kind"` // "good", or the kind of defect
 }
 
 // Spec specifies a scenario.
@@ -35,14 +35,14 @@
 	Zones       int           `json:"Locations"`
 	Routers     int           `json:"Routers"`
 	Hosts       int           `json:"Hosts"`
-	RequestRate float64       `json:"Rate"` // requests a second for each router
+	RequestRate float64       `json:"Rate"` // requests per second sent to each router
 	Rollouts    []Rollout     `json:"Offers"`
 	Faults      []Fault       `json:"Troubles"`
-	Agents      bool          `json:"Agents"`      // backends are processes under build agents
-	Controllers int           `json:"Controllers"` // 1, 3 or 5; of several, one is restarted at every stage, twice the leader
-	TLS         bool          `json:"Secure"`      // controllers, routers, agents and clients speak TLS among themselves, with roles
+	Agents      bool          `json:"Agents"`      // backends run as processes under build agents
+	Controllers int           `json:"Controllers"` // 1, 3 or 5; with several, one is restarted at every stage, the leader at two of the stages
+	TLS         bool          `json:"Secure"`      // the controllers use TLS with routers, agents, clients and each other, with roles by certificate
 	TrafficPlan string        `json:"Shares"`      // one of TrafficPlans
-	Records     string        `json:"Records"`     // folder for the routers' decision records; empty for none
+	Records     string        `json:"Records"`     // folder for the routers' decision records; empty if none are written
 	Violation   string        `json:"Breach"`      // one of Violations; empty for routers that keep the rules
 }
 
@@ -58,7 +58,7 @@
 	return spec, f.Err()
 }
 
-// Parse reads a specification; f keeps the errors.
+// Parse reads a specification and adds its errors to f.
 func Parse(f *inifile.File) Spec {
 	d := f.Section("day")
 	spec := Spec{
@@ -97,13 +97,14 @@
 	return spec
 }
 
-// faultsWithAgents are the faults that backends under agents can have: others need backends inside this process.
+// faultsWithAgents lists the kinds of faults that scenarios with agents support. The others need backends inside this
+// process.
 var faultsWithAgents = []string{"die", "burst", "repeats", "bad-requests", "list-down", "desk-still", "desk-late", "restarts", "stand-still"}
 
-// validate says what can't run together.
+// validate returns an error if parts of the specification can't be combined.
 func (s Spec) validate() error {
 	if s.Agents && s.TrafficPlan != "" && s.TrafficPlan != noPlan {
-		return errors.New("shares worked out ahead can't be played with agents")
+		return errors.New("traffic plans (shares) can't be combined with agents")
 	}
 	for _, rollout := range s.Rollouts {
 		k, err := findKind(rollout.Kind)
@@ -111,21 +112,21 @@
 			return err
 		}
 		if k.needsAgents && !s.Agents {
-			return fmt.Errorf("builds of the kind %s need agents", rollout.Kind)
+			return fmt.Errorf("builds of kind %s need agents", rollout.Kind)
 		}
 		if s.Agents && rollout.Kind == "bad-slows-all" {
-			return fmt.Errorf("builds of the kind %s can't be played with agents", rollout.Kind)
+			return fmt.Errorf("builds of kind %s can't be combined with agents", rollout.Kind)
 		}
 	}
 	for _, fault := range s.Faults {
 		if s.Agents && !slices.Contains(faultsWithAgents, fault.Kind) {
-			return fmt.Errorf("the trouble %s can't be played with agents; %s can", fault.Kind, strings.Join(faultsWithAgents, ", "))
+			return fmt.Errorf("troubles of kind %s can't be combined with agents; these can: %s", fault.Kind, strings.Join(faultsWithAgents, ", "))
 		}
 	}
 	return nil
 }
 
-// Generate draws a specification from a seed: of a kind, of several joined by +, or "mixed".
+// Generate draws a specification from a seed. name is a kind, several kinds joined by +, or "mixed".
 func Generate(name string, seed uint64, length time.Duration) (Spec, error) {
 	r := rand.New(rand.NewPCG(seed, 7))
 	spec := Spec{Name: fmt.Sprintf("%s, seed %d", name, seed), Seed: seed, Length: length, Zones: 3, Routers: 4,
@@ -155,9 +156,9 @@
 	return spec, nil
 }
 
-// mixedKinds draws a bad build, a good one and three faults, of the kinds that need no agents.
+// mixedKinds draws a bad build, a good one and three faults from the kinds that need no agents.
 func mixedKinds(r *rand.Rand) []string {
-	withoutAgents := slices.DeleteFunc(slices.Clone(kinds[1:]), func(k kind) bool { return k.needsAgents }) // and without "good"
+	withoutAgents := slices.DeleteFunc(slices.Clone(kinds[1:]), func(k kind) bool { return k.needsAgents }) // kinds[0] is "good"
 	badBuilds, faults := kindNames(withoutAgents)
 	names := []string{badBuilds[r.IntN(len(badBuilds))], "good"}
 	for _, i := range r.Perm(len(faults))[:3] {
--- a/internal/scenario/traffic_plan.go
+++ b/internal/scenario/traffic_plan.go
@@ -11,8 +11,8 @@
 	"dapplefront/policy"
 )
 
-// TrafficPlans are the ways in which routers can get traffic plans: none, plans that are kept up to date, one plan from
-// the start that is never renewed, or one that gives nearly all traffic to one host of each zone.
+// TrafficPlans lists the values of Spec.TrafficPlan: no plan, plans that are kept up to date, one plan published at the
+// start and never updated, or one that gives nearly all traffic to one host of each zone.
 var TrafficPlans = []string{noPlan, currentPlan, "stale", skewedPlan}
 
 const (
@@ -21,17 +21,18 @@
 	skewedPlan  = "absurd"
 )
 
-// planInterval is how often the plan is updated: a fraction of what a start or an endpoint update takes.
+// planInterval is the interval between updates of the plan: a fraction of the time that a host's start or an endpoint
+// update takes.
 const planInterval = 200 * time.Millisecond
 
-// PlanStatistics counts traffic plans and what routers made of them.
+// PlanStatistics counts published traffic plans and the routers' acknowledgements.
 type PlanStatistics struct {
 	Versions       int    `json:"Versions"`
 	ChangedWeights int    `json:"Changed"`
-	Recomputed     int    `json:"Whole"`      // versions that were computed anew rather than adjusted
-	Followed       int    `json:"Followed"`   // acknowledgements of routers that follow a version
-	Rejected       int    `json:"TurnedDown"` // acknowledgements of routers that don't
-	Reason         string `json:"Reason"`     // of a rejection
+	Recomputed     int    `json:"Whole"`      // versions in which all weights were recomputed rather than adjusted
+	Followed       int    `json:"Followed"`   // acknowledgements by routers that follow a version
+	Rejected       int    `json:"TurnedDown"` // acknowledgements by routers that rejected a version
+	Reason         string `json:"Reason"`     // reason of one of the rejections
 }
 
 // countAcks counts acknowledgements by version and router.
@@ -48,8 +49,8 @@
 	}
 }
 
-// publishPlans publishes traffic plans in the background until the context ends. The statistics may be read after that;
-// they are nil for a scenario without plans.
+// publishPlans publishes traffic plans in the background until the context ends. It returns statistics that may be read
+// once the background work has ended, or nil for a scenario without plans.
 func (r *run) publishPlans(ctx context.Context) *PlanStatistics {
 	if r.spec.TrafficPlan == "" || r.spec.TrafficPlan == noPlan {
 		return nil
@@ -63,7 +64,7 @@
 	r.background.Go(func() {
 		for {
 			if err := r.publishPlan(publisher, started, statistics); err != nil {
-				r.log.Error("traffic plan not published", "error", err)
+				r.log.Error("failed to publish traffic plan", "error", err)
 			}
 			if r.spec.TrafficPlan != currentPlan || !sleep(ctx, planInterval) {
 				return
@@ -73,7 +74,7 @@
 	return statistics
 }
 
-// publishPlan updates the plan and publishes it to controllers and discovery if it has changed.
+// publishPlan updates the plan and, if it has changed, publishes it to the controllers and discovery.
 func (r *run) publishPlan(publisher *plan.Publisher, started time.Time, statistics *PlanStatistics) error {
 	update, err := publisher.Update(time.Since(started), r.planModel(started))
 	if err != nil || update.Published == nil {
@@ -105,7 +106,7 @@
 	}
 }
 
-// planModel is the fleet with the usual demand: surges can't be planned for.
+// planModel returns a model of the current fleet with the usual demand, because plans can't anticipate surges.
 func (r *run) planModel(started time.Time) *plan.Model {
 	now := time.Since(started)
 	model := &plan.Model{
@@ -130,17 +131,17 @@
 			host.StartsAt = min(now, h.StartedAt.Sub(started))
 		}
 		if canary != 0 && host.Build == canary {
-			continue // its traffic is bounded by the exposure cap
+			continue // the exposure cap limits its traffic
 		}
 		model.Hosts = append(model.Hosts, host)
 	}
-	// The rule's budget as far as one router sees it, less a part for bursts.
+	// The budget that the rule gives a cold host, as one router sees it, reduced to leave a reserve for bursts.
 	model.Limits.SlowStart.Window = r.params.coldOverloadWindow
 	model.Limits.SlowStart.MaxRequests = math.Floor(.5 * r.params.coldOverloadFactor * r.params.coldOverloadWindow.Seconds() / meanWork)
 	return model
 }
 
-// planDemand is the demand of all zones and classes, in requests a second.
+// planDemand returns the demand of all zones and classes, in requests per second.
 func (r *run) planDemand() (demand []plan.Demand) {
 	rates := map[string]float64{}
 	for i := range r.routers {
