--- a/internal/scenario/report_test.go
+++ b/internal/scenario/report_test.go
@@ -13,8 +13,9 @@
 	"dapplefront/policy"
 )
 
-// testdata/report.json was written by the program at commit d72f78e from a result with every field set.
-func TestWriteJSON_KeepsItsForm(t *testing.T) {
+// testdata/report.json was written by the program at commit d72f78e from a result with every field set. The test guards the
+// keys and the order of the JSON report.
+func TestResult_WriteJSONMatchesStoredReport(t *testing.T) {
 	var r Result
 	count := 0
 	setFields(reflect.ValueOf(&r).Elem(), &count)
@@ -25,7 +26,8 @@
 	require.Equal(t, string(want), got.String())
 }
 
-// setFields sets every exported field of a value, and of all its parts, to a value of its own.
+// setFields recursively sets every exported field of a value. Numbers and texts are taken from count and differ from each
+// other.
 func setFields(v reflect.Value, count *int) {
 	*count++
 	switch v.Kind() {
@@ -64,8 +66,8 @@
 	}
 }
 
-// testdata/report.txt was printed by the program before its parts were renamed, from a result with every field set.
-func TestPrint_KeepsItsForm(t *testing.T) {
+// testdata/report.txt is the expected text report of a result with every field set.
+func TestResult_PrintMatchesStoredReport(t *testing.T) {
 	var r Result
 	count := 0
 	setFields(reflect.ValueOf(&r).Elem(), &count)
--- a/internal/scenario/result.go
+++ b/internal/scenario/result.go
@@ -13,26 +13,26 @@
 	"dapplefront/policy"
 )
 
-// Result is what was measured in a scenario, and the audit's verdicts.
+// Result holds the measurements of a scenario and the audit's verdicts.
 type Result struct {
 	Spec               Spec
 	Verdicts           []audit.Verdict
 	Scores             map[string]testbed.Score   // by class
-	Latencies          map[string][]time.Duration // by class, of the requests that succeeded
+	Latencies          map[string][]time.Duration // by class: latencies of the requests that succeeded
 	Transitions        []Transition
-	Counts             map[string]proxy.Counts // by router, since its last start
+	Counts             map[string]proxy.Counts // by router: counts since its last start
 	Elapsed            time.Duration
 	Agents             *AgentStatistics // nil without agents
 	Stages             []StageScore
-	CrossZoneShare     float64         // share of the attempts that reached another zone than their router's
+	CrossZoneShare     float64         // share of the attempts that reached a host in another zone than the router's
 	Plans              *PlanStatistics // nil without traffic plans
 	Releases           []api.ReleaseObject
-	ConfigUpdates      int // of running routers
+	ConfigUpdates      int // configuration updates of running routers
 	ControllerRestarts RestartCounts
-	LoopStats          eventloop.Stats // of all routers' event loops
+	LoopStats          eventloop.Stats // sum over all routers' event loops
 }
 
-// StageScore is the score of the requests of those seconds in which a release was in one stage and phase.
+// StageScore is the score of the requests in the seconds during which a release was in a given stage and phase.
 type StageScore struct {
 	Build int          `json:"Build"`
 	Stage int          `json:"Stage"`
@@ -40,14 +40,15 @@
 	testbed.Score
 }
 
-// The exit codes of a scenario that ran.
+// The exit codes of a scenario that was run.
 const (
 	ExitKept     = 0 // all rules were kept
 	ExitBroken   = 1 // at least one rule was broken
-	ExitDoubtful = 2 // none was surely broken, but the machine stood still, so that the audit can't tell
+	ExitDoubtful = 2 // no rule was certainly broken, but because the machine stalled the audit can't tell for at least one
 )
 
-// Kept is how many rules were surely kept, and the first that was not; a broken one comes before a doubtful one.
+// Kept returns the number of rules that were certainly kept, and the first verdict on a rule that was not. Broken rules
+// come before doubtful ones.
 func (r *Result) Kept() (kept int, first *audit.Verdict) {
 	for i, v := range r.Verdicts {
 		if v.Kept() {
@@ -59,7 +60,7 @@
 	return kept, first
 }
 
-// ExitCode is the exit code for the verdicts.
+// ExitCode returns the exit code that stands for the verdicts.
 func (r *Result) ExitCode() int {
 	kept, first := r.Kept()
 	switch {
@@ -71,7 +72,8 @@
 	return ExitDoubtful
 }
 
-// Summary is the report's last line: how many rules were kept, and of each other rule its name and first violation.
+// Summary returns the report's last line: the number of rules that were kept, and the name and time of the first finding of
+// each other rule.
 func (r *Result) Summary() string {
 	kept, _ := r.Kept()
 	var broken, doubtful []string
@@ -92,7 +94,7 @@
 	return line
 }
 
-// maxColdShare is the largest share of a cold host's budget that was used.
+// maxColdShare returns the largest share of a cold host's overload budget that was used.
 func (r *Result) maxColdShare() (most float64) {
 	for _, v := range r.Verdicts {
 		most = max(most, v.MaxShare)
--- a/internal/scenario/run.go
+++ b/internal/scenario/run.go
@@ -18,7 +18,7 @@
 	"dapplefront/release"
 )
 
-// run is a scenario while it runs.
+// run is a running scenario.
 type run struct {
 	spec        Spec
 	params      parameters
@@ -29,7 +29,7 @@
 	controllers *controllerGroup
 	issuer      *certificateIssuer // nil without TLS
 	localFleet  *localFleet        // backends inside this process; nil with agents
-	agentFleet  *agentFleet        // backends under agents; nil without
+	agentFleet  *agentFleet        // backends under agents; nil without agents
 	clients     *testbed.Clients
 	routers     []*routerInstance
 	background  sync.WaitGroup // rollouts, faults and the publisher of traffic plans
@@ -38,11 +38,11 @@
 	rand          *rand.Rand
 	configUpdates int
 
-	stageScores []StageScore // only of the goroutine that reports progress
+	stageScores []StageScore // used only by the goroutine that runs reportProgress
 }
 
-// Run runs a scenario for its length, or until the context ends, and has the audit judge what was seen. It writes a
-// line a second to progress, which may be nil. An error means that the scenario could not start.
+// Run runs a scenario for its length or until the context ends, and has the audit judge what was observed. It writes one
+// line per second to progress, which may be nil. An error means that the scenario could not start.
 func Run(ctx context.Context, spec Spec, log *slog.Logger, progress io.Writer) (*Result, error) {
 	if err := spec.validate(); err != nil {
 		return nil, err
@@ -69,7 +69,7 @@
 	return r.result(started, plans), nil
 }
 
-// result collects what was measured and judges it.
+// result collects the measurements and has the audit judge the rules.
 func (r *run) result(started time.Time, plans *PlanStatistics) *Result {
 	result := &Result{Spec: r.spec, Transitions: r.controllers.listTransitions(), Counts: map[string]proxy.Counts{},
 		Elapsed: time.Since(started), Stages: r.stageScores, Plans: plans,
@@ -102,7 +102,8 @@
 	return result
 }
 
-// start starts everything but the clients' requests: discovery, controllers, backends and routers, in this order.
+// start starts discovery, controllers, backends and routers, in this order, and creates the clients. The clients don't send
+// requests yet.
 func (r *run) start() (err error) {
 	if r.discovery, err = testbed.StartDiscovery("127.0.0.1:0", "day", r.recorder); err != nil {
 		return fmt.Errorf("start discovery: %w", err)
@@ -135,7 +136,7 @@
 	if err != nil {
 		return fmt.Errorf("start routers: %w", err)
 	}
-	time.Sleep(300 * time.Millisecond) // for the first endpoint update and release status
+	time.Sleep(300 * time.Millisecond) // routers receive the first endpoint update and release status meanwhile
 	clientTLS, err := r.issuer.clientTLS("clients")
 	if err != nil {
 		return fmt.Errorf("issue the clients' certificate: %w", err)
@@ -163,7 +164,7 @@
 	return nil
 }
 
-// reportProgress writes a line a second until the clients are done.
+// reportProgress adds up the scores and writes one line per second, until the clients are done.
 func (r *run) reportProgress(clientsDone <-chan struct{}, started time.Time, progress io.Writer) {
 	ticker := time.NewTicker(time.Second)
 	defer ticker.Stop()
@@ -176,21 +177,21 @@
 		if r.localFleet != nil {
 			r.localFleet.decayTraffic()
 		}
-		score, open := r.clients.SinceLast()
+		score, inFlight := r.clients.SinceLast()
 		status := r.controllers.status()
 		r.addScore(status, score)
 		if progress == nil {
 			continue
 		}
-		if _, err := fmt.Fprintf(progress, "%4.0f s  asked %5d  in time %5d  late %4d  turned back %4d  scrapped %3d  lost %3d  open %4d  "+
+		if _, err := fmt.Fprintf(progress, "%4.0f s  sent %5d  in time %5d  late %4d  rejected %4d  failed %3d  lost %3d  in flight %4d  "+
 			"build %d %s, stage %d\n", time.Since(started).Seconds(), score.Asked, score.InTime, score.Late, score.Rejected,
-			score.Failed, score.Lost+score.Refused, open, status.Build, phaseNames[status.Phase], status.Stage); err != nil {
-			r.log.Warn("progress not written", "error", err)
+			score.Failed, score.Lost+score.Refused, inFlight, status.Build, phaseNames[status.Phase], status.Stage); err != nil {
+			r.log.Warn("failed to write progress", "error", err)
 		}
 	}
 }
 
-// addScore adds a second's score to the stage that the release is in.
+// addScore adds the score of one second to the stage and phase that the release is in.
 func (r *run) addScore(status release.Status, score testbed.Score) {
 	for i := range r.stageScores {
 		if x := &r.stageScores[i]; x.Build == status.Build && x.Stage == status.Stage && x.Phase == status.Phase {
@@ -201,14 +202,15 @@
 	r.stageScores = append(r.stageScores, StageScore{status.Build, status.Stage, status.Phase, score})
 }
 
-// randomFloat draws from the scenario's generator, which faults and rollouts share.
+// randomFloat draws a number from the random number generator that faults and rollouts share.
 func (r *run) randomFloat() float64 {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.rand.Float64()
 }
 
-// close stops all that has been started and waits for it: routers first, then what works on the fleet, then the fleet.
+// close stops everything that was started and waits for it: first the routers, then the background work of the controllers
+// on the fleet, then the fleet, the controllers and discovery.
 func (r *run) close() {
 	for _, router := range r.routers {
 		if p := router.detach(); p != nil {
@@ -232,6 +234,6 @@
 		r.discovery.Stop()
 	}
 	if err := os.RemoveAll(r.dir); err != nil {
-		r.log.Warn("scratch folder not removed", "folder", r.dir, "error", err)
+		r.log.Warn("failed to remove scratch folder", "folder", r.dir, "error", err)
 	}
 }
--- a/internal/scenario/run_test.go
+++ b/internal/scenario/run_test.go
@@ -18,13 +18,14 @@
 	"dapplefront/record"
 )
 
-// The test binary is also the backends' process in scenarios with agents.
+// TestMain runs the test binary as a backend process when an agent starts it as one in a scenario with agents.
 func TestMain(m *testing.M) {
 	testbed.RunIfBackendProcess()
 	os.Exit(m.Run())
 }
 
-// runJudged runs a scenario; one that the audit can't judge, as the machine stood still, runs again.
+// runJudged runs a scenario. It repeats a run that the audit can't judge because the machine stalled, and skips the test
+// after three such runs.
 func runJudged(t *testing.T, spec Spec) *Result {
 	t.Helper()
 	for range 3 {
@@ -35,7 +36,7 @@
 		}
 		t.Log(result.Summary())
 	}
-	t.Skip("the machine stood still in each of three runs: nothing can be told")
+	t.Skip("the machine stalled in each of three runs: the audit can't judge them")
 	return nil
 }
 
@@ -92,7 +93,7 @@
 	}
 	require.Equal(t, []policy.Phase{policy.Canary, policy.RollingBack, policy.RolledBack}, phases, out.String())
 	_, reached := result.Agents.TrafficAfterRemoval[2]
-	require.False(t, reached, "no request reached it")
+	require.False(t, reached, "no request reaches build 2")
 }
 
 func TestRun_WithTLSKeepsTheRulesWhileControllersRestart(t *testing.T) {
@@ -106,20 +107,20 @@
 	require.Positive(t, result.ControllerRestarts.All)
 	require.Positive(t, result.Plans.Followed)
 	finished := 0
-	for _, x := range result.Releases {
-		finished += x.Requests["finished"]
+	for _, release := range result.Releases {
+		finished += release.Requests["finished"]
 	}
-	require.Positive(t, finished, "routers have reported")
+	require.Positive(t, finished, "routers have reported finished requests")
 	files, err := filepath.Glob(filepath.Join(spec.Records, "*.rec"))
 	require.NoError(t, err)
 	require.NotEmpty(t, files)
 	for i := 1; i <= spec.Routers; i++ {
 		files, err := record.Files(spec.Records, fmt.Sprintf("r%d", i))
 		require.NoError(t, err)
-		again, err := record.Replay(files, nil)
+		replay, err := record.Replay(files, nil)
 		require.NoError(t, err)
-		require.Zero(t, again.Differences, "%v", again.First)
-		require.Empty(t, again.Gaps)
-		require.Greater(t, again.Actions, 500)
+		require.Zero(t, replay.Differences, "%v", replay.First)
+		require.Empty(t, replay.Gaps)
+		require.Greater(t, replay.Actions, 500)
 	}
 }
