--- a/cmd/dapplefront/loadgen.go
+++ b/cmd/dapplefront/loadgen.go
@@ -57,7 +57,7 @@
 	s, latencies := scores[o.class], times[o.class]
 	slices.Sort(latencies)
 	c.Printf("requests %d, in time %d, late %d, rejected %d, failed %d, refused %d, lost %d\n",
-		s.Asked, s.InTime, s.Late, s.Rejected, s.Failed, s.Refused, s.Lost+s.TimedOut)
+		s.Requests, s.InTime, s.Late, s.Rejected, s.Failed, s.Refused, s.Lost+s.TimedOut)
 	c.Printf("p50 %v, p90 %v, p99 %v, longest %v\n",
 		quantile(latencies, .5), quantile(latencies, .9), quantile(latencies, .99), quantile(latencies, 1))
 	return nil
--- a/internal/agentd/fetch_test.go
+++ b/internal/agentd/fetch_test.go
@@ -29,7 +29,7 @@
 	h.mirrors[1].SetFault(func(string, []byte) testbed.ReplyFault { return testbed.ReplyFault{Status: 500} })
 	h.mirrors[0].SetFault(func(path string, _ []byte) testbed.ReplyFault {
 		if path == "/sha256/"+build.Digest(big) {
-			return testbed.ReplyFault{CutAfter: 1 << 20, Stall: true}
+			return testbed.ReplyFault{TruncateAfter: 1 << 20, Stall: true}
 		}
 		return testbed.ReplyFault{}
 	})
@@ -38,7 +38,7 @@
 	part := filepath.Join(h.dir, "part", build.Digest(big))
 	require.Eventually(t, func() bool { s, err := os.Stat(part); return err == nil && s.Size() >= 1<<20 }, 10*time.Second, time.Millisecond)
 	a.Close()
-	h.mirrors[0].SetFault(func(path string, _ []byte) testbed.ReplyFault { return testbed.ReplyFault{CutAfter: 1 << 20} })
+	h.mirrors[0].SetFault(func(path string, _ []byte) testbed.ReplyFault { return testbed.ReplyFault{TruncateAfter: 1 << 20} })
 	a = h.start()
 	defer a.Stop()
 	h.await(d, agent.Staged)
@@ -60,7 +60,7 @@
 			return testbed.ReplyFault{}
 		}
 		if n++; n == 1 {
-			return testbed.ReplyFault{Body: []byte(strings.Repeat("x", len(body))), CutAfter: len(body) / 2, ETag: `"old"`}
+			return testbed.ReplyFault{Body: []byte(strings.Repeat("x", len(body))), TruncateAfter: len(body) / 2, ETag: `"old"`}
 		}
 		return testbed.ReplyFault{}
 	}
--- a/internal/agentd/invalid_builds_test.go
+++ b/internal/agentd/invalid_builds_test.go
@@ -75,7 +75,7 @@
 		case 11:
 			target, fault = "/signatures/", testbed.ReplyFault{Body: []byte(`["rubbish","` + strings.Repeat("x", r.IntN(300)) + `"]`)}
 		case 12:
-			fault = testbed.ReplyFault{CutAfter: 1 + r.IntN(len(files[body])-1)}
+			fault = testbed.ReplyFault{TruncateAfter: 1 + r.IntN(len(files[body])-1)}
 			h.ring.MinVersion = 0
 		default:
 			target, fault = "/manifest/", testbed.ReplyFault{Body: []byte(`{"format":1}`)}
@@ -89,14 +89,14 @@
 				mirror.PutSignatures(ordered, minisign.Sign(h.keys[0], raw), minisign.Sign(h.keys[1], raw))
 			}
 		}
-		isTruncated := fault.CutAfter > 0
+		isTruncated := fault.TruncateAfter > 0
 		for _, mirror := range h.mirrors {
 			mirror.SetFault(func(path string, b []byte) testbed.ReplyFault {
 				if !strings.HasPrefix(path, target) || fault.Body == nil && !isTruncated {
 					return testbed.ReplyFault{}
 				}
 				if isTruncated { // every reply ends after its first byte
-					return testbed.ReplyFault{CutAfter: 1, Body: []byte(strings.Repeat("y", len(b)))}
+					return testbed.ReplyFault{TruncateAfter: 1, Body: []byte(strings.Repeat("y", len(b)))}
 				}
 				return fault
 			})
--- a/internal/agentd/lifecycle_test.go
+++ b/internal/agentd/lifecycle_test.go
@@ -90,7 +90,7 @@
 	h.await(starting, agent.Removed)
 	require.Empty(t, a.runner.Find(starting))
 	for _, m := range h.mirrors {
-		m.SetFault(func(string, []byte) testbed.ReplyFault { return testbed.ReplyFault{CutAfter: 1, Stall: true} })
+		m.SetFault(func(string, []byte) testbed.ReplyFault { return testbed.ReplyFault{TruncateAfter: 1, Stall: true} })
 	}
 	fetching := h.publishValid(3, "well")
 	h.order(fetching, "serve")
--- a/internal/api/plan.go
+++ b/internal/api/plan.go
@@ -36,9 +36,9 @@
 	Reason   string `json:"reason,omitempty"` // why the router does not follow the plan
 }
 
-// Offered converts the plan to the type of package plan. Hosts are named by their ids in decimal. It fails if a name is not such
+// ToOffer converts the plan to the type of package plan. Hosts are named by their ids in decimal. It fails if a name is not such
 // an id.
-func (p Plan) Offered() (plan.Offer, error) {
+func (p Plan) ToOffer() (plan.Offer, error) {
 	local, err := p.hostWeights(p.Local)
 	if err != nil {
 		return plan.Offer{}, err
--- a/internal/proxy/reporting.go
+++ b/internal/proxy/reporting.go
@@ -41,7 +41,7 @@
 
 // planOffered handles a version of a plan. It rejects a version that can't be decoded.
 func (p *Proxy) planOffered(plan api.Plan) {
-	offer, err := plan.Offered()
+	offer, err := plan.ToOffer()
 	if err != nil {
 		p.log.Warn("invalid plan", "error", err)
 		p.releases.AcknowledgePlan(plan.Version, err.Error())
--- a/internal/scenario/report.go
+++ b/internal/scenario/report.go
@@ -57,7 +57,7 @@
 	for _, class := range requestClasses {
 		score, latencies := r.Scores[class.Name], r.Latencies[class.Name]
 		slices.Sort(latencies)
-		fmt.Fprintf(b, "%-10s %7d %7.2f%% %6d %12d %9d %8d %6d %6d %8s %8s\n", class.Name, score.Asked, inTimePercent(score),
+		fmt.Fprintf(b, "%-10s %7d %7.2f%% %6d %12d %9d %8d %6d %6d %8s %8s\n", class.Name, score.Requests, inTimePercent(score),
 			score.Late, score.Rejected, score.Failed, score.Refused, score.Lost+score.TimedOut, score.Wrong,
 			percentile(latencies, .5), percentile(latencies, .99))
 	}
@@ -73,7 +73,7 @@
 			}
 		}
 		fmt.Fprintf(b, "%-30s %8s %8d %7.2f%% %6d %12d %9d\n", fmt.Sprintf("build %d, stage %d, %s", s.Build, s.Stage, phaseNames[s.Phase]),
-			start, s.Asked, inTimePercent(s.Score), s.Late, s.Rejected, s.Failed)
+			start, s.Requests, inTimePercent(s.Score), s.Late, s.Rejected, s.Failed)
 	}
 }
 
@@ -150,7 +150,7 @@
 
 // inTimePercent returns the percentage of requests that succeeded within their latency objective.
 func inTimePercent(s testbed.Score) float64 {
-	return 100 * float64(s.InTime) / max(1, float64(s.Asked))
+	return 100 * float64(s.InTime) / max(1, float64(s.Requests))
 }
 
 // percentile returns the duration at a share of a sorted list, as text; "-" for an empty list.
--- a/internal/scenario/run.go
+++ b/internal/scenario/run.go
@@ -184,7 +184,7 @@
 			continue
 		}
 		if _, err := fmt.Fprintf(progress, "%4.0f s  sent %5d  in time %5d  late %4d  rejected %4d  failed %3d  lost %3d  in flight %4d  "+
-			"build %d %s, stage %d\n", time.Since(started).Seconds(), score.Asked, score.InTime, score.Late, score.Rejected,
+			"build %d %s, stage %d\n", time.Since(started).Seconds(), score.Requests, score.InTime, score.Late, score.Rejected,
 			score.Failed, score.Lost+score.Refused, inFlight, status.Build, phaseNames[status.Phase], status.Stage); err != nil {
 			r.log.Warn("failed to write progress", "error", err)
 		}
--- a/internal/testbed/clients.go
+++ b/internal/testbed/clients.go
@@ -204,7 +204,7 @@
 
 // count adds the outcome of a request to the totals.
 func (c *Clients) count(class RequestClass, outcome Score, latency time.Duration) {
-	outcome.Asked = 1
+	outcome.Requests = 1
 	if outcome.InTime > 0 && latency > class.LatencyObjective {
 		outcome.InTime, outcome.Late = 0, 1
 	}
--- a/internal/testbed/clients_test.go
+++ b/internal/testbed/clients_test.go
@@ -42,7 +42,7 @@
 		scores, _ := clients.Scores()
 		return scores[class.Name]
 	}
-	require.Eventually(t, func() bool { return total().Asked >= 10 }, eventTimeout, pollInterval)
+	require.Eventually(t, func() bool { return total().Requests >= 10 }, eventTimeout, pollInterval)
 	cancel()
 	<-ended
 	return total()
@@ -84,9 +84,9 @@
 			router := httptest.NewServer(c.router)
 			defer router.Close()
 			got := runClients(t, router.Listener.Addr().String(), c.class, c.behavior)
-			require.Positive(t, got.Asked)
-			want := c.want(got.Asked)
-			want.Asked = got.Asked
+			require.Positive(t, got.Requests)
+			want := c.want(got.Requests)
+			want.Requests = got.Requests
 			require.Equal(t, want, got)
 		})
 	}
@@ -95,8 +95,8 @@
 		require.NoError(t, err)
 		require.NoError(t, listener.Close())
 		got := runClients(t, listener.Addr().String(), testClass(), Behavior{})
-		require.Positive(t, got.Asked)
-		require.Equal(t, Score{Asked: got.Asked, Refused: got.Asked}, got)
+		require.Positive(t, got.Requests)
+		require.Equal(t, Score{Requests: got.Requests, Refused: got.Requests}, got)
 	})
 }
 
@@ -126,8 +126,8 @@
 			class := testClass()
 			class.Idempotency = c.idempotency
 			got := runClients(t, router.Listener.Addr().String(), class, Behavior{MaxRetries: 2})
-			require.Positive(t, got.Asked)
-			require.Equal(t, c.attempts*got.Asked, attempts)
+			require.Positive(t, got.Requests)
+			require.Equal(t, c.attempts*got.Requests, attempts)
 		})
 	}
 }
--- a/internal/testbed/mirror.go
+++ b/internal/testbed/mirror.go
@@ -25,11 +25,11 @@
 
 // ReplyFault is a fault in one response of a mirror. The zero ReplyFault is none.
 type ReplyFault struct {
-	Status   int    // sent without the content; 0 for no fault
-	Body     []byte // sent instead of the correct body; nil for no fault
-	CutAfter int    // number of bytes of the body after which the connection is closed; 0 for never
-	Stall    bool   // after CutAfter bytes, keep the connection open without sending until the client disconnects
-	ETag     string // sent instead of the correct entity tag; empty for no fault
+	Status        int    // sent without the content; 0 for no fault
+	Body          []byte // sent instead of the correct body; nil for no fault
+	TruncateAfter int    // number of bytes of the body after which the connection is closed; 0 for never
+	Stall         bool   // after TruncateAfter bytes, keep the connection open without sending until the client disconnects
+	ETag          string // sent instead of the correct entity tag; empty for no fault
 }
 
 // StartMirror starts a mirror that has no contents yet.
@@ -111,8 +111,8 @@
 		etag = fmt.Sprintf(`"%d-%x"`, len(body), bytes.Count(body, []byte{'a'}))
 	}
 	w.Header().Set("ETag", etag)
-	if fault.CutAfter > 0 {
-		w = &truncatingWriter{ResponseWriter: w, remaining: fault.CutAfter, stall: fault.Stall, disconnected: r.Context().Done()}
+	if fault.TruncateAfter > 0 {
+		w = &truncatingWriter{ResponseWriter: w, remaining: fault.TruncateAfter, stall: fault.Stall, disconnected: r.Context().Done()}
 	}
 	http.ServeContent(w, r, "", time.Time{}, bytes.NewReader(body))
 }
--- a/internal/testbed/score.go
+++ b/internal/testbed/score.go
@@ -4,7 +4,7 @@
 
 // Score counts the outcomes of requests as clients see them. All attempts of a request count as one request.
 type Score struct {
-	Asked    int `json:"Asked"`      // all requests
+	Requests int `json:"Asked"`      // all requests
 	InTime   int `json:"InTime"`     // succeeded within the latency objective
 	Late     int `json:"Late"`       // succeeded after the latency objective
 	Rejected int `json:"TurnedBack"` // rejected by the router
@@ -17,7 +17,7 @@
 
 // Add adds the counts of o to s.
 func (s *Score) Add(o Score) {
-	s.Asked += o.Asked
+	s.Requests += o.Requests
 	s.InTime += o.InTime
 	s.Late += o.Late
 	s.Rejected += o.Rejected
