--- a/policy/admission.go
+++ b/policy/admission.go
@@ -36,8 +36,8 @@
 	c.usualLatency, c.latency = c.usualLatency+response.usualLatency, c.latency+response.latency
 }
 
-// advance moves the start of the window to from. It drops responses that ended before oldest or whose sequence number is
-// lower than firstKept, and returns the number of responses in the window.
+// advance moves the start of the window to the time from. It drops responses that ended before the time oldest or whose
+// sequence number is lower than firstKept, and returns the number of responses in the window.
 func (c *responseCounter) advance(from, oldest Time, firstKept int) int {
 	shrink := func() {
 		leaving := &c.responses[c.windowStart]
--- a/policy/admission_test.go
+++ b/policy/admission_test.go
@@ -69,7 +69,7 @@
 	}
 }
 
-// The router gives a final answer while it handles the event that leads to it; a rejection carries a Retry-After if that
+// The router gives a final response while it handles the event that leads to it; a rejection carries a Retry-After if that
 // is allowed.
 func TestRouter_GivesFinalAnswerBeforeCallReturns(t *testing.T) {
 	f, endpoints := newGossipingFleet(t, func(config *Config) { config.Limits.MaxRetryAfter = 2 * Second })
--- a/policy/gossip.go
+++ b/policy/gossip.go
@@ -16,8 +16,9 @@
 	unsentComplaints map[int]int // by build, received by this router and not sent yet
 }
 
-// Weights of an attempt that a peer reports, relative to an own attempt: of one reported by the router that made it, and of
-// one passed on once. They are below 1 because each router has its own connections.
+// Weights of attempts that a peer reports, relative to this router's own attempts: firstHandWeight for attempts that the
+// peer made, secondHandWeight for attempts of another router that the peer passes on. They are below 1 because each router
+// has its own connections.
 const firstHandWeight, secondHandWeight = 0.5, 0.5
 
 // decayTime is the time constant by which sums of observations decay: about the time after which a host's fault or an
@@ -115,7 +116,8 @@
 	}
 }
 
-// mergeLocalReport adds what a peer in this zone reports on the path to other zones and on hosts.
+// mergeLocalReport adds the statistics that a peer in this zone reports: those on the path to other zones and those on
+// hosts.
 func (r *Router) mergeLocalReport(summary gossipSummary) {
 	r.gossip.remotePath.add(summary.remotePath)
 	for _, report := range summary.hosts {
--- a/policy/invariants_test.go
+++ b/policy/invariants_test.go
@@ -15,7 +15,7 @@
 	f                  *fakeFleet
 	requests           []*Request
 	deadlines          map[*Request]Time
-	answers            map[*Request]int // number of final answers
+	answers            map[*Request]int // number of final responses
 	clientDisconnected map[*Request]bool
 	drainingSince      map[*Host]Time // time since which a host has been draining or removed
 	canaryAttempts     []trafficEvent // attempts at a build with limited exposure
@@ -87,7 +87,7 @@
 }
 
 // Responses, failures, timeouts, disconnecting clients, endpoint lists, release statuses and timers arrive in any order, also
-// several at the same time. The limits that a single router enforces hold, and every request has one final answer by its
+// several at the same time. The limits that a single router enforces hold, and every request has one final response by its
 // deadline.
 func TestRouter_KeepsInvariantsForAnyOrderOfEvents(t *testing.T) {
 	rapid.Check(t, func(d *rapid.T) {
--- a/policy/outlier_test.go
+++ b/policy/outlier_test.go
@@ -40,7 +40,7 @@
 	f.serve(100, f.quote, succeeds)
 	for range 60 {
 		n := len(f.attempts)
-		for range 24 { // enough for each host to get some
+		for range 24 { // enough requests for each host to get some
 			f.arrive(f.payment)
 		}
 		f.advance(Second / 20)
--- a/policy/release.go
+++ b/policy/release.go
@@ -17,7 +17,7 @@
 	Phase        Phase
 	ExposureCap  float64    // maximum share of the requests that may go to the canary
 	Age          Time       // time since the release controller entered this stage and phase
-	VoteResult   VoteResult // result of the router's own vote, if this status is the reply to one
+	VoteResult   VoteResult // result of the router's own vote, if this status is the response to one
 }
 
 // PromotionMode is how the release controller promotes a build to the next stage.
@@ -39,7 +39,7 @@
 	PromoteQuorum     int     // number of votes required to promote a stage
 	RollbackQuorum    int     // number of votes required to roll a build back
 	VoteTTL           Time    // how long a vote is valid
-	VoteTimeout       Time    // how long the reply to a vote may take
+	VoteTimeout       Time    // how long the response to a vote may take
 	MaxVotesPerSecond float64 // of all routers together
 	ExposureWindow    Time    // over which exposure is counted
 	ExposureAllowance float64 // attempts in the window that are allowed in addition to the cap
@@ -68,7 +68,7 @@
 	stickyBuilds map[string]int // the build that answered each key, recorded while two builds serve
 }
 
-// ReleaseChanged processes a status from the release controller, which may be its reply to a vote.
+// ReleaseChanged processes a status from the release controller, which may be its response to a vote.
 func (r *Router) ReleaseChanged(now Time, status ReleaseStatus) {
 	r.now = now
 	if status.VoteResult == Unsolicited || status.VoteResult == VoteAccepted {
--- a/policy/request.go
+++ b/policy/request.go
@@ -53,12 +53,12 @@
 	arrivals []trafficEvent
 }
 
-// Request is a client's request that the router has accepted. The router owes it one final answer.
+// Request is a client's request that the router has accepted. The router owes it one final response.
 type Request struct {
 	Class        *Class
 	Tenant       *Tenant // nil if the deployment has no tenants
 	Key          string  // identifies what the request concerns, for sticky builds; empty if the request has no key
-	Timeout      Time    // time from its arrival for which the client waits for an answer
+	Timeout      Time    // time from its arrival for which the client waits for the final response
 	ExpectedWork Time    // announced by the client; 0 if unknown
 	ClientRetry  bool    // whether the client has announced that it retries on its own
 
@@ -69,18 +69,18 @@
 	firstAmbiguous *Attempt // earliest attempt that may have been executed and has not succeeded
 }
 
-// Answered reports whether the request has had its final answer or its client has stopped waiting.
+// Answered reports whether the request has had its final response or its client has stopped waiting.
 func (r *Request) Answered() bool { return r.state == finished }
 
 // requestState is what is known about the execution of a request:
 //
 //	state            event                    next             action
 //	notExecuted      requestArrived           notExecuted      first attempts, or rejection
-//	notExecuted      attemptNotExecuted       notExecuted      retry, wait or final answer
-//	notExecuted      attemptMayHaveExecuted   mayHaveExecuted  retry, wait or final answer
+//	notExecuted      attemptNotExecuted       notExecuted      retry, wait or final response
+//	notExecuted      attemptMayHaveExecuted   mayHaveExecuted  retry, wait or final response
 //	notExecuted      attemptSlow              notExecuted      hedged attempt
-//	mayHaveExecuted  attemptNotExecuted       mayHaveExecuted  retry, wait or final answer
-//	mayHaveExecuted  attemptMayHaveExecuted   mayHaveExecuted  retry, wait or final answer
+//	mayHaveExecuted  attemptNotExecuted       mayHaveExecuted  retry, wait or final response
+//	mayHaveExecuted  attemptMayHaveExecuted   mayHaveExecuted  retry, wait or final response
 //	mayHaveExecuted  attemptSlow              mayHaveExecuted  hedged attempt
 //	either           requestEnded             finished         none
 //
@@ -123,7 +123,7 @@
 	{mayHaveExecuted, requestEnded, finished, (*Router).leaveAttemptsInFlight},
 }
 
-// RequestArrived accepts a request. From now on the router owes it one final answer, unless ClientDisconnected is called first.
+// RequestArrived accepts a request. From now on the router owes it one final response, unless ClientDisconnected is called first.
 func (r *Router) RequestArrived(now Time, request *Request) {
 	r.now, request.arrivedAt = now, now
 	r.traffic.arrivals = appendBounded(r.traffic.arrivals, trafficEvent{at: now, class: request.Class}, keptFleetEvents)
@@ -133,7 +133,7 @@
 	r.handleRequestEvent(request, requestArrived)
 }
 
-// ClientDisconnected records that the client of a request has stopped waiting: an answer is no longer owed.
+// ClientDisconnected records that the client of a request has stopped waiting: a response is no longer owed.
 func (r *Router) ClientDisconnected(now Time, request *Request) {
 	r.now = now
 	r.handleRequestEvent(request, requestEnded)
@@ -177,7 +177,7 @@
 // leaveAttemptsInFlight does nothing: attempts of a finished request run to their end and count as samples.
 func (r *Router) leaveAttemptsInFlight(*Request) {}
 
-// giveUp gives the final answer at once: a rejection if repeating the request is known to be harmless, otherwise a
+// giveUp gives the final response at once: a rejection if repeating the request is known to be harmless, otherwise a
 // failure.
 func (r *Router) giveUp(request *Request) {
 	const overloadDuration = Second / 2 // most overloads end within this time
--- a/policy/retry.go
+++ b/policy/retry.go
@@ -16,7 +16,7 @@
 }
 
 // retry sends another attempt of a request if the number of attempts and the retry budget allow it, a host is available
-// and the answer can still be in time. It reports whether it did. No budget is needed after a shadow attempt that was
+// and the response can still be in time. It reports whether it did. No budget is needed after a shadow attempt that was
 // sent first, because the primary attempt follows it, nor after an attempt that this router cut short, because the budget
 // was checked when that attempt was sent.
 func (r *Router) retry(request *Request) bool {
@@ -39,7 +39,7 @@
 }
 
 // continueAfterFailure decides what follows a failed attempt: a retry, waiting for an attempt in flight, or the final
-// answer.
+// response.
 func (r *Router) continueAfterFailure(request *Request) {
 	pending := func(attempt *Attempt) bool { return attempt.outcome == Pending }
 	pendingNoShadow := func(attempt *Attempt) bool { return attempt.outcome == Pending && attempt.role != shadowAttempt }
--- a/policy/router.go
+++ b/policy/router.go
@@ -10,9 +10,9 @@
 type Effects interface {
 	// Send starts an attempt, which ends as TimedOut once the timeout has passed.
 	Send(attempt *Attempt, timeout Time)
-	// Reject gives the request's final answer: the request has done no harm and may be repeated, preferably after retryAfter.
+	// Reject gives the request's final response: the request has done no harm and may be repeated, preferably after retryAfter.
 	Reject(request *Request, retryAfter Time)
-	// Fail gives the final answer to a request that may have been executed.
+	// Fail gives the final response to a request that may have been executed.
 	Fail(request *Request)
 	// SetTimer asks for a call of TimerFired with the timer once the delay has passed.
 	SetTimer(delay Time, timer *Timer)
--- a/policy/stats.go
+++ b/policy/stats.go
@@ -142,7 +142,8 @@
 }
 
 // logLatencyGapToPast returns the log of the factor by which successful attempts at build took longer than those at
-// pastBuild. It compares the reports on build received after the time after with those on pastBuild received up to pastUntil.
+// pastBuild. It uses the reports on build that were received later than the parameter after, and those on pastBuild that were
+// received up to pastUntil.
 // n is the number of successful attempts at build that this is based on. If class is not nil, only its reports count.
 func (a *analysisState) logLatencyGapToPast(class *Class, pastBuild, build int, pastUntil, after Time) (gap, n float64) {
 	for _, x := range a.stats {
--- a/policy/traffic.go
+++ b/policy/traffic.go
@@ -7,7 +7,8 @@
 	"gonum.org/v1/gonum/stat"
 )
 
-// Least numbers of events that are kept; each is more than any window that counts such events holds.
+// Minimum numbers of events that are kept. Each is larger than the number of such events in any window over which they are
+// counted.
 const (
 	keptFleetEvents  = 8192
 	keptTenantEvents = 4096
@@ -34,12 +35,12 @@
 	locality     locality
 	outcome      Outcome
 	late         bool // ended later than the request's latency objective
-	latency      Time // 0 if the host was ejected, backing off or not at the baseline
+	latency      Time // 0 unless the host was healthy and in the baseline when the attempt ended
 	usualLatency Time // of the class; 0 if the attempt failed
 }
 
-// endedShare is the share of the last ended attempts that match. If fewer than last attempts have ended, the missing ones
-// count as not matching.
+// endedShare is the share of the most recently ended attempts that match. It considers as many attempts as the parameter
+// last says; if fewer have ended, the missing ones count as not matching.
 func (t *trafficHistory) endedShare(last int, matches func(trafficEvent) bool) (share float64) {
 	for _, event := range t.ended[max(0, len(t.ended)-last):] {
 		if matches(event) {
@@ -49,7 +50,8 @@
 	return share
 }
 
-// meanCompletionInterval is the mean time between the ends of attempts, over up to last of the most recent ones.
+// meanCompletionInterval is the mean time between the ends of the most recently ended attempts. The parameter last is the
+// maximum number of attempts that it considers.
 func (r *Router) meanCompletionInterval(last int) Time {
 	last = min(last, len(r.traffic.ended))
 	if last == 0 {
@@ -58,7 +60,7 @@
 	return (r.now - r.traffic.ended[len(r.traffic.ended)-last].at) / Time(last)
 }
 
-// countSince counts the events after from; if class is not nil, it counts only events of that class.
+// countSince counts the events later than from; if class is not nil, it counts only events of that class.
 func countSince(events []trafficEvent, from Time, class *Class) (n float64) {
 	for i := len(events) - 1; i >= 0 && events[i].at > from; i-- {
 		if class == nil || events[i].class == class {
--- a/policy/vote.go
+++ b/policy/vote.go
@@ -11,11 +11,11 @@
 
 // Results of a vote; their values are stored.
 const (
-	Unsolicited  VoteResult = iota // the status is not a reply to a vote
+	Unsolicited  VoteResult = iota // the status is not a response to a vote
 	VoteAccepted                   // the vote counts
 	VoteStale                      // the vote is not on the current build or stage
 	VoteRejected                   // there were too many votes, or an error; the vote does not count
-	VoteUnknown                    // there was no reply; the vote may count
+	VoteUnknown                    // there was no response; the vote may count
 )
 
 // VoteChoice is what a vote is for.
@@ -58,7 +58,7 @@
 
 const (
 	voteWanted   voteEvent = iota // the verdict differs from the last vote, or that vote does not count or expires soon
-	voteTimedOut                  // no reply in time
+	voteTimedOut                  // no response in time
 	voteCounted
 	voteDropped // rejected, stale or of unknown result
 )
