--- a/agent/machine.go
+++ b/agent/machine.go
@@ -75,7 +75,7 @@
 		if c.Phase == Idle || c.Phase == Staged && c.Goal >= GoalServe && c.Verified {
 			m.step(c, proceed, "")
 		}
-		if c.Phase == Failed && c.Goal >= GoalServe { // the candidate stays in the state as failed until the next order
+		if c.Phase == Failed && c.Goal >= GoalServe { // the failed candidate stays in State until the next order
 			m.emit(CollectGarbage{})
 		}
 		if c.Phase == Serving && c.Goal >= GoalRelease {
--- a/agent/state.go
+++ b/agent/state.go
@@ -10,7 +10,7 @@
 
 // The phases, in the order in which a build passes through them. Failed may follow any phase up to Starting.
 const (
-	Idle      Phase = "idle" // ordered; nothing has been done yet
+	Idle      Phase = "idle" // an order names the build; nothing has been done for it yet
 	Fetching  Phase = "fetching"
 	Verifying Phase = "checking"
 	Staged    Phase = "staged"   // verified and installed, can be started
--- a/build/keyring.go
+++ b/build/keyring.go
@@ -6,7 +6,7 @@
 	"aead.dev/minisign"
 )
 
-// Limits of a key ring.
+// Format version and limits of a key ring.
 const (
 	keyRingFormat = 1
 	maxKeys       = 100
--- a/control/agents.go
+++ b/control/agents.go
@@ -20,7 +20,7 @@
 	Body   json.RawMessage `json:"body"`
 }
 
-// Orders returns the kept orders to an agent whose numbers are above after.
+// Orders returns the kept orders to an agent whose numbers are above the given one.
 func (s *State) Orders(agent string, after uint64) (out []Order) {
 	a := s.agents[agent]
 	if a == nil {
--- a/control/command.go
+++ b/control/command.go
@@ -62,7 +62,7 @@
 
 // Reply is the result of a command that was accepted.
 type Reply struct {
-	Repeated    bool     // the command had been carried out before and changed nothing now
+	Repeated    bool     // the command repeats an earlier one and changed nothing
 	Release     *Release // the release that the command changed or concerns, in its current state; may be nil
 	OrderNumber uint64   // number of the new order, for OrderAgent
 }
--- a/control/release.go
+++ b/control/release.go
@@ -95,7 +95,7 @@
 }
 
 // List returns copies of up to limit releases, sorted by build, that have all the given labels and the given phase (nil for
-// any) and whose builds are above after.
+// any) and whose build numbers are above the given one.
 func (s *State) List(labels map[string]string, phase *policy.Phase, after, limit int) (out []*Release) {
 	for _, r := range s.releases {
 		if r.Build <= after || phase != nil && r.Phase != *phase || !r.hasLabels(labels) {
--- a/control/state.go
+++ b/control/state.go
@@ -12,8 +12,8 @@
 	PromoteShare    float64     // share of member routers whose votes promote a stage; 0 uses Rules.PromoteQuorum
 	RollbackShare   float64     // share of member routers whose votes roll a build back; 0 uses Rules.RollbackQuorum
 	RouterTimeout   policy.Time // a router without contact for longer is removed; 0 for never
-	MaxEvents       int         // events kept for watchers that reconnect; 0 for 4096, enough for a few minutes of a busy release
-	MaxCreationKeys int         // idempotency keys kept; 0 for 1000
+	MaxEvents       int         // events kept for watchers that reconnect; 0 means 4096, enough for a few minutes of a busy release
+	MaxCreationKeys int         // idempotency keys kept; 0 means 1000
 }
 
 const (
--- a/plan/conflict.go
+++ b/plan/conflict.go
@@ -74,7 +74,7 @@
 }
 
 // firstSubset returns the first subset of the given size that contains a demand and satisfies the condition. It returns nil
-// if there is none, or once left, the number of remaining tries, has reached 0.
+// if there is none, or if the number of remaining tries (left) reaches 0.
 func firstSubset(all []constraint, size int, left *int, condition func([]constraint) bool) []constraint {
 	var some []constraint
 	isDemand := func(c constraint) bool { return c.kind == demandConstraint }
--- a/plan/shadow_test.go
+++ b/plan/shadow_test.go
@@ -40,7 +40,7 @@
 	m.Release = &Release{Build: 2, Stages: []Stage{{HostShare: .1, ShadowCap: .1}}, GuardedStages: 1, CapPerClass: true}
 	require.InDelta(t, 6, solveFirstStep(t, m).Shadows[0].AllowedRate, 1e-9, "a tenth of the idempotent requests")
 	m.Release.GuardedStages = 0
-	require.InDelta(t, 9, solveFirstStep(t, m).Shadows[0].AllowedRate, 1e-9, "a tenth of the requests that are idempotent, also by key")
+	require.InDelta(t, 9, solveFirstStep(t, m).Shadows[0].AllowedRate, 1e-9, "a tenth of the requests that are idempotent, with or without a key")
 	m.Release.CapPerClass = false
 	require.InDelta(t, 10, solveFirstStep(t, m).Shadows[0].AllowedRate, 1e-9, "a tenth of all requests")
 }
--- a/record/writer.go
+++ b/record/writer.go
@@ -181,7 +181,7 @@
 	return <-w.done
 }
 
-// Files returns the record files of the router called name in a directory, the oldest first.
+// Files returns the record files of a router in a directory, the oldest first. name is the name of the router.
 func Files(dir, name string) ([]string, error) {
 	files, err := filepath.Glob(filepath.Join(dir, name+"-*.rec"))
 	slices.Sort(files)
--- a/record/writer_test.go
+++ b/record/writer_test.go
@@ -43,7 +43,7 @@
 	dir := t.TempDir()
 	w, err := Create(Config{Dir: dir, Name: "r1", OpenSink: func(f *os.File) Sink { return stalledFile{f, resume} }})
 	require.NoError(t, err)
-	runRouter(t, w, 3, 40_000) // more than fit into the queue of blocks
+	runRouter(t, w, 3, 40_000) // more entries than the queue of blocks can hold
 	require.Positive(t, w.Dropped(), "whole blocks were dropped")
 	close(resume)
 	require.Eventually(t, func() bool { return len(w.blocks) == 0 }, 10*time.Second, time.Millisecond)
--- a/router/config.go
+++ b/router/config.go
@@ -82,7 +82,7 @@
 	return errors.Join(all...)
 }
 
-// missingTenants returns an error for each tenant that is in the list in and not in the list notIn.
+// missingTenants returns an error for each tenant of the first list that the second list lacks.
 func missingTenants(in, notIn []Tenant) (all []error) {
 	for _, t := range in {
 		if !slices.ContainsFunc(notIn, func(x Tenant) bool { return x.Name == t.Name }) {
