--- a/internal/scenario/agent_reports.go
+++ b/internal/scenario/agent_reports.go
@@ -64,7 +64,7 @@
 func (a *agentReports) count(agent string) int { return len(a.list(agent)) }
 
 // await waits until an agent reports that a build is in one of the given phases, and returns that phase. It ignores the
-// agent's first skip reports. It returns an empty phase after the timeout or when the context ends.
+// agent's earliest reports; skip is their number. It returns an empty phase after the timeout or when the context ends.
 func (a *agentReports) await(ctx context.Context, agent string, skip int, digest string, timeout time.Duration, phases ...string) string {
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
--- a/internal/scenario/controllers.go
+++ b/internal/scenario/controllers.go
@@ -38,7 +38,7 @@
 
 // Transition is a change of a release's stage or phase.
 type Transition struct {
-	At    time.Duration `json:"At"` // from the scenario's start
+	At    time.Duration `json:"At"` // time since the scenario's start
 	Build int           `json:"Build"`
 	Stage int           `json:"Stage"`
 	Phase policy.Phase  `json:"Phase"`
--- a/internal/scenario/spec.go
+++ b/internal/scenario/spec.go
@@ -120,7 +120,7 @@
 	}
 	for _, fault := range s.Faults {
 		if s.Agents && !slices.Contains(faultsWithAgents, fault.Kind) {
-			return fmt.Errorf("troubles of kind %s can't be combined with agents; these can: %s", fault.Kind, strings.Join(faultsWithAgents, ", "))
+			return fmt.Errorf("faults of kind %s can't be combined with agents; these can: %s", fault.Kind, strings.Join(faultsWithAgents, ", "))
 		}
 	}
 	return nil
--- a/internal/scenario/traffic_plan.go
+++ b/internal/scenario/traffic_plan.go
@@ -35,7 +35,7 @@
 	Reason         string `json:"Reason"`     // reason of one of the rejections
 }
 
-// countAcks counts acknowledgements by version and router.
+// countAcks adds acknowledgements to the totals. acks holds them by version and router.
 func (s *PlanStatistics) countAcks(acks map[uint64]map[string]api.PlanAck) {
 	for _, byRouter := range acks {
 		for _, ack := range byRouter {
--- a/internal/testbed/backend.go
+++ b/internal/testbed/backend.go
@@ -31,7 +31,7 @@
 // Build describes how the backends of a build handle requests. The zero Build is healthy.
 type Build struct {
 	Number           int
-	SpeedFactor      float64       // multiplies the machine's speed; 0 is 1
+	SpeedFactor      float64       // multiplies the machine's speed; 0 means 1
 	FailureRate      float64       // share of all requests that fail
 	FailingClass     string        // the class that ClassFailureRate applies to
 	ClassFailureRate float64       // share of the requests of FailingClass that fail
@@ -79,7 +79,7 @@
 	Classes      map[string]Class // by name
 	Keys         Deduplicator
 	CountRequest RequestCounter // nil for none
-	Slowdown     func() float64 // current factor by which all backends are slower; nil for 1
+	Slowdown     func() float64 // returns the current factor by which all backends are slower; nil means a factor of 1
 }
 
 // Backend is one server process on a machine. It simulates work on a request by sleeping. Each core handles one request at
@@ -102,7 +102,7 @@
 	mu             sync.Mutex
 	fault          Fault
 	pausedUntil    time.Time
-	coreFreeAt     []time.Time // by core: when the work assigned to it ends
+	coreFreeAt     []time.Time // by core: when the work assigned to the core ends
 	coldOverloaded bool
 	recentArrivals []arrival // during the warm-up
 	loadReports    []loadReport
--- a/internal/testbed/backend_faults.go
+++ b/internal/testbed/backend_faults.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// Fault is the fault that is currently injected into a backend. The zero Fault is none.
+// Fault is the fault that is currently injected into a backend. The zero Fault means no fault.
 type Fault struct {
-	Slowdown           float64       // factor by which work is slower; 0 is 1
+	Slowdown           float64       // factor by which work is slower; 0 means 1
 	FailureRate        float64       // share of requests that fail immediately
 	Hangs              bool          // accepts requests and never responds
 	RefusesConnections bool          // resets new connections
--- a/internal/testbed/controller.go
+++ b/internal/testbed/controller.go
@@ -102,7 +102,7 @@
 func (c *Controller) ReportCount(agent string) int { return len(c.Reports(agent)) }
 
 // AwaitAfter waits until an agent has reported that a build is in one of the given phases, and returns that phase. It
-// ignores the agent's earliest reports, as many as first says. It returns an empty string after the timeout or when the
+// ignores the agent's earliest reports; first is their number. It returns an empty string after the timeout or when the
 // controller is stopped.
 func (c *Controller) AwaitAfter(agent string, first int, digest string, timeout time.Duration, phases ...string) string {
 	for end := time.Now().Add(timeout); ; {
--- a/internal/testbed/discovery.go
+++ b/internal/testbed/discovery.go
@@ -168,7 +168,7 @@
 	return append([]string(nil), s.rejected...)
 }
 
-// SetDown simulates an outage: setting down ends all streams, and new streams are refused until it is unset.
+// SetDown starts or ends a simulated outage. The start ends all streams; new streams are refused until the end.
 func (s *DiscoveryServer) SetDown(down bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/testbed/mirror.go
+++ b/internal/testbed/mirror.go
@@ -23,7 +23,7 @@
 	requests []string                                  // as Requests returns them
 }
 
-// ReplyFault is a fault in one response of a mirror. The zero ReplyFault is none.
+// ReplyFault is a fault in one response of a mirror. The zero ReplyFault means no fault.
 type ReplyFault struct {
 	Status        int    // sent without the content; 0 for no fault
 	Body          []byte // sent instead of the correct body; nil for no fault
