--- a/internal/audit/evaluation.go
+++ b/internal/audit/evaluation.go
@@ -111,7 +111,7 @@
 	return r
 }
 
-// report adds a finding about the time between from and to. The finding is doubtful if the machine stalled in that time.
+// report adds a finding about a period. The finding is doubtful if the machine stalled in that period.
 func (ev *evaluation) report(rule string, from, to time.Duration, format string, values ...any) {
 	f := Finding{Rule: rule, At: to, Text: fmt.Sprintf(format, values...)}
 	for _, s := range ev.stalls {
--- a/internal/audit/exposure.go
+++ b/internal/audit/exposure.go
@@ -45,7 +45,7 @@
 }
 
 // loosestExposure returns the loosest exposure limits that a router may still apply to a build. It considers the status
-// announced last and every status that was in force within the grace period before at.
+// announced last and every status that was in force within the grace period before the given time.
 func (ev *evaluation) loosestExposure(r *routerState, build int, at time.Duration) (canary bool, stage int, exposureCap float64) {
 	const noStage = math.MaxInt
 	stage = noStage
@@ -67,7 +67,7 @@
 	return canary, stage, exposureCap
 }
 
-// count returns the number of arrivals after from. It counts only those of a build, unless build is 0, and only those of
+// count returns the number of arrivals later than from. It counts only those of a build, unless build is 0, and only those of
 // a class if the exposure cap applies per class.
 func (ev *evaluation) count(arrivals []arrival, from time.Duration, class string, build int) (n float64) {
 	for i := len(arrivals) - 1; i >= 0 && arrivals[i].at > from; i-- {
--- a/internal/audit/recorder.go
+++ b/internal/audit/recorder.go
@@ -48,7 +48,7 @@
 	}
 }
 
-// Heartbeat records that the machine was running at now. It records a stall if the previous heartbeat is too long ago.
+// Heartbeat records that the machine was running at the given time. It records a stall if the previous heartbeat is too long ago.
 func (r *Recorder) Heartbeat(now time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/controller/partition_test.go
+++ b/internal/controller/partition_test.go
@@ -188,7 +188,7 @@
 		}
 		t.Fatal("no write was accepted in 400 attempts")
 	}
-	write("all is well")
+	write("all disks work")
 	at := g.leader()
 	disks[at].set(errors.New("no space left on device"), 0)
 	status, _, _ := request(t, "PATCH", g.urls[at]+"/v1/releases/1", `{"note":"on a full disk"}`)
@@ -201,7 +201,7 @@
 		}
 		return false
 	}, 20*time.Second, 10*time.Millisecond, "another instance must become leader")
-	write("on the others' disks")
+	write("one disk is full")
 	disks[at].set(nil, 0)
 	for _, d := range disks {
 		d.set(nil, 30*time.Millisecond)
--- a/internal/downstream/protocol.go
+++ b/internal/downstream/protocol.go
@@ -25,7 +25,7 @@
 type Protocol struct {
 	Class, Tenant, Timeout, IdempotencyKey, Key, ExpectedWork, ClientRetry string // names of request headers
 
-	ID                string      // request header with an id that the client chooses; required, and unique among open requests
+	ID                string      // request header with an id that the client chooses; required, and unique among the requests in flight
 	Strict            bool        // none of these headers may occur twice; the timeout is required, in whole milliseconds
 	WorkUnitsPerTick  policy.Time // units of expected work in one unit of policy.Time; 0 if the header's value contains its unit
 	Outcome           string      // response header with the outcome
--- a/internal/downstream/request.go
+++ b/internal/downstream/request.go
@@ -138,8 +138,8 @@
 	return nil
 }
 
-// registerID registers the id that the client gave a request, if the protocol has ids. Two open requests can't have the
-// same id.
+// registerID registers the id that the client gave a request, if the protocol has ids. Two requests in flight can't
+// have the same id.
 func (s *Server) registerID(p *pendingResponse, id string) *http1.Error {
 	switch {
 	case s.protocol.ID == "":
--- a/internal/eventloop/stats.go
+++ b/internal/eventloop/stats.go
@@ -72,14 +72,14 @@
 	endedAt time.Duration
 }
 
-// add counts a lag that ended at now.
+// add counts a lag that ended at the given time.
 func (p *lagPeak) add(now, lag time.Duration) {
 	if lag >= p.at(now) {
 		p.lag, p.endedAt = lag, now
 	}
 }
 
-// at returns the decayed value of the greatest lag at now.
+// at returns the decayed value of the greatest lag at the given time.
 func (p *lagPeak) at(now time.Duration) time.Duration {
 	return max(0, p.lag-(now-p.endedAt)/lagDecayRatio)
 }
--- a/internal/eventloop/timer.go
+++ b/internal/eventloop/timer.go
@@ -62,8 +62,8 @@
 	l.schedule()
 }
 
-// callDueTimers calls the timers that are due at now, the earliest first, and returns the time after the calls. Timers
-// that are set during the calls wait for the next call of callDueTimers, so that they can't delay queued work
+// callDueTimers calls the timers that are due at the given time, the earliest first, and returns the time after the calls.
+// Timers that are set during the calls wait for the next call of callDueTimers, so that they can't delay queued work
 // indefinitely.
 func (l *Loop) callDueTimers(now time.Duration) (end time.Duration) {
 	end = now
--- a/internal/platform/client.go
+++ b/internal/platform/client.go
@@ -1,5 +1,5 @@
 // Package platform is a router's client of the operators' control service: the feed of release statuses and complaints,
-// and votes. It reports the same events as package controlclient does and takes no decisions.
+// and votes. It reports the same events as package controlclient does and makes no decisions.
 package platform
 
 import (
--- a/internal/proxy/request.go
+++ b/internal/proxy/request.go
@@ -14,7 +14,7 @@
 //	responseDue  outstanding  state
 //	true         0            the router is selecting a host, or waiting before a retry
 //	true         > 0          attempts are in flight
-//	false        > 0          responded to, or the client is gone; attempts are still in flight
+//	false        > 0          responded to, or the client has disconnected; attempts are still in flight
 //	false        0            complete: removed from Proxy.requests
 type request struct {
 	id          string
--- a/internal/simadapter/adapter.go
+++ b/internal/simadapter/adapter.go
@@ -14,7 +14,7 @@
 	"dapplefront/router"
 )
 
-// Run reads batches from in and writes the reply to each to out, until the input ends between two batches. The error for
+// Run reads batches from in and writes their replies to out, until the input ends between two batches. The error for
 // malformed input names the line.
 func Run(in io.Reader, out io.Writer) error {
 	r, w := simwire.NewReader(in), simwire.NewWriter(out)
--- a/internal/upstream/pool_test.go
+++ b/internal/upstream/pool_test.go
@@ -20,7 +20,7 @@
 	"dapplefront/policy"
 )
 
-// testbench is a pool with one real host, to whose requests a test responds one by one.
+// testbench is a pool with one real host. The host passes the requests that it receives to the test, which responds to them.
 type testbench struct {
 	*testing.T
 	loop     *eventloop.Loop
@@ -77,8 +77,8 @@
 // attemptTimeout is the timeout of all attempts.
 const attemptTimeout = 10 * policy.Second
 
-// send starts an attempt; it is called from work of the loop. When the attempt ends, then is called, and then the
-// response's body or else the outcome is sent to results.
+// send starts an attempt; it is called from work of the loop. When the attempt ends, send calls the function then, unless
+// it is nil, and sends the response's body, or the outcome if there is no response, to results.
 func (r *testbench) send(name string, results chan string, then func()) *Attempt {
 	head := []byte("GET /" + name + " HTTP/1.1\r\nHost: h\r\n")
 	return r.pool.Send(1, head, nil, false, attemptTimeout, func(x Result) {
