--- a/internal/proxy/config.go
+++ b/internal/proxy/config.go
@@ -44,7 +44,7 @@
 }
 
 // replaceGossip closes the gossip socket and opens the one of another configuration. If that fails, it opens the socket
-// of the present configuration again.
+// of the current configuration again.
 func (p *Proxy) replaceGossip(c *routerconfig.Config) (*gossip.Socket, error) {
 	if p.gossip != nil {
 		p.gossip.Close() // first, because only one socket can use an address; messages that arrive in between are lost
--- a/internal/proxy/request.go
+++ b/internal/proxy/request.go
@@ -28,7 +28,7 @@
 }
 
 // requestArrived passes a request to the router, or rejects it if too many are in flight or no time is left. It first
-// subtracts the event loop's present lag from the request's timeout, because the response may be late by that much.
+// subtracts the event loop's current lag from the request's timeout, because the response may be late by that much.
 func (p *Proxy) requestArrived(d *downstream.Request) {
 	limits := &p.config.Router.Limits
 	d.Timeout = policy.TimeoutWithLag(d.Timeout, p.loop.Lag())
--- a/internal/scenario/controllers.go
+++ b/internal/scenario/controllers.go
@@ -426,7 +426,7 @@
 	})
 }
 
-// recordPlanAcks stores the routers' acknowledgements of the active plan, before the next plan replaces it.
+// recordPlanAcks stores the routers' acknowledgements of the plan in force, before the next plan replaces it.
 func (g *controllerGroup) recordPlanAcks() {
 	g.read(func(s *control.State) {
 		active, _ := s.ActivePlan(s.Clock())
--- a/internal/transport/session.go
+++ b/internal/transport/session.go
@@ -1,7 +1,7 @@
 // Package transport manages the TCP listeners and connections of a router. It passes the bytes that a connection receives
 // to the connection's Session, and does not interpret them.
 //
-// It uses the poller of the standard library, which distinguishes the present connection of a descriptor from earlier
+// It uses the poller of the standard library, which distinguishes the current connection of a descriptor from earlier
 // ones: an event that is not yet delivered when its connection is closed can't reach the next connection with the same
 // descriptor (docs/router.md). A reader waits without a buffer and takes one from a pool when data has arrived.
 package transport
--- a/policy/balancing.go
+++ b/policy/balancing.go
@@ -18,7 +18,7 @@
 	baselineSamples []attemptSample // last successes at the baseline
 }
 
-// balancer holds the current plan, and buffers that are reused whenever a host is chosen so that a choice allocates
+// balancer holds the plan in force, and buffers that are reused whenever a host is chosen so that a choice allocates
 // nothing.
 type balancer struct {
 	plan           WeightPlan
@@ -237,7 +237,7 @@
 	return nil
 }
 
-// drawHost draws a host by weight. While a plan is active, the first of two draws uses the plan's weights. The second
+// drawHost draws a host by weight. While a plan is in force, the first of two draws uses the plan's weights. The second
 // does not, so that comparing how busy the two hosts are corrects a plan that has become wrong.
 func (r *Router) drawHost(from []*Host, weights []float64, first bool) *Host {
 	if first && r.balancer.plan.isActive(r.now) && slices.ContainsFunc(from, func(host *Host) bool { return host.planWeight > 0 }) {
@@ -287,7 +287,7 @@
 	return from[len(from)-1]
 }
 
-// planCrosses draws whether the active plan sends a request to another zone; it is false without an active plan.
+// planCrosses draws whether the plan in force sends a request to another zone; it is false without a plan in force.
 func (r *Router) planCrosses() bool {
 	plan := &r.balancer.plan
 	return plan.isActive(r.now) && plan.CrossZoneShare > 0 && float64(r.random.intN(drawResolution)) < plan.CrossZoneShare*drawResolution
--- a/policy/surge.go
+++ b/policy/surge.go
@@ -68,7 +68,7 @@
 	}
 }
 
-// surgeEvidence updates the surge state with the present latency of the fleet and returns the odds that the canary slows
+// surgeEvidence updates the surge state with the current latency of the fleet and returns the odds that the canary slows
 // down the fleet. All classes must be slow: a class that is slow alone has another cause.
 func (r *Router) surgeEvidence(baseline *buildWindow) float64 {
 	const rose, subsided = 0.4, 0.25           // logarithm of the ratio of the latency to that before the canary
--- a/router/config.go
+++ b/router/config.go
@@ -50,7 +50,7 @@
 	for _, t := range c.Tenants {
 		r.tenants[t.Name].QuotaPerSecond = t.QuotaPerSecond
 	}
-	c.Seed = r.config.Seed // the random number generator continues from its present state
+	c.Seed = r.config.Seed // the random number generator continues from its current state
 	r.config = c
 	r.policy.ConfigChanged(now, c.Routers, c.Rank, c.Limits, c.Release)
 	return nil
--- a/router/events.go
+++ b/router/events.go
@@ -83,8 +83,8 @@
 	Body string
 }
 
-// ConfigChanged is a configuration that replaces the present one. If it differs in something that can't change in a
-// running router, Handle returns an error and the present configuration stays in use.
+// ConfigChanged is a configuration that replaces the current one. If it differs in something that can't change in a
+// running router, Handle returns an error and the current configuration stays in use.
 type ConfigChanged struct{ Config Config }
 
 // PlanOffered is a version of a weight plan. An AcknowledgePlan action reports whether it is applied or rejected.
