--- a/internal/node/router_config.go
+++ b/internal/node/router_config.go
@@ -40,7 +40,7 @@
 	// rejected request.
 	reclaimIdleAfter = 200 * time.Millisecond
 
-	defaultRequestTimeout = time.Minute // for a class without DeadlineUs in the settings
+	defaultRequestTimeout = time.Minute // for a class whose DeadlineUs is less than a unit of policy.Time
 )
 
 // downstreamProtocol names the headers of "Clients to routers" in the operators' protocol page.
