--- a/internal/scenario/controllers.go
+++ b/internal/scenario/controllers.go
@@ -38,7 +38,7 @@
 
 // Transition is a change of a release's stage or phase.
 type Transition struct {
-	At    time.Duration `json:"At"` // from the scenario's start
+	At    time.Duration `json:"At"` // time since the scenario's start
 	Build int           `json:"Build"`
 	Stage int           `json:"Stage"`
 	Phase policy.Phase  `json:"Phase"`
@@ -426,7 +426,7 @@
 	})
 }
 
-// recordPlanAcks stores the routers' acknowledgements of the active plan, before the next plan replaces it.
+// recordPlanAcks stores the routers' acknowledgements of the plan in force, before the next plan replaces it.
 func (g *controllerGroup) recordPlanAcks() {
 	g.read(func(s *control.State) {
 		active, _ := s.ActivePlan(s.Clock())
--- a/router/config.go
+++ b/router/config.go
@@ -50,7 +50,7 @@
 	for _, t := range c.Tenants {
 		r.tenants[t.Name].QuotaPerSecond = t.QuotaPerSecond
 	}
-	c.Seed = r.config.Seed // the random number generator continues from its present state
+	c.Seed = r.config.Seed // the random number generator continues from its current state
 	r.config = c
 	r.policy.ConfigChanged(now, c.Routers, c.Rank, c.Limits, c.Release)
 	return nil
@@ -82,7 +82,7 @@
 	return errors.Join(all...)
 }
 
-// missingTenants returns an error for each tenant that is in the list in and not in the list notIn.
+// missingTenants returns an error for each tenant of the first list that the second list lacks.
 func missingTenants(in, notIn []Tenant) (all []error) {
 	for _, t := range in {
 		if !slices.ContainsFunc(notIn, func(x Tenant) bool { return x.Name == t.Name }) {
