--- a/internal/audit/answer.go
+++ b/internal/audit/answer.go
@@ -28,8 +28,8 @@
 	}
 }
 
-// timing describes when a request, its attempts and its response passed the sockets, and how much later the client and the
-// hosts observed them.
+// timing describes when the request was sent, when its attempts reached the hosts and when its response arrived, and how
+// much later the client and the hosts observed this.
 func (q *request) timing() string {
 	text := fmt.Sprintf("sent at %v, recorded %v later, timeout %v, response at %v, read %v later", q.at, q.observerDelay, q.timeout, q.endedAt, q.endObserverDelay)
 	for _, a := range q.arrivals {
--- a/internal/audit/effect.go
+++ b/internal/audit/effect.go
@@ -41,8 +41,8 @@
 	return nil
 }
 
-// judgeFurtherAttempt checks an attempt of a request that a backend may already have run: the class must permit it, within
-// its dedup scope and window.
+// judgeFurtherAttempt checks an attempt of a request that a backend may already have run. The class must permit
+// further attempts, and this one must be within the class's dedup scope and window.
 func (ev *evaluation) judgeFurtherAttempt(q *request, e *event) {
 	class := ev.limits.Classes[q.class]
 	if class.Idempotency == policy.Idempotent {
--- a/internal/audit/evaluation.go
+++ b/internal/audit/evaluation.go
@@ -31,17 +31,17 @@
 	return verdicts
 }
 
-// evaluation processes the events in time order and holds the state that the rules depend on.
+// evaluation processes the events in time order. It stores the state on which the verdicts depend.
 type evaluation struct {
 	limits     Limits
 	stalls     []interval
-	end        time.Duration // time of the last event
-	requests   map[string]*request
-	order      []*request // in the order in which they were sent
-	operations map[string]*operation
-	routers    map[string]*routerState
-	arrivals   map[*Host][]event // at each backend during its warm-up
-	verdicts   map[string]*Verdict
+	end        time.Duration           // time of the last event
+	requests   map[string]*request     // by request id
+	order      []*request              // in the order in which they were sent
+	operations map[string]*operation   // by operation id
+	routers    map[string]*routerState // by name
+	arrivals   map[*Host][]event       // attempts that reached each backend during its warm-up
+	verdicts   map[string]*Verdict     // by rule
 }
 
 // request is one request that a client sent. A client's retry is a request of its own.
@@ -79,11 +79,11 @@
 	ReleaseStatus
 }
 
-// arrival is a request at a router, or an attempt at a backend of a build.
+// arrival is a request that reached a router, or an attempt that reached a backend.
 type arrival struct {
 	at    time.Duration
 	class string
-	build int
+	build int // of the backend; 0 for a request
 }
 
 func newEvaluation(limits Limits, stalls []interval) *evaluation {
--- a/internal/audit/event.go
+++ b/internal/audit/event.go
@@ -27,14 +27,14 @@
 // event is one observation. The kind determines which fields are used.
 type event struct {
 	at            time.Duration
-	observerDelay time.Duration // how much later than at the observer saw the event
+	observerDelay time.Duration // time from the event until its observer saw it
 	kind          eventKind
-	requestID     string // one per request that a client sends, including each retry
+	requestID     string // unique for each request that a client sends; a retry has its own
 	operationID   string // shared by a request and its retries by the client
 	router        string
 	class         string
 	outcome       string
-	timeout       time.Duration // the client's timeout, or the length of a pause
+	timeout       time.Duration // the client's timeout; for routerPaused the length of the pause
 	host          *Host
 	work          float64 // seconds
 	release       ReleaseStatus
--- a/internal/audit/exposure.go
+++ b/internal/audit/exposure.go
@@ -21,7 +21,7 @@
 	build := e.host.Build
 	latest := r.releases[len(r.releases)-1]
 	if build < latest.Build || build == latest.Build && latest.Released {
-		return // the router may still apply an earlier status under which the build is a canary, which is no looser
+		return // no canary by the latest status; an earlier one, which the router may still apply, is no looser
 	}
 	canary, stage, exposureCap := ev.loosestExposure(r, build, e.at)
 	if !canary {
@@ -35,7 +35,7 @@
 			e.router, e.class, build, stage)
 		return
 	}
-	from := max(r.startedAt, e.at-limits.ExposureWindow+limits.TransitTime) // shortened, as arrivals may be bunched in transit
+	from := max(r.startedAt, e.at-limits.ExposureWindow+limits.TransitTime) // shortened, because attempts may arrive closer together than they were sent
 	attempts := ev.count(r.canaryAttempts, from, e.class, build)
 	requests := ev.count(r.requests, e.at-limits.ExposureWindow-limits.TransitTime, e.class, 0)
 	if allowed := limits.ExposureAllowance + exposureCap*requests; attempts > allowed+exposureTolerance {
--- a/internal/audit/limits.go
+++ b/internal/audit/limits.go
@@ -6,26 +6,26 @@
 	"dapplefront/policy"
 )
 
-// Class is what the rules need to know of a class of requests.
+// Class describes a class of requests to the rules.
 type Class struct {
 	Idempotency policy.Idempotency
 	DedupScope  policy.DedupScope
 	DedupWindow time.Duration // how long backends of one scope recognize an idempotency key
 }
 
-// Limits are the parameters of the rules, and the time that is allowed between sockets.
+// Limits are the parameters of the rules, and the delays that the audit tolerates.
 type Limits struct {
 	Classes            map[string]Class // by name
 	AnswerSlack        time.Duration    // how long after the client's timeout a response may arrive
-	DrainGrace         time.Duration
-	ColdOverloadFactor float64 // load that a backend in warm-up can take, as a multiple of its capacity
-	ColdOverloadWindow time.Duration
-	ExposureWindow     time.Duration
-	ExposureAllowance  float64       // attempts at a canary allowed within the window in addition to the capped share
-	ExposurePerClass   bool          // the cap applies to each class separately
-	GuardedStages      int           // number of first stages that accept only idempotent requests
-	FirstStageCap      float64       // exposure cap of builds that have not been announced yet
-	TransitTime        time.Duration // time that is allowed from one socket to another
+	DrainGrace         time.Duration    // how long a router may still send attempts to a draining backend
+	ColdOverloadFactor float64          // largest load of a backend in warm-up, as a multiple of its capacity
+	ColdOverloadWindow time.Duration    // window over which the load is averaged
+	ExposureWindow     time.Duration    // window in which a router's requests and attempts at a canary are counted
+	ExposureAllowance  float64          // attempts at a canary allowed within the window in addition to the capped share
+	ExposurePerClass   bool             // the cap applies to each class separately
+	GuardedStages      int              // number of stages, from the first on, in which a canary gets only idempotent requests
+	FirstStageCap      float64          // exposure cap of builds that have not been announced yet
+	TransitTime        time.Duration    // how long a message may take from one socket to another
 }
 
 // Host is a backend at an address. Times are on the recorder's clock.
--- a/internal/audit/recorder.go
+++ b/internal/audit/recorder.go
@@ -79,7 +79,7 @@
 	r.events = append(r.events, e)
 }
 
-// addAt adds an event that took place at a time and is observed now.
+// addAt adds an event that took place at the given time and is observed now.
 func (r *Recorder) addAt(at time.Time, e event) {
 	now := r.Now()
 	e.at = min(now, max(1, r.At(at)))
@@ -87,14 +87,14 @@
 	r.add(e)
 }
 
-// RequestSent records that a client's kernel sent a request at a time. A request and the client's retries of it share the
-// operation id.
+// RequestSent records when a client's kernel sent a request. A request and the client's retries of it share the operation
+// id.
 func (r *Recorder) RequestSent(at time.Time, requestID, operationID, router, class string, timeout time.Duration) {
 	r.addAt(at, event{kind: requestSent, requestID: requestID, operationID: operationID, router: router, class: class, timeout: timeout})
 }
 
-// ResponseReceived records that a client's kernel had received a complete response at a time. outcome is empty if the
-// router did not accept the request.
+// ResponseReceived records when a client's kernel had received a complete response. outcome is empty if the router did not
+// accept the request.
 func (r *Recorder) ResponseReceived(at time.Time, requestID, outcome string) {
 	r.addAt(at, event{kind: responseReceived, requestID: requestID, outcome: outcome})
 }
@@ -114,7 +114,7 @@
 	r.add(event{kind: clientDisconnected, requestID: requestID})
 }
 
-// AttemptArrived records that an attempt reached a backend's kernel at a time. work is in seconds.
+// AttemptArrived records when an attempt reached a backend's kernel. work is in seconds.
 func (r *Recorder) AttemptArrived(at time.Time, h *Host, router, requestID, class string, work float64) {
 	r.addAt(at, event{kind: attemptArrived, host: h, router: router, requestID: requestID, class: class, work: work})
 }
@@ -129,17 +129,17 @@
 	r.add(event{kind: effectApplied, host: h, requestID: requestID})
 }
 
-// EndpointsAcknowledged records endpoint states by backend id at the moment when a router acknowledges them.
+// EndpointsAcknowledged records the endpoint states, by backend id, that a router acknowledges at this moment.
 func (r *Recorder) EndpointsAcknowledged(router string, states map[uint32]policy.EndpointState) {
 	r.add(event{kind: endpointsAcknowledged, router: router, states: states})
 }
 
-// ReleaseAnnounced records a release status at the moment when it is sent to a router.
+// ReleaseAnnounced records the release status that is sent to a router at this moment.
 func (r *Recorder) ReleaseAnnounced(router string, s ReleaseStatus) {
 	r.add(event{kind: releaseAnnounced, router: router, release: s})
 }
 
-// RouterPaused records that the scenario suspends a router for d from now on.
+// RouterPaused records that the scenario suspends a router now, for the duration d.
 func (r *Recorder) RouterPaused(router string, d time.Duration) {
 	r.add(event{kind: routerPaused, router: router, timeout: d})
 }
--- a/internal/audit/verdict_test.go
+++ b/internal/audit/verdict_test.go
@@ -79,7 +79,7 @@
 	require.Contains(t, v.Broken[0].Text, text)
 }
 
-func TestAnswerRule(t *testing.T) {
+func TestJudge_RequiresOneResponseInTime(t *testing.T) {
 	requireKept(t, releasedRouter().request(0, requestID, "quote").attempt(10*ms, "quote", baseline).respond(900*ms, "finished"), "answer")
 	requireBroken(t, releasedRouter().request(0, requestID, "quote").respond(1200*ms, "finished"), "answer", "after its deadline")
 	requireBroken(t, releasedRouter().request(0, requestID, "quote"), "answer", "never answered")
@@ -92,7 +92,7 @@
 	requireKept(t, releasedRouter().at(5*ms, event{kind: routerPaused, router: "r", timeout: 300 * ms}).request(10*ms, requestID, "quote").respond(1300*ms, "finished"), "answer")
 }
 
-func TestEffectRule(t *testing.T) {
+func TestJudge_RequiresEffectAtMostOnce(t *testing.T) {
 	twice := func(class string, second *Host, at time.Duration) *timeline {
 		return releasedRouter().request(0, requestID, class).attempt(10*ms, class, baseline).attempt(at, class, second)
 	}
@@ -108,7 +108,7 @@
 		at(20*ms, event{kind: effectApplied, requestID: requestID, host: canary}), "effect", "was applied 2 times")
 }
 
-func TestDrainRule(t *testing.T) {
+func TestJudge_ForbidsAttemptsAtDrainingHostAfterGracePeriod(t *testing.T) {
 	drained := func(at time.Duration) *timeline {
 		return releasedRouter().at(10*ms, event{kind: endpointsAcknowledged, router: "r", states: map[uint32]policy.EndpointState{1: policy.Draining}}).
 			attempt(at, "quote", baseline)
@@ -120,7 +120,7 @@
 		attempt(2*time.Second, "quote", baseline), "drain")
 }
 
-func TestColdRule(t *testing.T) {
+func TestJudge_LimitsWorkOfColdHost(t *testing.T) {
 	flood := func(n int, up time.Duration) *timeline {
 		h := &Host{ID: 5, Build: 1, StartedAt: up, WarmUp: 3 * time.Second, Capacity: func(time.Duration) float64 { return .5 }}
 		s := releasedRouter()
@@ -134,7 +134,7 @@
 	requireKept(t, flood(20, 0), "cold") // started long before the run
 }
 
-func TestExposureRule(t *testing.T) {
+func TestJudge_LimitsAttemptsAtCanary(t *testing.T) {
 	canaryStatus := ReleaseStatus{Build: 2, Stage: 1, ExposureCap: .1}
 	attempts := func(n int, status ReleaseStatus, class string) *timeline {
 		s := releasedRouter().at(2*ms, event{kind: releaseAnnounced, router: "r", release: status})
@@ -156,7 +156,7 @@
 
 // A router that has just started sends attempts before a release is announced to it. Attempts in transit at that moment
 // arrive after the announcement and are not counted.
-func TestExposureRule_StartsAtFirstAnnouncementToNewRouter(t *testing.T) {
+func TestJudge_ChecksExposureFromFirstAnnouncementToNewRouter(t *testing.T) {
 	started := func(arrival time.Duration) *timeline {
 		s := &timeline{}
 		s.at(0, event{kind: routerStarting, router: "r"})
