--- a/internal/scenario/agent_builds.go
+++ b/internal/scenario/agent_builds.go
@@ -43,7 +43,7 @@
 // startAgents starts an agent on each machine, orders build 1, and waits until all machines serve it and their slow start
 // has ended.
 func (f *agentFleet) startAgents(keyRing *build.KeyRing) error {
-	for i := range f.machines { // complete before the first agent reports
+	for i := range f.machines { // both lists must be complete before the first agent reports
 		f.names, f.deployed = append(f.names, fmt.Sprintf("h%d", i+1)), append(f.deployed, map[int]bool{1: true})
 	}
 	for i, name := range f.names {
@@ -87,8 +87,8 @@
 	}, f.log)
 }
 
-// publishBuild packs a build, signs it and puts it on the mirror. A build of kind bad-signed gets only one signature; of
-// one of kind bad-bytes, each file on the mirror is corrupted.
+// publishBuild packs a build, signs it and puts it on the mirror. A build of kind bad-signed gets only one signature. For a
+// build of kind bad-bytes, the mirror gets a corrupted copy of each file.
 func (f *agentFleet) publishBuild(b testbed.Build, kind string) error {
 	folder, err := os.MkdirTemp(f.run.dir, "build-")
 	if err != nil {
--- a/internal/scenario/agent_fleet.go
+++ b/internal/scenario/agent_fleet.go
@@ -23,7 +23,7 @@
 )
 
 const (
-	orderTimeout     = 30 * time.Second // time limit for an agent to carry out an order; it reports failures much sooner
+	orderTimeout     = 30 * time.Second // time limit for an agent to carry out an order; an agent reports a failure much sooner
 	maxQueuedUpdates = 4096             // capacity of the queue of endpoint updates that are not yet due
 )
 
@@ -44,15 +44,15 @@
 	publisher   sync.WaitGroup
 
 	mu        sync.Mutex
-	digests   map[int]string // digests of the manifests, by build
-	builds    map[string]int // build numbers, by digest
-	hostIDs   map[string]uint32
-	hosts     map[uint32]*testbed.Backend
-	deployed  []map[int]bool        // by machine: the builds that the agent was ordered to run
-	retiredAt map[int]time.Duration // by build: when its removal was ordered
+	digests   map[int]string              // digests of the manifests, by build
+	builds    map[string]int              // build numbers, by digest
+	hostIDs   map[string]uint32           // by address
+	hosts     map[uint32]*testbed.Backend // by ID
+	deployed  []map[int]bool              // by machine: the builds that the agent was ordered to run
+	retiredAt map[int]time.Duration       // by build: when its removal was ordered
 }
 
-// endpointUpdate is an endpoint that discovery lists from the due time on.
+// endpointUpdate is a change of an endpoint that reaches discovery at the due time.
 type endpointUpdate struct {
 	due      time.Time
 	endpoint testbed.Endpoint
@@ -61,8 +61,8 @@
 // AgentStatistics holds the durations of deployment steps, computed from the agents' reports.
 type AgentStatistics struct {
 	PhaseDurations      map[string][]time.Duration `json:"Phases"`  // time spent in each phase, over all agents and builds
-	OrderToReady        []time.Duration            `json:"Serving"` // from the start of fetching to the start of warm-up, for all builds but the first
-	TrafficAfterRemoval map[int]time.Duration      `json:"Retired"` // by build: from the order to remove it to its last request
+	OrderToReady        []time.Duration            `json:"Serving"` // time from the start of fetching to the start of warm-up, for all builds but build 1
+	TrafficAfterRemoval map[int]time.Duration      `json:"Retired"` // by build: time from the order to remove it to its last request
 }
 
 // newAgentFleet starts all agents and waits until all serve build 1. The caller must close the fleet even if an error is
@@ -200,8 +200,8 @@
 	}
 }
 
-// deploy runs a build on a share of the machines (deployer). All of them fetch and verify it first. In each zone a third
-// of the zone's machines start it at a time; the next third follows when these are ready.
+// deploy implements deployer: it runs a build on a share of the machines. All of them fetch and verify the build first. In
+// each zone about a third of the zone's machines then start it; the next third follows when these have begun to warm up.
 func (f *agentFleet) deploy(ctx context.Context, build int, share float64) {
 	digest, chosen := f.chooseMachines(build, share)
 	var failed atomic.Bool
@@ -233,7 +233,7 @@
 	}
 }
 
-// chooseMachines chooses as many further machines for a build as it lacks for its share, marks the build as deployed on
+// chooseMachines chooses the additional machines that a build needs to reach its share. It marks the build as deployed on
 // them and returns them.
 func (f *agentFleet) chooseMachines(build int, share float64) (digest string, chosen []int) {
 	f.mu.Lock()
@@ -257,7 +257,7 @@
 }
 
 // orderAndAwait sends an order to a machine's agent and waits until the build is in the target phase. It returns false if
-// the build fails or is removed, or after orderTimeout.
+// the build fails or is removed, after orderTimeout, or when the context ends.
 func (f *agentFleet) orderAndAwait(ctx context.Context, machine int, order api.Order, targetPhase agent.Phase) bool {
 	name := f.names[machine]
 	seen := f.reports.count(name)
@@ -275,8 +275,8 @@
 	wait.Wait()
 }
 
-// retire removes a build from all machines (deployer). Agents remove an older build on a "release" order for the newer one,
-// and a newer build on a "take-back" order.
+// retire implements deployer: it removes a build from all machines. Agents remove an older build on a "release" order for
+// the newer one, and a newer build on a "take-back" order.
 func (f *agentFleet) retire(ctx context.Context, build int) {
 	status := f.run.controllers.status()
 	previous := f.run.controllers.previousBuild()
--- a/internal/scenario/agent_reports.go
+++ b/internal/scenario/agent_reports.go
@@ -17,8 +17,8 @@
 	onReport    func(agent string, report api.AgentReport) // called for each report, in order
 
 	mu      sync.Mutex
-	reports map[string][]api.AgentReport
-	changed chan struct{} // closed and replaced with each report
+	reports map[string][]api.AgentReport // by agent
+	changed chan struct{}                // closed and replaced with each report
 }
 
 func newAgentReports(controllers *controllerGroup, onReport func(string, api.AgentReport)) *agentReports {
@@ -45,7 +45,7 @@
 	return nil
 }
 
-// sendOrder sends an agent an order through the controllers. It logs an error.
+// sendOrder sends an agent an order through the controllers. If that fails, it logs the error.
 func (a *agentReports) sendOrder(agent string, order api.Order) {
 	a.controllers.request(func(ctx context.Context) error {
 		_, err := a.controllers.client.OrderAgent(ctx, agent, order)
--- a/internal/scenario/certificates.go
+++ b/internal/scenario/certificates.go
@@ -23,7 +23,7 @@
 	{CommonNames: []string{"clients"}, Roles: []controller.Role{"read"}},
 }
 
-// certificateIssuer is a scenario's certificate authority. A nil issuer stands for a scenario without TLS.
+// certificateIssuer is a scenario's certificate authority. A nil issuer means that the scenario does not use TLS.
 type certificateIssuer struct{ authority *testbed.Authority }
 
 func newCertificateIssuer(dir string) (*certificateIssuer, error) {
--- a/internal/scenario/controllers.go
+++ b/internal/scenario/controllers.go
@@ -24,7 +24,7 @@
 )
 
 const (
-	controllerStartTimeout   = 10 * time.Second // time limit at the start for a controller to join and for an election
+	controllerStartTimeout   = 10 * time.Second // time limit for a controller to join the group, and for the first election
 	controllerRequestTimeout = 5 * time.Second  // timeout of a request to the controllers
 	planValidFor             = 4 * time.Second  // validity of a published traffic plan
 )
@@ -38,7 +38,7 @@
 
 // Transition is a change of a release's stage or phase.
 type Transition struct {
-	At    time.Duration `json:"At"` // time since the scenario's start
+	At    time.Duration `json:"At"` // on the recorder's clock, which starts just before the scenario's components are started
 	Build int           `json:"Build"`
 	Stage int           `json:"Stage"`
 	Phase policy.Phase  `json:"Phase"`
@@ -50,7 +50,7 @@
 	Leaders int // restarts of an instance that was the leader
 }
 
-// controllerGroup is the scenario's release controllers: one, three or five instances of the real controller on loopback.
+// controllerGroup is the scenario's release controllers: one to five instances of the real controller on loopback.
 type controllerGroup struct {
 	log       *slog.Logger
 	recorder  *audit.Recorder
@@ -70,7 +70,7 @@
 	extraDelay  time.Duration // injected fault: additional delay of status notifications and request counts
 	stalled     bool          // injected fault: the controllers answer no request
 	counts      map[countKey]*requestCounts
-	acks        map[uint64]map[string]api.PlanAck // by version of the traffic plan and router
+	acks        map[uint64]map[string]api.PlanAck // by version of the traffic plan, then by router
 	restarts    RestartCounts
 }
 
@@ -116,7 +116,7 @@
 	if err != nil {
 		return err
 	}
-	var httpClient *http.Client // the default one without TLS
+	var httpClient *http.Client // without TLS nil, which means the default client
 	if clientTLS != nil {
 		httpClient = &http.Client{Transport: &http.Transport{TLSClientConfig: clientTLS}}
 	}
@@ -288,7 +288,7 @@
 	return nil
 }
 
-// recordTransition records a transition unless it is the last one recorded. In each stage of a canary one instance is
+// recordTransition records a transition, unless it equals the last one recorded or belongs to build 1. In each stage of a canary one instance is
 // restarted: the leader in stages 1 and 2, another one in the other stages.
 func (g *controllerGroup) recordTransition(status policy.ReleaseStatus) {
 	g.mu.Lock()
@@ -338,7 +338,7 @@
 	}
 }
 
-// countRequest counts a request that a backend has answered. A random sample of countedShare of the requests is counted.
+// countRequest counts a request to which a backend has responded. It counts only a random share of them, countedShare.
 func (g *controllerGroup) countRequest(build int, class string, latency time.Duration, failed bool) {
 	if rand.Float64() >= countedShare {
 		return
@@ -359,7 +359,7 @@
 	}
 }
 
-// request sends a request to the controllers. It logs an error.
+// request sends a request to the controllers. If that fails, it logs the error.
 func (g *controllerGroup) request(do func(ctx context.Context) error) {
 	ctx, cancel := context.WithTimeout(g.ctx, controllerRequestTimeout)
 	defer cancel()
--- a/internal/scenario/fault_injection.go
+++ b/internal/scenario/fault_injection.go
@@ -20,7 +20,7 @@
 	violation     string
 	slowStart     policy.Time
 	drainGrace    policy.Time
-	requests      atomic.Int64           // requests that the injected violation applies to
+	requests      atomic.Int64           // requests to which the violation may apply; only every nth is affected
 	drainingSince map[uint32]policy.Time // by host: when its draining was first observed
 	status        policy.ReleaseStatus
 }
--- a/internal/scenario/kinds.go
+++ b/internal/scenario/kinds.go
@@ -22,7 +22,8 @@
 
 func (i interval) draw(r *rand.Rand) float64 { return i[0] + r.Float64()*(i[1]-i[0]) }
 
-// drawFault draws share, magnitude, duration and start of a fault, in this order, so that a seed gives the same fault.
+// drawFault draws share, magnitude, duration and start of a fault. The order must not change, so that a seed always gives the
+// same fault.
 func (k kind) drawFault(r *rand.Rand, length time.Duration) Fault {
 	fault := Fault{Kind: k.name, Share: k.share.draw(r), Magnitude: k.magnitude.draw(r),
 		Duration: time.Duration(k.duration.draw(r) * float64(length))}
--- a/internal/scenario/local_fleet.go
+++ b/internal/scenario/local_fleet.go
@@ -14,7 +14,7 @@
 	"dapplefront/release"
 )
 
-// backendStopTimeout is the time limit for a backend that stops to complete its requests in flight.
+// backendStopTimeout is how long a stopping backend may take to complete its requests in flight.
 const backendStopTimeout = 2 * time.Second
 
 // localFleet runs all backends inside this process. It starts, drains and replaces them, and publishes them to discovery.
@@ -68,7 +68,8 @@
 }
 
 // spreadMachine returns the index of the machine that is i-th in the order in which a build is deployed. Successive
-// machines are far apart, so that each zone has some of an early stage's backends.
+// machines are far apart, so that each zone has some of an early stage's backends, unless the number of machines is a
+// multiple of the stride.
 func spreadMachine(i, build, machines int) int {
 	const stride = 7
 	if machines%stride == 0 {
@@ -82,7 +83,7 @@
 	return max(1, int(math.Ceil(share*float64(machines)-1e-9)))
 }
 
-// countRequest counts an answered request for the controllers' counts and for the slowdown by a build that slows the fleet.
+// countRequest counts a request to which a backend has responded, for the controllers and for slowdown.
 func (f *localFleet) countRequest(build int, class string, latency time.Duration, failed bool) {
 	f.requests.Add(1)
 	f.mu.Lock()
@@ -100,7 +101,8 @@
 	f.requestsToSlowingBuild.Store(f.requestsToSlowingBuild.Load() / 2)
 }
 
-// slowdown returns the factor, from 1 to 3, by which all backends are slowed by a build that slows the fleet.
+// slowdown returns the factor, from 1 to 3, by which a build that slows the fleet slows all backends. It grows with the share
+// of recent requests that such a build has received.
 func (f *localFleet) slowdown() float64 {
 	all, slowing := f.requests.Load(), f.requestsToSlowingBuild.Load()
 	if slowing == 0 || all == 0 {
@@ -146,7 +148,7 @@
 	f.discovery.Set(endpoints...)
 }
 
-// active returns the hosts of a build that are not draining. Build 0 stands for all builds.
+// active returns the hosts of a build that are not draining. Build 0 means all builds.
 func (f *localFleet) active(build int) (hosts []*backend) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -172,7 +174,7 @@
 	return all[:min(len(all), max(1, int(math.Round(share*float64(len(all))))))]
 }
 
-// deploy runs a build on a share of the machines (deployer).
+// deploy implements deployer: it runs a build on a share of the machines.
 func (f *localFleet) deploy(ctx context.Context, build int, share float64) {
 	want := machinesFor(share, len(f.machines))
 	occupied := map[int]bool{}
@@ -207,7 +209,7 @@
 	}
 }
 
-// retire drains a build's hosts and stops them (deployer).
+// retire implements deployer: it drains a build's hosts and stops them.
 func (f *localFleet) retire(ctx context.Context, build int) {
 	f.drain(ctx, f.active(build))
 	if ctx.Err() == nil {
--- a/internal/scenario/parameters.go
+++ b/internal/scenario/parameters.go
@@ -29,12 +29,12 @@
 	slowStart          time.Duration // time for which a host is cold after its start
 	coldCapacity       float64       // share of its full capacity that a host has at its start
 	coldOverloadFactor float64       // load, in multiples of its capacity, that a cold host withstands over the window
-	coldOverloadWindow time.Duration
-	exposureWindow     time.Duration
+	coldOverloadWindow time.Duration // window over which that load is averaged
+	exposureWindow     time.Duration // window in which requests and attempts at the canary are counted
 	exposureAllowance  float64       // attempts at the canary within the window in addition to the capped share
-	exposureCaps       []float64     // share of the attempts that may reach the canary, by stage
+	exposureCaps       []float64     // attempts that may reach the canary as a share of a router's requests, by stage
 	hostShares         []float64     // share of the hosts that run the canary, by stage
-	guardedStages      int           // number of first stages in which the canary gets idempotent requests only
+	guardedStages      int           // number of stages, from the first on, in which the canary gets only idempotent requests
 	backendStartTime   time.Duration // longest start time of a host's process
 	endpointDelay      time.Duration // time from a change of the fleet to its endpoint update
 	drainDelay         time.Duration // time for which a host runs after it was listed as draining
--- a/internal/scenario/report_test.go
+++ b/internal/scenario/report_test.go
@@ -26,8 +26,8 @@
 	require.Equal(t, string(want), got.String())
 }
 
-// setFields recursively sets every exported field of a value. Numbers and texts are taken from count and differ from each
-// other.
+// setFields recursively sets every exported field of a value. It derives numbers and texts from count, which it increments
+// for each value, so that they differ from each other.
 func setFields(v reflect.Value, count *int) {
 	*count++
 	switch v.Kind() {
--- a/internal/scenario/result.go
+++ b/internal/scenario/result.go
@@ -27,12 +27,12 @@
 	CrossZoneShare     float64         // share of the attempts that reached a host in another zone than the router's
 	Plans              *PlanStatistics // nil without traffic plans
 	Releases           []api.ReleaseObject
-	ConfigUpdates      int // configuration updates of running routers
+	ConfigUpdates      int // configuration updates of routers; an update also counts while its router is down
 	ControllerRestarts RestartCounts
 	LoopStats          eventloop.Stats // sum over all routers' event loops
 }
 
-// StageScore is the score of the requests in the seconds during which a release was in a given stage and phase.
+// StageScore is the score of the requests that ended while a release was in a given stage and phase, read once per second.
 type StageScore struct {
 	Build int          `json:"Build"`
 	Stage int          `json:"Stage"`
@@ -60,7 +60,7 @@
 	return kept, first
 }
 
-// ExitCode returns the exit code that stands for the verdicts.
+// ExitCode returns the exit code for the verdicts.
 func (r *Result) ExitCode() int {
 	kept, first := r.Kept()
 	switch {
@@ -72,8 +72,8 @@
 	return ExitDoubtful
 }
 
-// Summary returns the report's last line: the number of rules that were kept, and the name and time of the first finding of
-// each other rule.
+// Summary returns the report's last line: the number of rules that were kept, and for each other rule its name and the time
+// of its first finding.
 func (r *Result) Summary() string {
 	kept, _ := r.Kept()
 	var broken, doubtful []string
--- a/internal/scenario/routers.go
+++ b/internal/scenario/routers.go
@@ -27,7 +27,8 @@
 	loopStats eventloop.Stats // sum over the proxies that were stopped
 }
 
-// stop closes a proxy that was detached from the instance, without a graceful shutdown, and adds its event loop statistics.
+// stop closes a proxy that was detached from the instance, without a graceful shutdown, and adds the proxy's event loop
+// statistics to the instance's.
 func (i *routerInstance) stop(p *proxy.Proxy) {
 	p.Close()
 	stats := p.LoopStats()
@@ -48,14 +49,15 @@
 	return stats
 }
 
-// running returns the router's proxy; nil while it is down.
+// running returns the router's proxy, or nil while the router is down.
 func (i *routerInstance) running() *proxy.Proxy {
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	return i.proxy
 }
 
-// detach removes the proxy from the instance and returns it, so that the caller can stop it; nil while it is down.
+// detach removes the proxy from the instance and returns it, so that the caller can stop it. It returns nil while the router
+// is down.
 func (i *routerInstance) detach() *proxy.Proxy {
 	i.mu.Lock()
 	defer i.mu.Unlock()
@@ -211,7 +213,7 @@
 	}
 }
 
-// sampleRouters draws each router with the probability share. It returns the first router if none was drawn.
+// sampleRouters draws each router with a probability equal to share. It returns the first router if none was drawn.
 func (r *run) sampleRouters(share float64) (sample []*routerInstance) {
 	for _, router := range r.routers {
 		if r.randomFloat() < share {
--- a/internal/scenario/run_test.go
+++ b/internal/scenario/run_test.go
@@ -18,7 +18,7 @@
 	"dapplefront/record"
 )
 
-// TestMain runs the test binary as a backend process when an agent starts it as one in a scenario with agents.
+// TestMain runs the test binary as a backend process if an agent of a scenario has started it.
 func TestMain(m *testing.M) {
 	testbed.RunIfBackendProcess()
 	os.Exit(m.Run())
--- a/internal/scenario/spec.go
+++ b/internal/scenario/spec.go
@@ -39,7 +39,7 @@
 	Rollouts    []Rollout     `json:"Offers"`
 	Faults      []Fault       `json:"Troubles"`
 	Agents      bool          `json:"Agents"`      // backends run as processes under build agents
-	Controllers int           `json:"Controllers"` // 1, 3 or 5; with several, one is restarted at every stage, the leader at two of the stages
+	Controllers int           `json:"Controllers"` // 1 to 5; with three or more, one is restarted in every stage of a canary, the leader in two of the stages
 	TLS         bool          `json:"Secure"`      // the controllers use TLS with routers, agents, clients and each other, with roles by certificate
 	TrafficPlan string        `json:"Shares"`      // one of TrafficPlans
 	Records     string        `json:"Records"`     // folder for the routers' decision records; empty if none are written
--- a/internal/scenario/traffic_plan.go
+++ b/internal/scenario/traffic_plan.go
@@ -28,7 +28,7 @@
 // PlanStatistics counts published traffic plans and the routers' acknowledgements.
 type PlanStatistics struct {
 	Versions       int    `json:"Versions"`
-	ChangedWeights int    `json:"Changed"`
+	ChangedWeights int    `json:"Changed"`    // weights that a version changed, summed over all versions
 	Recomputed     int    `json:"Whole"`      // versions in which all weights were recomputed rather than adjusted
 	Followed       int    `json:"Followed"`   // acknowledgements by routers that follow a version
 	Rejected       int    `json:"TurnedDown"` // acknowledgements by routers that rejected a version
@@ -135,7 +135,8 @@
 		}
 		model.Hosts = append(model.Hosts, host)
 	}
-	// The budget that the rule gives a cold host, as one router sees it, reduced to leave a reserve for bursts.
+	// MaxRequests is half the budget that the rule "cold" gives a host of weight 1, as one router sees it. The other half is
+	// a reserve for bursts.
 	model.Limits.SlowStart.Window = r.params.coldOverloadWindow
 	model.Limits.SlowStart.MaxRequests = math.Floor(.5 * r.params.coldOverloadFactor * r.params.coldOverloadWindow.Seconds() / meanWork)
 	return model
