--- a/internal/scenario/controllers.go
+++ b/internal/scenario/controllers.go
@@ -288,8 +288,8 @@
 	return nil
 }
 
-// recordTransition records a transition, unless it equals the last one recorded or belongs to build 1. In each stage of a canary one instance is
-// restarted: the leader in stages 1 and 2, another one in the other stages.
+// recordTransition records a transition, unless it equals the last one recorded or belongs to build 1. In each stage of a
+// canary one instance is restarted: the leader in stages 1 and 2, another one in the other stages.
 func (g *controllerGroup) recordTransition(status policy.ReleaseStatus) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
