--- a/internal/routerconfig/change.go
+++ b/internal/routerconfig/change.go
@@ -7,9 +7,10 @@
 )
 
 // CheckChange checks whether a running router can apply another configuration. The error joins one error for each group of
-// settings that differs but can't change in a running router. These settings can change: routers and rank; all of [rules],
-// [peers] and [probes]; all of [desk] except its addresses, certificates and vote-timeout; pushed and ask-within of
-// [register]; the promised time, earnings and late share of categories; the quotas of customers.
+// settings that differs but can't change in a running router. These settings can change: routers, rank and drain of
+// [router]; open of [clients]; all of [rules], [peers] and [probes]; all of [desk] except its addresses, certificates and
+// vote-timeout; pushed and ask-within of [register]; the promised time, earnings and late share of categories; the quotas
+// of customers.
 func (c *Config) CheckChange(next *Config) error {
 	var errs []error
 	fixed := func(settings string, a, b any) {
--- a/internal/routerconfig/config.go
+++ b/internal/routerconfig/config.go
@@ -19,8 +19,8 @@
 	Name          string
 	Listen        string
 	EndpointCache string        // the file that stores the last endpoint list; empty to disable the cache
-	DrainTimeout  time.Duration // how long requests in flight may take after a shutdown signal
-	MaxBodyBytes  int           // limit of the total size of all bodies held at one time
+	DrainTimeout  time.Duration // how long the requests in flight at a shutdown signal may take to complete
+	MaxBodyBytes  int           // limit of the total size of all bodies in memory at one time
 	Router        router.Config
 	Downstream    downstream.Config
 	Upstream      upstream.Config
@@ -52,7 +52,7 @@
 }
 
 // Read reads a router's configuration from a file. The error joins all mistakes in the file, each an inifile.SyntaxError.
-// If it is not nil, the configuration must not be used.
+// If there is an error, the configuration must not be used.
 func Read(file string) (*Config, error) {
 	f := inifile.Read(file)
 	c := From(f)
--- a/internal/routerconfig/sections.go
+++ b/internal/routerconfig/sections.go
@@ -66,7 +66,7 @@
 		MaxConnections: p.Int("links", "20000", 1, 1<<20), MaxPipelined: p.Int("at-once", "16", 1, 1024),
 		Limits: http1.Limits{Head: p.Bytes("largest-head", "16KiB"), Body: p.Bytes("largest-body", "1MiB")}}
 	if c.MaxBodyBytes < 2*c.Downstream.Limits.Body {
-		p.AddError("held", "held: must be at least twice largest-body")
+		p.AddError("held", "held: must be at least twice the value of largest-body")
 	}
 	c.Router.Limits.MaxRequestsInFlight = p.Int("open", "20000", 1, 1<<24)
 }
@@ -136,7 +136,7 @@
 	c.Records = &record.Config{Dir: p.Text("folder", inifile.Required), Name: c.Name, MaxFileBytes: int64(p.Bytes("size", "64MiB")),
 		MaxFileAge: p.Duration("age", "1h"), MaxBytes: int64(p.Bytes("most", "1GiB"))}
 	if c.Records.MaxBytes < 2*c.Records.MaxFileBytes {
-		p.AddError("most", "most: must be at least twice size")
+		p.AddError("most", "most: must be at least twice the value of size")
 	}
 }
 
