--- a/internal/platformsettings/check.go
+++ b/internal/platformsettings/check.go
@@ -49,7 +49,7 @@
 	duration("Extra.BakeUs", false), duration("Extra.StageTimeUs", false),
 }
 
-// flags are the valid values of a setting that is on or off. The empty value stands for a setting that is left out.
+// flags are the valid values of a setting that is on or off. The empty value means that the setting is left out.
 var flags = []string{"", "true", "false", "0", "1"}
 
 // choiceRules are the settings that take one of a fixed set of values. An empty value means that the setting may be left out.
--- a/internal/platformsettings/report.go
+++ b/internal/platformsettings/report.go
@@ -12,8 +12,8 @@
 // ReportFields are the names of a load report's fields, in the order that the settings give.
 type ReportFields []string
 
-// FromValues builds a load report from values in the order of the fields. A value that is not reported is negative. If
-// values is nil, there is no report and FromValues returns nil.
+// FromValues builds a load report from values in the order of the fields. A negative value means that the field is not
+// reported. If values is nil, there is no report and FromValues returns nil.
 func (f ReportFields) FromValues(values []float64) *policy.LoadReport {
 	if values == nil {
 		return nil
--- a/internal/platformsettings/settings.go
+++ b/internal/platformsettings/settings.go
@@ -41,8 +41,8 @@
 	promotionModes = map[string]policy.PromotionMode{controlShare: policy.Quorum, controlTimer: policy.Timed}
 )
 
-// maxGossipBytes is the maximum size of a message between routers. The page on the wire defines it; the settings don't
-// include it.
+// maxGossipBytes is the maximum size of a message between routers. The operators' page on the simulator's wire defines it;
+// the settings don't include it.
 const maxGossipBytes = 256
 
 // Settings are the settings of a router, converted to the configuration of its policy.
