--- a/internal/simadapter/adapter.go
+++ b/internal/simadapter/adapter.go
@@ -63,7 +63,7 @@
 	id           int
 	out          *simwire.Writer
 	router       *router.Router
-	actions      []router.Action // actions that followed the last event; the slice is reused
+	actions      []router.Action // the router's actions in response to the last event; the slice is reused
 	reportFields platformsettings.ReportFields
 	statsWindow  policy.Time // the period that statistics cover
 }
@@ -88,7 +88,7 @@
 	return err
 }
 
-// printActions prints the router's actions as lines of the wire, as "Requests" in the operators' page defines them.
+// printActions prints the router's actions as lines of the wire. The section "Requests" of the operators' page defines them.
 func (i *instance) printActions() {
 	for _, a := range i.actions {
 		switch a.Kind {
--- a/internal/simwire/body.go
+++ b/internal/simwire/body.go
@@ -50,7 +50,7 @@
 	},
 }
 
-// readBody reads the rest of an event's line. The lineParser keeps the first error.
+// readBody reads the rest of an event's line. The lineParser stores the first error.
 func (r *Reader) readBody(name string, p *lineParser) any {
 	read, ok := bodyReaders[name]
 	if !ok {
--- a/internal/simwire/events.go
+++ b/internal/simwire/events.go
@@ -52,7 +52,7 @@
 const (
 	ViewChanges = "D" // the changed entries
 	ViewFull    = "F" // the complete list
-	ViewCached  = "C" // the complete list that the instance had last
+	ViewCached  = "C" // the complete list that the instance last had
 	ViewFailed  = "X" // discovery failed; no entries
 )
 
--- a/internal/simwire/line.go
+++ b/internal/simwire/line.go
@@ -7,7 +7,7 @@
 	"strings"
 )
 
-// lineParser reads the parts of one line, which are separated by single spaces, and keeps the first error. A part that is
+// lineParser reads the parts of one line, which are separated by single spaces, and stores the first error. A part that is
 // "-" or missing counts as absent.
 type lineParser struct {
 	line       int // line number
@@ -95,8 +95,7 @@
 	return part
 }
 
-// numbers returns the next part as a list of comma-separated numbers. A number that is not given is -1; an absent list is
-// nil.
+// numbers returns the next part as a list of comma-separated numbers. An empty item or "-" becomes -1; an absent list is nil.
 func (p *lineParser) numbers() []float64 {
 	list := p.part()
 	if list == "" {
--- a/internal/simwire/reader.go
+++ b/internal/simwire/reader.go
@@ -16,8 +16,8 @@
 // Reader reads batches.
 type Reader struct {
 	in    *bufio.Reader
-	line  int // number of the last line read
-	lists [maxLists][]Entry
+	line  int               // number of the last line read
+	lists [maxLists][]Entry // the latest LEDGER of each number
 }
 
 // NewReader returns a Reader that reads batches from in.
--- a/internal/simwire/writer.go
+++ b/internal/simwire/writer.go
@@ -7,7 +7,7 @@
 	"strconv"
 )
 
-// Writer prints replies. Write errors are returned by End.
+// Writer prints replies to batches. End returns write errors.
 type Writer struct {
 	out      *bufio.Writer
 	line     []byte // the line being printed
