--- a/internal/audit/limits.go
+++ b/internal/audit/limits.go
@@ -6,7 +6,7 @@
 	"dapplefront/policy"
 )
 
-// Class describes a class of requests to the rules.
+// Class holds the properties of a class of requests on which the rules depend.
 type Class struct {
 	Idempotency policy.Idempotency
 	DedupScope  policy.DedupScope
