--- a/internal/proxy/attempt.go
+++ b/internal/proxy/attempt.go
@@ -17,7 +17,7 @@
 
 const (
 	headCapacity        = 512 // bytes reserved for the part of the head that all attempts of a request share
-	attemptHeadCapacity = 96  // bytes reserved for what each attempt adds to it
+	attemptHeadCapacity = 96  // bytes reserved for the header fields that each attempt adds to it
 )
 
 // sendAttempt starts an attempt of a request on a host.
--- a/internal/proxy/attempt_test.go
+++ b/internal/proxy/attempt_test.go
@@ -119,14 +119,14 @@
 }
 
 func TestProxy_FailsNonIdempotentRequestOnUnreadableResponse(t *testing.T) {
-	answers := []string{"rubbish\r\n\r\n", "HTTP/1.1 200 OK\r\nContent-Length: 99999999\r\n\r\n",
+	responses := []string{"rubbish\r\n\r\n", "HTTP/1.1 200 OK\r\nContent-Length: 99999999\r\n\r\n",
 		"HTTP/1.1 200 OK\r\nContent-Length: 5\r\nTransfer-Encoding: chunked\r\n\r\n"}
 	r := newTestbench(t, startHost(t, 1, 1, func(x exchange) bool {
-		_, _ = io.WriteString(x.conn, answers[(x.requestNumber-1)%3])
+		_, _ = io.WriteString(x.conn, responses[(x.requestNumber-1)%3])
 		return true
 	}))
 	c := r.dial()
-	for range answers {
+	for range responses {
 		c.post("/transfer", "")
 		status, outcome, _ := c.response()
 		require.Equal(t, "502 scrapped", fmt.Sprint(status, " ", outcome))
--- a/internal/proxy/benchmark_test.go
+++ b/internal/proxy/benchmark_test.go
@@ -86,11 +86,11 @@
 // flight.
 func twoChoices(hosts []string) http.Handler {
 	open := make([]atomic.Int64, len(hosts))
-	type at struct{}
+	type hostIndexKey struct{}
 	t := http.DefaultTransport.(*http.Transport).Clone()
 	t.MaxIdleConns, t.MaxIdleConnsPerHost = 0, 256
 	proxy := &httputil.ReverseProxy{Transport: t, Rewrite: func(r *httputil.ProxyRequest) {
-		r.SetURL(&url.URL{Scheme: "http", Host: hosts[r.In.Context().Value(at{}).(int)]})
+		r.SetURL(&url.URL{Scheme: "http", Host: hosts[r.In.Context().Value(hostIndexKey{}).(int)]})
 		r.SetXForwarded()
 	}}
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -100,7 +100,7 @@
 		}
 		open[a].Add(1)
 		defer open[a].Add(-1)
-		proxy.ServeHTTP(w, r.WithContext(context.WithValue(r.Context(), at{}, a)))
+		proxy.ServeHTTP(w, r.WithContext(context.WithValue(r.Context(), hostIndexKey{}, a)))
 	})
 }
 
@@ -293,9 +293,9 @@
 	}
 }
 
-// BenchmarkMemory measures the resident memory of 10,000 idle connections, and then that of the requests in flight: the
-// admitted ones of 8,000, each with a connection to a host. The hosts run in processes of their own, because one process
-// may open only 20,000 files.
+// BenchmarkMemory measures the resident memory per idle connection, with 10,000 of them, and then the resident memory per
+// request in flight. For the latter it sends 8,000 requests; each request that the router admits also has a connection to a
+// host. The hosts run in processes of their own, because one process may open only 20,000 files.
 func BenchmarkMemory(b *testing.B) {
 	const conns, open = 10_000, 8_000
 	var hosts []string
--- a/internal/proxy/config.go
+++ b/internal/proxy/config.go
@@ -43,8 +43,8 @@
 	return nil
 }
 
-// replaceGossip closes the gossip socket and opens the one of another configuration. If that fails, it opens the socket
-// of the current configuration again.
+// replaceGossip closes the gossip socket and opens the socket that another configuration describes. If that fails, it
+// opens the socket of the current configuration again.
 func (p *Proxy) replaceGossip(c *routerconfig.Config) (*gossip.Socket, error) {
 	if p.gossip != nil {
 		p.gossip.Close() // first, because only one socket can use an address; messages that arrive in between are lost
--- a/internal/proxy/events.go
+++ b/internal/proxy/events.go
@@ -52,7 +52,8 @@
 	}
 }
 
-// execute carries out actions in order. It skips those for requests that have already been removed.
+// execute carries out actions in order. It skips actions for requests that have already been removed, and a rejection or
+// failure of a request that no longer waits for its final response.
 func (p *Proxy) execute(actions []router.Action) {
 	for _, a := range actions {
 		switch a.Kind {
--- a/internal/proxy/protocols.go
+++ b/internal/proxy/protocols.go
@@ -23,14 +23,14 @@
 	Vote(build, stage int, choice policy.VoteChoice, done func(policy.ReleaseStatus))
 	// Report reports how many requests of a build had each outcome since the last report.
 	Report(build int, outcomes map[string]int)
-	// AcknowledgePlan reports that a version of a plan is followed, or is rejected if reason is not empty.
+	// AcknowledgePlan reports that the router follows a version of a plan or, if reason is not empty, has rejected it.
 	AcknowledgePlan(version uint64, reason string)
 	Close()
 }
 
 // Protocols contains the functions that open the connections to endpoint discovery and the release controllers.
 type Protocols struct {
-	// Discovery opens the watch; known are the endpoints that are known before its first response.
+	// Discovery opens the watch and returns the endpoints that the router uses until the watch's first response.
 	Discovery         func(eds.Handler) (_ Discovery, known []eds.Host, _ error)
 	ReleaseController func(controlclient.Handler) (ReleaseClient, error)
 	// Ready reports whether the readiness path responds with 200; if it is nil, the path always does.
@@ -47,11 +47,11 @@
 		ReleaseController: func(handler controlclient.Handler) (ReleaseClient, error) {
 			var tlsConfig *tls.Config
 			if c.ControlPlane.Certificates != (certs.Files{}) {
-				keyring, err := certs.Open(c.ControlPlane.Certificates)
+				reloader, err := certs.Open(c.ControlPlane.Certificates)
 				if err != nil {
 					return nil, err
 				}
-				tlsConfig = keyring.Client()
+				tlsConfig = reloader.Client()
 			}
 			return controlclient.Open(c.ControlPlane.URLs, c.Name, c.Router.Zone, tlsConfig,
 				eventloop.Duration(c.Router.Release.VoteTimeout), handler), nil
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -58,7 +58,7 @@
 	discovery Discovery
 	releases  ReleaseClient
 
-	configMu sync.Mutex // held while the configuration changes, and while gossip is closed permanently
+	configMu sync.Mutex // held while the configuration changes, and while the gossip socket is closed permanently
 	config   *routerconfig.Config
 	gossip   *gossip.Socket // nil if gossip is not configured
 
@@ -69,9 +69,9 @@
 	requests      map[string]*request
 	lastRequestID uint64
 	counts        Counts
-	lateResponses uint64                 // with any outcome, sent after the request's deadline by the loop's clock
-	latestBuild   int                    // build in the latest release status
-	outcomes      map[int]map[string]int // requests by build and outcome since the last report
+	lateResponses uint64                 // responses with any outcome that were sent after the request's deadline, by the loop's clock
+	latestBuild   int                    // build in the latest release status; 0 before the first status
+	outcomes      map[int]map[string]int // number of requests since the last report, by build and outcome
 
 	endpoints        map[uint32]eds.Host
 	initialEndpoints []eds.Host // known before discovery's first response
--- a/internal/proxy/request.go
+++ b/internal/proxy/request.go
@@ -19,11 +19,11 @@
 type request struct {
 	id          string
 	downstream  *downstream.Request
-	responseDue bool // the client has not had its one final response
+	responseDue bool // the client is still waiting for its one final response
 	outstanding int  // number of attempts that have not ended
 	attempts    []*upstream.Attempt
 	commonHead  []byte // the part of the head that all attempts share; nil before the first one
-	timedOut    bool   // the attempt that ended last had no response in time
+	timedOut    bool   // the attempt that ended last got no response before its timeout
 	host        uint32 // the host that responded, or else the host of the latest attempt that is not a shadow attempt
 }
 
--- a/internal/proxy/request_test.go
+++ b/internal/proxy/request_test.go
@@ -13,13 +13,13 @@
 )
 
 func TestProxy_ReleasesResourcesWhenClientDisconnects(t *testing.T) {
-	answered := make(chan bool, 4)
+	responded := make(chan bool, 4)
 	h := startHost(t, 1, 1, func(x exchange) bool {
 		if x.requestNumber == 1 {
 			time.Sleep(300 * time.Millisecond)
 		}
 		respondOK(x)
-		answered <- true
+		responded <- true
 		return true
 	})
 	r := newTestbench(t, h)
@@ -28,7 +28,7 @@
 	r.eventually(func() bool { return h.requests.Load() == 1 })
 	_ = c.Close()
 	r.eventually(func() bool { return r.router.Counts().ClientsGone == 1 })
-	<-answered
+	<-responded
 	r.waitIdle()
 	time.Sleep(50 * time.Millisecond) // the quiet period, in which a connection is not reused after a response
 	c = r.dial()
--- a/internal/proxy/shutdown.go
+++ b/internal/proxy/shutdown.go
@@ -6,7 +6,7 @@
 	"dapplefront/internal/eventloop"
 )
 
-// drainPollInterval is how often Shutdown checks whether all requests have been responded to.
+// drainPollInterval is the interval at which Shutdown checks whether all client connections are closed.
 const drainPollInterval = 10 * time.Millisecond
 
 // logQuantile is the quantile of the event loop's delays and run times that is logged.
@@ -20,8 +20,9 @@
 }
 
 // Shutdown is the second step of a graceful shutdown. It accepts no new connections and rejects new requests. It waits
-// until requests in flight have been responded to and their clients have read the responses, until the given time has
-// passed or until abort is closed, and then closes the router. It returns how many requests were left without a response.
+// until all requests in flight have been responded to and their clients have had time to read the responses. The wait ends
+// early when the given time has passed or abort is closed. Shutdown then closes the router and returns the number of
+// requests that got no response.
 func (p *Proxy) Shutdown(within time.Duration, abort <-chan struct{}) (left int) {
 	p.engine.CloseListeners()
 	timeout := time.After(within)
--- a/internal/proxy/testbench_test.go
+++ b/internal/proxy/testbench_test.go
@@ -58,7 +58,7 @@
 	for _, f := range fields {
 		extra += f + "\r\n"
 	}
-	_, _ = fmt.Fprintf(x.conn, "HTTP/1.1 %d Told\r\n%sContent-Length: %d\r\n\r\n%s", status, extra, len(body), body)
+	_, _ = fmt.Fprintf(x.conn, "HTTP/1.1 %d Status\r\n%sContent-Length: %d\r\n\r\n%s", status, extra, len(body), body)
 }
 
 // startHost starts a scripted host. serve returns false to close the connection.
@@ -138,8 +138,8 @@
 patience = 500ms
 `
 
-// newTestbench starts a router and waits until it knows the hosts, none of which is warming up, and has had the status of
-// the release of their build.
+// newTestbench starts a router and waits until it knows the hosts and has received the release status of their build. None
+// of the hosts is warming up.
 func newTestbench(t *testing.T, hosts ...*scriptedHost) *testbench {
 	t.Helper()
 	r := &testbench{T: t, hosts: hosts}
