--- a/internal/upstream/attempt.go
+++ b/internal/upstream/attempt.go
@@ -22,8 +22,8 @@
 type Result struct {
 	Outcome  policy.Outcome
 	Latency  policy.Time
-	Response *http1.Message     // with Succeeded, Failed and Rejected, if the host sent a response; Drop it after use
-	Load     *policy.LoadReport // nil if the response has none
+	Response *http1.Message     // set with Succeeded, Failed and Rejected if the host sent a valid response; Drop it after use
+	Load     *policy.LoadReport // the response's load report; nil if it has none
 	Reason   string             // error text for the log; empty if there was no error
 }
 
@@ -107,8 +107,8 @@
 // returned.
 func (a *Attempt) endLater(r Result) { a.pool.loop.Defer(func() { a.end(r) }) }
 
-// end reports the result; only the first call has an effect. A connection that is still being opened for the attempt
-// stays open for a later attempt.
+// end reports the result; only the first call has an effect. A connection that is still being opened for the attempt is
+// kept for later attempts.
 func (a *Attempt) end(r Result) {
 	if a.state == attemptEnded {
 		if r.Response != nil {
--- a/internal/upstream/connection.go
+++ b/internal/upstream/connection.go
@@ -40,7 +40,7 @@
 	connClosed
 )
 
-// opened handles the connection that the engine has opened, or the error if it could not.
+// opened handles the connection that the engine has opened, or the error that prevented it.
 func (c *upstreamConn) opened(conn *transport.Conn, err error) {
 	if err != nil {
 		c.markClosed()
@@ -48,7 +48,7 @@
 		return
 	}
 	c.conn = conn
-	if c.state == connClosed { // its end, or invalid data on it, was reported before this call
+	if c.state == connClosed { // the connection's end, or invalid data on it, was handled before this call
 		conn.Close()
 		c.endAttempt(Result{Outcome: policy.ConnectFailed, Reason: "the connection was closed before it could be used"})
 		return
@@ -74,8 +74,8 @@
 	return c.pool.hosts[c.host.id] == c.host && c.address == c.host.address
 }
 
-// extendQuietPeriod lengthens the pool's quiet period when a response arrives that answers no request: a duplicate of a
-// response may take as long as this one did.
+// extendQuietPeriod lengthens the pool's quiet period when a response arrives on a connection without a request. It takes
+// the response for a late duplicate: other duplicates may arrive as long after the first copy as this one did.
 func (c *upstreamConn) extendQuietPeriod() {
 	if p := c.pool; c.idleSince > 0 {
 		p.quietPeriod = min(max(p.quietPeriod, 2*(p.loop.Now()-c.idleSince)), maxQuietPeriod)
@@ -121,7 +121,7 @@
 	}
 }
 
-// read reads data and returns the work that the loop has to do for it; nil for none. The caller must not hold mu when it
+// read reads data and returns the work that the loop has to do for it, or nil if there is none. The caller must not hold mu when it
 // posts the work, because the work may lock mu of this connection.
 func (c *upstreamConn) read(data []byte) (work func()) {
 	c.mu.Lock()
@@ -229,7 +229,8 @@
 	a.end(r)
 }
 
-// unexpectedResponse closes a connection on which a response arrived that answers no request.
+// unexpectedResponse closes a connection on which a response arrived although no request has been written since the last
+// response.
 func (c *upstreamConn) unexpectedResponse(m *http1.Message) {
 	c.extendQuietPeriod()
 	m.Drop()
--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -10,9 +10,10 @@
 )
 
 // A duplicate of a response may arrive some milliseconds after the first copy, and a response does not say which request
-// it answers. A response on an idle connection answers no request, but one on a connection in use would be taken for the
-// response to the request on it. Therefore a connection is not used for a quiet period after a response. The quiet period
-// starts at minQuietPeriod and grows to twice the longest delay of a duplicate that has been seen, up to maxQuietPeriod.
+// it belongs to. On an idle connection, a response belongs to no request and is dropped. On a connection in use, it would
+// be taken for the response to the current request. Therefore a connection is not used for a quiet period after a response.
+// The quiet period starts at minQuietPeriod and grows to twice the longest delay of a duplicate that has been seen, up to
+// maxQuietPeriod.
 const (
 	minQuietPeriod = 20 * policy.Second / 1000
 	maxQuietPeriod = policy.Second
@@ -93,7 +94,8 @@
 	h.idle = kept
 }
 
-// sweepLater closes connections that have reached the idle timeout, at every sweepInterval until the pool is closed.
+// sweepLater schedules the sweep that closes connections that have exceeded the idle timeout. The sweep repeats at every
+// sweepInterval until the pool is closed.
 func (p *Pool) sweepLater() {
 	p.loop.After(sweepInterval, func() {
 		now := p.loop.Now()
--- a/internal/upstream/pool_test.go
+++ b/internal/upstream/pool_test.go
@@ -151,8 +151,8 @@
 	require.EqualValues(t, 1, r.accepted.Load())
 }
 
-// The timeout header that a host reads contains the time that is left when the request is written, however long the
-// connection took to open.
+// The timeout header contains the time that is left when the request is written, so it excludes the time for opening the
+// connection.
 func TestPool_SendsTimeLeftWhenRequestIsWritten(t *testing.T) {
 	r := newTestbench(t)
 	got := make(chan string, 1)
--- a/internal/upstream/protocol.go
+++ b/internal/upstream/protocol.go
@@ -17,12 +17,13 @@
 
 // Protocol describes what differs between protocols: the headers of attempts and the meaning of responses.
 type Protocol struct {
-	// Names of the headers of an attempt, empty for none. TimeoutUnit is the unit that is written after the timeout.
+	// Names of the request headers of an attempt. Timeout is required; if another name is empty, that header is not sent.
+	// TimeoutUnit is the unit that is written after the value of the timeout.
 	Timeout, TimeoutUnit, Attempt, Router, Class string
 
 	ForwardedHeaders   bool   // attempts have Via and X-Forwarded-For
 	NotStarted         string // name of the header that says, with the value 1, that a host has not started the request it rejects
-	NotStartedStatuses []int  // statuses of the responses in which that header counts
+	NotStartedStatuses []int  // response statuses with which that header counts; with others it is ignored
 	OnlyStatusOK       bool   // only a response with status 200 is a success
 	StartsWhenComplete bool   // a host starts a request only when its last byte has arrived
 	// Load reads the load report of a response. The report is nil if the response has none.
