--- a/internal/downstream/connection.go
+++ b/internal/downstream/connection.go
@@ -13,7 +13,7 @@
 )
 
 // maxQueuedFactor times MaxPipelined is how many requests of a connection may wait for their responses, including
-// rejections. The connection is closed when there are more.
+// requests that will be rejected. The connection is closed when there are more.
 const maxQueuedFactor = 4
 
 // clientConn is one client's connection. The transport's reader and work of the loop both use it. The fields that both
@@ -36,7 +36,7 @@
 
 	lastReadAt       atomic.Int64 // when the last bytes arrived, a policy.Time
 	requestStartedAt atomic.Int64 // when the first byte of the request being read arrived, a policy.Time; 0 if no request is being read
-	awaitingResponse atomic.Int64 // number of requests that were read and whose response has not been written
+	awaitingResponse atomic.Int64 // number of requests that were read and whose responses have not been written
 
 	mu          sync.Mutex
 	reader      *http1.Reader
@@ -45,7 +45,7 @@
 	state          connState
 	lingeringSince policy.Time
 	pending        []*pendingResponse // responses that are due, in the order of the requests
-	hadRequest     bool               // a complete request was handled, or one was refused
+	hadRequest     bool               // a complete request was handled, or an invalid one was refused
 }
 
 type connState int
@@ -174,8 +174,9 @@
 	c.conn.Close()
 }
 
-// closeIfIdle closes the connection if no byte of an unanswered request has arrived, neither in the kernel nor in any
-// later buffer, and the last response has been sent. It reports whether the connection was closed.
+// closeIfIdle closes the connection if it is idle, and reports whether it closed it. The connection is idle if all requests
+// have been responded to, the last response has been sent completely and no byte of another request has arrived, not even
+// in the kernel's buffer.
 func (c *clientConn) closeIfIdle() bool {
 	idle := c.conn.CloseIdle(func() bool {
 		unsent, _ := c.conn.Pending()
--- a/internal/downstream/protocol.go
+++ b/internal/downstream/protocol.go
@@ -30,9 +30,9 @@
 	WorkUnitsPerTick  policy.Time // units of expected work in one unit of policy.Time; 0 if the header's value contains its unit
 	Outcome           string      // response header with the outcome
 	Host              string      // response header with the host's id, if the response is a host's
-	RetryAfterMs      string      // header of a rejection, in addition to Retry-After
-	DecimalRetryAfter bool        // Retry-After has three decimals
-	ReadinessPath     string      // path that reports whether the router is ready; empty for none
+	RetryAfterMs      string      // header of a rejection with the delay before a retry in milliseconds, in addition to Retry-After
+	DecimalRetryAfter bool        // Retry-After is in seconds with three decimals; otherwise in whole seconds
+	ReadinessPath     string      // path that reports whether the router is ready; empty if there is none
 }
 
 // DefaultProtocol is this project's own protocol.
@@ -121,7 +121,7 @@
 	return eventloop.FromDuration(d), err == nil && d < time.Hour*24*365
 }
 
-// appendRetryAfter appends the headers that say when to retry; none if after is 0.
+// appendRetryAfter appends the headers that contain the delay before a retry, unless the delay is 0.
 func (p *Protocol) appendRetryAfter(head []byte, after policy.Time) []byte {
 	switch {
 	case after <= 0:
--- a/internal/downstream/request.go
+++ b/internal/downstream/request.go
@@ -20,8 +20,8 @@
 	Tenant         string
 	IdempotencyKey string
 	Key            string
-	Timeout        policy.Time // counted from when the server calls the handler
-	Deadline       policy.Time // when the timeout ends that is counted from the request's first byte
+	Timeout        policy.Time // the time that is left when the server calls the handler
+	Deadline       policy.Time // when the request's timeout expires, which is counted from its first byte
 	ExpectedWork   policy.Time
 	ClientRetry    bool
 	RemoteIP       netip.Addr
--- a/internal/downstream/response.go
+++ b/internal/downstream/response.go
@@ -7,7 +7,7 @@
 	"dapplefront/internal/http1"
 )
 
-// A connection whose client does not read is closed when its unsent bytes exceed unreadBodies times the largest body, plus
+// A connection whose client does not read is closed when its unsent bytes exceed unreadBodies times Config.Limits.Body, plus
 // unreadSlack for the heads.
 const (
 	unreadBodies = 4
@@ -17,9 +17,9 @@
 // pendingResponse is the response that is due to one request. Responses are written in the order of the requests.
 type pendingResponse struct {
 	conn       *clientConn
-	request    *Request // nil once the response is given, or if the request was not passed to the handler
-	id         string   // the id that the client gave the request; empty for none
-	answered   bool     // the response is given, or can't reach the client
+	request    *Request // nil once the response has been set, or if the request was not passed to the handler
+	id         string   // the id that the client gave the request; empty if there is none
+	answered   bool     // the response has been set, or can't reach the client
 	closeAfter bool     // the connection is closed after the response
 	omitBody   bool     // the request is a HEAD request
 	head       []byte   // head and body of a response that waits for earlier ones
@@ -89,8 +89,8 @@
 	return "\r\n"
 }
 
-// respond sets the response and writes all responses that are ready, in the order of the requests. body remains the
-// caller's: it is copied if the response has to wait for earlier ones.
+// respond sets the response and writes all responses that are ready, in the order of the requests. The caller may reuse
+// body afterwards: it is copied if the response has to wait for earlier ones.
 func (p *pendingResponse) respond(head, body []byte) {
 	if p.answered {
 		return
--- a/internal/downstream/server.go
+++ b/internal/downstream/server.go
@@ -42,7 +42,7 @@
 	Paths                  []string // prefixes of request targets
 	Timeout                policy.Time
 	RequiresIdempotencyKey bool
-	Method                 string // the only method that is allowed; empty for any
+	Method                 string // the only method that is allowed; empty means any
 	ForbidsIdempotencyKey  bool
 }
 
@@ -61,19 +61,19 @@
 	IdleTimeout         time.Duration // how long a connection is kept without a request
 	MaxConnections      int           // maximum number of open connections
 	MaxPipelined        int           // maximum number of requests of one connection that are in flight at once
-	RouterName          string        // for the Via header
-	FirstRequestTimeout time.Duration // how long the first request of a connection may take to arrive completely; 0 for no limit
-	ReclaimIdleAfter    time.Duration // a connection idle for at least this long may be closed to admit a new one; 0 for never
-	Protocol            *Protocol     // nil for DefaultProtocol
+	RouterName          string        // the router's name
+	FirstRequestTimeout time.Duration // how long the first request of a connection may take to arrive completely; 0 means no limit
+	ReclaimIdleAfter    time.Duration // a connection idle for at least this long may be closed to admit a new one; 0 means never
+	Protocol            *Protocol     // nil means DefaultProtocol
 }
 
 // Server reads requests from the connections that a transport engine accepts. Except for Accept, its methods may be called
 // only from work of its loop.
 //
-//	state     Connection of responses  idle connections  new requests              readiness
-//	serving   kept                     kept              handled                   as set by SetReady
-//	draining  close                    kept              handled by the deadline   not ready
-//	closing   close                    closed            rejected                  not ready
+//	state     connection after a response  idle connections  new requests                        readiness
+//	serving   as the request asks         stay open         handled                             as set by SetReady
+//	draining  closed                       stay open         responded to before the deadline    not ready
+//	closing   closed                       closed            rejected                            not ready
 type Server struct {
 	loop     *eventloop.Loop
 	config   Config
@@ -84,13 +84,13 @@
 	classes  map[string]*Class
 	routes   []route // longest prefix first
 	networks *bart.Table[string]
-	ready    func() bool // nil for always
+	ready    func() bool // nil means always ready
 
 	state      serverState
-	deadline   policy.Time // the latest deadline of requests that arrive while the server is draining; 0 for none
+	deadline   policy.Time // by when requests that arrive while the server is draining are responded to; 0 means no deadline
 	conns      map[*clientConn]bool
 	unanswered int                         // number of requests without a response
-	openByID   map[string]*pendingResponse // unanswered requests by the id from the client
+	openByID   map[string]*pendingResponse // responses that are due, by the id that the client gave the request
 }
 
 type serverState int
@@ -135,7 +135,7 @@
 func (s *Server) SetReady(ready func() bool) { s.ready = ready }
 
 // StartDraining continues to serve requests, but closes each connection after a response, so that clients connect
-// elsewhere. Requests that arrive from now on are responded to before the deadline; 0 for no deadline.
+// elsewhere. Requests that arrive from now on are responded to before the deadline; 0 means no deadline.
 func (s *Server) StartDraining(deadline policy.Time) {
 	s.state, s.deadline = max(s.state, draining), deadline
 	for c := range s.conns {
@@ -187,7 +187,8 @@
 
 // reclaim closes a connection so that a new one can be admitted, and reports whether it closed one. It prefers connections
 // that have had no request, and among those the one from which bytes arrived least recently. It does not close a connection
-// with a request in flight or arriving, or one that has been idle for less than Config.ReclaimIdleAfter.
+// with a request in flight or arriving, or one that has been idle for less than Config.ReclaimIdleAfter. A lingering
+// connection may be closed in any case.
 func (s *Server) reclaim() bool {
 	if s.config.ReclaimIdleAfter <= 0 {
 		return false
--- a/internal/downstream/server_test.go
+++ b/internal/downstream/server_test.go
@@ -121,7 +121,7 @@
 			conn := h.onlyConn()
 			c.get()
 			require.Eventually(t, func() bool { return conn.awaitingResponse.Load() == 1 && h.loop.QueueLength() == 2 }, 20*time.Second, time.Millisecond)
-			conn.lastReadAt.Store(0) // the server takes the connection for long idle
+			conn.lastReadAt.Store(0) // to the server, the connection has been idle for a long time
 			unblock()
 			if name != "shutdown" {
 				h.fail(<-h.requests)
