--- a/internal/http1/body.go
+++ b/internal/http1/body.go
@@ -8,10 +8,10 @@
 
 const (
 	maxChunkLine = 256 // maximum bytes of a line of the chunk framing; a size line has a size and possibly extensions
-	minBodySize  = 512 // bytes that are reserved at least for a body whose length is not known
+	minBodySize  = 512 // minimum number of bytes reserved for a body whose length is not known
 )
 
-// framing is what a head contains about the length of the body, and the number of Host fields.
+// framing contains what a head says about the length of the body, and the number of Host fields.
 type framing struct {
 	length  string // value of Content-Length
 	lengths int    // number of Content-Length fields
--- a/internal/http1/head.go
+++ b/internal/http1/head.go
@@ -9,7 +9,7 @@
 
 const (
 	headEnd       = "\r\n\r\n"
-	maxFields     = 100 // maximum; clients that use net/http send a few dozen at most
+	maxFields     = 100 // maximum number of header fields; clients that use net/http send a few dozen at most
 	typicalFields = 8   // number of fields for which memory is reserved at first
 	maxEmptyLines = 4   // maximum number of empty lines that are skipped before a request (RFC 9112, 2.2)
 )
@@ -140,7 +140,7 @@
 	return Field{name, value}, nil
 }
 
-// every reports whether is reports true for all bytes of a string.
+// every reports whether all bytes of a string satisfy a predicate.
 func every(s string, is func(byte) bool) bool {
 	for i := range len(s) {
 		if !is(s[i]) {
--- a/internal/http1/message.go
+++ b/internal/http1/message.go
@@ -1,7 +1,7 @@
 // Package http1 parses HTTP/1.1 messages (RFC 9110, RFC 9112) incrementally, and writes their header fields. It uses no
-// sockets: it turns bytes into complete messages. It refuses whatever different parsers might read differently, so that
-// they could disagree about where a message ends: a bare line feed, folded lines, space before a colon, two lengths, or
-// both a length and a transfer coding.
+// sockets: it turns bytes into complete messages. It refuses what parsers interpret differently, because two programs could
+// then disagree about where a message ends: a bare line feed, folded lines, space before a colon, two lengths, or both a
+// length and a transfer coding.
 //
 // Pass the bytes that have arrived to a Reader and act on what Read reports:
 //
@@ -132,8 +132,8 @@
 }
 
 // sameToken reports whether two tokens, such as field names, are equal when case is ignored. EqualFold alone is not enough:
-// it takes some non-ASCII letters for ASCII ones, which other programs on the path don't. Those letters take more bytes, so
-// the lengths differ.
+// it treats some non-ASCII letters as equal to ASCII ones, and other programs on the path don't. Such letters have more
+// bytes than the ASCII ones, so that the comparison of lengths rejects them.
 func sameToken(a, b string) bool { return len(a) == len(b) && strings.EqualFold(a, b) }
 
 // AppendField appends one header line.
--- a/internal/http1/reader.go
+++ b/internal/http1/reader.go
@@ -14,7 +14,7 @@
 type Limits struct {
 	Head           int // start line and header fields
 	Body           int
-	RequireFraming bool // a response must have a length or be chunked, because a lost connection looks like the end of other responses
+	RequireFraming bool // a response must have a length or be chunked; otherwise a lost connection would look like its end
 }
 
 type readState int
@@ -36,7 +36,7 @@
 type Reader struct {
 	limits   Limits
 	budget   *Budget
-	response bool // messages are responses
+	response bool // the messages are responses, not requests
 	noBody   bool // the response is to a HEAD request
 
 	state     readState
@@ -47,8 +47,8 @@
 	remaining int      // bytes of the body or chunk that have not been read; in the trailer, bytes that have been read
 }
 
-// NewReader returns a reader of requests, or of responses. Bodies hold bytes of the budget until Message.Drop. budget may
-// be nil.
+// NewReader returns a reader of responses if response is true, or else of requests. Bodies hold bytes of the budget until
+// Message.Drop. If budget is nil, only the limits apply.
 func NewReader(limits Limits, budget *Budget, response bool) *Reader {
 	return &Reader{limits: limits, budget: budget, response: response}
 }
