--- a/internal/transport/conn.go
+++ b/internal/transport/conn.go
@@ -38,12 +38,12 @@
 	closed  atomic.Bool
 
 	unsent      atomic.Int64 // bytes that are buffered until the peer reads
-	unsentSince atomic.Int64 // since when no data could be written, in ns since the Unix epoch; 0 while nothing is buffered
+	unsentSince atomic.Int64 // last write of buffered data, or the start of buffering, in ns since the Unix epoch; 0 while nothing is buffered
 
 	mu       sync.Mutex
 	writing  writeState
 	buffered []byte         // data that the kernel has not accepted; flush takes it
-	flushes  sync.WaitGroup // Add is called only with mu held and before closed is set
+	flushes  sync.WaitGroup // the goroutine of flush; it is started only with mu held, and not after serve has begun to wait for it
 
 	readMu  sync.Mutex // held during each read from the kernel, never while waiting
 	reading readState
@@ -168,8 +168,8 @@
 	}
 }
 
-// Pending returns how many bytes wait for the peer to read, and the last time at which some of them could be written or
-// at which buffering began. The time is zero if no bytes wait.
+// Pending returns how many bytes wait for the peer to read, and since when: the time of the last write of buffered bytes
+// or, before the first one, the time when buffering began. The time is zero if no bytes wait.
 func (c *Conn) Pending() (bytes int, since time.Time) {
 	bytes = int(c.unsent.Load())
 	if at := c.unsentSince.Load(); bytes > 0 && at > 0 {
@@ -215,7 +215,7 @@
 	return closes
 }
 
-// Close closes the connection; the session's Closed is called later. Close shuts the connection down first, so that the
+// Close closes the connection. The session's Closed is called later. Close shuts the connection down first, so that the
 // peer is notified before Close returns. tcp.Close alone does not notify the peer until the reader has released the
 // descriptor, and data written to other connections in the meantime would be sent first.
 func (c *Conn) Close() {
@@ -240,7 +240,7 @@
 	return err == nil && quiet
 }
 
-// readBuffers holds the buffers that readers use while there is data to read.
+// readBuffers contains the buffers that readers use while there is data to read.
 var readBuffers = sync.Pool{New: func() any { return new([readBufferSize]byte) }}
 
 // read passes received data to the session until the connection ends, and returns the reason for the end, which is
