--- a/internal/eventloop/loop.go
+++ b/internal/eventloop/loop.go
@@ -28,7 +28,7 @@
 	closed  atomic.Bool
 	done    chan struct{} // closed once the loop is closed
 
-	// The fields below are accessed only by the loop's work.
+	// The fields below are accessed only by the loop's work, except that Close stops wakeup with mu held.
 	timers   timerHeap
 	wakeup   *time.Timer
 	wakeupAt time.Duration // when wakeup fires, on the loop's clock; 0 if it is not set
@@ -117,8 +117,8 @@
 // Stats returns the delays and run times of the work so far. It must be called from the loop's work.
 func (l *Loop) Stats() Stats { return l.stats }
 
-// Lag returns the longest time that a recent piece of work or timer took from when it was due to its end; a value counts
-// for less the older it is. Work that is due now may be late by as much. It must be called from the loop's work.
+// Lag returns the longest recent time from when a piece of work or a timer was due to when it ended. Each value decreases
+// with its age. Work that is due now may be late by that much. Lag must be called from the loop's work.
 func (l *Loop) Lag() policy.Time { return FromDuration(l.lag.at(l.clock.elapsed())) }
 
 // QueueLength returns the number of queued pieces of work, not counting the batch that is running.
--- a/internal/eventloop/stats.go
+++ b/internal/eventloop/stats.go
@@ -69,7 +69,7 @@
 // lagPeak is the greatest recent lag. The value of each lag decreases with time, down to 0.
 type lagPeak struct {
 	lag     time.Duration
-	endedAt time.Duration
+	endedAt time.Duration // when the work with that lag ended, on the loop's clock
 }
 
 // add counts a lag that ended at the given time.
--- a/internal/eventloop/timer.go
+++ b/internal/eventloop/timer.go
@@ -32,7 +32,7 @@
 	}
 }
 
-// schedule sets the wakeup to the time of the first timer, unless the wakeup is set to that time or an earlier one.
+// schedule sets the wakeup to the time of the first timer, unless it is already set to that time or an earlier one.
 func (l *Loop) schedule() {
 	if len(l.timers) == 0 {
 		return
