--- a/internal/node/config.go
+++ b/internal/node/config.go
@@ -53,8 +53,8 @@
 	values   platformsettings.Values // the settings by path, for comparing two files
 }
 
-// Read reads and checks the file that EDGE_CONFIG names. If the file leaves out name, listen or discovery, the value comes
-// from EDGE_NAME, EDGE_LISTEN or EDGE_DISCOVERY. An error names the file and the invalid field.
+// Read reads and checks a configuration file. If the file leaves out name, listen or discovery, the value comes from the
+// environment variable EDGE_NAME, EDGE_LISTEN or EDGE_DISCOVERY. An error names the file and the invalid field.
 func Read(file string) (*Config, error) {
 	text, err := os.ReadFile(file)
 	if err != nil {
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -16,10 +16,10 @@
 	"dapplefront/internal/proxy"
 )
 
-// Durations of a graceful shutdown. Their sum stays below the drain timeout plus 0.7 s, after which the platform may kill
-// the process.
+// Durations of a graceful shutdown. It takes at most lameDuckTime plus the drain timeout minus shutdownMargin. This stays
+// below the drain timeout plus 0.7 s, after which the platform may kill the process.
 const (
-	lameDuckTime      = 750 * time.Millisecond // new connections are still accepted: those that arrive in the first 0.7 s must be served
+	lameDuckTime      = 750 * time.Millisecond // how long new connections are still accepted; those of the first 0.7 s must be served
 	shutdownMargin    = 200 * time.Millisecond // draining ends this long before the drain timeout
 	lastResponseGrace = 100 * time.Millisecond // time for clients to read their last responses
 )
--- a/internal/node/requests_test.go
+++ b/internal/node/requests_test.go
@@ -212,8 +212,8 @@
 	}
 }
 
-// If hedging is off, the connection of a canceled attempt is closed before the next attempt is sent.
-func TestNode_ClosesCanceledAttemptBeforeRetry(t *testing.T) {
+// If hedging is off, the connection of an attempt that timed out is closed before the next attempt is sent.
+func TestNode_ClosesTimedOutAttemptBeforeRetry(t *testing.T) {
 	var mu sync.Mutex
 	var silent net.Conn
 	var silentID string
--- a/internal/node/router_config.go
+++ b/internal/node/router_config.go
@@ -27,7 +27,8 @@
 	minDrainTimeout   = 3 * time.Second // the longest request timeout applies instead if it is longer
 	minConnectTimeout = 50 * time.Millisecond
 
-	// idleMargin is subtracted from a host's idle timeout, because the host may close an idle connection slightly early.
+	// idleMargin is subtracted from the hosts' idle timeout to get the router's idle timeout, because a host may close an
+	// idle connection slightly early.
 	idleMargin             = 2 * time.Second
 	minUpstreamIdleTimeout = time.Second
 
--- a/internal/node/run.go
+++ b/internal/node/run.go
@@ -32,7 +32,7 @@
 			}
 		case sig := <-terminate:
 			log.Info("shutting down", "signal", sig.String())
-			return n.shutdownIgnoring(terminate, reload), nil
+			return n.shutdownIgnoringSignals(terminate, reload), nil
 		}
 	}
 }
@@ -45,9 +45,9 @@
 	return n.Reload(next)
 }
 
-// shutdownIgnoring shuts down while it receives and ignores signals, so that no sender blocks. Only an interrupt takes
-// effect: it aborts the shutdown.
-func (n *Node) shutdownIgnoring(terminate, reload <-chan os.Signal) (canceled int) {
+// shutdownIgnoringSignals shuts down while it receives and ignores signals, so that no sender blocks. Only an interrupt
+// takes effect: it aborts the shutdown, after which no more signals are received.
+func (n *Node) shutdownIgnoringSignals(terminate, reload <-chan os.Signal) (canceled int) {
 	abort, done := make(chan struct{}), make(chan struct{})
 	var receiver sync.WaitGroup
 	receiver.Go(func() {
--- a/internal/node/soak_test.go
+++ b/internal/node/soak_test.go
@@ -44,8 +44,8 @@
 	soakClients          = 8
 	soakExtraClients     = 100
 	soakGoroutineTimeout = 2 * time.Second // how long the goroutines of a stopped router may take to end
-	exitSoakLeak         = 9
-	soakStoppedLine      = "ended" // the line that the router's process writes when the router has stopped
+	exitSoakLeak         = 9               // exit status of the router's process after a leak
+	soakStoppedLine      = "ended"         // the line that the router's process writes when the router has stopped
 )
 
 func TestMain(m *testing.M) {
@@ -83,12 +83,12 @@
 	return len(entries)
 }
 
-// soakNumber returns a number from the environment, or byDefault if the variable is not set.
-func soakNumber(t *testing.T, variable string, byDefault int) int {
+// soakNumber returns a number from the environment, or the default if the variable is not set.
+func soakNumber(t *testing.T, variable string, defaultNumber int) int {
 	t.Helper()
 	text := os.Getenv(variable)
 	if text == "" {
-		return byDefault
+		return defaultNumber
 	}
 	n, err := strconv.Atoi(text)
 	require.NoError(t, err)
