--- a/internal/discovery/host_table.go
+++ b/internal/discovery/host_table.go
@@ -31,10 +31,10 @@
 	last         Endpoint
 	listed       bool
 	removedAt    time.Time     // when it was removed, if it is not listed
-	incarnations []incarnation // the last maxIncarnations, the newest last
+	incarnations []incarnation // at most the last maxIncarnations, the newest last
 }
 
-// incarnation is a host to which a name refers from a point in time on.
+// incarnation is a host to which a name refers, from a point in time until the name's next incarnation.
 type incarnation struct {
 	id    uint32
 	owner string // the name of the endpoint and the build
@@ -45,8 +45,8 @@
 	return hostTable{names: map[string]*endpointName{}, idOwners: map[uint32]string{}}
 }
 
-// apply applies a list and returns its hosts. A host that replaces another one follows it, and the replaced host is returned
-// as removed. Hosts that a complete list omits are not returned, because the router detects them from the complete list.
+// apply applies a list and returns its hosts. If a host replaces another one, the replaced host is returned before it, as
+// removed. Hosts that a complete list omits are not returned, because the router detects them from the complete list.
 func (t *hostTable) apply(l EndpointList, now time.Time) []eds.Host {
 	if l.Complete {
 		t.removeMissing(l, now)
@@ -79,7 +79,7 @@
 		n = &endpointName{}
 		t.names[e.ID] = n
 	}
-	if e.Phase == phaseRemoved && n.listed { // the host that is listed is removed, whatever build the entry names
+	if e.Phase == phaseRemoved && n.listed { // the listed host is removed, even if the entry has another build
 		e.Build = n.last.Build
 		if e.Address == "" {
 			e.Address = n.last.Address
--- a/internal/discovery/host_table_test.go
+++ b/internal/discovery/host_table_test.go
@@ -45,7 +45,8 @@
 	require.Equal(t, "/v1/endpoints?watch=1&from=40", d.requests[0])
 }
 
-// Names come and go while a router runs for a long time. A name is deleted once no complaint can refer to it any more.
+// Guards against memory growth while a router runs for a long time and names are added and removed: a removed name is
+// deleted once no complaint can refer to it any more.
 func TestHostTable_DeletesRemovedNames(t *testing.T) {
 	w, _ := Open("127.0.0.1:1", EndpointList{Revision: 1, Complete: true}, eds.Handler{})
 	t.Cleanup(w.Close)
--- a/internal/discovery/list.go
+++ b/internal/discovery/list.go
@@ -28,7 +28,7 @@
 	Cell        int     `json:"cell"`
 	Phase       string  `json:"phase"` // a key of endpointStates
 	Weight      float64 `json:"size"`
-	StartedAtMs int64   `json:"up_since_ms"` // Unix time of the last start; 0 for long ago
+	StartedAtMs int64   `json:"up_since_ms"` // Unix time of the host's last start; 0 means long ago
 	Build       int     `json:"revision_no"`
 }
 
@@ -36,7 +36,7 @@
 const (
 	phaseUp       = "up"
 	phaseDraining = "draining"
-	phaseRemoved  = "removed" // among changes only
+	phaseRemoved  = "removed" // only in lists of changes, not in complete lists
 )
 
 // endpointStates maps the phases of the protocol to endpoint states of the policy.
@@ -49,7 +49,7 @@
 // Check returns an error that names the first invalid field, or nil if the list is valid.
 func (l EndpointList) Check() error {
 	if l.Revision < 0 {
-		return fmt.Errorf("revision: %d can't be", l.Revision)
+		return fmt.Errorf("revision: must not be negative, got %d", l.Revision)
 	}
 	for i, e := range l.Endpoints {
 		address, err := netip.ParseAddrPort(e.Address)
@@ -58,11 +58,11 @@
 		case e.ID == "":
 			return fmt.Errorf("members[%d].id is missing", i)
 		case err != nil && e.Phase != phaseRemoved || err == nil && address.Port() == 0:
-			return fmt.Errorf("members[%d].host_port: a numeric address and a port expected, not %q", i, e.Address)
+			return fmt.Errorf("members[%d].host_port: must be a numeric IP address with a port, got %q", i, e.Address)
 		case !known:
-			return fmt.Errorf("members[%d].phase: up, draining or removed expected, not %q", i, e.Phase)
+			return fmt.Errorf("members[%d].phase: must be up, draining or removed, got %q", i, e.Phase)
 		case e.Build < 0 || e.Cell < 0 || e.StartedAtMs < 0 || e.Weight < 0 || math.IsInf(e.Weight, 0):
-			return fmt.Errorf("members[%d]: a figure is below 0", i)
+			return fmt.Errorf("members[%d]: cell, size, up_since_ms or revision_no is out of range", i)
 		}
 	}
 	return nil
--- a/internal/discovery/watch.go
+++ b/internal/discovery/watch.go
@@ -54,7 +54,7 @@
 	return w, w.apply(known)
 }
 
-// Subscribe starts the watch. It does nothing while one is open.
+// Subscribe starts the watch. It does nothing while the watch is open.
 func (w *Watch) Subscribe() { w.stream.Open() }
 
 // SetAddress starts to watch another address immediately. The old watch is read until the new one has responded.
@@ -100,8 +100,8 @@
 }
 
 // isStale reports whether a list is older than what has been applied: two watches may send the same list while one replaces
-// the other, and a list may arrive late. The exception is a complete list that answers a watch with an earlier revision than
-// the watch asked for. It shows that discovery has restarted its count of revisions.
+// the other, and a list may arrive late. The exception is the first list of a watch if it is complete and has an earlier
+// revision than the watch asked for. It shows that discovery has restarted its count of revisions.
 func (w *Watch) isStale(l EndpointList, first bool, from int64) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
