--- a/internal/eds/resource.go
+++ b/internal/eds/resource.go
@@ -20,9 +20,10 @@
 // TypeURL is the type of the resources.
 const TypeURL = "type.googleapis.com/envoy.config.endpoint.v3.ClusterLoadAssignment"
 
-// Metadata is the filter name under which an endpoint's metadata holds what xDS has no field for: build (a whole number
-// from 1), up (when the process started, in milliseconds since the epoch; absent or 0 for long ago), cell, size (in
-// thousandths; absent for the load balancing weight), and id (a number below 2^32; by default a hash of the address).
+// Metadata is the filter name under which an endpoint's metadata contains what xDS has no field for: build (required, a
+// whole number), up (when the process started, in milliseconds since the Unix epoch; absent or 0 means long ago), cell,
+// size (in thousandths; absent or 0 means that the load balancing weight applies), and id (a number below 2^32; by default
+// a hash of the address).
 const Metadata = "dapplefront"
 
 const (
--- a/internal/eds/stream.go
+++ b/internal/eds/stream.go
@@ -17,7 +17,7 @@
 	if err != nil {
 		return err
 	}
-	acceptedVersion := "" // on this stream
+	acceptedVersion := "" // the last version that was accepted on this stream
 	request := &discoveryv3.DiscoveryRequest{Node: w.node(), ResourceNames: w.resourceNames, TypeUrl: TypeURL}
 	for {
 		if err := stream.Send(request); err != nil && !errors.Is(err, context.Canceled) {
--- a/internal/eds/watch.go
+++ b/internal/eds/watch.go
@@ -48,7 +48,7 @@
 		conn: conn, list: newEndpointList()}, nil
 }
 
-// Subscribe opens the stream. It does nothing while one is open.
+// Subscribe opens the stream. It does nothing while the stream is open.
 func (w *Watch) Subscribe() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
