--- a/internal/platform/client.go
+++ b/internal/platform/client.go
@@ -14,8 +14,8 @@
 	"dapplefront/internal/jsonstream"
 )
 
-// Backoff before the feed is reopened. The first failure has none; each further failure in a row doubles it, from
-// minBackoff up to maxBackoff.
+// Backoff before the feed is reopened. There is none after the first failure and minBackoff after the second. Each further
+// consecutive failure doubles it, up to maxBackoff.
 const (
 	minBackoff = 100 * time.Millisecond
 	maxBackoff = time.Second
@@ -57,7 +57,7 @@
 // Attempted reports whether the first attempt to open the feed has received a response or failed.
 func (c *Client) Attempted() bool { return c.feed.Attempted() }
 
-// Close stops the client. Votes in flight end with an unknown result.
+// Close stops the client and cancels the votes in flight. The result of a vote whose request was written is unknown.
 func (c *Client) Close() {
 	c.cancel()
 	c.feed.Close()
--- a/internal/platform/vote.go
+++ b/internal/platform/vote.go
@@ -12,7 +12,7 @@
 	"dapplefront/policy"
 )
 
-const maxReplyBytes = 64 << 10
+const maxResponseBytes = 64 << 10
 
 // Vote casts a vote in the background and calls done once with its result and, if it was accepted, the release status.
 func (c *Client) Vote(build, stage int, choice policy.VoteChoice, done func(policy.ReleaseStatus)) {
@@ -43,7 +43,7 @@
 		return failed(policy.VoteRejected, err)
 	}
 	defer func() { _ = response.Body.Close() }() // the body has been read or is no longer needed
-	text, err := io.ReadAll(io.LimitReader(response.Body, maxReplyBytes))
+	text, err := io.ReadAll(io.LimitReader(response.Body, maxResponseBytes))
 	if err != nil {
 		return failed(policy.VoteUnknown, err)
 	}
