--- a/internal/jsonstream/stream.go
+++ b/internal/jsonstream/stream.go
@@ -32,7 +32,7 @@
 // Timeouts limit how long a connection may be silent.
 type Timeouts struct {
 	FirstValue time.Duration // until the first value, including the time to connect
-	Idle       time.Duration // after the first value, between two reads of any bytes
+	Idle       time.Duration // after the first value, between two reads that return at least one byte
 }
 
 const maxValueBytes = 4 << 20 // about 20,000 entries of an endpoint list
@@ -79,7 +79,7 @@
 	return s.address
 }
 
-// Attempted reports whether a first attempt to connect has completed: its first value was handled, or it has ended.
+// Attempted reports whether a first connection has delivered a value or has ended without one.
 func (s *Stream) Attempted() bool { return s.attempted.Load() }
 
 // Open connects to the stream's address, unless the newest connection is to this address.
@@ -98,7 +98,8 @@
 	})
 }
 
-// SetAddress changes the address of the stream and connects to it.
+// SetAddress changes the address of the stream and connects to it. The connection to the old address is read until the new
+// one has delivered a value.
 func (s *Stream) SetAddress(address string) {
 	s.mu.Lock()
 	s.address = address
