--- a/internal/gossip/socket.go
+++ b/internal/gossip/socket.go
@@ -13,21 +13,21 @@
 	"dapplefront/policy"
 )
 
-// Broadcast stands for all other routers.
+// Broadcast is the rank that addresses all other routers.
 const Broadcast = policy.Broadcast
 
 // Config describes a router and its peers.
 type Config struct {
-	Rank      int      // of this router
+	Rank      int      // rank of this router: its index in Addresses
 	MaxBytes  int      // maximum size of a message
-	Addresses []string // of all routers, by rank
+	Addresses []string // addresses of all routers, by rank
 }
 
 // Socket is one router's socket. It is safe for concurrent use.
 type Socket struct {
 	config    Config
 	conn      *net.UDPConn
-	addresses []netip.AddrPort // by rank
+	addresses []netip.AddrPort // of all routers, by rank
 	dropped   atomic.Uint64
 	done      chan struct{} // closed when receive has returned
 }
