--- a/internal/orca/orca.go
+++ b/internal/orca/orca.go
@@ -27,11 +27,11 @@
 const (
 	MetricActive  = "active"     // requests in progress
 	MetricWaiting = "waiting"    // requests in the queue
-	MetricService = "service_ms" // recent mean time of a request without queueing, in milliseconds
+	MetricService = "service_ms" // recent mean processing time of a request, without its time in the queue, in milliseconds
 )
 
 const (
-	maxReportBytes      = 4096 // enough for a few dozen named metrics
+	maxReportBytes      = 4096 // maximum size of a header value; enough for a few dozen named metrics
 	ticksPerMillisecond = 10   // of policy.Time
 )
 
