--- a/internal/sse/sse.go
+++ b/internal/sse/sse.go
@@ -17,7 +17,7 @@
 
 const (
 	minBackoff    = 100 * time.Millisecond // before the first attempt to reopen a broken stream; doubles with each attempt
-	maxBackoff    = 3 * time.Second        // bounds the time until a server that is available again is used
+	maxBackoff    = 3 * time.Second        // bounds how long a client waits before it uses a server that is available again
 	idleTimeout   = 20 * time.Second       // several times the interval at which servers send data even if nothing has changed
 	maxEventBytes = 1 << 20                // the largest event is a release with a long history
 	lineBuffer    = 4096                   // initial size of the line buffer in bytes; it grows up to maxEventBytes
