--- a/internal/certs/reload.go
+++ b/internal/certs/reload.go
@@ -15,7 +15,7 @@
 // Files are the names of the PEM files.
 type Files struct{ Certificate, Key, Authority string }
 
-// Reloader holds the certificates that were last read from the files. It is safe for concurrent use.
+// Reloader provides the certificates that were last read from the files. It is safe for concurrent use.
 type Reloader struct {
 	files Files
 
