--- a/internal/downstream/connection.go
+++ b/internal/downstream/connection.go
@@ -23,7 +23,7 @@
 //
 //	state          requests that were read  responses  in Server.conns
 //	connOpen       handled                  written    yes
-//	connLingering  dropped                  none left  yes: the last response was written, and the client is to close
+//	connLingering  dropped                  none due   yes: the last response was written, and the client is expected to close
 //	connClosed     dropped                  dropped    no
 //
 // The reader reads nothing more (readStopped) after an error, after a request that closes the connection, or once the
--- a/internal/eventloop/stats.go
+++ b/internal/eventloop/stats.go
@@ -52,7 +52,8 @@
 	return n
 }
 
-// Quantile returns an upper bound of the given quantile, a share from 0 to 1. The bound is at most twice the exact value.
+// Quantile returns an upper bound of a quantile, which is given as a fraction from 0 to 1: 0.99 means the 99th percentile.
+// The bound is at most twice the exact value.
 func (h *Histogram) Quantile(share float64) time.Duration {
 	rest := share * float64(h.Count())
 	for i, count := range h.Buckets {
--- a/internal/gossip/socket.go
+++ b/internal/gossip/socket.go
@@ -39,7 +39,7 @@
 	for _, text := range c.Addresses {
 		address, err := netip.ParseAddrPort(text)
 		if err != nil {
-			return nil, fmt.Errorf("peers: address %q: a numeric IP address and a port expected", text)
+			return nil, fmt.Errorf("peers: address %q: must be a numeric IP address with a port", text)
 		}
 		s.addresses = append(s.addresses, address)
 	}
--- a/internal/upstream/connection.go
+++ b/internal/upstream/connection.go
@@ -121,8 +121,8 @@
 	}
 }
 
-// read reads data and returns the work that the loop has to do for it, or nil if there is none. The caller must not hold mu when it
-// posts the work, because the work may lock mu of this connection.
+// read reads data and returns the work that the loop has to do for it, or nil if there is none. The caller must not hold mu
+// when it posts the work, because the work may lock mu of this connection.
 func (c *upstreamConn) read(data []byte) (work func()) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
