--- a/internal/eventloop/stats.go
+++ b/internal/eventloop/stats.go
@@ -52,7 +52,8 @@
 	return n
 }
 
-// Quantile returns an upper bound of the given quantile, a share from 0 to 1. The bound is at most twice the exact value.
+// Quantile returns an upper bound of a quantile, which is given as a fraction from 0 to 1: 0.99 means the 99th percentile.
+// The bound is at most twice the exact value.
 func (h *Histogram) Quantile(share float64) time.Duration {
 	rest := share * float64(h.Count())
 	for i, count := range h.Buckets {
@@ -69,7 +70,7 @@
 // lagPeak is the greatest recent lag. The value of each lag decreases with time, down to 0.
 type lagPeak struct {
 	lag     time.Duration
-	endedAt time.Duration
+	endedAt time.Duration // when the work with that lag ended, on the loop's clock
 }
 
 // add counts a lag that ended at the given time.
