--- a/agent/effect.go
+++ b/agent/effect.go
@@ -16,9 +16,11 @@
 		Digest               string
 		AllowBelowMinVersion bool
 	}
-	// Start starts the process. Its outcome is Started or OperationFailed; Ready or OperationFailed follows Started.
+	// Start starts the process. Its outcome is Started or OperationFailed. Ready, OperationFailed or Exited follows
+	// Started.
 	Start struct{ Digest string }
-	// Adopt takes over a process that is already running. Ready and Exited follow as after Start.
+	// Adopt takes over a process that is already running. Exited follows when the process exits. For a build in the
+	// Starting phase, it has the same outcomes as Start.
 	Adopt struct{ Digest string }
 	// PublishEndpoint reports the state of the instance's endpoint.
 	PublishEndpoint struct {
@@ -39,7 +41,7 @@
 	}
 	// Cancel cancels a fetch or verification in progress. It has no outcome.
 	Cancel struct{ Digest string }
-	// CollectGarbage removes the files of builds that State does not name.
+	// CollectGarbage removes the files of builds that have no instance in State.
 	CollectGarbage struct{}
 	// ReportTransition reports a change of phase, a failure or an exit to the controller.
 	ReportTransition struct {
--- a/agent/input.go
+++ b/agent/input.go
@@ -13,7 +13,7 @@
 		Build                int
 		Goal                 Goal
 		AllowBelowMinVersion bool   // accept a version below the key ring's minimum version
-		RollbackTo           string // with GoalRollback of the stable build: the digest of the build that replaces it
+		RollbackTo           string // with GoalRollback of the stable build: digest of its replacement; empty if there is none
 		RollbackToBuild      int    // number of the build that RollbackTo names
 	}
 	// Fetched means that Fetch succeeded.
--- a/agent/machine.go
+++ b/agent/machine.go
@@ -7,18 +7,18 @@
 
 // Limits bound how often and how soon a crashed build is restarted.
 type Limits struct {
-	MaxCrashes      int           `json:"maxCrashes"`      // consecutive crashes; after one more, an unreleased build has failed
+	MaxCrashes      int           `json:"maxCrashes"`      // allowed consecutive crashes of an unreleased build; one more makes it fail
 	CrashBackoff    time.Duration `json:"crashBackoff"`    // delay of the first restart; it doubles with each further restart
 	MaxCrashBackoff time.Duration `json:"maxCrashBackoff"` // upper bound of the delay
-	CrashResetAfter time.Duration `json:"crashResetAfter"` // a crash later than this in WarmingUp or Serving resets the count
+	CrashResetAfter time.Duration `json:"crashResetAfter"` // time in WarmingUp or Serving after which a crash counts as the first one again
 }
 
 // Machine is the state machine of one host's agent. It is not safe for concurrent use.
 type Machine struct {
 	State   State
 	limits  Limits
-	now     time.Time // of the current input
-	effects []Effect  // of the current input
+	now     time.Time // time of the current input
+	effects []Effect  // effects of the current input
 }
 
 // New returns the state machine of a host without builds.
--- a/agent/machine_test.go
+++ b/agent/machine_test.go
@@ -49,7 +49,7 @@
 	m := newServingMachine(t)
 	all := handleAll(m, Order{Number: 2, Digest: "two", Build: 2, Goal: GoalStage}, Fetched{"two"}, Verified{"two"})
 	require.Equal(t, []Phase{Fetching, Verifying, Staged}, reportedPhases(all))
-	require.NotContains(t, all, Start{"two"}, "a staged build is not started before it has the goal serve")
+	require.NotContains(t, all, Start{"two"}, "a staged build is not started before an order sets the goal serve")
 	all = handleAll(m, Order{Number: 3, Digest: "two", Build: 2, Goal: GoalServe}, Started{"two", Process{Pid: 2}}, Ready{"two"}, WarmedUp{"two"})
 	require.Contains(t, all, Start{"two"})
 	require.Contains(t, all, PublishEndpoint{"two", EndpointServing})
@@ -90,7 +90,7 @@
 	require.Equal(t, "zero", m.State.Stable.Digest)
 }
 
-func TestMachine_RestartsCrashingBuildWithBackoffThenFails(t *testing.T) {
+func TestMachine_RestartsCrashingBuildUpToMaxCrashes(t *testing.T) {
 	m := newServingMachine(t)
 	handleAll(m, Order{Number: 2, Digest: "two", Build: 2, Goal: GoalServe}, Fetched{"two"}, Verified{"two"})
 	var delays []time.Duration
@@ -124,7 +124,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		m := New(limits)
 		now, number := startTime, uint64(0)
-		verifying, verified := map[string]bool{}, map[string]bool{} // builds that were to be verified, and that passed, according to effects and inputs
+		verifying, verified := map[string]bool{}, map[string]bool{} // builds with a Verify effect; with an accepted Verified input
 		running := map[string]bool{}
 		released, rolledBack := "", map[string]bool{}
 		digest := rapid.SampledFrom([]string{"a", "b", "c"})
@@ -210,7 +210,7 @@
 			if seen := map[string]bool{}; true {
 				for _, r := range m.State.Instances() {
 					if seen[r.Digest] {
-						t.Fatalf("two instances of %s: %s", r.Digest, fmt.Sprint(m.State))
+						t.Fatalf("the state has two instances of %s: %s", r.Digest, fmt.Sprint(m.State))
 					}
 					seen[r.Digest] = true
 				}
--- a/agent/order.go
+++ b/agent/order.go
@@ -31,7 +31,8 @@
 	}
 }
 
-// rollBack retires a candidate, or replaces the stable build by the build that the order names.
+// rollBack retires the build that the order rolls back. If this is the stable build and the order names a replacement,
+// the replacement becomes the candidate.
 func (m *Machine) rollBack(o Order) {
 	const cause = "take-back"
 	s := &m.State
--- a/agent/resume.go
+++ b/agent/resume.go
@@ -5,8 +5,8 @@
 // exitedWhileDown is the cause of an exit that happened while no agent was running.
 const exitedWhileDown = "it ended while no agent ran"
 
-// Resume returns the state machine for a saved state, and the effects that may not have been executed or whose outcome
-// was not handled. findProcess returns the process of an instance and whether it is still running.
+// Resume returns the state machine for a saved state, and the effects that may not have been executed, or whose
+// outcomes may not have been handled. findProcess returns the process of an instance and whether it is still running.
 func Resume(now time.Time, limits Limits, s State, findProcess func(Instance) (Process, bool)) (*Machine, []Effect) {
 	m := &Machine{State: s, limits: limits, now: now}
 	for _, i := range s.Instances() {
--- a/agent/state.go
+++ b/agent/state.go
@@ -8,7 +8,8 @@
 // Phase is the state of an instance in its lifecycle. The strings are stored and reported, so they must not change.
 type Phase string
 
-// The phases, in the order in which a build passes through them. Failed may follow any phase up to Starting.
+// The phases, in the order in which a build passes through them. Failed may follow Fetching, Verifying, Starting,
+// WarmingUp and Serving.
 const (
 	Idle      Phase = "idle" // an order names the build; nothing has been done for it yet
 	Fetching  Phase = "fetching"
@@ -62,7 +63,7 @@
 // Process identifies the process of a build. The start time distinguishes it from a later process with the same PID.
 type Process struct {
 	Pid        int       `json:"pid"`
-	StartTicks int64     `json:"since"` // clock ticks since the system booted
+	StartTicks int64     `json:"since"` // start time, in clock ticks since the system booted
 	Port       int       `json:"port"`
 	StartedAt  time.Time `json:"up"`
 }
