--- a/internal/agentd/agent.go
+++ b/internal/agentd/agent.go
@@ -29,7 +29,7 @@
 	runner  process.Runner
 	http    *http.Client
 
-	controllerIndex atomic.Int64 // index of the controller in use, modulo their number; it only grows
+	controllerIndex atomic.Int64 // number of switches so far; modulo the number of controllers, the index of the one in use
 
 	ctx           context.Context // canceled by Close and Stop
 	cancelAll     context.CancelFunc
@@ -42,7 +42,7 @@
 	inbox      []agent.Input
 	outbox     []api.AgentReport             // reports that no controller has accepted yet
 	lastReport uint64                        // number of the latest report
-	cancels    map[string]context.CancelFunc // of the latest operation for each digest
+	cancels    map[string]context.CancelFunc // cancels the latest operation of each build, by digest
 	keyRing    *build.KeyRing                // the key ring in use
 }
 
--- a/internal/agentd/disk_test.go
+++ b/internal/agentd/disk_test.go
@@ -60,7 +60,7 @@
 	}
 }
 
-func TestAgent_FailsOnlyBuildWhoseFetchExceedsStoreLimit(t *testing.T) {
+func TestAgent_LeavesFirstBuildUnchangedWhenFetchOfSecondExceedsStoreLimit(t *testing.T) {
 	h := newHarness(t)
 	one := h.publishValid(1, "well")
 	c := h.config()
--- a/internal/agentd/effects.go
+++ b/internal/agentd/effects.go
@@ -51,8 +51,8 @@
 	})
 }
 
-// runOperation runs an operation of a build in its own goroutine. Its context ends when the next operation of the build
-// starts, when cancelOperation is called, and when the agent shuts down.
+// runOperation runs an operation of a build in its own goroutine. The operation's context is canceled when the next
+// operation of the build starts, when cancelOperation is called, or when the agent shuts down.
 func (a *Agent) runOperation(digest string, do func(context.Context)) {
 	ctx, cancel := context.WithCancel(a.ctx)
 	a.mu.Lock()
@@ -86,7 +86,7 @@
 	a.submitUnlessCanceled(ctx, agent.OperationFailed{Digest: digest, Reason: err.Error()})
 }
 
-// collectGarbage removes the files of builds that the state does not name.
+// collectGarbage removes the files of builds that have no instance in the state.
 func (a *Agent) collectGarbage() {
 	keep := map[string]*build.Manifest{}
 	for _, i := range a.machine.State.Instances() {
--- a/internal/agentd/fetch.go
+++ b/internal/agentd/fetch.go
@@ -17,7 +17,7 @@
 	"dapplefront/internal/atomicfile"
 )
 
-// maxBackoffDoublings bounds the backoff between attempts to fetch a manifest.
+// maxBackoffDoublings bounds how often the backoff between attempts to fetch a manifest is doubled.
 const maxBackoffDoublings = 6
 
 func (a *Agent) manifestFile(digest string) string {
--- a/internal/agentd/fetch_test.go
+++ b/internal/agentd/fetch_test.go
@@ -92,11 +92,11 @@
 	put(0) // one signature is below the threshold, so the old key ring stays in use
 	h.releaseFirst()
 	put(0, 1)
-	two := h.publishValid(2, "well") // signed by ada and ben, whose key the new key ring no longer has
+	two := h.publishValid(2, "well") // signed by ada and ben; the new key ring no longer has ben's key
 	h.order(two, "release")
 	h.await(two, agent.Failed)
 	a.Close()
-	a = h.start() // the restarted agent keeps the new key ring
+	a = h.start() // the restarted agent still uses the new key ring
 	m, files := h.newBuild(3, "well")
 	raw3, _ := m.Bytes()
 	three := h.publish(raw3, files, 0, 2)
--- a/internal/agentd/harness_test.go
+++ b/internal/agentd/harness_test.go
@@ -102,8 +102,8 @@
 	return m, files
 }
 
-// publish signs a manifest with some keys, puts the manifest, signatures and files on both mirrors and returns the
-// digest.
+// publish signs a manifest with the harness's keys at the given indices, puts the manifest, signatures and files on
+// both mirrors and returns the digest.
 func (h *harness) publish(raw []byte, files map[string][]byte, keys ...int) string {
 	digest := build.Digest(raw)
 	var signatures [][]byte
@@ -162,11 +162,11 @@
 }
 
 // startsOf returns one entry for each start of a version.
-func (h *harness) startsOf(name string) (out []string) {
+func (h *harness) startsOf(version string) (out []string) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	for _, s := range h.started {
-		if s == name {
+		if s == version {
 			out = append(out, s)
 		}
 	}
--- a/internal/agentd/process.go
+++ b/internal/agentd/process.go
@@ -20,7 +20,7 @@
 	readyPollInterval   = 10 * time.Millisecond
 	exitPollInterval    = 20 * time.Millisecond // for processes that an earlier agent started
 	healthCheckTimeout  = time.Second
-	defaultDrainTimeout = time.Second // used if the manifest can't be read
+	defaultDrainTimeout = time.Second // time between SIGTERM and SIGKILL if the manifest can't be read
 	trimInterval        = time.Second
 )
 
--- a/internal/agentd/reports.go
+++ b/internal/agentd/reports.go
@@ -10,7 +10,7 @@
 )
 
 const (
-	maxReports       = 1000 // limit of the outbox while no controller accepts reports; beyond it the oldest are dropped
+	maxReports       = 1000 // limit on the number of reports in the outbox; beyond it, the oldest are dropped
 	reportRetryDelay = 200 * time.Millisecond
 	shownDigestChars = 12 // length of a digest in log messages
 )
@@ -88,7 +88,7 @@
 	return append([]api.AgentReport(nil), a.outbox...)
 }
 
-// removeReports removes the reports that a controller has accepted: those up to the number last.
+// removeReports removes the reports that a controller has accepted. last is the number of the latest of them.
 func (a *Agent) removeReports(last uint64) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
--- a/internal/agentd/restart_test.go
+++ b/internal/agentd/restart_test.go
@@ -66,10 +66,10 @@
 		case <-died:
 			killed = true
 			kills++
-		case removed := <-done: // the agent made fewer writes than at
+		case removed := <-done: // the agent finished before this write
 			_ = command.Process.Kill()
 			<-died
-			require.True(t, removed, "at %d: %+v", at, h.controller.Reports("h1"))
+			require.True(t, removed, "not killed at write %d: %+v", at, h.controller.Reports("h1"))
 		}
 		a := h.start()
 		require.True(t, <-ordered, "killed at write %d: %+v", at, h.controller.Reports("h1"))
