--- a/build/keyring.go
+++ b/build/keyring.go
@@ -95,8 +95,9 @@
 	return m, signers, nil
 }
 
-// Next verifies the bytes of a later key ring and returns it. Keys of this key ring must have signed it, its version
-// must be higher, and its minimum version must not be lower. Errors are *RefusedError.
+// Next verifies the bytes of a later key ring and returns it. Keys of this key ring must have signed it, it must be for
+// the same host group, its version must be higher, and its minimum version must not be lower. Its errors are
+// *RefusedError.
 func (r *KeyRing) Next(raw []byte, signatures [][]byte, now time.Time) (*KeyRing, error) {
 	if _, err := r.verifySignatures(raw, signatures, now); err != nil {
 		return nil, err
--- a/build/signature.go
+++ b/build/signature.go
@@ -10,7 +10,8 @@
 )
 
 // verifySignatures returns the names of the keys that have signed a message. Each key counts once. If there are fewer
-// keys than the threshold, it fails with the reason why the first invalid signature was refused.
+// keys than the threshold, it fails with the reason why the first invalid signature was refused, or with
+// TooFewSignatures if all signatures are valid.
 func (r *KeyRing) verifySignatures(message []byte, signatures [][]byte, now time.Time) (signers []string, err error) {
 	if len(signatures) > maxSignatures {
 		return nil, refused(Malformed, "%d signatures", len(signatures))
