--- a/internal/artifact/bundle.go
+++ b/internal/artifact/bundle.go
@@ -16,8 +16,8 @@
 	signatureDir = "signatures"
 )
 
-// Pack creates a bundle from a folder and returns the manifest's digest. It writes the files to out/sha256, sets Files
-// of the manifest, and writes the manifest to out/manifest/DIGEST. It fails if the folder contains anything other than
+// Pack creates a bundle from a folder and returns the manifest's digest. It writes the files to out/sha256, sets the
+// manifest's Files, and writes the manifest to out/manifest/DIGEST. It fails if the folder contains anything other than
 // regular files and folders.
 func Pack(folder, out string, m *build.Manifest) (string, error) {
 	for _, sub := range []string{contentDir, manifestDir, signatureDir} {
--- a/internal/artifact/fetcher.go
+++ b/internal/artifact/fetcher.go
@@ -21,11 +21,11 @@
 // Source configures where files are fetched from: mirrors that serve each file at /sha256/DIGEST.
 type Source struct {
 	Mirrors           []string      `json:"mirrors"`           // base URLs
-	MaxBytesPerSecond int           `json:"maxBytesPerSecond"` // total over all files; 0 for no limit
-	MaxAttempts       int           `json:"maxAttempts"`       // per file, over all mirrors; an attempt that received new bytes doesn't count
-	Backoff           time.Duration `json:"backoff"`           // after the first failed attempt; it doubles with each further failed attempt
+	MaxBytesPerSecond int           `json:"maxBytesPerSecond"` // limit on the download rate over all files; 0 means no limit
+	MaxAttempts       int           `json:"maxAttempts"`       // failed attempts for a file, over all mirrors, after which its fetch fails; an attempt that received new bytes doesn't count
+	Backoff           time.Duration `json:"backoff"`           // base delay after a failed attempt; it is doubled for each one that counts towards MaxAttempts
 	IdleTimeout       time.Duration `json:"idleTimeout"`       // time without received bytes after which an attempt fails
-	Client            *http.Client  `json:"-"`                 // nil for a default client
+	Client            *http.Client  `json:"-"`                 // nil means a default client
 }
 
 const (
@@ -41,7 +41,7 @@
 type Fetcher struct {
 	store   *Store
 	source  Source
-	limiter *rate.Limiter // nil for no limit
+	limiter *rate.Limiter // nil if the rate is not limited
 
 	mu      sync.Mutex
 	mirrors []string // the mirror that failed most recently is last
@@ -68,7 +68,8 @@
 }
 
 // Fetch fetches all files of a build that are not in the store. It resumes partial files of earlier attempts. The error
-// names the file. A partial file is kept for the next attempt unless its content is wrong or the disk is full.
+// names the file. A partial file is kept for the next attempt unless its content is wrong, or the store or the disk is
+// full.
 func (f *Fetcher) Fetch(ctx context.Context, m *build.Manifest) error {
 	for _, file := range m.Files {
 		if f.store.Has(file) {
@@ -123,7 +124,7 @@
 	return nil
 }
 
-// backOff waits for d, doubled with each failure. Jitter spreads the retries of different hosts.
+// backOff waits for the base delay d, doubled for each failure. Jitter spreads the retries of different hosts.
 func backOff(ctx context.Context, d time.Duration, failures int) error {
 	d <<= min(failures, maxBackoffDoublings)
 	if d <= 0 {
--- a/internal/artifact/keys.go
+++ b/internal/artifact/keys.go
@@ -15,8 +15,8 @@
 )
 
 // GenerateKeys generates a key pair for each name. It writes the private keys to dir as NAME.key, encrypted if there is
-// a password, and the key ring with the public keys added as ring.json. The keys are valid from notBefore to notAfter.
-// It fails if one of the files exists.
+// a password. It adds the public keys to the key ring and writes the result as ring.json. The keys are valid from
+// notBefore to notAfter. It fails if one of the files exists.
 func GenerateKeys(dir string, names []string, password string, ring build.KeyRing, notBefore, notAfter time.Time) (*build.KeyRing, error) {
 	type newFile struct {
 		path string
--- a/internal/artifact/store.go
+++ b/internal/artifact/store.go
@@ -55,7 +55,8 @@
 func (s *Store) contentPath(digest string) string { return filepath.Join(s.dir, contentDir, digest) }
 func (s *Store) partPath(digest string) string    { return filepath.Join(s.dir, partDir, digest) }
 
-// Has reports whether the store has a file, by its name and size. Its content was verified before it was stored.
+// Has reports whether the store has a file with the digest and size of f. Its content was verified before it was
+// stored.
 func (s *Store) Has(f build.File) bool {
 	info, err := os.Stat(s.contentPath(f.SHA256))
 	return err == nil && info.Mode().IsRegular() && info.Size() == f.Size
@@ -77,8 +78,8 @@
 	return n, nil
 }
 
-// checkCapacity returns ErrFull if the rest of a file doesn't fit. fetched is the number of bytes of the file already
-// stored.
+// checkCapacity returns ErrFull if the missing rest of a file would exceed maxBytes. fetched is the number of bytes of
+// the file that are already stored.
 func (s *Store) checkCapacity(f build.File, fetched int64) error {
 	used, err := s.UsedBytes()
 	if err != nil {
--- a/internal/artifact/store_test.go
+++ b/internal/artifact/store_test.go
@@ -18,7 +18,8 @@
 	"dapplefront/internal/testbed"
 )
 
-// newStore returns an empty store, and a mirror that serves a build whose files have random content and these sizes.
+// newStore returns an empty store, and a mirror that serves a build whose files have random content and the given
+// sizes.
 func newStore(tb testing.TB, sizes ...int) (*artifact.Store, *testbed.Mirror, *build.Manifest) {
 	tb.Helper()
 	store, err := artifact.Open(tb.TempDir(), 1<<30)
