--- a/internal/process/runner.go
+++ b/internal/process/runner.go
@@ -21,7 +21,7 @@
 
 const (
 	stopPollInterval = 5 * time.Millisecond
-	killTimeout      = time.Second // for processes to exit after SIGKILL
+	killTimeout      = time.Second // time for processes to exit after the first SIGKILL
 )
 
 // Runner runs the processes of one agent.
--- a/internal/process/runner_test.go
+++ b/internal/process/runner_test.go
@@ -76,8 +76,8 @@
 		written int
 		kept    int
 	}{
-		{"at twice the limit", 200, 200},
-		{"above twice the limit", 201, 100},
+		{"keeps all output at twice the limit", 200, 200},
+		{"trims output above twice the limit", 201, 100},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			text := strings.Repeat("0123456789", 30)[:c.written]
