--- a/plan/capacity.go
+++ b/plan/capacity.go
@@ -30,7 +30,7 @@
 	host       *Host
 	work       int64 // seconds of work per second, without the reserve
 	unreserved int64 // seconds of work per second, including the reserve
-	maxRate    int64 // requests per second; -1 for no bound
+	maxRate    int64 // requests per second; -1 means no bound
 	warmingUp  bool
 	isCanary   bool // the host runs the build that is being released and gets shadow requests only
 }
@@ -48,8 +48,8 @@
 	return s.InitialCapacity + (1-s.InitialCapacity)*float64(age)/float64(s.Duration)
 }
 
-// hostCapacities returns the capacities of the hosts that have any at a time, sorted by name. It sets isCanary for hosts
-// that run the canary build, which is 0 if there is none.
+// hostCapacities returns the capacities at a time of the hosts whose capacity is above 0, sorted by name. It sets isCanary
+// for hosts that run the canary build. canary is the number of that build, or 0 if there is none.
 func hostCapacities(hosts []Host, l Limits, at time.Duration, canary int) []hostCapacity {
 	out := make([]hostCapacity, 0, len(hosts))
 	for i := range hosts {
@@ -74,7 +74,7 @@
 	return out
 }
 
-// zoneDemands returns the demands of the zones that have any, sorted by name.
+// zoneDemands returns the demands of the zones whose demand is above 0, sorted by name.
 func (m *Model) zoneDemands(f Forecast) []zoneDemand {
 	byZone := map[string]*zoneDemand{}
 	classIndex := map[string]int{}
@@ -96,7 +96,7 @@
 		z.rate += rate
 		z.classRates[i] += rate
 		z.work += ceilMicros(float64(rate) / micro * c.Work)
-		z.value += max(1, toMicros(float64(rate)/micro*c.PriorityWeight)) // requests without value must be served too
+		z.value += max(1, toMicros(float64(rate)/micro*c.PriorityWeight)) // requests of weight 0 must be served too
 	}
 	out := make([]zoneDemand, 0, len(byZone))
 	for _, z := range byZone {
--- a/plan/carry.go
+++ b/plan/carry.go
@@ -6,8 +6,9 @@
 	"math"
 )
 
-// carry returns the weights in force, carried over to the hosts of a step. Hosts keep their weights. A new host gets the
-// weight that other hosts of its pool have per second of work. A removed host has no weight.
+// carry returns the weights in force, carried over to the hosts of a step. A host keeps its weight unless its capacity has
+// decreased or it has warmed up. A new host gets the weight that other hosts of its pool have per second of work. A removed
+// host has no weight.
 func (p *Publisher) carry(s *Step) (map[string]Weights, evaluation, error) {
 	carried := map[string]Weights{}
 	for _, d := range s.demands {
@@ -26,14 +27,14 @@
 	return carried, v, err
 }
 
-// carryWeights carries over the weights of the hosts of the pools that include selects.
+// carryWeights carries over the weights of the hosts of the pools for which include returns true.
 func (s *Step) carryWeights(last map[string]uint64, include func(pool) bool) map[string]uint64 {
 	carried := make(map[string]uint64, len(last))
 	for _, p := range s.pools {
 		if !include(p) {
 			continue
 		}
-		var weight, work uint64 // of the hosts of this pool that had a weight
+		var weight, work uint64 // sums over the hosts of this pool that had a weight
 		for _, h := range p.hosts {
 			if w, ok := last[h.host.Name]; ok {
 				weight, work = weight+w, work+uint64(h.work)
@@ -68,7 +69,8 @@
 }
 
 // warmedUpWeight returns the weight of a host that has warmed up but may still have its weight from slow start. If the
-// weight is clearly below the one that the other hosts of the pool have for the same work, the host gets theirs.
+// weight is clearly below the one that the other hosts of the pool have for the same work, the host gets the same weight per
+// second of work as they have.
 func warmedUpWeight(w, work, othersWeight, othersWork uint64) uint64 {
 	const minRatio = 0.9 // a lower ratio to the other hosts' weight is not a rounding error
 	if expected := float64(othersWeight) / float64(othersWork) * float64(work); float64(w) < minRatio*expected {
@@ -149,7 +151,7 @@
 	return sum
 }
 
-// setShadowShares sets the share of shadow requests that the stage allows in each zone.
+// setShadowShares sets each zone's planned share of shadow requests in a stage, or 0 if there is no canary build.
 func (s *Step) setShadowShares(m *Model, stage, canary int, weights map[string]Weights) {
 	if canary == 0 {
 		for zone, w := range weights {
--- a/plan/conflict.go
+++ b/plan/conflict.go
@@ -10,9 +10,9 @@
 // there are too many sets of four constraints to try them all.
 const maxConflictTries = 3000
 
-// conflictingConstraints returns a smallest set of constraints that conflict with each other. It first finds one set by
-// removing constraints one by one while the remaining ones still conflict. Then it tries smaller sets, by increasing size,
-// up to maxConflictTries sets.
+// conflictingConstraints returns the smallest set that it finds of constraints that conflict with each other. It first finds
+// a set by removing constraints one by one while the remaining ones still conflict. Then it tries up to maxConflictTries
+// smaller sets, by increasing size.
 func (s *Step) conflictingConstraints() []constraint {
 	all := s.constraints()
 	found := slices.Clone(all)
--- a/plan/diff.go
+++ b/plan/diff.go
@@ -12,7 +12,7 @@
 type Change struct {
 	At       time.Duration
 	Metric   string // unserved, crossing (both in requests per second) or use (a share of the capacity)
-	Zone     string // "" for all
+	Zone     string // "" means all zones
 	Was, Now float64
 }
 
--- a/plan/evaluate.go
+++ b/plan/evaluate.go
@@ -13,8 +13,8 @@
 }
 
 // evaluate computes in integers the load of each host if routers follow the weights, and returns an error that lists the
-// limits that this would break. Integer weights can't match shares exactly. Therefore, limits may be exceeded by a
-// millionth, which is less than routers can count, and hosts may use the reserve.
+// limits that this would break. Integer weights can't match shares exactly. Therefore, the work and the request rate of a
+// host may exceed their limits by a millionth, which is less than routers can count, and hosts may use the reserve.
 func (s *Step) evaluate(weights map[string]Weights) (evaluation, error) {
 	e := evaluator{step: s, weights: weights, denominator: big.NewInt(nano), sums: make([]weightSums, len(s.demands))}
 	for g, d := range s.demands {
@@ -57,7 +57,7 @@
 	e.errs = append(e.errs, fmt.Errorf(format, values...))
 }
 
-// addDemand checks the weights of a zone and extends the denominator by their sums.
+// addDemand checks the weights of a zone and multiplies the denominator by their sums.
 func (e *evaluator) addDemand(g int, d zoneDemand) {
 	w := e.weights[d.zone]
 	e.sums[g] = weightSums{local: e.sum(d, w.Local), remote: e.sum(d, w.Remote)}
@@ -108,7 +108,7 @@
 	e.addLoad(g, d, w.Remote, e.sums[g].remote, w.CrossZoneShare)
 }
 
-// addLoad adds the load of a table that distributes a part of a zone's requests, in billionths.
+// addLoad adds the load of a table that distributes a part of a zone's requests. The part is in billionths.
 func (e *evaluator) addLoad(g int, d zoneDemand, weights map[string]uint64, sum, part uint64) {
 	if sum == 0 {
 		return
@@ -145,7 +145,7 @@
 	e.result.maxUtilization = max(e.result.maxUtilization, utilization)
 }
 
-// within reports whether a figure exceeds a limit by at most a millionth of the sum of the limit and one unit.
+// within reports whether a figure is within a limit, with a tolerance of a millionth of the sum of the limit and one unit.
 func (e *evaluator) within(got *big.Int, limit int64) bool {
 	const unit = micro // one second of work or one request, in millionths
 	e.bound.Mul(big.NewInt(limit), e.denominator)
--- a/plan/follower.go
+++ b/plan/follower.go
@@ -8,7 +8,7 @@
 // Offer is a version of weights as a router receives it.
 type Offer struct {
 	Version        uint64
-	Build          int           // canary build that the version was computed for; 0 for none
+	Build          int           // canary build that the version was computed for; 0 if there was none
 	ShadowShare    float64       // shadow requests to that build, as a share of the requests
 	CrossZoneShare float64       // share of the requests that go to other zones
 	LocalWeights   []HostWeight  // weights of hosts in the router's zone
@@ -24,10 +24,10 @@
 
 // KnownHost is the router's view of a host.
 type KnownHost struct {
-	IsLocal  bool    // the host is in the router's zone
-	Weight   float64 // weight from endpoint discovery; 0 if unknown
-	Age      time.Duration
-	IsCanary bool // the host runs the canary build
+	IsLocal  bool          // the host is in the router's zone
+	Weight   float64       // weight from endpoint discovery; 0 if unknown
+	Age      time.Duration // time since the host started
+	IsCanary bool          // the host runs the canary build
 }
 
 // Fleet is a router's view of the fleet when it receives a version.
@@ -42,7 +42,7 @@
 // force. Routers use weights as a hint and make their own decision for each request.
 type Follower struct{ last uint64 }
 
-// Version returns the number of the version in force; 0 for none.
+// Version returns the number of the version in force, or 0 if no version has been accepted yet.
 func (f *Follower) Version() uint64 { return f.last }
 
 // Offer accepts a version or returns the reason for its rejection, which the router reports to the controller. A version
--- a/plan/infeasible.go
+++ b/plan/infeasible.go
@@ -12,7 +12,7 @@
 // Infeasibility explains why a step can't serve all demand and which relaxations would make it feasible.
 type Infeasibility struct {
 	UnservedRate float64      // requests per second
-	Conflicts    []string     // descriptions of the smallest set of constraints that conflict with each other
+	Conflicts    []string     // descriptions of the constraints that conflict with each other
 	Relaxations  []Relaxation // alternatives, each sufficient on its own, sorted by increasing price
 }
 
@@ -66,7 +66,7 @@
 }
 
 // relaxCrossZone returns the least cross-zone traffic with which all demand would be served. It reports false if no amount
-// of it suffices.
+// of it suffices or if cross-zone traffic is not limited.
 func (m *Model) relaxCrossZone(s *Step) (Relaxation, bool) {
 	if s.limits.MaxCrossZone >= 1 {
 		return Relaxation{}, false
--- a/plan/losses.go
+++ b/plan/losses.go
@@ -8,8 +8,8 @@
 // Loss is a loss of hosts that would leave demand unserved in a step even after routers follow shares computed without
 // these hosts.
 type Loss struct {
-	Step         int // from 0
-	Lost         string
+	Step         int     // from 0
+	Lost         string  // "zone NAME" or "host NAME"
 	UnservedRate float64 // requests per second
 }
 
@@ -56,8 +56,8 @@
 	return out
 }
 
-// unservedWithout returns the unserved rate without the lost hosts. The limit on cross-zone traffic does not apply to the
-// zone unbounded.
+// unservedWithout returns the unserved rate without the lost hosts. The limit on cross-zone traffic does not apply to
+// requests of the zone that is given as unbounded.
 func (m *Model) unservedWithout(step int, lost func(hostCapacity) bool, unbounded string) float64 {
 	f := m.Forecast[step]
 	hosts, _, canary := m.hostsAt(f.At)
--- a/plan/model.go
+++ b/plan/model.go
@@ -11,7 +11,7 @@
 	Name           string
 	Work           float64 // seconds that a request takes on a host of weight 1
 	Idempotency    policy.Idempotency
-	PriorityWeight float64 // value of a request that is answered in time
+	PriorityWeight float64 // value of a request that is served in time
 }
 
 // Host is a host that can serve requests.
@@ -21,8 +21,8 @@
 	Build    int
 	Weight   float64       // capacity in seconds of work per second once it has warmed up
 	StartsAt time.Duration // when its process starts, relative to the plan's start; negative for an earlier start
-	DrainsAt time.Duration // when it starts to drain, relative to the plan's start; 0 for never
-	MaxRate  float64       // requests per second, whether warming up or not; 0 for no bound
+	DrainsAt time.Duration // when it starts to drain, relative to the plan's start; 0 means never
+	MaxRate  float64       // upper bound in requests per second, during slow start and after it; 0 means no bound
 }
 
 // Demand is the demand of one class in one zone during a step.
@@ -42,19 +42,19 @@
 type SlowStart struct {
 	Duration        time.Duration // time from the start of a host until it has its full capacity
 	InitialCapacity float64       // capacity at the start as a share of the host's weight; it rises linearly
-	MaxRequests     float64       // bound per Window for a host of weight 1, scaled by the capacity factor; 0 for no bound
+	MaxRequests     float64       // upper bound per Window for a host of weight 1, scaled by the capacity factor; 0 means no bound
 	Window          time.Duration
 }
 
 // Limits are the constraints of a plan.
 type Limits struct {
-	Reserve          float64 // share of each host's capacity that is not planned
+	Reserve          float64 // share of each host's capacity that the plan leaves unused
 	SlowStart        SlowStart
 	MaxCrossZone     float64 // share of a zone's requests that may go to other zones
 	CrossZonePrice   float64 // cost of a request that goes to another zone, in priority weight
-	MaxZoneImbalance float64 // upper bound on a zone's utilization divided by the fleet's; 0 for no bound
-	MaxHostImbalance float64 // upper bound on a host's utilization divided by its zone's; 0 for no bound
-	StdDevs          float64 // standard deviations that are added to the forecast demand
+	MaxZoneImbalance float64 // upper bound on a zone's utilization divided by the fleet's; 0 means no bound
+	MaxHostImbalance float64 // upper bound on a host's utilization divided by its zone's; 0 means no bound
+	StdDevs          float64 // number of standard deviations that are added to the forecast demand
 	SurviveHostLoss  bool    // all demand must still be served after the loss of any one host
 	SurviveZoneLoss  bool    // all demand must still be served after the loss of any one zone
 }
@@ -71,7 +71,7 @@
 	Build         int
 	Stages        []Stage
 	ReleasedAt    time.Duration // when its hosts begin to serve requests; 0 if this is after the end of the plan
-	GuardedStages int           // number of first stages that get idempotent requests only
+	GuardedStages int           // number of first stages in which classes that are IdempotentWithKey get no shadow requests
 	CapPerClass   bool          // the cap is a share of the requests that may be shadowed, not of all requests
 	SideBySide    bool          // hosts of the build are added and do not replace others
 }
--- a/plan/pools.go
+++ b/plan/pools.go
@@ -14,7 +14,7 @@
 	zone      string
 	hosts     []hostCapacity
 	work      int64 // capacity of all hosts in millionths of a second of work per second
-	maxRate   int64 // rate bound of all hosts in millionths of a request per second; -1 for no bound
+	maxRate   int64 // rate bound of all hosts in millionths of a request per second; -1 means no bound
 	warmingUp bool  // at least one host is warming up
 }
 
--- a/plan/program.go
+++ b/plan/program.go
@@ -38,7 +38,7 @@
 	utilizationRows []int            // by pool
 }
 
-// program returns the linear program of a step with the constraints that keep selects.
+// program returns the linear program of a step with the constraints for which keep returns true.
 func (s *Step) program(keep func(constraint) bool, current Shares) *linearProgram {
 	l := &linearProgram{pools: s.pools, zonePools: map[string][]int{}, utilizationRows: make([]int, len(s.pools))}
 	for _, d := range s.demands {
@@ -80,7 +80,7 @@
 	l.simplex = newSimplex(count)
 }
 
-// addDemandRows adds the rows by which all of each zone's requests are either served or shed.
+// addDemandRows adds the rows that require all requests of each zone to be either served or shed.
 func (l *linearProgram) addDemandRows() {
 	for g := range l.demands {
 		var terms []term
@@ -175,7 +175,7 @@
 	}
 }
 
-// work returns the terms of the work that some pools get.
+// work returns the terms of the work that the given pools get.
 func (l *linearProgram) work(pools ...int) (terms []term) {
 	for _, p := range pools {
 		for g, d := range l.demands {
--- a/plan/property_test.go
+++ b/plan/property_test.go
@@ -108,10 +108,10 @@
 		b := solveDrawn(t, &other)
 		require.InEpsilon(t, 1+by*a.UnservedRate(), 1+b.UnservedRate(), 1e-5)
 		if a.UnservedRate() > 0 {
-			return // among zones with the same value per request, either may be left unserved
+			return // among zones with the same value per request, the demand of any of them may be left unserved
 		}
 		require.InEpsilon(t, 1+by*a.CrossZoneRate(""), 1+b.CrossZoneRate(""), 1e-5)
-		for _, h := range m.Hosts { // equal solutions may differ in the zones whose requests a host gets, but not in its work
+		for _, h := range m.Hosts { // equally good solutions may differ in the zones whose requests a host gets, but not in its work
 			require.InDelta(t, hostWork(a, h.Name), hostWork(b, h.Name)/by, 1e-4) // capacities are rounded down to millionths
 		}
 	})
@@ -127,7 +127,7 @@
 	return v
 }
 
-func TestSolveLocally_EqualsLinearPrograms(t *testing.T) {
+func TestSolveLocally_GivesSameSharesAsLinearPrograms(t *testing.T) {
 	solvedLocally := 0
 	rapid.Check(t, func(t *rapid.T) {
 		m := drawModel(t)
--- a/plan/publisher.go
+++ b/plan/publisher.go
@@ -32,7 +32,7 @@
 // Update is the result of Publisher.Update.
 type Update struct {
 	Published  *Published // nil if the last version stays in force
-	Changed    int        // number of weights that differ from the last version
+	Changed    int        // number of changed weights and cross-zone shares; for the first version, the number of zones
 	Recomputed bool       // whether all weights were recomputed rather than carried over
 	Reason     string
 	Infeasible *Infeasibility // nil if all demand is served
--- a/plan/publisher_test.go
+++ b/plan/publisher_test.go
@@ -58,7 +58,7 @@
 	require.Equal(t, uint64(200_000_000), o.Published.ByZone["north"].CrossZoneShare)
 }
 
-func TestPublisher_DelaysRecomputationForSmallImprovement(t *testing.T) {
+func TestPublisher_RecomputesOnlyAfterRecomputeDelayOutsideTolerance(t *testing.T) {
 	m := singleClassModel(map[string]float64{"north": 100, "south": 20}, hostsIn("north", 8, 1), hostsIn("south", 20, 1))
 	publisher := newPublisher()
 	_, err := publisher.Update(0, m)
--- a/plan/rollout.go
+++ b/plan/rollout.go
@@ -9,8 +9,8 @@
 	"time"
 )
 
-// hostsAt returns the hosts at a time, the stage of the release, counted from 0, and the canary build, which is 0 if there
-// is none.
+// hostsAt returns the hosts, the stage of the release and the canary build at a time. Stages are counted from 0; before the
+// first stage and without a release, stage is 0 too. canary is 0 if no build is a canary.
 func (m *Model) hostsAt(at time.Duration) (hosts []Host, stage, canary int) {
 	r := m.Release
 	if r == nil {
--- a/plan/search_test.go
+++ b/plan/search_test.go
@@ -29,13 +29,13 @@
 	shadowCap    int   // shadow requests, in percent of a zone's requests
 }
 
-// searchResult is the result of the search: the largest number of requests that can be served and the least cross-zone
-// traffic that this needs, found by trying every assignment of requests to hosts; the utilizations of all hosts, found by
-// trying every set of demands that could be the tightest; and the shadow requests.
+// searchResult is the result of the search. served is the largest number of requests that can be served, crossZone the least
+// cross-zone traffic that this needs. Both are found by trying every assignment of requests to hosts. utilizations are those
+// of the hosts, found by trying every set of demands; they are nil if some demand can't be served.
 type searchResult struct {
 	served, crossZone int
 	utilizations      []*big.Rat
-	shadows           []*big.Rat // by zone
+	shadows           []*big.Rat // shadow requests by zone
 }
 
 func (c exhaustiveCase) search() searchResult {
@@ -70,8 +70,9 @@
 	return c.capacity[h]
 }
 
-// assign tries every assignment of requests to hosts. A request of a zone goes to any host that can serve it, or to none. The
-// state is the number of requests of each host, in four bits each, and maps to the least cross-zone traffic that leads to it.
+// assign tries every assignment of requests to hosts. A request of a zone goes to any host that can serve it, or to none. A
+// state is the number of requests of each host, in four bits each. states maps it to the least cross-zone traffic with which
+// it can be reached.
 func (c exhaustiveCase) assign() searchResult {
 	const leftAt, crossedAt = 32, 36
 	states := map[uint64]int8{0: 0}
@@ -328,8 +329,8 @@
 	return all, ""
 }
 
-// drawCase draws a case of the grid: weights from 1 to 4 (sometimes 12), with or without rate bounds, up to three zones,
-// some of them without hosts, canary builds, limits on cross-zone traffic and shadow caps.
+// drawCase draws a random case: weights from 1 to 4 (sometimes 12), with or without rate bounds, up to three zones, some of
+// them without hosts, canary builds, limits on cross-zone traffic and shadow caps.
 func drawCase(r *rand.Rand) exhaustiveCase {
 	n := 1 + r.IntN(8)
 	zones := 1 + r.IntN(3)
@@ -351,13 +352,13 @@
 	}
 	for range zones {
 		n := r.IntN(9)
-		c.demand = append(c.demand, n-n%map[int]int{0: 1, 25: 4, 50: 2, 100: 1}[c.maxCrossZone]) // the limit is a whole number
+		c.demand = append(c.demand, n-n%map[int]int{0: 1, 25: 4, 50: 2, 100: 1}[c.maxCrossZone]) // the cross-zone limit is a whole number
 	}
 	return c
 }
 
-// TestSolve_EqualsExhaustiveSearchInSmallCases compares random cases of the grid. PLAN_CASES sets their number and makes the
-// seed depend on the time (docs/plan.md).
+// TestSolve_EqualsExhaustiveSearchInSmallCases compares the solver and the search in random cases. PLAN_CASES sets their
+// number and makes the seed depend on the time (docs/plan.md).
 func TestSolve_EqualsExhaustiveSearchInSmallCases(t *testing.T) {
 	n, seed := 2000, uint64(1)
 	if v, err := strconv.Atoi(os.Getenv("PLAN_CASES")); err == nil {
--- a/plan/shadow.go
+++ b/plan/shadow.go
@@ -53,7 +53,7 @@
 	return t
 }
 
-// shadowCapacity returns the rate at which pools can serve requests with perRequest work each.
+// shadowCapacity returns the rate at which pools can serve requests. perRequest is the work of one request.
 func shadowCapacity(pools []pool, perRequest *big.Rat) *big.Rat {
 	sum := new(big.Rat)
 	for _, x := range pools {
--- a/plan/shares.go
+++ b/plan/shares.go
@@ -40,7 +40,7 @@
 	return v
 }
 
-// CrossZoneRate returns the rate of a zone's requests that go to other zones, in requests per second. The zone "" stands for
+// CrossZoneRate returns the rate of a zone's requests that go to other zones, in requests per second. The zone "" means
 // all zones.
 func (s *Step) CrossZoneRate(zone string) float64 {
 	sum := new(big.Rat)
@@ -55,8 +55,8 @@
 	return v
 }
 
-// Utilization returns the planned work of a zone's hosts divided by their capacity without the reserve. The zone "" stands
-// for all zones.
+// Utilization returns the planned work of a zone's hosts divided by their capacity without the reserve. The zone "" means
+// all zones.
 func (s *Step) Utilization(zone string) float64 {
 	sum, capacity := new(big.Rat), int64(0)
 	for p, x := range s.pools {
@@ -81,7 +81,7 @@
 	Hosts       int
 	WarmingUp   bool    // at least one host is warming up
 	Capacity    float64 // seconds of work per second, without the reserve
-	MaxRate     float64 // requests per second; -1 for no bound
+	MaxRate     float64 // requests per second; -1 means no bound
 	Rate        float64 // requests per second
 	Utilization float64 // share of Capacity
 	exact       *big.Rat
--- a/plan/simplex.go
+++ b/plan/simplex.go
@@ -9,7 +9,8 @@
 // the result depends only on the order of rows and columns, not on the scale of the figures.
 //
 // A row is a sum of columns with an upper bound of 0 or more. If the row has a remainder column, which is in no other row,
-// the sum equals the bound. Therefore, the solution with all other columns at 0 is feasible and is the starting point.
+// the sum equals the bound. Otherwise a slack column takes the difference. Therefore, the solution in which all columns
+// except the remainder and slack columns are 0 is feasible. It is the starting point.
 //
 // Goals are met one after the other (lexicographic programming). Once a goal is met, the columns that would worsen it are
 // excluded from the basis permanently, so that later goals can't change the value of earlier ones.
@@ -219,6 +220,6 @@
 	return new(big.Rat).SetFrac(s.rows[s.rowOf[column]][s.columns], s.denominator)
 }
 
-// isTight reports whether a row's bound is reached in every solution that meets all goals so far. It is false where this
+// isTight reports whether a row's bound is reached in every solution that meets all goals so far. It reports false if this
 // does not follow from the excluded columns.
 func (s *simplex) isTight(row int) bool { return s.excluded[s.slack[row]] }
--- a/plan/simplex_test.go
+++ b/plan/simplex_test.go
@@ -8,8 +8,9 @@
 	"github.com/stretchr/testify/require"
 )
 
-// bestCorner returns the least values of two goals, optimized one after the other, over all corners of the set given by rows
-// sum <= bound and columns of 0 or more. It computes a corner for each choice of as many tight bounds as there are columns.
+// bestCorner returns the least values of two goals, optimized one after the other, over all corners of the feasible set, in
+// which each row's sum is at most its bound and each column is 0 or more. It computes a corner for each choice of as many
+// tight bounds as there are columns.
 func bestCorner(rows [][]int64, bounds []int64, first, second []int64) (a, b *big.Rat) {
 	n := len(first)
 	all := append([][]int64{}, rows...)
@@ -52,7 +53,7 @@
 	return a, b
 }
 
-// intersection returns the point at which all rows are tight; nil if there is not exactly one.
+// intersection returns the point at which the rows with the given indices are tight; nil if there is not exactly one.
 func intersection(rows [][]int64, right []int64, some []int) []*big.Rat {
 	n := len(some)
 	m := make([][]*big.Rat, n)
@@ -100,7 +101,7 @@
 			}
 			rows, bounds = append(rows, row), append(bounds, int64(r.IntN(6)))
 		}
-		all := make([]int64, n) // bounds every goal
+		all := make([]int64, n) // this row bounds every goal
 		first, second := make([]int64, n), make([]int64, n)
 		for j := range n {
 			all[j], first[j], second[j] = 1, int64(r.IntN(7)-3), int64(r.IntN(7)-3)
--- a/plan/solve.go
+++ b/plan/solve.go
@@ -33,13 +33,13 @@
 
 // poolMember is a host's membership in a pool.
 type poolMember struct {
-	pool     int // index into pools or canaryPools
-	work     int64
-	isCanary bool // the pool is one of canaryPools
+	pool     int   // index into pools or canaryPools
+	work     int64 // the host's capacity
+	isCanary bool  // the pool is one of canaryPools
 }
 
 // Solve computes a plan with a step for each step of the forecast. It fails for an invalid model. It is not an error if a
-// step can't keep all limits: the step then has Infeasible set.
+// step can't serve all demand within the limits: the step then has Infeasible set.
 func Solve(m *Model) (*Plan, error) {
 	if err := m.Validate(); err != nil {
 		return nil, err
@@ -120,8 +120,8 @@
 // minimizeUnserved computes shares that serve as much demand as possible, without the other goals.
 func (s *Step) minimizeUnserved() { s.minimizeUnservedUnder(everyConstraint) }
 
-// minimizeUnservedUnder is minimizeUnserved with only the constraints that keep selects. If each zone can serve its own
-// demand, all constraints are met and keep is not used.
+// minimizeUnservedUnder is minimizeUnserved with only the constraints for which keep returns true. If each zone can serve
+// its own demand, all constraints are met and keep is not used.
 func (s *Step) minimizeUnservedUnder(keep func(constraint) bool) {
 	if s.solveLocally() {
 		return
--- a/plan/stages.go
+++ b/plan/stages.go
@@ -11,7 +11,7 @@
 	PlannedRate  float64 // the part of AllowedRate that the stage's hosts could serve
 }
 
-// Feasible reports whether the stage leaves all demand served.
+// Feasible reports whether all demand could be served during the stage.
 func (f StageFeasibility) Feasible() bool { return f.UnservedRate == 0 }
 
 // CheckStages checks the feasibility of every stage of the release in every step. It returns nil if there is no release.
--- a/plan/validate.go
+++ b/plan/validate.go
@@ -7,7 +7,8 @@
 
 // Bounds on the figures of a model.
 const (
-	// maxValue is the largest figure, in its own unit. With this bound, sums over 100,000 hosts fit into 63 bits.
+	// maxValue is the largest value of a figure, in the figure's unit. With this bound, sums over 100,000 hosts fit into 63
+	// bits.
 	maxValue     = 1e7
 	minValue     = 1e-6 // smallest value of figures that must be above 0
 	maxWork      = 1e4  // seconds
--- a/plan/weights.go
+++ b/plan/weights.go
@@ -23,7 +23,7 @@
 type Published struct {
 	Version uint64             `json:"version"`
 	Stage   int                `json:"stage"` // stage of the release, from 0
-	Build   int                `json:"build"` // the canary build; 0 for none
+	Build   int                `json:"build"` // the canary build; 0 if there is none
 	ByZone  map[string]Weights `json:"for"`   // by zone
 	Until   time.Duration      `json:"-"`     // when the version expires, on the publisher's clock
 }
@@ -62,8 +62,8 @@
 	return w
 }
 
-// setWeights sets the weight of each host of the pools that include selects: the host's capacity times the utilization of
-// its pool by this demand, relative to the largest such utilization.
+// setWeights sets the weight of each host of the pools for which include returns true: the host's capacity times the
+// utilization of its pool by this demand, relative to the largest such utilization.
 func (s *Step) setWeights(g int, weights map[string]uint64, include func(pool) bool) {
 	largest := new(big.Rat)
 	utilization := make([]*big.Rat, len(s.pools))
--- a/plan/what_if.go
+++ b/plan/what_if.go
@@ -71,7 +71,7 @@
 	return nil
 }
 
-// scaleDemand multiplies the demand of a zone by a factor of the form xN. The zone "" stands for all zones.
+// scaleDemand multiplies the demand of a zone by a factor of the form xN. The zone "" means all zones.
 func (m *Model) scaleDemand(text, zone string) error {
 	const maxFactor = 1000
 	var factor float64
