--- a/internal/planreport/plot.go
+++ b/internal/planreport/plot.go
@@ -83,7 +83,7 @@
 
 // stepPlot returns a plot with one line per name over the steps.
 func stepPlot(title, unit string, p *plan.Plan, names []string, value func(name string, step int) float64) (*plot.Plot, error) {
-	const legendSpace = 1.25 // times the largest value
+	const legendSpace = 1.25 // upper end of the Y axis as a multiple of the largest value; the legend is above the lines
 	g := plot.New()
 	g.Title.Text, g.Y.Label.Text, g.X.Label.Text = title, unit, "hours from the plan's start"
 	g.Legend.Top = true
