--- a/internal/inifile/file.go
+++ b/internal/inifile/file.go
@@ -49,7 +49,7 @@
 	return f
 }
 
-// Parse reads the text of a file. The name file is used in errors only.
+// Parse reads the text of a file. The parameter file is the name that errors give to it.
 func Parse(file, text string) *File {
 	f := &File{name: file, lines: map[position]int{}, requested: map[position]bool{}}
 	lines := strings.Split(text, "\n")
@@ -85,8 +85,8 @@
 	return line
 }
 
-// parseHeader parses a section header and sets section. It returns the header in normalized form, or "" if it is malformed.
-// A second header of the same section is reported as a mistake and continues the section.
+// parseHeader parses a section header and stores its name in section. It returns the header in normalized form, or "" if it
+// is malformed. A second header of the same section is reported as a mistake and continues the section.
 func (f *File) parseHeader(line string, number int, section *string) string {
 	if !strings.HasSuffix(line, "]") {
 		f.addError(number, "[section] expected, not %q", line)
@@ -151,8 +151,8 @@
 	return Section{f, name}
 }
 
-// Sections returns the sections whose names start with kind and a space, in the order of the file, and the rest of their
-// names.
+// Sections returns the sections of a kind, in the order of the file: those with a header of the form [KIND NAME]. names has
+// the NAME of each.
 func (f *File) Sections(kind string) (sections []Section, names []string) {
 	for _, section := range f.sections {
 		if name, ok := strings.CutPrefix(section, kind+" "); ok {
