--- a/policy/admission.go
+++ b/policy/admission.go
@@ -7,22 +7,22 @@
 	completed [2]completedWork
 }
 
-// completedWork is the work that a locality completed recently. Its sums are computed once for each point in time.
+// completedWork is the work that a locality completed recently. Its sums are cached until the router's time advances.
 type completedWork struct {
 	responses responseCounter
 
 	computedAt Time
-	span       Time    // period in which the work was completed
-	work       float64 // sum of the usual latencies of the responses in the span; at least one request's usual latency
-	slowdown   float64 // ratio of actual to usual latencies; infinite if there are too few responses
+	span       Time    // length of the period in which the work was completed
+	work       float64 // sum of the usual latencies of the responses in the span; at least the usual latency of the slowest class
+	slowdown   float64 // ratio of actual to usual latencies over the last two seconds; infinite if there are too few responses
 }
 
 // responseCounter keeps the last successes of a locality, with running sums over those in a window. The sums are
 // integers, so that the order of additions doesn't matter.
 type responseCounter struct {
 	responses             []countedResponse
-	windowStart           int // index of the first response in the window
-	usualLatency, latency Time
+	windowStart           int  // index of the first response in the window
+	usualLatency, latency Time // sums over the responses in the window
 }
 
 // countedResponse is one success; sequence is its number among all ended attempts.
@@ -36,8 +36,8 @@
 	c.usualLatency, c.latency = c.usualLatency+response.usualLatency, c.latency+response.latency
 }
 
-// advance moves the start of the window to the time from. It drops responses that ended before the time oldest or whose
-// sequence number is lower than firstKept, and returns the number of responses in the window.
+// advance moves the start of the window forward to the time in its first argument. It drops responses that ended before
+// oldest or whose sequence number is lower than firstKept. It returns the number of responses in the window.
 func (c *responseCounter) advance(from, oldest Time, firstKept int) int {
 	shrink := func() {
 		leaving := &c.responses[c.windowStart]
@@ -60,8 +60,8 @@
 	return len(c.responses) - c.windowStart
 }
 
-// recentWork is the work that a locality completed in the last two seconds. If they hold too few responses, the span
-// grows until it holds enough, up to eight seconds.
+// recentWork is the work that a locality completed in the last two seconds. If too few responses ended in that time,
+// the span is extended until it includes enough, up to eight seconds.
 func (r *Router) recentWork(at locality) *completedWork {
 	const short, long = 2 * Second, 8 * Second
 	const minResponses, minForSlowdown = 20, 5
@@ -120,17 +120,17 @@
 
 // Constants of the expected slowdown of a locality or a class.
 const (
-	chanceDeviations = 0.5 // standard deviations of the number of attempts in flight that are attributed to chance
-	maxSlowdownRatio = 3.0 // upper limit, as a multiple of the slowdown of responses: this router can't tell that a host hangs
+	chanceDeviations = 0.5 // standard deviations that are deducted from the number of attempts in flight, because it varies by chance
+	maxSlowdownRatio = 3.0 // upper limit, as a multiple of the slowdown of responses: one of many routers can't detect hung hosts, where attempts stay in flight
 )
 
-// expectedSlowdown is how many times longer than usual the hosts of a locality are expected to take to answer: the
+// expectedSlowdown is how many times longer than usual the hosts of a locality are expected to take to respond: the
 // attempts in flight at healthy hosts, divided by the rate at which work was completed. It falls as these attempts
-// complete. It is 0 while this router has fewer attempts in flight than its share of the hosts, so that hosts are never
-// left idle. One of many routers has few attempts in flight, and their number varies by chance, so it uses the mean over
-// the time of several responses.
+// complete. It is 0 while the attempts in flight of all routers, extrapolated from those of this router, are at most
+// one per host, so that no host is left idle. One of many routers has few attempts in flight, and their number varies
+// by chance, so such a router uses the mean over the time in which several responses arrive.
 func (r *Router) expectedSlowdown(at locality) float64 {
-	const responses, longest = 10, Second // the mean covers the time of this many responses, up to the longest span
+	const responses, longest = 10, Second // the mean covers the time in which this many responses arrive, up to the longest span
 	const routersThatSeeAll = 4           // in a fleet of up to this many routers, each sees enough attempts at any time
 	completed := r.recentWork(at)
 	slowdown := completed.slowdown
@@ -146,11 +146,11 @@
 	return min(inFlight*float64(completed.span)/completed.work, maxSlowdownRatio*slowdown)
 }
 
-// expectedClassSlowdown is the expected slowdown of one class, from what this router and its peers observe together: one
-// of hundreds of routers has at most one attempt in flight, and a class that is slow at all hosts for a reason of its own
-// is no overload of the other classes.
+// expectedClassSlowdown is the expected slowdown of one class, from what this router and its peers observe together,
+// because one of hundreds of routers has at most one attempt in flight. Each class has its own slowdown, because a
+// class that is slow at all hosts for a reason of its own does not mean that the other classes are overloaded.
 func (r *Router) expectedClassSlowdown(class *Class) float64 {
-	const usualResponses = 10 // responses of usual latency that are added to the observed ones
+	const usualResponses = 10 // assumed responses of usual latency that are added to the observed ones
 	inFlight, hosts := 0.0, float64(r.snapshot().healthy[localZone]+r.snapshot().healthy[remoteZones])
 	r.countInFlight()
 	for _, other := range r.classes {
@@ -167,8 +167,8 @@
 	return min((inFlight*float64(decayTime)+usual)/work, maxSlowdownRatio*latency/work)
 }
 
-// leastExpectedSlowdown is the expected slowdown of the class where there is gossip, otherwise that of the less busy
-// locality of those with healthy hosts.
+// leastExpectedSlowdown is the expected slowdown of the class if gossip is enabled. Otherwise it is the lower one of
+// the expected slowdowns of the localities that have healthy hosts.
 func (r *Router) leastExpectedSlowdown(class *Class) float64 {
 	if r.limits.MaxGossipBytes > 0 {
 		return r.expectedClassSlowdown(class)
@@ -184,10 +184,10 @@
 }
 
 // shedsLoad reports whether to reject a request early because hosts in the locality of the chosen host are expected to
-// answer it too late. Where gossip gives all routers the same view, requests around the limit are rejected at random,
-// because not all routers should reject theirs at once.
+// respond too late. With gossip, all routers have the same view, so requests near the limit are rejected at random:
+// otherwise all routers would start to reject requests at once.
 func (r *Router) shedsLoad(request *Request, host *Host) bool {
-	const rejectFirstAt, rejectAllAt = 0.4, 0.8 // expected latency at which the first and all requests are rejected, over the limit
+	const rejectFirstAt, rejectAllAt = 0.4, 0.8 // ratios of the expected latency to the limit at which the first requests and all requests are rejected
 	class := request.Class
 	limit := r.latencyLimit(request)
 	if r.limits.MaxGossipBytes == 0 {
@@ -198,13 +198,13 @@
 }
 
 // latencyLimit is the expected latency beyond which a request is rejected. It is a share of the request's latency
-// objective or timeout, whichever is shorter. The share is lower for a class whose priority is low relative to its usual
-// latency and for a tenant beyond its quota, and it falls as more of the last responses were late.
+// objective or timeout, whichever is shorter. The share is lower for a class whose priority is low relative to its
+// usual latency and for a tenant beyond its quota, and it falls with the share of late attempts among the last ones.
 func (r *Router) latencyLimit(request *Request) float64 {
 	const highPriority, lowPriority = 1.0, 0.8 // shares of the objective or timeout; the tail of latencies is longer than their mean
 	const overQuota = 0.5
 	const quotaWindow, burst = 2 * Second, 1.2 // window in which a tenant's requests are counted; allowed multiple of the quota
-	const lastEnded, minOnTime = 30, 0.4       // number of ended attempts considered; least share that the limit keeps
+	const lastEnded, minOnTime = 30, 0.4       // number of ended attempts considered; lowest factor that late attempts apply to the limit
 	class, limit, ranksHigher := request.Class, highPriority, 0
 	for _, other := range r.classes {
 		if other.PriorityWeight*float64(class.usualLatency) > class.PriorityWeight*float64(other.usualLatency) {
@@ -222,10 +222,11 @@
 	return limit * float64(min(class.LatencyObjective, request.Timeout))
 }
 
-// lateShare is the share of late attempts among the last that ended. Where there is gossip, it counts only attempts of
-// the class and adds some that were on time, because one of hundreds of routers sees few attempts of a class.
+// lateShare is the share of late attempts among the given number of most recently ended attempts. With gossip, it
+// counts only the attempts of the class among them and adds some assumed attempts that were on time, because one of
+// hundreds of routers sees few attempts of a class.
 func (r *Router) lateShare(class *Class, last int) float64 {
-	const attemptsPerOnTime = 3 // one on-time attempt is added for this many of the last attempts
+	const attemptsPerOnTime = 3 // one assumed on-time attempt is added for this many of the last attempts
 	if r.limits.MaxGossipBytes == 0 {
 		return r.traffic.endedShare(last, func(event trafficEvent) bool { return event.late })
 	}
--- a/policy/admission_test.go
+++ b/policy/admission_test.go
@@ -23,7 +23,7 @@
 func TestAdmission_RejectsEarlyUnderOverloadAndAdmitsOnceIdle(t *testing.T) {
 	f, _ := newFakeFleet(t, nil)
 	f.serve(60, f.quote, succeeds)
-	for range 400 { // no attempt is answered any longer
+	for range 400 { // hosts no longer respond
 		f.arrive(f.quote)
 		f.advance(Second / 100)
 	}
@@ -69,9 +69,9 @@
 	}
 }
 
-// The router gives a final response while it handles the event that leads to it; a rejection carries a Retry-After if that
-// is allowed.
-func TestRouter_GivesFinalAnswerBeforeCallReturns(t *testing.T) {
+// The router gives a final response before the method for the event that causes it returns. A rejection has a
+// retry-after time if the limits allow one.
+func TestRouter_GivesFinalResponseBeforeMethodReturns(t *testing.T) {
 	f, endpoints := newGossipingFleet(t, func(config *Config) { config.Limits.MaxRetryAfter = 2 * Second })
 	for i := range endpoints {
 		endpoints[i].State = Removed
--- a/policy/analysis.go
+++ b/policy/analysis.go
@@ -7,7 +7,7 @@
 	"gonum.org/v1/gonum/stat"
 )
 
-// Minimum numbers of entries that are retained.
+// Minimum numbers of build windows and of complaints that are retained.
 const (
 	keptBuilds     = 4
 	keptComplaints = 240 // per build
@@ -118,8 +118,9 @@
 	e.sum, e.weights, e.testOdds = e.sum+weight*meanOdds, e.weights+weight, append(e.testOdds, testOdds)
 }
 
-// comparison is the input of the tests: the release controller's reports on canary and baseline, and samples of both from
-// the same period, so that a fault that begins or ends meanwhile is evidence for neither build.
+// comparison is the input of the tests: the release controller's reports on canary and baseline, samples of both, and
+// the gaps that count as harm. Until the release, the samples of both are from the same period, so that a fault that
+// begins or ends during the comparison is attributed to neither build.
 type comparison struct {
 	canary, baseline               *buildWindow
 	canarySamples, baselineSamples []attemptSample
@@ -127,7 +128,8 @@
 	gaps                           gapSizes
 }
 
-// gapSizes are the differences between canary and baseline that count as harm.
+// gapSizes are the differences between canary and baseline that count as harm, and the variance of latency to allow
+// for.
 type gapSizes struct {
 	smallFailureGap, largeFailureGap float64 // in the failure rate over all classes
 	classFailureGap                  float64 // in the failure rate of one class
@@ -154,7 +156,7 @@
 	}
 	c.gaps = canaryGaps
 	c.canarySamples, c.baselineSamples = c.canary.since(c.baseline.start()), c.baseline.since(c.canary.start())
-	if r.release.status.Phase == Released { // compares all retained samples of the baseline with the newest of the canary
+	if r.release.status.Phase == Released { // compares all retained samples of the baseline with the newest samples of the canary
 		c.gaps = releasedGaps
 		c.canarySamples, c.baselineSamples = c.canary.since(r.now-releasedWindow), c.baseline.samples
 	}
@@ -162,10 +164,10 @@
 	return c, true
 }
 
-// evidence returns the odds that the newest build is bad. It compares shadow attempts with attempts at the build before it:
-// by failures over all classes and of each class, by latency, by a surge of the fleet's latency and by complaints. mean is
-// the weighted mean of the tests, which must be high for a vote to roll back. testOdds are the odds of each test, all of
-// which must be low enough for a release.
+// evidence returns the odds that the newest build is bad. It compares shadow attempts with attempts at the build before
+// it: by failures over all classes and of each class, by latency, by a surge of the fleet's latency and by complaints.
+// mean is the weighted mean of the tests' odds, which must be high for a vote to roll back. testOdds are the odds of
+// each test, all of which must be low enough for a release.
 func (r *Router) evidence() (mean float64, testOdds []float64) {
 	c, ok := r.compareBuilds()
 	if !ok {
@@ -213,9 +215,10 @@
 	return testOdds
 }
 
-// failureStrata returns the canary's attempts of some classes as strata, and the number of hosts that failed, counted for
-// the class in which most did. Each class is compared with itself, because the mix of classes may change. Timeouts don't
-// count if the host was cold, if the client's timeout was shorter than the latency objective, or after a release.
+// failureStrata returns the canary's attempts of some classes as strata, and the number of canary hosts with failures
+// in the class that has the most such hosts. Each class is compared with itself, because the mix of classes may change.
+// Timeouts don't count if the host was cold, if the client's timeout was shorter than the latency objective, or after a
+// release.
 func (r *Router) failureStrata(c comparison, classes []*Class, excluded float64) (strata []stratum, hosts int) {
 	const minRate = 0.01 // failure rate to be expected of any build
 	for _, class := range classes {
@@ -226,8 +229,8 @@
 		classStrata, failing := strataByTime(c.canarySamples, c.baselineSamples, counts, excluded)
 		if r.judgesByStats() { // the statistics don't distinguish hosts; the router's own shadow attempts do
 			classStrata, failing = c.stats.strataByPeriod(class), failing+1
-			// A canary that takes most of the traffic leaves the baseline's hosts idle, so the baseline's failure rate from
-			// before the canary is the lower bound of the expected rate.
+			// A canary that gets most of the traffic leaves the baseline's hosts idle, so the baseline's failure rate
+			// from before the canary is the lower bound of the expected rate.
 			classStrata = withRateFloor(classStrata, r.failureRateBeforeCanary(c.baseline, class, minRate))
 		}
 		strata, hosts = append(strata, classStrata...), max(hosts, failing)
@@ -253,14 +256,14 @@
 	const hostDeviation, attemptVariance = 0.2, 0.8 // of the log slowdown, among hosts and among attempts
 	const slower = 0.6                              // log of 1.8, a slowdown that shows in a fleet at half its capacity
 	const logLimit = 6
-	const enough, few = 3, 1 // attempts at a host; few applies if no host has enough, as with a large number of hosts
+	const enough, few = 3, 1 // minimum numbers of attempts at a host; few applies if no host has enough, as with a large number of hosts
 	slowdowns, variance := hostLogSlowdowns(canary, hostDeviation, attemptVariance, enough, few)
 	usual, usualVariance := hostLogSlowdowns(baseline, hostDeviation, attemptVariance, enough, few)
 	hosts := len(slowdowns)
 	if r.judgesByStats() {
 		gap, offeredAt := c.stats.latencyGap(), r.release.offeredAt
 		toPast, n := r.analysis.logLatencyGapToPast(nil, c.baseline.build, r.release.status.Build, offeredAt, offeredAt)
-		if n > 0 { // a canary that takes most of the traffic leaves the baseline's hosts idle, so their past latency counts too
+		if n > 0 { // a canary that gets most of the traffic leaves the baseline's hosts idle, so their past latency counts too
 			gap.log = min(gap.log, toPast)
 		}
 		slowdowns, usual, hosts = []float64{gap.log}, []float64{0}, gap.canaryHosts
@@ -274,15 +277,15 @@
 	return boundByHosts(likelihoodRatio(gap, slower, variance+usualVariance+c.gaps.latencyVariance, logLimit), hosts)
 }
 
-// testSlowRelease gives infinite odds against a released build whose responses take far longer than before the release, if
-// this lasts and began soon after the release. Slowness that begins later has another cause.
+// testSlowRelease gives infinite odds against a released build whose responses take far longer than before the canary,
+// if the slowness lasts and began soon after the release. Slowness that begins later has another cause.
 func (r *Router) testSlowRelease(c comparison, sum *evidenceSum) {
 	const window = 3 * Second
 	const farSlower = 0.4     // log of the latency ratio
 	const statsMargin = 0.3   // added to farSlower for statistics
 	const ownDeviations = 0.5 // added to farSlower for own samples, divided by the square root of their number
 	const minSamples = 5
-	const minDuration, maxDelay = 8 * Second, 5 * Second // of the slowness, and of its begin after the release
+	const minDuration, maxDelay = 8 * Second, 5 * Second // how long the slowness must last, and how soon after the release it must begin
 	logs := c.canary.logLatencyRatiosSince(r.now-window, r.load.concurrencyCost)
 	n := float64(len(logs))
 	slower := stat.Mean(logs, nil) - ownDeviations/math.Sqrt(n)
@@ -315,9 +318,9 @@
 	sum.add(1, odds, odds)
 }
 
-// fleetComplaints returns the number of complaints about a build that all routers received, as failures, and the number of
-// attempts at it by the release controller's statistics. Because its reports arrive later than complaints, the number of
-// attempts is raised to at least that of the complaints.
+// fleetComplaints returns a stratum whose failures are the complaints about a build that all routers received. Its
+// attempts are those at the build, estimated from the release controller's statistics. Because the statistics arrive
+// later than complaints, the number of attempts is raised to at least the number of complaints.
 func (r *Router) fleetComplaints(window *buildWindow) stratum {
 	complaints := float64(r.gossip.complaints[window.build])
 	attempts := r.analysis.countedAttempts(window.build) / max(0.01, r.release.config.SampledShare)
--- a/policy/attempt.go
+++ b/policy/attempt.go
@@ -28,12 +28,13 @@
 	sentAt          Time
 	build           int     // build that the host ran when the attempt started
 	hostStartedAt   Time    // start of the host process that the attempt was sent to
-	hostLoad        float64 // requests in flight at the host when the attempt started, as estimated
+	hostLoad        float64 // estimated number of requests in flight at the host when the attempt started
 	shadowTimeout   Time    // timeout of a shadow attempt that is sent before its primary attempt
 	responseStarted bool
 }
 
-// IsShadow reports whether the attempt was made to judge the canary, alongside the primary attempt or before it.
+// IsShadow reports whether the attempt was sent alongside the primary attempt or before it, to judge the canary or to
+// detect that an ejected host has recovered.
 func (a *Attempt) IsShadow() bool { return a.role == shadowAttempt || a.role == shadowFirstAttempt }
 
 type attemptRole int
@@ -41,7 +42,7 @@
 const (
 	primaryAttempt     attemptRole = iota
 	shadowAttempt                  // at the canary, alongside the primary attempt
-	shadowFirstAttempt             // before the primary attempt, if two at once are not allowed or the class is not idempotent
+	shadowFirstAttempt             // before the primary attempt: at an ejected host, or at the canary if shadowAttempt is not allowed
 	retryAttempt                   // a retry or a hedged attempt
 )
 
@@ -58,7 +59,7 @@
 	case r.limits.AllowHedging && role != shadowAttempt:
 		r.effects.SetTimer(slowAfter, &Timer{attempt: attempt})
 	case r.limits.AllowHedging || len(request.Attempts) >= r.limits.MaxAttempts:
-	case role == shadowFirstAttempt: // leaves time for the primary attempt; a cold host is slow and gets longer
+	case role == shadowFirstAttempt: // leaves time for the primary attempt; a cold host is slow and gets a longer timeout
 		timeout = attempt.shadowTimeout
 	case request.arrivedAt+class.LatencyObjective-r.now-class.usualLatency > slowAfter && r.retryBudgetAllows(class):
 		timeout = min(timeout, slowAfter)
@@ -66,7 +67,8 @@
 	r.effects.Send(attempt, timeout)
 }
 
-// slowAfter is the age at which an attempt counts as slow: longer than 19 in 20 successes took, with some slack.
+// slowAfter is the age at which an attempt counts as slow: longer than 19 in 20 of the last successes took, with some
+// slack.
 func (c *Class) slowAfter() Time {
 	const minLatencies, tail = 40, 0.05 // fewer latencies don't show the tail of their distribution
 	slowest := c.LatencyObjective / 2
--- a/policy/balancing.go
+++ b/policy/balancing.go
@@ -7,14 +7,14 @@
 	"gonum.org/v1/gonum/stat"
 )
 
-// keptLoadReports is the number of recent load reports that give the usual load of a host.
+// keptLoadReports is the number of recent load reports whose mean is the usual load of a host.
 const keptLoadReports = 64
 
 // loadEstimate is what is known about the requests in flight at hosts and the latency that they add.
 type loadEstimate struct {
-	reported        []float64       // requests in flight that hosts last reported
+	reported        []float64       // requests in flight at a host, from the last load reports of all hosts
 	counted         float64         // mean requests in flight at a host, from the release controller's last statistics
-	concurrencyCost float64         // share that each request in flight at a host adds to the latency of the next one
+	concurrencyCost float64         // fraction by which each request in flight at a host increases the latency of the next one
 	baselineSamples []attemptSample // last successes at the baseline
 }
 
@@ -32,7 +32,7 @@
 // WeightPlan is a plan of weights that was computed ahead of time. It is a hint: the router's own observations take
 // precedence.
 type WeightPlan struct {
-	Weights        map[*Host]float64 // of the hosts in a locality, all in the same unit
+	Weights        map[*Host]float64 // weight of each host within its locality; all weights have the same unit
 	CrossZoneShare float64           // share of the requests that are sent to another zone first
 	Until          Time              // the plan is not followed from this time on
 }
@@ -84,7 +84,8 @@
 }
 
 // hostSlowdown is how many times longer than usual a host's last attempts took, given its load. An attempt in flight
-// counts with its age once that is unusual. Attempts of usual latency are added, because a few attempts prove little.
+// counts with its age once that is unusual. Assumed attempts of usual latency are added, so that a few slow attempts
+// have little effect.
 func (r *Router) hostSlowdown(host *Host) float64 {
 	const usualAttempts, forgetAfter = 8.0, 10 * Second
 	const unusual = 2.0 // multiple of the usual latency
@@ -108,9 +109,9 @@
 // spare cores.
 func (r *Router) fitConcurrencyCost() {
 	const minSamples = 40     // fewer samples don't determine a line
-	const slowdownLimit = 6.0 // a single very long attempt says little
+	const slowdownLimit = 6.0 // a single very long attempt is little evidence
 	const minCost, maxCost = 0.02, 1.5
-	const minUsual = 0.1 // least slowdown that is assumed for an idle host
+	const minUsual = 0.1 // lowest slowdown that is assumed for an idle host
 	if len(r.load.baselineSamples) < minSamples {
 		return
 	}
@@ -124,7 +125,8 @@
 	}
 }
 
-// pickHost draws a matching host in each locality and chooses between the two; it returns nil if there is none.
+// pickHost draws an eligible host that matches in each locality and chooses between the two. It returns nil if there is
+// none.
 func (r *Router) pickHost(request *Request, matches func(*Host) bool) *Host {
 	local, remote := r.splitByLocality(func(host *Host) bool { return matches(host) && r.isEligible(request, host) })
 	if r.mergesZones() {
@@ -137,13 +139,14 @@
 	return r.chooseLocality(request, localBest, remoteBest)
 }
 
-// chooseLocality picks the host in another zone in two cases: the latency objective is so much more likely to be met
-// there that this is worth half the cost of crossing on average (a miss costs more than its request's value), or the plan
-// crosses and a miss is not much more likely there. Either host may be nil.
+// chooseLocality chooses between a local host and a host in another zone; either may be nil. It picks the remote host
+// if the latency objective is more likely to be met there by more than a threshold, or if the plan sends the request to
+// another zone and a miss is not more likely there by more than the threshold. The threshold is half the cost of
+// crossing on average, because a miss costs more than its request's value.
 func (r *Router) chooseLocality(request *Request, local, remote *Host) *Host {
-	const lowestPercent, percents = 25, 50 // percentage of the cost, drawn from a band so that not all routers cross at once
+	const lowestPercent, percents = 25, 50 // lowest value and number of values of the percentage of the cost, drawn at random so that not all routers cross at once
 	if local != nil && r.crossesCheaply() {
-		return local // the zones are separate only while the path is degraded: attempts lost on it cost more than a wait
+		return local // if crossing is cheap, hosts are split by zone only while the path is degraded: attempts lost on it cost more than a wait
 	}
 	cost := r.limits.CrossZonePrice * float64(lowestPercent+r.random.intN(percents)) / 100
 	if local != nil && remote != nil && r.planCrosses() &&
@@ -157,8 +160,8 @@
 }
 
 // drawBest draws two hosts by weight and picks the less busy one. Most hosts of a large fleet were last observed long
-// ago, so some of the hosts that recently answered this router are drawn too. While connections are scarce, only these
-// are drawn.
+// ago, so some of the hosts that recently responded to this router are drawn too. While connections are scarce, only
+// these are drawn.
 func (r *Router) drawBest(from []*Host, scarce bool) (best *Host) {
 	const recentSpan = Second       // time for which a load report is informative
 	const choices, connected = 2, 3 // few draws, so that one host doesn't attract all routers
@@ -172,7 +175,7 @@
 	return best
 }
 
-// drawLessBusy draws the given number of hosts and returns the least busy one of these and best, which may be nil.
+// drawLessBusy draws the given number of hosts and returns the least busy one among them and best. best may be nil.
 func (r *Router) drawLessBusy(from []*Host, draws int, best *Host) *Host {
 	weights := r.drawWeights(from)
 	for range min(draws, len(from)) {
@@ -186,16 +189,16 @@
 // busyness is proportional to the expected latency at a host.
 func (r *Router) busyness(host *Host) float64 { return r.hostSlowdown(host) * (1 + r.hostLoad(host)) }
 
-// connectionsAreScarce reports whether more than a few attempts found no connection, as after failures of hosts that the
-// endpoint list has not reported, or where connections are limited.
+// connectionsAreScarce reports whether more than a few of the last attempts found no connection. This happens if hosts
+// have failed and the endpoint list has not reported it yet, or if the number of connections is limited.
 func (r *Router) connectionsAreScarce() bool {
 	const lastEnded, failedShare = 20, 0.2
 	return r.traffic.endedShare(lastEnded, func(event trafficEvent) bool { return event.outcome == ConnectFailed }) > failedShare
 }
 
 // isEligible reports whether a request may go to a host. It excludes hosts that the request has tried already, hosts
-// beyond their warm-up budget and hosts that are backing off. Once the request may have been executed, one with an
-// idempotency key stays among the hosts that would drop a repeat, and a non-idempotent one is not eligible anywhere.
+// beyond their warm-up budget and hosts that are backing off. Once the request may have been executed, a request with
+// an idempotency key may go only to hosts that would drop a repeat, and a non-idempotent request may go to no host.
 func (r *Router) isEligible(request *Request, host *Host) bool {
 	const margin = Second / 20 // deducted from the dedup window for the network delay to the host
 	if slices.ContainsFunc(request.Attempts, func(attempt *Attempt) bool { return attempt.Host == host }) ||
@@ -214,8 +217,8 @@
 }
 
 // pickBaseline picks a host for a request's primary attempt or a retry: of the newest baseline build, otherwise of any
-// baseline build, otherwise of any build within its exposure limit. A request with a sticky key stays with the build that
-// answered that key before, or a later one.
+// baseline build, otherwise of any build within its exposure limit. A request with a sticky key goes to the build that
+// served that key before, or to a later build.
 func (r *Router) pickBaseline(request *Request) *Host {
 	const newestOnly, anyBaseline, anyExposed = 0, 1, 2
 	stickyBuild, fleet, phase := 0, r.snapshot(), r.release.status.Phase
@@ -224,7 +227,7 @@
 	}
 	step, newest := newestOnly, fleet.newestBaseline
 	if 3*fleet.newestBaselineHosts < fleet.baselineHosts {
-		step = anyBaseline // too few hosts of the newest build are known to carry all requests, as while endpoint discovery is down
+		step = anyBaseline // the known hosts of the newest build can't serve all requests, for example while endpoint discovery is down
 	}
 	for ; step <= anyExposed; step++ {
 		if host := r.pickHost(request, func(host *Host) bool {
@@ -246,9 +249,9 @@
 	return r.drawWeighted(from, weights)
 }
 
-// drawWeights returns the capacities of the hosts, reduced by the slowdown that peers report: most routers meet a host
-// too seldom to observe it themselves. The reduction doesn't count when two drawn hosts are compared, because all routers
-// would then choose the same one at once. The slice is valid until the next call.
+// drawWeights returns the capacities of the hosts, reduced by the slowdown that peers report: most routers send a host
+// too few attempts to observe it themselves. The reduction doesn't count when two drawn hosts are compared, because all
+// routers would then choose the same one at once. The slice is valid until the next call.
 func (r *Router) drawWeights(from []*Host) []float64 {
 	const usualAttempts = 4
 	r.balancer.weights = r.balancer.weights[:0]
@@ -287,14 +290,15 @@
 	return from[len(from)-1]
 }
 
-// planCrosses draws whether the plan in force sends a request to another zone; it is false without a plan in force.
+// planCrosses decides at random whether the plan in force sends a request to another zone. It returns false if no plan
+// is in force.
 func (r *Router) planCrosses() bool {
 	plan := &r.balancer.plan
 	return plan.isActive(r.now) && plan.CrossZoneShare > 0 && float64(r.random.intN(drawResolution)) < plan.CrossZoneShare*drawResolution
 }
 
-// recentlyConnected returns the hosts to which a connection was up after the given time. The slice is valid until the next
-// call.
+// recentlyConnected returns the hosts at which an attempt over a connection ended after the given time. The slice is
+// valid until the next call.
 func (r *Router) recentlyConnected(all []*Host, from Time) []*Host {
 	some := r.balancer.connectedHosts[:0]
 	for _, host := range all {
--- a/policy/balancing_test.go
+++ b/policy/balancing_test.go
@@ -17,7 +17,7 @@
 		require.Same(t, f.localZone, attempt.Host.Zone) // nothing is worth the cost of crossing while local hosts are idle
 	}
 	var crosses bool
-	for range 60 { // local hosts no longer answer, remote hosts do
+	for range 60 { // local hosts no longer respond, remote hosts do
 		request := f.arrive(f.quote)
 		f.advance(Second / 50)
 		for _, attempt := range request.Attempts {
@@ -65,7 +65,7 @@
 	require.Less(t, refused, 100) // at random, two in three attempts would be refused
 }
 
-// The weights of the endpoint list determine the shares of hosts if nothing else is known.
+// The weights in the endpoint list determine each host's share of the attempts if nothing else is known.
 func TestPickHost_FollowsEndpointWeights(t *testing.T) {
 	f, endpoints := newGossipingFleet(t, nil)
 	for i := range endpoints[:6] {
--- a/policy/deadline.go
+++ b/policy/deadline.go
@@ -1,6 +1,7 @@
 package policy
 
-// TimeoutWithLag is the time that a router may spend on a request whose client waits for another timeout, while the
-// router handles due events up to lag late: both the request's last timer and the response sent on giving up would be
-// that late. It is 0 if nothing can be done in time; such a request is best rejected at once.
+// TimeoutWithLag is the time that a router may spend on a request whose client waits for the given timeout. The router
+// handles events up to lag after they are due, so the request's last timer, and thus the response that the router sends
+// when it gives up, may be that late. The result is 0 if nothing can be done in time; such a request is best rejected
+// at once.
 func TimeoutWithLag(timeout, lag Time) Time { return max(0, timeout-lag) }
--- a/policy/discovery.go
+++ b/policy/discovery.go
@@ -4,7 +4,7 @@
 
 // discoveryState is the state of polling the endpoint list.
 type discoveryState struct {
-	failedPolls int // consecutive
+	failedPolls int // number of consecutive failed polls
 	lastPollAt  Time
 }
 
@@ -19,12 +19,12 @@
 	StartedAt Time
 }
 
-// EndpointsChanged applies changes to the endpoint list. ok is false when a poll failed or a watch ended: the hosts stay
-// unchanged and the list is polled again after a backoff. The backoff is randomized and grows with each failure, because a
-// service with more callers than it can serve answers none of them in time. After an established watch ends, the first
-// backoff is short, so that the changes that the watch missed are applied in time.
+// EndpointsChanged applies changes to the endpoint list. ok is false when a poll failed or a watch ended: the hosts
+// stay unchanged and the list is polled again after a backoff. The backoff is randomized and grows with each failure,
+// because a service with more clients than it can serve responds to none of them in time. After an established watch
+// ends, the first backoff is short, so that the changes that the watch missed are applied in time.
 func (r *Router) EndpointsChanged(now Time, changes []EndpointUpdate, ok bool) {
-	const pollEndsWithin = 3 * Second // a failure that comes later is the end of a watch
+	const pollEndsWithin = 3 * Second // a failure later than this after the poll is the end of a watch
 	const firstBackoff = 3 * Second / 8
 	const doublingsPerFailure, maxDoublings = 2, 6
 	r.now = now
--- a/policy/discovery_test.go
+++ b/policy/discovery_test.go
@@ -90,8 +90,8 @@
 	}
 }
 
-// While discovery fails, hosts of earlier builds count as draining some time after a release, as the endpoint list would
-// report.
+// While discovery fails, hosts of earlier builds count as draining some time after a release, because the endpoint list
+// would report them as draining by then.
 func TestDiscovery_DrainsHostsOfEarlierBuildsAfterReleaseWhilePollsFail(t *testing.T) {
 	for name, test := range map[string]struct {
 		discoveryFails bool
--- a/policy/evidence.go
+++ b/policy/evidence.go
@@ -8,10 +8,11 @@
 // Attempts at the canary are compared with attempts at the baseline in the same time slot.
 const (
 	slotLength    = 2 * Second
-	priorAttempts = 5.0 // weight of all other slots in the estimate for one slot, in attempts
+	priorAttempts = 5.0 // weight of the mean over all slots in the estimate for one slot, in attempts
 )
 
-// stratum is the number of attempts of one class and time slot, how many of them failed, and the expected failure rate.
+// stratum holds the number of attempts of one class and time slot, the number of failures among them, and the expected
+// failure rate.
 type stratum struct{ failures, attempts, expectedRate float64 }
 
 func (s *stratum) add(sample attemptSample) {
@@ -33,9 +34,9 @@
 	return strata
 }
 
-// strataByTime groups the matching samples of the canary by the slot in which they were sent. The expected failure rate of a
-// slot is the baseline's failure rate in that slot. excluded is the share of the hosts, those with the most failures, that is
-// left out on each side. hosts is the number of remaining canary hosts with at least one failure.
+// strataByTime groups the matching samples of the canary by the slot in which they were sent. The expected failure rate
+// of a slot is the baseline's failure rate in that slot. excluded is the share of the hosts that is left out for each
+// build: those with the most failures. hosts is the number of remaining canary hosts with at least one failure.
 func strataByTime(
 	canary, baseline []attemptSample, matches func(attemptSample) bool, excluded float64,
 ) (strata []stratum, hosts int) {
@@ -65,7 +66,8 @@
 	return strata, hosts
 }
 
-// strataByPeriod groups the release controller's reports on a class in the same way, with one stratum per report period.
+// strataByPeriod groups the release controller's reports on a class as strataByTime groups samples, with one stratum
+// for each report period.
 func (p buildPair) strataByPeriod(class *Class) (strata []stratum) {
 	failures, attempts, _ := sumStats(p.baseline, class)
 	all := stratum{failures: 0.5 + failures, attempts: 1 + attempts}
@@ -82,9 +84,10 @@
 	return strata
 }
 
-// failureEvidence returns the odds that attempts fail more often than expected: the mean of the likelihood ratios for some
-// sizes of the gap. If attempts fail as expected, the probability that the ratio ever exceeds x is at most 1/x, however often
-// it is computed. A mean of such odds keeps this bound, so that repeated checks and several tests cause no false alarms.
+// failureEvidence returns the odds that attempts fail more often than expected: the mean of the likelihood ratios for
+// the given sizes of the gap. If attempts fail as expected, the probability that the ratio ever exceeds x is at most
+// 1/x, however often it is computed. A mean of such odds keeps this bound, so that repeated checks and several tests
+// cause no false alarms.
 func failureEvidence(strata []stratum, gaps ...float64) (mean float64) {
 	const logLimit = 50
 	for _, gap := range gaps {
@@ -170,9 +173,9 @@
 	}
 }
 
-// hostLogSlowdowns returns the mean log slowdown of each host and the variance of the mean over the hosts. hostDeviation is
-// the standard deviation among hosts, attemptVariance the variance among the attempts at a host. Only hosts with at least the
-// first number of minAttempts count; if there are none, those with at least the next number.
+// hostLogSlowdowns returns the mean log slowdown of each host and the variance of the mean over the hosts.
+// hostDeviation is the standard deviation among hosts, attemptVariance the variance among the attempts at a host. Only
+// hosts with at least minAttempts[0] attempts count; if there are none, those with at least minAttempts[1], and so on.
 func hostLogSlowdowns(
 	hosts []hostSummary, hostDeviation, attemptVariance float64, minAttempts ...float64,
 ) (logs []float64, variance float64) {
--- a/policy/exposure.go
+++ b/policy/exposure.go
@@ -25,8 +25,8 @@
 }
 
 // withinExposure reports whether one more attempt of the class at a build stays within the build's limit. Attempts are
-// counted over slightly more than the window and requests over slightly less. After a start, the router doesn't know what
-// an earlier process of this router sent, so nothing goes to a limited build until one window has passed.
+// counted over slightly more than the window and requests over slightly less. After a start, the router doesn't know
+// what an earlier process of this router sent, so it sends no attempt to a limited build until one window has passed.
 func (r *Router) withinExposure(build int, class *Class) bool {
 	const margin = Second / 20 // several ticks of any clock
 	config, limit := &r.release.config, r.release.exposureOf(build)
--- a/policy/exposure_test.go
+++ b/policy/exposure_test.go
@@ -32,7 +32,7 @@
 	require.Zero(t, f.canaryAttempts())
 }
 
-// If no baseline host is left, a request must not go to the canary twice.
+// Without baseline hosts, a request must not be sent to the canary twice.
 func TestDispatch_SendsOneCanaryAttemptWithoutBaselineHosts(t *testing.T) {
 	f, endpoints := newFakeFleet(t, nil)
 	f.router.ReleaseChanged(f.now, ReleaseStatus{Build: 2, Phase: Canary, ExposureCap: 0.1})
--- a/policy/gossip.go
+++ b/policy/gossip.go
@@ -7,13 +7,13 @@
 
 // gossipState is what peers reported that does not concern a single host or class.
 type gossipState struct {
-	localPeers  []int   // ranks of the peers in this zone that sent messages most recently
-	activePeers float64 // number of peers that sent messages recently, decayed
-	receivedAt  Time
+	localPeers  []int       // ranks of the peers in this zone that sent messages most recently
+	activePeers float64     // decayed number of summaries received, which estimates the number of peers that sent one recently
+	receivedAt  Time        // when the last summary was received
 	remotePath  healthStats // the path to other zones, as reported by peers in this zone
 
-	complaints       map[int]int // by build, received by all routers
-	unsentComplaints map[int]int // by build, received by this router and not sent yet
+	complaints       map[int]int // number of complaints by build, received by all routers
+	unsentComplaints map[int]int // number of complaints by build, received by this router and not sent to peers yet
 }
 
 // Weights of attempts that a peer reports, relative to this router's own attempts: firstHandWeight for attempts that the
@@ -57,9 +57,9 @@
 }
 
 // sendGossip sends this router's recent observations, and what peers reported on their own attempts, to a random peer,
-// usually one in this zone. A peer's report is passed on only once, so that it does not come back as new. Where each of
-// hundreds of routers uses a host once in ten seconds, only gossip lets them detect its failures before it has failed
-// attempts of all of them. Complaints are rare and are sent to all peers.
+// usually one in this zone. A peer's report is passed on only once, so that it does not come back as new. If each of
+// hundreds of routers sends a host one attempt in ten seconds, only gossip lets them detect that the host fails before
+// it has failed attempts of every router. Complaints are rare and are sent to all peers.
 func (r *Router) sendGossip() {
 	const reviewsPerMessage = 5
 	const localPerAnyPeer = 3 // one message in this many goes to a peer drawn from all peers
@@ -79,9 +79,9 @@
 	r.effects.Gossip(peer, summary.encode(r.limits.MaxGossipBytes))
 }
 
-// GossipReceived processes a message from the peer with the given rank. It adds no host to the endpoint list and changes no
-// limit of exposure or slow start. A message that can't be decoded is dropped. Reports on network paths and hosts count only
-// if the peer is in the same zone.
+// GossipReceived processes a message from the peer with the given rank. It adds no host to the endpoint list and
+// doesn't change the limits of exposure and slow start. A message that can't be decoded is dropped. Reports on network
+// paths and hosts count only if the peer is in the same zone.
 func (r *Router) GossipReceived(now Time, peer int, body []byte) {
 	const keptPeers = 16
 	r.now = now
@@ -116,8 +116,7 @@
 	}
 }
 
-// mergeLocalReport adds the statistics that a peer in this zone reports: those on the path to other zones and those on
-// hosts.
+// mergeLocalReport adds the statistics on the path to other zones and on hosts that a peer in this zone reports.
 func (r *Router) mergeLocalReport(summary gossipSummary) {
 	r.gossip.remotePath.add(summary.remotePath)
 	for _, report := range summary.hosts {
--- a/policy/health_check_test.go
+++ b/policy/health_check_test.go
@@ -39,7 +39,7 @@
 			f.router.HealthChecked(f.now, host, TimedOut, Second/4, nil)
 		}
 	}
-	require.Less(t, remoteAttempts(at), 4) // attempts that detect the recovery of ejected hosts
+	require.Less(t, remoteAttempts(at), 4) // the few attempts that detect the recovery of ejected hosts
 	require.Positive(t, checks)
 	for range 8 {
 		f.router.HealthChecked(f.now, remote[0].Host, Succeeded, Second/1000, nil)
@@ -47,7 +47,8 @@
 	require.True(t, f.router.mergesZones())
 }
 
-// Results of health checks that are late, duplicated or of a removed host do no harm.
+// Results of health checks that are late, duplicated or of a removed host cause no failed request and no attempt at
+// that host.
 func TestHealthCheck_ToleratesLateDuplicateAndRemovedHostResults(t *testing.T) {
 	f, endpoints := newGossipingFleet(t, nil)
 	removed := endpoints[0]
--- a/policy/host.go
+++ b/policy/host.go
@@ -15,13 +15,13 @@
 // Host is one endpoint. A later process or machine with the same ID is the same Host with another StartedAt. All exported
 // fields but the ID are set by the router, in EndpointsChanged.
 type Host struct {
-	ID        uint32 // gives hosts the same order at all routers and has no other meaning
+	ID        uint32 // identifies the host in gossip and gives hosts the same order at all routers
 	Zone      *Zone
 	Cell      int
 	State     EndpointState
 	Build     int
 	Weight    float64 // relative to other hosts, in any unit; 0 if unknown
-	StartedAt Time    // when its process last started; 0 stands for long ago
+	StartedAt Time    // when its process last started; 0 means long ago
 
 	listed       bool
 	health       hostHealth
@@ -32,15 +32,15 @@
 	attempts []trafficEvent  // recent starts of attempts
 	samples  []attemptSample // recently ended attempts
 
-	load        *LoadReport // last report, nil if there was none
+	load        *LoadReport // last load report; nil if there was none
 	loadAt      Time        // when load was reported
 	connectedAt Time        // when an attempt over a connection to it last ended; 0 if the last attempt found no connection
 
-	healthByHops [3]healthStats // of this router's attempts; reported by the peers that made them; passed on by other peers
-	planWeight   float64        // share of its locality's requests in the plan, in a unit common to all hosts
+	healthByHops [3]healthStats // index 0: this router's attempts; 1: attempts that peers made and reported; 2: reports that other peers passed on
+	planWeight   float64        // weight in the plan, in the unit of WeightPlan.Weights; 0 if the plan doesn't name the host
 }
 
-// LoadReport is what a host reports about itself. A negative value was not reported.
+// LoadReport is what a host reports about itself. A negative value means that the host did not report it.
 type LoadReport struct{ ActiveRequests, QueuedRequests, CPUUtilization, MeanLatency, RequestsPerSecond float64 }
 
 // isBaseline reports whether a host is serving and runs a build whose exposure is not limited.
--- a/policy/invariants_test.go
+++ b/policy/invariants_test.go
@@ -9,7 +9,8 @@
 	"pgregory.net/rapid"
 )
 
-// invariants records what a random sequence of events has led to for each request, to check the router's rules.
+// invariants checks the router's rules during a random sequence of events. It records the results of earlier events
+// that the checks need.
 type invariants struct {
 	*rapid.T
 	f                  *fakeFleet
@@ -20,9 +21,9 @@
 	drainingSince      map[*Host]Time // time since which a host has been draining or removed
 	canaryAttempts     []trafficEvent // attempts at a build with limited exposure
 	arrivals           []trafficEvent
-	checkedAttempts    int // of f.attempts
-	checkedRejects     int // of f.rejected
-	checkedFailures    int // of f.failed
+	checkedAttempts    int // number of elements of f.attempts that have been checked
+	checkedRejects     int // number of elements of f.rejected that have been checked
+	checkedFailures    int // number of elements of f.failed that have been checked
 }
 
 // check checks what the router did since the last check.
@@ -81,7 +82,7 @@
 	}
 	for request, n := range l.answers {
 		if n > 1 {
-			l.Fatalf("%d final answers to one request %p", n, request)
+			l.Fatalf("%d final responses to one request %p", n, request)
 		}
 	}
 }
@@ -99,7 +100,7 @@
 		})
 		l := &invariants{T: d, f: f, deadlines: map[*Request]Time{}, answers: map[*Request]int{}, clientDisconnected: map[*Request]bool{}, drainingSince: map[*Host]Time{}}
 		classes := []*Class{f.quote, f.order, f.payment}
-		pass := func(span Time) { // does what the owner of a router does: it ends attempts whose timeout has passed
+		pass := func(span Time) { // does what the owner of a router must do: it ends attempts whose timeout has passed
 			for end := f.now + span; f.now < end; {
 				f.advance(Second / 100)
 				l.check()
@@ -144,13 +145,13 @@
 					}
 				}
 			},
-			"client gone": func() {
+			"client disconnects": func() {
 				if len(l.requests) > 0 {
 					request := l.requests[rapid.IntRange(max(0, len(l.requests)-5), len(l.requests)-1).Draw(d, "request")]
 					if l.answers[request] == 0 && !l.clientDisconnected[request] {
 						l.clientDisconnected[request] = true
 						f.router.ClientDisconnected(f.now, request)
-						for _, attempt := range request.Attempts { // attempts not yet sent are canceled, the others run to their end
+						for _, attempt := range request.Attempts { // attempts that are not sent yet are canceled, the others continue
 							if attempt.outcome == Pending && rapid.Bool().Draw(d, "canceled") {
 								end(attempt, NotSent)
 							}
@@ -184,14 +185,14 @@
 			"short wait": func() { pass(Time(rapid.IntRange(1, 300).Draw(d, "tenths"))) },
 			"long wait":  func() { pass(Second * Time(rapid.IntRange(1, 8).Draw(d, "seconds"))) },
 		}
-		names := []string{"request", "request", "request", "end", "end", "client gone", "endpoint", "no endpoints", "release", "short wait", "short wait", "long wait"}
+		names := []string{"request", "request", "request", "end", "end", "client disconnects", "endpoint", "no endpoints", "release", "short wait", "short wait", "long wait"}
 		for n := range rapid.IntRange(5, 60).Draw(d, "steps") {
 			name := rapid.SampledFrom(names).Draw(d, fmt.Sprint("step ", n))
 			steps[name]()
 		}
 		pass(4 * Second) // beyond the longest timeout
 		for _, request := range l.requests {
-			require.Equal(d, map[bool]int{true: 0, false: 1}[l.clientDisconnected[request]], l.answers[request], "number of final answers to a request")
+			require.Equal(d, map[bool]int{true: 0, false: 1}[l.clientDisconnected[request]], l.answers[request], "number of final responses to a request")
 		}
 	})
 }
--- a/policy/latency.go
+++ b/policy/latency.go
@@ -10,8 +10,8 @@
 	host         *Host
 	class        *Class
 	outcome      Outcome
-	shortTimeout bool    // the attempt timed out, and its client waits less than the latency objective
-	hostLoad     float64 // requests in flight at the host when the attempt was sent, as estimated
+	shortTimeout bool    // the attempt timed out, and the request's timeout is shorter than the latency objective
+	hostLoad     float64 // estimated number of requests in flight at the host when the attempt was sent
 
 	slowdown         float64 // latency divided by the class's usual latency
 	unqueuedSlowdown float64 // slowdown without the part added by the host's load
@@ -36,7 +36,7 @@
 
 // newSample makes a sample of an ended attempt and adds it to the health statistics of its host.
 func (r *Router) newSample(attempt *Attempt, latency Time) attemptSample {
-	const slowdownLimit = 8 // a single very long attempt says little about a host
+	const slowdownLimit = 8 // a single very long attempt is little evidence against a host
 	host, class := attempt.Host, attempt.Request.Class
 	sample := attemptSample{at: r.now, latency: latency, hostAge: attempt.sentAt - attempt.hostStartedAt, host: host, class: class,
 		outcome: attempt.outcome, hostLoad: attempt.hostLoad,
@@ -73,9 +73,9 @@
 	r.load.baselineSamples = appendBounded(r.load.baselineSamples, sample, keptForFit)
 }
 
-// learnUsualLatencyFromStats sets the usual latency of a class from the fastest reporting periods of the release
-// controller: one of hundreds of routers has too few attempts of its own, and the latency of a class during long waits is
-// not its usual one.
+// learnUsualLatencyFromStats sets the usual latency of a class from the release controller's statistics, because one of
+// hundreds of routers has too few attempts of its own. It uses the fastest reporting periods, because the latency of a
+// class while its requests wait long is not its usual one.
 func (r *Router) learnUsualLatencyFromStats(class *Class) {
 	const minSuccesses, slowerShare = 10, 0.85
 	var means []Time
@@ -92,7 +92,7 @@
 // classSlowdown is how many times longer than usual the responses of a class take over all hosts, from attempts of this
 // router and its peers.
 func (r *Router) classSlowdown(class *Class) float64 {
-	const usualAttempts = 5 // responses of usual latency that are added to the observed ones
+	const usualAttempts = 5 // assumed responses of usual latency that are added to the observed ones
 	usual := usualAttempts * float64(class.usualLatency)
 	own, peers := class.ownStats.decayedTo(r.now), class.peerStats.decayedTo(r.now)
 	return max(1, (own.latency+peers.latency+usual)/(own.usualLatency+peers.usualLatency+usual))
--- a/policy/outlier.go
+++ b/policy/outlier.go
@@ -2,9 +2,9 @@
 
 // hostHealth is the router's view of a host's health, derived from the host's most recent attempts:
 //
-//	state       event          next        for
+//	state       event          next        backoff
 //	healthy     hostFailing    ejected
-//	healthy     hostRefused    backingOff  0.2 s, as the host is briefly full or unreachable
+//	healthy     hostRefused    backingOff  0.2 s: the host is briefly full or unreachable
 //	backingOff  hostRefused    backingOff  1 s
 //	backingOff  hostFailing    ejected
 //	backingOff  hostRecovered  healthy
@@ -28,7 +28,7 @@
 	hostUnchanged
 )
 
-// healthTransition is a row of the table at hostHealth.
+// healthTransition is a row of the table that is documented at hostHealth.
 type healthTransition struct {
 	state   hostHealth
 	event   healthEvent
@@ -61,7 +61,7 @@
 // Numbers of samples that are retained.
 const (
 	keptHostSamples  = 8    // enough to detect a slow host, few enough not to count a recovered host as slow for long
-	keptBuildSamples = 1500 // the samples of a canary's duration, or of about ten seconds at a busy router
+	keptBuildSamples = 1500 // enough for the duration of a canary, or for about ten seconds at a busy router
 )
 
 // recordOutcome records the result of an attempt for its host, class and build, and updates the host's health.
@@ -120,14 +120,14 @@
 	return n
 }
 
-// reviewHealth reviews all hosts. A host that accepts attempts and completes none is ejected before these attempts time out,
-// unless at least half of the healthy hosts do the same: then no single host is at fault. Where peers observe it too, an
-// ejected host returns once the failures counted against it have decayed, because one of hundreds of routers would need
-// minutes to detect its recovery. While endpoint discovery fails, hosts of builds before a build that was released some time
-// ago count as draining.
+// reviewHealth reviews all hosts. A host that accepts attempts and completes none is ejected before these attempts time
+// out, unless at least half of the healthy hosts do the same: then no single host is at fault. With gossip, an ejected
+// host becomes healthy again once the failures counted against it have decayed, because one of hundreds of routers
+// would need minutes to detect its recovery. While endpoint discovery fails, hosts of earlier builds count as draining
+// some time after a build was released.
 func (r *Router) reviewHealth() {
 	const minStuck = 3
-	const forgottenFailures = 0.3 // decayed sum below which an ejected host returns
+	const forgottenFailures = 0.3 // decayed number of failures below which an ejected host becomes healthy again
 	const drainAfter = 6 * Second // after a release; by then the endpoint list would show that these hosts drain
 	hung := func(host *Host) bool { return host.health == healthy && host.stuckAttempts(r.now) >= minStuck }
 	ejects := 2*r.countHosts(hung) < r.countHosts(func(host *Host) bool { return host.health == healthy })
@@ -163,8 +163,8 @@
 // faultScore is a host's failure rate and mean slowdown.
 type faultScore struct{ failureRate, slowdown float64 }
 
-// faultScoreOf returns the score of a host from its last attempts and the reports of other routers. Fewer than minAttempts
-// attempts count as minAttempts, the missing ones without failure or latency.
+// faultScoreOf returns the score of a host from its last attempts and the reports of other routers. If there are fewer
+// than minAttempts attempts, the missing ones count with no failure and no latency.
 func (r *Router) faultScoreOf(host *Host) faultScore {
 	const minAttempts = 6
 	var sum faultScore
@@ -179,7 +179,8 @@
 	return faultScore{(sum.failureRate + peers.failures) / n, (sum.slowdown + peers.slowdown) / n}
 }
 
-// peerFaultScores returns the scores of the other serving hosts of a host's build, of those with enough attempts.
+// peerFaultScores returns the scores of the other serving hosts that run the same build as a host and have enough
+// attempts.
 func (r *Router) peerFaultScores(host *Host) (rates, slowdowns []float64) {
 	const enough = 2 // a host must have more attempts than this
 	for _, peer := range r.hosts {
@@ -192,8 +193,8 @@
 	return rates, slowdowns
 }
 
-// pickEjected picks an ejected host that is due a request, so that its recovery is detected, or returns nil. Ejected hosts
-// get only idempotent requests. Where there is gossip, the rate is limited over all routers together, because hundreds of
+// pickEjected picks an ejected host that is due a request, so that its recovery is detected, or returns nil. Ejected
+// hosts get only idempotent requests. With gossip, the rate is limited over all routers together, because hundreds of
 // routers would otherwise keep an ejected host busy.
 func (r *Router) pickEjected(request *Request) *Host {
 	const interval = Second   // long enough to cost little, short enough to detect a recovery
--- a/policy/release.go
+++ b/policy/release.go
@@ -33,19 +33,19 @@
 // ReleaseConfig holds the release controller's settings.
 type ReleaseConfig struct {
 	Mode              PromotionMode
-	ExposureCaps      []float64 // by stage
+	ExposureCaps      []float64 // maximum share of the requests that may go to the canary, for each stage
 	MinStageTime      Time
-	StageTime         Time    // in mode Timed
+	StageTime         Time    // duration of a stage in mode Timed
 	PromoteQuorum     int     // number of votes required to promote a stage
 	RollbackQuorum    int     // number of votes required to roll a build back
 	VoteTTL           Time    // how long a vote is valid
 	VoteTimeout       Time    // how long the response to a vote may take
-	MaxVotesPerSecond float64 // of all routers together
-	ExposureWindow    Time    // over which exposure is counted
+	MaxVotesPerSecond float64 // limit on the votes of all routers together
+	ExposureWindow    Time    // period over which exposure is counted
 	ExposureAllowance float64 // attempts in the window that are allowed in addition to the cap
-	ExposurePerClass  bool    // exposure is counted separately for each class
+	ExposurePerClass  bool    // whether exposure is counted separately for each class
 	GuardedStages     int     // number of first stages in which the canary gets only idempotent requests
-	StickyKeys        bool    // a request with a key goes to the build that answered the key before, or a later build
+	StickyKeys        bool    // whether a request with a key goes to the build that served the key before, or to a later build
 	DelayPrice        float64 // cost of a longer release, in the unit of HarmPrice
 	HarmPrice         float64 // cost of failed requests that are not idempotent
 	ComplaintShare    float64 // share of the wrong responses that clients complain about
@@ -56,7 +56,7 @@
 type releaseState struct {
 	config ReleaseConfig
 	status ReleaseStatus
-	known  bool // a status was received
+	known  bool // whether a status was received
 
 	offeredAt      Time // when the newest build was first announced
 	stageStartedAt Time
@@ -65,7 +65,7 @@
 	releasedAt      Time
 	rolledBackBuild int // newest build known to be rolling back or rolled back, 0 if there is none
 
-	stickyBuilds map[string]int // the build that answered each key, recorded while two builds serve
+	stickyBuilds map[string]int // the build that last served each key, recorded while two builds serve
 }
 
 // ReleaseChanged processes a status from the release controller, which may be its response to a vote.
--- a/policy/request.go
+++ b/policy/request.go
@@ -27,7 +27,7 @@
 	DedupWindow      Time // time for which hosts remember an idempotency key
 	LatencyObjective Time // a response within it has the request's full value
 	PriorityWeight   float64
-	LateValueShare   float64 // share of its value that a response beyond the objective keeps
+	LateValueShare   float64 // value of a response later than LatencyObjective, as a share of its full value
 
 	latencies    []Time    // latencies of the last successes at the baseline
 	serviceTimes []float64 // the same latencies without the part added by concurrent requests at the host
@@ -48,12 +48,12 @@
 
 // Tenant is the party that requests are made for.
 type Tenant struct {
-	QuotaPerSecond float64 // requests per second that have their full value, over all routers
+	QuotaPerSecond float64 // number of requests per second, over all routers, that have their full value
 
 	arrivals []trafficEvent
 }
 
-// Request is a client's request that the router has accepted. The router owes it one final response.
+// Request is a client's request that the router has accepted. The router must give it exactly one final response.
 type Request struct {
 	Class        *Class
 	Tenant       *Tenant // nil if the deployment has no tenants
@@ -69,7 +69,7 @@
 	firstAmbiguous *Attempt // earliest attempt that may have been executed and has not succeeded
 }
 
-// Answered reports whether the request has had its final response or its client has stopped waiting.
+// Answered reports whether the request has its final response or its client has stopped waiting.
 func (r *Request) Answered() bool { return r.state == finished }
 
 // requestState is what is known about the execution of a request:
@@ -100,7 +100,7 @@
 	attemptNotExecuted
 	attemptMayHaveExecuted
 	attemptSlow  // an attempt has been in flight for longer than usual
-	requestEnded // answered, or the client has stopped waiting
+	requestEnded // the request has its final response, or the client has stopped waiting
 )
 
 // requestTransition is a row of the table that is documented at requestState.
@@ -123,7 +123,8 @@
 	{mayHaveExecuted, requestEnded, finished, (*Router).leaveAttemptsInFlight},
 }
 
-// RequestArrived accepts a request. From now on the router owes it one final response, unless ClientDisconnected is called first.
+// RequestArrived accepts a request. The router gives it exactly one final response, unless ClientDisconnected is called
+// first.
 func (r *Router) RequestArrived(now Time, request *Request) {
 	r.now, request.arrivedAt = now, now
 	r.traffic.arrivals = appendBounded(r.traffic.arrivals, trafficEvent{at: now, class: request.Class}, keptFleetEvents)
@@ -133,7 +134,7 @@
 	r.handleRequestEvent(request, requestArrived)
 }
 
-// ClientDisconnected records that the client of a request has stopped waiting: a response is no longer owed.
+// ClientDisconnected records that the client of a request has stopped waiting: the request needs no response any more.
 func (r *Router) ClientDisconnected(now Time, request *Request) {
 	r.now = now
 	r.handleRequestEvent(request, requestEnded)
@@ -149,8 +150,10 @@
 	}
 }
 
-// dispatch starts the first attempts of a new request, or rejects it. The primary attempt goes to the baseline. A shadow
-// attempt goes to the canary: alongside the primary attempt or, where two attempts at once are not allowed, before it.
+// dispatch starts the first attempts of a new request, or rejects it. The primary attempt goes to the baseline. A
+// shadow attempt goes to the canary: alongside the primary attempt or, if the class is not idempotent or two attempts
+// at once are not allowed, before it. If no shadow attempt is due, the first attempt may go to an ejected host instead.
+// A primary attempt after such a first attempt is sent only if the first one fails.
 func (r *Router) dispatch(request *Request) {
 	host := r.pickCanary(request)
 	if host != nil && request.Class.Idempotency == Idempotent && r.limits.AllowHedging {
--- a/policy/request_test.go
+++ b/policy/request_test.go
@@ -6,7 +6,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-func TestRouter_SendsNoAttemptAfterFinalAnswer(t *testing.T) {
+func TestRouter_SendsNoAttemptAfterFinalResponse(t *testing.T) {
 	f, _ := newFakeFleet(t, nil)
 	request := f.arrive(f.quote)
 	f.end(request.Attempts[0], Succeeded, Second/20)
--- a/policy/retry.go
+++ b/policy/retry.go
@@ -3,22 +3,23 @@
 import "slices"
 
 // retryBudgetAllows reports whether the retry budget allows one more attempt; the budget keeps retries from adding work
-// to a slow fleet. It is a share of the recent requests plus a few retries. The few are reduced in a fleet of many
-// routers, because each router adds them.
+// to a slow fleet. It is a share of the recent requests plus a few retries. This number of extra retries is reduced in
+// a fleet of many routers, because each router adds it.
 func (r *Router) retryBudgetAllows(class *Class) bool {
 	const window = 5 * Second
 	const requestsPerRetry, extraRetries = 8, 4
 	const routersWithExtra = 4.0
-	const overloadSlowdown = 3 // multiple of the usual latency that shows a lack of hosts, not chance
+	const overloadSlowdown = 3 // multiple of the usual latency from which the cause is a lack of hosts, not chance
 	allowed := extraRetries*min(1, routersWithExtra/float64(r.routers)) +
 		countSince(r.traffic.arrivals, r.now-window, nil)/requestsPerRetry
 	return r.leastExpectedSlowdown(class) < overloadSlowdown && countSince(r.traffic.retries, r.now-window, nil) < allowed
 }
 
 // retry sends another attempt of a request if the number of attempts and the retry budget allow it, a host is available
-// and the response can still be in time. It reports whether it did. No budget is needed after a shadow attempt that was
-// sent first, because the primary attempt follows it, nor after an attempt that this router cut short, because the budget
-// was checked when that attempt was sent.
+// and the response can still be in time. It reports whether it sent one. The budget doesn't apply after a shadow
+// attempt that was sent first, because the primary attempt follows it. It doesn't apply either after an attempt that
+// timed out where hedging is not allowed, because the budget was checked when that attempt was sent with a shortened
+// timeout.
 func (r *Router) retry(request *Request) bool {
 	remaining := request.arrivedAt + request.Timeout - r.now
 	last := request.Attempts[len(request.Attempts)-1]
--- a/policy/retry_test.go
+++ b/policy/retry_test.go
@@ -64,7 +64,7 @@
 	require.Positive(t, f.canaryAttempts())
 }
 
-func TestRetryBudget_LimitsAttemptsCutShort(t *testing.T) {
+func TestRetryBudget_LimitsAttemptsWithShortenedTimeout(t *testing.T) {
 	f, _ := newFakeFleet(t, func(config *Config) { config.Limits.AllowHedging = false })
 	f.serve(120, f.quote, succeeds)
 	cutShort := 0
--- a/policy/router.go
+++ b/policy/router.go
@@ -10,13 +10,13 @@
 type Effects interface {
 	// Send starts an attempt, which ends as TimedOut once the timeout has passed.
 	Send(attempt *Attempt, timeout Time)
-	// Reject gives the request's final response: the request has done no harm and may be repeated, preferably after retryAfter.
+	// Reject gives the request's final response: the request may safely be repeated, preferably after retryAfter.
 	Reject(request *Request, retryAfter Time)
 	// Fail gives the final response to a request that may have been executed.
 	Fail(request *Request)
-	// SetTimer asks for a call of TimerFired with the timer once the delay has passed.
+	// SetTimer requests that TimerFired is called with the timer once the delay has passed.
 	SetTimer(delay Time, timer *Timer)
-	// WatchEndpoints asks for the endpoint list and its changes.
+	// WatchEndpoints requests the endpoint list and its changes.
 	WatchEndpoints()
 	// Vote casts a vote on a build in a stage at the release controller.
 	Vote(build, stage int, choice VoteChoice)
@@ -68,8 +68,8 @@
 func NewRouter(now Time, config Config, effects Effects) *Router {
 	const startSpread = 2 * Second         // longest period over which routers that start together spread their first polls
 	const startSpreadPerPeer = Second / 10 // added to that period for each other router, up to startSpread
-	const unknownLatencyShare = 5          // divides the latency objective to give the usual latency until samples exist
-	const unknownConcurrencyCost = 0.3     // concurrency cost of a fleet that is neither idle nor full
+	const unknownLatencyShare = 5          // until samples exist, the usual latency is the latency objective divided by this
+	const unknownConcurrencyCost = 0.3     // assumed until samples exist: the concurrency cost of a fleet that is neither idle nor full
 	r := &Router{effects: effects, random: randomSource{seed: config.Seed}, now: now, startedAt: now,
 		routers: max(1, config.Routers), rank: config.Rank, zone: config.Zone, classes: config.Classes, limits: config.Limits,
 		release: releaseState{config: config.Release, stickyBuilds: map[string]int{}},
--- a/policy/shadow.go
+++ b/policy/shadow.go
@@ -1,12 +1,12 @@
 package policy
 
-// pickCanary picks a host for a shadow attempt, or returns nil if none is allowed or due. In proportion to its capacity,
-// a canary host is due as many attempts as a baseline host gets: a build that fails under load must do so before the
-// release. Classes that are not idempotent follow after the first stages: a few of their requests until the class has
-// been judged, then all requests whose expected harm costs less than a longer release.
+// pickCanary picks a host for a shadow attempt, or returns nil if none is allowed or due. A canary host is due as many
+// attempts as a baseline host of the same capacity gets, so that a build that fails under load does so before the
+// release. Requests of classes that are not idempotent are sent only after the first stages: a share of them until the
+// class has been judged, and all of them if the expected harm costs less than a longer release.
 func (r *Router) pickCanary(request *Request) *Host {
 	const window = 2 * Second                // window in which attempts are counted
-	const minOfRouter, minOfFleet = 2.0, 8.0 // least number of shadow attempts due in the window, from one router and from the fleet
+	const minOfRouter, minOfFleet = 2.0, 8.0 // minimum number of shadow attempts due in the window: of one router, and of all routers together
 	status, class := &r.release.status, request.Class
 	if !r.shadowsAllowed(class) {
 		return nil
@@ -29,7 +29,7 @@
 	}
 	if due >= minOfRouter {
 		due -= countSince(r.traffic.canaryAttempts, r.now-window, nil) + 1
-	} else { // less than a router can count: drawn at random, so that not all routers send one at once
+	} else { // too few for one router to count: decided at random, so that not all routers send one at once
 		due = due/max(1, arrivals) - float64(r.random.intN(1000))/1000
 	}
 	if due < 0 || class.Idempotency != Idempotent && status.Stage == 0 {
@@ -38,7 +38,7 @@
 	maxLoad := r.typicalLoad() + 1 // a queue that shadow attempts cause is not the build's fault
 	return r.pickHost(request, func(host *Host) bool {
 		return candidate(host) && (host.health != ejected || class.Idempotency == Idempotent) && r.hostLoad(host) <= maxLoad &&
-			countSince(host.attempts, r.now-window, nil) < max(1, perCapacity*r.capacity(host)) // warm hosts don't get what cold ones can't take
+			countSince(host.attempts, r.now-window, nil) < max(1, perCapacity*r.capacity(host)) // warm hosts don't get what cold hosts can't serve
 	})
 }
 
@@ -51,13 +51,13 @@
 		r.withinExposure(r.release.status.Build, class)
 }
 
-// acceptsHarm reports whether the expected harm of an attempt of the class at the canary costs less than the attempt is
-// worth. It is always true for idempotent classes. For other classes whose expected harm costs more, it is true for a
-// random share of the requests while the class is neither cleared nor convicted.
+// acceptsHarm reports whether a shadow attempt of the class is worth its expected harm. It is always true for
+// idempotent classes, and for other classes if the harm costs less than a longer release. If the harm costs more, it is
+// true for a random share of the requests until the class has been judged.
 func (r *Router) acceptsHarm(class *Class) bool {
-	const cleared, convicted = 0.1, 10.0 // a class is judged below and above these odds that the canary fails it
+	const cleared, convicted = 0.1, 10.0 // a class has been judged if the odds that the canary fails it are below cleared or above convicted
 	const failureRate = 0.3              // approximate failure rate of a class at a bad build
-	const unjudgedShare = 0.25           // share of the requests accepted while the class is not judged
+	const unjudgedShare = 0.25           // share of the requests accepted until the class has been judged
 	harm := r.release.config.HarmPrice * failureRate * class.failureOdds
 	if class.Idempotency != Idempotent && harm >= r.release.config.DelayPrice {
 		judged := class.failureOdds < cleared || class.failureOdds > convicted
--- a/policy/shadow_test.go
+++ b/policy/shadow_test.go
@@ -6,7 +6,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-func TestPickCanary_KeepsShareOfColdHostsFromWarmHost(t *testing.T) {
+func TestPickCanary_GivesWarmHostNoAttemptsDueToColdHosts(t *testing.T) {
 	f, endpoints := newFakeFleet(t, nil)
 	for id := range uint32(5) {
 		coldHost := f.host(10+id, 2)
@@ -32,7 +32,7 @@
 	f.router.ReleaseChanged(f.now, ReleaseStatus{Build: 2, Stage: 1, ExposureCap: 1})
 	canary := endpoints[6].Host
 	most := 0
-	for range 60 { // the canary host doesn't answer while the other hosts do
+	for range 60 { // the canary host doesn't respond while the other hosts do
 		request := f.arrive(f.quote)
 		f.advance(Second / 20)
 		for _, attempt := range request.Attempts {
@@ -69,7 +69,8 @@
 	require.Len(t, f.router.analysis.window(2).samples, shadows)
 }
 
-// A cold canary host is due the share of a baseline host, and warm hosts don't get what cold hosts can't take.
+// A cold canary host gets attempts, and a warm one gets about as many as a baseline host: it doesn't get those that
+// cold hosts can't serve.
 func TestPickCanary_GivesHostsTheShareOfBaselineHosts(t *testing.T) {
 	f, endpoints := newGossipingFleet(t, func(config *Config) { config.Limits.AllowHedging = false })
 	var coldHosts []EndpointUpdate
--- a/policy/slowstart.go
+++ b/policy/slowstart.go
@@ -12,7 +12,8 @@
 	return host.StartedAt == 0 || at-host.StartedAt >= r.limits.WarmUp
 }
 
-// capacityFactor is the share of its full capacity that a host has at least while it warms up; it is 1 for a warm host.
+// capacityFactor is a lower bound for a host's current capacity, as a share of its full capacity. It is 1 for a warm
+// host.
 func (r *Router) capacityFactor(host *Host) float64 { return r.capacityFactorAt(host, r.now) }
 
 func (r *Router) capacityFactorAt(host *Host, at Time) float64 {
@@ -32,10 +33,10 @@
 	return sum
 }
 
-// withinWarmUpBudget reports whether a host may get another attempt while it warms up. It keeps all routers together from
-// overloading a cold host: each router sends its part of what the limits allow, relative to what baseline hosts get now.
-// If that part is less than one attempt, requests are sent at random, with a probability that keeps the sum over all
-// routers within the limit however uneven their traffic is.
+// withinWarmUpBudget reports whether a host may get another attempt while it warms up. It keeps all routers together
+// from overloading a cold host: each router sends at most its part of the attempts that the limits allow. The limits
+// are relative to the attempts that baseline hosts get now. If that part is less than one attempt, requests are sent at
+// random, with a probability that keeps the sum over all routers within the limit however uneven their traffic is.
 func (r *Router) withinWarmUpBudget(host *Host) bool {
 	const usedShare = 0.5         // share of the budget that is used; the rest is for uneven routers, long requests and bursts
 	const rateWindow = 4 * Second // long enough to even out bursts
@@ -47,14 +48,15 @@
 	if countSince(host.attempts, r.now-window, nil)+1 > max(1, budget) {
 		return false
 	}
-	// This holds for a canary host too, because it is due as much as a baseline host gets.
+	// This estimate is valid for a canary host too, because it is due as many attempts as a baseline host gets.
 	due := countSince(r.traffic.arrivals, r.now-rateWindow, nil) * float64(window) / float64(rateWindow) *
 		r.capacity(host) / max(r.capacity(host), r.baselineCapacity())
 	return due <= budget || r.random.chance(1000*budget/due)
 }
 
 // baselineAttemptRate is the rate of attempts from this router at a host of the build with the most hosts. Hosts that
-// left within the span count too; otherwise a single new host would be due all the work of the hosts that left.
+// began to drain or were removed within the span count too; otherwise a single new host would be due all the attempts
+// that these hosts got.
 func (r *Router) baselineAttemptRate(span Time) float64 {
 	if r.slowStart.at != r.now {
 		hosts, most := map[int]float64{}, 1.0
--- a/policy/stats.go
+++ b/policy/stats.go
@@ -10,7 +10,7 @@
 	Build             int
 	Class             *Class
 	Failures, Samples int
-	MeanLatency       Time // of the attempts that succeeded
+	MeanLatency       Time // mean latency of the attempts that succeeded
 	Age               Time // time since the end of the period
 	Window            Time // length of the period
 
@@ -29,7 +29,7 @@
 	if len(r.analysis.stats) == 0 || r.analysis.stats[len(r.analysis.stats)-1].receivedAt != now {
 		r.load.counted = 0 // the sum over the reports that arrive at the same time
 	}
-	if r.release.config.SampledShare > 0 && stats.Window > 0 { // requests in flight per host: their rate times their latency
+	if r.release.config.SampledShare > 0 && stats.Window > 0 { // requests in flight at each host: their rate times their latency
 		serving := r.countHosts(func(host *Host) bool { return host.State == Serving })
 		r.load.counted += float64(stats.Samples) / r.release.config.SampledShare / float64(stats.Window) *
 			float64(stats.MeanLatency) / max(1, serving)
@@ -59,7 +59,7 @@
 // statsOutweighOwn reports whether the release controller counts far more attempts than this router makes. Its statistics are
 // then used, although they arrive late and don't distinguish hosts.
 func (r *Router) statsOutweighOwn() bool {
-	const ownAttempts = 2 // the attempts that the controller must count, in multiples of one router's attempts
+	const ownAttempts = 2 // the controller must count more than this many times the attempts of one router
 	return r.release.config.SampledShare*float64(r.routers) > ownAttempts
 }
 
@@ -88,7 +88,8 @@
 	return failures, attempts, hosts
 }
 
-// samePeriod returns the report on the same class and period among others, or an empty report if there is none.
+// samePeriod returns the report among others that is on the same class and period as stats, or an empty report if there
+// is none.
 func samePeriod(stats BuildStats, others []BuildStats) BuildStats {
 	for _, other := range others {
 		if other.Class == stats.Class && other.receivedAt == stats.receivedAt {
@@ -141,10 +142,10 @@
 	return gap
 }
 
-// logLatencyGapToPast returns the log of the factor by which successful attempts at build took longer than those at
-// pastBuild. It uses the reports on build that were received later than the parameter after, and those on pastBuild that were
-// received up to pastUntil.
-// n is the number of successful attempts at build that this is based on. If class is not nil, only its reports count.
+// logLatencyGapToPast returns the log of the factor by which successful attempts at one build took longer than those at
+// an earlier build. It compares the reports on build that were received after the given time with the reports on
+// pastBuild that were received up to pastUntil. n is the number of successful attempts at build that the result is
+// based on. If class is not nil, only the reports on that class are used.
 func (a *analysisState) logLatencyGapToPast(class *Class, pastBuild, build int, pastUntil, after Time) (gap, n float64) {
 	for _, x := range a.stats {
 		if x.Build != build || x.MeanLatency <= 0 || x.receivedAt <= after || class != nil && x.Class != class {
@@ -163,8 +164,8 @@
 	return gap / max(1, n), n
 }
 
-// failureRateBeforeCanary returns a class's failure rate at the baseline before the canary was offered, when the baseline had
-// the whole load. It is estimated as if some more attempts had failed at the usual rate.
+// failureRateBeforeCanary returns a class's failure rate at the baseline before the canary was offered, when the
+// baseline served all requests. It is estimated as if some more attempts had failed at the usual rate.
 func (r *Router) failureRateBeforeCanary(baseline *buildWindow, class *Class, usualRate float64) float64 {
 	failures, attempts, _ := sumStats(filterStats(r.analysis.stats, func(x BuildStats) bool {
 		return x.Build == baseline.build && x.receivedAt <= r.release.offeredAt
@@ -172,9 +173,10 @@
 	return stratum{failures: failures, attempts: attempts}.failureRate(stratum{failures: 0.5, attempts: 0.5 / usualRate})
 }
 
-// countedFailureEvidence returns the odds that the canary fails a class more often than the baseline. It uses the reports from
-// times when enough hosts ran the canary, for a router with few attempts of its own for classes that are not idempotent.
-// Because reports don't distinguish hosts, only gaps far larger than one failing host would cause count.
+// countedFailureEvidence returns the odds that the canary fails a class more often than the baseline. It is for a
+// router that has few attempts of its own for classes that are not idempotent. It uses the reports from times when
+// enough hosts ran the canary. Because reports don't distinguish hosts, only gaps count that are far larger than the
+// gap that one failing host would cause.
 func (r *Router) countedFailureEvidence(class *Class, canary, baseline int) float64 {
 	const minHosts, minRate = 4, 0.1
 	const smallGap, largeGap = 0.25, 0.6
--- a/policy/surge.go
+++ b/policy/surge.go
@@ -9,8 +9,8 @@
 // latencySurge records how the fleet's latency has changed since the canary was offered.
 type latencySurge struct {
 	state        surgeState
-	since        Time
-	lastNormalAt Time // when responses last took about as long as before the canary was offered
+	since        Time // when the state was entered
+	lastNormalAt Time // when responses were last not far slower than before the canary was offered, or too few to tell
 }
 
 // surgeState detects a canary that slows down all hosts alike, including baseline hosts, so that no gap shows between the
@@ -68,15 +68,16 @@
 	}
 }
 
-// surgeEvidence updates the surge state with the current latency of the fleet and returns the odds that the canary slows
-// down the fleet. All classes must be slow: a class that is slow alone has another cause.
+// surgeEvidence updates the surge state with the current latency of the fleet and returns the odds that the canary
+// slows down the fleet. If the release controller's statistics are used, all classes must be slow: a class that is slow
+// alone has another cause.
 func (r *Router) surgeEvidence(baseline *buildWindow) float64 {
 	const rose, subsided = 0.4, 0.25           // logarithm of the ratio of the latency to that before the canary
 	const stateTimeout = 15 * Second           // within this time queues drain and the release controller's statistics show it
 	const window = stateTimeout / 6            // time over which latency is measured
 	const minAttempts = 60                     // the latency of fewer attempts varies too much
-	const minCanaryShare = 0.15                // of the attempts: a canary that gets less can't slow down the fleet this much
-	const provenByStats, provenByOwn = 400, 20 // odds; what only this router observes may be a fault of the fleet
+	const minCanaryShare = 0.15                // share of the attempts; a canary that gets less can't slow down the fleet this much
+	const provenByStats, provenByOwn = 400, 20 // odds; slowness that only this router observes may be a fault of the fleet
 	slower, n := r.surgeMagnitude(baseline, r.now-window)
 	switch {
 	case n < minAttempts:
@@ -97,9 +98,9 @@
 	return provenByOwn
 }
 
-// surgeMagnitude is the logarithm of how many times longer attempts after the given time take than before the canary, and
-// the number of attempts that this is based on. It is that of the least slow class in the release controller's
-// statistics, or of this router's own attempts at the baseline.
+// surgeMagnitude returns the logarithm of the factor by which attempts after the given time took longer than attempts
+// before the canary, and the number of attempts that this is based on. It uses the least slow class in the release
+// controller's statistics, or this router's own attempts at the baseline.
 func (r *Router) surgeMagnitude(baseline *buildWindow, after Time) (slower, n float64) {
 	if !r.judgesByStats() {
 		logs := baseline.logLatencyRatiosSince(after, r.load.concurrencyCost)
--- a/policy/surge_test.go
+++ b/policy/surge_test.go
@@ -6,7 +6,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-func TestSurge_OwnAttemptsAloneDoNotConvictBuildAndSurgeTimesOut(t *testing.T) {
+func TestSurge_OwnAttemptsAloneAreTooLittleForRollbackAndSurgeTimesOut(t *testing.T) {
 	f, _ := newFakeFleet(t, nil)
 	f.startCanary(1, 0.5)
 	f.router.surge.state, f.router.surge.since = surgeProven, f.now
@@ -17,9 +17,9 @@
 	require.Equal(t, surgeNone, f.router.surge.state)
 }
 
-// A build that slows down baseline and canary alike leaves no gap between them. It is proven if the fleet is slow with shadow
-// attempts, fast without them and slow with them again.
-func TestSurge_TwiceWithShadowAttemptsProvesSlowBuild(t *testing.T) {
+// A build that slows down baseline and canary alike leaves no gap between them. It is rolled back if the fleet is slow
+// with shadow attempts, fast without them and slow with them again.
+func TestSurge_RollsBackBuildOnlyAfterTwoSurgesWithShadowAttempts(t *testing.T) {
 	surges := func(means ...Time) (f *fakeFleet) {
 		f, _ = newGossipingFleet(t, func(config *Config) { config.Release.Mode, config.Limits.AllowHedging = Quorum, false })
 		report := func(mean Time) {
@@ -46,6 +46,6 @@
 	require.False(t, surges(fast, slow, fast).router.shadowsPaused(), "shadow attempts resume when the fleet is fast again")
 	require.Contains(t, surges(fast, slow, fast, slow).votes, Rollback)
 	f = surges(fast, slow, slow, slow, slow, slow, slow, slow)
-	require.NotEqual(t, surgeProven, f.router.surge.state, "the fleet is slow without shadow attempts too, so the cause is another")
+	require.NotEqual(t, surgeProven, f.router.surge.state, "the fleet is slow without shadow attempts too, so the build is not the cause")
 	require.NotContains(t, f.votes, Rollback)
 }
--- a/policy/timer.go
+++ b/policy/timer.go
@@ -4,8 +4,8 @@
 // stage.
 const reviewInterval = Second / 5
 
-// Timer is a call of TimerFired that the router requested through Effects.SetTimer: for the regular review, for a poll of
-// the endpoint list or for the check of whether an attempt has become slow.
+// Timer is a timer that the router set through Effects.SetTimer: for the regular review, for a poll of the endpoint
+// list or to check whether an attempt has become slow.
 type Timer struct {
 	attempt *Attempt // attempt to check; nil for the other kinds
 	polls   bool     // whether the timer is for a poll of the endpoint list
--- a/policy/traffic.go
+++ b/policy/traffic.go
@@ -35,12 +35,12 @@
 	locality     locality
 	outcome      Outcome
 	late         bool // ended later than the request's latency objective
-	latency      Time // 0 unless the host was healthy and in the baseline when the attempt ended
-	usualLatency Time // of the class; 0 if the attempt failed
+	latency      Time // 0 if the host was not a healthy baseline host when the attempt ended
+	usualLatency Time // usual latency of the class; 0 if the attempt did not succeed
 }
 
-// endedShare is the share of the most recently ended attempts that match. It considers as many attempts as the parameter
-// last says; if fewer have ended, the missing ones count as not matching.
+// endedShare is the share of matching attempts among the given number of most recently ended attempts. If fewer have
+// ended, the missing ones count as not matching.
 func (t *trafficHistory) endedShare(last int, matches func(trafficEvent) bool) (share float64) {
 	for _, event := range t.ended[max(0, len(t.ended)-last):] {
 		if matches(event) {
@@ -50,8 +50,8 @@
 	return share
 }
 
-// meanCompletionInterval is the mean time between the ends of the most recently ended attempts. The parameter last is the
-// maximum number of attempts that it considers.
+// meanCompletionInterval is the mean time between the ends of the most recently ended attempts. It considers at most
+// the given number of attempts.
 func (r *Router) meanCompletionInterval(last int) Time {
 	last = min(last, len(r.traffic.ended))
 	if last == 0 {
@@ -60,7 +60,7 @@
 	return (r.now - r.traffic.ended[len(r.traffic.ended)-last].at) / Time(last)
 }
 
-// countSince counts the events later than from; if class is not nil, it counts only events of that class.
+// countSince counts the events after the given time. If class is not nil, it counts only events of that class.
 func countSince(events []trafficEvent, from Time, class *Class) (n float64) {
 	for i := len(events) - 1; i >= 0 && events[i].at > from; i-- {
 		if class == nil || events[i].class == class {
@@ -78,7 +78,7 @@
 	return append(all, x)
 }
 
-// upperQuantile is the value that the given share of all values lies above.
+// upperQuantile is the value above which the given share of all values lies.
 func upperQuantile[T cmp.Ordered](all []T, share float64) T {
 	all = slices.Clone(all)
 	slices.Sort(all)
--- a/policy/vote.go
+++ b/policy/vote.go
@@ -63,7 +63,7 @@
 	voteDropped // rejected, stale or of unknown result
 )
 
-// voteTransition is a row of the table at voteState.
+// voteTransition is a row of the table that is documented at voteState.
 type voteTransition struct {
 	state     voteState
 	event     voteEvent
@@ -79,7 +79,7 @@
 	{votePending, voteDropped, voteIdle, false},
 }
 
-// transitionVote applies the table. v is the verdict to vote for, and empty for events that cast no vote.
+// transitionVote applies the table. v is the verdict that the vote expresses; it is empty for events that cast no vote.
 func (r *Router) transitionVote(event voteEvent, v verdict) {
 	for _, row := range voteTransitions {
 		if row.state != r.vote.state || row.event != event {
@@ -108,16 +108,16 @@
 const (
 	rollbackOdds       = 8.0  // one good build in this many is rolled back by chance
 	costlyRollbackOdds = 30.0 // where statistics don't distinguish one failing host from a bad build, and after a release
-	minRollbackOdds    = 2.5  // for any quorum; a single host can cause odds below this
+	minRollbackOdds    = 2.5  // minimum for any quorum; a single host can cause odds below this
 	promoteOdds        = 4.0  // a stage is promoted unless the build is in doubt, because each stage's exposure is limited
 	releaseOdds        = 0.3  // the last stage is promoted when the build is fairly certain to be good
 	releaseOddsPerWait = 0.02 // added to releaseOdds for each second after the minimum stage time
-	releaseTestPerWait = 0.5  // the same for the odds of the worst test
-	maxReleaseTestOdds = 8.0  // for the worst test, while shadow attempts of its class continue
+	releaseTestPerWait = 0.5  // added to the limit of the worst test's odds for each second after the minimum stage time
+	maxReleaseTestOdds = 8.0  // upper bound of the limit of the worst test's odds, while shadow attempts of its class continue
 )
 
-// evidenceShare returns the exponent that reduces the odds required of each router where a number of votes must agree. Each
-// router has evidence of its own, so that each needs only a part of the proof.
+// evidenceShare returns the exponent that reduces the odds that each router requires if the given number of votes must
+// agree. Each router has evidence of its own, so that each needs less of it than a router that decides alone.
 func evidenceShare(votes int) float64 { return 1 / math.Sqrt(float64(max(1, votes-1))) }
 
 // judge derives a verdict on the newest build from the evidence.
--- a/policy/vote_test.go
+++ b/policy/vote_test.go
@@ -56,7 +56,7 @@
 		f, endpoints := newFakeFleet(t, func(config *Config) { config.Routers, config.Rank, config.Release.SampledShare = 40, rank, 0.2 })
 		f.router.EndpointsChanged(f.now, append(endpoints, f.host(10, 2), f.host(11, 2), f.host(12, 2)), true)
 		f.startCanary(2, 1)
-		for range 4 { // seconds; the router's first shadow attempts fail, and the reports have the figures given by the test
+		for range 4 { // four seconds; the router's first shadow attempts fail, and the reports have the parameters' failures and latency
 			f.serve(20, f.quote, func(attempt *Attempt) Outcome {
 				if attempt.build == 2 && len(attempt.Host.samples) < 3 {
 					return Failed
--- a/policy/zone.go
+++ b/policy/zone.go
@@ -50,17 +50,18 @@
 }
 
 // mergesZones reports whether hosts are drawn regardless of their zone: crossing must be cheap and the path to other
-// zones must not be degraded. The path is degraded while far more of the recent attempts over it failed or were late than
-// of local attempts.
+// zones must not be degraded. The path is degraded while the share of recent attempts that failed or were late is far
+// higher over it than over the local path.
 func (r *Router) mergesZones() bool {
-	const minFailures, rateGap = 1.5, 0.3 // decayed number of attempts; difference between the failure rates
+	const minFailures, rateGap = 1.5, 0.3 // decayed number of failures over the path; difference between the failure rates
 	if !r.crossesCheaply() {
 		return false
 	}
 	remote, local := r.remotePathStats(), r.zones.paths[localZone].decayedTo(r.now)
 	degraded := remote.failures >= minFailures &&
 		remote.failures/remote.attempts >= local.failures/max(1, local.attempts)+rateGap
-	// A decay of the failures doesn't show recovery: where there are health checks, an attempt must have succeeded.
+	// A decay of the failures doesn't show that the path has recovered: if health checks are allowed, attempts or
+	// health checks over it must have succeeded.
 	unproven := r.zones.remoteDegraded && r.limits.HealthChecks && remote.attempts-remote.failures < minFailures/2
 	r.zones.remoteDegraded = degraded || unproven
 	return !r.zones.remoteDegraded
