--- a/router/actions.go
+++ b/router/actions.go
@@ -8,8 +8,8 @@
 // Kinds of actions. Each comment names the fields of Action that the kind uses.
 const (
 	SendAttempt     ActionKind = iota // send RequestID to Host as attempt number Attempt, with the timeout Duration
-	Reject                            // respond to RequestID finally: it was not executed, so a retry is safe, preferably after Duration
-	Fail                              // respond to RequestID finally: it failed and may have been executed
+	Reject                            // give RequestID its final response: it is rejected, and a retry is safe, preferably after Duration
+	Fail                              // give RequestID its final response: it failed and may have been executed
 	SetTimer                          // deliver a TimerFired event with the number Timer after Duration
 	WatchEndpoints                    // watch the endpoint list, or resume the watch after a failure
 	CastVote                          // cast the vote Choice on Build at Stage
@@ -34,7 +34,7 @@
 	PlanVersion uint64
 	Peer        int
 	Body        string
-	IsShadow    bool // a SendAttempt is a shadow attempt: it measures the canary build, with or without a primary attempt beside it
+	IsShadow    bool // whether a SendAttempt is a shadow attempt, which tests the canary or an ejected host alongside the primary attempt or before it
 }
 
 // effects implements policy.Effects: it collects the effects that the policy requests as actions.
--- a/router/benchmark_test.go
+++ b/router/benchmark_test.go
@@ -15,8 +15,8 @@
 	b           *testing.B
 	r           *router.Router
 	now         policy.Time
-	interval    float64 // between two requests, in units of policy.Time
-	elapsed     float64
+	interval    float64 // time between two requests, in units of policy.Time
+	elapsed     float64 // time for which requests have arrived, in units of policy.Time
 	lastID      int
 	attemptEnds []attemptEnd // attempts in flight, with the time at which each ends
 	actions     []router.Action
--- a/router/config.go
+++ b/router/config.go
@@ -25,16 +25,16 @@
 	Name             string
 	Idempotency      policy.Idempotency
 	DedupScope       policy.DedupScope
-	DedupWindow      policy.Time // how long the hosts of one dedup scope deduplicate retries of a request
+	DedupWindow      policy.Time // how long the hosts of one dedup scope drop repeats of a request
 	LatencyObjective policy.Time
 	PriorityWeight   float64
-	LateValueShare   float64 // share of its value that a response later than the latency objective keeps
+	LateValueShare   float64 // value of a response later than the latency objective, as a share of its full value
 }
 
 // Tenant is a customer on whose behalf requests are made.
 type Tenant struct {
 	Name           string
-	QuotaPerSecond float64 // requests per second, over all routers, that count with their full value
+	QuotaPerSecond float64 // number of requests per second, over all routers, that have their full value
 }
 
 // configChanged replaces the configuration between two events. Requests in flight continue under the new configuration;
@@ -56,9 +56,9 @@
 	return nil
 }
 
-// CheckChange returns an error for each difference in next that can't be applied to a running router. Its hosts and
-// requests were interpreted relative to its zone, and the idempotency of its classes is assumed for the requests in
-// flight. The errors use the names of the settings.
+// CheckChange returns an error that joins one error for each difference in next that can't be applied to a running
+// router. The zone can't change, because hosts and requests were interpreted relative to it. The idempotency of a class
+// can't change, because the requests in flight were handled according to it. The errors use the names of the settings.
 func (c Config) CheckChange(next Config) error {
 	var all []error
 	if c.Zone != next.Zone {
--- a/router/doc.go
+++ b/router/doc.go
@@ -1,5 +1,5 @@
 // Package router implements one router as a library: it takes events and returns actions. It owns one policy.Router,
-// which makes all decisions, and maps ids to the objects of that package, so that the embedding program uses ids only.
+// which makes all decisions, and maps IDs to the objects of that package, so that the embedding program uses only IDs.
 // It has no socket, clock or goroutine: each event is handled at a time that the caller passes, and the same events at
 // the same times give the same actions.
 //
@@ -13,7 +13,8 @@
 // fleet, their clocks should agree to within a few tenths of a second, because the routers take turns by the clock
 // without exchanging messages. A Router is not safe for concurrent use.
 //
-// Every request that arrives gets exactly one final response: by an AttemptEnded event with Done set (the first attempt
-// that succeeds), or by a Reject or Fail action. The embedding program reports the end of each attempt exactly once by an
-// AttemptEnded event, even after its request is complete: the request is forgotten only when all its attempts have ended.
+// Every request that arrives gets exactly one final response, unless its client disconnects first: by an AttemptEnded
+// event with Done set (the first attempt that succeeds), or by a Reject or Fail action. The embedding program reports
+// the end of each attempt exactly once by an AttemptEnded event, even after its request is complete: the request is
+// forgotten only when all its attempts have ended.
 package router
--- a/router/endpoints.go
+++ b/router/endpoints.go
@@ -7,8 +7,8 @@
 	"dapplefront/policy"
 )
 
-// A host is forgotten forgetHostAfter its removal, which is far longer than any time span that the policy looks back on.
-// Hosts are checked for this at intervals of forgetHostsInterval.
+// A removed host is forgotten once forgetHostAfter has passed, which is far longer than any period over which the
+// policy counts events. The router checks its hosts for this at intervals of forgetHostsInterval.
 const (
 	forgetHostAfter     = 600 * policy.Second
 	forgetHostsInterval = 60 * policy.Second
@@ -17,12 +17,12 @@
 // host is an endpoint that is listed or was listed earlier.
 type host struct {
 	policy           *policy.Host
-	removedAt        policy.Time // 0 while the host is listed
+	removedAt        policy.Time // when the host was removed; 0 while it is listed
 	attemptsInFlight int
 }
 
-// endpointsChanged applies an endpoint list and then applies the plan in force again, because it may have weights for
-// hosts that were not listed before.
+// endpointsChanged applies an endpoint list. It then applies the plan in force again, because the plan may have weights
+// for hosts that were not listed before.
 func (r *Router) endpointsChanged(now policy.Time, e EndpointsChanged) {
 	r.policy.EndpointsChanged(now, r.endpointUpdates(now, e), true)
 	r.forgetHosts(now)
@@ -68,8 +68,8 @@
 	return updates
 }
 
-// forgetHosts forgets the hosts that were removed more than forgetHostAfter ago and have no attempts in flight, as their
-// observations no longer affect any decision.
+// forgetHosts forgets the hosts that were removed more than forgetHostAfter ago and have no attempts in flight, because
+// their observations no longer affect any decision.
 func (r *Router) forgetHosts(now policy.Time) {
 	if now-r.hostsForgottenAt < forgetHostsInterval {
 		return
@@ -83,7 +83,7 @@
 	}
 }
 
-// zone returns the policy's object for the zone with a name and creates it if necessary.
+// zone returns the policy's object for the zone with the given name and creates it if necessary.
 func (r *Router) zone(name string) *policy.Zone {
 	if r.zones[name] == nil {
 		r.zones[name] = &policy.Zone{}
--- a/router/events.go
+++ b/router/events.go
@@ -8,7 +8,8 @@
 // Event is an input that a router handles.
 type Event interface{ event() }
 
-// RequestArrived reports a new request. The router gives it exactly one final response.
+// RequestArrived reports a new request. The router gives it exactly one final response, unless its client disconnects
+// first.
 type RequestArrived struct {
 	RequestID    string // must not have been used before
 	Class        string
@@ -16,7 +17,7 @@
 	Key          string // the same for requests that concern the same object; empty if the request has no key
 	Timeout      policy.Time
 	ExpectedWork policy.Time // 0 if unknown
-	ClientRetry  bool        // the client says that it retries by itself
+	ClientRetry  bool        // whether the client has announced that it retries on its own
 }
 
 // AttemptEnded reports the end of an attempt.
@@ -25,7 +26,7 @@
 	Attempt   int // number of the attempt within the request, from 0
 	Outcome   policy.Outcome
 	Latency   policy.Time
-	Done      bool               // the request was completed by this attempt or earlier
+	Done      bool               // whether the request is complete, through this attempt or an earlier one
 	Load      *policy.LoadReport // the load report that the host sent with its response, or nil
 }
 
@@ -38,7 +39,7 @@
 // ClientDisconnected reports that a client disconnected: its request needs no response any more.
 type ClientDisconnected struct{ RequestID string }
 
-// EndpointsChanged is an endpoint list: the complete list if Complete is set, otherwise only the hosts that have changed.
+// EndpointsChanged is the complete endpoint list if Complete is set. Otherwise it has only the hosts that have changed.
 type EndpointsChanged struct {
 	Complete bool
 	Hosts    []Host
@@ -55,8 +56,8 @@
 	Build             int
 	Class             string
 	Failures, Samples int
-	MeanLatency, Age  policy.Time
-	Window            policy.Time // time span that the statistics cover
+	MeanLatency, Age  policy.Time // mean latency of the attempts that succeeded; time since the end of the period
+	Window            policy.Time // length of the period that the statistics cover
 }
 
 // ComplaintReceived reports that a client found a response of a host to be wrong.
@@ -105,7 +106,7 @@
 func (ConfigChanged) event()        {}
 func (PlanOffered) event()          {}
 
-// Host is one entry of the endpoint list. ID must be the same at all routers, because they take turns by it.
+// Host is one entry of the endpoint list. ID must be the same at all routers, because gossip identifies hosts by it.
 type Host struct {
 	ID        uint32
 	Zone      string
@@ -113,5 +114,5 @@
 	State     policy.EndpointState
 	Build     int
 	Weight    float64
-	StartedAt policy.Time // when the host's process started; 0 if long ago
+	StartedAt policy.Time // when the host's process started; 0 means long ago
 }
--- a/router/plan.go
+++ b/router/plan.go
@@ -22,7 +22,8 @@
 	r.actions = append(r.actions, ack)
 }
 
-// planFleet returns the state that a plan is checked against: the known hosts, and the canary build with its exposure cap.
+// planFleet returns the state of the fleet by which a plan is checked: the known hosts, and the canary build with its
+// exposure cap.
 func (r *Router) planFleet(now policy.Time) plan.Fleet {
 	warmUp := r.config.Limits.WarmUp
 	fleet := plan.Fleet{Hosts: make(map[uint32]plan.KnownHost, len(r.hosts)), SlowStart: time.Duration(warmUp) * policyTick}
--- a/router/plan_test.go
+++ b/router/plan_test.go
@@ -44,7 +44,7 @@
 	return actions[0].Text
 }
 
-func TestRouter_FollowsPlanWithinRulesAndDrains(t *testing.T) {
+func TestRouter_FollowsPlanUntilItExpiresExceptForDrainingHosts(t *testing.T) {
 	now := 1000 * policy.Second
 	r, _ := router.New(now, router.Config{Seed: 1, Routers: 1, Zone: "north", Classes: []router.Class{{Name: "quote", LatencyObjective: 4000, PriorityWeight: 1}},
 		Limits: policy.Limits{DrainGrace: policy.Second, WarmUp: 4 * policy.Second, ColdCapacity: .3, ColdOverloadFactor: 3, ColdOverloadWindow: 2 * policy.Second, PollInterval: 1000 * policy.Second,
@@ -74,10 +74,10 @@
 	handle(router.EndpointsChanged{Hosts: []router.Host{drained}})
 	require.Contains(t, offerPlan(t, r, now, plan.Offer{Version: 1, ValidFor: time.Minute}), "in force already")
 	require.Empty(t, offerPlan(t, r, now, plan.Offer{Version: 2, ValidFor: 4 * time.Second, LocalWeights: []plan.HostWeight{{Host: 1, Weight: 9}, {Host: 2, Weight: 1}, {Host: 77, Weight: 1}}}),
-		"the plan was made before the drain was known")
+		"the plan names a draining host, because it was made before the drain was known")
 	after := countAttempts(t, r, 2000, &now, 1000)
 	require.Zero(t, after[1], "a draining host gets no attempts, whatever its weight in the plan")
-	handle(router.EndpointsChanged{Hosts: []router.Host{host(77, "north")}}) // a host that was in the plan before it was in the endpoint list
+	handle(router.EndpointsChanged{Hosts: []router.Host{host(77, "north")}}) // the plan named this host before the endpoint list did
 	more := countAttempts(t, r, 3000, &now, 500)
 	require.Greater(t, more[77], 100)
 
--- a/router/router.go
+++ b/router/router.go
@@ -8,14 +8,14 @@
 	"dapplefront/policy"
 )
 
-// Errors that Handle returns, wrapped with the request, build, host or event type that they concern.
+// Errors that Handle returns, wrapped in a text that names the request, build, host or event type.
 var (
 	ErrUnknownClass     = errors.New("unknown class")
 	ErrDuplicateRequest = errors.New("request id is in use")
 	ErrUnknownEvent     = errors.New("unknown event")
 )
 
-// Router is one router: it wraps a policy.Router and refers to hosts, requests and timers by ids.
+// Router is one router: it wraps a policy.Router and refers to hosts, requests and timers by IDs.
 type Router struct {
 	policy  *policy.Router
 	config  Config
@@ -40,10 +40,10 @@
 	planValidUntil policy.Time
 }
 
-// request is a request that waits for its final response or for the end of its attempts.
+// request is a request that still needs its final response or still has attempts in flight.
 type request struct {
 	policy           *policy.Request
-	attemptDone      []bool // indexed by attempt
+	attemptDone      []bool // whether each attempt has ended, indexed by the number of the attempt
 	attemptsInFlight int
 }
 
@@ -66,13 +66,13 @@
 	return r, r.actions
 }
 
-// InFlight returns the number of requests that wait for their final response or still have attempts in flight.
+// InFlight returns the number of requests that still need their final response or still have attempts in flight.
 func (r *Router) InFlight() int { return len(r.requests) }
 
-// Handle handles an event at the time now and appends the resulting actions to actions. An invalid event changes nothing
-// and returns an error: ErrUnknownClass, ErrDuplicateRequest, ErrUnknownEvent, or the error of CheckChange for a
-// configuration. An event for a request, host or timer that is no longer known is ignored, because it may already have
-// been on its way when the router forgot that object.
+// Handle handles an event at the time now and appends the resulting actions to actions. An invalid event changes
+// nothing and returns an error: ErrUnknownClass, ErrDuplicateRequest, ErrUnknownEvent, or the error of CheckChange for
+// a configuration. An event for a request, host or timer that is no longer known is ignored, because it may have been
+// sent before the router forgot that object.
 func (r *Router) Handle(now policy.Time, e Event, actions []Action) ([]Action, error) {
 	r.actions = actions
 	err := r.handle(now, e)
