--- a/record/action.go
+++ b/record/action.go
@@ -5,7 +5,7 @@
 	"dapplefront/router"
 )
 
-// Fields of the message Action, a router.Action.
+// Fields of the message Action, which stores a router.Action.
 const (
 	actionKind        = 1
 	actionRequestID   = 2
--- a/record/block.go
+++ b/record/block.go
@@ -21,9 +21,9 @@
 // Each entry is a protobuf message preceded by its length.
 const (
 	checksumOffset = 8
-	checksumEnd    = 12 // the checksum covers the block from this offset
+	checksumEnd    = 12 // the checksum covers the rest of the block from this offset
 	headerBytes    = 28
-	maxBlockBytes  = 64 << 20 // limit on the size of a block's entries, compressed or not, that a reader accepts; a writer's blocks have about 100 KB
+	maxBlockBytes  = 64 << 20 // largest size of a block's entries, compressed or not, that a reader accepts; a writer's blocks have about 100 KB
 )
 
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
--- a/record/config_events.go
+++ b/record/config_events.go
@@ -6,10 +6,10 @@
 	"dapplefront/router"
 )
 
-// Field of the message Begin, which holds a router.Config in its stored JSON form.
+// Field of the message Begin, which stores a router.Config in its JSON form.
 const configJSON = 1
 
-// appendConfig appends a configuration in which the tenants' names are replaced by hashes.
+// appendConfig appends a configuration with the names of tenants replaced by hashes.
 func appendConfig(b *encoder, number protowire.Number, c router.Config, hash hashFunc) error {
 	tenants := c.Tenants
 	c.Tenants = nil
@@ -22,7 +22,7 @@
 	return err
 }
 
-// decodeConfig returns nil if the message has no configuration.
+// decodeConfig returns the configuration in a message, or nil if the message has none.
 func decodeConfig(message []byte) (c *router.Config, err error) {
 	err = eachField(message, func(f field) (err error) {
 		if f.number == configJSON {
--- a/record/describe.go
+++ b/record/describe.go
@@ -11,14 +11,14 @@
 func seconds(t policy.Time) float64      { return float64(t) / 10_000 }
 func milliseconds(t policy.Time) float64 { return float64(t) / 10 }
 
-// outcomeTexts describe the values of policy.Outcome, which index them.
+// outcomeTexts are the descriptions of the values of policy.Outcome, indexed by value.
 var outcomeTexts = []string{"in flight", "succeeded", "failed", "rejected", "timed out", "connection failed", "connection lost", "canceled", "not sent"}
 
 func outcomeText(o policy.Outcome) string {
 	return outcomeTexts[min(max(0, int(o)), len(outcomeTexts)-1)]
 }
 
-// EventText describes an event in one human-readable line. A nil event is the start of a router.
+// EventText describes an event in one human-readable line. A nil event stands for the start of a router.
 func EventText(e router.Event) string {
 	switch e := e.(type) {
 	case router.RequestArrived:
@@ -62,8 +62,8 @@
 	return fmt.Sprintf("%+v", a)
 }
 
-// TraceRequest returns a function for Replay that writes a description of every entry that concerns the request id: its
-// arrival, its attempts and their outcomes.
+// TraceRequest returns a function for the parameter explain of Replay. The function writes a description of every entry
+// that concerns the request with the given ID: its arrival, its attempts and their outcomes.
 func TraceRequest(id string, to io.Writer) func(Entry) {
 	return func(e Entry) {
 		var lines string
--- a/record/doc.go
+++ b/record/doc.go
@@ -9,9 +9,9 @@
 //	err = w.WriteEvent(now, event, actions)  // each event
 //	err = w.Close()
 //
-//	report, err := record.Replay(files, nil) // the first difference, if any, with the entries before it
+//	report, err := record.Replay(files, nil) // the report has the first difference, if any, with the entries before it
 //
 // A Writer does not wait for the disk, except in Close. If its queue is full, it drops a block and counts the dropped
-// entries; the gap in the entry numbers shows which ones are missing. Idempotency keys and names of tenants are stored
-// only as keyed hashes, and the contents of requests are not stored.
+// entries; the gap in the entry numbers shows which entries are missing. Idempotency keys and names of tenants are
+// stored only as keyed hashes, and the contents of requests are not stored.
 package record
--- a/record/endpoint_events.go
+++ b/record/endpoint_events.go
@@ -7,7 +7,7 @@
 	"dapplefront/router"
 )
 
-// Fields of the message Listed, a router.EndpointsChanged.
+// Fields of the message Listed, which stores a router.EndpointsChanged.
 const (
 	endpointsComplete = 1
 	endpointsHost     = 2
@@ -36,7 +36,7 @@
 	return e, err
 }
 
-// Fields of the message Host, a router.Host.
+// Fields of the message Host, which stores a router.Host.
 const (
 	hostID        = 1
 	hostZone      = 2
@@ -80,7 +80,7 @@
 	return h, err
 }
 
-// Fields of the message Complained, a router.ComplaintReceived.
+// Fields of the message Complained, which stores a router.ComplaintReceived.
 const (
 	complaintHost  = 1
 	complaintClass = 2
@@ -109,7 +109,7 @@
 	return e, err
 }
 
-// Fields of the message Probed, a router.HealthChecked.
+// Fields of the message Probed, which stores a router.HealthChecked.
 const (
 	healthHost    = 1
 	healthOutcome = 2
@@ -142,7 +142,7 @@
 	return e, err
 }
 
-// Fields of the message Load, a policy.LoadReport.
+// Fields of the message Load, which stores a policy.LoadReport.
 const (
 	loadActiveRequests    = 1
 	loadQueuedRequests    = 2
@@ -151,7 +151,7 @@
 	loadRequestsPerSecond = 5
 )
 
-// appendLoad appends a load report; it appends nothing if l is nil.
+// appendLoad appends a load report, or nothing if l is nil.
 func appendLoad(b *encoder, number protowire.Number, l *policy.LoadReport) {
 	if l == nil {
 		return
--- a/record/entry.go
+++ b/record/entry.go
@@ -10,9 +10,9 @@
 
 // Entry is one event with the actions that the router returned for it.
 type Entry struct {
-	Number  uint64         // number of the entry within its writer, from 1
-	At      policy.Time    // on the router's clock
-	Config  *router.Config // set instead of Event at the start of a router
+	Number  uint64         // number of the entry among all entries of its writer, from 1
+	At      policy.Time    // time of the event on the router's clock
+	Config  *router.Config // configuration of the router; set instead of Event for the start of a router
 	Event   router.Event
 	Actions []router.Action
 }
--- a/record/entry_test.go
+++ b/record/entry_test.go
@@ -16,7 +16,7 @@
 	"dapplefront/router"
 )
 
-// Guards against changes of the stored form: entries written by an earlier version must be encoded to the same bytes again.
+// Guards against changes of the stored form: entries that an earlier version wrote must be encoded to the same bytes.
 func TestEntry_ReencodesStoredEntriesByteForByte(t *testing.T) {
 	files, err := filepath.Glob("testdata/*.rec")
 	require.NoError(t, err)
--- a/record/file_writer.go
+++ b/record/file_writer.go
@@ -13,7 +13,7 @@
 )
 
 // writeFiles writes blocks to files until the channel of blocks is closed. It continues after an error and returns all
-// errors at the end.
+// errors at the end. If no file can be created for a block, that block is lost.
 func (w *Writer) writeFiles() error {
 	compressor, err := zstd.NewWriter(nil, zstd.WithEncoderConcurrency(1), zstd.WithEncoderLevel(zstd.SpeedFastest))
 	if err != nil {
@@ -84,8 +84,8 @@
 	}
 }
 
-// removeOldest removes the oldest files of this router so that those left, with MaxFileBytes reserved for the new file
-// newest, don't exceed MaxBytes. It never removes newest.
+// removeOldest removes the oldest files of this router so that the remaining ones, together with MaxFileBytes reserved
+// for the new file, don't exceed MaxBytes. newest is the name of the new file, which is never removed.
 func (f *rotatingFile) removeOldest(newest string) {
 	files, err := Files(f.config.Dir, f.config.Name)
 	if err != nil {
--- a/record/plan_events.go
+++ b/record/plan_events.go
@@ -9,7 +9,7 @@
 	"dapplefront/router"
 )
 
-// Fields of the message Planned, a router.PlanOffered.
+// Fields of the message Planned, which stores a router.PlanOffered.
 const (
 	planVersion        = 1
 	planBuild          = 2
@@ -58,7 +58,7 @@
 	return e, err
 }
 
-// Fields of the message Part, a plan.HostWeight.
+// Fields of the message Part, which stores a plan.HostWeight.
 const (
 	weightHost  = 1
 	weightValue = 2
--- a/record/protowire.go
+++ b/record/protowire.go
@@ -69,8 +69,8 @@
 // errMalformed is returned for bytes that are not a protobuf message.
 var errMalformed = errors.New("malformed protobuf message")
 
-// eachField calls decode for every field of a message, including fields that this version doesn't know, and returns the
-// first error.
+// eachField calls decode for every field of a message, including fields that this version doesn't know. It stops at the
+// first error and returns it.
 func eachField(message []byte, decode func(f field) error) error {
 	for len(message) > 0 {
 		number, kind, n := protowire.ConsumeTag(message)
--- a/record/reader.go
+++ b/record/reader.go
@@ -10,8 +10,8 @@
 	"google.golang.org/protobuf/encoding/protowire"
 )
 
-// Read calls handle for every entry of one file and returns the first error. If the file is damaged, the error names the
-// block and its offset, and handle has been called for the entries before that block.
+// Read calls handle for every entry of one file. It stops at the first error and returns it. If the file is damaged,
+// the error names the block and its offset, and handle has been called for at least the entries before that block.
 func Read(from io.Reader, handle func(Entry) error) error {
 	in := bufio.NewReaderSize(from, 1<<16)
 	if err := readMagic(in); err != nil {
@@ -55,9 +55,9 @@
 	in           io.Reader
 	decompressor *zstd.Decoder
 	header       blockHeader
-	index        int    // of the next block
-	offset       int64  // of the next block, in bytes
-	location     string // of the block that was read last, for error messages
+	index        int    // index of the next block in the file
+	offset       int64  // offset of the next block in the file, in bytes
+	location     string // index and offset of the block that was read last, for error messages
 }
 
 // next returns the entries of the next block, or io.EOF after the last block.
--- a/record/release_events.go
+++ b/record/release_events.go
@@ -5,7 +5,7 @@
 	"dapplefront/router"
 )
 
-// Fields of the message News, a router.ReleaseChanged.
+// Fields of the message News, which stores a router.ReleaseChanged.
 const (
 	releaseBuild       = 1
 	releaseStage       = 2
@@ -46,7 +46,7 @@
 	return e, err
 }
 
-// Fields of the message Counted, a router.StatsReported.
+// Fields of the message Counted, which stores a router.StatsReported.
 const (
 	statsBuild       = 1
 	statsClass       = 2
@@ -91,7 +91,7 @@
 	return e, err
 }
 
-// Fields of the message Heard, a router.GossipReceived.
+// Fields of the message Heard, which stores a router.GossipReceived.
 const (
 	gossipPeer = 1
 	gossipBody = 2
--- a/record/replay.go
+++ b/record/replay.go
@@ -15,8 +15,8 @@
 	Starts           int         // number of starts of a router
 	Differences      int         // number of entries whose actions differ
 	First            *Difference // nil if no entry differs
-	Skipped          int         // number of entries not compared: those from a gap to the next start
-	Gaps             []string    // why entries were missing or could not be read, in the order of the files
+	Skipped          int         // number of entries that were not compared, from a gap to the next start of a router
+	Gaps             []string    // for each gap, why entries were missing or could not be read, in the order of the files
 }
 
 // Difference is the first entry whose actions differ.
@@ -45,9 +45,9 @@
 }
 
 // Replay passes recorded events to the router library and compares the actions that it returns with the recorded ones.
-// files are the files of one router, in order. After a gap or a damaged block, entries can't be compared until the next
-// start of a router. explain, if not nil, is called for every entry that was compared. Replay returns an error if a file
-// can't be opened.
+// files are the record files of one router, the oldest first. After a gap or a damaged block, entries are not compared
+// until the next start of a router. If explain is not nil, it is called for every entry that was compared. Replay
+// returns an error if a file can't be opened.
 func Replay(files []string, explain func(Entry)) (*Report, error) {
 	r := replayer{report: &Report{}, explain: explain}
 	for _, name := range files {
@@ -74,9 +74,9 @@
 	actions    []router.Action // reused buffer
 }
 
-const precedingEntries = 12 // number of entries that are shown before a difference
+const precedingEntries = 12 // number of entries before a difference that are shown with it
 
-// gap stops the comparison until the next start of a router.
+// gap adds the reason for a gap to the report and stops the comparison until the next start of a router.
 func (r *replayer) gap(reason string) {
 	r.router = nil
 	r.report.Gaps = append(r.report.Gaps, reason)
@@ -112,7 +112,7 @@
 	return nil
 }
 
-// compare counts an entry and keeps the first difference.
+// compare counts an entry and its actions, and records the first difference.
 func (r *replayer) compare(e Entry, got []router.Action) {
 	r.report.Entries++
 	r.report.Actions += len(e.Actions)
--- a/record/request_events.go
+++ b/record/request_events.go
@@ -5,7 +5,7 @@
 	"dapplefront/router"
 )
 
-// Fields of the message Taken, a router.RequestArrived.
+// Fields of the message Taken, which stores a router.RequestArrived.
 const (
 	requestID           = 1
 	requestClass        = 2
@@ -50,7 +50,7 @@
 	return e, err
 }
 
-// Fields of the message Ended, a router.AttemptEnded.
+// Fields of the message Ended, which stores a router.AttemptEnded.
 const (
 	endedRequestID = 1
 	endedAttempt   = 2
@@ -91,7 +91,7 @@
 	return e, err
 }
 
-// Fields of the message Began, a router.ResponseStarted.
+// Fields of the message Began, which stores a router.ResponseStarted.
 const (
 	startedRequestID = 1
 	startedAttempt   = 2
@@ -116,7 +116,7 @@
 	return e, err
 }
 
-// Field of the message Left, a router.ClientDisconnected.
+// Field of the message Left, which stores a router.ClientDisconnected.
 const clientDisconnectedRequestID = 1
 
 func appendClientDisconnected(b *encoder, e router.ClientDisconnected) {
--- a/record/settings_test.go
+++ b/record/settings_test.go
@@ -12,8 +12,8 @@
 	"dapplefront/router"
 )
 
-// Guards against settings that are read differently than before. The configurations are compared in their stored form,
-// because that does not change when names in the code do.
+// Guards against changes in how settings are read. The configurations are compared in their stored form, because that
+// form does not change when names in the code do.
 func TestMarshalConfig_KeepsStoredFormOfSettings(t *testing.T) {
 	t.Run("INI file", func(t *testing.T) {
 		c, err := routerconfig.Read("testdata/router.ini")
--- a/record/writer.go
+++ b/record/writer.go
@@ -18,7 +18,7 @@
 	"dapplefront/router"
 )
 
-// Config determines where a router's records are written and how much of them is kept.
+// Config determines where a router's records are written and how many bytes of them are retained.
 type Config struct {
 	Dir          string
 	Name         string              // name of the router; files are named NAME-TIME-COUNT.rec
@@ -26,7 +26,7 @@
 	MaxFileAge   time.Duration       // age at which a new file replaces the current one; 0 means one hour
 	MaxBytes     int64               // total size of the router's files, above which the oldest are removed; 0 means 1 GiB
 	Secret       []byte              // key for the hashes of idempotency keys and tenants; nil means a random key that is not stored
-	OpenSink     func(*os.File) Sink // wraps a new file; nil means that blocks are written to the file itself
+	OpenSink     func(*os.File) Sink // returns the sink to which the blocks of a new file are written; nil means the file itself
 }
 
 // Sink is a destination that blocks are written to.
@@ -40,8 +40,8 @@
 	defaultMaxFileAge   = time.Hour
 	defaultMaxBytes     = 1 << 30
 
-	blockBytes    = 64 << 10    // size of the entries in a full block: about 600 entries, which compress well but are lost together
-	maxBlockAge   = time.Second // age at which a block is passed on even if it is not full
+	blockBytes    = 64 << 10    // size of the entries in a full block: about 600 entries, which compress well together but are lost together if the block is dropped
+	maxBlockAge   = time.Second // age at which a block is queued with the next entry even if it is not full
 	blockQueue    = 32          // capacity of the queue of blocks to the file writer: 2 MiB
 	maxHashes     = 10_000      // number of cached hashes: enough for the names of a few seconds
 	hashBytes     = 12          // length of a hash that is stored, before hex encoding
@@ -49,14 +49,14 @@
 	fileTimestamp = "20060102T150405.000000" // in file names, in UTC, so that the names sort by time
 )
 
-// Writer writes one router's records. Only one goroutine may call its methods, except Written. Only Close waits for the
-// disk.
+// Writer writes one router's records. Its methods, except Written, must not be called concurrently. Only Close waits
+// for the disk.
 type Writer struct {
 	config         Config
 	current        block
-	blockStartedAt time.Time // when the first entry was added to the current block
-	number         uint64    // of the last entry
-	dropped        uint64
+	blockStartedAt time.Time   // when the first entry was added to the current block
+	number         uint64      // number of the last entry
+	dropped        uint64      // number of entries dropped since Create
 	blocks         chan block  // queue to the goroutine that writes files
 	buffers        chan []byte // buffers of written blocks, for reuse
 	done           chan error  // result of the goroutine that writes files
@@ -144,7 +144,7 @@
 	return nil
 }
 
-// Flush queues the current block for the goroutine that writes files, or drops the block if the queue is full.
+// Flush queues the current block for the goroutine that writes files. It drops the block if the queue is full.
 func (w *Writer) Flush() {
 	if len(w.current.entries) == 0 {
 		return
@@ -181,7 +181,7 @@
 	return <-w.done
 }
 
-// Files returns the record files of a router in a directory, the oldest first. name is the name of the router.
+// Files returns the record files of the router with the given name in a directory, the oldest first.
 func Files(dir, name string) ([]string, error) {
 	files, err := filepath.Glob(filepath.Join(dir, name+"-*.rec"))
 	slices.Sort(files)
--- a/record/writer_test.go
+++ b/record/writer_test.go
@@ -27,7 +27,7 @@
 		}
 		return nil
 	}))
-	require.Len(t, keys, 20, "equal keys have equal hashes, and different keys different ones")
+	require.Len(t, keys, 20, "equal keys have equal hashes, and different keys have different hashes")
 }
 
 // stalledFile blocks every write until a channel is closed.
@@ -72,7 +72,7 @@
 	r, err := Replay(files, nil)
 	require.NoError(t, err)
 	require.Zero(t, r.Differences)
-	require.True(t, r.Starts == 1 || r.Skipped > 0, "entries without the start in their files are skipped")
+	require.True(t, r.Starts == 1 || r.Skipped > 0, "entries are skipped if the file with the start of the router was removed")
 	require.True(t, strings.HasPrefix(files[0], dir))
 }
 
