--- a/policy/attempt.go
+++ b/policy/attempt.go
@@ -27,7 +27,7 @@
 	role            attemptRole
 	sentAt          Time
 	build           int     // build that the host ran when the attempt started
-	hostStartedAt   Time    // start of the host process that the attempt was sent to
+	hostStartedAt   Time    // when the host process that the attempt was sent to had started
 	hostLoad        float64 // estimated number of requests in flight at the host when the attempt started
 	shadowTimeout   Time    // timeout of a shadow attempt that is sent before its primary attempt
 	responseStarted bool
--- a/policy/shadow.go
+++ b/policy/shadow.go
@@ -55,12 +55,12 @@
 // idempotent classes, and for other classes if the harm costs less than a longer release. If the harm costs more, it is
 // true for a random share of the requests until the class has been judged.
 func (r *Router) acceptsHarm(class *Class) bool {
-	const cleared, convicted = 0.1, 10.0 // a class has been judged if the odds that the canary fails it are below cleared or above convicted
-	const failureRate = 0.3              // approximate failure rate of a class at a bad build
-	const unjudgedShare = 0.25           // share of the requests accepted until the class has been judged
+	const judgedGood, judgedBad = 0.1, 10.0 // a class has been judged below and above these odds that the canary fails it
+	const failureRate = 0.3                 // approximate failure rate of a class at a bad build
+	const unjudgedShare = 0.25              // share of the requests accepted until the class has been judged
 	harm := r.release.config.HarmPrice * failureRate * class.failureOdds
 	if class.Idempotency != Idempotent && harm >= r.release.config.DelayPrice {
-		judged := class.failureOdds < cleared || class.failureOdds > convicted
+		judged := class.failureOdds < judgedGood || class.failureOdds > judgedBad
 		return !judged && r.random.chance(1000*unjudgedShare)
 	}
 	return true
--- a/policy/surge_test.go
+++ b/policy/surge_test.go
@@ -6,7 +6,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-func TestSurge_OwnAttemptsAloneAreTooLittleForRollbackAndSurgeTimesOut(t *testing.T) {
+func TestSurge_DoesNotRollBackOnOwnAttemptsAloneAndTimesOut(t *testing.T) {
 	f, _ := newFakeFleet(t, nil)
 	f.startCanary(1, 0.5)
 	f.router.surge.state, f.router.surge.since = surgeProven, f.now
--- a/policy/vote.go
+++ b/policy/vote.go
@@ -106,7 +106,7 @@
 
 // Limits of the odds that the newest build is bad, by which votes are cast.
 const (
-	rollbackOdds       = 8.0  // one good build in this many is rolled back by chance
+	rollbackOdds       = 8.0  // at most one good build in this many is rolled back by chance
 	costlyRollbackOdds = 30.0 // where statistics don't distinguish one failing host from a bad build, and after a release
 	minRollbackOdds    = 2.5  // minimum for any quorum; a single host can cause odds below this
 	promoteOdds        = 4.0  // a stage is promoted unless the build is in doubt, because each stage's exposure is limited
