--- a/release/doc.go
+++ b/release/doc.go
@@ -13,7 +13,7 @@
 //
 //	state         Phase        meaning
 //	deploying     Canary       the hosts of the current stage are starting
-//	analyzing     Canary       all hosts of the stage run: its time counts and routers vote
+//	analyzing     Canary       all hosts of the stage run: the stage's time counts and routers vote
 //	released      Released     the build takes all traffic; the previous build's hosts are retired
 //	rolling back  RollingBack  the previous build takes all traffic; this build's hosts are retired
 //	rolled back   RolledBack   this build's hosts are removed, or a newer build has superseded it
@@ -44,7 +44,7 @@
 //
 // Promote depends on Rules.Mode. With policy.Quorum a stage ends once the promote votes for it reach their quorum and
 // MinStageTime has passed since all its hosts became ready. With policy.Timed it ends after StageTime, not counting the time
-// during which hold votes reached their quorum. Promotion out of the last stage is promote last.
+// during which hold votes reached their quorum. The promotion out of the last stage is the trigger promote last.
 //
 // A vote counts for VoteTTL; a router's later vote replaces its earlier one. Promote and hold votes count for their stage
 // only, rollback votes for the whole build. After Finalize, the build can no longer be rolled back, and no other build can be
--- a/release/machine.go
+++ b/release/machine.go
@@ -32,9 +32,9 @@
 	previousBuild int         // the build that serves beside a canary, or served before status.Build
 	stageStarted  policy.Time // when all hosts of the stage became ready
 	heldTime      policy.Time // with policy.Timed: how long the stage has been on hold
-	onHold        bool
-	lastHandled   policy.Time
-	irreversible  bool // the newest build can't be rolled back
+	onHold        bool        // with policy.Timed: hold votes have reached their quorum
+	lastHandled   policy.Time // time of the previous input
+	irreversible  bool        // the newest build can't be rolled back
 	votes         map[string]castVote
 	effects       []Effect // of the input that is being handled
 }
@@ -55,16 +55,16 @@
 // votes other than rollback votes must also be for the current stage.
 func (m *Machine) Votes(choice policy.VoteChoice) (n int) {
 	for _, v := range m.votes {
-		stands := v.choice == choice && v.build == m.status.Build && m.now-v.at <= m.rules.VoteTTL
-		if stands && (choice == policy.Rollback || v.stage == m.status.Stage) {
+		current := v.choice == choice && v.build == m.status.Build && m.now-v.at <= m.rules.VoteTTL
+		if current && (choice == policy.Rollback || v.stage == m.status.Stage) {
 			n++
 		}
 	}
 	return n
 }
 
-// Handle handles an input at the given time and returns the effects to carry out, in order. A time before that of an earlier
-// input is replaced by the earlier input's time.
+// Handle handles an input at the given time and returns the effects to carry out, in order. If the time is before that of an
+// earlier input, the earlier input's time is used instead.
 func (m *Machine) Handle(now policy.Time, in Input) []Effect {
 	m.now, m.effects = max(now, m.now), nil
 	switch in := in.(type) {
@@ -97,8 +97,8 @@
 	return len(copied.Handle(now, Tick{})) > 0
 }
 
-// SetQuorum changes the number of votes that promote a stage and that roll a build back, as routers join and leave. It takes
-// effect with the next input.
+// SetQuorum sets how many votes promote a stage and how many roll a build back. The caller adjusts both when routers join or
+// leave. The new quorums take effect with the next input.
 func (m *Machine) SetQuorum(promote, rollback int) {
 	m.rules.PromoteQuorum, m.rules.RollbackQuorum = promote, rollback
 }
--- a/release/machine_test.go
+++ b/release/machine_test.go
@@ -13,7 +13,7 @@
 var rules = release.Rules{Mode: policy.Quorum, MinStageTime: policy.Second, VoteTTL: 5 * policy.Second,
 	PromoteQuorum: 2, RollbackQuorum: 1, Stages: []release.Stage{{HostShare: 0.1, ExposureCap: 0.1}, {HostShare: 1, ExposureCap: 1}}}
 
-// inFirstStage returns a machine whose canary, build 2, has had all hosts of its first stage ready since time 0.
+// inFirstStage returns a machine with build 2 as the canary in its first stage. All hosts of the stage are ready at time 0.
 func inFirstStage() *release.Machine {
 	m := release.New(rules, 1)
 	m.Handle(0, release.Offer{Build: 2})
@@ -81,7 +81,7 @@
 	require.Zero(t, m.Status().ExposureCap)
 }
 
-func TestMachine_HoldVotesPauseTimedStage(t *testing.T) {
+func TestMachine_PausesTimedStageOnHoldVotes(t *testing.T) {
 	r := rules
 	r.Mode, r.StageTime, r.HoldQuorum = policy.Timed, 2*policy.Second, 1
 	m := release.New(r, 1)
@@ -95,7 +95,7 @@
 	for at := 5 * policy.Second; at < 8*policy.Second; at += policy.Second / 10 {
 		m.Handle(at, release.Tick{})
 	}
-	require.Equal(t, 1, m.Status().Stage, "the vote expired after 6 s")
+	require.Equal(t, 1, m.Status().Stage, "the hold vote expired at 6 s")
 }
 
 // state returns a machine whose newest release, build 2, is in the named state of the table in the package documentation.
--- a/release/rules.go
+++ b/release/rules.go
@@ -20,7 +20,7 @@
 	HoldQuorum     int         // with policy.Timed: number of hold votes that pause the stage's time; 0 disables holding
 }
 
-// Status is the status of the newest release. It is stored and sent with its JSON names.
+// Status is the status of the newest release. Its JSON names are stored and sent, so they never change.
 type Status struct {
 	Build       int          `json:"Build"`
 	Stage       int          `json:"Stage"`
--- a/release/snapshot.go
+++ b/release/snapshot.go
@@ -42,8 +42,8 @@
 	return s
 }
 
-// Restore returns a machine that continues from a snapshot under the given rules. It returns an error for a snapshot that no
-// machine with these rules could have.
+// Restore returns a machine that continues from a snapshot under the given rules. It returns an error if the snapshot's state,
+// stage or build number is out of range.
 func Restore(rules Rules, s Snapshot) (*Machine, error) {
 	if s.State < 0 || s.State > int(rolledBack) || s.Status.Stage < 0 || s.Status.Stage > max(0, len(rules.Stages)-1) || s.Status.Build < 1 {
 		return nil, fmt.Errorf("release: invalid snapshot: state %d at stage %d of build %d", s.State, s.Status.Stage, s.Status.Build)
