--- a/control/agents.go
+++ b/control/agents.go
@@ -5,7 +5,8 @@
 	"slices"
 )
 
-// maxAgentOrders is the number of orders kept for an agent that is not connected. A host gets about four orders per build.
+// maxAgentOrders is the number of orders kept for each agent, which receives those that it missed when it reconnects. The oldest
+// orders are dropped first. A host gets about four orders per build.
 const maxAgentOrders = 64
 
 // Agent holds the orders to the agent of one host and the number of its last report.
@@ -20,7 +21,7 @@
 	Body   json.RawMessage `json:"body"`
 }
 
-// Orders returns the kept orders to an agent whose numbers are above the given one.
+// Orders returns those of the kept orders to an agent that have a number above the given one.
 func (s *State) Orders(agent string, after uint64) (out []Order) {
 	a := s.agents[agent]
 	if a == nil {
@@ -48,7 +49,7 @@
 }
 
 // agentReport notifies watchers of each of an agent's reports once. If a report has no number, the command is rejected, but
-// the reports before it are kept.
+// the reports before it have taken effect.
 func (s *State) agentReport(c Command) (Reply, *Error) {
 	var reports []json.RawMessage
 	if err := json.Unmarshal(c.Body, &reports); err != nil || c.Name == "" {
--- a/control/command.go
+++ b/control/command.go
@@ -18,25 +18,25 @@
 	CreateRelease   CommandKind = "create"   // Build, Digest, Note, Labels, Steps, Key, Hash
 	PatchRelease    CommandKind = "patch"    // Build, Note, Labels, IfVersion
 	RollBackRelease CommandKind = "withdraw" // Build, IfVersion
-	DeleteRelease   CommandKind = "delete"   // Build, IfVersion: the release is complete, and neither the newest nor the previous one
-	CompleteStep    CommandKind = "step"     // Build, Name, Router: Router reports that step Name is done
-	ReportCounts    CommandKind = "report"   // Build, Counts, Hosts
+	DeleteRelease   CommandKind = "delete"   // Build, IfVersion: the release must be released or rolled back, and neither the newest nor the previous one
+	CompleteStep    CommandKind = "step"     // Build, Name, Router, IfVersion: Router reports that step Name is done
+	ReportCounts    CommandKind = "report"   // Build, Counts, Hosts, IfVersion
 	HostsReady      CommandKind = "ready"    // Build: the hosts that a DeployOrder requested are running
 	HostsRemoved    CommandKind = "gone"     // Build: the hosts of a RetireOrder have been removed
 	CastVote        CommandKind = "vote"     // Router, Build, Stage, Choice
-	JoinRouter      CommandKind = "join"     // Router: becomes a member or renews its membership
+	JoinRouter      CommandKind = "join"     // Router: the router becomes a member or renews its membership
 	LeaveRouter     CommandKind = "leave"    // Router
 	SetController   CommandKind = "member"   // Name, Note: controller Name has the URL in Note; without Note, its URL is removed
 	PublishPlan     CommandKind = "publish"  // Plan, ValidFor
 	AckPlan         CommandKind = "heed"     // Router, PlanAck
 	OrderAgent      CommandKind = "order"    // Name, Body: an order to agent Name; the reply has the order's number
 	AgentReport     CommandKind = "heard"    // Name, Body: a list of numbered reports of agent Name, each of which counts once
-	EmitEvent       CommandKind = "tell"     // Name, Router, Body: emits an event of kind Name; changes no other state
+	EmitEvent       CommandKind = "tell"     // Name, Router, Body: emits an event of kind Name to Router (empty means all); changes no other state
 	Tick            CommandKind = "tick"     // no fields: time has passed
 )
 
-// Command is one requested change, as the replicated log stores it. At is the controllers' time; a time before that of an
-// earlier command is replaced by the earlier command's time.
+// Command is one requested change, as the replicated log stores it. At is the time on the leader that proposed the command. If
+// it is before that of an earlier command, the earlier command's time is used instead.
 type Command struct {
 	At        policy.Time        `json:"at"`
 	Kind      CommandKind        `json:"do"`
@@ -68,7 +68,8 @@
 }
 
 // handlers maps each kind of command to its handler. A handler that returns an error has changed nothing, with two
-// exceptions: castVote keeps the router a member, and agentReport keeps the reports before the invalid one.
+// exceptions: castVote renews the router's membership even if the release machine rejects the vote, and in agentReport the
+// reports before the invalid one take effect.
 var handlers = map[CommandKind]func(*State, Command) (Reply, *Error){
 	CreateRelease:   (*State).createRelease,
 	PatchRelease:    (*State).patchRelease,
@@ -100,7 +101,8 @@
 	}
 	reply, rejected := handle(s, c)
 	if rejected != nil && c.Kind == AckPlan {
-		// Logs of earlier versions must replay alike: there, a rejected AckPlan leaves time-based changes to the next command.
+		// A rejected AckPlan does not apply the changes that are due with time; the next command does. Earlier versions did the
+		// same, and their logs must replay to the same state.
 		return Reply{}, rejected.withCommand(c)
 	}
 	s.advanceTime()
--- a/control/doc.go
+++ b/control/doc.go
@@ -17,8 +17,8 @@
 //   - events with consecutive ids, so that a watch can be resumed after any of them.
 //
 // A rejected command returns an *Error, whose Kind is one of ErrInvalid, ErrNotFound, ErrConflict and ErrVersionMismatch. It
-// changes the state only in three ways: changes that are due with time are applied, a router whose vote is rejected stays a
-// member, and an agent's reports before an invalid one are kept.
+// changes the state only in three ways. Unless it is an AckPlan, it applies the changes that are due with time. A vote that the
+// release machine rejects still renews the router's membership. An agent's reports before an invalid one take effect.
 //
 // The JSON names of commands, of the saved state and of event bodies are stored and sent, so they never change. The texts of
 // reasons and history entries, which clients see, don't change either.
--- a/control/errors.go
+++ b/control/errors.go
@@ -29,7 +29,7 @@
 // Unwrap returns the kind.
 func (e *Error) Unwrap() error { return e.Kind }
 
-// reject returns an error without the command; Apply adds the command.
+// reject returns an error without Op and Subject; Apply sets them from the command.
 func reject(kind error, field, format string, values ...any) *Error {
 	return &Error{Kind: kind, Field: field, Reason: fmt.Sprintf(format, values...)}
 }
--- a/control/events.go
+++ b/control/events.go
@@ -23,7 +23,7 @@
 type Event struct {
 	ID     uint64          `json:"id"`            // consecutive, the same on every instance
 	Kind   string          `json:"kind"`          // one of the constants above, or the kind from an EmitEvent command
-	Router string          `json:"for,omitempty"` // the only router that receives it; empty for all
+	Router string          `json:"for,omitempty"` // the only router that receives the event; empty means all routers
 	At     policy.Time     `json:"at"`
 	Body   json.RawMessage `json:"body"`
 }
@@ -71,8 +71,8 @@
 	return out, true
 }
 
-// emit adds an event; router is "" for all routers. When there are more than MaxEvents, it drops all but the newest three
-// quarters of MaxEvents.
+// emit adds an event for one router, or for all if the router is "". Once there are more than MaxEvents events, it drops the
+// oldest ones, down to three quarters of MaxEvents.
 func (s *State) emit(kind, router string, body json.RawMessage) {
 	s.lastEvent++
 	s.events = append(s.events, Event{ID: s.lastEvent, Kind: kind, Router: router, At: s.now, Body: body})
--- a/control/plans.go
+++ b/control/plans.go
@@ -13,8 +13,8 @@
 	Reason  string `json:"reason,omitempty"` // why the router does not follow the plan; empty if it does
 }
 
-// ActivePlan returns the plan in force, or nil if there is none, and how long it remains valid after the given time. That is
-// negative once the plan has expired.
+// ActivePlan returns the plan in force, or nil if there is none, and how long it remains valid after the given time. The
+// remaining time is negative once the plan has expired.
 func (s *State) ActivePlan(now policy.Time) (*plan.Published, policy.Time) {
 	return s.plan, s.planPublished + s.planValidFor - now
 }
--- a/control/release.go
+++ b/control/release.go
@@ -8,7 +8,7 @@
 	"dapplefront/policy"
 )
 
-// Release is a release object: the request and its current status.
+// Release is a release object: what was requested, and the release's current status.
 type Release struct {
 	Build   int               `json:"build"`
 	Digest  string            `json:"digest,omitempty"`
@@ -21,8 +21,8 @@
 	Phase        policy.Phase   `json:"phase"`
 	Stage        int            `json:"stage"`
 	ExposureCap  float64        `json:"cap"`
-	Since        policy.Time    `json:"since"`            // when Phase and Stage began
-	WaitsFor     string         `json:"waits,omitempty"`  // the step that the deployment of the current stage waits for
+	Since        policy.Time    `json:"since"`            // when the current phase or stage began
+	WaitsFor     string         `json:"waits,omitempty"`  // name of the step that the deployment of the current stage waits for
 	StepStatuses []StepStatus   `json:"done,omitempty"`   // one for each of Steps
 	Counts       map[string]int `json:"counts,omitempty"` // reported number of requests, by outcome
 	Hosts        map[string]int `json:"hosts,omitempty"`  // reported number of hosts, by state
@@ -33,8 +33,8 @@
 type Step struct {
 	Name         string      `json:"name"`
 	Stage        int         `json:"stage"`            // the stage whose deployment waits for the step, from 0
-	Irreversible bool        `json:"final,omitempty"`  // once done, the build can't be rolled back
-	ExpectedTime policy.Time `json:"within,omitempty"` // a step that takes longer is marked as stalled; 0 for no limit
+	Irreversible bool        `json:"final,omitempty"`  // once the step is done, the build can't be rolled back
+	ExpectedTime policy.Time `json:"within,omitempty"` // a step that takes longer is marked as stalled; 0 means no limit
 }
 
 // StepStatus is the status of a step.
@@ -57,7 +57,8 @@
 // maxHistory is the maximum number of entries in a release's history. A release usually has about ten.
 const maxHistory = 200
 
-// addHistory adds an entry. When the history is full, the second entry is deleted: the first one is the request, which stays.
+// addHistory adds an entry. When the history is full, it deletes the second entry: the first one records the request and is
+// kept.
 func (r *Release) addHistory(at policy.Time, text string) {
 	if r.History = append(r.History, HistoryEntry{at, text}); len(r.History) > maxHistory {
 		r.History = slices.Delete(r.History, 1, 2)
@@ -94,8 +95,8 @@
 	return nil
 }
 
-// List returns copies of up to limit releases, sorted by build, that have all the given labels and the given phase (nil for
-// any) and whose build numbers are above the given one.
+// List returns copies of up to limit releases, sorted by build. They have all the given labels, the given phase (nil means any
+// phase) and a build number above the given one.
 func (s *State) List(labels map[string]string, phase *policy.Phase, after, limit int) (out []*Release) {
 	for _, r := range s.releases {
 		if r.Build <= after || phase != nil && r.Phase != *phase || !r.hasLabels(labels) {
--- a/control/releases.go
+++ b/control/releases.go
@@ -35,7 +35,8 @@
 	return Reply{Release: r.clone()}, nil
 }
 
-// repeatedCreation returns the reply to a creation whose idempotency key was used before; known is false for any other.
+// repeatedCreation returns the reply to a creation whose idempotency key was used before. For any other creation, known is
+// false.
 func (s *State) repeatedCreation(c Command) (reply Reply, rejected *Error, known bool) {
 	if c.Key == "" {
 		return Reply{}, nil, false
--- a/control/state.go
+++ b/control/state.go
@@ -9,11 +9,11 @@
 // Config configures a State. All instances of a group must have the same configuration.
 type Config struct {
 	Rules           release.Rules
-	PromoteShare    float64     // share of member routers whose votes promote a stage; 0 uses Rules.PromoteQuorum
-	RollbackShare   float64     // share of member routers whose votes roll a build back; 0 uses Rules.RollbackQuorum
-	RouterTimeout   policy.Time // a router without contact for longer is removed; 0 for never
-	MaxEvents       int         // events kept for watchers that reconnect; 0 means 4096, enough for a few minutes of a busy release
-	MaxCreationKeys int         // idempotency keys kept; 0 means 1000
+	PromoteShare    float64     // share of member routers whose votes promote a stage; if 0, Rules.PromoteQuorum applies
+	RollbackShare   float64     // share of member routers whose votes roll a build back; if 0, Rules.RollbackQuorum applies
+	RouterTimeout   policy.Time // a member router whose last contact is longer ago is removed; 0 means never
+	MaxEvents       int         // events kept for watchers that reconnect; 0 means the default of 4096, enough for a few minutes of a busy release
+	MaxCreationKeys int         // idempotency keys kept; 0 means the default of 1000
 }
 
 const (
@@ -37,18 +37,18 @@
 
 	releases      []*Release // sorted by build; never empty
 	creations     []creation
-	pendingDeploy *DeployOrder // waits until a step is done; nil for none
+	pendingDeploy *DeployOrder // order that waits until a step is done; nil if none waits
 
 	routers        map[string]policy.Time // member routers, with the time of their last contact
-	controllerURLs map[string]string      // by the controller's name
+	controllerURLs map[string]string      // URLs of the controllers' REST interfaces, by controller name
 
 	events    []Event // with consecutive ids
 	lastEvent uint64
 
-	plan          *plan.Published // in force; nil for none
-	planPublished policy.Time
-	planValidFor  policy.Time
-	planAcks      map[string]PlanAck // by router
+	plan          *plan.Published    // the plan in force; nil if there is none
+	planPublished policy.Time        // when the plan was published
+	planValidFor  policy.Time        // how long the plan is valid from then on
+	planAcks      map[string]PlanAck // acknowledgements of the plan, by router
 
 	agents    map[string]*Agent
 	lastOrder uint64 // number of the last order to any agent
--- a/control/steps.go
+++ b/control/steps.go
@@ -59,8 +59,8 @@
 	return Reply{}, nil
 }
 
-// updateWaitsFor sets and returns the first step that the deployment of a release's current stage waits for, "" for none. It
-// also records when the wait for that step began, from which the step's expected time counts.
+// updateWaitsFor sets WaitsFor to the first step that the deployment of the release's current stage waits for, or to "" if it
+// waits for none, and returns it. It also records when the wait began: the step's expected time counts from then.
 func (s *State) updateWaitsFor(r *Release) string {
 	r.WaitsFor = ""
 	status := s.machine.Status()
--- a/control/votes.go
+++ b/control/votes.go
@@ -21,7 +21,7 @@
 	if s.find(c.Build) < 0 {
 		return Reply{}, reject(ErrNotFound, "build", "there is no release of build %d", c.Build)
 	}
-	s.touchRouter(c.Router) // even if the vote is rejected
+	s.touchRouter(c.Router) // also if the release machine rejects the vote
 	outcome := s.handleInput(release.Vote{Router: c.Router, Build: c.Build, Stage: c.Stage, Choice: c.Choice})
 	if !outcome.vote.Accepted {
 		return Reply{}, reject(ErrConflict, "stage", "%s", outcome.vote.Reason)
