--- a/internal/controller/agents.go
+++ b/internal/controller/agents.go
@@ -60,8 +60,8 @@
 	return s.propose(w, c, http.StatusNoContent, nil)
 }
 
-// watchAgentOrders streams an agent's orders after Last-Event-ID as server-sent events. The event ids are the order numbers,
-// which are the same on every instance.
+// watchAgentOrders streams an agent's orders as server-sent events, from the first one after Last-Event-ID. The event ids are
+// the order numbers, which are the same on every instance.
 func (s *Server) watchAgentOrders(w http.ResponseWriter, r *http.Request) error {
 	last := r.Header.Get("Last-Event-ID")
 	after, err := strconv.ParseUint(last, 10, 64)
@@ -129,7 +129,7 @@
 	return o.rc.Flush()
 }
 
-// sendKeepAlive sends a comment, so that both sides detect a broken connection.
+// sendKeepAlive sends a comment line, which a client ignores, so that both sides detect a broken connection.
 func (o *orderStream) sendKeepAlive() error {
 	if _, err := fmt.Fprint(o.w, ": still here\n\n"); err != nil {
 		return err
--- a/internal/controller/authorization.go
+++ b/internal/controller/authorization.go
@@ -35,7 +35,7 @@
 
 // Authorizer determines a caller's roles from its certificate and network.
 type Authorizer struct {
-	ServerTLS *tls.Config // for this server; nil for plain HTTP, where callers have no names
+	ServerTLS *tls.Config // for this server; nil means plain HTTP, where callers have no names
 	ClientTLS *tls.Config // for requests to other controllers
 	Grants    []Grant
 	Peers     []string // patterns of the common names of controllers, which may send requests on behalf of other callers
@@ -44,8 +44,8 @@
 // headerOnBehalfOf is the header with the original caller's name in a request that a controller forwards.
 const headerOnBehalfOf = "Dapplefront-On-Behalf-Of"
 
-// callerName returns the common name of the caller's certificate; for a request that a controller forwards, that of the
-// original caller. It returns "" for a caller without a certificate.
+// callerName returns the common name of the caller's certificate, or "" if the caller has none. For a request that another
+// controller has forwarded, it returns the original caller's name.
 func (a *Authorizer) callerName(r *http.Request) string {
 	name := certificateName(r)
 	if original := r.Header.Get(headerOnBehalfOf); original != "" && a.isPeer(name) {
--- a/internal/controller/bench_test.go
+++ b/internal/controller/bench_test.go
@@ -38,12 +38,13 @@
 	return first.Node
 }
 
-// BenchmarkWrites compares accepted changes with plain bbolt writes that sync as often, with 4 and 32 concurrent writers.
+// BenchmarkWrites compares the rate of accepted changes with the rate of plain bbolt writes that sync as often, with 4 and 32
+// concurrent writers.
 func BenchmarkWrites(b *testing.B) {
 	writers := func(b *testing.B, n int, do func(i int64) error) {
 		b.Helper()
 		var next atomic.Int64
-		b.SetParallelism(max(1, n/4)) // times GOMAXPROCS
+		b.SetParallelism(max(1, n/4)) // the number of goroutines is this multiple of GOMAXPROCS
 		b.RunParallel(func(p *testing.PB) {
 			for p.Next() {
 				if err := do(next.Add(1)); err != nil {
--- a/internal/controller/controlclient_test.go
+++ b/internal/controller/controlclient_test.go
@@ -72,6 +72,6 @@
 	}
 	require.True(t, seen[policy.VoteRejected], "votes above VotesPerSecond must be rejected")
 	hang <- true
-	time.Sleep(600 * time.Millisecond) // the rate limit admits one more vote
+	time.Sleep(600 * time.Millisecond) // until the rate limit admits one more vote
 	require.Contains(t, []policy.VoteResult{policy.VoteUnknown, policy.VoteRejected}, vote(2, 0, policy.Promote))
 }
--- a/internal/controller/crash_test.go
+++ b/internal/controller/crash_test.go
@@ -65,7 +65,7 @@
 		_, _, text := request(t, "GET", url+"/v1/releases/1?fresh=1", "")
 		n, _ := strconv.ParseInt(decodeRelease(t, text).Note, 10, 64)
 		require.GreaterOrEqual(t, n, accepted.Load(), "run %d: an accepted change was lost", run)
-		require.LessOrEqual(t, n, tried.Load(), "run %d: a change that was never requested", run)
+		require.LessOrEqual(t, n, tried.Load(), "run %d: the state has a change that was never requested", run)
 		end := make(chan struct{})
 		go func() { // a single writer, which writes increasing numbers
 			defer close(end)
@@ -104,7 +104,8 @@
 func (panicOnFailure) Errorf(string, ...any) {}
 func (panicOnFailure) FailNow()              { panic("failed") }
 
-// unsyncedDisk is a log store that acknowledges entries before it stores them: the last entries are lost when it is reopened.
+// unsyncedDisk is a log store that acknowledges entries before it stores them. Its last entries are lost when the store is
+// reopened.
 type unsyncedDisk struct {
 	raft.LogStore
 	unsynced []*raft.Log
--- a/internal/controller/linearizability_test.go
+++ b/internal/controller/linearizability_test.go
@@ -23,7 +23,7 @@
 type noteOperation struct {
 	write   bool
 	value   string
-	version uint64 // expected version for a write; 0 for any
+	version uint64 // expected version for a write; 0 accepts any version
 }
 
 // noteResult is the result of a noteOperation.
@@ -54,7 +54,8 @@
 	Equal: func(a, b any) bool { return a == b },
 }
 
-// do sends an operation to an instance. made is true also for an indeterminate write, which may have been applied.
+// do sends an operation to an instance. made is false if the operation was certainly not applied, and for a read without a
+// result. It is true for an indeterminate write, which may have been applied.
 func (n noteOperation) do(h *http.Client, url string) (o noteResult, made bool) {
 	method, path, body := "GET", "/v1/releases/1?fresh=1", ""
 	if n.write {
--- a/internal/controller/members.go
+++ b/internal/controller/members.go
@@ -98,8 +98,8 @@
 	})
 }
 
-// putToLeader sends a PUT request to the leader, if there is one. It ignores errors: callers repeat the request. A nil body
-// sends none.
+// putToLeader sends a PUT request to the leader, if there is one. It ignores errors: callers repeat the request. If body is nil,
+// the request has no body.
 func (s *Server) putToLeader(ctx context.Context, path string, body any) {
 	_, name := s.node.IsLeader()
 	leader := s.node.controllerURL(name)
--- a/internal/controller/membership.go
+++ b/internal/controller/membership.go
@@ -31,7 +31,7 @@
 }
 
 // ReplicationLag returns the time since this instance's last contact with its leader; 0 on the leader. The local state may
-// lack the changes of that time, and those that were in flight at the last contact.
+// lack changes made in that time, and changes that were in flight at the last contact.
 func (n *Node) ReplicationLag() time.Duration {
 	n.mu.Lock()
 	isLeader := n.isLeader
@@ -70,7 +70,7 @@
 }
 
 // TransferLeadership transfers the leadership to another instance, for example before a planned shutdown, and returns nil
-// once this instance is not the leader. It retries a failed transfer, because a follower may be behind or may just have
+// once this instance is no longer the leader. It retries a failed transfer, because a follower may be behind or may just have
 // closed its connection; meanwhile this instance stays the leader. In a group of one it returns ErrOnlyInstance.
 func (n *Node) TransferLeadership() error {
 	var err error
--- a/internal/controller/middleware.go
+++ b/internal/controller/middleware.go
@@ -70,7 +70,7 @@
 		return ErrNoLeader
 	}
 	target, err := url.Parse(to)
-	if err != nil { // no Retry-After: a retry would meet the same invalid URL
+	if err != nil { // no Retry-After: a retry would fail because of the same invalid URL
 		return &problem{status: http.StatusServiceUnavailable, detail: ErrNoLeader.Error()}
 	}
 	proxy := &httputil.ReverseProxy{
@@ -111,8 +111,8 @@
 	return nil
 }
 
-// propose makes a change and responds with the given status, or with 200 instead of 201 if the change is repeated, and with
-// the body, if there is one.
+// propose makes a change and responds with the given status, or with 200 instead of 201 if the change repeats an earlier one.
+// body returns the response body; if it is nil, the response has none.
 func (s *Server) propose(w http.ResponseWriter, c control.Command, status int, body func(control.Reply) any) error {
 	reply, err := s.node.Propose(c)
 	if err != nil {
--- a/internal/controller/node.go
+++ b/internal/controller/node.go
@@ -28,8 +28,8 @@
 	FastElections bool   // short timeouts for loopback: a lost leader is detected within half a second
 	Control       control.Config
 	InitialBuild  int                                                                     // build that serves when a new group starts
-	StreamLayer   func(net.Listener) (raft.StreamLayer, error)                            // nil for plain TCP
-	WrapStores    func(raft.LogStore, raft.StableStore) (raft.LogStore, raft.StableStore) // for fault injection in tests; nil for no wrapping
+	StreamLayer   func(net.Listener) (raft.StreamLayer, error)                            // creates the connections between controllers; nil means plain TCP
+	WrapStores    func(raft.LogStore, raft.StableStore) (raft.LogStore, raft.StableStore) // for fault injection in tests; nil means that the stores are not wrapped
 }
 
 const (
@@ -44,7 +44,7 @@
 	readBarrierTimeout       = time.Second            // for the barrier in VerifyLeader
 	leadershipBarrierTimeout = 5 * time.Second        // for a new leader to apply the entries that its predecessors committed
 	membershipTimeout        = 10 * time.Second       // for a change of the group's configuration to enter the leader's queue
-	tickInterval             = 50 * time.Millisecond  // at which the leader checks whether changes are due with time
+	tickInterval             = 50 * time.Millisecond  // between the leader's checks whether changes are due with time
 	clockUnit                = 100 * time.Microsecond // the unit of policy.Time
 
 	transferAttempts   = 5
@@ -61,7 +61,7 @@
 	ErrOutcomeUnknown = errors.New("the leader was lost while the change was under way; it may have been made")
 	// ErrOnlyInstance means that the group has no other instance that could become leader.
 	ErrOnlyInstance = errors.New("no other instance to lead")
-	// ErrStillRunning means that the raft library did not shut down in time: its goroutines go on and its store is left open.
+	// ErrStillRunning means that the raft library did not shut down in time: its goroutines still run and its store stays open.
 	ErrStillRunning = errors.New("the raft library is still running and its store is left open")
 )
 
@@ -78,7 +78,7 @@
 	state       *control.State
 	changed     chan struct{} // closed when the state or this instance's leadership changes
 	isLeader    bool
-	leaderSince time.Time   // includes the monotonic clock reading
+	leaderSince time.Time   // when this instance became leader, with the monotonic clock reading
 	leaderClock policy.Time // the controllers' time at leaderSince
 
 	stop chan struct{}
@@ -173,12 +173,13 @@
 // Address returns the address at which other controllers reach this instance.
 func (n *Node) Address() string { return string(n.transport.LocalAddr()) }
 
-// Close shuts the instance down and waits for that, at most for shutdownTimeout. Afterwards the store can be opened again,
-// unless Close returned ErrStillRunning.
+// Close shuts the instance down and waits until that is done, but no longer than shutdownTimeout. Afterwards the store can be
+// opened again, unless Close returned ErrStillRunning.
 func (n *Node) Close() error { return n.closeWithin(shutdownTimeout) }
 
 // closeWithin shuts the instance down. The shutdown of the raft library begins first, because the instance's own goroutine may
-// be waiting for the library. The store stays open while the library runs: it ends the process if it can't write.
+// be waiting for the library. The store stays open while the library runs, because the library ends the process if it can't
+// write to the store.
 func (n *Node) closeWithin(timeout time.Duration) error {
 	close(n.stop)
 	shutdown := n.raft.Shutdown()
@@ -262,7 +263,8 @@
 	n.log.Info("leadership changed", "leads", isLeader)
 }
 
-// Read calls f with the state and the controllers' time. f must neither retain the state nor block.
+// Read calls f with the state and the controllers' time, which on a follower is that of the latest command. f must neither
+// retain the state nor block.
 func (n *Node) Read(f func(s *control.State, now policy.Time)) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
--- a/internal/controller/partition_test.go
+++ b/internal/controller/partition_test.go
@@ -21,9 +21,9 @@
 // network holds the connections between controllers and can partition them.
 type network struct {
 	mu          sync.Mutex
-	partitioned map[[2]string]bool // pairs of controller names, from and to
-	names       map[string]string  // by address
-	open        map[net.Conn][2]string
+	partitioned map[[2]string]bool     // whether the first named controller can't connect to the second
+	names       map[string]string      // controller names, by address
+	open        map[net.Conn][2]string // open connections, with the names of both controllers
 }
 
 func newNetwork() *network {
@@ -84,7 +84,8 @@
 	return c, nil
 }
 
-// startClusterOn starts three instances on a test network, with log stores that disk wraps; disk may be nil.
+// startClusterOn starts three instances on a test network. disk wraps the log store of each instance; if it is nil, the stores
+// are not wrapped.
 func startClusterOn(t *testing.T, w *network, disk func(i int, l raft.LogStore) raft.LogStore) *cluster {
 	t.Helper()
 	g := &cluster{t: t}
@@ -280,7 +281,7 @@
 	}
 	t.Logf("arrivals in each 50 ms after the stop:%s", line)
 	// The distribution of arrivals is logged, not checked, because a machine that stalls for a moment makes them coincide.
-	// All routers must receive the events from then on.
+	// All routers must receive the events that follow.
 	status, _, text := requestWithRetry(t, "POST", g.urls[(at+1)%3]+"/v1/releases", `{"build":2}`)
 	require.Equal(t, 201, status, text)
 	require.Eventually(t, func() bool { mu.Lock(); defer mu.Unlock(); return received >= routers }, 20*time.Second, 5*time.Millisecond)
--- a/internal/controller/pipeline.go
+++ b/internal/controller/pipeline.go
@@ -8,8 +8,8 @@
 //
 // The library sends through a pipeline in one goroutine and reads the responses in another, which returns after the first
 // unsuccessful response. Later responses are then not read, the pipeline fills up, and the sender blocks forever in
-// AppendEntries: it waits for the pipeline to be closed, which it would do itself after AppendEntries returns. The heartbeat
-// to that follower and the shutdown of the instance block with it.
+// AppendEntries. That call returns only when the pipeline is closed, but the sender closes the pipeline only after the call. The
+// heartbeat to that follower and the shutdown of the instance block with it.
 type raftTransport struct {
 	*raft.NetworkTransport
 }
--- a/internal/controller/pipeline_test.go
+++ b/internal/controller/pipeline_test.go
@@ -21,8 +21,9 @@
 	return transport
 }
 
-// answerAppendEntries responds to the requests to a follower's transport: the first ones succeed, all later ones fail.
-func answerAppendEntries(t *testing.T, follower *raft.NetworkTransport, successes int) {
+// respondToAppendEntries responds to the requests to a follower's transport: successfully to the first ones, unsuccessfully to
+// all later ones.
+func respondToAppendEntries(t *testing.T, follower *raft.NetworkTransport, successes int) {
 	t.Helper()
 	stop := make(chan struct{})
 	t.Cleanup(func() { close(stop) })
@@ -38,11 +39,12 @@
 	}()
 }
 
-// Guards against a leader that can't shut down because the raft library's sender blocks forever in a pipeline that nobody reads.
+// Guards against a leader that can't shut down because the raft library's sender blocks forever in a pipeline whose responses
+// are no longer read.
 func TestRaftTransport_ClosesPipelineAfterUnsuccessfulResponse(t *testing.T) {
 	follower := newLoopbackTransport(t)
 	const successes = 3
-	answerAppendEntries(t, follower, successes)
+	respondToAppendEntries(t, follower, successes)
 	pipeline, err := raftTransport{newLoopbackTransport(t)}.AppendEntriesPipeline("follower", follower.LocalAddr())
 	require.NoError(t, err)
 	readerStopped := make(chan int, 1)
@@ -67,7 +69,7 @@
 	case err := <-senderStopped:
 		require.Error(t, err)
 	case <-time.After(10 * time.Second):
-		t.Fatal("the sender blocks although the reader has stopped")
+		t.Fatal("the sender still blocks 10 s after the start; it must stop when the reader has stopped")
 	}
 	require.Equal(t, successes, <-readerStopped, "all successful responses must have been read")
 	require.NoError(t, pipeline.Close())
--- a/internal/controller/problem.go
+++ b/internal/controller/problem.go
@@ -13,9 +13,9 @@
 // problem is an error that is returned to the client as a problem document (RFC 9457).
 type problem struct {
 	status     int
-	field      string // invalid field of the request; empty for none
+	field      string // invalid field of the request; empty if the problem is not in a field
 	detail     string
-	retryAfter int // value of the header Retry-After in seconds; 0 for no header
+	retryAfter int // value of the header Retry-After in seconds; 0 means no header
 }
 
 func (p *problem) Error() string {
@@ -31,7 +31,8 @@
 	return &problem{status: http.StatusNotFound, field: field, detail: fmt.Sprintf(format, values...)}
 }
 
-// errResponseWritten is returned by handlers that have written the response themselves, so that none is written for the error.
+// errResponseWritten is returned by handlers that have written the response themselves. The middleware then writes no problem
+// document.
 var errResponseWritten = errors.New("the response has already been written")
 
 // rejectionStatus maps the kinds of rejected commands to HTTP statuses.
--- a/internal/controller/releases.go
+++ b/internal/controller/releases.go
@@ -16,15 +16,15 @@
 )
 
 const (
-	defaultPage = 100 // releases in a list
-	maxPage     = 1000
+	defaultPage = 100  // releases in a list if the request sets no limit
+	maxPage     = 1000 // highest limit that a request may set
 )
 
 // releaseFilter is the parsed query of a request for a list of releases.
 type releaseFilter struct {
 	labels       map[string]string
-	phase        *policy.Phase // nil for any
-	limit, after int
+	phase        *policy.Phase // nil means any phase
+	limit, after int           // at most limit releases, of builds with numbers above after
 }
 
 func parseReleaseFilter(r *http.Request) (releaseFilter, error) {
@@ -210,8 +210,8 @@
 	return object
 }
 
-// releaseObject converts a release to its form in the REST interface. If a state is given, the newest release includes its
-// votes.
+// releaseObject converts a release to its form in the REST interface. If st is not nil, the object of the newest release
+// includes its votes.
 func releaseObject(r *control.Release, now policy.Time, st *control.State) api.ReleaseObject {
 	o := api.ReleaseObject{Release: api.Release{Build: r.Build, Stage: r.Stage, Phase: api.Phases[r.Phase], ExposureCap: r.ExposureCap,
 		AgeMs: max(0, toMs(now-r.Since)), Version: int64(r.Version)}, Digest: r.Digest, Note: r.Note, Labels: r.Labels,
--- a/internal/controller/repair.go
+++ b/internal/controller/repair.go
@@ -41,7 +41,7 @@
 	return copyEntries(to, from)
 }
 
-// copyTermAndVote copies those of Raft's term and vote that can be read.
+// copyTermAndVote copies Raft's term and vote. It skips values that can't be read.
 func copyTermAndVote(to, from *raftboltdb.BoltStore) error {
 	for _, key := range []string{keyCurrentTerm, keyLastVoteTerm} {
 		if v, err := from.GetUint64([]byte(key)); err == nil {
--- a/internal/controller/request.go
+++ b/internal/controller/request.go
@@ -35,8 +35,8 @@
 	return invalid(field, "%s", detail)
 }
 
-// typeNamesInDetails replaces type names in the decoder's errors by the types' original names. Clients see these names in the
-// details of problem documents, which must not change.
+// typeNamesInDetails replaces type names in the decoder's errors by the names that the types had in earlier versions. Clients
+// see these names in the details of problem documents, which must not change.
 var typeNamesInDetails = strings.NewReplacer("CreateRelease", "Creation", "PatchRelease", "Change", "PlanAck", "Heed")
 
 func pathBuild(r *http.Request) (int, error) {
--- a/internal/controller/server.go
+++ b/internal/controller/server.go
@@ -19,7 +19,7 @@
 // ServerConfig configures the REST interface. A zero value selects the default.
 type ServerConfig struct {
 	Listen           string
-	URL              string        // at which clients reach the interface; by default built from the listen address
+	URL              string        // URL at which clients reach the interface; by default built from the listen address
 	VotesPerSecond   float64       // maximum rate for all routers together; 100 by default
 	MaxWatchers      int           // maximum number of concurrent watches; 5,000 by default
 	BookmarkInterval time.Duration // time between bookmarks on a watch; 2 s by default
@@ -82,7 +82,7 @@
 	background  sync.WaitGroup // waits for the goroutines that the server starts
 
 	mu           sync.Mutex
-	closed       bool // no new goroutines are started
+	closed       bool // Close has been called; no more goroutines are started
 	watchers     int
 	slowWatchers int                  // number of watchers disconnected so far because they were too slow
 	joinedAt     map[string]time.Time // when a watching router was last reported to the leader as a member
--- a/internal/controller/server_test.go
+++ b/internal/controller/server_test.go
@@ -149,7 +149,7 @@
 	require.Equal(t, "/v1/releases/2", h.Get("Location"))
 	tag := h.Get("ETag")
 	status, _, _ = request(t, "POST", u+"/v1/releases", `{"build":2,"labels":{"team":"pay"}}`, "Idempotency-Key", "k1")
-	require.Equal(t, 200, status, "a repeated creation with the same key")
+	require.Equal(t, 200, status, "a repeated creation with the same key must return the release")
 	status, _, text = request(t, "POST", u+"/v1/releases", `{"build":3}`, "Idempotency-Key", "k1")
 	require.Equal(t, 409, status, text)
 	status, _, text = request(t, "POST", u+"/v1/releases", `{"build":2}`)
@@ -208,7 +208,7 @@
 	require.NotContains(t, text, `"build":1`)
 
 	status, _, _ = request(t, "DELETE", u+"/v1/releases/2", "")
-	require.Equal(t, 409, status, "the build serves")
+	require.Equal(t, 409, status, "the release of a build that serves must not be deleted")
 	status, _, text = request(t, "POST", u+"/v1/releases/2/withdraw", "")
 	require.Equal(t, 200, status, text)
 	require.Equal(t, "going-back", decodeRelease(t, text).Phase)
@@ -219,7 +219,7 @@
 	require.Equal(t, 404, status)
 }
 
-func TestServer_StepsDelayTheirStageAndIrreversibleStepPreventsRollback(t *testing.T) {
+func TestServer_DelaysStageUntilItsStepsAreDoneAndRejectsRollbackAfterIrreversibleStep(t *testing.T) {
 	g := startCluster(t, 1)
 	u := g.urls[0]
 	w := followWatch(t, u+"/v1/watch", "")
@@ -440,7 +440,7 @@
 		restart()
 	}
 	status, _, text = requestWithRetry(t, "POST", g.urls[at]+"/v1/releases", `{"build":2}`)
-	require.Contains(t, []int{201, 409}, status, text) // a first attempt may have been applied
+	require.Contains(t, []int{201, 409}, status, text) // 409 if an earlier attempt was applied after all
 }
 
 func TestServer_CountsWatchingRoutersAsMembers(t *testing.T) {
--- a/internal/controller/standalone.go
+++ b/internal/controller/standalone.go
@@ -47,7 +47,7 @@
 	return a.Node.Close()
 }
 
-// Handle proposes the command for an input of the release machine. Inputs that have no command are proposed as a Tick.
+// Handle proposes the command for an input of the release machine. For an input without a command of its own it proposes a Tick.
 func (a *Standalone) Handle(in release.Input) (control.Reply, error) {
 	switch in := in.(type) {
 	case release.Offer:
--- a/internal/controller/store.go
+++ b/internal/controller/store.go
@@ -31,8 +31,8 @@
 }
 
 // CheckStore checks a controller's store without changing it: every page of the log file, every log entry after the newest
-// snapshot, and the newest snapshot. A missing store is not an error. The error describes all damaged
-// pages or, if there are none, the first log entry or the snapshot that can't be read.
+// snapshot, and the newest snapshot. A missing store is not an error. The error describes all damaged pages. If no page is
+// damaged, it describes the snapshot or the first log entry that can't be read.
 func CheckStore(dir string, config control.Config) (err error) {
 	file := logFile(dir)
 	if _, statErr := os.Stat(file); os.IsNotExist(statErr) {
@@ -99,7 +99,7 @@
 		if visit != nil {
 			visit(index, c)
 		}
-		_, _ = state.Apply(index, c) // an error is expected: the log also has rejected commands
+		_, _ = state.Apply(index, c) // an error means that the command was rejected, which is normal
 	}
 	return state, nil
 }
--- a/internal/controller/stored_test.go
+++ b/internal/controller/stored_test.go
@@ -76,8 +76,8 @@
 	}
 }
 
-// TestEntry_DecodesAndEncodesCommandsOfEarlierVersionUnchanged checks the whole log. The log after the snapshot has at least one
-// command of each kind, under its stored name.
+// TestEntry_DecodesAndEncodesCommandsOfEarlierVersionUnchanged checks every command in the log. It also requires that the log
+// after the snapshot has at least one command of each kind, under its stored name.
 func TestEntry_DecodesAndEncodesCommandsOfEarlierVersionUnchanged(t *testing.T) {
 	dir, _ := stored(t)
 	seen := map[string]bool{}
--- a/internal/controller/stream.go
+++ b/internal/controller/stream.go
@@ -15,7 +15,7 @@
 // stream sends events to one watcher.
 type stream interface {
 	send([]watchEvent) error
-	closed() <-chan struct{} // closed when the watcher disconnects; nil if the request's context ends then
+	closed() <-chan struct{} // closed when the watcher disconnects; nil if the end of the request's context signals that
 	isClosed() bool
 	close()
 }
--- a/internal/controller/transport.go
+++ b/internal/controller/transport.go
@@ -36,7 +36,7 @@
 
 // TLSStreamLayer returns a function that creates a stream layer with mutual TLS. Both sides need a certificate whose common
 // name matches one of the patterns in peers (path.Match). Certificates may be replaced while connections are open.
-func TLSStreamLayer(ring *certs.Reloader, peers []string) func(net.Listener) (raft.StreamLayer, error) {
+func TLSStreamLayer(reloader *certs.Reloader, peers []string) func(net.Listener) (raft.StreamLayer, error) {
 	verifyName := func(s tls.ConnectionState) error {
 		if len(s.PeerCertificates) == 0 {
 			return errors.New("the peer presented no certificate")
@@ -47,7 +47,7 @@
 		return nil
 	}
 	return func(l net.Listener) (raft.StreamLayer, error) {
-		server, client := ring.Server(), ring.Client()
+		server, client := reloader.Server(), reloader.Client()
 		current := server.GetConfigForClient
 		server.GetConfigForClient = func(h *tls.ClientHelloInfo) (*tls.Config, error) {
 			c, err := current(h)
--- a/internal/controller/watch.go
+++ b/internal/controller/watch.go
@@ -24,17 +24,17 @@
 // watches.
 type watchSession struct {
 	server  *Server
-	router  string // "" for all events
-	remote  string
+	router  string // the router that watches; "" means that the watch is not for a router and sends all events
+	remote  string // address of the watcher
 	cursor  uint64 // id of the last event that has been collected
 	resumed bool   // the caller gave the id of the event after which to resume
 	pending []watchEvent
 	stream  stream
 }
 
-// watch streams all events, or with ?router=NAME the events for that router. It starts with the status of the newest release,
-// or after the event in Last-Event-ID (or ?after=). Bookmarks advance the id while there are no events. Event ids are the same
-// on every instance, so that a watch can be resumed on any of them.
+// watch streams all events, or with ?router=NAME the events for that router. A new watch starts with the status of the newest
+// release and the plan in force. A watch with Last-Event-ID (or ?after=) resumes after that event. Bookmarks advance the id while
+// there are no events. Event ids are the same on every instance, so that a watch can be resumed on any of them.
 func (s *Server) watch(w http.ResponseWriter, r *http.Request) error {
 	session := &watchSession{server: s, router: r.URL.Query().Get("router"), remote: r.RemoteAddr}
 	if err := session.parseCursor(r); err != nil {
@@ -159,7 +159,7 @@
 	dropped bool             // events after the cursor have been dropped
 	behind  bool             // this instance has not reached the cursor yet
 	more    bool             // the batch is full, so there may be more events
-	delayed <-chan time.Time // fires when to check again for an event that an injected fault delays; nil for none
+	delayed <-chan time.Time // receives when an event that an injected fault delays is to be checked again; nil if there is none
 }
 
 // collect adds the next batch of events to pending and advances the cursor.
@@ -205,8 +205,8 @@
 	ws.add(control.Event{ID: ws.cursor, Kind: control.EventStatus, At: st.Status().Since, Body: encode(st.Status())}, now)
 }
 
-// addBookmark adds a bookmark to pending: all events up to the cursor have been sent. For a router it repeats the status
-// before the bookmark, unless there are newer events.
+// addBookmark adds a bookmark to pending, which tells the watcher that all events up to the cursor have been sent. For a router
+// it first repeats the status, unless there are newer events.
 func (ws *watchSession) addBookmark() {
 	if ws.router != "" {
 		ws.server.node.Read(func(st *control.State, now policy.Time) {
@@ -218,8 +218,8 @@
 	ws.pending = append(ws.pending, watchEvent{ws.cursor, "bookmark", []byte("{}")})
 }
 
-// flush sends the pending events, for a new watch possibly only the headers. It returns false if the watch has ended. A watcher
-// that was too slow is counted and logged.
+// flush sends the pending events. At the start of a resumed watch there are none, and it sends only the response headers. It
+// returns false if the watch has ended. A watcher that was too slow is counted and logged.
 func (ws *watchSession) flush(r *http.Request) bool {
 	err := ws.stream.send(ws.pending)
 	ws.pending = ws.pending[:0]
