--- a/internal/controlclient/client.go
+++ b/internal/controlclient/client.go
@@ -33,8 +33,8 @@
 type Client struct {
 	urls    []string
 	current atomic.Int64 // only increases; modulo the number of urls, it is the index of the URL in use
-	name    string
-	zone    string
+	name    string       // the router's name
+	zone    string       // the router's zone
 	timeout time.Duration
 	handler Handler
 	http    *http.Client
--- a/internal/controlclient/plan.go
+++ b/internal/controlclient/plan.go
@@ -28,7 +28,7 @@
 }
 
 // AcknowledgePlan notifies the controller in the background that the router follows a plan version or, if a reason is given,
-// that it does not. There are no retries, as the next version gets its own acknowledgement.
+// that it does not. There are no retries, because the next version gets its own acknowledgement.
 func (c *Client) AcknowledgePlan(version uint64, reason string) {
 	go func() {
 		ctx, cancel := c.withTimeout()
@@ -43,6 +43,6 @@
 			c.handler.Failed(fmt.Errorf("acknowledging plan %d: %w", version, err))
 			return
 		}
-		_ = response.Body.Close() // the client does the same for every status
+		_ = response.Body.Close() // the response is ignored, whatever its status
 	}()
 }
--- a/internal/controlclient/report.go
+++ b/internal/controlclient/report.go
@@ -15,8 +15,8 @@
 	reportBackoff  = 400 * time.Millisecond
 )
 
-// Report reports the outcomes of requests to a build in the background, by outcome; the controller adds them up. It retries
-// only while the report can't have been counted yet, and uses another controller if the current one can't be reached.
+// Report reports in the background how many requests to a build had each outcome; the controller adds the numbers up. It retries
+// only if the report can't have been counted yet, and uses another controller if the current one can't be reached.
 func (c *Client) Report(build int, outcomes map[string]int) {
 	go func() {
 		body, err := json.Marshal(api.BuildReport{Requests: outcomes})
@@ -53,7 +53,7 @@
 	if err != nil {
 		return false, err
 	}
-	_ = response.Body.Close() // the status alone decides
+	_ = response.Body.Close() // only the status matters
 	if response.StatusCode >= http.StatusMultipleChoices {
 		return response.StatusCode == http.StatusServiceUnavailable, fmt.Errorf("status %s", response.Status)
 	}
