--- a/internal/api/events.go
+++ b/internal/api/events.go
@@ -13,9 +13,9 @@
 	Build    int     `json:"build"`
 	Class    string  `json:"category"`
 	Failures int     `json:"bad"`
-	Samples  int     `json:"samples"`
-	MeanMs   float64 `json:"meanMs"`
-	AgeMs    int64   `json:"ageMs"`
+	Samples  int     `json:"samples"` // all counted responses, including failures
+	MeanMs   float64 `json:"meanMs"`  // mean latency
+	AgeMs    int64   `json:"ageMs"`   // since the responses were counted
 }
 
 // Complaint is a client's complaint about a wrong response.
--- a/internal/api/plan.go
+++ b/internal/api/plan.go
@@ -30,14 +30,13 @@
 	For        map[string]plan.Weights `json:"for"` // weights by zone
 }
 
-// PlanAck is a router's acknowledgment of a version of a plan.
+// PlanAck is a router's acknowledgement of a version of a plan.
 type PlanAck struct {
 	Followed bool   `json:"followed"`
 	Reason   string `json:"reason,omitempty"` // why the router does not follow the plan
 }
 
-// ToOffer converts the plan to the type of package plan. Hosts are named by their ids in decimal. It fails if a name is not such
-// an id.
+// ToOffer converts the plan to the type of package plan. A host's name is its id in decimal; ToOffer fails for any other name.
 func (p Plan) ToOffer() (plan.Offer, error) {
 	local, err := p.hostWeights(p.Local)
 	if err != nil {
--- a/internal/api/release.go
+++ b/internal/api/release.go
@@ -22,8 +22,8 @@
 	Stage       int     `json:"stage"`
 	Phase       string  `json:"phase"` // one of Phases
 	ExposureCap float64 `json:"cap"`
-	AgeMs       int64   `json:"ageMs"` // since the release has had this status
-	Version     int64   `json:"version"`
+	AgeMs       int64   `json:"ageMs"`   // since the current phase or stage began
+	Version     int64   `json:"version"` // version of the release object; in an event, the event's id
 }
 
 // Status converts the release to the type of package policy. It fails if the phase is unknown or a value is out of range.
@@ -45,7 +45,7 @@
 	Labels    map[string]string `json:"labels,omitempty"`
 	Steps     []Step            `json:"steps,omitempty"`
 	CreatedMs int64             `json:"createdMs"`       // on the controllers' clock
-	WaitsFor  string            `json:"waits,omitempty"` // the step that the deployment of the current stage waits for
+	WaitsFor  string            `json:"waits,omitempty"` // name of the step that the deployment of the current stage waits for
 	Votes     *Votes            `json:"votes,omitempty"` // only for the newest release
 	Requests  map[string]int    `json:"tasks,omitempty"` // number of requests by outcome: finished, turned back, scrapped
 	Hosts     map[string]int    `json:"hosts,omitempty"` // number of hosts by state
@@ -65,7 +65,7 @@
 	Irreversible bool   `json:"final,omitempty"`    // once the step is done, the build can't be rolled back
 	ExpectedMs   int64  `json:"withinMs,omitempty"` // a step that takes longer is stalled; 0 means no limit
 	State        string `json:"state,omitempty"`    // later, waiting, stalled, done
-	By           string `json:"by,omitempty"`       // who reported it done
+	By           string `json:"by,omitempty"`       // who reported that the step is done
 }
 
 // Votes are the numbers of valid votes, and the quorums.
@@ -97,7 +97,7 @@
 	Labels map[string]*string `json:"labels,omitempty"`
 }
 
-// StepDone reports that a step is done, and who did it.
+// StepDone reports that a step is done, and who reports it.
 type StepDone struct {
 	By string `json:"by,omitempty"`
 }
--- a/internal/api/status.go
+++ b/internal/api/status.go
@@ -5,13 +5,13 @@
 	Name         string            `json:"name"`
 	IsLeader     bool              `json:"leads"`
 	Leader       string            `json:"leader,omitempty"`
-	LagMs        int64             `json:"behindMs"` // since the controller last heard from the leader
+	LagMs        int64             `json:"behindMs"` // since the controller's last contact with the leader; 0 on the leader
 	Version      uint64            `json:"version"`  // log index of the last applied command
 	Events       uint64            `json:"events"`   // id of the newest event
 	Routers      int               `json:"routers"`  // number of member routers
-	Watchers     int               `json:"watchers"`
-	SlowWatchers int               `json:"slow"`    // slow watchers disconnected since the controller started
-	Members      map[string]string `json:"members"` // members of the Raft group: addresses by name
+	Watchers     int               `json:"watchers"` // number of current watchers
+	SlowWatchers int               `json:"slow"`     // number of slow watchers disconnected since the controller started
+	Members      map[string]string `json:"members"`  // members of the Raft group: addresses by name
 }
 
 // Controller holds the addresses of another controller.
