--- a/api/pages.go
+++ b/api/pages.go
@@ -139,7 +139,7 @@
 
 func sortedKeys(of node) []string { return slices.Sorted(maps.Keys(of)) }
 
-// link converts a reference to a schema to a link to the schema's heading in the document.
+// link converts a reference to a schema into a link to the schema's heading in the document.
 func link(ref string) string {
 	name := ref[strings.LastIndex(ref, "/")+1:]
 	return fmt.Sprintf("[%s](#%s)", name, strings.ToLower(name))
