--- a/client/client.go
+++ b/client/client.go
@@ -54,7 +54,7 @@
 type Client struct {
 	urls    []string
 	http    *http.Client
-	current atomic.Int64 // the instance in use, modulo the number of URLs
+	current atomic.Int64 // only increases; modulo the number of URLs, it is the index of the instance in use
 }
 
 // New returns a client of the instances at these URLs. It uses a default HTTP client if h is nil.
@@ -76,9 +76,9 @@
 	method     string
 	path       string
 	header     http.Header
-	body       any  // sent as JSON; nil for no body
-	out        any  // the response's JSON is decoded into it; nil to ignore the response
-	idempotent bool // it may be retried even if it may have been carried out
+	body       any  // sent as JSON; nil means no body
+	out        any  // the response's JSON is decoded into it; nil means that the response body is ignored
+	idempotent bool // the request may be retried even if an earlier attempt may have been carried out
 }
 
 // do sends a request to one instance after another until one responds or the context ends.
--- a/client/operations.go
+++ b/client/operations.go
@@ -16,7 +16,7 @@
 
 func controllerPath(name string) string { return "/v1/controllers/" + url.PathEscape(name) }
 
-// ifMatch returns the headers of a change that is only for one version, or none for version 0.
+// ifMatch returns the headers that restrict a change to one version of a release. Version 0 means any version and needs none.
 func ifMatch(version int64) http.Header {
 	if version == 0 {
 		return nil
@@ -76,12 +76,12 @@
 	return r, err
 }
 
-// Delete deletes the object of a release that has ended.
+// Delete deletes the object of a release that is released or rolled back, and is neither the newest nor the previous one.
 func (c *Client) Delete(ctx context.Context, build int) error {
 	return c.do(ctx, call{method: http.MethodDelete, path: releasePath(build)})
 }
 
-// CompleteStep reports that a step is done, and who did it.
+// CompleteStep reports that a step is done, and who reports it.
 func (c *Client) CompleteStep(ctx context.Context, build int, step, by string) (r api.ReleaseObject, err error) {
 	err = c.do(ctx, call{method: http.MethodPut, path: releasePath(build) + "/steps/" + url.PathEscape(step), body: api.StepDone{By: by}, out: &r,
 		idempotent: true})
@@ -116,7 +116,7 @@
 	return s, err
 }
 
-// AddController adds a controller to the Raft group, or stores its URL.
+// AddController adds a controller to the Raft group if a has its address, and stores its URL if a has one.
 func (c *Client) AddController(ctx context.Context, name string, a api.Controller) error {
 	return c.do(ctx, call{method: http.MethodPut, path: controllerPath(name), body: a, idempotent: true})
 }
