--- a/cmd/dapplefront/agent_config.go
+++ b/cmd/dapplefront/agent_config.go
@@ -12,7 +12,7 @@
 	"dapplefront/internal/inifile"
 )
 
-// readAgentConfig reads an agent's settings. It records mistakes in the file.
+// readAgentConfig reads an agent's settings. Mistakes in them are returned by file.Err.
 func readAgentConfig(file *inifile.File) agentd.Config {
 	s := file.Section("agent")
 	config := agentd.Config{
@@ -55,7 +55,7 @@
 	if !s.Has() {
 		return nil
 	}
-	ring, err := certs.Open(certs.Files{
+	reloader, err := certs.Open(certs.Files{
 		Certificate: s.Text("certificate", "!"),
 		Key:         s.Text("key", "!"),
 		Authority:   s.Text("authority", "!"),
@@ -64,10 +64,10 @@
 		s.AddError("certificate", "%v", err)
 		return nil
 	}
-	return ring.Client()
+	return reloader.Client()
 }
 
-// readKeyRing reads the key ring whose keys must sign builds.
+// readKeyRing reads the key ring by whose keys builds must be signed.
 func readKeyRing(s inifile.Section) *build.KeyRing {
 	name := s.Text("ring", "!")
 	if name == "" {
--- a/cmd/dapplefront/check.go
+++ b/cmd/dapplefront/check.go
@@ -27,7 +27,7 @@
 	}
 }
 
-// readAny reads a file of any type. The type is determined by the sections of the file. readAny records mistakes in the file.
+// readAny reads a file of any type. The type is determined by the sections of the file. Mistakes are returned by file.Err.
 func readAny(file *inifile.File) {
 	switch {
 	case file.Section("day").Has():
--- a/cmd/dapplefront/controller_config.go
+++ b/cmd/dapplefront/controller_config.go
@@ -30,7 +30,7 @@
 	return config, file.Err()
 }
 
-// readControllerConfig reads a controller's settings. It records mistakes in the file.
+// readControllerConfig reads a controller's settings. Mistakes in them are returned by file.Err.
 func readControllerConfig(file *inifile.File) controllerConfig {
 	var config controllerConfig
 	config.readNode(file.Section("controller"))
@@ -72,7 +72,7 @@
 	}
 	shares, caps := s.Shares("shares", "3%, 12%, 40%, 100%"), s.Shares("caps", "4%, 15%, 50%, 100%")
 	if len(shares) != len(caps) {
-		s.AddError("caps", "caps: as many values as in shares expected, %d and not %d", len(shares), len(caps))
+		s.AddError("caps", "caps: as many values as in shares expected: %d, not %d", len(shares), len(caps))
 	}
 	for i := range min(len(shares), len(caps)) {
 		rules.Stages = append(rules.Stages, release.Stage{HostShare: shares[i], ExposureCap: caps[i]})
@@ -117,7 +117,7 @@
 	}
 }
 
-// readNetworks reads the networks of a grant. It returns nil if there are none.
+// readNetworks reads the networks of a grant. It returns nil if the grant is not limited to networks.
 func readNetworks(s inifile.Section) *netipx.IPSet {
 	prefixes := s.Networks("networks", "")
 	if len(prefixes) == 0 {
@@ -143,11 +143,11 @@
 	if config.certificates == (certs.Files{}) {
 		return nil
 	}
-	ring, err := certs.Open(config.certificates)
+	reloader, err := certs.Open(config.certificates)
 	if err != nil {
 		return err
 	}
-	config.server.Authorizer.ServerTLS, config.server.Authorizer.ClientTLS = ring.Server(), ring.Client()
-	config.node.StreamLayer = controller.TLSStreamLayer(ring, config.peers)
+	config.server.Authorizer.ServerTLS, config.server.Authorizer.ClientTLS = reloader.Server(), reloader.Client()
+	config.node.StreamLayer = controller.TLSStreamLayer(reloader, config.peers)
 	return nil
 }
--- a/cmd/dapplefront/loadgen.go
+++ b/cmd/dapplefront/loadgen.go
@@ -17,7 +17,7 @@
 	seconds   int
 	path      string
 	class     string
-	objective time.Duration // a response within this time is in time
+	objective time.Duration // latency objective: a response within this time counts as in time
 	timeout   time.Duration
 }
 
@@ -36,7 +36,7 @@
 	f.IntVar(&o.seconds, "seconds", 10, "duration in seconds")
 	f.StringVar(&o.path, "path", "/quote", "path to request")
 	f.StringVar(&o.class, "category", "quote", "name of the request class")
-	f.DurationVar(&o.objective, "promised", 500*time.Millisecond, "responses within this time are in time")
+	f.DurationVar(&o.objective, "promised", 500*time.Millisecond, "latency objective: a response within this time counts as in time")
 	f.DurationVar(&o.timeout, "patience", 2*time.Second, "how long a client waits for a response")
 	return c
 }
--- a/cmd/dapplefront/logging.go
+++ b/cmd/dapplefront/logging.go
@@ -11,7 +11,7 @@
 
 // logOptions are the flags for logging, which all commands have.
 type logOptions struct {
-	level  string // debug, info, warn or error; "" for the command's default
+	level  string // debug, info, warn or error; "" means the command's default
 	format string // text or json
 }
 
--- a/cmd/dapplefront/main.go
+++ b/cmd/dapplefront/main.go
@@ -27,7 +27,7 @@
 func (e exitCode) Error() string { return fmt.Sprintf("exit %d", int(e)) }
 
 func main() {
-	testbed.RunIfBackendProcess() // does not return in a process that a scenario with agents started as a backend
+	testbed.RunIfBackendProcess() // in a process that a scenario with agents started as a backend, this does not return
 	err := rootCommand().Execute()
 	var code exitCode
 	switch {
@@ -64,7 +64,7 @@
 	return root
 }
 
-// addWithAlias adds a command, and the same command under its earlier name, which the help does not list.
+// addWithAlias adds a command, and the same command under its earlier name (alias), which the help does not list.
 func addWithAlias(root *cobra.Command, alias string, command func() *cobra.Command) {
 	hidden := command()
 	hidden.Use = alias + hidden.Use[len(hidden.Name()):]
--- a/cmd/dapplefront/plan.go
+++ b/cmd/dapplefront/plan.go
@@ -69,7 +69,7 @@
 	return c
 }
 
-// solvePlan reads a fleet and its forecast, applies the change whatIf if it is not empty, and solves the plan.
+// solvePlan reads a fleet and its forecast, applies the what-if change unless it is "", and solves the plan.
 func solvePlan(file, whatIf string) (*planreport.Report, *plan.Plan, error) {
 	report, err := planreport.Read(file)
 	if err != nil {
--- a/cmd/dapplefront/release.go
+++ b/cmd/dapplefront/release.go
@@ -25,8 +25,8 @@
 	files   certs.Files
 }
 
-// releaseCommand sends requests to controllers. It exits with 0 if the request succeeded, 1 if the controller rejected it, 2 if
-// no controller could be reached.
+// releaseCommand sends requests to controllers. It exits with 0 if the request succeeded, 1 if the controller rejected it, and 2
+// on any other error, for example if no controller could be reached.
 func releaseCommand() *cobra.Command {
 	var o releaseOptions
 	root := &cobra.Command{Use: "release", Short: "Create, show, watch and withdraw releases"}
@@ -85,11 +85,11 @@
 	if o.files == (certs.Files{}) {
 		return nil, nil
 	}
-	ring, err := certs.Open(o.files)
+	reloader, err := certs.Open(o.files)
 	if err != nil {
 		return nil, err
 	}
-	return &http.Client{Transport: &http.Transport{TLSClientConfig: ring.Client()}}, nil
+	return &http.Client{Transport: &http.Transport{TLSClientConfig: reloader.Client()}}, nil
 }
 
 // buildAction is the implementation of a release command whose first argument is a build.
@@ -140,7 +140,7 @@
 		}
 		return o.print(c, r)
 	})
-	c.Flags().StringVar(&key, "key", "", "idempotency key: a request with the same key may be repeated")
+	c.Flags().StringVar(&key, "key", "", "idempotency key: the request may be repeated with the same key")
 	c.Flags().StringVar(&note, "note", "", "note for operators")
 	c.Flags().StringVar(&digest, "digest", "", "digest of the build's manifest")
 	c.Flags().StringSliceVar(&labels, "label", nil, "NAME=VALUE")
--- a/cmd/dapplefront/release_output.go
+++ b/cmd/dapplefront/release_output.go
@@ -61,7 +61,7 @@
 	})
 }
 
-// printTable aligns the columns that fill writes, which are separated by tabs.
+// printTable prints the lines that fill writes, in aligned columns. In these lines, tabs separate the columns.
 func printTable(to io.Writer, fill func(table io.Writer) error) error {
 	table := tabwriter.NewWriter(to, 0, 0, 2, ' ', 0)
 	return errors.Join(fill(table), table.Flush())
--- a/cmd/dapplefront/replay.go
+++ b/cmd/dapplefront/replay.go
@@ -51,7 +51,7 @@
 	return c
 }
 
-// recordFiles returns the record files at the paths, which are files or folders, by router.
+// recordFiles returns the record files at the given paths, grouped by router. A path is a record file or a folder of them.
 func recordFiles(paths []string) (map[string][]string, error) {
 	byRouter := map[string][]string{}
 	for _, path := range paths {
--- a/cmd/dapplefront/router.go
+++ b/cmd/dapplefront/router.go
@@ -55,7 +55,7 @@
 	log.Info("draining", "signal", received.String(), "at most", config.DrainTimeout)
 	abort := make(chan struct{})
 	go func() { <-terminate; close(abort) }()
-	if left := p.Shutdown(config.DrainTimeout, abort); left > 0 {
+	if canceled := p.Shutdown(config.DrainTimeout, abort); canceled > 0 {
 		return exitCode(exitFailed)
 	}
 	return nil
