--- a/internal/controller/authorization_test.go
+++ b/internal/controller/authorization_test.go
@@ -37,7 +37,7 @@
 func TestServer_AuthorizesByCertificateAndNetworkDuringCertificateRotation(t *testing.T) {
 	authority, err := testbed.NewAuthority(t.TempDir())
 	require.NoError(t, err)
-	ring := func(name string) *certs.Reloader {
+	reloader := func(name string) *certs.Reloader {
 		f, err := authority.Issue(name, time.Hour)
 		require.NoError(t, err)
 		r, err := certs.Open(f)
@@ -59,7 +59,7 @@
 	var servers []*Server
 	for i := range 3 {
 		name := fmt.Sprintf("c%d", i+1)
-		r := ring(name)
+		r := reloader(name)
 		n, err := Open(NodeConfig{Name: name, Dir: t.TempDir(), Listen: "127.0.0.1:0", Bootstrap: i == 0, FastElections: true, Control: testConfig, InitialBuild: 1,
 			StreamLayer: TLSStreamLayer(r, []string{"c*"})}, log)
 		require.NoError(t, err)
@@ -89,7 +89,7 @@
 		_ = got.Body.Close()
 		return got.StatusCode
 	}
-	router, people, far := ring("router-1").Client(), ring("people-ann").Client(), ring("people-far").Client()
+	router, people, far := reloader("router-1").Client(), reloader("people-ann").Client(), reloader("people-far").Client()
 	for at := range 3 { // also through followers, which forward requests
 		require.Equal(t, 403, statusOf(router, at, "POST", "/v1/releases", `{"build":9}`))
 		require.Equal(t, 403, statusOf(people, at, "PUT", "/v1/releases/2/votes/r1", `{"stage":0,"voice":"on"}`))
