--- a/client/client.go
+++ b/client/client.go
@@ -7,6 +7,7 @@
 // A client is given the URLs of several instances. If an instance is unreachable or knows no leader, the client tries the next
 // one, until the context ends. A change that may have been made already is retried only if it is idempotent, or if it has an
 // idempotency key. Otherwise the client returns an error that wraps ErrOutcomeUnknown, or the controller's *Error with status 504.
+// If the context ends, the client returns the context's error and that of an earlier attempt; a change may then have been made.
 //
 // For a request that the controller rejects, the client returns an *Error.
 package client
--- a/client/client_test.go
+++ b/client/client_test.go
@@ -32,8 +32,8 @@
 	return s.URL, requests
 }
 
-// refusing returns a URL at which connections are refused.
-func refusing(t *testing.T) string {
+// refusingURL returns a URL at which connections are refused.
+func refusingURL(t *testing.T) string {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
@@ -63,7 +63,7 @@
 			var first string
 			switch c.status {
 			case -1:
-				first = refusing(t)
+				first = refusingURL(t)
 			case 409:
 				first, _ = instance(t, c.status, `{"title":"Conflict","field":"build","detail":"lost","status":1}`)
 			default:
