--- a/cmd/dapplefront/plan.go
+++ b/cmd/dapplefront/plan.go
@@ -16,8 +16,9 @@
 		Use:   "plan FILE",
 		Short: "Plan future traffic shares for a fleet",
 		Args:  cobra.ExactArgs(1),
-		Long: "Plan future traffic shares for a fleet and a forecast (FILE) at each step: within host capacity, caps and warm-up budgets,\n" +
-			"with little traffic between zones and good balance. Prints conflicting limits and possible remedies if demand is unserved.\n" +
+		Long: "Plan future traffic shares for a fleet and a forecast (FILE), at each step of the forecast. A plan stays within host\n" +
+			"capacity, caps and warm-up budgets, with little traffic between zones and with balanced load. If demand can't be served,\n" +
+			"the conflicting limits and possible remedies are printed.\n" +
 			"Exits with 0 if all demand is served at every step, 1 if not, 2 if the file is invalid.",
 		RunE: func(c *cobra.Command, args []string) error {
 			report, solution, err := solvePlan(args[0], whatIf)
--- a/cmd/dapplefront/store.go
+++ b/cmd/dapplefront/store.go
@@ -18,7 +18,7 @@
 func storeCheckCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:   "check FILE",
-		Short: "Check every page and entry of the store that the settings in FILE name",
+		Short: "Check every page and entry of the store of a controller; FILE has its settings",
 		Args:  cobra.ExactArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
 			config, err := openControllerConfig(args[0])
