--- a/internal/controller/export.go
+++ b/internal/controller/export.go
@@ -18,8 +18,8 @@
 	keyLastCandidate = "LastVoteCand"
 )
 
-// Export writes the state in a store as JSON. The store must not be in use. The state includes every log entry in the store.
-// Some of them may never have been committed, as is possible after any restart.
+// Export writes the state in a store as JSON. The store must not be in use. As after any restart, the state includes every log
+// entry in the store, even entries that were never committed.
 func Export(dir string, config control.Config, to io.Writer) error {
 	if _, err := os.Stat(logFile(dir)); err != nil {
 		return err
--- a/internal/controller/partition_test.go
+++ b/internal/controller/partition_test.go
@@ -21,7 +21,7 @@
 // network holds the connections between controllers and can partition them.
 type network struct {
 	mu          sync.Mutex
-	partitioned map[[2]string]bool     // whether the first named controller can't connect to the second
+	partitioned map[[2]string]bool     // pairs of controller names; the first can't connect to the second
 	names       map[string]string      // controller names, by address
 	open        map[net.Conn][2]string // open connections, with the names of both controllers
 }
