--- a/control/agents.go
+++ b/control/agents.go
@@ -5,8 +5,8 @@
 	"slices"
 )
 
-// maxAgentOrders is the number of orders kept for each agent, which receives those that it missed when it reconnects. The oldest
-// orders are dropped first. A host gets about four orders per build.
+// maxAgentOrders is the number of orders kept for each agent; the oldest are dropped first. When an agent reconnects, it receives
+// the ones that it missed. A host gets about four orders per build.
 const maxAgentOrders = 64
 
 // Agent holds the orders to the agent of one host and the number of its last report.
--- a/control/releases.go
+++ b/control/releases.go
@@ -185,15 +185,15 @@
 
 // inputOutcome is the release machine's response to an input.
 type inputOutcome struct {
-	vote     release.VoteAnswer // response to a release.Vote
-	rejected string             // reason of a release.Reject; empty if the input was not rejected
+	vote     release.VoteResponse // response to a release.Vote
+	rejected string               // reason of a release.Reject; empty if the input was not rejected
 }
 
 // handleInput passes an input to the release machine and carries out the effects.
 func (s *State) handleInput(in release.Input) (outcome inputOutcome) {
 	for _, effect := range s.machine.Handle(s.now, in) {
 		switch effect := effect.(type) {
-		case release.VoteAnswer:
+		case release.VoteResponse:
 			outcome.vote = effect
 		case release.Reject:
 			outcome.rejected = effect.Reason
--- a/release/events.go
+++ b/release/events.go
@@ -23,7 +23,7 @@
 // Tick reports that time has passed.
 type Tick struct{}
 
-// Vote is a router's vote; it replaces the router's earlier one. The machine returns VoteAnswer.
+// Vote is a router's vote; it replaces the router's earlier one. The machine returns VoteResponse.
 type Vote struct {
 	Router       string
 	Build, Stage int
@@ -38,7 +38,7 @@
 func (Tick) input()         {}
 func (Vote) input()         {}
 
-// Effect is an action that the caller carries out: Deploy, Retire, Notify, VoteAnswer or Reject.
+// Effect is an action that the caller carries out: Deploy, Retire, Notify, VoteResponse or Reject.
 type Effect interface{ effect() }
 
 // Deploy requests that a share of the fleet's hosts run the build, in addition to the builds that already run there.
@@ -53,8 +53,8 @@
 // Notify requests that all routers be notified of the new status.
 type Notify struct{ Status }
 
-// VoteAnswer is the response to the Vote that was handled.
-type VoteAnswer struct {
+// VoteResponse is the response to the Vote that was handled.
+type VoteResponse struct {
 	Accepted bool
 	Reason   string // why the vote does not count; empty if it was accepted
 }
@@ -62,8 +62,8 @@
 // Reject is the response to an Offer or RollBack that was rejected and changed nothing.
 type Reject struct{ Reason string }
 
-func (Deploy) effect()     {}
-func (Retire) effect()     {}
-func (Notify) effect()     {}
-func (VoteAnswer) effect() {}
-func (Reject) effect()     {}
+func (Deploy) effect()       {}
+func (Retire) effect()       {}
+func (Notify) effect()       {}
+func (VoteResponse) effect() {}
+func (Reject) effect()       {}
--- a/release/machine.go
+++ b/release/machine.go
@@ -7,7 +7,7 @@
 	"dapplefront/policy"
 )
 
-// Reasons in Reject and VoteAnswer. Clients see these texts, so they must not change.
+// Reasons in Reject and VoteResponse. Clients see these texts, so they must not change.
 const (
 	reasonIrreversible  = "a step that can't be undone has been done"
 	reasonOldBuild      = "a build with a higher number has been offered already"
@@ -139,20 +139,20 @@
 
 // handleVote stores a vote if it is accepted. Rollback votes and abstentions apply to the build, other votes to its current
 // stage.
-func (m *Machine) handleVote(v Vote) VoteAnswer {
+func (m *Machine) handleVote(v Vote) VoteResponse {
 	open := v.Build == m.status.Build && m.state != rollingBack && m.state != rolledBack
 	forBuild := v.Choice == policy.Rollback || v.Choice == policy.Abstain
 	timed := m.rules.Mode == policy.Timed
 	switch {
 	case !open || !forBuild && (v.Stage != m.status.Stage || m.state == released):
-		return VoteAnswer{Reason: reasonOtherStage}
+		return VoteResponse{Reason: reasonOtherStage}
 	case v.Choice == policy.Hold && !timed, v.Choice == policy.Promote && timed:
-		return VoteAnswer{Reason: reasonNotThisChoice}
+		return VoteResponse{Reason: reasonNotThisChoice}
 	case v.Choice == policy.Rollback && m.irreversible:
-		return VoteAnswer{Reason: reasonIrreversible}
+		return VoteResponse{Reason: reasonIrreversible}
 	}
 	m.votes[v.Router] = castVote{v.Build, v.Stage, v.Choice, m.now}
-	return VoteAnswer{Accepted: true}
+	return VoteResponse{Accepted: true}
 }
 
 // evaluate fires the transitions that votes and time cause: a rollback, or the promotion of a stage whose hosts are ready.
--- a/release/machine_test.go
+++ b/release/machine_test.go
@@ -60,7 +60,7 @@
 	require.Equal(t, 0, m.Status().Stage, "the first vote has expired")
 	m.Handle(6*policy.Second, promoteVote("a", 0))
 	require.Equal(t, 1, m.Status().Stage)
-	require.Contains(t, m.Handle(6*policy.Second, promoteVote("a", 0)), release.VoteAnswer{Reason: "it is not the present build or stage"})
+	require.Contains(t, m.Handle(6*policy.Second, promoteVote("a", 0)), release.VoteResponse{Reason: "it is not the present build or stage"})
 }
 
 func TestMachine_SupersedesCanaryOnNewerOffer(t *testing.T) {
@@ -137,7 +137,7 @@
 	}
 	deployNewer := []release.Effect{release.Deploy{Build: 3, Share: 0.1}, canary(3, 0)}
 	retire := release.Retire{Build: 2}
-	voteAccepted := release.VoteAnswer{Accepted: true}
+	voteAccepted := release.VoteResponse{Accepted: true}
 	rejectRollBack := release.Reject{Reason: "it is not the newest release, or it is going back already"}
 	for _, c := range []struct {
 		state   string
