--- a/cmd/dapplefront/plan.go
+++ b/cmd/dapplefront/plan.go
@@ -16,9 +16,8 @@
 		Use:   "plan FILE",
 		Short: "Plan future traffic shares for a fleet",
 		Args:  cobra.ExactArgs(1),
-		Long: "Plan future traffic shares for a fleet and a forecast (FILE), at each step of the forecast. A plan stays within host\n" +
-			"capacity, caps and warm-up budgets, with little traffic between zones and with balanced load. If demand can't be served,\n" +
-			"the conflicting limits and possible remedies are printed.\n" +
+		Long: "Plan future traffic shares for a fleet and a forecast (FILE). At each step, a plan stays within host capacity, caps and\n" +
+			"warm-up budgets, with little traffic between zones and good balance. If demand is unserved, prints conflicting limits and remedies.\n" +
 			"Exits with 0 if all demand is served at every step, 1 if not, 2 if the file is invalid.",
 		RunE: func(c *cobra.Command, args []string) error {
 			report, solution, err := solvePlan(args[0], whatIf)
