--- a/client/client.go
+++ b/client/client.go
@@ -7,6 +7,7 @@
 // A client is given the URLs of several instances. If an instance is unreachable or knows no leader, the client tries the next
 // one, until the context ends. A change that may have been made already is retried only if it is idempotent, or if it has an
 // idempotency key. Otherwise the client returns an error that wraps ErrOutcomeUnknown, or the controller's *Error with status 504.
+// If the context ends, the client returns the context's error and that of an earlier attempt; a change may then have been made.
 //
 // For a request that the controller rejects, the client returns an *Error.
 package client
@@ -54,7 +55,7 @@
 type Client struct {
 	urls    []string
 	http    *http.Client
-	current atomic.Int64 // the instance in use, modulo the number of URLs
+	current atomic.Int64 // only increases; modulo the number of URLs, it is the index of the instance in use
 }
 
 // New returns a client of the instances at these URLs. It uses a default HTTP client if h is nil.
@@ -76,9 +77,9 @@
 	method     string
 	path       string
 	header     http.Header
-	body       any  // sent as JSON; nil for no body
-	out        any  // the response's JSON is decoded into it; nil to ignore the response
-	idempotent bool // it may be retried even if it may have been carried out
+	body       any  // sent as JSON; nil means no body
+	out        any  // the response's JSON is decoded into it; nil means that the response body is ignored
+	idempotent bool // the request may be retried even if an earlier attempt may have been carried out
 }
 
 // do sends a request to one instance after another until one responds or the context ends.
--- a/cmd/dapplefront/plan.go
+++ b/cmd/dapplefront/plan.go
@@ -16,8 +16,8 @@
 		Use:   "plan FILE",
 		Short: "Plan future traffic shares for a fleet",
 		Args:  cobra.ExactArgs(1),
-		Long: "Plan future traffic shares for a fleet and a forecast (FILE) at each step: within host capacity, caps and warm-up budgets,\n" +
-			"with little traffic between zones and good balance. Prints conflicting limits and possible remedies if demand is unserved.\n" +
+		Long: "Plan future traffic shares for a fleet and a forecast (FILE). At each step, a plan stays within host capacity, caps and\n" +
+			"warm-up budgets, with little traffic between zones and good balance. If demand is unserved, prints conflicting limits and remedies.\n" +
 			"Exits with 0 if all demand is served at every step, 1 if not, 2 if the file is invalid.",
 		RunE: func(c *cobra.Command, args []string) error {
 			report, solution, err := solvePlan(args[0], whatIf)
@@ -69,7 +69,7 @@
 	return c
 }
 
-// solvePlan reads a fleet and its forecast, applies the change whatIf if it is not empty, and solves the plan.
+// solvePlan reads a fleet and its forecast, applies the what-if change unless it is "", and solves the plan.
 func solvePlan(file, whatIf string) (*planreport.Report, *plan.Plan, error) {
 	report, err := planreport.Read(file)
 	if err != nil {
--- a/control/releases.go
+++ b/control/releases.go
@@ -35,7 +35,8 @@
 	return Reply{Release: r.clone()}, nil
 }
 
-// repeatedCreation returns the reply to a creation whose idempotency key was used before; known is false for any other.
+// repeatedCreation returns the reply to a creation whose idempotency key was used before. For any other creation, known is
+// false.
 func (s *State) repeatedCreation(c Command) (reply Reply, rejected *Error, known bool) {
 	if c.Key == "" {
 		return Reply{}, nil, false
@@ -184,15 +185,15 @@
 
 // inputOutcome is the release machine's response to an input.
 type inputOutcome struct {
-	vote     release.VoteAnswer // response to a release.Vote
-	rejected string             // reason of a release.Reject; empty if the input was not rejected
+	vote     release.VoteResponse // response to a release.Vote
+	rejected string               // reason of a release.Reject; empty if the input was not rejected
 }
 
 // handleInput passes an input to the release machine and carries out the effects.
 func (s *State) handleInput(in release.Input) (outcome inputOutcome) {
 	for _, effect := range s.machine.Handle(s.now, in) {
 		switch effect := effect.(type) {
-		case release.VoteAnswer:
+		case release.VoteResponse:
 			outcome.vote = effect
 		case release.Reject:
 			outcome.rejected = effect.Reason
