--- a/plan/losses.go
+++ b/plan/losses.go
@@ -8,7 +8,7 @@
 // Loss is a loss of hosts that would leave demand unserved in a step even after routers follow shares computed without
 // these hosts.
 type Loss struct {
-	Step         int     // from 0
+	Step         int     // index of the step in the forecast
 	Lost         string  // "zone NAME" or "host NAME"
 	UnservedRate float64 // requests per second
 }
--- a/plan/model.go
+++ b/plan/model.go
@@ -70,7 +70,7 @@
 type Release struct {
 	Build         int
 	Stages        []Stage
-	ReleasedAt    time.Duration // when its hosts begin to serve requests; 0 if this is after the end of the plan
+	ReleasedAt    time.Duration // when the build is released, relative to the plan's start: until then, its hosts get only shadow requests; 0 means after the plan's end
 	GuardedStages int           // number of first stages in which classes that are IdempotentWithKey get no shadow requests
 	CapPerClass   bool          // the cap is a share of the requests that may be shadowed, not of all requests
 	SideBySide    bool          // hosts of the build are added and do not replace others
@@ -86,5 +86,5 @@
 	CurrentShares Shares   // shares in force; nil if there are none
 }
 
-// Shares are the shares of a zone's requests, by zone and host.
+// Shares holds the share of each zone's requests that each host gets: by the zone of the requests, then by host.
 type Shares map[string]map[string]float64
--- a/plan/stages.go
+++ b/plan/stages.go
@@ -4,7 +4,7 @@
 
 // StageFeasibility describes whether a stage of the release would be feasible during a step, with its hosts warmed up.
 type StageFeasibility struct {
-	Stage, Step  int     // from 0
+	Stage, Step  int     // indexes of the stage in the release and of the step in the forecast
 	Hosts        int     // number of hosts that run the released build
 	UnservedRate float64 // requests per second that the other hosts could not serve
 	AllowedRate  float64 // shadow requests per second that the stage's cap allows
