--- a/internal/discovery/watch.go
+++ b/internal/discovery/watch.go
@@ -25,7 +25,7 @@
 	assumedReceivedAfter = 6 * time.Second // protocol page, "Figures"
 	keepAliveInterval    = 2 * time.Second // protocol page, "Discovery": an empty line at least this often
 	idleTimeout          = keepAliveInterval * 3 / 2
-	maxFirstBackoff      = 750 * time.Millisecond // of the policy, after a first failure
+	maxFirstBackoff      = 750 * time.Millisecond // longest backoff of the policy after a first failure
 )
 
 // WatchTimeouts are the maximum times for which a watch may receive nothing.
@@ -112,7 +112,7 @@
 	return l.Revision <= w.revision && w.revision > 0
 }
 
-// apply applies a list and returns the hosts that it changes.
+// apply applies a list and returns its hosts, with replaced hosts as removed (see hostTable.apply).
 func (w *Watch) apply(l EndpointList) []eds.Host {
 	w.mu.Lock()
 	defer w.mu.Unlock()
