--- a/internal/downstream/protocol.go
+++ b/internal/downstream/protocol.go
@@ -27,7 +27,7 @@
 
 	ID                string      // request header with an id that the client chooses; required, and unique among the requests in flight
 	Strict            bool        // none of these headers may occur twice; the timeout is required, in whole milliseconds
-	WorkUnitsPerTick  policy.Time // units of expected work in one unit of policy.Time; 0 if the header's value contains its unit
+	WorkUnitsPerTick  policy.Time // number by which the value of ExpectedWork is divided to get a policy.Time; 0 means that the value is a duration with a unit, or in whole ms
 	Outcome           string      // response header with the outcome
 	Host              string      // response header with the host's id, if the response is a host's
 	RetryAfterMs      string      // header of a rejection with the delay before a retry in milliseconds, in addition to Retry-After
--- a/internal/downstream/server.go
+++ b/internal/downstream/server.go
@@ -33,7 +33,7 @@
 const (
 	sweepInterval = policy.Second / 5  // how often connections are checked for their timeouts
 	lingerTimeout = policy.Second      // how long a client may take to read the last response and close the connection
-	pipelineRetry = policy.Second / 10 // Retry-After of requests above MaxPipelined
+	pipelineRetry = policy.Second / 10 // Retry-After of the rejection of a request that exceeds MaxPipelined
 )
 
 // Class describes what clients have to know of a class of requests.
