--- a/control/events.go
+++ b/control/events.go
@@ -32,7 +32,7 @@
 // EventDeploy.
 type DeployOrder struct {
 	Build int     `json:"build"`
-	Share float64 `json:"share"` // from 0 to 1
+	Share float64 `json:"share"` // share of the hosts that are to run the build, from 0 to 1
 }
 
 // RetireOrder requests that the hosts of a build be drained and then stopped. The programs that run hosts receive it as the
