--- a/policy/evidence.go
+++ b/policy/evidence.go
@@ -140,8 +140,9 @@
 	return hosts
 }
 
-// excludeWorstHosts returns all hosts except a share of them, those with the most failures, and the number of remaining hosts
-// with at least one failure. A host with a single failure is not excluded: that does not show that it differs from the others.
+// excludeWorstHosts excludes the hosts with the most failures; excluded is their share of all hosts. rest is true for the
+// remaining hosts, and failing is the number of those with at least one failure. A host with a single failure is never
+// excluded, because one failure does not show that the host differs from the others.
 func excludeWorstHosts(hosts []hostSummary, excluded float64) (rest map[*Host]bool, failing int) {
 	const strayFailures = 1
 	rest = map[*Host]bool{}
--- a/policy/gossip.go
+++ b/policy/gossip.go
@@ -5,7 +5,7 @@
 	"slices"
 )
 
-// gossipState is what peers reported that does not concern a single host or class.
+// gossipState holds what peers reported, except reports on single hosts and classes.
 type gossipState struct {
 	localPeers  []int       // ranks of the peers in this zone that sent messages most recently
 	activePeers float64     // decayed number of summaries received, which estimates the number of peers that sent one recently
--- a/policy/outlier.go
+++ b/policy/outlier.go
@@ -149,8 +149,8 @@
 // fails far more often or is far slower than they are, so that neither a bad build nor a slow fleet causes all hosts to be
 // ejected.
 func (r *Router) isFailing(host *Host) bool {
-	const rateGap = 0.35      // in the failure rate, above twice the peers' median: about three of the last eight attempts
-	const slowdownRatio = 3.0 // to the peers' median
+	const rateGap = 0.35      // a host's failure rate is too high if it exceeds twice the peers' median by this: about three of the last eight attempts
+	const slowdownRatio = 3.0 // a host's slowdown is too high above this multiple of the peers' median
 	own := r.faultScoreOf(host)
 	if own.failureRate <= rateGap && own.slowdown <= slowdownRatio { // not failing, whatever the scores of its peers
 		return false
--- a/policy/retry.go
+++ b/policy/retry.go
@@ -17,8 +17,8 @@
 
 // retry sends another attempt of a request if the number of attempts and the retry budget allow it, a host is available
 // and the response can still be in time. It reports whether it sent one. The budget doesn't apply after a shadow
-// attempt that was sent first, because the primary attempt follows it. It doesn't apply either after an attempt that
-// timed out where hedging is not allowed, because the budget was checked when that attempt was sent with a shortened
+// attempt that was sent first, because the primary attempt follows it. Nor does it apply after an attempt that timed
+// out where hedging is not allowed, because the budget was checked when that attempt was sent with a shortened
 // timeout.
 func (r *Router) retry(request *Request) bool {
 	remaining := request.arrivedAt + request.Timeout - r.now
--- a/policy/retry_test.go
+++ b/policy/retry_test.go
@@ -9,7 +9,7 @@
 func TestRetry_FailsNonIdempotentRequestThatMayHaveExecuted(t *testing.T) {
 	f, _ := newFakeFleet(t, nil)
 	request := f.arrive(f.payment)
-	f.advance(2 * Second) // the attempt is slow; it must not be hedged either
+	f.advance(2 * Second) // the attempt is slow, but a non-idempotent request must not be hedged
 	require.Len(t, request.Attempts, 1)
 	f.end(request.Attempts[0], ConnectionLost, 2*Second)
 	require.Equal(t, []*Request{request}, f.failed)
