--- a/internal/scenario/kinds.go
+++ b/internal/scenario/kinds.go
@@ -55,7 +55,7 @@
 	{name: "drain", description: "hosts drain, stop and are replaced", share: interval{.1, .25}, duration: interval{.2, .3}},
 	{name: "burst", description: "clients send more requests", magnitude: interval{1.7, 2.5}, duration: interval{.1, .25}},
 	{name: "repeats", description: "clients retry immediately, several times", magnitude: interval{3, 5}, duration: interval{.3, .6}},
-	{name: "bad-requests", description: "some requests fail on every host", magnitude: interval{.05, .2}, duration: interval{.3, .6}},
+	{name: "bad-requests", description: "some requests fail, whichever host serves them", magnitude: interval{.05, .2}, duration: interval{.3, .6}},
 	{name: "list-down", description: "endpoint discovery is unavailable", duration: interval{.2, .5}},
 	{name: "reports-late", description: "load reports, release status and request counts are late", magnitude: interval{1, 4}, duration: interval{.4, .7}},
 	{name: "desk-still", description: "the controllers answer no request; some votes count although they are unanswered", duration: interval{.15, .4}},
