--- a/cmd/dapplefront/plan.go
+++ b/cmd/dapplefront/plan.go
@@ -65,7 +65,7 @@
 			return report.PrintDiff(c.OutOrStdout(), plan.Diff(before, after))
 		},
 	}
-	c.Flags().StringVar(&whatIf, "what-if", "", "change the fleet or the forecast of the second plan first")
+	c.Flags().StringVar(&whatIf, "what-if", "", "change the fleet or the forecast of the second FILE before its plan is computed; takes the values of plan --what-if")
 	return c
 }
 
