--- a/cmd/dapplefront/node.go
+++ b/cmd/dapplefront/node.go
@@ -33,8 +33,8 @@
 			terminate, reload := make(chan os.Signal, 2), make(chan os.Signal, 1)
 			signal.Notify(terminate, syscall.SIGTERM, os.Interrupt)
 			signal.Notify(reload, syscall.SIGHUP)
-			canceled, err := node.Run(file, log, terminate, reload)
-			if err == nil && canceled > 0 {
+			unanswered, err := node.Run(file, log, terminate, reload)
+			if err == nil && unanswered > 0 {
 				err = exitCode(exitFailed)
 			}
 			return err
--- a/cmd/dapplefront/router.go
+++ b/cmd/dapplefront/router.go
@@ -55,7 +55,7 @@
 	log.Info("draining", "signal", received.String(), "at most", config.DrainTimeout)
 	abort := make(chan struct{})
 	go func() { <-terminate; close(abort) }()
-	if canceled := p.Shutdown(config.DrainTimeout, abort); canceled > 0 {
+	if unanswered := p.Shutdown(config.DrainTimeout, abort); unanswered > 0 {
 		return exitCode(exitFailed)
 	}
 	return nil
--- a/internal/eds/list.go
+++ b/internal/eds/list.go
@@ -43,7 +43,7 @@
 	for name, r := range resources {
 		for _, h := range r.hosts {
 			if other, ok := hosts[h.ID]; ok {
-				return nil, fmt.Errorf("%s: host %d is listed twice, at %s and at %s", name, h.ID, other.Address, h.Address)
+				return nil, fmt.Errorf("%s: host %d stands twice, at %s and at %s", name, h.ID, other.Address, h.Address)
 			}
 			if other, ok := ids[h.Address]; ok {
 				return nil, fmt.Errorf("%s: %s is the address of two hosts, %d and %d", name, h.Address, other, h.ID)
--- a/internal/eds/list_test.go
+++ b/internal/eds/list_test.go
@@ -19,7 +19,7 @@
 	require.NoError(t, err)
 	require.Len(t, changes, 3)
 	_, err = l.put(map[string]resource{"a": {"2", nil}, "b": {"2", []Host{hostAt(4, "x:4"), hostAt(4, "x:5")}}}, nil)
-	require.ErrorContains(t, err, "host 4 is listed twice")
+	require.ErrorContains(t, err, "host 4 stands twice")
 	_, err = l.put(map[string]resource{"b": {"2", []Host{hostAt(4, "x:1")}}}, nil)
 	require.ErrorContains(t, err, "x:1 is the address of two hosts")
 	require.Len(t, l.all(), 3, "a rejected update must not change the list")
--- a/internal/node/lifecycle_test.go
+++ b/internal/node/lifecycle_test.go
@@ -180,11 +180,11 @@
 	require.NoError(t, os.WriteFile(file, []byte(encode(t, b)), 0o600))
 	terminate, reload, ended := make(chan os.Signal), make(chan os.Signal), make(chan int, 1)
 	go func() {
-		canceled, err := Run(file, slog.New(slog.DiscardHandler), terminate, reload)
+		unanswered, err := Run(file, slog.New(slog.DiscardHandler), terminate, reload)
 		if err != nil {
-			canceled = -1
+			unanswered = -1
 		}
-		ended <- canceled
+		ended <- unanswered
 	}()
 	dial := func() net.Conn {
 		c, err := net.Dial("tcp", b["listen"].(string))
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -73,7 +73,7 @@
 
 // Shutdown shuts the router down gracefully. At first it still accepts new connections and closes each connection after
 // its response. Then it stops listening and waits for requests in flight until the drain timeout has passed or abort is
-// closed. It returns the number of canceled requests.
+// closed. It returns the number of requests that got no response.
 func (n *Node) Shutdown(abort <-chan struct{}) int {
 	drainTimeout := n.config.Router.DrainTimeout - shutdownMargin
 	n.instance.StartDraining(lameDuckTime + drainTimeout - lastResponseGrace)
--- a/internal/node/run.go
+++ b/internal/node/run.go
@@ -9,12 +9,12 @@
 )
 
 // Run serves with the configuration in file until a signal arrives on terminate. It then shuts down gracefully and returns
-// the number of requests that the shutdown canceled. A signal on reload reads the file again; if that fails, Run logs the
+// the number of requests that got no response. A signal on reload reads the file again; if that fails, Run logs the
 // error and keeps the current configuration.
 //
 // During the shutdown, further signals are ignored, because the platform may send SIGTERM more than once. Only an
 // interrupt takes effect: it cancels the requests in flight.
-func Run(file string, log *slog.Logger, terminate, reload <-chan os.Signal) (canceled int, err error) {
+func Run(file string, log *slog.Logger, terminate, reload <-chan os.Signal) (unanswered int, err error) {
 	c, err := Read(file)
 	if err != nil {
 		return 0, err
@@ -47,7 +47,7 @@
 
 // shutdownIgnoringSignals shuts down while it receives and ignores signals, so that no sender blocks. Only an interrupt
 // takes effect: it aborts the shutdown, after which no more signals are received.
-func (n *Node) shutdownIgnoringSignals(terminate, reload <-chan os.Signal) (canceled int) {
+func (n *Node) shutdownIgnoringSignals(terminate, reload <-chan os.Signal) (unanswered int) {
 	abort, done := make(chan struct{}), make(chan struct{})
 	var receiver sync.WaitGroup
 	receiver.Go(func() {
--- a/internal/testbed/mirror.go
+++ b/internal/testbed/mirror.go
@@ -100,7 +100,7 @@
 		fault = choose(r.URL.Path, body)
 	}
 	if fault.Status != 0 {
-		http.Error(w, "injected fault", fault.Status)
+		http.Error(w, "out of order", fault.Status)
 		return
 	}
 	if fault.Body != nil {
